--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -24,7 +24,7 @@
   bool String(const char* s, rapidjson::SizeType n, bool) { return sound({s, n}) && put(Kind::string, {s, n}); }
   bool Key(const char* s, rapidjson::SizeType n, bool) {
     if (!sound({s, n})) return false;
-    open_.back()->members.emplace_back(std::string(s, n), Value{});
+    open_.back()->members.push_back({std::string(s, n), Value{}});
     return true;
   }
   bool StartObject() { return begin(Kind::object); }
@@ -49,7 +49,7 @@
     // Those that are open stay where they are: only the innermost grows.
     if (open_.empty()) last_ = &root_;
     else if (Value& in = *open_.back(); in.kind == Kind::list) last_ = &in.items.emplace_back();
-    else last_ = &in.members.back().second;
+    else last_ = &in.members.back().value;
     last_->kind = kind;
     last_->text = text;
     return open_.size() <= deepest;
@@ -66,7 +66,7 @@
     return true;
   }
   // Not by a look at all others for each: a peer's object may have as many names as its bound on bytes lets it.
-  static bool namedOnce(const std::vector<std::pair<std::string, Value>>& members) {
+  static bool namedOnce(const std::vector<Member>& members) {
     std::vector<std::string_view> names;
     names.reserve(members.size());
     for (auto& [name, value] : members) names.push_back(name);
--- a/src/json/json.hpp
+++ b/src/json/json.hpp
@@ -5,18 +5,19 @@
 #include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 namespace dunlinwick::json {
 
 enum class Kind { null, boolean, number, string, list, object };
 
+struct Member;
+
 struct Value {
   Kind kind = Kind::null;
   std::string text;  // of a string, unescaped; of a number or boolean as written
   std::vector<Value> items;
-  std::vector<std::pair<std::string, Value>> members;  // as written; a name comes once
+  std::vector<Member> members;  // of an object, as written; a name comes once
 
   const Value* find(std::string_view name) const;
   // The member's value if it is there and of that kind.
@@ -26,6 +27,12 @@
   double asNumber() const;  // of a number
 };
 
+/// One member of an object.
+struct Member {
+  std::string name;
+  Value value;
+};
+
 // Nothing where the text is not one JSON value whole: names twice in one object, more than 32 levels, a number beyond a
 // double's range, bad UTF-8, half a surrogate pair, a byte order mark, comments and anything behind the value are refused.
 // Takes time in proportion to the text (n log n in the names of one object), and never throws but for lack of memory.
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -168,9 +168,11 @@
       return at != one.MemberEnd() && at->value.IsString() ? std::string(at->value.GetString())
                                                            : std::string();
     };
-    for (auto& [name, memory] : target_.tickets)
+    for (const auto& ticket : target_.tickets) {
+      const std::string& name = ticket.first;
       if (std::none_of(classes.Begin(), classes.End(), [&](const Value& one) { return named(one) == name; }))
         refuse("", "no offering is called " + name + ", which was to be ticketed");
+    }
     for (rapidjson::SizeType i = 0; i < classes.Size(); ++i) {
       Value& one = classes[i];
       std::string field = "settings.classes." + std::to_string(i), name = named(one);
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -48,7 +48,7 @@
   for (std::size_t i = 0; i < a.items.size(); ++i)
     if (!same(a.items[i], b.items[i])) return false;
   for (std::size_t i = 0; i < a.members.size(); ++i)
-    if (a.members[i].first != b.members[i].first || !same(a.members[i].second, b.members[i].second)) return false;
+    if (a.members[i].name != b.members[i].name || !same(a.members[i].value, b.members[i].value)) return false;
   return true;
 }
 
@@ -64,11 +64,11 @@
   int n = *rc::gen::inRange(0, 5);
   for (int i = 0; i < n && v.kind == Kind::list; ++i) v.items.push_back(drawn(depth - 1));
   for (int i = 0; i < n && v.kind == Kind::object; ++i)
-    v.members.emplace_back(word() + std::to_string(i) + "#", drawn(depth - 1));
+    v.members.push_back({word() + std::to_string(i) + "#", drawn(depth - 1)});
   if (v.kind == Kind::object) {  // a drawn name may end like another's number
     auto& m = v.members;
     for (std::size_t i = 0; i < m.size(); ++i)
-      for (std::size_t j = i + 1; j < m.size(); ++j) RC_PRE(m[i].first != m[j].first);
+      for (std::size_t j = i + 1; j < m.size(); ++j) RC_PRE(m[i].name != m[j].name);
   }
   return v;
 }
--- a/tests/layer_test.cpp
+++ b/tests/layer_test.cpp
@@ -152,12 +152,13 @@
         assert((fresh || known->second == name) && "one offset, one entry, at all fronts");
       }
       if (!h->up(i)) continue;
-      for (const auto& [key, offset] : acknowledged) {
+      for (const auto& entry : acknowledged) {
+        const auto& [key, offset] = entry;
         std::string name = key.starts_with("without ") ? key.substr(8) : key;
         auto at = latest.find(name);
         // A tombstone may have been let go before a front that began later read it: then it has no word of the key at all.
         bool gone = at == latest.end() && key.starts_with("without ");
-        bool lifted = std::any_of(acknowledged.begin(), acknowledged.end(), [&](auto& one) { return one.first == "without " + name && one.second > offset; });
+        bool lifted = std::any_of(acknowledged.begin(), acknowledged.end(), [&](auto& one) { return one.first == "without " + name && one.second > entry.second; });
         if (!(gone || lifted || (at != latest.end() && at->second >= offset)))
           std::fprintf(stderr, "front %zu has not read %s at %llu\n", i, key.c_str(), static_cast<unsigned long long>(offset));
         assert(gone || lifted || (at != latest.end() && at->second >= offset));
