--- a/tests/keepers_test.cpp
+++ b/tests/keepers_test.cpp
@@ -118,7 +118,7 @@
   a.entries = {{4, 2, Stream::terms, std::string("k\0y", 3), false, std::string(60000, 'v'), 1.5}, {5, 2, Stream::rules, "x", true, "", 0}};
   Kept k;
   k.token = 4, k.life = 8, k.upTo = 5, k.refused = k.full = k.unsought = k.partial = true, k.last = 9, k.hint = 2, k.holes = {1}, k.plan = {1, 2, 1};
-  Fetched f{.after = 1, .upTo = 5, .afterToken = 2, .committed = 6, .cleaned = 4, .forgotten = 3, .entries = a.entries};
+  Fetched f{.after = 1, .upTo = 5, .afterToken = 2, .committed = 6, .cleaned = 4, .forgotten = 3, .entries = a.entries, .only = {}};
   for (const Message& m : {Message{Seek{3, 4}}, Message{t}, Message{a}, Message{k}, Message{Fetch{1, 2, {3}}}, Message{f}}) {
     std::string bytes = encode(m);
     auto back = decode(bytes);
