--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -2,6 +2,7 @@
 
 #include <fcntl.h>
 #include <poll.h>
+#include <unistd.h>
 
 #include <algorithm>
 #include <cerrno>
@@ -150,7 +151,7 @@
     char byte = 0;
     bool again = false;
     while (::read(from_.get(), &byte, 1) == 1)
-      if (byte == SIGUSR1) std::fputs(front_->counters().c_str(), stderr);
+      if (byte == SIGUSR1) log::WriteToStandardError(front_->counters());
       else if (byte == SIGHUP) again = true;  // several that wait are one: the file is read after all of them
       else front_->stop();
     if (again) reread();
@@ -173,7 +174,22 @@
 
 }  // namespace
 
+namespace {
+
+// A process may be started with standard streams closed. Their numbers would go to descriptors of its own, and log lines with them:
+// into the pipe for signals, each byte a signal, or to a peer.
+void OpenStandardStreams() {
+  for (int fd : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO}) {
+    if (::fcntl(fd, F_GETFD) >= 0) continue;
+    // open(2) takes the lowest number that is free, which is this one.
+    if (::open("/dev/null", O_RDWR) != fd) throw std::runtime_error("a standard stream is closed and /dev/null cannot be opened");
+  }
+}
+
+}  // namespace
+
 int serve(const std::string& path, const std::string& listen) {
+  OpenStandardStreams();
   loop::Loop loop;
   Signals signals(loop, path, listen);
   Charter charter = readCharter(path, listen);
@@ -181,7 +197,7 @@
   signals.reach(front);
   log::say("%s serves", charter.name.c_str());
   loop.run();
-  std::fputs(front.counters().c_str(), stderr);
+  log::WriteToStandardError(front.counters());
   return 0;
 }
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -3,10 +3,13 @@
 #include <spdlog/details/null_mutex.h>
 #include <spdlog/logger.h>
 #include <spdlog/sinks/base_sink.h>
-#include <spdlog/sinks/stdout_sinks.h>
+#include <poll.h>
+#include <unistd.h>
 
 #include <algorithm>
+#include <cerrno>
 #include <chrono>
+#include <climits>
 #include <cstdarg>
 #include <cstdio>
 #include <string>
@@ -53,11 +56,21 @@
   return logger;
 }
 
-spdlog::sink_ptr standardError() {
-  auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
-  sink->set_formatter(std::make_unique<OneLine>());
-  return sink;
-}
+class StandardError final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+ public:
+  StandardError() : base_sink(std::make_unique<OneLine>()) {}
+
+ private:
+  void sink_it_(const spdlog::details::log_msg& record) override {
+    if (lost_ > 0 && WriteToStandardError(std::to_string(lost_) + " lines left out: standard error took none\n")) lost_ = 0;
+    spdlog::memory_buf_t line;
+    formatter_->format(record, line);
+    if (lost_ > 0 || !WriteToStandardError(std::string_view(line.data(), line.size()))) ++lost_;
+  }
+  void flush_() override {}
+
+  std::size_t lost_ = 0;  // lines, since one was written
+};
 
 Log& standard() {
   static Log one([] { return loop::system().now(); });
@@ -69,7 +82,7 @@
 Log::Log(Clock clock, Writer to)
     : clock_(std::move(clock)), to_(loggerTo(std::make_shared<Handed>(std::move(to)))), left_(burst), last_(clock_()) {}
 
-Log::Log(Clock clock) : clock_(std::move(clock)), to_(loggerTo(standardError())), left_(burst), last_(clock_()) {}
+Log::Log(Clock clock) : clock_(std::move(clock)), to_(loggerTo(std::make_shared<StandardError>())), left_(burst), last_(clock_()) {}
 
 void Log::put(std::string_view line) {
   auto at = std::chrono::duration<double, std::milli>(last_);
@@ -91,6 +104,21 @@
   put(line.substr(0, longest));
 }
 
+bool WriteToStandardError(std::string_view text) {
+  while (!text.empty()) {
+    // Writable, a pipe has room for PIPE_BUF bytes at least.
+    pollfd standard_error{STDERR_FILENO, POLLOUT, 0};
+    int ready = loop::system().wait({&standard_error, 1}, 0);
+    if (ready == -EINTR) continue;
+    if (ready != 1 || (standard_error.revents & POLLOUT) == 0) return false;
+    ssize_t written = ::write(STDERR_FILENO, text.data(), std::min<std::size_t>(text.size(), PIPE_BUF));
+    if (written < 0 && errno == EINTR) continue;
+    if (written <= 0) return false;
+    text.remove_prefix(static_cast<std::size_t>(written));
+  }
+  return true;
+}
+
 void say(const char* format, ...) {
   char line[longest + 1];
   va_list args;
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -25,7 +25,8 @@
   using Clock = std::function<double()>;
   using Writer = std::function<void(std::string_view line)>;  // without the line's end
   Log(Clock clock, Writer to);
-  explicit Log(Clock clock);  // to standard error, each line by one write
+  // To standard error, each line by one write. What that does not take is counted as well, and told before the next line.
+  explicit Log(Clock clock);
   void say(std::string_view line);
 
  private:
@@ -37,6 +38,11 @@
   unsigned long unsaid_ = 0;
 };
 
+/// Writes `text` to standard error as far as that takes it without a wait: a reader that has stopped must not hold up the process. A
+/// text of at most PIPE_BUF bytes goes by one write, whole or not at all. False: some of it was left out, because standard error is
+/// closed, or full, or failed.
+bool WriteToStandardError(std::string_view text);
+
 // Like printf, without the line's end; the compiler checks what is handed in.
 [[gnu::format(printf, 1, 2)]] void say(const char* format, ...);
 
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -9,6 +9,7 @@
 
 #include <csignal>
 #include <fstream>
+#include <functional>
 
 #include "front/charter.hpp"
 #include "sides.hpp"
@@ -47,12 +48,15 @@
 struct Served {
   std::string path;
   pid_t pid = 0;
-  explicit Served(std::string file, rlim_t descriptors = 0) : path(std::move(file)), pid(::fork()) {
+  // `inChild` runs in the new process before it serves.
+  explicit Served(std::string file, rlim_t descriptors = 0, const std::function<void()>& inChild = nullptr)
+      : path(std::move(file)), pid(::fork()) {
     assert(pid >= 0);
     if (pid != 0) return;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // none outlives a test that fails
     rlimit limit{descriptors, descriptors};
     if (descriptors > 0) ::setrlimit(RLIMIT_NOFILE, &limit);
+    if (inChild) inChild();
     ::_exit(front::serve(path, ""));
   }
   void tell(int signal) const { ::kill(pid, signal); }
@@ -357,6 +361,54 @@
   }
 }
 
+// Started with standard streams closed, a front must not get their numbers for its own: its log lines would go into its signal
+// pipe, its listener or a connection.
+void closedStandardStreamsAreNobodyElses() {
+  for (const std::vector<int>& closed : std::vector<std::vector<int>>{{2}, {1, 2}, {0, 1, 2}, {0, 2}}) {
+    loop::Loop loop;
+    loop::Address at = freeAddress();
+    Served front(written(charter(at, "127.0.0.1:1", "127.0.0.1:2")), 0, [&] {
+      for (int fd : closed) ::close(fd);
+    });
+    Far client = arrive(loop, at);
+    constexpr int rounds = 3;
+    for (int i = 0; i < rounds; ++i) {
+      client.say(alive);
+      until(loop, [&] { return client.hears("\r\n\r\n"); });
+      assert(client.got.starts_with("HTTP/1.1 200 OK\r\n"));
+      client.got.clear();
+      front.tell(SIGUSR1);
+    }
+    front.tell(SIGTERM);
+    front.endsWell(loop);
+  }
+}
+
+// Nobody reads its standard error any more, and the pipe is full: it serves, prints its counters into nothing, and stops.
+void aFullStandardErrorHoldsUpNobody() {
+  loop::Loop loop;
+  int ends[2];
+  assert(::pipe2(ends, O_NONBLOCK | O_CLOEXEC) == 0);
+  loop::Descriptor from(ends[0]), to(ends[1]);
+  const std::string page(4096, '.');
+  while (::write(to.get(), page.data(), page.size()) > 0) {
+  }
+  ::fcntl(to.get(), F_SETFL, 0);  // as a front has it: a write would wait for a reader
+  loop::Address at = freeAddress();
+  Served front(written(charter(at, "127.0.0.1:1", "127.0.0.1:2")), 0, [&] { ::dup2(to.get(), STDERR_FILENO); });
+  Far client = arrive(loop, at);
+  constexpr int rounds = 3;
+  for (int i = 0; i < rounds; ++i) {
+    client.say(alive);
+    until(loop, [&] { return client.hears("\r\n\r\n"); });
+    assert(client.got.starts_with("HTTP/1.1 200 OK\r\n"));
+    client.got.clear();
+    front.tell(SIGUSR1);
+  }
+  front.tell(SIGTERM);
+  front.endsWell(loop);
+}
+
 }  // namespace
 
 int main(int count, char** words) {  // all, or the one named
@@ -373,7 +425,9 @@
                  {"a stop and a new configuration are read at once", aStopAndANewConfigurationAreReadAtOnce},
                  {"resting clients keep nobody out", restingClientsKeepNobodyOut},
                  {"too few descriptors are refused", tooFewDescriptorsAreRefused},
-                 {"all are ready while discovery is down or mute", allAreReadyWhileDiscoveryIsDownOrMute}}) {
+                 {"all are ready while discovery is down or mute", allAreReadyWhileDiscoveryIsDownOrMute},
+                 {"closed standard streams are nobody else's", closedStandardStreamsAreNobodyElses},
+                 {"a full standard error holds up nobody", aFullStandardErrorHoldsUpNobody}}) {
     if (count > 1 && std::string_view(words[1]) != c.name) continue;
     std::puts(c.name);
     std::fflush(stdout);
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -153,3 +153,79 @@
   CHECK(::read(ends[0], buffer, sizeof buffer) == 0);
   ::close(ends[0]);
 }
+
+namespace {
+
+// Standard error as a pipe that is full, until it goes.
+class FullStandardError {
+ public:
+  FullStandardError() : before_(::dup(STDERR_FILENO)) {
+    int ends[2];
+    REQUIRE(::pipe2(ends, O_NONBLOCK) == 0);
+    from_ = ends[0];
+    const std::string page(4096, '.');
+    while (::write(ends[1], page.data(), page.size()) > 0) {
+    }
+    ::fcntl(ends[1], F_SETFL, 0);
+    ::dup2(ends[1], STDERR_FILENO);
+    ::close(ends[1]);
+  }
+  ~FullStandardError() {
+    ::dup2(before_, STDERR_FILENO);
+    ::close(before_);
+    ::close(from_);
+  }
+  /// What lies in the pipe.
+  std::string Read() {
+    std::string all(1 << 20, 0);
+    std::size_t size = 0;
+    for (ssize_t got = 0; (got = ::read(from_, all.data() + size, all.size() - size)) > 0;) size += static_cast<std::size_t>(got);
+    all.resize(size);
+    return all;
+  }
+
+ private:
+  int before_ = -1;
+  int from_ = -1;
+};
+
+}  // namespace
+
+TEST_CASE("a full standard error holds up nobody, and what was left out is told") {
+  // Ends the test where a write waits for a reader.
+  constexpr unsigned kHangsAfterSeconds = 20;
+  ::alarm(kHangsAfterSeconds);
+  std::string received;
+  {
+    FullStandardError standard_error;
+    log::say("lost");
+    log::say("lost as well");
+    standard_error.Read();
+    log::say("after");
+    received = standard_error.Read();
+  }
+  ::alarm(0);
+  CHECK(received == "2 lines left out: standard error took none\nafter\n");
+}
+
+TEST_CASE("a closed standard error is borne, and what was left out is told") {
+  int before = ::dup(STDERR_FILENO);
+  ::close(STDERR_FILENO);
+  log::say("lost");
+  int ends[2];
+  // The lowest free number: that of standard error stays free.
+  int kept = ::open("/dev/null", O_RDWR);
+  bool opened = ::pipe2(ends, O_NONBLOCK) == 0;
+  ::dup2(ends[1], STDERR_FILENO);
+  log::say("after");
+  ::dup2(before, STDERR_FILENO);
+  ::close(before);
+  ::close(ends[1]);
+  REQUIRE(kept == STDERR_FILENO);
+  REQUIRE(opened);
+  char buffer[4096];
+  ssize_t got = ::read(ends[0], buffer, sizeof buffer);
+  ::close(ends[0]);
+  REQUIRE(got > 0);
+  CHECK(std::string(buffer, static_cast<std::size_t>(got)) == "1 lines left out: standard error took none\nafter\n");
+}
