--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -1,7 +1,5 @@
 #include "front/fleet.hpp"
 
-#include <poll.h>
-
 #include <cerrno>
 #include <cstdio>
 #include <stdexcept>
@@ -46,17 +44,22 @@
       verdicts_(terms.self, places(terms), terms.zoneRegion, terms.verdict),
       health_(health),
       steer_(std::move(steer)) {
-  if (!peers_) loop_.watch(socket_.get(), *this, POLLIN);
+  if (!peers_) {
+    constexpr std::size_t kLongestDatagram = 1024;
+    auto take = [this](std::span<const char> datagram, const loop::Address& from) { took(datagram, from); };
+    auto after_turn = [this] {
+      settle();
+      arm();
+    };
+    reader_.emplace(loop_, socket_.get(), kLongestDatagram, std::move(take), std::move(after_turn));
+  }
   log::say("fleet member %u of %zu, zone %s, quorum %d", terms_.self, terms_.members.size(),
            terms_.zones[static_cast<std::size_t>(places(terms_).at(terms_.self).zone)].c_str(), verdicts_.quorum());
   settle();
   arm();
 }
 
-Fleet::~Fleet() {
-  loop_.cancel(timer_);
-  if (!peers_) loop_.forget(socket_.get());
-}
+Fleet::~Fleet() { loop_.cancel(timer_); }
 
 Ms Fleet::wakeAt() const {
   // Looked at least this often, so that the hysteresis of the verdict ends on time without messages.
@@ -90,28 +93,18 @@
       }
 }
 
-void Fleet::ready(short) {
-  constexpr int mostATurn = 64;
-  char buffer[1024];
-  for (int i = 0; i < mostATurn; ++i) {
-    loop::Address from{};
-    ssize_t got = loop_.ground().receiveFrom(socket_.get(), buffer, from);
-    if (got < 0) break;
-    std::span<const char> bytes(buffer, static_cast<std::size_t>(got));
-    if (members::isViewRequest(bytes)) {
-      std::string text = view();
-      loop_.ground().sendTo(socket_.get(), text, from);
-      continue;
-    }
-    auto m = members::decode(bytes);
-    if (!m) {
-      ++refused_;  // a peer's bytes never throw, nor reach the log
-      continue;
-    }
-    take(*m);
+void Fleet::took(std::span<const char> datagram, const loop::Address& from) {
+  if (members::isViewRequest(datagram)) {
+    std::string text = view();
+    loop_.ground().sendTo(socket_.get(), text, from);
+    return;
   }
-  settle();
-  arm();
+  auto m = members::decode(datagram);
+  if (!m) {
+    ++refused_;  // a peer's bytes never throw, nor reach the log
+    return;
+  }
+  take(*m);
 }
 
 void Fleet::take(const members::Message& m) {
--- a/src/front/fleet.hpp
+++ b/src/front/fleet.hpp
@@ -10,18 +10,19 @@
 #pragma once
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 
 #include "failover/health.hpp"
 #include "failover/verdict.hpp"
 #include "front/charter.hpp"
 #include "front/part.hpp"
-#include "loop/loop.hpp"
+#include "loop/datagram_reader.hpp"
 #include "members/swim.hpp"
 
 namespace dunlinwick::front {
 
-class Fleet final : public Part, loop::Handler {
+class Fleet final : public Part {
  public:
   // Throws std::runtime_error where the socket can't be had.
   // `steer`: called with each new verdict's shares by the platform's zones, where the terms steer.
@@ -37,7 +38,7 @@
   const failover::Verdict& verdict() const { return verdicts_.verdict(); }
 
  private:
-  void ready(short events) override;
+  void took(std::span<const char> datagram, const loop::Address& from);
   void take(const members::Message& message);
   void send(const std::vector<members::Message>& out);
   void settle();
@@ -54,6 +55,7 @@
   std::uint64_t timer_ = 0;
   Ms lookedAt_ = 0;
   std::uint64_t sent_ = 0, received_ = 0, refused_ = 0;
+  std::optional<loop::DatagramReader> reader_;  // of the socket
 };
 
 }  // namespace dunlinwick::front
--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -1,13 +1,13 @@
 #include "front/owner.hpp"
 
-#include <poll.h>
-
 #include <algorithm>
 #include <cmath>
 #include <cstring>
+#include <optional>
 #include <stdexcept>
 
 #include "log/log.hpp"
+#include "loop/datagram_reader.hpp"
 #include "owner/node.hpp"
 #include "store/lmdb.hpp"
 
@@ -21,6 +21,7 @@
   std::unique_ptr<owner::Node> node;
   std::uint64_t timer = 0, sent = 0, received = 0, strange = 0;
   Ms tickAt = 0;
+  std::optional<loop::DatagramReader> reader;  // of the socket
 };
 
 Owner::Owner(loop::Loop& loop, const OwnerTerms& terms, std::uint64_t seed, Carrier* peers)
@@ -58,14 +59,15 @@
   in.node = std::make_unique<owner::Node>(std::move(t), in.store.get(), static_cast<std::uint64_t>(now), seed, now, std::move(ways));
   log::say("owner: front %u, %s, %zu works%s", terms.self, member ? "in the group" : "not in the group", terms.works.size(),
            member && terms.store.empty() ? "; in memory: a member that restarts is lost to the group" : "");
-  if (!peers) loop_.watch(in.socket.get(), *this, POLLIN);
+  if (!peers) {
+    constexpr std::size_t kLongestDatagram = 65536;
+    auto take = [this](std::span<const char> datagram, const loop::Address& from) { took(datagram, from); };
+    in.reader.emplace(loop, in.socket.get(), kLongestDatagram, std::move(take));
+  }
   wake();
 }
 
-Owner::~Owner() {
-  loop_.cancel(inner_->timer);
-  if (!inner_->peers) loop_.forget(inner_->socket.get());
-}
+Owner::~Owner() { loop_.cancel(inner_->timer); }
 
 void Owner::wake() {
   constexpr loop::Ms each = 20;
@@ -90,21 +92,15 @@
   inner_->node->receive(loop_.now(), datagram);
 }
 
-void Owner::ready(short) {
-  constexpr int mostATurn = 64;
-  std::vector<char> buffer(65536);
-  for (int i = 0; i < mostATurn; ++i) {
-    loop::Address from{};
-    ssize_t got = loop_.ground().receiveFrom(inner_->socket.get(), buffer, from);
-    if (got < 0) break;
-    if (got == 3 && std::memcmp(buffer.data(), "DO?", 3) == 0) {
-      std::string text = view();
-      loop_.ground().sendTo(inner_->socket.get(), text, from);
-      continue;
-    }
-    ++inner_->received;
-    inner_->node->receive(loop_.now(), {buffer.data(), static_cast<std::size_t>(got)});
+void Owner::took(std::span<const char> datagram, const loop::Address& from) {
+  constexpr std::string_view kViewRequest = "DO?";
+  if (std::string_view(datagram.data(), datagram.size()) == kViewRequest) {
+    std::string text = view();
+    loop_.ground().sendTo(inner_->socket.get(), text, from);
+    return;
   }
+  ++inner_->received;
+  inner_->node->receive(loop_.now(), datagram);
 }
 
 std::pair<std::uint64_t, bool> Owner::holds(const std::string& work) const {
--- a/src/front/owner.hpp
+++ b/src/front/owner.hpp
@@ -19,7 +19,7 @@
 namespace dunlinwick::front {
 
 // Over the peers' socket fronts are heard on its channel alone, and only places by datagrams of their own.
-class Owner final : public Part, loop::Handler {
+class Owner final : public Part {
  public:
   // Throws std::runtime_error where the socket or the store can't be had.
   Owner(loop::Loop& loop, const OwnerTerms& terms, std::uint64_t seed, Carrier* peers = nullptr);
@@ -42,7 +42,7 @@
 
  private:
   struct Inner;
-  void ready(short events) override;
+  void took(std::span<const char> datagram, const loop::Address& from);
 
   loop::Loop& loop_;
   std::unique_ptr<Inner> inner_;
--- a/src/front/peers.cpp
+++ b/src/front/peers.cpp
@@ -1,7 +1,5 @@
 #include "front/peers.hpp"
 
-#include <poll.h>
-
 #include <algorithm>
 #include <cstring>
 #include <stdexcept>
@@ -30,14 +28,13 @@
              [this](peers::Id from, peers::Channel channel, std::span<const char> message) {
                if (Part* p = part(channel)) p->heard(from, message);
              }) {
-  loop_.watch(socket_.get(), *this, POLLIN);
+  constexpr std::size_t kLongestDatagram = 65536;
+  auto take = [this](std::span<const char> datagram, const loop::Address& from) { took(datagram, from); };
+  reader_.emplace(loop_, socket_.get(), kLongestDatagram, std::move(take), [this] { arm(); });
   log::say("peers: front %u of %zu on one socket", self_, at_.size());
 }
 
-Peers::~Peers() {
-  loop_.cancel(timer_);
-  loop_.forget(socket_.get());
-}
+Peers::~Peers() { loop_.cancel(timer_); }
 
 void Peers::carry(Part& part) {
   parts_.push_back(&part);
@@ -79,18 +76,6 @@
   arm();
 }
 
-void Peers::ready(short) {
-  constexpr int mostATurn = 64;
-  std::vector<char> buffer(65536);
-  for (int i = 0; i < mostATurn; ++i) {
-    loop::Address from{};
-    ssize_t got = loop_.ground().receiveFrom(socket_.get(), buffer, from);
-    if (got < 0) break;
-    took({buffer.data(), static_cast<std::size_t>(got)}, from);
-  }
-  arm();
-}
-
 void Peers::took(std::span<const char> d, const loop::Address& from) {
   if (is(d, "DP?")) return sendRaw(from, view());
   if (is(d, "DR?") && status_) return sendRaw(from, status_());
--- a/src/front/peers.hpp
+++ b/src/front/peers.hpp
@@ -8,15 +8,16 @@
 #pragma once
 #include <map>
 #include <memory>
+#include <optional>
 #include <vector>
 
 #include "front/charter.hpp"
 #include "front/part.hpp"
-#include "loop/loop.hpp"
+#include "loop/datagram_reader.hpp"
 
 namespace dunlinwick::front {
 
-class Peers final : public Carrier, loop::Handler {
+class Peers final : public Carrier {
  public:
   // Throws std::runtime_error where the socket can't be had.
   Peers(loop::Loop& loop, const PeersTerms& terms);
@@ -30,7 +31,6 @@
   std::string view() const;  // JSON
 
  private:
-  void ready(short events) override;
   void took(std::span<const char> datagram, const loop::Address& from);
   void wake();
   void arm();
@@ -46,6 +46,7 @@
   std::function<std::string()> status_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::uint64_t timer_ = 0, strangers_ = 0, other_ = 0, unsent_ = 0;
+  std::optional<loop::DatagramReader> reader_;
 };
 
 }  // namespace dunlinwick::front
