--- a/src/caches/caches.cpp
+++ b/src/caches/caches.cpp
@@ -10,11 +10,13 @@
 using exchange::LegKey;
 using loop::Parting;
 
-// A leg that waits for its connection to show that it carries.
-struct Caches::Held {
+/// An attempt of which nothing is written yet.
+struct Caches::QueuedAttempt {
   LegKey key;
   std::uint32_t cache = 0;
-  std::string id, bytes;
+  std::string id;
+  RequestLine request;
+  Ms timeout = 0;
   bool proven = false;
   std::vector<std::uint64_t> avoid;  // connections on which an earlier answer to its request may still come
   int moves = 0;                     // connections that ended under it
@@ -47,14 +49,18 @@
            (!idle() || all_.loop_.now() - usedAt_ < 0.9 * all_.terms_.idleFor);
   }
 
-  void leg(Held what) {
+  void leg(QueuedAttempt attempt) {
     constexpr Ms fresh =
         50;  // heard that lately it has not lain idle; far below what resets idle connections
     Ms now = all_.loop_.now();
-    bool waits = what.proven && !(carried_ && now - heardAt_ < fresh);
-    std::string id = what.id, bytes = waits ? std::string() : std::move(what.bytes);
-    open_[id] = {what.key, What::leg, waits ? 0 : connection_.send(std::move(bytes)), now};
-    if (waits) held_.push_back(std::move(what)), call();
+    bool waits = attempt.proven && !(carried_ && now - heardAt_ < fresh);
+    open_[attempt.id] = {attempt.key, What::leg, 0, now};
+    if (waits) {
+      held_.push_back(std::move(attempt));
+      call();
+    } else {
+      write(std::move(attempt));
+    }
     usedAt_ = now;
     if (look_ == 0) lookAgain(0);
   }
@@ -86,20 +92,10 @@
   // False, with nothing changed, where a byte of it may have left.
   bool takeBack(const std::string& id) {
     auto at = open_.find(id);
-    bool held = std::erase_if(held_, [&](const Held& one) { return one.id == id; }) > 0;
+    bool held = std::erase_if(held_, [&](const QueuedAttempt& one) { return one.id == id; }) > 0;
     if (!held && !connection_.takeBack(at->second.mark)) return false;
     return open_.erase(at), true;
   }
-  // What waited for the connection to come up, or behind other bytes, is not begun where nobody wants it any more.
-  bool stillWanted(std::uint64_t mark) override {
-    for (auto at = open_.begin(); at != open_.end(); ++at)
-      if (at->second.what == What::leg && at->second.mark == mark) {
-        if (all_.exchange_.stillWanted(at->second.key)) return true;
-        all_.lapse(at->second.key);
-        return open_.erase(at), false;
-      }
-    return true;
-  }
 
   void sweep(Ms now) {
     if (idle() && (stale_ || now - usedAt_ >= 0.9 * all_.terms_.idleFor)) all_.drop(cache_, number_);
@@ -138,9 +134,9 @@
     auto held = std::move(held_);
     bool there = how != Parting::refused && how != Parting::neverUp && how != Parting::noDescriptor &&
                  how != Parting::replaced;
-    std::erase_if(held, [&](const Held& one) { return !there || one.moves >= most; });
+    std::erase_if(held, [&](const QueuedAttempt& one) { return !there || one.moves >= most; });
     std::erase_if(lost, [&](const Lost& one) {
-      return std::any_of(held.begin(), held.end(), [&](const Held& h) {
+      return std::any_of(held.begin(), held.end(), [&](const QueuedAttempt& h) {
         return one.open.what == What::leg && h.key.pull == one.open.key.pull && h.key.leg == one.open.key.leg;
       });
     });
@@ -149,11 +145,10 @@
     std::uint32_t cache = cache_;
     all.drop(cache, number_);  // this object lives until the turn is over
     int fell = 0;
-    for (Held& one : held) {
+    for (QueuedAttempt& one : held) {
       ++one.moves;
       LegKey key = one.key;
-      if (!all.exchange_.stillWanted(key)) all.lapse(key);
-      else if (std::uint64_t via = all.place(std::move(one))) all.exchange_.moved(key, via);
+      if (std::uint64_t via = all.place(std::move(one))) all.exchange_.moved(key, via);
     }
     for (auto& [open, whole] : lost)
       if (open.what == What::probe) all.exchange_.probeEnded(cache, false, all.loop_.now() - open.sentAt, {});
@@ -199,16 +194,26 @@
     // The answer and the peer's close came together: what waits goes over another connection, when this one's end is told. Harm
     // without: what may run once is written where nobody reads it, and can't be asked again.
     if (connection_.peerDone()) return;
-    for (Held& one : std::exchange(held_, {})) {
-      auto at = open_.find(one.id);
-      if (at == open_.end()) continue;
-      if (!all_.exchange_.stillWanted(one.key)) {
-        all_.lapse(one.key), open_.erase(at);
-        continue;
-      }
-      at->second.mark = connection_.send(std::move(one.bytes));
-    }
+    for (QueuedAttempt& one : std::exchange(held_, {}))
+      if (open_.count(one.id) != 0) write(std::move(one));
   }
+
+  // The only way by which an attempt begins. Whether it still may, and the deadline the server is told, are worked out as its
+  // first byte is written, however long it waited for the connection to come up, for the check, or behind other bytes. Harm
+  // without: an attempt begun long after nobody wants it any more, or a server that works on past the client's deadline.
+  void write(QueuedAttempt attempt) {
+    std::string id = attempt.id;
+    std::uint64_t mark = connection_.sendComposed([this, attempt = std::move(attempt)] { return compose(attempt); });
+    if (auto at = open_.find(id); at != open_.end()) at->second.mark = mark;
+  }
+  std::optional<std::string> compose(const QueuedAttempt& attempt) {
+    Ms left = std::min(all_.exchange_.timeLeft(attempt.key), attempt.timeout);
+    if (left > 0) return attempt.request.withTimeLeft(left);
+    all_.lapse(attempt.key);
+    open_.erase(attempt.id);
+    return std::nullopt;
+  }
+
   // How long the oldest that is open here has been.
   Ms waitedFor() const {
     Ms longest = 0;
@@ -301,7 +306,7 @@
   std::uint64_t look_ = 0;  // timer, while something is open or has come in part
   Answer answer_;           // the one being read, and how many of its bytes are still to come
   std::size_t left_ = 0;
-  std::vector<Held> held_;            // emptied by the call's answer, giving up and the end
+  std::vector<QueuedAttempt> held_;   // emptied by the call's answer, giving up and the end
   std::map<std::string, Open> open_;  // emptied by answers, giving up, overdue probes and the end
   loop::Connection connection_;
 };
@@ -360,8 +365,14 @@
     exchange_.legLost(key, Parting::noDescriptor, false);
     return 0;
   }
-  std::string line = wantLine(ask, how, how.source == how.cache ? "" : source->second.id);
-  return place({key, how.cache, ask.id, std::move(line), how.proven, avoid});
+  RequestLine request(ask, how, how.source == how.cache ? "" : source->second.id);
+  return place({.key = key,
+                .cache = how.cache,
+                .id = ask.id,
+                .request = std::move(request),
+                .timeout = how.patience,
+                .proven = how.proven,
+                .avoid = avoid});
 }
 
 // Told in a turn of its own, since it may come up within any call.
@@ -369,12 +380,15 @@
   loop_.at(loop_.now(), [this, key] { exchange_.lapsed(key); });
 }
 
-std::uint64_t Caches::place(Held what) {
-  auto at = machines_.find(what.cache);
+std::uint64_t Caches::place(QueuedAttempt attempt) {
+  auto at = machines_.find(attempt.cache);
   bool none = at == machines_.end() || at->second.supplanted;
-  Line* line = none ? nullptr : lineFor(at->second, what.cache, what.id, what.avoid);
-  if (line) return line->leg(std::move(what)), line->number();
-  exchange_.legLost(what.key, none ? Parting::replaced : Parting::noDescriptor, false);
+  Line* line = none ? nullptr : lineFor(at->second, attempt.cache, attempt.id, attempt.avoid);
+  if (line) {
+    line->leg(std::move(attempt));
+    return line->number();
+  }
+  exchange_.legLost(attempt.key, none ? Parting::replaced : Parting::noDescriptor, false);
   return 0;
 }
 
--- a/src/caches/caches.hpp
+++ b/src/caches/caches.hpp
@@ -30,8 +30,8 @@
     bool supplanted = false;                               // another machine has its address now
     std::map<std::uint64_t, std::shared_ptr<Line>> lines;  // by number; emptied as they end
   };
-  struct Held;
-  std::uint64_t place(Held what);
+  struct QueuedAttempt;
+  std::uint64_t place(QueuedAttempt attempt);
   void lapse(exchange::LegKey key);
   Line* lineOf(exchange::LegKey key, const exchange::Ask& ask, std::uint32_t cache);
   Line* lineFor(Machine& m, std::uint32_t cache, const std::string& id,
--- a/src/caches/lines.cpp
+++ b/src/caches/lines.cpp
@@ -66,18 +66,20 @@
   return true;
 }
 
+/// Whole milliseconds, and at least 1: a deadline of 0 is none, and an age of 0 lifts the limit.
+std::string wholeMs(Ms ms) { return std::to_string(std::max(1LL, static_cast<long long>(ms))); }
+
 }  // namespace
 
-std::string wantLine(const exchange::Ask& ask, const SendLeg& how, std::string_view source) {
-  // Whole milliseconds. The age is rounded down, for a purge binds by it, but never to 0, which lifts the
-  // cap; the time is rounded up, since the client's own end calls the leg off anyway.
-  auto whole = [](Ms ms) { return std::to_string(std::max(1LL, static_cast<long long>(ms))); };
-  std::string line = "want " + ask.id + " profile=" + ask.offering + ",thing=" + ask.object;
-  if (!ask.part.empty()) line += ",nth=" + ask.part;
-  line += ",max=" + whole(std::ceil(how.patience));
+RequestLine::RequestLine(const exchange::Ask& ask, const SendLeg& how, std::string_view source) {
+  beforeDeadline_ = "want " + ask.id + " profile=" + ask.offering + ",thing=" + ask.object;
+  if (!ask.part.empty()) beforeDeadline_ += ",nth=" + ask.part;
+  beforeDeadline_ += ",max=";
+  std::string& line = afterDeadline_;
   if (!source.empty()) line.append(",miss=").append(source);
   if (how.rank > 0) line += ",prio=" + std::to_string(how.rank);
-  if (how.oldest > 0) line += ",within=" + whole(how.oldest);
+  // Rounded down, for a purge binds by it.
+  if (how.oldest > 0) line += ",within=" + wholeMs(how.oldest);
   std::string words;
   auto add = [&](bool on, const char* word) {
     if (on) words.append(words.empty() ? "" : "+").append(word);
@@ -89,7 +91,20 @@
   if (!ask.tag.empty()) line += ",mine=" + ask.tag;
   if (!ask.key.empty()) line += ",replay=" + ask.key;
   line += ' ' + std::to_string(ask.body.size()) + "\r\n";
-  return line + ask.body + "\r\n";
+  line += ask.body;
+  line += "\r\n";
+}
+
+std::string RequestLine::withTimeLeft(Ms left) const {
+  // Rounded up, since the attempt is called off at its end anyway; but not for what Unix time in a double adds.
+  constexpr Ms clockGrain = 0.001;
+  std::string deadline = wholeMs(std::ceil(left - clockGrain));
+  std::string bytes;
+  bytes.reserve(beforeDeadline_.size() + deadline.size() + afterDeadline_.size());
+  bytes += beforeDeadline_;
+  bytes += deadline;
+  bytes += afterDeadline_;
+  return bytes;
 }
 
 std::string neverMindLine(std::string_view id) { return "never_mind " + std::string(id) + "\r\n"; }
--- a/src/caches/lines.hpp
+++ b/src/caches/lines.hpp
@@ -6,8 +6,18 @@
 
 namespace dunlinwick::caches {
 
-// `source`: the id of the machine that fills a miss, "" for none.
-std::string wantLine(const exchange::Ask& ask, const SendLeg& how, std::string_view source);
+/// A request to a server, without the deadline it is told: how much time is left shows only when the first byte is written.
+class RequestLine {
+ public:
+  /// `source`: the id of the machine that fills a miss, "" for none.
+  RequestLine(const exchange::Ask& ask, const SendLeg& how, std::string_view source);
+  /// The whole request, body included. `left`: the time until its deadline, above 0.
+  std::string withTimeLeft(Ms left) const;
+
+ private:
+  std::string beforeDeadline_;
+  std::string afterDeadline_;
+};
 std::string neverMindLine(std::string_view id);
 std::string probeLine(std::string_view id);
 std::string callLine(std::string_view id);  // asks for no report
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -1,6 +1,7 @@
 #include "exchange/exchange.hpp"
 
 #include <algorithm>
+#include <limits>
 #include <set>
 
 #include "log/log.hpp"
@@ -119,6 +120,7 @@
   leg.source = a.source;
   leg.sentAt = now;
   leg.notAfter = a.notAfter;
+  leg.deadline = a.patience > 0 ? std::min(p->expiresAt, now + a.patience) : p->expiresAt;
   p->legs.push_back(std::move(leg));
   ++counters.legs;
   counters.fills += a.source != a.cache;
@@ -309,13 +311,14 @@
   endLeg(key, endingOf(how, writtenWhole), {}, fellWith, how == Parting::noDescriptor);
 }
 
-bool Exchange::stillWanted(LegKey key) {
-  if (!known(key.pull)) return true;  // not of a request of ours: its sender's own affair
-  Leg* leg = legOut(key);
-  if (!leg) return false;
-  const Pull& p = *known(key.pull);
+Ms Exchange::timeLeft(LegKey key) {
+  const Pull* p = known(key.pull);
+  if (!p) return std::numeric_limits<Ms>::infinity();
+  const Leg* leg = legOut(key);
+  if (!leg || !p->asker || p->streaming >= 0) return 0;
   Ms now = loop_.now();
-  return p.asker && p.streaming < 0 && now < p.expiresAt && (leg->notAfter <= 0 || now < leg->notAfter);
+  if (leg->notAfter > 0 && now >= leg->notAfter) return 0;
+  return std::max(0.0, leg->deadline - now);
 }
 
 void Exchange::lapsed(LegKey key) {
--- a/src/exchange/exchange.hpp
+++ b/src/exchange/exchange.hpp
@@ -110,10 +110,11 @@
   // `fellWith`: legs told before it that fell with the same connection.
   void legLost(LegKey key, loop::Parting how, bool writtenWhole, int fellWith = 0);
   void probeEnded(std::uint32_t cache, bool answered, Ms took, std::vector<float> report);
-  // Asked in the moment before the first byte of an attempt that waited: is its client there, its deadline ahead, and would a
-  // repeat still be known as one?
-  bool stillWanted(LegKey key);
-  void lapsed(LegKey key);                      // it was not: nothing of it has left
+  /// The one check of every attempt, asked in the moment before its first byte is written: the time left until the attempt's
+  /// timeout or its client's deadline, whichever comes first. 0: it must not be begun, since its client has left or has an
+  /// answer, the time is up, or a repeat would no longer be known as one. Infinite for a request not of this exchange.
+  Ms timeLeft(LegKey key);
+  void lapsed(LegKey key);                    // it was not begun: nothing of it has left
   void moved(LegKey key, std::uint64_t via);  // it waited on a connection that ended, and waits on another
 
   // from the notice board
@@ -136,6 +137,7 @@
     std::uint64_t via = 0;
     std::uint32_t source = 0;
     Ms sentAt = 0, notAfter = 0;
+    Ms deadline = 0;  // its timeout, or its client's deadline if that comes first
     bool out = true;
     std::uint64_t timer = 0, limit = 0;  // of its patience; of notAfter
     std::string bytes;
--- a/src/loop/connection.cpp
+++ b/src/loop/connection.cpp
@@ -91,12 +91,21 @@
 }
 
 std::uint64_t Connection::send(std::string message, bool more) {
+  return enqueue({.bytes = std::move(message)}, more);
+}
+
+std::uint64_t Connection::sendComposed(Composer compose) {
+  return enqueue({.bytes = {}, .compose = std::move(compose)}, false);
+}
+
+std::uint64_t Connection::enqueue(Message message, bool more) {
   // Where messages wait already, the socket is full: what is sent now goes out after them.
   bool waits = !out_.empty() && !held_;
-  out_.push_back({std::move(message), ++marks_});
+  message.mark = ++marks_;
+  out_.push_back(std::move(message));
   held_ = more && !waits;
   if (held_) return marks_;
-  if (up_ && !isOver() && !waits) flush(false);
+  if (up_ && !isOver() && !waits) flush();
   rewatch();
   return marks_;
 }
@@ -120,19 +129,25 @@
   shut_ = true;
 }
 
-void Connection::flush(bool waited) {
+// False: the first message has no bytes, and is not to be written.
+bool Connection::composeFirst() {
+  Message& first = out_.front();
+  if (!first.compose) return true;
+  std::optional<std::string> bytes = first.compose();
+  if (bytes) first.bytes = std::move(*bytes);
+  return bytes.has_value();
+}
+
+void Connection::flush() {
   while (!isOver() && !broken_ && !out_.empty()) {
-    // What waited is looked at again in the moment it goes: its client may have left, or its time be up. Harm without: an
-    // attempt begun long after nobody wants it any more, or after its repeats are known.
-    if (waited && outDone_ == 0 && !owner_.stillWanted(out_.front().mark)) {
+    if (!composeFirst()) {
       out_.pop_front();
       continue;
     }
     iovec parts[16];
     int count = 0;
     for (Message& m : out_) {
-      // Asked one by one as they come to the front; an answer's head and body were sent as one and never waited apart.
-      if (waited && count > 0) break;
+      if (m.compose && count > 0) break;  // its own moment is when everything before it is written
       std::size_t skip = count == 0 ? outDone_ : 0;
       parts[count++] = {m.bytes.data() + skip, m.bytes.size() - skip};
       if (count == 16) break;
@@ -142,7 +157,8 @@
     if (put == -EAGAIN || put == -EWOULDBLOCK || put == -ENOBUFS) return;
     if (put < 0) return lastWords();
     outDone_ += static_cast<std::size_t>(put);
-    while (!out_.empty() && outDone_ >= out_.front().bytes.size()) {
+    if (put > 0) out_.front().compose = nullptr;
+    while (!out_.empty() && !out_.front().compose && outDone_ >= out_.front().bytes.size()) {
       outDone_ -= out_.front().bytes.size();
       out_.pop_front();
     }
@@ -192,7 +208,7 @@
     if (!(events & POLLOUT)) return;
     up_ = true;
     loop_.cancel(limit_);
-    flush(true);
+    flush();
     if (!isOver() && out_.empty()) owner_.drained();
     return rewatch();
   }
@@ -202,7 +218,7 @@
   else if (events & (POLLERR | POLLHUP)) return finish(Parting::reset);
   else if (events & POLLRDHUP) return finish(Parting::closed);
   if (isOver() || broken_ || !(events & POLLOUT) || out_.empty()) return;
-  flush(true);
+  flush();
   if (!isOver() && out_.empty()) owner_.drained();
   rewatch();
 }
--- a/src/loop/connection.hpp
+++ b/src/loop/connection.hpp
@@ -1,6 +1,7 @@
 // A TCP connection: one buffer for what comes in, and the messages that are still to go out.
 #pragma once
 #include <deque>
+#include <functional>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -34,14 +35,15 @@
     virtual void came() = 0;              // there are bytes in the buffer
     virtual void drained() {}             // all messages are out
     virtual void ended(Parting how) = 0;  // once; never called out of a call of the owner's
-    // Asked of a message that had to wait, in the moment before its first byte is written. False: it is dropped
-    // unwritten, and the owner sees to what hung on it. It sends and closes nothing from within.
-    virtual bool stillWanted(std::uint64_t mark) { return static_cast<void>(mark), true; }
 
    protected:
     ~Owner() = default;
   };
 
+  /// Gives a message's bytes in the moment before the first of them is written, and is asked again where the socket took none.
+  /// Nothing: the message is dropped unwritten, and the sender sees to what hung on it. Must not send or close from within.
+  using Composer = std::function<std::optional<std::string>()>;
+
   Connection(Loop& loop, Owner& owner, Descriptor accepted);
   Connection(Loop& loop, Owner& owner, const Address& to, Ms within);  // opens one
   ~Connection();
@@ -49,6 +51,8 @@
   Buffer in;
   // Returns its mark. `more`: another follows at once, and both go out together.
   std::uint64_t send(std::string message, bool more = false);
+  /// Sends what `compose` gives once everything before it is written, which may be within this call. Returns its mark.
+  std::uint64_t sendComposed(Composer compose);
   bool unsent(std::uint64_t mark) const;  // not written whole
   bool takeBack(std::uint64_t mark);      // drops a message of which nothing was written
   bool drainedOut() const { return out_.empty(); }
@@ -65,12 +69,15 @@
  private:
   struct Message {
     std::string bytes;
-    std::uint64_t mark;
+    std::uint64_t mark = 0;
+    Composer compose = nullptr;  // until the first byte is written; none where the bytes were known when it was sent
   };
   void ready(short events) override;
   void finish(Parting how);
   void fetch();
-  void flush(bool waited);
+  std::uint64_t enqueue(Message message, bool more);
+  bool composeFirst();
+  void flush();
   void lastWords();
   void rewatch();
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -91,17 +91,16 @@
   exchange::Ask ask;
   ask.id = "9b1f03aa5c7e2d41", ask.offering = "video", ask.object = "7f3a", ask.part = "3";
   SendLeg how;
-  how.patience = 1500.2;
-  assert(caches::wantLine(ask, how, "") ==
+  assert(caches::RequestLine(ask, how, "").withTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501 0\r\n\r\n");
   ask.tag = "4be0", ask.body = "a\r\nb";
   how.join = how.heldOnly = how.renew = true, how.rank = 2, how.oldest = 0.001;
   // An age below a millisecond must not become 0, which would lift the cap after a purge.
-  assert(caches::wantLine(ask, how, "s-2") ==
+  assert(caches::RequestLine(ask, how, "s-2").withTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501,miss=s-2,prio=2,within=1,"
          "f=coalesce+shallow+freshen,mine=4be0 4\r\na\r\nb\r\n");
   ask.key = "k-17";  // as its client named it: repeats are known by it
-  assert(caches::wantLine(ask, how, "s-2").find(",mine=4be0,replay=k-17 4\r\n") != std::string::npos);
+  assert(caches::RequestLine(ask, how, "s-2").withTimeLeft(1500.2).find(",mine=4be0,replay=k-17 4\r\n") != std::string::npos);
 }
 
 static void answersAreRead() {
