--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -4,6 +4,7 @@
 #include <charconv>
 #include <cmath>
 
+#include "clients/close_policy.hpp"
 #include "log/log.hpp"
 
 namespace dunlinwick::clients {
@@ -15,19 +16,9 @@
 namespace {
 
 constexpr Ms second = 1000;
-// Clients close connections idle for 4 s; later than that, so that no request crosses a close of ours.
-constexpr Ms idleFor = 10 * second;
-// For the first word to come, and a request to come whole: a client is owed an end within 3 s, looked at four
-// times a second. Harm: one on so slow a way that a request takes as long. Those that close as well are sent
-// again, on a new connection.
+// For a request to come whole: a client is owed an end within 3 s, looked at four times a second. Harm: one on so slow a way that
+// a request takes as long. Those that close as well are sent again, on a new connection.
 constexpr Ms slowestRequest = 2.5 * second;
-// For an answer to be taken: no pull lasts as long, and a dead peer must go.
-constexpr Ms slowestAnswer = 15 * second;
-// After the last word is said it reads on for so long, or until the peer's end, and discards. Harm without: a close over unread
-// bytes resets the connection, and takes with it the answer that still lies in the system's buffers. In a stop shorter, since the
-// exit has a bound; a request that crosses a close of ours does so within 50 ms.
-constexpr Ms lingerFor = second, lingerInStop = 200;
-constexpr Ms tooLate = 500;  // after its time an answer counts as lost
 
 // Digits and a fraction at most: no sign, no exponent, no words.
 std::optional<double> number(std::string_view text, double low, double high) {
@@ -67,56 +58,61 @@
 class Clients::Client final : public loop::Connection::Owner, exchange::Asker {
  public:
   Client(Clients& all, std::uint64_t number, loop::Descriptor fd)
-      : all_(all), number_(number), connection_(all.loop_, *this, std::move(fd)), since_(all.loop_.now()) {}
+      : all_(all), number_(number), descriptor_(fd.get()), connection_(all.loop_, *this, std::move(fd)), since_(all.loop_.now()) {}
 
-  bool idle() const { return !open_ && !closing_ && connection_.in.size() == 0 && connection_.drainedOut(); }
   Ms since() const { return since_; }
+  bool IsAwaitingFirstRequest() const { return !served_ && State().quiet_for < kNewcomerGrace; }
+
+  /// The one way in which the front ends this connection. False: it may not, by MayClose(), and stays.
+  bool Close(CloseReason reason) {
+    if (!MayClose(reason, State())) return false;
+    const bool closes_idle = reason == CloseReason::kIdleTimeout || reason == CloseReason::kMakeRoom || reason == CloseReason::kServerStops;
+    if (closes_idle) {
+      // The poll of this turn may be older than a request: only what crosses the close itself stays unanswered.
+      ReadArrived();
+      if (!MayClose(reason, State())) return false;
+    }
+    // Where nothing was answered no answer can be lost to a reset, and a request that crosses the close stays unread.
+    if ((closes_idle && served_) || reason == CloseReason::kLastAnswerSent) HalfClose();
+    else Drop();
+    return true;
+  }
 
-  // Ends it where it has been idle, half read, or not been taking its answer for too long.
+  /// Ends it where it has been idle, half read, or not been taking its answer for too long.
   void sweep(Ms now) {
     if (open_ || connection_.isOver()) return;
-    if (lingers_) return now - since_ < lingerFor ? void() : drop();
-    Ms limit = idle() && said_ ? idleFor : slowestRequest;
-    if (!connection_.drainedOut()) limit = slowestAnswer;
-    if (now - since_ < limit) return;
-    if (!connection_.drainedOut()) return drop();  // it takes nothing: there is no word left that could reach it
-    if (idle()) return letGo();
-    refuse(408);
+    if (half_closed_) {
+      Close(CloseReason::kDrainOver);
+      return;
+    }
+    if (Close(CloseReason::kAnswerNotTaken) || Close(CloseReason::kIdleTimeout)) return;
+    if (connection_.drainedOut() && connection_.in.size() > 0 && now - since_ >= slowestRequest) RefuseHalfRequest(408);
   }
-  // In a stop: what is open gets its answer first, half a request its refusal, which is harmless to repeat.
-  void leave(Ms now) {
+  /// In a stop: what is open gets its answer first, half a request its refusal, which is harmless to repeat.
+  void leave() {
     if (connection_.isOver()) return;
-    if (lingers_) return now - since_ < lingerInStop ? void() : drop();
+    if (half_closed_) {
+      Close(CloseReason::kDrainOverInStop);
+      return;
+    }
     readOn();
-    // Guards the exit against who takes nothing any more: it would wait for slowestAnswer, beyond what a stop may last.
-    if (!open_ && !connection_.drainedOut() && now > wantedUntil_ + tooLate) return drop();
+    // Guards the exit against who takes nothing any more: it would wait longer than a stop may last.
+    if (Close(CloseReason::kAnswerNotTakenInStop)) return;
     if (open_ || closing_ || !connection_.drainedOut()) return;
-    if (connection_.in.size() == 0) return letGo();
-    connection_.in.release();
-    answer(503, {}, {});
-  }
-  // Ends it from here, with nothing open: no request that is read from now on is sent on.
-  void letGo() {
-    closing_ = true;
-    connection_.in.release();
-    linger();
-  }
-  // Closes it outright.
-  void drop() {
-    connection_.close();
-    all_.gone(number_);
+    if (connection_.in.size() == 0) Close(CloseReason::kServerStops);
+    else RefuseHalfRequest(503);
   }
 
   void came() override { readOn(); }
   void drained() override {
     since_ = all_.loop_.now();
-    if (closing_) return linger();
-    readOn();
+    if (closing_) Close(CloseReason::kLastAnswerSent);
+    else readOn();
   }
   void ended(Parting) override {
     if (open_) all_.exchange_.clientLeft(pull_);
     else if (!closing_ && !lastEmpty_) noteBad("it left within a request");
-    drop();
+    Close(CloseReason::kClientLeft);
   }
 
   // ---- answers
@@ -133,7 +129,8 @@
   }
   void abandoned() override { answer(502, {}, {}); }
   void begun(const std::string& tag, std::size_t length) override {
-    connection_.send(answerHead(200, length, stays(), fieldsOf(tag, true)));
+    answer_keeps_ = stays();
+    connection_.send(answerHead(200, length, answer_keeps_, fieldsOf(tag, true)));
   }
   void more(std::string_view bytes) override { connection_.send(std::string(bytes)); }
   void completed() override { done(); }
@@ -143,33 +140,86 @@
     connection_.bePatient(false);
     closing_ = true;
     since_ = all_.loop_.now();
-    if (connection_.drainedOut()) linger();
+    Close(CloseReason::kLastAnswerSent);
   }
 
  private:
-  void linger() {
-    if (std::exchange(lingers_, true)) return;
+  ConnectionState State() const {
+    const Ms now = all_.loop_.now();
+    return {.request_open = open_,
+            .bytes_unanswered = connection_.in.size() > 0,
+            .output_pending = !connection_.drainedOut(),
+            .last_answer_said = closing_,
+            .half_closed = half_closed_,
+            .served = served_,
+            .quiet_for = now - since_,
+            .overdue_for = now - wantedUntil_};
+  }
+  /// Says no more, and reads on for a while. No request that is read from now on is sent on.
+  void HalfClose() {
+    closing_ = true;
+    connection_.in.release();
+    if (std::exchange(half_closed_, true)) return;
     since_ = all_.loop_.now();
     connection_.sayNoMore();
     all_.lingers(number_);
   }
-  bool stays() const { return keepAlive_ && !all_.leaving_; }
+  /// Ends it at once.
+  void Drop() {
+    connection_.close();
+    all_.gone(number_);
+  }
+  /// Takes into the buffer what has arrived by now, and has it looked at after the next poll, which shows a client that has left.
+  void ReadArrived() {
+    constexpr std::size_t kMostHeld = 1 << 16;  // as much as the connection itself holds
+    constexpr std::size_t kChunk = 1 << 14;
+    const std::size_t before = connection_.in.size();
+    while (connection_.in.size() < kMostHeld) {
+      std::span<char> room = connection_.in.room(kChunk);
+      ssize_t got = all_.loop_.ground().receive(descriptor_, room.first(kChunk));
+      if (got <= 0) break;  // an end or a fault shows in the next poll as well
+      connection_.in.wrote(static_cast<std::size_t>(got));
+    }
+    if (connection_.in.size() > before) ReadOnAfterNextPoll();
+  }
+  void ReadOnAfterNextPoll() {
+    all_.afterNextPoll([&all = all_, number = number_] {
+      auto found = all.open_.find(number);
+      if (found != all.open_.end()) found->second->readOn();
+    });
+  }
+  /// The rest of the request may have arrived since the last poll: then it is served.
+  void RefuseHalfRequest(int status) {
+    ReadArrived();
+    const Reading reading = readRequest(connection_.in.bytes(), exchange::mostWritten);
+    if (reading.whole) return;
+    if (status == 503) {
+      connection_.in.release();
+      answer(status, {}, {});
+    } else {
+      refuse(status);
+    }
+  }
+  /// A whole request lies behind the one that is being answered: it is owed an answer too.
+  bool HasNextRequest() {
+    ReadArrived();
+    return readRequest(connection_.in.bytes().substr(current_size_), exchange::mostWritten).whole;
+  }
+  /// The connection is kept after the answer to the present request.
+  bool stays() { return keepAlive_ && (!all_.leaving_ || HasNextRequest()); }
   void done() {
     open_ = false;
     connection_.bePatient(false);
     since_ = all_.loop_.now();
-    if (!stays()) closing_ = true;
-    if (closing_ && connection_.drainedOut()) linger();
-    if (!closing_) all_.spare();
+    if (!answer_keeps_) closing_ = true;
+    if (!Close(CloseReason::kLastAnswerSent) && !closing_) all_.spare();
     // What waits in the buffer is read not from within an answer, but after the next poll, which shows whether the client is
     // still there: it was watched patiently. Harm without: a request is sent on for somebody seen to have left.
-    if (!closing_ && !reading_ && connection_.in.size() > 0)
-      all_.afterNextPoll([&all = all_, number = number_] {
-        if (auto at = all.open_.find(number); at != all.open_.end()) at->second->readOn();
-      });
+    if (!closing_ && !reading_ && connection_.in.size() > 0) ReadOnAfterNextPoll();
   }
   void answer(int status, std::string body, const std::vector<Field>& fields) {
-    connection_.send(answerHead(status, body.size(), stays(), fields), !body.empty());
+    answer_keeps_ = stays();
+    connection_.send(answerHead(status, body.size(), answer_keeps_, fields), !body.empty());
     if (!body.empty()) connection_.send(std::move(body));
     done();
   }
@@ -179,8 +229,12 @@
   }
   void refuse(int status) {
     noteBad("request refused with " + std::to_string(status));
-    keepAlive_ = false;
-    connection_.in.release();
+    // Where the request was read to its end, another one behind it is answered as well.
+    if (current_size_ == 0 || !keepAlive_ || !HasNextRequest()) {
+      keepAlive_ = false;
+      current_size_ = 0;
+      connection_.in.release();
+    }
     answer(status, {}, status == 405 ? std::vector<Field>{{"Allow", "GET, PUT"}} : std::vector<Field>{});
   }
 
@@ -195,7 +249,7 @@
   }
 
   bool readOne() {
-    if (lastEmpty_ && said_) since_ = all_.loop_.now();  // the first counts from the connection's start
+    if (lastEmpty_ && served_) since_ = all_.loop_.now();  // the first counts from the connection's start
     Reading reading = readRequest(connection_.in.bytes(), exchange::mostWritten);
     if (reading.fault != 0) return refuse(reading.fault), false;
     lastEmpty_ = reading.whole;
@@ -205,13 +259,16 @@
       return false;
     }
     continued_ = false;
-    said_ = true;
+    served_ = true;
     keepAlive_ = reading.request.keepAlive;
+    current_size_ = reading.request.size;
     take(reading.request);
+    current_size_ = 0;
     if (!closing_) connection_.in.consume(reading.request.size);
     return true;
   }
 
+  // What `r` points at may move as soon as an answer is given.
   void take(const Request& r) {
     if (r.path == "/alive") {
       if (r.method != "GET") return refuse(405);
@@ -220,7 +277,10 @@
     Ask ask;
     if (int status = readAsk(r, ask); status != 0) return refuse(status);
     // Its client left with its last words: no answer is owed, and an attempt begun long after it left breaks a rule.
-    if (connection_.peerDone()) return letGo();
+    if (connection_.peerDone()) return HalfClose();
+    // What is taken late in a stop must have its answer before the process may be killed.
+    ask.ttl -= all_.LateInStop();
+    if (ask.ttl < 0) return answer(503, {}, {});
     open_ = true;
     wantedUntil_ = all_.loop_.now() + ask.ttl;
     connection_.bePatient(true);
@@ -275,12 +335,15 @@
 
   Clients& all_;
   std::uint64_t number_;
+  int descriptor_;  // the connection's, which owns it
   loop::Connection connection_;
   bool open_ = false;     // a pull is owed its answer
   bool closing_ = false;  // said all: what goes out is the last
-  bool lingers_ = false;  // that is out, and the way out is shut
+  bool half_closed_ = false;  // that is out, and the way out is shut
+  bool answer_keeps_ = true;  // the last answer did not announce the close
   bool keepAlive_ = true, reading_ = false, continued_ = false, lastEmpty_ = true;
-  bool said_ = false;  // a whole request has come
+  bool served_ = false;  // a whole request has come
+  std::size_t current_size_ = 0;  // of the request at the buffer's front while it is being taken
   std::uint32_t pull_ = 0;
   Ms since_;  // the last request's or answer's end
   Ms wantedUntil_ = 0;  // the last request's deadline
@@ -298,7 +361,15 @@
   sweep();
 }
 
-Clients::~Clients() { loop_.cancel(sweep_); }
+Clients::~Clients() {
+  loop_.cancel(sweep_);
+  loop_.cancel(room_timer_);
+}
+
+Ms Clients::LateInStop() const {
+  constexpr Ms kTakenInFull = 650;  // of the 0.7 s in which requests still come; the rest is left for the answer to go out
+  return winding_ ? std::max(0.0, loop_.now() - winding_since_ - kTakenInFull) : 0;
+}
 
 // A timer set by a timer runs in the next turn, after its poll.
 void Clients::afterNextPoll(std::function<void()> what) {
@@ -318,16 +389,22 @@
 
 void Clients::makeRoom() {
   makingRoom_ = false;
-  if (!leaving_ && (live() <= most_ || dropIdle())) listener_.resume();
+  if (leaving_) return;
+  if (live() <= most_ || dropIdle()) return listener_.resume();
+  // A newcomer may have no request after all: it is asked again once it had time to send one.
+  const bool someone_new = std::any_of(open_.begin(), open_.end(), [](auto& entry) { return entry.second->IsAwaitingFirstRequest(); });
+  if (!someone_new || room_timer_ != 0) return;
+  room_timer_ = loop_.at(loop_.now() + kNewcomerGrace, [this] {
+    room_timer_ = 0;
+    if (!makingRoom_) makeRoom();
+  });
 }
 
 bool Clients::dropIdle() {
-  Client* longest = nullptr;
-  for (auto& [number, client] : open_)
-    if (number != last_ && client->idle() && (!longest || client->since() < longest->since()))
-      longest = client.get();
-  if (longest) longest->letGo();
-  return longest != nullptr;
+  std::vector<std::shared_ptr<Client>> longest_first;
+  for (auto& [number, client] : open_) longest_first.push_back(client);
+  std::sort(longest_first.begin(), longest_first.end(), [](auto& a, auto& b) { return a->since() < b->since(); });
+  return std::any_of(longest_first.begin(), longest_first.end(), [](auto& client) { return client->Close(CloseReason::kMakeRoom); });
 }
 
 // One has nothing open any more: where new ones wait, it may make room.
@@ -338,7 +415,7 @@
 // Those that linger take no place of a live one, and have a bound of their own: the longest makes room.
 void Clients::lingers(std::uint64_t number) {
   lingering_.push_back(number);
-  if (lingering_.size() > mostLingering_) open_.at(lingering_.front())->drop();
+  if (lingering_.size() > mostLingering_) open_.at(lingering_.front())->Close(CloseReason::kTooManyDraining);
   if (!leaving_ && !makingRoom_) listener_.resume();
 }
 
@@ -359,7 +436,7 @@
   // The process is out of descriptors before the places are: one is given back for those who wait.
   if (auto times = std::exchange(listener_.shortOfDescriptors, 0); times > 0) {
     exchange_.counters.shortOfDescriptors += times;
-    if (!lingering_.empty()) open_.at(lingering_.front())->drop();
+    if (!lingering_.empty()) open_.at(lingering_.front())->Close(CloseReason::kTooManyDraining);
     else dropIdle();
   }
   sweep_ = loop_.at(now + second / 4, [this] { sweep(); });
@@ -374,7 +451,7 @@
   for (auto& [number, client] : open_)
     if (number <= known_) all.push_back(client);
   known_ = last_;
-  for (auto& client : all) client->leave(loop_.now());
+  for (auto& client : all) client->leave();
 }
 
 }  // namespace dunlinwick::clients
--- a/src/clients/clients.hpp
+++ b/src/clients/clients.hpp
@@ -11,6 +11,8 @@
 
 namespace dunlinwick::clients {
 
+using loop::Ms;
+
 class Clients {
  public:
   // Throws std::system_error where the address can't be had. `most`: connections at once, but for one. Beside them so many linger:
@@ -21,7 +23,11 @@
   // Called again and again, with a turn of the loop between: those who wait are accepted, then none is, answers close their
   // connection, and those with nothing open that were here at the call before go.
   void leave();
-  void wind() { winding_ = true; }  // a stop is coming: /alive says so
+  // A stop is coming: /alive says so, and requests that are taken late get less time.
+  void wind() {
+    winding_ = true;
+    winding_since_ = loop_.now();
+  }
   bool empty() const { return open_.empty(); }
 
  private:
@@ -36,6 +42,8 @@
   void makeRoom();
   bool dropIdle();
   void sweep();
+  /// By how much a request that is taken now comes after those for which a stop leaves their whole deadline.
+  Ms LateInStop() const;
 
   loop::Loop& loop_;
   exchange::Exchange& exchange_;
@@ -44,7 +52,8 @@
   std::size_t most_, mostLingering_;
   bool winding_ = false, leaving_ = false, makingRoom_ = false;
   std::uint64_t last_ = 0, known_ = 0;   // the last one accepted; in a stop, the last one that a poll has shown
-  std::uint64_t sweep_ = 0;
+  Ms winding_since_ = 0;
+  std::uint64_t sweep_ = 0, room_timer_ = 0;
   std::deque<std::uint64_t> lingering_;  // the longest first; emptied as they end
   std::map<std::uint64_t, std::shared_ptr<Client>> open_;  // emptied as they end
   loop::Listener listener_;
