--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -61,7 +61,6 @@
       : all_(all), number_(number), descriptor_(fd.get()), connection_(all.loop_, *this, std::move(fd)), since_(all.loop_.now()) {}
 
   Ms since() const { return since_; }
-  bool IsAwaitingFirstRequest() const { return !served_ && State().quiet_for < kNewcomerGrace; }
 
   /// The one way in which the front ends this connection. False: it may not, by MayClose(), and stays.
   bool Close(CloseReason reason) {
@@ -78,6 +77,9 @@
     return true;
   }
 
+  /// Gives its place to others where a part of a request has waited for the rest. False: it stays.
+  bool GiveWay() { return MayRefuseForRoom(State()) && RefuseHalfRequest(503); }
+
   /// Ends it where it has been idle, half read, or not been taking its answer for too long.
   void sweep(Ms now) {
     if (open_ || connection_.isOver()) return;
@@ -188,17 +190,19 @@
       if (found != all.open_.end()) found->second->readOn();
     });
   }
-  /// The rest of the request may have arrived since the last poll: then it is served.
-  void RefuseHalfRequest(int status) {
+  /// False: the rest of it has arrived by now, and it is served. A 503 is harmless to repeat, and no fault of the client.
+  bool RefuseHalfRequest(int status) {
     ReadArrived();
     const Reading reading = readRequest(connection_.in.bytes(), exchange::mostWritten);
-    if (reading.whole) return;
+    if (reading.whole) return false;
     if (status == 503) {
+      keepAlive_ = false;
       connection_.in.release();
       answer(status, {}, {});
     } else {
       refuse(status);
     }
+    return true;
   }
   /// A whole request lies behind the one that is being answered: it is owed an answer too.
   bool HasNextRequest() {
@@ -391,9 +395,8 @@
   makingRoom_ = false;
   if (leaving_) return;
   if (live() <= most_ || dropIdle()) return listener_.resume();
-  // A newcomer may have no request after all: it is asked again once it had time to send one.
-  const bool someone_new = std::any_of(open_.begin(), open_.end(), [](auto& entry) { return entry.second->IsAwaitingFirstRequest(); });
-  if (!someone_new || room_timer_ != 0) return;
+  // Who was spared for now, since its request may be on its way, is asked again.
+  if (room_timer_ != 0) return;
   room_timer_ = loop_.at(loop_.now() + kNewcomerGrace, [this] {
     room_timer_ = 0;
     if (!makingRoom_) makeRoom();
@@ -404,7 +407,8 @@
   std::vector<std::shared_ptr<Client>> longest_first;
   for (auto& [number, client] : open_) longest_first.push_back(client);
   std::sort(longest_first.begin(), longest_first.end(), [](auto& a, auto& b) { return a->since() < b->since(); });
-  return std::any_of(longest_first.begin(), longest_first.end(), [](auto& client) { return client->Close(CloseReason::kMakeRoom); });
+  return std::any_of(longest_first.begin(), longest_first.end(), [](auto& client) { return client->Close(CloseReason::kMakeRoom); }) ||
+         std::any_of(longest_first.begin(), longest_first.end(), [](auto& client) { return client->GiveWay(); });
 }
 
 // One has nothing open any more: where new ones wait, it may make room.
--- a/src/clients/close_policy.cpp
+++ b/src/clients/close_policy.cpp
@@ -15,6 +15,8 @@
 // system's buffers. In a stop shorter, since the exit has a bound; a request that crosses a close of ours does so within 50 ms.
 constexpr Ms kDrainTime = 1000;
 constexpr Ms kDrainTimeInStop = 200;
+// For the rest of a request while others wait for a place.
+constexpr Ms kHalfRequestGrace = 100;
 
 bool IsIdle(const ConnectionState& state) {
   return !state.request_open && !state.bytes_unanswered && !state.output_pending && !state.last_answer_said;
@@ -50,4 +52,9 @@
   return false;
 }
 
+bool MayRefuseForRoom(const ConnectionState& state) {
+  const bool is_half_request = state.bytes_unanswered && !state.request_open && !state.output_pending && !state.last_answer_said;
+  return is_half_request && state.quiet_for >= kHalfRequestGrace;
+}
+
 }  // namespace dunlinwick::clients
--- a/src/clients/close_policy.hpp
+++ b/src/clients/close_policy.hpp
@@ -36,7 +36,11 @@
 /// True where an end for this reason takes no answer from a request that was read. Ask again after reading what has arrived.
 [[nodiscard]] bool MayClose(CloseReason reason, const ConnectionState& state);
 
-/// How long a connection that has carried no request yet is spared when room is made: its request may be on its way.
-constexpr Ms kNewcomerGrace = 100;
+/// True where a part of a request has waited so long for the rest that, for want of places, it may be refused with an answer.
+[[nodiscard]] bool MayRefuseForRoom(const ConnectionState& state);
+
+/// How long a connection that has carried no request yet is spared when room is made: its request may be on its way. As long as a
+/// request takes that crosses a close; a crowd of silent clients keeps the others waiting for no longer than this, place by place.
+constexpr Ms kNewcomerGrace = 50;
 
 }  // namespace dunlinwick::clients
