--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -342,11 +342,8 @@
   if (at != numbers_.end()) return at->second;
   std::uint64_t h = hashed(machine);
   auto number = static_cast<std::uint32_t>(h ^ h >> 32);
-  auto taken = [&] {
-    return std::any_of(numbers_.begin(), numbers_.end(),
-                       [&](auto& one) { return one.second.number == number; });
-  };
-  while (number == 0 || taken()) ++number;
+  while (number == 0 || taken_.count(number) > 0) ++number;
+  taken_.insert(number);
   return numbers_[machine] = {number, 0};
 }
 
@@ -356,8 +353,10 @@
   constexpr Ms kept = 180 * 1000;
   std::erase_if(numbers_, [&](auto& one) {
     bool old = one.second.goneAt > 0 && one.second.goneAt < loop_.now() - kept;
-    if (old) caches_->forget(one.second.number);
-    return old;
+    if (!old) return false;
+    caches_->forget(one.second.number);
+    taken_.erase(one.second.number);
+    return true;
   });
 }
 
--- a/src/exchange/exchange.hpp
+++ b/src/exchange/exchange.hpp
@@ -6,6 +6,7 @@
 #include <map>
 #include <string>
 #include <string_view>
+#include <unordered_set>
 #include <vector>
 
 #include "exchange/counters.hpp"
@@ -188,6 +189,7 @@
   std::vector<std::uint32_t> ended_;      // the same: pulls that may now be forgotten
   std::map<std::uint32_t, Pull> pulls_;   // emptied when a pull has its answer and its last leg is in
   std::map<std::string, Known> numbers_;  // machines, by id; emptied by news, some time after they have gone
+  std::unordered_set<std::uint32_t> taken_;  // the numbers in `numbers_`, emptied with it
 };
 
 }  // namespace dunlinwick::exchange
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -1,4 +1,7 @@
 // The exchange between noted sides: one answer a pull, whatever its legs come to.
+#include <algorithm>
+#include <unordered_map>
+
 #include "sides.hpp"
 
 using namespace kit;
@@ -130,6 +133,93 @@
   }
 }
 
+// The numbers as they are to come out at all replicas: the id's hash, and past those that are taken, looked for one by one.
+struct NumberedInTurn {
+  std::map<std::string, std::uint32_t> numbers;
+  static std::uint32_t hashOf(std::string_view name) {
+    std::uint64_t h = 0xcbf29ce484222325ull;
+    for (char c : name) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
+    return static_cast<std::uint32_t>(h ^ h >> 32);
+  }
+  bool taken(std::uint32_t number) const {
+    return std::any_of(numbers.begin(), numbers.end(), [&](auto& one) { return one.second == number; });
+  }
+  std::uint32_t add(const std::string& name) {
+    auto known = numbers.find(name);
+    if (known != numbers.end()) return known->second;
+    std::uint32_t number = hashOf(name);
+    while (number == 0 || taken(number)) ++number;
+    return numbers[name] = number;
+  }
+};
+
+// Pairs of ids with the same hash.
+std::vector<std::pair<std::string, std::string>> collidingIds(std::size_t pairs) {
+  std::vector<std::pair<std::string, std::string>> found;
+  std::unordered_map<std::uint32_t, std::string> byHash;
+  for (int i = 0; found.size() < pairs; ++i) {
+    std::string name = "node-" + std::to_string(i);
+    auto [first, isNew] = byHash.emplace(NumberedInTurn::hashOf(name), name);
+    if (!isNew) found.emplace_back(first->second, name);
+  }
+  return found;
+}
+
+void listAll(Desk& d, const std::vector<std::string>& names, Standing standing = Standing::ready) {
+  std::vector<std::pair<std::string, loop::Address>> all;
+  for (const std::string& name : names) all.push_back({name, {}});
+  auto entries = machines(all);
+  for (exchange::Listed& one : entries) one.entry.standing = standing;
+  d.exchange.listCame(false, entries);
+}
+
+// Replicas that read the same list come to the same numbers, also where the hashes of ids collide.
+void numbersAreGivenInTurn() {
+  auto pairs = collidingIds(6);
+  std::vector<std::string> names;
+  for (auto& [first, second] : pairs) {
+    names.push_back(first);
+    names.push_back("s-" + std::to_string(names.size()));
+    names.push_back(second);
+  }
+  for (int i = 0; i < 500; ++i) names.push_back("e-" + std::to_string(i));
+  for (bool backwards : {false, true}) {
+    if (backwards) std::reverse(names.begin(), names.end());
+    Desk d;
+    NumberedInTurn expected;
+    for (auto& [name, number] : d.caches.numbers) expected.add(name);
+    assert(d.caches.numbers == expected.numbers);
+    for (const std::string& name : names) expected.add(name);
+    listAll(d, names);
+    listAll(d, names);  // once more: nothing changes
+    assert(d.caches.numbers == expected.numbers);
+    for (auto& [first, second] : pairs)
+      assert(d.caches.numbers[backwards ? first : second] == NumberedInTurn::hashOf(first) + 1);
+  }
+}
+
+// The number of a server that left long ago is free for another one; that of a server that is listed stays taken.
+void numbersOfThoseLongGoneAreFree() {
+  constexpr Ms longAfter = 200000;
+  auto [first, second] = collidingIds(1).front();
+  std::uint32_t number = NumberedInTurn::hashOf(first);
+  Desk d;
+  listAll(d, {first, second});
+  assert(d.caches.numbers[first] == number && d.caches.numbers[second] == number + 1);
+  listAll(d, {first}, Standing::gone);
+  listAll(d, {second}, Standing::gone);
+  listAll(d, {second});  // it is back before it is forgotten
+  d.loop.skip(longAfter);
+  listAll(d, {second});
+  assert(d.caches.forgotten == std::vector<std::uint32_t>{number} && d.caches.numbers[second] == number + 1);
+  listAll(d, {second}, Standing::gone);
+  d.loop.skip(longAfter);
+  listAll(d, {second});  // forgotten and new in one
+  assert(d.caches.forgotten.size() == 2 && d.caches.numbers[second] == number);
+  listAll(d, {first});
+  assert(d.caches.numbers[first] == number + 1);
+}
+
 }  // namespace
 
 int main() {
@@ -143,7 +233,9 @@
                  {"who leaves is owed nothing", whoLeavesIsOwedNothing},
                  {"overdue pulls are answered", overduePullsAreAnswered},
                  {"streams are passed on as they come", streamsArePassedOnAsTheyCome},
-                 {"machines that left are forgotten", machinesThatLeftAreForgotten}}) {
+                 {"machines that left are forgotten", machinesThatLeftAreForgotten},
+                 {"numbers are given in turn", numbersAreGivenInTurn},
+                 {"numbers of those long gone are free", numbersOfThoseLongGoneAreFree}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -1,5 +1,7 @@
 // Sides of an exchange that note what they are told, for the tests of the exchange and of the sides.
 #pragma once
+#include <map>
+
 #include "exchange/exchange.hpp"
 #include "kit.hpp"
 #include "sheet/sheet.hpp"
@@ -60,7 +62,10 @@
     return waiting;
   }
   void probe(std::uint32_t) override {}
-  void list(const ListEntry&, const std::string&, const loop::Address&) override {}
+  std::map<std::string, std::uint32_t> numbers;  // of all machines ever listed, by id
+  void list(const ListEntry& one, const std::string& machine, const loop::Address&) override {
+    numbers[machine] = one.cache;
+  }
   std::vector<std::uint32_t> forgotten;
   void forget(std::uint32_t cache) override { forgotten.push_back(cache); }
 };
