--- a/src/logic/cold.hpp
+++ b/src/logic/cold.hpp
@@ -26,12 +26,24 @@
     if (!t || t->multiple <= 0 || f.coldWindow <= 0) return true;
     forget(m);
     double whole = t->multiple * capacity(m) * load.roster.warmth(m) * f.coldWindow, spent = 0;
-    double share = 0.5 * whole / load.sharers(m);
+    int sharers = load.sharers(m);
+    double share = 0.5 * whole / sharers * partSeen(m);
     if (now >= m.turnUntil) m.turn = drawn(), m.turnUntil = now + f.coldWindow;
     for (auto& [at, w] : m.spent) spent += w;
     if (spent + work <= std::max(share, m.turn * meanWork < share ? meanWork : 0)) return true;
     double limit = whole + 2 * std::sqrt(whole * meanWork) + 2 * meanWork;
-    return work <= limit / 2 && m.turn * work < share - spent;
+    // A few replicas may all send their largest within one window: the limit then has room for all of them.
+    constexpr int few = 3;
+    double largest = sharers > few ? limit / 2 : std::min(limit / 2, (limit - whole / 2) / sharers);
+    return work <= largest && m.turn * work < share - spent;
+  }
+
+  // How much of the window this process has seen. What one that was killed before it sent there is not known: the
+  // share grows from nothing to the whole within a window, so that all its predecessors and it stay within two
+  // shares, however often it restarts. Harm: after a restart, for a window, less goes to servers in slow start.
+  double partSeen(const Machine& m) const {
+    bool mayHaveServed = m.startedAt < firstMet;
+    return mayHaveServed ? std::clamp((now - firstMet) / f.coldWindow, 0.0, 1.0) : 1;
   }
 
   static Ms workOf(const Pull& p) { return std::max(p.sending, p.ware->meanSending); }
@@ -44,7 +56,9 @@
 
   // The mean work of this front's requests, steady since an object's parts come in a row.
   double meanWork = 0, worksSeen = 0;
+  Ms firstMet = longAgo;  // when this process had its first request
   void meet(Ms work) {
+    if (worksSeen == 0) firstMet = now;
     meanWork += (work - meanWork) / (worksSeen = std::min(worksSeen + 1, 500.0));  // some thirty objects
   }
 };
