--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -44,6 +44,29 @@
   }
 }
 
+bool Loop::gather(bool all, std::vector<pollfd>& polled, std::vector<std::uint64_t>& since) const {
+  polled.clear();
+  since.clear();
+  bool complete = true;
+  for (std::size_t fd = 0; fd < byFd_.size(); ++fd) {
+    const Watch& watch = byFd_[fd];
+    if (!watch.handler) continue;
+    if (watch.patient && !all) {
+      complete = false;
+      continue;
+    }
+    polled.push_back({static_cast<int>(fd), watch.events, 0});
+    since.push_back(watch.since);
+  }
+  return complete;
+}
+
+int Loop::lookAtAll(std::vector<pollfd>& polled, std::vector<std::uint64_t>& since) {
+  gather(true, polled, since);
+  lookedAtAll_ = now();
+  return ground_.wait(polled, 0);
+}
+
 void Loop::turn(Ms longest) {
   // poll(2) costs by the descriptor. Most are of clients that wait for their answer, of whom only their
   // leaving can show; looked at in every turn, they took a third of a busy front's time.
@@ -54,14 +77,7 @@
   // Taken from the loop for the turn, in case a handler turns it again.
   std::vector<pollfd> polled = std::move(polled_);
   std::vector<std::uint64_t> since = std::move(since_);
-  polled.clear(), since.clear();
-  for (std::size_t fd = 0; fd < byFd_.size(); ++fd)
-    if (byFd_[fd].handler && byFd_[fd].patient && !all) {
-      left = true;
-    } else if (byFd_[fd].handler) {
-      polled.push_back({static_cast<int>(fd), byFd_[fd].events, 0});
-      since.push_back(byFd_[fd].since);
-    }
+  left = !gather(all, polled, since);
   if (!timers_.empty()) longest = std::min(longest, timers_.begin()->first.first - start);
   if (left) longest = std::min(longest, lookedAtAll_ + patience - start);
   int count = ground_.wait(polled, static_cast<int>(std::ceil(std::max(0.0, longest))));
@@ -70,6 +86,9 @@
     constexpr Ms kRestAfterFailure = 5;
     ground_.wait({}, static_cast<int>(std::ceil(std::clamp(longest, 0.0, kRestAfterFailure))));
   }
+  // The process may have stood still in the wait, with the patient ones left out of it: all are looked at before anything is done.
+  bool timerIsDue = !timers_.empty() && timers_.begin()->first.first <= now();
+  if (left && now() >= lookedAtAll_ + patience && (count > 0 || timerIsDue)) count = lookAtAll(polled, since);
   // The patient ones first: what shows there is a client that leaves, and whatever else came with it must not begin a thing for it
   // any more. Harm without: after a standstill of this process, an attempt begun as long after its client left.
   for (bool patient : {true, false})
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -55,6 +55,9 @@
     std::uint64_t since = 0;  // tells a descriptor from an earlier one of the same number
   };
   void runTimers();
+  /// What is watched, as poll(2) takes it; the patient ones only where `all`. False: some were left out.
+  bool gather(bool all, std::vector<pollfd>& polled, std::vector<std::uint64_t>& since) const;
+  int lookAtAll(std::vector<pollfd>& polled, std::vector<std::uint64_t>& since);
 
   Ground& ground_;
   Ms skipped_ = 0, lookedAtAll_ = 0;
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -289,6 +289,51 @@
   front.tell(SIGCONT);
 }
 
+std::string getOnceAs(const std::string& name) {
+  return "GET /ops/note/7f3a HTTP/1.1\r\nX-Request-Id: " + name + "\r\nX-Timeout-Ms: 60000\r\nX-Group: 1\r\n\r\n";
+}
+
+// The front stands still for 0.3 s, while a client closes and the connection to its cache gets ready: both wait as it goes on, and no
+// attempt begins for the client that has left. The next client's request goes out on that connection.
+void noAttemptBeginsForWhoLeftInAStandstill() {
+  enum class Leave { kClose, kReset, kHalfClose };
+  for (Leave how : {Leave::kClose, Leave::kReset, Leave::kHalfClose}) {
+    loop::Loop loop;
+    FarListener store, board;
+    loop::Address at = freeAddress();
+    std::string text = charter(at, board.text(), store.text());
+    // Exclusive: the cache is asked whether it is there before a request is written to a new connection.
+    const std::string first_class = "\"classes\":[";
+    text.insert(text.find(first_class) + first_class.size(), "{\"name\":\"note\",\"aim\":500,\"giveUp\":5000,\"idempotency\":\"once\"},");
+    const std::string limits = "\"limits\":{\"maxAttempts\"";
+    text.insert(text.find(limits) + std::string_view("\"limits\":{").size(), "\"probing\":true,");
+    Served front(written(text));
+    Far client = arrive(loop, at);
+    client.say(getOnceAs("00000000000000a1"));
+    Far cache = store.next(loop);
+    until(loop, [&] { return cache.hears("there call\r\n"); });
+    assert(!cache.hears("want "));
+    standStill(loop, front, [&] {
+      cache.say("call PONG - 0\r\n\r\n");
+      if (how == Leave::kClose) client.fd.reset();
+      if (how == Leave::kReset) client.reset();
+      if (how == Leave::kHalfClose) ::shutdown(client.fd.get(), SHUT_WR);
+    });
+    Far next = Far::to(at);
+    next.say(getOnceAs("00000000000000a2"));
+    std::size_t checks = 1;
+    until(loop, [&] {
+      if (cache.got.find("there call\r\n", checks * 12) != std::string::npos) cache.say("call PONG - 0\r\n\r\n"), ++checks;
+      return cache.hears("want 00000000000000a2 ");
+    });
+    assert(!cache.hears("00000000000000a1"));
+    cache.say("00000000000000a2 HIT entity=t,issued=1,remark=local 2\r\nok\r\n");
+    until(loop, [&] { return next.hears("\r\n\r\nok"); });
+    front.tell(SIGTERM);
+    front.endsWell(loop);
+  }
+}
+
 // A client connects, asks and closes while the front stands still: its connection, its request and its close wait together.
 void aClientOfAStandstillIsNotServedAfterItLeft() {
   loop::Loop loop;
@@ -458,6 +503,7 @@
                  {"a stop ends all that is open", aStopEndsAllThatIsOpen},
                  {"a stop during the start is kept", aStopDuringTheStartIsKept},
                  {"a stop and a new configuration are read at once", aStopAndANewConfigurationAreReadAtOnce},
+                 {"no attempt begins for who left in a standstill", noAttemptBeginsForWhoLeftInAStandstill},
                  {"a client of a standstill is not served after it left", aClientOfAStandstillIsNotServedAfterItLeft},
                  {"resting clients keep nobody out", restingClientsKeepNobodyOut},
                  {"too few descriptors are refused", tooFewDescriptorsAreRefused},
