--- a/src/board/board.cpp
+++ b/src/board/board.cpp
@@ -40,8 +40,9 @@
   std::uint64_t last = 0;
   auto all = readKnown(known, last);
   if (!all) return false;
-  for (const Notice& notice : *all) pass(notice);
+  for (const Notice& notice : *all) pass(notice, std::nullopt);
   last_ = last;
+  up_to_date_at_ = loop_.now();
   return true;
 }
 
@@ -58,7 +59,7 @@
   for (const Notice& notice : *all)
     if (notice.rev == last_ + 1) {
       last_ = notice.rev;
-      pass(notice);
+      pass(notice, up_to_date_at_);
     }
   pause_ = 0, silence_ = silence;
   if (following_) follow();
@@ -114,7 +115,10 @@
   std::uint64_t number = 0;
   auto [end, fault] = std::from_chars(line.data(), line.data() + line.size(), number);
   // The number of the last event: where it is beyond ours, something was missed, and asking anew brings it.
-  if (fault == std::errc{} && end == line.data() + line.size()) return number <= last_;
+  if (fault == std::errc{} && end == line.data() + line.size()) {
+    if (number == last_) up_to_date_at_ = loop_.now();
+    return number <= last_;
+  }
   auto value = json::read(line);
   auto notice = value ? readNotice(*value, terms_) : std::nullopt;
   if (!notice) return false;
@@ -122,13 +126,13 @@
   if (notice->rev > last_ + 1) return false;
   last_ = notice->rev;
   pause_ = 0;
-  pass(*notice);
+  pass(*notice, up_to_date_at_);
   return true;
 }
 
-void Board::pass(const Notice& n) {
-  if (n.list) exchange_.listCame(n.whole, n.entries);
-  if (n.purge) exchange_.purgeCame(n.wholeGroup, n.object, n.group, n.at);
+void Board::pass(const Notice& n, std::optional<Ms> up_to_date_at) {
+  if (n.list) exchange_.listCame(n.whole, n.entries, up_to_date_at);
+  if (n.purge) exchange_.purgeCame(n.wholeGroup, n.object, n.group, n.at, up_to_date_at);
 }
 
 void Board::ended(Parting how) {
--- a/src/board/board.hpp
+++ b/src/board/board.hpp
@@ -25,7 +25,7 @@
   void ended(loop::Parting how) override;
   std::optional<std::vector<Notice>> readKnown(const json::Value& known, std::uint64_t& last) const;
   bool takeLine(std::string_view line);
-  void pass(const Notice& notice);
+  void pass(const Notice& notice, std::optional<Ms> up_to_date_at);
   void heard();
   void wasSilent();
 
@@ -34,6 +34,7 @@
   sheet::RoadTerms terms_;
   loop::Address at_;
   std::uint64_t last_ = 0;  // number of the last event that was passed on
+  std::optional<Ms> up_to_date_at_;  // when the board last had no later one; none: not begun
   std::uint64_t timer_ = 0;
   loop::Ms pause_ = 0, askedAt_ = 0;
   loop::Ms silence_;  // for so long no line need come on this connection
--- a/src/board/notices.cpp
+++ b/src/board/notices.cpp
@@ -33,7 +33,7 @@
   out.entry.cell = static_cast<int>(std::clamp(v.number("cell").value_or(0), 0.0, 65535.0));
   out.entry.weight = v.number("weight").value_or(1);
   out.entry.startedAt = v.number("started_ms").value_or(0);
-  if (std::abs(out.entry.weight) > heaviest || std::abs(out.entry.startedAt) > latest) return false;
+  if (std::abs(out.entry.weight) > heaviest || std::abs(out.entry.startedAt.UnixMs()) > latest) return false;
   if (state == "in_service") out.entry.standing = Standing::ready;
   else if (state == "terminating") out.entry.standing = Standing::draining;
   else if (state == "terminated") out.entry.standing = Standing::gone;
--- a/src/board/notices.hpp
+++ b/src/board/notices.hpp
@@ -15,7 +15,7 @@
   bool purge = false, wholeGroup = false;
   std::string object;
   int group = 0;
-  Ms at = 0;  // of the purge
+  WallTime at;  // of the purge
 };
 
 // Nothing where it can't be read. A notice of a kind not known here is one of neither list nor purge.
--- a/src/caches/caches.hpp
+++ b/src/caches/caches.hpp
@@ -26,7 +26,7 @@
   struct Machine {
     std::string id;
     loop::Address at{};
-    Ms startedAt = 0;
+    WallTime startedAt;
     bool supplanted = false;                               // another machine has its address now
     std::map<std::uint64_t, std::shared_ptr<Line>> lines;  // by number; emptied as they end
   };
--- a/src/drift/drift.cpp
+++ b/src/drift/drift.cpp
@@ -188,6 +188,8 @@
     if (t.seq != 0) in.merge(e->from, t.seq, t.version, t.active, t.approved, t.changed, now);
     Inner::Seen& s = in.seen[e->from];
     s.direct = now, s.abandoned = t.abandoned, s.declined = t.declined;
+    for (const auto& o : t.others)
+      if (o.who == in.self) in.outdo(o.seq);
     for (const auto& o : t.others)
       if (o.who != in.self && o.seq != 0 && in.zoneOf.count(o.who) != 0) in.merge(o.who, o.seq, o.version, o.active, o.approved, o.changed, now);
     for (const auto& c : t.cases) in.mergeCase(c, now);
--- a/src/drift/evidence.cpp
+++ b/src/drift/evidence.cpp
@@ -65,10 +65,21 @@
   std::uint64_t a = digest(governed()), p = approval ? digest(approval->form) : 0;
   // A change within a round begins with the next numbered word, so that no number says two things.
   if (!round && s.seq != 0) return;
-  if (s.seq == 0 || a != s.active || p != s.approved || version != s.version) changed = seq;
+  if (s.seq == 0 || outdone || a != s.active || p != s.approved || version != s.version) changed = seq;
+  outdone = false;
   merge(self, seq, version, a, p, changed, now);
 }
 
+// Words are numbered from the clock as at the start. After a restart under a clock that was set back the others hold this front's
+// earlier words for the newer ones, and would pass over all it says until the clock has come up to them. As a SWIM member does with its
+// incarnation, it goes on above what is told of it; its next word is a new one, whatever it said before.
+void Inner::outdo(std::uint64_t told) {
+  constexpr std::uint64_t kHighest = ~std::uint64_t{0} - (std::uint64_t{1} << 40);  // room for words to come: beyond it a fault
+  if (told <= seq || told > kHighest) return;
+  seq = told + 1;
+  outdone = true;
+}
+
 void Inner::merge(Id who, std::uint64_t newSeq, Version v, std::uint64_t a, std::uint64_t p, std::uint64_t ch, Ms now) {
   Seen& s = seen[who];
   if (newSeq <= s.seq && s.at != never) return;
--- a/src/drift/inner.hpp
+++ b/src/drift/inner.hpp
@@ -53,6 +53,7 @@
   struct AsideState { Token token = 0; std::uint32_t count = 0; bool on = false; Ms since = 0; };
 
   // evidence.cpp
+  void outdo(std::uint64_t told);      // a number that others have of this front's words
   void merge(Id who, std::uint64_t seq, Version version, std::uint64_t active, std::uint64_t approved, std::uint64_t changed, Ms now);
   void mergeCase(const Told::Case& c, Ms now);
   Standing evaluate(Id who, Ms now) const;
@@ -89,6 +90,7 @@
   std::knuth_b random;
   Ms nextRound = 0;
   std::uint64_t seq = 0, changed = 0;
+  bool outdone = false;  // the next word is a new one
 
   Form active;
   bool haveActive = false;
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -347,7 +347,9 @@
                        [&](auto& one) { return one.second.number == number; });
   };
   while (number == 0 || taken()) ++number;
-  return numbers_[machine] = {number, 0};
+  Known& known = numbers_[machine];
+  known.number = number;
+  return known;
 }
 
 // New machines come under new ids all day. What was gone for longer than any pull lasts, and than the
@@ -361,7 +363,7 @@
   });
 }
 
-void Exchange::listCame(bool whole, const std::vector<Listed>& entries) {
+void Exchange::listCame(bool whole, const std::vector<Listed>& entries, std::optional<Ms> up_to_date_at) {
   ++counters.listNews;
   ListNews news;
   news.listing = whole ? Listing::whole : Listing::changes;
@@ -373,8 +375,14 @@
     Known& known = numberOf(one.id);
     if (one.entry.standing != Standing::gone) known.goneAt = 0;
     else if (known.goneAt == 0) known.goneAt = loop_.now();
+    // A start that was told before keeps its first telling, whatever else of the machine is listed anew.
+    if (one.entry.startedAt.IsSet() && one.entry.startedAt != known.startedAt) {
+      known.startedAt = one.entry.startedAt;
+      known.notified = {.at = loop_.now(), .up_to_date_at = up_to_date_at};
+    }
     news.entries.push_back(one.entry);
     news.entries.back().cache = known.number;
+    news.entries.back().notified = known.notified;
     caches_->list(news.entries.back(), one.id, one.at);
   }
   listed_ |= whole;
@@ -412,9 +420,14 @@
   if (than > 0) takeBackAll([](const Pull&, const Leg&) { return true; });
 }
 
-void Exchange::purgeCame(bool wholeGroup, std::string_view object, int group, Ms at) {
+void Exchange::purgeCame(bool wholeGroup, std::string_view object, int group, WallTime at, std::optional<Ms> up_to_date_at) {
   ++counters.purges;
-  tell(Purged{wholeGroup, wholeGroup ? 0 : hashed(object), group, loop_.now() - at});
+  Purged purge;
+  purge.wholeGroup = wholeGroup;
+  purge.object = wholeGroup ? 0 : hashed(object);
+  purge.group = group;
+  purge.stamped = Purged::Stamped{.stamp = at, .notified = {.at = loop_.now(), .up_to_date_at = up_to_date_at}};
+  tell(purge);
   takeBackPurged(wholeGroup ? std::string_view{} : object, group, -1);
 }
 
--- a/src/exchange/exchange.hpp
+++ b/src/exchange/exchange.hpp
@@ -117,8 +117,10 @@
   void moved(LegKey key, std::uint64_t via);  // it waited on a connection that ended, and waits on another
 
   // from the notice board
-  void listCame(bool whole, const std::vector<Listed>& entries);
-  void purgeCame(bool wholeGroup, std::string_view object, int group, Ms at);
+  // `up_to_date_at`: the last moment, on this front's clock, at which the notice board had nothing that was not passed on here, so that
+  // what is told was announced after it; none: of the start.
+  void listCame(bool whole, const std::vector<Listed>& entries, std::optional<Ms> up_to_date_at = std::nullopt);
+  void purgeCame(bool wholeGroup, std::string_view object, int group, WallTime at, std::optional<Ms> up_to_date_at = std::nullopt);
 
   // from the fleet's verdict
   void sharesCame(std::vector<double> byZone) { tell(ZoneShares{std::move(byZone)}); }
@@ -174,6 +176,8 @@
   struct Known {
     std::uint32_t number = 0;
     Ms goneAt = 0;  // 0: listed
+    WallTime startedAt;  // as last listed; 0: never a late start
+    Notified notified;   // first, of that start
   };
   Known& numberOf(const std::string& machine);
   void forgetGone();
--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -33,6 +33,16 @@
   return r;
 }
 
+// A start reads recalls of any age, so nothing but the writer's clock tells how old one is. Its error is taken off: counted younger, a
+// recall refuses copies too many and never one too few. Harm: for an hour after a recall a start has what is recalled fetched once more.
+Ms RecallAge(WallTime written, Ms now, bool fresh) {
+  constexpr Ms kEarliest = 1e12;  // 2001: before it there was no writer
+  constexpr Ms kMostClockError = 61 * 60 * 1000;  // a step by an hour, as by a wrong time zone, and a minute
+  if (fresh) return 0;
+  Ms given = OnOwnClock(written, kEarliest, now);
+  return std::max(0.0, now - given - kMostClockError);
+}
+
 struct Record::Inner {
   loop::Loop& loop;
   RecordTerms terms;
@@ -79,19 +89,15 @@
             }};
   }
 
-  // A word of the record reaches its user here, in order. How long ago a recall was given is the owner's clock's word: where
-  // that can't be (before 2001, or not in the past), or the front was caught up and so hears it fresh, it counts from now, which
-  // refuses a copy too many and never one too few.
+  // A word of the record reaches its user here, in order. One of before it was not written after it, whatever their stamps say.
   void took(const Entry& e) {
-    constexpr Ms plausible = 1e12;
     highestAt = std::max(highestAt, e.at);
     log::say("record read %llu %s %s%s token %llu at %.0f", static_cast<unsigned long long>(e.offset), record::word(e.stream),
              e.tombstone ? "without " : "", e.key.c_str(), static_cast<unsigned long long>(e.token), loop.now());
     if (e.stream != record::Stream::recalls) return ways.other(e);
     auto r = readRecall(e);
     if (!r) return;
-    Ms ago = loop.now() - std::max(e.at, highestAt);
-    r->ago = behind && e.at >= plausible && ago > 0 ? ago : 0;
+    r->ago = RecallAge(WallTime(highestAt), loop.now(), !behind);
     ways.recall(*r);
   }
 
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -19,6 +19,7 @@
 #include "front/layer_terms.hpp"
 #include "front/part.hpp"
 #include "loop/loop.hpp"
+#include "wall_time.hpp"
 
 namespace dunlinwick::front {
 
@@ -33,6 +34,10 @@
 // "object/NAME", "group/7", "offering/NAME"; nothing for any other key.
 std::optional<Recall> readRecall(const record::Entry& entry);
 
+/// How long ago, at least, a recall was given that the record's writer stamped with `written`; 0 where that can't be told. `fresh`: this
+/// front had read all before it, so it hears it as it is given.
+Ms RecallAge(WallTime written, Ms now, bool fresh);
+
 class Record final : public Part {
  public:
   struct Ways {
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -7,9 +7,9 @@
 #include <variant>
 #include <vector>
 
-namespace dunlinwick {
+#include "wall_time.hpp"
 
-using Ms = double;
+namespace dunlinwick {
 
 enum class Effect { rerunnable, ticketed, exclusive };
 enum class Span { everywhere, zone, cell };  // which caches drop the repeats of a ticketed pull
@@ -70,7 +70,9 @@
   int zone = 0, kind = 0, cell = 0;
   Standing standing = Standing::ready;
   double weight = 1;
-  Ms startedAt = 0;  // 0: long ago
+  WallTime startedAt;  // 0: long ago
+  /// When this front was first told of that start. None: the stamp is of this front's own clock, as on the bench.
+  std::optional<Notified> notified;
 };
 struct ListNews {
   Listing listing = Listing::changes;
@@ -135,6 +137,12 @@
   // `offering`, where it is not below 0, whole. None comes on the bench's platform.
   bool standing = false, lifted = false;
   int offering = -1;
+  /// Where the notice says when, by another machine's clock, and not how long ago: in place of `ago`.
+  struct Stamped {
+    WallTime stamp;
+    Notified notified;
+  };
+  std::optional<Stamped> stamped;
 };
 struct PeerSaid {
   std::uint32_t peer = 0;
--- a/src/logic/health.hpp
+++ b/src/logic/health.hpp
@@ -49,7 +49,7 @@
     if (!m.aside || (f.may.probe && m.answers < 2)) return;  // with probes: back only after two answered
     m.answers = 0;
     // One that could not be reached may be a new process that the list has not told of: it is taken for cold.
-    if (m.mayBeNew) m.startedAt = now;
+    if (m.mayBeNew) m.slow_start_from = now;
     m.aside = m.trialOut = m.mayBeNew = false;
     say("is back", m), act(TellHealth{m.cache, false});
   }
--- a/src/logic/memories.hpp
+++ b/src/logic/memories.hpp
@@ -52,7 +52,7 @@
     constexpr double step = 0.02;  // fifty answers move it by e: seconds of traffic, not single surprises
     Ware& w = *p.ware;
     if (leg.at != p.lastAt || p.gap <= 0 || purges.at(p) > longAgo) return;
-    if (leg.at->startedAt > 0 && now - leg.at->startedAt < f.coldStore.lasts + p.gap) return;
+    if (leg.at->slow_start_from > 0 && now - leg.at->slow_start_from < f.coldStore.lasts + p.gap) return;
     if (hit && p.gap > w.omega) w.omega *= 1 + step;
     if (!hit && p.gap < w.omega) w.omega *= 1 - step;
     Ms most = w.freshFor > 0 ? w.freshFor : longestOmega;
--- a/src/logic/purges.hpp
+++ b/src/logic/purges.hpp
@@ -19,10 +19,23 @@
     if (e.lifted) return void(recalled.erase(key));
     if (e.standing) return void(recalled[key] = now - e.ago);
     Ms& known = purged.try_emplace(key, longAgo).first->second;
-    known = std::max(known, now - e.ago);
+    known = std::max(known, purgedAt(e));
     std::erase_if(purged, [&](auto& one) { return one.second < now - kept; });
   }
 
+  // When a purge was, on this front's clock. One that is told was announced after the last moment at which nothing was missing here;
+  // at a start those of the last `purgeDone` come. A stamp from before that, or ahead of the telling, is of a clock that disagrees, and
+  // the purge counts as when it was told. Guards against a purge that is dropped as done, or whose age admits older copies, after a
+  // step of either clock, and against one that refuses every copy until this clock has come up to its stamp. Harm: copies made
+  // between the purge and its telling are fetched once more.
+  Ms purgedAt(const Purged& e) const {
+    constexpr Ms announcingTakes = second;
+    if (!e.stamped) return now - e.ago;
+    const Notified& told = e.stamped->notified;
+    Ms earliest = told.up_to_date_at.value_or(told.at - f.purgeDone) - announcingTakes;
+    return OnOwnClock(e.stamped->stamp, earliest, told.at);
+  }
+
   Ms at(const Pull& p) const {
     Ms latest = longAgo;
     for (std::uint64_t key : {p.object, ~static_cast<std::uint64_t>(p.group)}) {
--- a/src/logic/roster.hpp
+++ b/src/logic/roster.hpp
@@ -33,12 +33,12 @@
 
   void takeEntry(const ListEntry& e) {
     Machine& m = machines[e.cache];
-    Ms before = m.startedAt;
+    Ms before = m.slow_start_from;
     static_cast<ListEntry&>(m) = e;
-    m.startedAt = std::max(e.startedAt, before);
+    m.slow_start_from = std::max(startOf(e), before);
     if (!weighed || e.weight <= 0) m.weight = 1;
     m.role = roleOf(e, f);
-    if (m.startedAt > before) {  // a new start: what was known of the old process is void
+    if (m.slow_start_from > before) {  // a new start: what was known of the old process is void
       if (m.aside) act(TellHealth{m.cache, false});
       m.strikes = 0, m.aside = m.trialOut = false, m.room = {};
     }
@@ -51,15 +51,27 @@
     if (m.room.fits <= 0) m.room.fits = m.room.nominal;
   }
 
+  // When a machine started, on this front's clock; 0: long ago. One that was first told of in a change started after the last moment
+  // at which nothing was missing here, but for the time that its listing takes. A stamp from before that, or ahead of the telling, is of
+  // a clock that disagrees, and the start counts as when it was told. Guards against a slow start that is missed, or never ends, after
+  // a step of either clock. Harm: one that took longer to be listed, or comes back after the board forgot it, is spared anew.
+  static Ms startOf(const ListEntry& e) {
+    constexpr Ms listingTakes = 5 * second;
+    if (!e.startedAt.IsSet()) return 0;
+    if (!e.notified) return e.startedAt.UnixMs();
+    Ms earliest = e.notified->up_to_date_at ? *e.notified->up_to_date_at - listingTakes : 0;
+    return OnOwnClock(e.startedAt, earliest, e.notified->at);
+  }
+
   const ColdTerms* coldTerms(const Machine& m) const {
-    if (m.role == Role::origin || m.startedAt <= 0) return nullptr;
+    if (m.role == Role::origin || m.slow_start_from <= 0) return nullptr;
     const ColdTerms& t = m.role == Role::parent ? f.coldParent : f.coldStore;
-    return now - m.startedAt < t.lasts ? &t : nullptr;
+    return now - m.slow_start_from < t.lasts ? &t : nullptr;
   }
 
   double warmth(const Machine& m) const {
     const ColdTerms* t = coldTerms(m);
-    return t ? t->from + (1 - t->from) * std::max(0.0, now - m.startedAt) / t->lasts : 1;
+    return t ? t->from + (1 - t->from) * std::max(0.0, now - m.slow_start_from) / t->lasts : 1;
   }
 
   // Weighted rendezvous hash: every front comes to the same order. A cold machine's weight grows with its
--- a/src/logic_state/records.hpp
+++ b/src/logic_state/records.hpp
@@ -36,6 +36,7 @@
   Role role = Role::foreign;
   Tally legs;  // of ours that are out there, or name it as their source
   Room room;
+  Ms slow_start_from = 0;  // on this front's clock; 0: started long ago
   std::deque<std::pair<Ms, double>> spent;  // cold budget: emptied as the window passes
   Ms turnUntil = longAgo;
   double turn = 1;  // drawn from 0 to 1, for a window of the budget
--- /dev/null
+++ b/tests/time_test.cpp
@@ -0,0 +1,407 @@
+// Stamps of other machines' clocks, off by an hour and by ten seconds, ahead and behind, as this front starts and later on. Each is
+// played through the notice board's lines up to what a cache is asked for.
+#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include <doctest/doctest.h>
+
+#include <optional>
+#include <set>
+
+#include "board/board.hpp"
+#include "caches/lines.hpp"
+#include "drift/drift.hpp"
+#include "front/record.hpp"
+#include "json/json.hpp"
+#include "record/log.hpp"
+#include "record/memory_disk.hpp"
+#include "sides.hpp"
+
+using namespace kit;
+
+namespace {
+
+constexpr Ms kSecond = 1000;
+constexpr Ms kHour = 3600 * kSecond;
+constexpr Ms kSkews[] = {kHour, -kHour, 10 * kSecond, -10 * kSecond};  // the other machine's clock against this front's
+constexpr Ms kPurgeDone = 6 * kSecond;                                 // of kit::sheet()
+constexpr Ms kSlowStart = 15 * kSecond;                                // likewise
+
+std::string Stamp(Ms at) { return std::to_string(static_cast<long long>(at)); }
+
+std::string PurgeNotice(std::uint64_t rev, Ms stamp) {
+  return "{\"rev\":" + std::to_string(rev) + ",\"flush\":{\"asset\":\"7f3a\",\"ms\":" + Stamp(stamp) + "}}";
+}
+
+std::string ServerNotice(std::uint64_t rev, const std::string& id, Ms started, bool full = false, const char* state = "in_service") {
+  return "{\"rev\":" + std::to_string(rev) + ",\"pool\":{\"full\":" + (full ? "true" : "false") + ",\"servers\":[{\"id\":\"" + id +
+         "\",\"addr\":\"127.0.0.9:5050\",\"zone\":\"e-1\",\"kind\":\"box\",\"weight\":6,\"state\":\"" + state +
+         "\",\"started_ms\":" + Stamp(started) + "}]}}";
+}
+
+// A front's discovery on a socket, with five servers listed that started long ago, and a client that asks.
+struct Discovery {
+  Desk desk{kit::sheet(), 5};
+  FarListener listener;
+  board::Board board{desk.loop, desk.exchange, terms(), listener.at};
+  Far peer;
+  std::uint64_t last = 1;
+  int asked = 0;
+
+  Ms Now() const { return desk.loop.now(); }
+
+  void Begin(const std::string& notices = "") {
+    auto known = json::read("{\"notices\":[" + notices + "],\"rev\":1}");
+    REQUIRE(known);
+    REQUIRE(board.begin(*known));
+  }
+  void Follow() {
+    board.follow();
+    peer = listener.next(desk.loop);
+    BeUpToDate();
+  }
+  // Seconds pass, in each of which the board says that there is nothing new.
+  void Wait(int seconds) {
+    for (int i = 0; i < seconds; ++i) {
+      desk.loop.skip(kSecond);
+      BeUpToDate();
+    }
+  }
+  // An event of neither kind, and behind it the line that says it is the last.
+  void BeUpToDate() {
+    std::string rev = std::to_string(last + 1);
+    Announce("{\"rev\":" + rev + "}\n" + rev);
+  }
+  // A notice that the board announces now.
+  void Announce(const std::string& notice) {
+    peer.say(notice + "\n");
+    ++last;
+    until(desk.loop, [&] { return board.last() == last; });
+  }
+  // A request for a new object, or for the one that is purged; what a cache is then asked for.
+  SendLeg Request(const std::string& object) {
+    Ask ask = askFor("request-" + std::to_string(++asked));
+    ask.object = object;
+    ask.ttl = 4 * kSecond;
+    Asked client;
+    std::size_t before = desk.caches.sent.size();
+    std::uint32_t request = desk.exchange.pullCame(ask, client);
+    SendLeg attempt;
+    if (desk.caches.sent.size() > before) {
+      attempt = desk.caches.sent.back().how;
+      desk.exchange.answerWhole({request, 0}, said(Ending::finished, Remark::hit));
+    }
+    return attempt;
+  }
+};
+
+// What a cache may be asked for after a purge that happened at `purged` on this front's clock, whatever its stamp said: no copy that
+// is older, but one that was made since this front heard of it.
+void CheckPurgeBinds(Discovery& d, Ms purged, Ms heard) {
+  d.desk.loop.skip(500);
+  Ms since_heard = d.Now() - heard;
+  SendLeg attempt = d.Request("7f3a");
+  REQUIRE(attempt.cache != 0);
+  CHECK(attempt.oldest > 0);
+  CHECK(attempt.oldest <= d.Now() - purged);
+  CHECK(attempt.oldest >= since_heard - 2);
+  // It ends: copies are as good as ever some time after all caches have dropped the older ones.
+  d.desk.loop.skip(3 * kPurgeDone);
+  CHECK(d.Request("7f3a").oldest == 0);
+}
+
+// How many of a row of requests for different objects go to the server that was last listed.
+int SentTo(Discovery& d, std::uint32_t server) {
+  int count = 0;
+  for (int i = 0; i < 400; ++i) {
+    d.desk.loop.skip(1);
+    count += d.Request("object-" + std::to_string(d.asked)).cache == server;
+  }
+  return count;
+}
+
+// The number by which the exchange knows a server: the only one that is asked after the others are gone.
+std::uint32_t NumberOf(const std::string& id) {
+  Discovery d;
+  d.Begin(ServerNotice(1, id, 0, true));
+  for (int i = 0;; ++i) {
+    REQUIRE(i < 100);
+    if (std::uint32_t cache = d.Request("object-" + std::to_string(i)).cache; cache != 0) return cache;
+  }
+}
+
+// Requests that a server gets once its slow start is over.
+int SentToWarm(const std::string& id) {
+  Discovery d;
+  d.Begin();
+  d.Follow();
+  d.Announce(ServerNotice(d.last + 1, id, 0));
+  d.desk.loop.skip(kSlowStart + 2 * kSecond);
+  return SentTo(d, NumberOf(id));
+}
+
+// A server whose start was just told gets what a cold one carries, and after the slow start what a warm one gets.
+void CheckSlowStart(Discovery& d, const std::string& id, int warm) {
+  std::uint32_t server = NumberOf(id);
+  REQUIRE(warm > 40);
+  CHECK(SentTo(d, server) <= warm / 2);
+  d.desk.loop.skip(kSlowStart + 2 * kSecond);
+  CHECK(SentTo(d, server) >= warm * 8 / 10);
+}
+
+}  // namespace
+
+TEST_CASE("a purge told in a change binds whatever its stamp says, and ends") {
+  for (Ms skew : kSkews)
+    for (Ms age : {50.0, 400.0}) {
+      CAPTURE(skew);
+      CAPTURE(age);
+      Discovery d;
+      d.Begin();
+      d.Follow();
+      Ms purged = d.Now() - age;
+      d.Announce(PurgeNotice(d.last + 1, purged + skew));
+      CheckPurgeBinds(d, purged, d.Now());
+    }
+}
+
+TEST_CASE("a purge told at the start binds whatever its stamp says, and ends") {
+  for (Ms skew : kSkews)
+    for (Ms age : {50.0, 5500.0}) {
+      CAPTURE(skew);
+      CAPTURE(age);
+      Discovery d;
+      Ms purged = d.Now() - age;
+      d.Begin(PurgeNotice(1, purged + skew));
+      CheckPurgeBinds(d, purged, d.Now());
+    }
+}
+
+TEST_CASE("a purge told after the board's clock was stepped back binds, though one before it carries a later stamp") {
+  Discovery d;
+  d.Begin();
+  d.Follow();
+  d.Announce(PurgeNotice(d.last + 1, d.Now() + kHour));
+  d.Wait(2);
+  Ms purged = d.Now();
+  d.Announce(PurgeNotice(d.last + 1, purged));
+  CheckPurgeBinds(d, purged, d.Now());
+}
+
+TEST_CASE("where clocks agree a purge counts from its stamp, at the start, in a change and after a silence") {
+  for (bool at_start : {true, false})
+    for (Ms age : {20.0, 250.0, 900.0}) {
+      CAPTURE(at_start);
+      CAPTURE(age);
+      Discovery d;
+      Ms purged = std::floor(d.Now()) - age;
+      if (at_start) d.Begin(PurgeNotice(1, purged));
+      else d.Begin();
+      if (!at_start) d.Follow();
+      if (!at_start) purged = std::floor(d.Now()) - age;
+      if (!at_start) d.Announce(PurgeNotice(d.last + 1, purged));
+      d.desk.loop.skip(300);
+      Ms before = d.Now();
+      SendLeg attempt = d.Request("7f3a");
+      CHECK(attempt.oldest >= before - purged - 1);
+      CHECK(attempt.oldest <= d.Now() - purged - 1);
+    }
+  Discovery d;
+  d.Begin();
+  d.Follow();
+  d.desk.loop.skip(1200);  // the board says nothing for a while, and then what it has
+  Ms purged = std::floor(d.Now()) - 1100;
+  d.Announce(PurgeNotice(d.last + 1, purged));
+  Ms before = d.Now();
+  SendLeg attempt = d.Request("7f3a");
+  CHECK(attempt.oldest >= before - purged - 1);
+}
+
+TEST_CASE("a server told of in a change starts slowly whatever its stamp says, and not for ever") {
+  int warm = SentToWarm("s-new");
+  for (Ms skew : kSkews) {
+    CAPTURE(skew);
+    Discovery d;
+    d.Begin();
+    d.Follow();
+    d.Announce(ServerNotice(d.last + 1, "s-new", d.Now() - 300 + skew));
+    CheckSlowStart(d, "s-new", warm);
+  }
+}
+
+TEST_CASE("a server listed at the start with a stamp ahead of now starts slowly, and not for ever") {
+  int warm = SentToWarm("s-new");
+  for (Ms skew : {kHour, 10 * kSecond}) {
+    CAPTURE(skew);
+    Discovery d;
+    d.Begin(ServerNotice(1, "s-new", d.Now() - 300 + skew));
+    CheckSlowStart(d, "s-new", warm);
+  }
+}
+
+TEST_CASE("a server that restarts after its clock was stepped starts slowly again") {
+  int warm = SentToWarm("s-new");
+  for (Ms skew : kSkews) {
+    CAPTURE(skew);
+    Discovery d;
+    d.Begin();
+    d.Follow();
+    d.Announce(ServerNotice(d.last + 1, "s-new", d.Now() - 300 + skew));
+    d.Wait(40);
+    d.Announce(ServerNotice(d.last + 1, "s-new", d.Now() - 300));
+    CheckSlowStart(d, "s-new", warm);
+  }
+}
+
+TEST_CASE("what else is told of a server does not begin its slow start anew") {
+  int warm = SentToWarm("s-new");
+  for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
+    CAPTURE(skew);
+    Discovery d;
+    d.Begin();
+    d.Follow();
+    Ms stamp = d.Now() - 300 + skew;
+    d.Announce(ServerNotice(d.last + 1, "s-new", stamp));
+    d.Wait(17);
+    d.Announce(ServerNotice(d.last + 1, "s-new", stamp));
+    CHECK(SentTo(d, NumberOf("s-new")) >= warm * 8 / 10);
+  }
+}
+
+TEST_CASE("where clocks agree a slow start goes by its stamp") {
+  int warm = SentToWarm("s-new");
+  Discovery d;
+  d.Begin(ServerNotice(1, "s-new", d.Now() - kSlowStart - kSecond));  // listed at the start, warm by then
+  CHECK(SentTo(d, NumberOf("s-new")) >= warm * 8 / 10);
+  Discovery late;
+  late.Begin();
+  late.Follow();
+  late.Announce(ServerNotice(late.last + 1, "s-new", late.Now() - 4 * kSecond));  // it took four seconds to be listed
+  late.desk.loop.skip(kSlowStart - 4 * kSecond);
+  CHECK(SentTo(late, NumberOf("s-new")) >= warm * 8 / 10);
+}
+
+TEST_CASE("when the origin gave out a copy, by its clock, is told on and changes nothing else") {
+  std::set<std::string> tags;
+  for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
+    auto answer = caches::readAnswer("9b1f HIT entity=t1,issued=" + Stamp(1.76e12 + skew) + ",remark=local 5", {});
+    REQUIRE(answer);
+    CHECK(answer->word.ending == Ending::finished);
+    CHECK(answer->word.dated);
+    CHECK(answer->word.remark == Remark::hit);
+    tags.insert(answer->word.tag);
+  }
+  CHECK(tags.size() == 1);
+}
+
+TEST_CASE("an approval's term is held within its bounds by whatever clock it was given, and begins once") {
+  using namespace drift;
+  for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
+    CAPTURE(skew);
+    Terms terms;
+    terms.fronts = 2;
+    Drift front(1, {{1, 0}, {2, 0}}, {}, terms, 1, 0, {});
+    auto form = std::make_shared<const Form>(Form{{"sheet", {{"most_legs", "3"}}}});
+    front.handle(0, Active{*form});
+    front.handle(0, Owns{1});  // the owner's verdict needs no others
+    Ms given = 1.76e12;
+    front.handle(0, ApprovedFor{2, 10, digest(*form), given + skew + 5 * kSecond, given, form});
+    Told lacks;
+    lacks.version = 9, lacks.active = 1, lacks.approved = 1;
+    std::optional<Ms> found;
+    for (Ms now = 100; now <= terms.termMost + 20 * kSecond && !found; now += 100) {
+      lacks.seq = static_cast<std::uint64_t>(now), lacks.changed = 1;
+      front.handle(now, Hears{2, lacks});
+      if (now == 2000) front.handle(now, ApprovedFor{2, 10, digest(*form), given + skew + 5 * kSecond, given - kHour, form});
+      front.handle(now, Tick{});
+      auto row = front.rows().find(2);
+      if (row->second.standing == drift::Standing::converging || row->second.standing == drift::Standing::unknown) continue;
+      found = now;
+    }
+    REQUIRE(found);
+    CHECK(*found >= terms.termLeast);
+    CHECK(*found <= terms.termMost + 10 * kSecond);
+  }
+}
+
+TEST_CASE("a recall read at a start is never taken for older than it is, by a writer's clock an hour off") {
+  constexpr Ms kNow = 1.76e12;
+  for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond, -kNow})
+    for (Ms age : {kSecond, 10 * 60 * kSecond, 5 * kHour}) {
+      CAPTURE(skew);
+      CAPTURE(age);
+      Ms read = front::RecallAge(WallTime(kNow - age + skew), kNow, false);
+      CHECK(read >= 0);
+      CHECK(read <= age);
+      CHECK(front::RecallAge(WallTime(kNow - age + skew), kNow, true) == 0);
+    }
+  CHECK(front::RecallAge(WallTime(kNow - 5 * kHour), kNow, false) >= 3 * kHour);  // an old one does not count as new
+}
+
+TEST_CASE("a tombstone is let go in the end, whatever the clock of its writer said") {
+  constexpr Ms kWritten = 1.76e12;
+  constexpr Ms kYear = 365 * 24 * kHour;
+  for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond, kYear}) {
+    CAPTURE(skew);
+    record::MemoryDisk disk;
+    record::LogTerms terms;
+    record::Log log(1, terms, disk, 7);
+    std::vector<record::Entry> entries;
+    for (record::Offset offset = 1; offset <= 3; ++offset) {
+      record::Entry entry;
+      entry.offset = offset;
+      entry.token = 1;
+      entry.stream = record::Stream::recalls;
+      entry.key = offset == 3 ? "group/2" : "group/1";
+      entry.tombstone = offset == 2;
+      entry.at = kWritten + skew;
+      entries.push_back(entry);
+    }
+    REQUIRE(log.append(0, entries));
+    log.commit(3);
+    auto plan = log.worth(kWritten + terms.tombstoneTerm + 2 * kHour, 3, 1);
+    REQUIRE(plan);
+    CHECK(plan->forget == 2);
+    auto lagging = log.worth(kWritten + terms.tombstoneTerm + 2 * kHour, 1, 1);  // a subscriber has not passed it
+    CHECK((!lagging || lagging->forget == 0));
+  }
+}
+
+// A front that was stopped, and started again under a clock that was set back: its words are numbered by that clock.
+TEST_CASE("a front restarted under a clock that was set back is heard again") {
+  using namespace drift;
+  for (Ms back : {kHour, 10 * kSecond}) {
+    CAPTURE(back);
+    Terms terms;
+    terms.fronts = 3;
+    std::map<Id, int> zones{{1, 0}, {2, 0}, {3, 0}};
+    constexpr std::uint32_t kStarted = 1764576000;
+    auto form = std::make_shared<const Form>(Form{{"sheet", {{"most_legs", "3"}}}});
+    std::map<Id, Drift> fronts;
+    auto start = [&](Id id, Ms now, std::uint32_t incarnation) {
+      fronts.erase(id);
+      Drift& front = fronts.emplace(id, Drift(id, zones, {}, terms, id, now, {incarnation, 0})).first->second;
+      front.handle(now, Active{*form});
+      front.handle(now, Approved{10, Approval{"ann", "", 0, 0, *form}});
+      for (const auto& [other, zone] : zones) front.handle(now, ApprovedFor{other, 10, digest(*form), 0, 0, form});
+    };
+    auto run = [&](Ms from, Ms to) {
+      for (Ms now = from; now <= to; now += 100)
+        for (const auto& [id, zone] : zones) {
+          if (fronts.count(id) == 0) continue;
+          for (const drift::Action& action : fronts.at(id).handle(now, Tick{})) {
+            const auto* tell = std::get_if<Tell>(&action);
+            if (tell && fronts.count(tell->to)) fronts.at(tell->to).handle(now, Hears{id, tell->told});
+          }
+        }
+    };
+    for (const auto& [id, zone] : zones) start(id, 0, kStarted);
+    run(100, 20000);
+    REQUIRE(fronts.at(2).rows().at(1).standing == drift::Standing::inStep);
+    fronts.erase(1);
+    run(20100, 40000);
+    REQUIRE(fronts.at(2).rows().at(1).standing == drift::Standing::unknown);
+    start(1, 40000, kStarted - static_cast<std::uint32_t>(back / kSecond));
+    run(40100, 60000);
+    CHECK(fronts.at(2).rows().at(1).standing == drift::Standing::inStep);
+    CHECK(fronts.at(3).rows().at(1).standing == drift::Standing::inStep);
+  }
+}
