--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -10,6 +10,7 @@
 #include "caches/lines.hpp"
 #include "drift/drift.hpp"
 #include "front/record.hpp"
+#include "generations/generations.hpp"
 #include "json/json.hpp"
 #include "record/log.hpp"
 #include "record/memory_disk.hpp"
@@ -266,6 +267,60 @@
   }
 }
 
+TEST_CASE("rules that are turned over know purges and starts by when they were told, not by their stamps") {
+  auto known = [](const std::string& notices, std::uint64_t rev) {
+    auto value = json::read("{\"notices\":[" + notices + "],\"rev\":" + std::to_string(rev) + "}");
+    REQUIRE(value);
+    return *value;
+  };
+  for (Ms skew : kSkews) {
+    CAPTURE(skew);
+    int warm = SentToWarm("s-new");
+    loop::Loop loop;
+    generations::Generations rules(kit::sheet(), 1);
+    exchange::Exchange exchange(loop, kit::sheet(), [&](Ms now, const Event& event) { return rules.handle(now, event); });
+    Sent caches;
+    exchange.meet(caches);
+    exchange.listCame(true, machines({{"origin", {}}, {"s-0", {}}, {"s-1", {}}, {"s-2", {}}, {"s-3", {}}, {"s-4", {}}}));
+    board::Board board(loop, exchange, terms(), freeAddress());
+    REQUIRE(board.begin(known("", 1)));
+    Ms purged = loop.now();
+    std::string news = PurgeNotice(2, purged + skew) + "," + ServerNotice(3, "s-new", purged + skew);
+    REQUIRE(board.moveTo(freeAddress(), known(news, 3)));  // announced after the start
+    loop.skip(500);
+    std::vector<Action> out;
+    REQUIRE(rules.turn(loop.now(), kit::sheet(), out) != 0);
+    auto request = [&](const std::string& object) {
+      static int asked = 0;
+      Ask ask = askFor("request-" + std::to_string(++asked));
+      ask.object = object;
+      ask.ttl = 4 * kSecond;
+      Asked client;
+      std::size_t before = caches.sent.size();
+      std::uint32_t number = exchange.pullCame(ask, client);
+      REQUIRE(caches.sent.size() > before);
+      SendLeg attempt = caches.sent.back().how;
+      exchange.answerWhole({number, 0}, said(Ending::finished, Remark::hit));
+      return attempt;
+    };
+    SendLeg attempt = request("7f3a");
+    CHECK(attempt.oldest >= 498);
+    CHECK(attempt.oldest <= loop.now() - purged);
+    auto sent = [&] {
+      std::uint32_t server = NumberOf("s-new");
+      int count = 0;
+      for (int i = 0; i < 400; ++i) {
+        loop.skip(1);
+        count += request("object-" + std::to_string(i)).cache == server;
+      }
+      return count;
+    };
+    CHECK(sent() <= warm / 2);
+    loop.skip(kSlowStart + 2 * kSecond);
+    CHECK(sent() >= warm * 8 / 10);
+  }
+}
+
 TEST_CASE("where clocks agree a slow start goes by its stamp") {
   int warm = SentToWarm("s-new");
   Discovery d;
