--- a/src/record/log.cpp
+++ b/src/record/log.cpp
@@ -331,7 +331,7 @@
   for (Offset t : in.tombstones) {
     if (t > p.upTo) break;
     const Record& r = in.records.at(t);
-    if (!in.terms.breaks.tombstoneEarly && (t > passed || std::abs(now - r.entry.at) < in.terms.tombstoneTerm)) break;
+    if (!in.terms.breaks.tombstoneEarly && (t > passed || now - r.entry.at < in.terms.tombstoneTerm)) break;
     p.forget = t;
     if (r.after == 0 || r.after > p.upTo) gone += sizeOf(r.entry);
   }
--- a/src/record/log.hpp
+++ b/src/record/log.hpp
@@ -85,8 +85,7 @@
   // mends it). False else.
   bool close(Offset hole, Source source);
   // What is worth cleaning now, if anything; `passed`: the least position of living subscribers. An entry is young if its
-  // time is within `lag` of `now`, on either side: one of a clock gone wrong does not stop compaction for ever. So with tombstones
-  // and their term; one let go early does no harm, since who may lack it starts over (`forgotten`).
+  // time is within `lag` of `now`, on either side: one of a clock gone wrong does not stop compaction for ever.
   std::optional<Plan> worth(Ms now, Offset passed, Token token) const;
   void take(const Plan& plan);  // of a token at least as high as any before; else passed over. In memory only
   // One step of what was taken; false: nothing is left to do now. Not past what is committed here, not the last entry, and not
