--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 
 #include "log/log.hpp"
-#include "owner/node.hpp"
+#include "owner/membership.hpp"
 #include "store/lmdb.hpp"
 
 namespace dunlinwick::front {
@@ -17,8 +17,8 @@
   OwnerTerms terms;
   Carrier* peers = nullptr;
   loop::Descriptor socket;  // over peers: none
-  std::unique_ptr<owner::Store> store;
   std::unique_ptr<owner::Node> node;
+  std::unique_ptr<owner::Membership> membership;  // none outside the group
   std::uint64_t timer = 0, sent = 0, received = 0, strange = 0;
   Ms tickAt = 0;
 };
@@ -36,10 +36,6 @@
   t.self = terms.self, t.group = terms.group, t.lease = terms.lease, t.raft = terms.raft;
   for (const OwnerTerms::Work& w : terms.works) t.jobs.push_back({w.name, w.steps, w.each, w.places, w.standing});
   bool member = std::find(terms.group.begin(), terms.group.end(), terms.self) != terms.group.end();
-  if (member) {
-    if (terms.store.empty()) in.store = std::make_unique<owner::MemoryStore>();
-    else in.store = std::make_unique<store::LmdbStore>(terms.store);
-  }
   owner::Node::Ways ways;
   ways.send = [this](owner::Id to, std::string bytes) {
     auto at = inner_->terms.at.find(to);
@@ -55,9 +51,18 @@
   };
   ways.say = [this](const std::string& line) { log::say("%s at %.0f", line.c_str(), loop_.now()); };
   auto now = loop.now();
-  in.node = std::make_unique<owner::Node>(std::move(t), in.store.get(), static_cast<std::uint64_t>(now), seed, now, std::move(ways));
+  in.node = std::make_unique<owner::Node>(std::move(t), nullptr, static_cast<std::uint64_t>(now), seed, now, std::move(ways));
   log::say("owner: front %u, %s, %zu works%s", terms.self, member ? "in the group" : "not in the group", terms.works.size(),
            member && terms.store.empty() ? "; in memory: a member that restarts is lost to the group" : "");
+  if (member) {
+    auto openStore = [folder = terms.store]() -> std::unique_ptr<owner::Store> {
+      if (folder.empty()) return std::make_unique<owner::MemoryStore>();
+      return std::make_unique<store::LmdbStore>(folder);
+    };
+    auto say = [this](const std::string& line) { log::say("%s at %.0f", line.c_str(), loop_.now()); };
+    in.membership = std::make_unique<owner::Membership>(*in.node, openStore, say);
+    in.membership->tick(now);
+  }
   if (!peers) loop_.watch(in.socket.get(), *this, POLLIN);
   wake();
 }
@@ -70,6 +75,7 @@
 void Owner::wake() {
   constexpr loop::Ms each = 20;
   inner_->node->tick(loop_.now());
+  if (inner_->membership) inner_->membership->tick(loop_.now());
   inner_->tickAt = loop_.now() + each;
   if (!inner_->peers) inner_->timer = loop_.at(inner_->tickAt, [this] { wake(); });
 }
@@ -125,10 +131,15 @@
   // A front outside the group knows it by its answers: what it holds, or that it was answered lately, is all it can tell.
   owner::Group* g = inner_->node->group();
   now.leaderKnown = inner_->node->agent().knowsLeader();
-  if (!g) return now.founded = now.leaderKnown, now;
+  // A member whose store failed is as one outside: the others' majority goes on without it.
+  bool takesPart = g && g->standing() != owner::Group::Standing::failed;
+  if (!takesPart) {
+    now.founded = now.leaderKnown;
+    return now;
+  }
   now.inGroup = true;
   now.member = g->standing() == owner::Group::Standing::member;
-  now.lost = g->standing() == owner::Group::Standing::lost || g->standing() == owner::Group::Standing::failed;
+  now.lost = g->standing() == owner::Group::Standing::lost;
   now.leaderKnown |= g->leads() || g->leader() != 0;
   now.founded = now.member, now.token = g->table().lastToken();
   return now;
@@ -143,7 +154,7 @@
                   std::to_string(in.received) + ",\"refused\":" + std::to_string(node.refused() + in.strange);
   if (owner::Group* g = node.group()) {
     s += ",\"group\":\"" + std::string(word(g->standing())) + "\",\"why\":\"" + g->why() + "\",\"leads\":" + yes(g->leads()) +
-         ",\"leader\":" + std::to_string(g->leader()) + ",\"term\":" + std::to_string(g->term()) + ",\"lasting\":" + yes(in.store->lasts()) +
+         ",\"leader\":" + std::to_string(g->leader()) + ",\"term\":" + std::to_string(g->term()) + ",\"lasting\":" + yes(in.membership->lasts()) +
          ",\"last_token\":" + std::to_string(g->table().lastToken()) + ",\"works\":[";
     bool first = true;
     for (const auto& [name, w] : g->table().works()) {
@@ -156,6 +167,7 @@
     s += "]";
   } else {
     s += ",\"group\":\"none\"";
+    if (in.membership && !in.membership->hasStore()) s += ",\"store\":\"not used\"";
   }
   s += ",\"holds\":[";
   bool first = true;
--- a/src/front/owner.hpp
+++ b/src/front/owner.hpp
@@ -5,6 +5,7 @@
 //   owner of recall-sweep token 114085068801048577 from step 41 at 1764629612345
 //   owner lost recall-sweep token 114085068801048577: its lease ran out before a renewal was heard at 1764629615345
 //   owner group: leads term 3 at 1764629600345
+//   owner store not used, tried again: FOLDER: REASON at 1764629600345 ; owner store used again at 1764629608345
 // It answers a status request ("DO?") with its view as one JSON object. Bounds: 64 datagrams are read a turn at most.
 #pragma once
 #include <functional>
@@ -21,7 +22,7 @@
 // Over the peers' socket fronts are heard on its channel alone, and only places by datagrams of their own.
 class Owner final : public Part, loop::Handler {
  public:
-  // Throws std::runtime_error where the socket or the store can't be had.
+  // Throws std::runtime_error where the socket can't be had. Without its store it starts too: src/owner/membership.hpp.
   Owner(loop::Loop& loop, const OwnerTerms& terms, std::uint64_t seed, Carrier* peers = nullptr);
   ~Owner();
   // For the other parts of the fleet's layer. Token and whether this front may act under it now; 0 where it holds it not.
--- a/src/front/parts.hpp
+++ b/src/front/parts.hpp
@@ -18,7 +18,7 @@
   virtual ~Parts() = default;
 };
 // Nothing where the configuration asks for none. The members are among them where they run over the peers' socket. Throws
-// std::runtime_error where a socket or the owner's store can't be had.
+// std::runtime_error where a socket can't be had.
 // What decides on pulls: the module, or, with a rules block, its generations, which the rules may turn to another sheet.
 struct Deciding {
   exchange::Decider decides;
--- a/src/owner/group.cpp
+++ b/src/owner/group.cpp
@@ -26,7 +26,10 @@
   if (!state.founding.empty()) {
     Reader r(state.founding);
     if (!readSet(r, founders) || !r.whole()) throw std::runtime_error("the owner's store holds no founding that can be read");
-    start();
+    // The founding is on disk before the log's first entry, which is the same at all members; without that it could never vote.
+    bool isHalfFounded = state.entries.empty() && !state.snapshot;
+    if (isHalfFounded) bootstrapAndStart();
+    else start();
   }
 }
 
@@ -147,5 +150,6 @@
 }
 void Group::breakTokens() { inner_->reuseTokens = true; }
 std::string Group::why() const { return inner_->why; }
+bool Group::tookPart() const { return inner_->inited; }
 
 }  // namespace dunlinwick::owner
--- a/src/owner/group.hpp
+++ b/src/owner/group.hpp
@@ -51,6 +51,8 @@
   const Table& table() const;
   Ms leaseEnds(const std::string& work) const;  // at the leader: by when it has surely run out; 1e300 where nobody holds it
   std::string why() const;  // of lost and failed
+  /// Whether it may have promised anything to the others: it is or was a member of a group that is founded.
+  bool tookPart() const;
   void breakTokens();       // for a test that breaks it on purpose: tokens begin at 1 with each founding
 
  private:
--- a/src/owner/group_founding.cpp
+++ b/src/owner/group_founding.cpp
@@ -59,6 +59,11 @@
   Writer w;
   writeSet(w, founders);
   if (kept([&] { store.found(w.bytes); }) != 0) return;
+  bootstrapAndStart();
+  sayHello();
+}
+
+void Group::Inner::bootstrapAndStart() {
   init();
   raft_configuration conf;
   raft_configuration_init(&conf);
@@ -68,7 +73,6 @@
   raft_configuration_close(&conf);
   if (fault != 0) return fail(std::string("the group can't be founded: ") + raft_errmsg(&node));
   start();
-  sayHello();
 }
 
 void Group::Inner::init() {
--- a/src/owner/group_inner.hpp
+++ b/src/owner/group_inner.hpp
@@ -88,6 +88,7 @@
   void sayHello();
   void hearHello(Id from, Reader& r);
   void found(const std::map<Id, std::uint64_t>& set);
+  void bootstrapAndStart();
   void init();
   void start();
 
--- a/src/owner/group_io.cpp
+++ b/src/owner/group_io.cpp
@@ -141,7 +141,11 @@
   if (raft_configuration_encode(conf, &buf) != 0) return RAFT_NOMEM;
   LogEntry e{1, RAFT_CHANGE, textOf(buf)};
   raft_free(buf.base);
-  return in.kept([&] { in.store.setTerm(1), in.store.append({e}); });
+  return in.kept([&] {
+    // A founding that a failed write or a kill left half done is gone on with: a term that was set stays.
+    if (in.store.load().term == 0) in.store.setTerm(1);
+    in.store.append({e});
+  });
 }
 
 int Group::Inner::append(raft_io* i, raft_io_append* req, const raft_entry entries[], unsigned n, raft_io_append_cb cb) {
--- a/src/owner/node.cpp
+++ b/src/owner/node.cpp
@@ -1,5 +1,6 @@
 #include "owner/node.hpp"
 
+#include <algorithm>
 #include <utility>
 
 #include "owner/bytes.hpp"
@@ -57,13 +58,28 @@
 }
 
 Node::Node(NodeTerms terms, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now, Ways ways)
-    : terms_(std::move(terms)), ways_(std::move(ways)), agent_(terms_.self, terms_.group, terms_.jobs, terms_.lease, seed, incarnation, now) {
-  if (store)
-    group_ = std::make_unique<Group>(terms_.self, terms_.group, terms_.raft, terms_.lease, *store, incarnation, seed * 31 + 7, now,
-                                     [this](Id to, std::string bytes) {
-                                       Writer w = head(Kind::group, terms_.self);
-                                       ways_.send(to, w.bytes + bytes);
-                                     });
+    : terms_(std::move(terms)),
+      ways_(std::move(ways)),
+      incarnation_(incarnation),
+      seed_(seed),
+      agent_(terms_.self, terms_.group, terms_.jobs, terms_.lease, seed, incarnation, now) {
+  if (store) join(*store, now);
+}
+
+void Node::join(Store& store, Ms now) {
+  group_ = std::make_unique<Group>(terms_.self, terms_.group, terms_.raft, terms_.lease, store, incarnation_, seed_ * 31 + 7, now,
+                                   [this](Id to, std::string bytes) {
+                                     Writer w = head(Kind::group, terms_.self);
+                                     ways_.send(to, w.bytes + bytes);
+                                   });
+}
+
+void Node::leave(Ms now) {
+  if (!group_) return;
+  // What it promised stands in its store alone. A store that is empty when it comes back must not pass for this incarnation's, which
+  // the others know as a founder: it would forget its votes.
+  if (group_->tookPart()) incarnation_ = std::max(incarnation_ + 1, static_cast<std::uint64_t>(now));
+  group_.reset();
 }
 
 Agent::Out Node::out(Ms) {
--- a/src/owner/node.hpp
+++ b/src/owner/node.hpp
@@ -38,6 +38,11 @@
   };
   // `store`: of a member of the group; it outlives the node. `incarnation`: newer at each start.
   Node(NodeTerms terms, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now, Ways ways);
+  /// Becomes a member of the group on `store`, which outlives the membership. Throws std::runtime_error where the store can't be read;
+  /// then it is no member. Not to be called from within a call of this node.
+  void join(Store& store, Ms now);
+  /// Ends the membership; what was under way in the group is told as unsure. The agent keeps what it holds and asks the other members.
+  void leave(Ms now);
   void tick(Ms now);
   void receive(Ms now, std::span<const char> bytes);
   Agent& agent() { return agent_; }
@@ -55,6 +60,8 @@
 
   NodeTerms terms_;
   Ways ways_;
+  std::uint64_t incarnation_;
+  std::uint64_t seed_;
   std::unique_ptr<Group> group_;
   Agent agent_;
   std::uint64_t refused_ = 0;
--- a/src/store/floors.cpp
+++ b/src/store/floors.cpp
@@ -1,52 +1,39 @@
 #include "store/floors.hpp"
 
-#include <lmdb.h>
-#include <sys/stat.h>
 #include <xxhash.h>
 
-#include <cerrno>
 #include <cstring>
 #include <stdexcept>
 
 #include "floors.pb.h"
+#include "store/environment.hpp"
 
 namespace dunlinwick::store {
 
 struct FloorStore::Inner {
   std::string folder;
-  MDB_env* env = nullptr;
-  MDB_dbi dbi = 0;
-  ~Inner() {
-    if (env) mdb_env_close(env);
-  }
+  Environment environment;
   void check(const char* what, int fault) const {
-    if (fault != 0) throw std::runtime_error(folder + ": " + what + ": " + (fault > 0 ? std::strerror(fault) : mdb_strerror(fault)));
+    if (fault != 0) throw std::runtime_error(folder + ": " + what + ": " + faultText(fault));
   }
 };
 
 FloorStore::FloorStore(const std::string& folder) : inner_(std::make_unique<Inner>()) {
   Inner& in = *inner_;
   in.folder = folder;
-  if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) in.check("can't be made", errno);
-  in.check("no environment", mdb_env_create(&in.env));
-  in.check("can't be set up", mdb_env_set_mapsize(in.env, 1 << 20));
-  in.check("can't be opened", mdb_env_open(in.env, folder.c_str(), 0, 0600));
-  MDB_txn* txn = nullptr;
-  in.check("no transaction", mdb_txn_begin(in.env, nullptr, 0, &txn));
-  int fault = mdb_dbi_open(txn, nullptr, 0, &in.dbi);
-  if (fault != 0) mdb_txn_abort(txn);
-  in.check("can't be opened", fault);
-  in.check("can't be kept", mdb_txn_commit(txn));
+  constexpr std::size_t mapBytes = 1 << 20;
+  OpenResult opened = in.environment.open(folder, mapBytes);
+  in.check(opened.step, opened.code);
 }
 FloorStore::~FloorStore() = default;
 
-FloorStore::Found FloorStore::read(KeptFloors& into) {
+FloorDisk::Found FloorStore::read(KeptFloors& into) {
   Inner& in = *inner_;
   MDB_txn* txn = nullptr;
-  in.check("no transaction", mdb_txn_begin(in.env, nullptr, MDB_RDONLY, &txn));
+  in.check("no transaction", mdb_txn_begin(in.environment.get(), nullptr, MDB_RDONLY, &txn));
   char name[] = "floors";
   MDB_val key{sizeof name - 1, name}, value{};
-  int fault = mdb_get(txn, in.dbi, &key, &value);
+  int fault = mdb_get(txn, in.environment.table(), &key, &value);
   std::string bytes;
   if (fault == 0) bytes.assign(static_cast<const char*>(value.mv_data), value.mv_size);
   mdb_txn_abort(txn);
@@ -81,8 +68,8 @@
   char name[] = "floors";
   MDB_val key{sizeof name - 1, name}, value{bytes.size(), bytes.data()};
   MDB_txn* txn = nullptr;
-  in.check("no transaction", mdb_txn_begin(in.env, nullptr, 0, &txn));
-  int fault = mdb_put(txn, in.dbi, &key, &value, 0);
+  in.check("no transaction", mdb_txn_begin(in.environment.get(), nullptr, 0, &txn));
+  int fault = mdb_put(txn, in.environment.table(), &key, &value, 0);
   if (fault != 0) mdb_txn_abort(txn);
   in.check("can't be written", fault);
   in.check("can't be kept", mdb_txn_commit(txn));
--- a/src/store/floors.hpp
+++ b/src/store/floors.hpp
@@ -17,15 +17,25 @@
   bool operator==(const KeptFloors&) const = default;
 };
 
-class FloorStore {
+/// Where floors last: a folder on machines, memory with planned faults in tests.
+class FloorDisk {
+ public:
+  enum class Found { empty, good, spoilt };
+  virtual ~FloorDisk() = default;
+  /// Reads what was written last. Throws std::runtime_error where it can't be read at all.
+  virtual Found read(KeptFloors& into) = 0;
+  /// Lasts when it returns, or throws std::runtime_error; then the floors of before or these may be on the disk.
+  virtual void write(const KeptFloors& floors) = 0;
+};
+
+class FloorStore final : public FloorDisk {
  public:
   explicit FloorStore(const std::string& folder);  // made where it is not there
-  ~FloorStore();
+  ~FloorStore() override;
   FloorStore(const FloorStore&) = delete;
   FloorStore& operator=(const FloorStore&) = delete;
-  enum class Found { empty, good, spoilt };
-  Found read(KeptFloors& into);
-  void write(const KeptFloors& floors);
+  Found read(KeptFloors& into) override;
+  void write(const KeptFloors& floors) override;
 
  private:
   struct Inner;
--- a/src/store/lmdb.cpp
+++ b/src/store/lmdb.cpp
@@ -1,15 +1,12 @@
 #include "store/lmdb.hpp"
 
-#include <lmdb.h>
-#include <sys/stat.h>
-
-#include <cerrno>
-#include <cstring>
+#include <algorithm>
 #include <functional>
 #include <stdexcept>
 #include <utility>
 
 #include "owner/bytes.hpp"
+#include "store/environment.hpp"
 
 namespace dunlinwick::store {
 
@@ -21,12 +18,11 @@
 
 struct LmdbStore::Inner {
   std::string folder;
-  MDB_env* env = nullptr;
-  MDB_dbi dbi = 0;
+  Environment environment;
   std::uint64_t first = 1, next = 1;  // of the log: its first entry, and the one after its last
 
   [[noreturn]] void fail(const std::string& what, int fault) const {
-    throw std::runtime_error(folder + ": " + what + ": " + (fault > 0 ? std::strerror(fault) : mdb_strerror(fault)));
+    throw std::runtime_error(folder + ": " + what + ": " + faultText(fault));
   }
   void check(const char* what, int fault) const {
     if (fault != 0) fail(what, fault);
@@ -34,23 +30,23 @@
   struct Txn {
     Inner& in;
     MDB_txn* txn = nullptr;
-    Txn(Inner& i, unsigned flags) : in(i) { in.check("no transaction", mdb_txn_begin(in.env, nullptr, flags, &txn)); }
+    Txn(Inner& i, unsigned flags) : in(i) { in.check("no transaction", mdb_txn_begin(in.environment.get(), nullptr, flags, &txn)); }
     ~Txn() {
       if (txn) mdb_txn_abort(txn);
     }
     static MDB_val val(const std::string& s) { return {s.size(), const_cast<char*>(s.data())}; }
     void put(const std::string& key, const std::string& value) {
       MDB_val k = val(key), v = val(value);
-      in.check("can't be written", mdb_put(txn, in.dbi, &k, &v, 0));
+      in.check("can't be written", mdb_put(txn, in.environment.table(), &k, &v, 0));
     }
     void drop(const std::string& key) {
       MDB_val k = val(key);
-      int fault = mdb_del(txn, in.dbi, &k, nullptr);
+      int fault = mdb_del(txn, in.environment.table(), &k, nullptr);
       if (fault != MDB_NOTFOUND) in.check("can't be written", fault);
     }
     bool get(const std::string& key, std::string& into) {
       MDB_val k = val(key), v{};
-      int fault = mdb_get(txn, in.dbi, &k, &v);
+      int fault = mdb_get(txn, in.environment.table(), &k, &v);
       if (fault == MDB_NOTFOUND) return false;
       in.check("can't be read", fault);
       into.assign(static_cast<const char*>(v.mv_data), v.mv_size);
@@ -58,10 +54,19 @@
     }
     void commit() { in.check("can't be kept", mdb_txn_commit(std::exchange(txn, nullptr))); }
   };
-  void write(const std::function<void(Txn&)>& what) {
-    Txn t(*this, 0);
-    what(t);
-    t.commit();
+  // A transaction that fails leaves the bounds as they were, on the disk and here.
+  void write(const std::function<void(Txn&)>& change) {
+    std::uint64_t firstBefore = first;
+    std::uint64_t nextBefore = next;
+    try {
+      Txn t(*this, 0);
+      change(t);
+      t.commit();
+    } catch (...) {
+      first = firstBefore;
+      next = nextBefore;
+      throw;
+    }
   }
   static std::string number(std::uint64_t v) {
     Writer w;
@@ -83,19 +88,18 @@
 LmdbStore::LmdbStore(const std::string& folder) : inner_(std::make_unique<Inner>()) {
   Inner& in = *inner_;
   in.folder = folder;
-  if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) in.fail("can't be made", errno);
-  constexpr std::size_t size = 16 << 20;
-  in.check("no environment", mdb_env_create(&in.env));
-  in.check("can't be set up", mdb_env_set_mapsize(in.env, size));
-  in.check("can't be opened", mdb_env_open(in.env, folder.c_str(), 0, 0600));
-  Inner::Txn t(in, 0);
-  in.check("can't be opened", mdb_dbi_open(t.txn, nullptr, 0, &in.dbi));
-  in.first = in.numberOf(t, "first", 1), in.next = in.numberOf(t, "next", in.first);
-  t.commit();
-}
-LmdbStore::~LmdbStore() {
-  if (inner_->env) mdb_env_close(inner_->env);
+  constexpr std::size_t mapBytes = 16 << 20;
+  OpenResult opened = in.environment.open(folder, mapBytes);
+  in.check(opened.step, opened.code);
+  // Written anew at each opening: what a sync that failed left in the system's cache may be read here, and is on the disk only once
+  // this transaction, which stands on it, is.
+  in.write([&](Inner::Txn& t) {
+    in.first = in.numberOf(t, "first", 1);
+    in.next = in.numberOf(t, "next", in.first);
+    in.bounds(t);
+  });
 }
+LmdbStore::~LmdbStore() = default;
 
 StoredState LmdbStore::load() {
   Inner& in = *inner_;
@@ -134,20 +138,14 @@
 }
 void LmdbStore::append(const std::vector<LogEntry>& entries) {
   Inner& in = *inner_;
-  std::uint64_t before = in.next;
-  try {
-    in.write([&](Inner::Txn& t) {
-      for (const LogEntry& e : entries) {
-        Writer w;
-        w.number(e.term, 8), w.number(e.type, 2), w.text(e.bytes);
-        t.put(Inner::entryKey(in.next++), w.bytes);
-      }
-      in.bounds(t);
-    });
-  } catch (...) {
-    in.next = before;
-    throw;
-  }
+  in.write([&](Inner::Txn& t) {
+    for (const LogEntry& e : entries) {
+      Writer w;
+      w.number(e.term, 8), w.number(e.type, 2), w.text(e.bytes);
+      t.put(Inner::entryKey(in.next++), w.bytes);
+    }
+    in.bounds(t);
+  });
 }
 void LmdbStore::truncate(std::uint64_t from) {
   Inner& in = *inner_;
--- a/src/store/record_lmdb.cpp
+++ b/src/store/record_lmdb.cpp
@@ -1,7 +1,5 @@
 #include "store/record_lmdb.hpp"
 
-#include <lmdb.h>
-#include <sys/stat.h>
 #include <xxhash.h>
 
 #include <algorithm>
@@ -10,6 +8,7 @@
 #include <utility>
 
 #include "record/wire.hpp"
+#include "store/environment.hpp"
 
 namespace dunlinwick::store {
 
@@ -45,23 +44,19 @@
 struct RecordLmdb::Inner {
   std::string folder;
   std::size_t mapBytes = 0;
-  MDB_env* env = nullptr;
-  MDB_dbi dbi = 0;
+  Environment environment;
 
-  ~Inner() {
-    if (env) mdb_env_close(env);
-  }
   void check(const char* what, int fault) const {
     if (fault == 0) return;
-    std::string why = folder + ": " + what + ": " + (fault > 0 ? std::strerror(fault) : mdb_strerror(fault));
+    std::string why = folder + ": " + what + ": " + faultText(fault);
     // Both leave the file as it was: a transaction is in it once its last page is, and not before.
-    if (fault == MDB_MAP_FULL || fault == ENOSPC || fault == EDQUOT) throw Full(why);
+    if (fault == MDB_MAP_FULL || fault == ENOSPC || fault == EDQUOT || fault == EFBIG) throw Full(why);
     throw Failed(why);
   }
   struct Txn {
     Inner& in;
     MDB_txn* txn = nullptr;
-    Txn(Inner& i, unsigned flags) : in(i) { in.check("no transaction", mdb_txn_begin(in.env, nullptr, flags, &txn)); }
+    Txn(Inner& i, unsigned flags) : in(i) { in.check("no transaction", mdb_txn_begin(in.environment.get(), nullptr, flags, &txn)); }
     ~Txn() {
       if (txn) mdb_txn_abort(txn);
     }
@@ -70,7 +65,7 @@
     static MDB_val val(const std::string& s) { return {s.size(), const_cast<char*>(s.data())}; }
     void put(const std::string& key, const std::string& value) {
       MDB_val k = val(key), v = val(value);
-      in.check("can't be written", mdb_put(txn, in.dbi, &k, &v, 0));
+      in.check("can't be written", mdb_put(txn, in.environment.table(), &k, &v, 0));
     }
     void put(const Entry& e) {
       proto::record::Entry w;
@@ -91,19 +86,19 @@
     }
     void drop(const std::string& key) {
       MDB_val k = val(key);
-      int fault = mdb_del(txn, in.dbi, &k, nullptr);
+      int fault = mdb_del(txn, in.environment.table(), &k, nullptr);
       if (fault != MDB_NOTFOUND) in.check("can't be written", fault);
     }
     std::size_t pages() {
       MDB_stat s{};
-      in.check("can't be read", mdb_stat(txn, in.dbi, &s));
+      in.check("can't be read", mdb_stat(txn, in.environment.table(), &s));
       return (s.ms_branch_pages + s.ms_leaf_pages + s.ms_overflow_pages) * s.ms_psize;
     }
     void commit() { in.check("can't be kept", mdb_txn_commit(std::exchange(txn, nullptr))); }
   };
   struct Cursor {
     MDB_cursor* cursor = nullptr;
-    explicit Cursor(Txn& t) { t.in.check("no cursor", mdb_cursor_open(t.txn, t.in.dbi, &cursor)); }
+    explicit Cursor(Txn& t) { t.in.check("no cursor", mdb_cursor_open(t.txn, t.in.environment.table(), &cursor)); }
     ~Cursor() { mdb_cursor_close(cursor); }
     Cursor(const Cursor&) = delete;
     Cursor& operator=(const Cursor&) = delete;
@@ -113,16 +108,11 @@
 RecordLmdb::RecordLmdb(const std::string& folder, std::size_t mapBytes) : inner_(std::make_unique<Inner>()) {
   Inner& in = *inner_;
   in.folder = folder;
-  if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) in.check("can't be made", errno);
   constexpr std::size_t round = 64 << 10;
   in.mapBytes = std::max(mapBytes, round);
   std::size_t whole = in.mapBytes + std::max<std::size_t>(in.mapBytes / 4, 256 << 10);
-  in.check("no environment", mdb_env_create(&in.env));
-  in.check("can't be set up", mdb_env_set_mapsize(in.env, (whole + round - 1) / round * round));
-  in.check("can't be opened", mdb_env_open(in.env, folder.c_str(), 0, 0600));
-  Inner::Txn t(in, 0);
-  in.check("can't be opened", mdb_dbi_open(t.txn, nullptr, 0, &in.dbi));
-  t.commit();
+  OpenResult opened = in.environment.open(folder, (whole + round - 1) / round * round);
+  in.check(opened.step, opened.code);
 }
 RecordLmdb::~RecordLmdb() = default;
 
@@ -131,7 +121,7 @@
   Inner::Txn t(in, MDB_RDONLY);
   std::string key = "h";
   MDB_val k = Inner::Txn::val(key), v{};
-  int fault = mdb_get(t.txn, in.dbi, &k, &v);
+  int fault = mdb_get(t.txn, in.environment.table(), &k, &v);
   if (fault == MDB_NOTFOUND) return std::nullopt;
   in.check("can't be read", fault);
   auto bytes = opened(v);
