--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -7,6 +7,7 @@
 #include "log/log.hpp"
 #include "record.pb.h"
 #include "record/memory_disk.hpp"
+#include "record/replica.hpp"
 #include "store/record_lmdb.hpp"
 
 namespace dunlinwick::front {
@@ -38,21 +39,14 @@
   RecordTerms terms;
   peers::Id self;
   Ways ways;
-  std::unique_ptr<record::Disk> disk;
-  std::unique_ptr<record::Log> log;
-  std::unique_ptr<record::Keeper> keeper;
-  std::unique_ptr<record::Server> server;
+  std::unique_ptr<record::Replica> replica;  // none where this front is not among the replicas
   std::unique_ptr<record::Writer> writer;
   std::unique_ptr<record::Subscriber> subscriber;
-  record::Head atStart;
-  std::string broken;  // why its store is not used
   // What is sent to oneself waits for the end of the call.
   std::deque<std::string> toSelf;
   bool draining = false;
-  bool saidFailed = false, saidServing = false, behind = true, saidCaughtUp = false;
-  peers::Id lastWriter = 0;  // who last appended here
+  bool saidServing = false, behind = true, saidCaughtUp = false;
   Ms leaseAt = 0, planAt = 0, highestAt = 0, wakeAt = 0;
-  Ms heardWriter = 0;  // the last word of one that was not fenced off
   struct Told {
     Ms at = 0;
     record::Lease lease;
@@ -105,10 +99,6 @@
       behind = true, ways.noOlder(terms.staleAfter);
       log::say("record behind since %.0f at %.0f", subscriber->goodAt(), now);
     }
-    if (keeper && keeper->failed() && !saidFailed) {
-      saidFailed = true;
-      log::say("record keeper failed: it takes no part until its next start at %.0f", now);
-    }
     if (writer && writer->phase() == record::Phase::serving && !saidServing) {
       saidServing = true;
       if (writer->founded()) log::say("record founded anew: every keeper was empty; what was written before, if anything was, is lost at %.0f", now);
@@ -150,29 +140,23 @@
   Inner& in = *inner_;
   Ms now = loop.now();
   if (std::find(terms.keepers.begin(), terms.keepers.end(), self) != terms.keepers.end()) {
-    std::uint64_t fresh = seed ^ static_cast<std::uint64_t>(now) << 20 ^ self;
-    try {
-      if (terms.store.empty()) in.disk = std::make_unique<record::MemoryDisk>();
-      else in.disk = std::make_unique<store::RecordLmdb>(terms.store, 4 * terms.log.mostBytes);
-      in.log = std::make_unique<record::Log>(self, terms.log, *in.disk, fresh);
-    } catch (const record::Failed& fault) {
-      // A store that is another's, or can't be read: this front keeps nothing, and says so; it serves on by the others' record.
-      in.broken = fault.what();
-      log::say("record store not used: %s at %.0f", fault.what(), now);
-    }
-    if (in.log) {
-      in.atStart = in.log->head();
-      in.keeper = std::make_unique<record::Keeper>(self, terms.keepers, terms.keeper, *in.log, static_cast<std::uint64_t>(now));
-      in.server = std::make_unique<record::Server>(*in.log, terms.subscriber, now);
-    }
+    std::uint64_t newStore = seed ^ static_cast<std::uint64_t>(now) << 20 ^ self;
+    auto openDisk = [folder = terms.store, mapBytes = 4 * terms.log.mostBytes]() -> std::unique_ptr<record::Disk> {
+      if (folder.empty()) return std::make_unique<record::MemoryDisk>();
+      return std::make_unique<store::RecordLmdb>(folder, mapBytes);
+    };
+    // A store that is another's, or can't be read: this front keeps nothing, and says so; it serves on by the others' record.
+    auto say = [&in](const std::string& line) { log::say("%s at %.0f", line.c_str(), in.loop.now()); };
+    record::ReplicaTerms replicaTerms{terms.keeper, terms.log, terms.subscriber};
+    in.replica = std::make_unique<record::Replica>(self, terms.keepers, replicaTerms, openDisk, newStore, now, say);
   }
   // Asked of itself first where it keeps: no way to go. From nothing at each start: what a front knows of recalls is in memory.
   std::vector<record::Id> from = terms.keepers;
-  if (in.keeper) std::stable_partition(from.begin(), from.end(), [&](record::Id k) { return k == self; });
+  if (keeps()) std::stable_partition(from.begin(), from.end(), [&](record::Id k) { return k == self; });
   in.subscriber = std::make_unique<record::Subscriber>(self, static_cast<std::uint64_t>(now), from, terms.subscriber, 0, seed, now);
   in.ways.noOlder(terms.staleAfter);
-  log::say("record: front %u, %s, %zu keepers%s", self, in.keeper ? "keeps" : "follows", terms.keepers.size(),
-           in.keeper && terms.store.empty() ? "; in memory" : "");
+  log::say("record: front %u, %s, %zu keepers%s", self, keeps() ? "keeps" : "follows", terms.keepers.size(),
+           keeps() && terms.store.empty() ? "; in memory" : "");
 }
 
 Record::~Record() = default;
@@ -184,14 +168,12 @@
     bool toWriter = std::holds_alternative<record::Tail>(*m) || std::holds_alternative<record::Kept>(*m) ||
                     std::holds_alternative<record::Fetched>(*m);
     if (toWriter && in.writer) in.writer->receive(now, from, *m, in.send());
-    if (in.keeper && !std::holds_alternative<record::Tail>(*m) && !std::holds_alternative<record::Kept>(*m)) {
-      in.keeper->receive(now, from, *m, in.send());
-      if (auto* a = std::get_if<record::Append>(&*m); a && a->token >= in.log->head().promised) in.lastWriter = from, in.heardWriter = now;
-    }
+    if (in.replica && !std::holds_alternative<record::Tail>(*m) && !std::holds_alternative<record::Kept>(*m))
+      in.replica->receive(now, from, *m, in.send());
   } else if (auto s = record::decodeSaying(bytes)) {
     if (auto* want = std::get_if<record::Want>(&*s)) {
-      if (in.server)
-        if (auto piece = in.server->wants(now, *want, static_cast<std::uint64_t>(now - in.heardWriter))) in.pass(from, record::encode(record::Saying(*piece)));
+      if (in.replica)
+        if (auto piece = in.replica->wants(now, *want)) in.pass(from, record::encode(record::Saying(*piece)));
     } else if (auto* piece = std::get_if<record::Piece>(&*s)) {
       in.subscriber->receive(now, from, *piece, in.out());
     } else if (auto* lease = std::get_if<record::Lease>(&*s)) {
@@ -220,11 +202,11 @@
     in.writer->tick(now, in.send());
     if (now >= in.planAt) in.planAt = now + 1000, in.writer->passed(now, in.passed());
   }
-  if (in.keeper) in.keeper->tick(now, in.send(), now);
+  if (in.replica) in.replica->tick(now, in.send());
   in.subscriber->tick(now, in.out());
-  if (in.server && in.lastWriter != 0 && now >= in.leaseAt) {
+  if (keeps() && in.replica->lastWriter() != 0 && now >= in.leaseAt) {
     in.leaseAt = now + 1000;
-    in.pass(in.lastWriter, record::encode(record::Saying(in.server->living(now))));
+    in.pass(in.replica->lastWriter(), record::encode(record::Saying(in.replica->server()->living(now))));
   }
   heard(0, {});  // drains what was said to itself
 }
@@ -232,11 +214,11 @@
 Ms Record::wakeAt() const { return inner_->wakeAt; }
 bool Record::caughtUp() const { return !inner_->behind; }
 record::Offset Record::position() const { return inner_->subscriber->position(); }
-record::Offset Record::committed() const { return std::max(inner_->subscriber->committed(), inner_->log ? inner_->log->head().committed : 0); }
+record::Offset Record::committed() const { return std::max(inner_->subscriber->committed(), inner_->replica ? inner_->replica->committed() : 0); }
 Ms Record::goodAt() const { return inner_->subscriber->goodAt(); }
-bool Record::keeps() const { return inner_->keeper != nullptr; }
-bool Record::spoilt() const { return !inner_->broken.empty() || (inner_->log && !inner_->log->holes(1).empty()) || (inner_->keeper && inner_->keeper->failed()); }
-record::Head Record::head() const { return inner_->atStart; }
+bool Record::keeps() const { return inner_->replica && inner_->replica->isOpen(); }
+bool Record::spoilt() const { return inner_->replica && (!keeps() || !inner_->replica->log()->holes(1).empty()); }
+record::Head Record::head() const { return inner_->replica ? inner_->replica->headAtOpening() : record::Head{}; }
 bool Record::writes() const { return inner_->writer && inner_->writer->phase() == record::Phase::serving; }
 
 void Record::asked(std::span<const char> bytes, Reply reply) {
@@ -295,18 +277,18 @@
 std::string Record::view() const {
   const Inner& in = *inner_;
   auto n = [](double v) { return std::to_string(static_cast<unsigned long long>(v < 0 ? 0 : v)); };
-  std::string s = "{\"self\":" + std::to_string(in.self) + ",\"keeps\":" + (in.keeper ? "true" : "false") + ",\"position\":" +
+  std::string s = "{\"self\":" + std::to_string(in.self) + ",\"keeps\":" + (keeps() ? "true" : "false") + ",\"position\":" +
                   std::to_string(in.subscriber->position()) + ",\"committed\":" + std::to_string(committed()) + ",\"caught_up\":" +
                   (in.behind ? "false" : "true") + ",\"owner\":" + std::to_string(in.ways.owner());
-  if (in.log) {
-    const record::Head& h = in.log->head();
-    s += ",\"last\":" + std::to_string(in.log->last()) + ",\"entries\":" + std::to_string(in.log->size()) + ",\"bytes\":" +
-         std::to_string(in.log->bytes()) + ",\"dead_bytes\":" + std::to_string(in.log->deadBytes()) + ",\"cleaned\":" +
+  if (keeps()) {
+    const record::Log& log = *in.replica->log();
+    const record::Head& h = log.head();
+    s += ",\"last\":" + std::to_string(log.last()) + ",\"entries\":" + std::to_string(log.size()) + ",\"bytes\":" +
+         std::to_string(log.bytes()) + ",\"dead_bytes\":" + std::to_string(log.deadBytes()) + ",\"cleaned\":" +
          std::to_string(h.cleaned) + ",\"forgotten\":" + std::to_string(h.forgotten) + ",\"promised\":" + std::to_string(h.promised) +
-         ",\"starts\":" + std::to_string(h.starts) + ",\"holes\":" + std::to_string(in.log->holes(1000).size()) + ",\"failed\":" +
-         (in.keeper->failed() ? "true" : "false") + ",\"subscribers\":" + std::to_string(in.server->living(in.loop.now()).positions.size());
+         ",\"starts\":" + std::to_string(h.starts) + ",\"holes\":" + std::to_string(log.holes(1000).size()) + ",\"failed\":false,\"subscribers\":" + std::to_string(in.replica->server()->living(in.loop.now()).positions.size());
   }
-  if (!in.broken.empty()) s += ",\"store\":\"not used\"";
+  if (in.replica && !keeps()) s += ",\"store\":\"not used\"";
   if (in.writer) s += ",\"writes\":\"" + std::string(record::word(in.writer->phase())) + "\",\"token\":" + std::to_string(in.writer->token());
   s += ",\"good_ms_ago\":" + (in.subscriber->goodAt() < 0 ? std::string("null") : n(in.loop.now() - in.subscriber->goodAt()));
   return s + "}";
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -8,7 +8,7 @@
 //   record put 42 acknowledged 1 token 114085068801048577 at ...      (first offset, how many)
 //   record read 42 recalls object/7f token 1140... at ...             (by its own subscription, in order)
 //   record starts over at ... ; record caught up to 42 at ... ; record behind since ... at ...
-//   record keeper failed: ... at ...
+//   record keeper failed: ... at ... ; record store not used: ... at ... ; record store used again at ...
 // Operators' writes come as datagrams "DR" 1 | proto PutBatch and are answered by proto PutAnswer; one that does not own the record
 // says so, with the owner's number where it knows it. Bounds: 32 writes of operators under way.
 #pragma once
@@ -46,7 +46,7 @@
     std::function<std::pair<record::Token, bool>()> owns;  // token and whether it may act now; 0: another owns it
     std::function<peers::Id()> owner;               // as far as is known; 0: not
   };
-  // Throws std::runtime_error where the store can't be had.
+  // A store that can't be had is tried again: src/record/replica.hpp.
   Record(loop::Loop& loop, const RecordTerms& terms, peers::Id self, std::uint64_t seed, Ways ways);
   ~Record() override;
   peers::Channel channel() const override { return peers::Channel::record; }
@@ -61,9 +61,9 @@
   bool caughtUp() const;
   record::Offset position() const, committed() const;
   Ms goodAt() const;
-  bool keeps() const;
-  bool spoilt() const;                 // its store has holes, is another's, or failed
-  record::Head head() const;           // of its store, as it was at start
+  bool keeps() const;                  // is a replica, and its store is open
+  bool spoilt() const;                 // its store has holes, or is not open
+  record::Head head() const;           // of its store, as it was when opened last
   bool writes() const;
 
  private:
