--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -10,7 +10,7 @@
 #include "front/turning.hpp"
 #include "generations/generations.hpp"
 #include "log/log.hpp"
-#include "store/floors.hpp"
+#include "store/lasting_floors.hpp"
 
 namespace dunlinwick::front {
 
@@ -22,9 +22,8 @@
   loop::Loop& loop;
   Charter charter;
   Ways ways;
-  std::unique_ptr<store::FloorStore> floorStore;
-  store::KeptFloors kept;
-  bool floorsFailed = false;
+  std::unique_ptr<store::LastingFloors> lastingFloors;  // none where no folder is configured
+  store::KeptFloors current;  // what this process knows and wants kept
   std::unique_ptr<Record> record;
   std::unique_ptr<Rules> rules;
   std::unique_ptr<Recovering> recovering;
@@ -57,59 +56,55 @@
     if (charter.recovery.store.empty()) {
       seen.state = State::none;
     } else {
-      // A store that can't be opened or read is a spoilt one: the front starts without it, trusts nothing of it, and says so.
+      // A store that can't be opened or read is a spoilt one: the front starts without it, trusts nothing of it, says so, and tries again.
       store::KeptFloors found;
-      try {
-        floorStore = std::make_unique<store::FloorStore>(charter.recovery.store);
-        switch (floorStore->read(found)) {
-          case store::FloorStore::Found::empty: seen.state = State::empty; break;
-          case store::FloorStore::Found::spoilt: seen.state = State::spoilt; break;
-          case store::FloorStore::Found::good: seen.state = found.whose == self() ? State::good : State::foreign; break;
-        }
-      } catch (const std::exception& fault) {
-        floorStore.reset();
-        found = {};
-        seen.state = State::spoilt;
-        log::say("recovery store can't be used: %s at %.0f", fault.what(), loop.now());
+      auto openDisk = [folder = charter.recovery.store]() -> std::unique_ptr<store::FloorDisk> { return std::make_unique<store::FloorStore>(folder); };
+      auto say = [this](const std::string& line) { log::say("%s at %.0f", line.c_str(), loop.now()); };
+      lastingFloors = std::make_unique<store::LastingFloors>(openDisk, say);
+      switch (lastingFloors->start(loop.now(), self(), found)) {
+        case store::FloorDisk::Found::empty: seen.state = State::empty; break;
+        case store::FloorDisk::Found::spoilt: seen.state = State::spoilt; break;
+        case store::FloorDisk::Found::good: seen.state = found.whose == self() ? State::good : State::foreign; break;
       }
       seen.whose = found.whose;
       seen.floors = {found.token, found.offset, found.incarnation, found.rulesDigest, found.rulesVersion};
       seen.witnessed = found.witnessed;
-      if (seen.state == State::good) kept = found;
+      if (seen.state == State::good) current = found;
     }
     if (record && record->keeps()) {
       record::Head head = record->head();
       if (record->spoilt() && (seen.state == State::good || seen.state == State::none || seen.state == State::empty)) seen.state = State::holed;
       seen.floors.token = std::max(seen.floors.token, head.promised), seen.floors.offset = std::max(seen.floors.offset, head.committed);
     }
-    kept.whose = self();
-    kept.incarnation = std::max(kept.incarnation + 1, static_cast<std::uint64_t>(loop.now()));
+    current.whose = self();
+    current.incarnation = std::max(current.incarnation + 1, static_cast<std::uint64_t>(loop.now()));
     keep();
     return seen;
   }
-  // Written before this front speaks, and as the floors rise; a disk that fails is said once, and the front serves on.
+  // Written before this front speaks, and as the floors rise; on a disk that fails the front serves on, and writes them once it can.
   void keep() {
-    if (!floorStore || floorsFailed) return;
-    try {
-      floorStore->write(kept);
-    } catch (const std::exception& fault) {
-      floorsFailed = true;
-      log::say("recovery floors not kept: %s at %.0f", fault.what(), loop.now());
-    }
+    if (lastingFloors) lastingFloors->keep(loop.now(), current);
   }
   void raise() {
-    store::KeptFloors next = kept;
-    if (ways.owner) next.token = std::max(next.token, ways.owner->group().token);
-    if (record) next.token = std::max(next.token, record->head().promised), next.offset = std::max(next.offset, record->committed());
-    if (rules && rules->on()) next.rulesDigest = rules->digest(), next.rulesVersion = rules->version();
+    if (ways.owner) current.token = std::max(current.token, ways.owner->group().token);
+    if (record) current.token = std::max(current.token, record->head().promised), current.offset = std::max(current.offset, record->committed());
+    if (rules && rules->on()) current.rulesDigest = rules->digest(), current.rulesVersion = rules->version();
     for (const auto& [id, incarnation] : heardOf) {
-      auto& seen = next.witnessed[id];
+      auto& seen = current.witnessed[id];
       seen = std::max(seen, incarnation);
     }
-    if (next == kept) return;
-    kept = next;
     keep();
   }
+  // The incarnation of another front that this one is a witness of: only what lasts is told, where anything does.
+  std::uint64_t witnessed(std::uint32_t front) const {
+    const store::KeptFloors& told = lastingFloors ? lastingFloors->lasting() : current;
+    auto at = told.witnessed.find(front);
+    return at == told.witnessed.end() ? 0 : at->second;
+  }
+  std::string floorsView() const {
+    if (!lastingFloors) return "\"none\"";
+    return lastingFloors->isKept() ? "\"kept\"" : "\"not kept\"";
+  }
   std::map<std::uint32_t, std::uint64_t> heardOf;  // incarnations that others told of themselves: one a front
 
   void permit() {
@@ -238,10 +233,7 @@
       in.letIn();
     };
     w.heard = [&in](peers::Id from, std::uint64_t incarnation) { in.heardOf[from] = std::max(in.heardOf[from], incarnation); };
-    w.seen = [&in](peers::Id of) -> std::uint64_t {
-      auto at = in.kept.witnessed.find(of);
-      return at == in.kept.witnessed.end() ? 0 : at->second;
-    };
+    w.seen = [&in](peers::Id of) { return in.witnessed(of); };
     RecoveryTerms terms = c.recovery;
     std::set<int> zones;
     for (const auto& [id, zone] : zoneOf) zones.insert(zone);
@@ -253,7 +245,7 @@
       terms.terms.certain.push_back(o.neverKept);
     }
     recovery::StoreSeen store = in.checkStore();
-    in.recovering = std::make_unique<Recovering>(loop, terms, in.self(), fronts, store, in.kept.incarnation, std::move(w));
+    in.recovering = std::make_unique<Recovering>(loop, terms, in.self(), fronts, store, in.current.incarnation, std::move(w));
     in.permit();
   }
 }
@@ -269,7 +261,7 @@
 
 std::string Layer::status() const {
   auto view = [](const Part* p) { return p ? p->view() : std::string("null"); };
-  std::string s = "{\"self\":" + std::to_string(inner_->self()) + ",\"recovery\":" + view(inner_->recovering.get()) + ",\"record\":" +
+  std::string s = "{\"self\":" + std::to_string(inner_->self()) + ",\"recovery\":" + view(inner_->recovering.get()) + ",\"floors\":" + inner_->floorsView() + ",\"record\":" +
                   view(inner_->record.get()) + ",\"rules\":" + view(inner_->rules.get()) + ",\"recalls\":" + std::to_string(inner_->standing.size()) +
                   ",\"generations\":[";
   if (inner_->ways.generations) {
