--- a/src/ctl/owner.cpp
+++ b/src/ctl/owner.cpp
@@ -39,8 +39,8 @@
       } else {
         const json::Value* leads = v->find("leads");
         bool leader = leads && leads->text == "true";
-        std::snprintf(line, sizeof line, "%-22s front %-4.0f %s%s%s%s\n", at[i].c_str(), v->number("self").value_or(0),
-                      std::string(v->word("group")).c_str(), leader ? ", leads term " : "",
+        std::snprintf(line, sizeof line, "%-22s front %-4.0f %s%s%s%s%s\n", at[i].c_str(), v->number("self").value_or(0),
+                      std::string(v->word("group")).c_str(), v->word("store").empty() ? "" : ", store not used", leader ? ", leads term " : "",
                       leader ? std::to_string(static_cast<long>(v->number("term").value_or(0))).c_str() : "",
                       v->word("why").empty() ? "" : (": " + std::string(v->word("why"))).c_str());
         if (v->find("works") && (!best || leader)) best = v;
--- a/src/ctl/record.cpp
+++ b/src/ctl/record.cpp
@@ -184,10 +184,12 @@
       if (d["rules"].IsObject())
         for (const auto& f : d["rules"]["fronts"].GetArray())
           if (f["id"].GetUint() == d["self"].GetUint()) standing = f["standing"].GetString();
-      std::printf("%-6u %-12s %-9s %-10s %-10s %-9s %-8u %-12s %s%s\n", d["self"].GetUint(), text("recovery", "phase").c_str(), text("recovery", "carries").c_str(),
+      bool floorsFail = d.HasMember("floors") && d["floors"] == "not kept";
+      std::printf("%-6u %-12s %-9s %-10s %-10s %-9s %-8u %-12s %s%s%s\n", d["self"].GetUint(), text("recovery", "phase").c_str(), text("recovery", "carries").c_str(),
                   text("record", "position").c_str(), text("record", "committed").c_str(), text("record", "caught_up").c_str(), d["recalls"].GetUint(),
                   standing.c_str(), text("record", "writes") == "-" ? "" : ("owner, " + text("record", "writes")).c_str(),
-                  text("record", "store") == "-" ? "" : ", store not used");
+                  text("record", "store") == "-" ? "" : ", store not used",
+                  floorsFail ? ", floors not kept" : "");
     }
     if (json) std::printf("%s\n]\n", all.c_str());
     return silent ? 4 : 0;
