--- a/src/backoff/backoff.hpp
+++ b/src/backoff/backoff.hpp
@@ -1,4 +1,5 @@
-/// When something that failed is tried again: soon at first, then twice as late each time, up to a bound. Pure: time is passed in.
+/// When something that failed is tried again: soon at first, then twice as late each time, up to a bound.
+/// Pure: time is passed in.
 #pragma once
 #include <algorithm>
 
@@ -8,7 +9,8 @@
 
 class Backoff {
  public:
-  /// Delays between `shortest` and `longest`. One failure after `longest` without any begins at `shortest` again.
+  /// Delays between `shortest` and `longest`. One failure after `longest` without any begins at `shortest`
+  /// again.
   Backoff(Ms shortest, Ms longest) : shortest_(shortest), longest_(longest), delay_(shortest) {}
 
   /// Whether the next try may begin; true before the first failure.
--- a/src/owner/membership.hpp
+++ b/src/owner/membership.hpp
@@ -1,8 +1,9 @@
-/// A node's membership of the group on a store that may fail. A store that can't be opened, or a write that fails, ends the membership:
-/// this member votes and acknowledges no more, and the others go on without it as long as they are a majority. Its store is opened
-/// anew, by backoff, until it can be; the member comes back with what is on the disk, as after a restart of the process.
-/// The node's agent goes on meanwhile by the other members' answers: what it holds it holds as long as a majority keeps its renewals,
-/// and gives up before the lease's end otherwise.
+/// A node's membership of the group on a store that may fail. A store that can't be opened, or a write that
+/// fails, ends the membership: this member votes and acknowledges no more, and the others go on without it as
+/// long as they are a majority. Its store is opened anew, by backoff, until it can be; the member comes back
+/// with what is on the disk, as after a restart of the process. The node's agent goes on meanwhile by the
+/// other members' answers: what it holds it holds as long as a majority keeps its renewals, and gives up
+/// before the lease's end otherwise.
 #pragma once
 #include <functional>
 #include <memory>
--- a/src/record/replica.cpp
+++ b/src/record/replica.cpp
@@ -5,7 +5,8 @@
 
 namespace dunlinwick::record {
 
-Replica::Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk openDisk, std::uint64_t newStore, Ms now, Say say)
+Replica::Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk openDisk,
+                 std::uint64_t newStore, Ms now, Say say)
     : self_(self),
       replicas_(std::move(replicas)),
       terms_(std::move(terms)),
@@ -40,7 +41,8 @@
   disk_.reset();
   currentAt_ = 0;
   retry_.failed(now);
-  if (!std::exchange(saidFailure_, true)) say_(line + "; it acknowledges nothing until its store can be read and written again");
+  if (!std::exchange(saidFailure_, true))
+    say_(line + "; it acknowledges nothing until its store can be read and written again");
 }
 
 void Replica::receive(Ms now, Id from, const Message& message, const Send& send) {
@@ -54,8 +56,8 @@
   const Head& head = log_->head();
   if (append.token < head.promised) return;
   lastWriter_ = from;
-  // One that could not take what the writer calls committed (no room, not brought up yet) must not pass for current: a subscriber
-  // would miss recalls that are acknowledged.
+  // One that could not take what the writer calls committed (no room, not brought up yet) must not pass for
+  // current: a subscriber would miss recalls that are acknowledged.
   if (head.committed >= append.committed) currentAt_ = now;
 }
 
--- a/src/store/environment.hpp
+++ b/src/store/environment.hpp
@@ -1,5 +1,5 @@
-/// One LMDB environment with its one table in a folder: opened with what a full or failing disk asks for, closed with its owner.
-/// One process at a time, one environment a folder.
+/// One LMDB environment with its one table in a folder: opened with what a full or failing disk asks for,
+/// closed with its owner. One process at a time, one environment a folder.
 #pragma once
 #include <fcntl.h>
 #include <lmdb.h>
@@ -56,15 +56,16 @@
   MDB_dbi table() const { return table_; }
 
  private:
-  /// A file shorter than LMDB's two head pages was never begun whole (a full disk, a kill): no transaction can be in it, and LMDB would
-  /// refuse it for ever.
+  /// A file shorter than LMDB's two head pages was never begun whole (a full disk, a kill): no transaction
+  /// can be in it, and LMDB would refuse it for ever.
   static int discardUnfinished(const std::string& path) {
     struct stat file {};
     if (::stat(path.c_str(), &file) != 0) return errno == ENOENT ? 0 : errno;
     if (file.st_size == 0 || file.st_size >= 2 * ::sysconf(_SC_PAGESIZE)) return 0;
     return ::truncate(path.c_str(), 0) == 0 ? 0 : errno;
   }
-  /// LMDB maps its lock file; on a full disk the first touch of a page that has no block would end the process (SIGBUS).
+  /// LMDB maps its lock file; on a full disk the first touch of a page that has no block would end the
+  /// process (SIGBUS).
   static int reserveLock(const std::string& path) {
     constexpr off_t lockBytes = 8192;
     int descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
--- a/src/store/lasting_floors.cpp
+++ b/src/store/lasting_floors.cpp
@@ -6,7 +6,8 @@
 
 namespace dunlinwick::store {
 
-LastingFloors::LastingFloors(OpenDisk openDisk, Say say) : openDisk_(std::move(openDisk)), say_(std::move(say)) {}
+LastingFloors::LastingFloors(OpenDisk openDisk, Say say)
+    : openDisk_(std::move(openDisk)), say_(std::move(say)) {}
 
 FloorDisk::Found LastingFloors::start(Ms now, std::uint32_t self, KeptFloors& found) {
   try {
--- a/tests/owner_storage_test.cpp
+++ b/tests/owner_storage_test.cpp
@@ -1,5 +1,6 @@
-// The owners' group on disks that fail: three nodes in virtual time over stores that fail, by plan, at every call in turn, or end with
-// the process there; then the front's owner part on a real folder that can't be opened.
+// The owners' group on disks that fail: three nodes in virtual time over stores that fail, by plan, at every
+// call in turn, or end with the process there; then the front's owner part on a real folder that can't be
+// opened.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -25,7 +26,8 @@
 constexpr const char* work = "record";
 constexpr owner::Id groupSize = 3;
 
-// Three members, all of which try for one standing work. A message takes a millisecond; every node ticks each 20 ms.
+// Three members, all of which try for one standing work. A message takes a millisecond; every node ticks each
+// 20 ms.
 class Cluster {
  public:
   std::map<owner::Id, StoreDisk> disks;
@@ -46,11 +48,17 @@
     job.standing = true;
     terms.jobs = {job};
     owner::Node::Ways ways;
-    ways.send = [this, id](owner::Id to, std::string bytes) { wire_.push_back({now_ + 1, id, to, std::move(bytes)}); };
+    ways.send = [this, id](owner::Id to, std::string bytes) {
+      wire_.push_back({now_ + 1, id, to, std::move(bytes)});
+    };
     ways.say = [this](const std::string& line) { noteGrant(line); };
-    process.node = std::make_unique<owner::Node>(terms, nullptr, static_cast<std::uint64_t>(now_), id, now_, ways);
-    auto openStore = [this, id]() -> std::unique_ptr<owner::Store> { return std::make_unique<tests::FailingStore>(disks[id]); };
-    process.membership = std::make_unique<owner::Membership>(*process.node, openStore, [this](const std::string& line) { lines.push_back(line); });
+    process.node =
+        std::make_unique<owner::Node>(terms, nullptr, static_cast<std::uint64_t>(now_), id, now_, ways);
+    auto openStore = [this, id]() -> std::unique_ptr<owner::Store> {
+      return std::make_unique<tests::FailingStore>(disks[id]);
+    };
+    process.membership = std::make_unique<owner::Membership>(
+        *process.node, openStore, [this](const std::string& line) { lines.push_back(line); });
     process.membership->tick(now_);
   }
   void stop(owner::Id id) {
@@ -146,8 +154,8 @@
   std::uint64_t highestToken_ = 0;
 };
 
-constexpr Ms leaseTime = 5000;     // above what a lease lasts by the leader's clock
-constexpr Ms failingFor = 4000;    // a disk without space
+constexpr Ms leaseTime = 5000;   // above what a lease lasts by the leader's clock
+constexpr Ms failingFor = 4000;  // a disk without space
 constexpr Ms settleTime = 60000;
 
 // How many calls member 1's disk sees while all is well: each of them is made to fail below.
@@ -209,7 +217,8 @@
       cluster.run(cluster.now() + 300);
       cluster.start(1);
       cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
-      // A founder that is killed before its own disk has the founding can't show that it promised nothing: it is lost, and says so.
+      // A founder that is killed before its own disk has the founding can't show that it promised nothing: it
+      // is lost, and says so.
       Group* group = cluster.node(1).group();
       bool isLost = group && group->standing() == Group::Standing::lost;
       CHECK((cluster.isWhole() || isLost));
@@ -221,7 +230,8 @@
     }
 }
 
-TEST_CASE("all members killed between the founding and the log's first entry found the group at their next start") {
+TEST_CASE(
+    "all members killed between the founding and the log's first entry found the group at their next start") {
   Cluster cluster;
   std::set<owner::Id> founded;
   for (owner::Id id = 1; id <= groupSize; ++id)
@@ -243,14 +253,17 @@
   CHECK(cluster.isWhole());
 }
 
-TEST_CASE("a lease holder that no majority can write for gives up in time, and the work is owned again once there is space") {
+TEST_CASE(
+    "a lease holder that no majority can write for gives up in time, and the work is owned again once there "
+    "is space") {
   Cluster cluster;
   cluster.startAll();
   cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
   REQUIRE(cluster.isWhole());
   owner::Id holder = cluster.holder();
   bool full = true;
-  for (owner::Id id = 1; id <= groupSize; ++id) cluster.disks[id].fate = [&](std::uint64_t) { return full ? Fate::failsBefore : Fate::works; };
+  for (owner::Id id = 1; id <= groupSize; ++id)
+    cluster.disks[id].fate = [&](std::uint64_t) { return full ? Fate::failsBefore : Fate::works; };
   cluster.run(cluster.now() + leaseTime);
   CHECK(cluster.holder() == 0);
   CHECK(cluster.node(holder).agent().held().empty());
@@ -303,7 +316,9 @@
     std::filesystem::remove_all(folder);
   }
   std::string store(owner::Id id) const { return folder + "/" + std::to_string(id); }
-  loop::Address at(owner::Id id) const { return *loop::readAddress("127.0.0." + std::to_string(40 + id) + ":" + std::to_string(port)); }
+  loop::Address at(owner::Id id) const {
+    return *loop::readAddress("127.0.0." + std::to_string(40 + id) + ":" + std::to_string(port));
+  }
   void start(owner::Id id) {
     front::OwnerTerms terms;
     terms.on = true;
@@ -328,7 +343,9 @@
     for (Ms end = loop.now() + atMost; loop.now() < end && !holds();) loop.turn(20);
     return holds();
   }
-  bool shows(owner::Id id, const std::string& text) { return parts[id]->view().find(text) != std::string::npos; }
+  bool shows(owner::Id id, const std::string& text) {
+    return parts[id]->view().find(text) != std::string::npos;
+  }
   bool isOwned() {
     for (auto& [id, part] : parts)
       if (part->holds(work).second) return true;
--- a/tests/record_storage_test.cpp
+++ b/tests/record_storage_test.cpp
@@ -1,5 +1,5 @@
-// The record's replicas on disks that fail: three in virtual time under one writer, with a disk that fails, by plan, at every call in
-// turn, has no room, or ends with the process there.
+// The record's replicas on disks that fail: three in virtual time under one writer, with a disk that fails,
+// by plan, at every call in turn, has no room, or ends with the process there.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -19,8 +19,8 @@
 constexpr Id writerId = 9;  // a front that is no replica itself
 constexpr Ms failingFor = 3000;
 constexpr Ms settleTime = 60000;
-// Opening and the promise to the first writer: a record whose disks are all empty is founded by all replicas, so until then one that
-// fails holds it up; after that the others go on.
+// Opening and the promise to the first writer: a record whose disks are all empty is founded by all replicas,
+// so until then one that fails holds it up; after that the others go on.
 constexpr std::uint64_t foundingCalls = 2;
 
 class Cluster {
@@ -35,7 +35,9 @@
     for (Id id = 1; id <= replicas; ++id) disks[id];
   }
   void start(Id id) {
-    auto openDisk = [this, id]() -> std::unique_ptr<Disk> { return std::make_unique<OpenedDisk>(disks[id], open[id]); };
+    auto openDisk = [this, id]() -> std::unique_ptr<Disk> {
+      return std::make_unique<OpenedDisk>(disks[id], open[id]);
+    };
     auto say = [this](const std::string& line) { lines.push_back(line); };
     replicas_[id] = std::make_unique<Replica>(id, ids(), ReplicaTerms{}, openDisk, id, now_, say);
   }
@@ -105,7 +107,8 @@
       Sent sent = std::move(wire_.front());
       wire_.pop_front();
       if (sent.to == writerId) writer_->receive(now_, sent.from, sent.message, sendFrom(writerId));
-      else if (replicas_[sent.to]) replicas_[sent.to]->receive(now_, sent.from, sent.message, sendFrom(sent.to));
+      else if (replicas_[sent.to])
+        replicas_[sent.to]->receive(now_, sent.from, sent.message, sendFrom(sent.to));
     }
   }
   void tickAll() {
@@ -141,7 +144,9 @@
 
 }  // namespace
 
-TEST_CASE("a replica whose disk fails at any call for a while owes nothing it acknowledged and comes back by itself") {
+TEST_CASE(
+    "a replica whose disk fails at any call for a while owes nothing it acknowledged and comes back by "
+    "itself") {
   std::uint64_t calls = callsOfAQuietRun();
   REQUIRE(calls >= 10);
   for (Fate fate : {Fate::failsBefore, Fate::failsAfter, Fate::full})
@@ -205,14 +210,16 @@
       cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
       REQUIRE(cluster.isWhole());
       bool fails = true;
-      for (Id id = 1; id <= failing; ++id) cluster.disks[id].fate = [&](std::uint64_t) { return fails ? fate : Fate::well; };
+      for (Id id = 1; id <= failing; ++id)
+        cluster.disks[id].fate = [&](std::uint64_t) { return fails ? fate : Fate::well; };
       // What came to a disk before is acknowledged still; then nothing.
       cluster.run(cluster.now() + 500);
       std::size_t before = cluster.acknowledged.size();
       cluster.run(cluster.now() + failingFor);
       CHECK(cluster.acknowledged.size() == before);
       fails = false;
-      cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole() && cluster.acknowledged.size() > before; });
+      cluster.run(cluster.now() + settleTime,
+                  [&] { return cluster.isWhole() && cluster.acknowledged.size() > before; });
       CHECK(cluster.isWhole());
       CHECK(cluster.acknowledged.size() > before);
       CHECK(cluster.owed() == 0);
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,5 +1,6 @@
-// Folders that last, on real files: a file-size limit makes writes fail in a child process, files cut short by a full disk, and stores
-// that an older version wrote. Floors on a disk that fails, by plan, at every call in turn.
+// Folders that last, on real files: a file-size limit makes writes fail in a child process, files cut short
+// by a full disk, and stores that an older version wrote. Floors on a disk that fails, by plan, at every call
+// in turn.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <sys/resource.h>
@@ -26,7 +27,9 @@
 
 class Folder {
  public:
-  Folder() : path_((fs::temp_directory_path() / "storage_test.XXXXXX").string()) { REQUIRE(::mkdtemp(path_.data()) != nullptr); }
+  Folder() : path_((fs::temp_directory_path() / "storage_test.XXXXXX").string()) {
+    REQUIRE(::mkdtemp(path_.data()) != nullptr);
+  }
   ~Folder() { fs::remove_all(path_); }
   Folder(const Folder&) = delete;
   Folder& operator=(const Folder&) = delete;
@@ -36,7 +39,8 @@
   std::string path_;
 };
 
-// From here on a write past `bytes` of any file fails with EFBIG, as on a disk that is full; nothing else does.
+// From here on a write past `bytes` of any file fails with EFBIG, as on a disk that is full; nothing else
+// does.
 void limitFiles(rlim_t bytes) {
   ::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
@@ -45,7 +49,8 @@
   ::setrlimit(RLIMIT_FSIZE, &limit);
 }
 
-// Runs `body` in a child of its own, so that the limit is only there. It returns the line of the first check that failed, or 0.
+// Runs `body` in a child of its own, so that the limit is only there. It returns the line of the first check
+// that failed, or 0.
 int inChild(const std::function<int()>& body) {
   std::fflush(nullptr);
   pid_t child = ::fork();
@@ -69,7 +74,8 @@
 
 constexpr rlim_t smallLimit = 64 << 10;
 constexpr rlim_t replicaLimit = 256 << 10;
-// Values of one page are refused whole (no room); of several pages a write is cut short, which LMDB tells as an I/O error.
+// Values of one page are refused whole (no room); of several pages a write is cut short, which LMDB tells as
+// an I/O error.
 constexpr std::size_t valueOfOnePage = 2000;
 constexpr std::size_t valueOfPages = 10000;
 constexpr int mostTries = 10000;
@@ -96,9 +102,14 @@
   std::size_t valueBytes;
 
   Alone(const std::string& folder, std::size_t bytes) : valueBytes(bytes) {
-    auto openDisk = [folder]() -> std::unique_ptr<record::Disk> { return std::make_unique<store::RecordLmdb>(folder); };
-    replica = std::make_unique<record::Replica>(1, std::vector<record::Id>{1}, record::ReplicaTerms{}, openDisk, 5, now, [this](const std::string& line) { lines.push_back(line); });
-    writer = std::make_unique<record::Writer>(1, std::vector<record::Id>{1}, record::KeeperTerms{}, record::LogTerms{}, 1000, now);
+    auto openDisk = [folder]() -> std::unique_ptr<record::Disk> {
+      return std::make_unique<store::RecordLmdb>(folder);
+    };
+    replica =
+        std::make_unique<record::Replica>(1, std::vector<record::Id>{1}, record::ReplicaTerms{}, openDisk, 5,
+                                          now, [this](const std::string& line) { lines.push_back(line); });
+    writer = std::make_unique<record::Writer>(1, std::vector<record::Id>{1}, record::KeeperTerms{},
+                                              record::LogTerms{}, 1000, now);
   }
   record::Send send() {
     return [this](record::Id to, const record::Message& message) { wire.emplace_back(to, message); };
@@ -112,14 +123,18 @@
       record::Writer::Put put;
       put.key = "object/" + std::to_string(++written);
       put.value = std::string(valueBytes, 'v');
-      writer->put(now, {put}, [this](record::Writer::Outcome outcome, record::Offset first) {
-        if (outcome == record::Writer::Outcome::acknowledged) acknowledged.insert(first);
-      }, send());
+      writer->put(
+          now, {put},
+          [this](record::Writer::Outcome outcome, record::Offset first) {
+            if (outcome == record::Writer::Outcome::acknowledged) acknowledged.insert(first);
+          },
+          send());
     }
     while (!wire.empty()) {
       record::Message message = std::move(wire.front().second);
       wire.pop_front();
-      bool isAnswer = std::holds_alternative<record::Tail>(message) || std::holds_alternative<record::Kept>(message) ||
+      bool isAnswer = std::holds_alternative<record::Tail>(message) ||
+                      std::holds_alternative<record::Kept>(message) ||
                       std::holds_alternative<record::Fetched>(message);
       if (isAnswer) writer->receive(now, 1, message, send());
       else replica->receive(now, 1, message, send());
@@ -129,15 +144,20 @@
 
 }  // namespace
 
-TEST_CASE("an owner's store on a file that can't grow keeps what it took, takes nothing more, and goes on once there is room") {
+TEST_CASE(
+    "an owner's store on a file that can't grow keeps what it took, takes nothing more, and goes on once "
+    "there is room") {
   Folder folder;
   int result = inChild([&] {
     std::vector<std::string> taken;
     auto open = [&] { return std::make_unique<store::LmdbStore>(folder.at("owner")); };
-    auto entry = [](std::size_t n) { return owner::LogEntry{1, 1, std::string(900, 'a') + std::to_string(n)}; };
+    auto entry = [](std::size_t n) {
+      return owner::LogEntry{1, 1, std::string(900, 'a') + std::to_string(n)};
+    };
     auto disk = open();
     limitFiles(smallLimit);
-    while (taken.size() < mostTries && !fails([&] { disk->append({entry(taken.size())}); })) taken.push_back(entry(taken.size()).bytes);
+    while (taken.size() < mostTries && !fails([&] { disk->append({entry(taken.size())}); }))
+      taken.push_back(entry(taken.size()).bytes);
     HOLDS(taken.size() > 5);
     HOLDS(taken.size() < mostTries);
     auto holdsAll = [&](owner::StoredState state) {
@@ -162,7 +182,9 @@
   CHECK(result == 0);
 }
 
-TEST_CASE("a replica on a file that can't grow acknowledges no more, and by itself again once there is room; nothing acknowledged is lost") {
+TEST_CASE(
+    "a replica on a file that can't grow acknowledges no more, and by itself again once there is room; "
+    "nothing acknowledged is lost") {
   for (std::size_t valueBytes : {valueOfOnePage, valueOfPages}) {
     CAPTURE(valueBytes);
     Folder folder;
@@ -196,10 +218,13 @@
   }
 }
 
-TEST_CASE("floors on a file that can't grow say so, keep what was written, and are kept again once there is room") {
+TEST_CASE(
+    "floors on a file that can't grow say so, keep what was written, and are kept again once there is room") {
   Folder folder;
   int result = inChild([&] {
-    auto openDisk = [&]() -> std::unique_ptr<FloorDisk> { return std::make_unique<store::FloorStore>(folder.at("floors")); };
+    auto openDisk = [&]() -> std::unique_ptr<FloorDisk> {
+      return std::make_unique<store::FloorStore>(folder.at("floors"));
+    };
     std::vector<std::string> lines;
     store::LastingFloors floors(openDisk, [&](const std::string& line) { lines.push_back(line); });
     KeptFloors found;
@@ -262,12 +287,14 @@
       CAPTURE(bytes);
       Folder folder;
       fs::create_directory(folder.at(kind));
-      fs::copy_file(std::string(DATA) + "/stores-cd3eb2b/" + kind + "/data.mdb", folder.at(kind) + "/data.mdb");
+      fs::copy_file(std::string(DATA) + "/stores-cd3eb2b/" + kind + "/data.mdb",
+                    folder.at(kind) + "/data.mdb");
       fs::resize_file(folder.at(kind) + "/data.mdb", bytes);
       if (kind == std::string("owner")) CHECK(store::LmdbStore(folder.at(kind)).load().term == 0);
       if (kind == std::string("record")) CHECK_FALSE(store::RecordLmdb(folder.at(kind)).head());
       KeptFloors found;
-      if (kind == std::string("floors")) CHECK(store::FloorStore(folder.at(kind)).read(found) == FloorDisk::Found::empty);
+      if (kind == std::string("floors"))
+        CHECK(store::FloorStore(folder.at(kind)).read(found) == FloorDisk::Found::empty);
     }
 }
 
@@ -381,7 +408,9 @@
 
 }  // namespace
 
-TEST_CASE("floors on a disk that fails at any call for a while are told only once they last, never fall, and are kept again") {
+TEST_CASE(
+    "floors on a disk that fails at any call for a while are told only once they last, never fall, and are "
+    "kept again") {
   constexpr store::Ms failingFor = 3000;
   constexpr std::uint64_t calls = 12;
   for (bool isKilled : {false, true})
@@ -399,7 +428,9 @@
           return now < failsUntil ? fate : Fate::works;
         };
         std::size_t lines = 0;
-        auto openDisk = [&]() -> std::unique_ptr<FloorDisk> { return std::make_unique<PlannedFloorDisk>(disk); };
+        auto openDisk = [&]() -> std::unique_ptr<FloorDisk> {
+          return std::make_unique<PlannedFloorDisk>(disk);
+        };
         auto say = [&](const std::string&) { ++lines; };
         auto floors = std::make_unique<store::LastingFloors>(openDisk, say);
         KeptFloors found;
@@ -436,7 +467,9 @@
   disk.kept->whose = 8;
   bool down = false;
   disk.fate = [&](std::uint64_t) { return down ? Fate::failsBefore : Fate::works; };
-  store::LastingFloors floors([&]() -> std::unique_ptr<FloorDisk> { return std::make_unique<PlannedFloorDisk>(disk); }, [](const std::string&) {});
+  store::LastingFloors floors(
+      [&]() -> std::unique_ptr<FloorDisk> { return std::make_unique<PlannedFloorDisk>(disk); },
+      [](const std::string&) {});
   KeptFloors found;
   CHECK(floors.start(0, 3, found) == FloorDisk::Found::good);
   CHECK(found.whose == 8);
--- a/tests/support/failing_store.hpp
+++ b/tests/support/failing_store.hpp
@@ -1,5 +1,6 @@
-/// The disk of a member of the owners' group that fails by plan. What is on it outlives the stores that are opened over it, as a disk
-/// outlives processes. It also holds the promise that a disk can show: one vote a term.
+/// The disk of a member of the owners' group that fails by plan. What is on it outlives the stores that are
+/// opened over it, as a disk outlives processes. It also holds the promise that a disk can show: one vote a
+/// term.
 #pragma once
 #include <functional>
 #include <memory>
