--- a/src/logic/cold.hpp
+++ b/src/logic/cold.hpp
@@ -42,7 +42,7 @@
   // share grows from nothing to the whole within a window, so that all its predecessors and it stay within two
   // shares, however often it restarts. Harm: after a restart, for a window, less goes to servers in slow start.
   double partSeen(const Machine& m) const {
-    bool mayHaveServed = m.startedAt < firstMet;
+    bool mayHaveServed = m.slow_start_from < firstMet;
     return mayHaveServed ? std::clamp((now - firstMet) / f.coldWindow, 0.0, 1.0) : 1;
   }
 
