--- a/src/drill/run.cpp
+++ b/src/drill/run.cpp
@@ -15,80 +15,80 @@
 
 namespace {
 
-constexpr Ms second = 1000;
+constexpr Ms kSecond = 1000;
 // Hosts by what stands there.
-constexpr std::uint16_t membersPort = 7400;
-constexpr std::uint32_t frontNet = 0x000000, storeNet = 0x010000, hubNet = 0x020000, boardHost = 0x030001,
-                        clientNet = 0x040000;
+constexpr std::uint16_t kMembersPort = 7400;
+constexpr std::uint32_t kFrontNet = 0x000000, kStoreNet = 0x010000, kHubNet = 0x020000, kBoardHost = 0x030001,
+                        kClientNet = 0x040000;
 
 class Stage final : world::Witness {
  public:
   Stage(const Script& script, const Options& options, Scene& scene)
       : script_(script),
         options_(options),
-        site_(siteFor(script, options.seed)),
+        site_(SiteFor(script, options.seed)),
         scene_(scene),
         net_(scene.net()),
         start_(scene.now()),
-        clientsFrom_(start_ + (scene.net() ? 500 : 2000)),  // real processes take a moment to start
-        end_(clientsFrom_ + script.length),
+        clients_from_(start_ + (scene.net() ? 500 : 2000)),  // real processes take a moment to start
+        end_(clients_from_ + script.length),
         dice_(options.seed * 3 + 2),
-        checker_(limitsFor(script, options.seed)),
+        checker_(LimitsFor(script, options.seed)),
         model_(
             site_.terms, options.seed * 5 + 3, start_,
             [this](Ms when, std::function<void()> what) { scene_.at(when, std::move(what)); }, *this) {
-    if (net_) net_->setChoppy(script.choppy);
-    if (net_) layMap();
-    for (std::size_t k = 0; k < site_.linkCapacity.size(); ++k)
-      model_.setLink(static_cast<int>(k), site_.linkCapacity[k]);
+    if (net_) net_->SetChoppy(script.choppy);
+    if (net_) LayMap();
+    for (std::size_t k = 0; k < site_.link_capacity.size(); ++k)
+      model_.SetLink(static_cast<int>(k), site_.link_capacity[k]);
     std::uint32_t number = 0;
     for (const world::Make& make : site_.makes) {
       ++number;
-      std::uint32_t host = (make.grade == Grade::store ? storeNet : hubNet) + number;
-      place(host, make.grade == Grade::store ? make.store + 1 : 0);
+      std::uint32_t host = (make.grade == Grade::kStore ? kStoreNet : kHubNet) + number;
+      place(host, make.grade == Grade::kStore ? make.store + 1 : 0);
       boxes_.push_back(std::make_unique<Box>());
       Box& b = *boxes_.back();
       b.make = make, b.host = host, b.at = scene_.address(host, 5050);
-      raise(b);
+      Raise(b);
     }
     number = 0;
     for (const SiteFront& f : site_.fronts) {
       ++number;
       hosts_.push_back(std::make_unique<Host>());
       Host& h = *hosts_.back();
-      h.front = f, h.host = frontNet + number, h.at = scene_.address(h.host, 8080);
-      h.boardAt = scene_.address(boardHost, static_cast<std::uint16_t>(4222 + number));
+      h.front = f, h.host = kFrontNet + number, h.at = scene_.address(h.host, 8080);
+      h.board_at = scene_.address(kBoardHost, static_cast<std::uint16_t>(4222 + number));
       place(h.host, f.store + 1);
-      h.boardProcess = &scene_.start(boardHost, "board-" + std::to_string(number));
-      h.boardProcess->act([&] {
-        h.board = std::make_unique<BoardSpeaker>(h.boardProcess->loop(), h.boardAt, 2,
+      h.board_process = &scene_.Start(kBoardHost, "board-" + std::to_string(number));
+      h.board_process->act([&] {
+        h.board = std::make_unique<BoardSpeaker>(h.board_process->loop(), h.board_at, 2,
                                                  [this, &h](std::uint64_t event) { told(h, event); });
       });
     }
     for (auto& h : hosts_) begin(*h);
     for (std::size_t k = 0; k < site_.traffic.size(); ++k) {
-      std::uint32_t host = clientNet + static_cast<std::uint32_t>(k) + 1;
+      std::uint32_t host = kClientNet + static_cast<std::uint32_t>(k) + 1;
       place(host, script_.stores + 1 + static_cast<int>(k));
-      Player& p = scene_.start(host, "clients-" + std::to_string(k + 1));
+      Player& p = scene_.Start(host, "clients-" + std::to_string(k + 1));
       crowds_.push_back({&p, nullptr});
       ClientTerms terms;
-      terms.pullsPerS = site_.pullsPerS * site_.traffic[k];
-      terms.retries = script.retries, terms.wait = script.retryWait, terms.swing = script.swing;
-      terms.impatient = script.impatient, terms.honour = site_.honour, terms.notice = site_.clientNotice;
-      terms.bytesPerKb = script.bytesPerKb;
+      terms.pulls_per_s = site_.pulls_per_s * site_.traffic[k];
+      terms.retries = script.retries, terms.wait = script.retry_wait, terms.swing = script.swing;
+      terms.impatient = script.impatient, terms.honour = site_.honour, terms.notice = site_.client_notice;
+      terms.bytes_per_kb = script.bytes_per_kb;
       std::vector<Clients::FrontAt> fronts;
       for (auto& h : hosts_)
         if (h->front.store == static_cast<int>(k)) fronts.push_back({h->front.name, h->at});
       p.act([&] {
         crowds_.back().clients = std::make_unique<Clients>(
-            p.loop(), model_, teller(), outcome_.takings, terms, static_cast<int>(k), fronts,
-            options.seed * 1000 + 17 * k + 5, clientsFrom_, end_);
-        crowds_.back().clients->seen = [this](const std::string&) { occur(Moment::handoverAsked); };
+            p.loop(), model_, Teller(), outcome_.takings, terms, static_cast<int>(k), fronts,
+            options.seed * 1000 + 17 * k + 5, clients_from_, end_);
+        crowds_.back().clients->seen = [this](const std::string&) { Occur(Moment::kHandoverAsked); };
       });
     }
     for (std::size_t i = 0; i < script.troubles.size(); ++i) {
       const Trouble& t = script.troubles[i];
-      if (t.when == Moment::none) scene_.at(clientsFrom_ + t.at, [this, &t] { befall(t); });
+      if (t.when == Moment::kNone) scene_.at(clients_from_ + t.at, [this, &t] { Befall(t); });
     }
     armed_.assign(script.troubles.size(), true);
   }
@@ -96,42 +96,42 @@
   ~Stage() {
     for (auto& h : hosts_) {
       h->served.reset();
-      scene_.vanish(*h->boardProcess);
+      scene_.Vanish(*h->board_process);
       h->board.reset();
     }
     for (auto& b : boxes_) {
-      if (b->process) scene_.vanish(*b->process);
+      if (b->process) scene_.Vanish(*b->process);
       b->speaker.reset();
     }
     for (auto& c : crowds_) {
-      scene_.vanish(*c.process);
+      scene_.Vanish(*c.process);
       c.clients.reset();
     }
   }
 
-  Outcome play() {
+  Outcome Play() {
     auto began = std::chrono::steady_clock::now();  // for the report's speed alone
-    constexpr Ms after = 6000;                      // the longest expiry and a little
-    for (Ms t = start_; t < end_ + after;) {
-      t = std::min(t + second, end_ + after);
-      scene_.runUntil(t);
-      look();
-      if (options_.progress) options_.progress((t - start_) / (end_ + after - start_));
-      if (options_.stopAtBreach && !checker_.kept()) break;
+    constexpr Ms kAfter = 6000;                      // the longest expiry and a little
+    for (Ms t = start_; t < end_ + kAfter;) {
+      t = std::min(t + kSecond, end_ + kAfter);
+      scene_.RunUntil(t);
+      Look();
+      if (options_.progress) options_.progress((t - start_) / (end_ + kAfter - start_));
+      if (options_.stop_at_breach && !checker_.Kept()) break;
     }
-    checker_.finish(scene_.now());
+    checker_.Finish(scene_.now());
     Outcome o = std::move(outcome_);
     o.drill = script_.name;
     o.seed = options_.seed;
-    if (net_) o.digest = net_->digest(), o.events = net_->events();
+    if (net_) o.digest = net_->Digest(), o.events = net_->Events();
     o.played = scene_.now() - start_;
-    o.tookS = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-    o.breaches = checker_.breaches();
-    for (rules::Breach& b : o.breaches) b.at -= clientsFrom_;
-    for (int i = 0; i < rules::howMany; ++i) o.counts[i] = checker_.count(static_cast<rules::Rule>(i));
+    o.took_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+    o.breaches = checker_.Breaches();
+    for (rules::Breach& b : o.breaches) b.at -= clients_from_;
+    for (int i = 0; i < rules::kHowMany; ++i) o.counts[i] = checker_.Count(static_cast<rules::Rule>(i));
     o.nearest = checker_.nearest();
     o.bytes = model_.bytes;
-    o.askedKb = o.bytes.asked * site_.terms.flowKbPerMs;
+    o.asked_kb = o.bytes.asked * site_.terms.flow_kb_per_ms;
     for (auto& one : site_.terms.offerings) o.offerings.push_back(one.name);
     return o;
   }
@@ -144,15 +144,15 @@
     Player* process = nullptr;
     std::unique_ptr<MachineSpeaker> speaker;
     bool listed = true;
-    bool toldOfStart = true;
+    bool told_of_start = true;
     std::string state = "in_service";
     int successor = 0;
   };
   struct Host {  // an address at which a front stands
     SiteFront front;
     std::uint32_t host = 0;
-    loop::Address at{}, boardAt{};
-    Player* boardProcess = nullptr;
+    loop::Address at{}, board_at{};
+    Player* board_process = nullptr;
     std::unique_ptr<BoardSpeaker> board;
     std::unique_ptr<Served> served;
     int starts = 0;
@@ -164,128 +164,128 @@
   };
   struct Event {  // of the boards
     Fact fact;    // as a front is told it; who and when are filled in
-    Ms publishedAt = 0;
+    Ms published_at = 0;
     std::string json;
   };
 
-  Tell teller() {
-    return [this](Fact f) { see(std::move(f)); };
+  Tell Teller() {
+    return [this](Fact f) { See(std::move(f)); };
   }
-  void see(Fact f) {
-    outcome_.legs += f.deed == Deed::legCame;
-    if (options_.trace) *options_.trace << rules::line(f) << "\n";
-    checker_.take(f);
+  void See(Fact f) {
+    outcome_.legs += f.deed == Deed::kLegCame;
+    if (options_.trace) *options_.trace << rules::Line(f) << "\n";
+    checker_.Take(f);
   }
 
-  std::uint32_t addressed(std::uint32_t host) { return ntohl(scene_.address(host, 1).sin_addr.s_addr); }
+  std::uint32_t Addressed(std::uint32_t host) { return ntohl(scene_.address(host, 1).sin_addr.s_addr); }
   void place(std::uint32_t host, int site) {
-    if (net_) net_->place(addressed(host), site);
+    if (net_) net_->place(Addressed(host), site);
   }
-  void layMap() {
+  void LayMap() {
     int stores = script_.stores;
     auto join = [&](int a, int b, Ms latency) {
       stage::Way w;
       w.latency = latency, w.jitter = 0.25;
-      net_->join(a, b, w), net_->join(b, a, w);
+      net_->Join(a, b, w), net_->Join(b, a, w);
     };
-    join(0, 0, site_.storeWay);
+    join(0, 0, site_.store_way);
     for (int a = 1; a <= stores; ++a) {
-      join(0, a, site_.hubWay);
-      join(a, a, site_.storeWay);
-      join(a, stores + a, site_.clientWay);
-      for (int b = 1; b < a; ++b) join(a, b, 2 * site_.hubWay);
+      join(0, a, site_.hub_way);
+      join(a, a, site_.store_way);
+      join(a, stores + a, site_.client_way);
+      for (int b = 1; b < a; ++b) join(a, b, 2 * site_.hub_way);
     }
   }
 
   // ---- machines
 
-  void raise(Box& b) {
-    b.process = &scene_.start(b.host, b.make.id);
-    model_.add(b.make);
+  void Raise(Box& b) {
+    b.process = &scene_.Start(b.host, b.make.id);
+    model_.Add(b.make);
     MachineSpeaker::Setup setup;
-    setup.id = b.make.id, setup.at = b.at, setup.bytesPerKb = script_.bytesPerKb;
+    setup.id = b.make.id, setup.at = b.at, setup.bytes_per_kb = script_.bytes_per_kb;
     setup.seed = options_.seed * 77 + b.host + static_cast<std::uint64_t>(b.successor);
     for (auto& o : site_.terms.offerings) setup.offerings.push_back(o.name);
     Player* p = b.process;
     p->act([&] {
       b.speaker = std::make_unique<MachineSpeaker>(
-          p->loop(), [p](const std::function<void()>& what) { p->act(what); }, model_, teller(), std::move(setup));
+          p->loop(), [p](const std::function<void()>& what) { p->act(what); }, model_, Teller(), std::move(setup));
     });
   }
-  void fell(Box& b, bool silently) {
+  void Fell(Box& b, bool silently) {
     if (!b.process) return;
-    model_.remove(scene_.now(), b.make.id);
-    if (silently) scene_.vanish(*b.process), see(unseen(12000));
-    else scene_.kill(*b.process);
+    model_.Remove(scene_.now(), b.make.id);
+    if (silently) scene_.Vanish(*b.process), See(Unseen(12000));
+    else scene_.Kill(*b.process);
     b.speaker.reset();
     b.process = nullptr;
   }
-  Fact unseen(Ms lasts) {
+  Fact Unseen(Ms lasts) {
     Fact f;
-    f.deed = Deed::unseen, f.at = scene_.now(), f.number = scene_.now() + lasts;
+    f.deed = Deed::kUnseen, f.at = scene_.now(), f.number = scene_.now() + lasts;
     return f;
   }
   // A new process there, cold and empty.
-  void rise(Box& b) {
+  void Rise(Box& b) {
     if (b.process) return;
-    b.make.startedAt = scene_.now();
-    b.toldOfStart = false;
-    raise(b);
-    occur(Moment::coldStart);
-    list(b, "in_service", site_.addNotice);
+    b.make.started_at = scene_.now();
+    b.told_of_start = false;
+    Raise(b);
+    Occur(Moment::kColdStart);
+    list(b, "in_service", site_.add_notice);
   }
   void list(Box& b, const char* state, Ms after) {
     Event e;
-    e.fact.deed = Deed::listed, e.fact.other = b.make.id;
+    e.fact.deed = Deed::kListed, e.fact.other = b.make.id;
     e.fact.word = std::string(state) == "in_service" ? "ready" : std::string(state) == "terminating" ? "draining" : "gone";
-    e.json = "{\"pool\":{\"version\":1,\"full\":false,\"servers\":[" + listing(b.make, stage::text(b.at), state) + "]}}";
+    e.json = "{\"pool\":{\"version\":1,\"full\":false,\"servers\":[" + Listing(b.make, stage::Text(b.at), state) + "]}}";
     scene_.at(scene_.now() + after, [this, &b, e = std::move(e), state = std::string(state)]() mutable {
       b.state = state;
-      if (state == "in_service" && !std::exchange(b.toldOfStart, true)) model_.startTold(b.make.id);
+      if (state == "in_service" && !std::exchange(b.told_of_start, true)) model_.StartTold(b.make.id);
       states_[e.fact.other] = {&b, state, e.json};
-      publish(std::move(e));
+      Publish(std::move(e));
     });
   }
 
   // ---- boards
 
-  void publish(Event e) {
-    e.publishedAt = scene_.now();
+  void Publish(Event e) {
+    e.published_at = scene_.now();
     events_.push_back(std::move(e));
     for (auto& h : hosts_) {
       std::string json = events_.back().json;
-      h->boardProcess->act([&] { h->board->publish(std::move(json)); });
+      h->board_process->act([&] { h->board->Publish(std::move(json)); });
     }
-    if (events_.back().fact.word == "draining") occur(Moment::drainTold);
-    if (events_.back().fact.deed == Deed::purged) occur(Moment::purgeTold);
+    if (events_.back().fact.word == "draining") Occur(Moment::kDrainTold);
+    if (events_.back().fact.deed == Deed::kPurged) Occur(Moment::kPurgeTold);
   }
   void told(Host& h, std::uint64_t number) {
     Fact f = events_[number - 2].fact;
     f.who = h.front.name, f.at = scene_.now();
-    see(std::move(f));
+    See(std::move(f));
   }
 
   // What a front is handed at its start: the list as it is, and the purges that are not yet done.
-  std::string known(Host& h) {
+  std::string Known(Host& h) {
     std::string servers;
     for (auto& b : boxes_)
       if (b->state != "terminated" && b->listed)
-        servers += (servers.empty() ? "" : ",") + listing(b->make, stage::text(b->at), b->state.c_str());
+        servers += (servers.empty() ? "" : ",") + Listing(b->make, stage::Text(b->at), b->state.c_str());
     std::string rev = std::to_string(events_.size() + 1);
     std::string notices = "{\"rev\":" + rev + ",\"pool\":{\"version\":1,\"full\":true,\"servers\":[" + servers + "]}}";
     for (auto& b : boxes_) {
       if (b->state == "in_service" || !b->listed) continue;
       Fact f;
-      f.deed = Deed::listed, f.at = scene_.now(), f.who = h.front.name, f.other = b->make.id;
+      f.deed = Deed::kListed, f.at = scene_.now(), f.who = h.front.name, f.other = b->make.id;
       f.word = b->state == "terminating" ? "draining" : "gone";
-      see(std::move(f));
+      See(std::move(f));
     }
     for (const Event& e : events_) {
-      if (e.fact.deed != Deed::purged || e.fact.number < scene_.now() - site_.terms.purgeDone) continue;
+      if (e.fact.deed != Deed::kPurged || e.fact.number < scene_.now() - site_.terms.purge_done) continue;
       notices += ",{\"rev\":" + rev + "," + e.json.substr(1);
       Fact f = e.fact;
       f.at = scene_.now(), f.who = h.front.name;
-      see(std::move(f));
+      See(std::move(f));
     }
     return "{\"rev\":" + rev + ",\"notices\":[" + notices + "]}";
   }
@@ -295,63 +295,63 @@
   void begin(Host& h) {
     if (h.served) return;
     Fact up;
-    up.deed = Deed::frontUp, up.at = scene_.now(), up.who = h.front.name;
-    see(std::move(up));
+    up.deed = Deed::kFrontUp, up.at = scene_.now(), up.who = h.front.name;
+    See(std::move(up));
     h.stopping = false;
     std::uint64_t seed = options_.seed * 7919 + h.host * 31 + static_cast<std::uint64_t>(h.starts);
     std::string fleet;
-    if (script_.inCommon) {
+    if (script_.in_common) {
       std::vector<std::string> members;
-      for (auto& one : hosts_) members.push_back(stage::text(scene_.address(one->host, membersPort)));
-      fleet = fleetBlock(site_, h.front, members);
+      for (auto& one : hosts_) members.push_back(stage::Text(scene_.address(one->host, kMembersPort)));
+      fleet = FleetBlock(site_, h.front, members);
     }
     std::string text =
-        configuration(script_, site_, h.front, stage::text(h.at), stage::text(h.boardAt), seed, known(h), fleet);
-    h.served = scene_.serve(h.host, h.front.name, text, script_.descriptors,
+        Configuration(script_, site_, h.front, stage::Text(h.at), stage::Text(h.board_at), seed, Known(h), fleet);
+    h.served = scene_.Serve(h.host, h.front.name, text, script_.descriptors,
                             options_.breaker ? options_.breaker() : nullptr);
-    if (h.starts++ > 0) occur(Moment::frontBack);
+    if (h.starts++ > 0) Occur(Moment::kFrontBack);
   }
-  void kill(Host& h) {
+  void Kill(Host& h) {
     if (!h.served) return;
     Fact down;
-    down.deed = Deed::frontDown, down.at = scene_.now(), down.who = h.front.name;
-    see(std::move(down));
+    down.deed = Deed::kFrontDown, down.at = scene_.now(), down.who = h.front.name;
+    See(std::move(down));
     h.served.reset();
   }
   // Fronts that were asked to stop and have: their successors start.
-  void look() {
+  void Look() {
     for (auto& h : hosts_)
-      if (h->stopping && h->served && h->served->ended()) {
-        kill(*h);
+      if (h->stopping && h->served && h->served->Ended()) {
+        Kill(*h);
         begin(*h);
-        for (Clients* c : clients()) c->stopping(h->front.name, 1e18, 1e18);
+        for (Clients* c : clients()) c->Stopping(h->front.name, 1e18, 1e18);
       }
   }
 
   // ---- what the world does
 
-  void ran(Ms at, const std::string& id, const std::string& thing) override {
+  void Ran(Ms at, const std::string& id, const std::string& thing) override {
     Fact f;
-    f.deed = Deed::ran, f.at = at, f.pull = id, f.thing = thing, f.who = "office";
-    see(std::move(f));
+    f.deed = Deed::kRan, f.at = at, f.pull = id, f.thing = thing, f.who = "office";
+    See(std::move(f));
   }
-  void coldPush(const std::string& machine, double share) override {
+  void ColdPush(const std::string& machine, double share) override {
     for (auto& b : boxes_)
-      if (b->make.id == machine && !b->toldOfStart) return;
+      if (b->make.id == machine && !b->told_of_start) return;
     Fact f;
-    f.deed = Deed::coldPush, f.at = scene_.now(), f.number = share;
-    checker_.take(f);
+    f.deed = Deed::kColdPush, f.at = scene_.now(), f.number = share;
+    checker_.Take(f);
   }
-  void pushedOver(Ms at, const std::string& machine, double work, double limit) override {
+  void PushedOver(Ms at, const std::string& machine, double work, double limit) override {
     for (auto& b : boxes_) {
       if (b->make.id != machine || !b->process) continue;
       Fact f;
-      f.deed = Deed::pushedOver, f.at = at, f.who = machine, f.number = work, f.limit = limit;
+      f.deed = Deed::kPushedOver, f.at = at, f.who = machine, f.number = work, f.limit = limit;
       // It binds fronts that were told of the start. One that nobody was told of falls over all the same.
-      if (b->toldOfStart) see(std::move(f));
+      if (b->told_of_start) See(std::move(f));
       else outcome_.happened.push_back("            " + machine + " fell over before fronts were told of its start");
       scene_.at(scene_.now(), [this, box = b.get()] {
-        fell(*box, false);
+        Fell(*box, false);
         list(*box, "terminated", site_.notice);
       });
       return;
@@ -360,36 +360,36 @@
 
   // ---- troubles
 
-  void occur(Moment moment) {
+  void Occur(Moment moment) {
     for (std::size_t i = 0; i < script_.troubles.size(); ++i) {
       const Trouble& t = script_.troubles[i];
-      if (t.when != moment || i >= armed_.size() || !armed_[i] || scene_.now() < clientsFrom_) continue;
+      if (t.when != moment || i >= armed_.size() || !armed_[i] || scene_.now() < clients_from_) continue;
       armed_[i] = false;
-      scene_.at(scene_.now() + t.at, [this, &t] { befall(t); });
+      scene_.at(scene_.now() + t.at, [this, &t] { Befall(t); });
     }
   }
 
   // Those it befalls: the id, or some of a kind in an order of the seed's.
   template <class T, class Name>
-  std::vector<T*> chosen(std::vector<std::unique_ptr<T>>& all, const Trouble& t, Name fits) {
+  std::vector<T*> Chosen(std::vector<std::unique_ptr<T>>& all, const Trouble& t, Name fits) {
     std::vector<T*> some;
     for (auto& one : all)
       if (fits(*one)) some.push_back(one.get());
     if (t.whom.find('-') != std::string::npos) return some;
     for (std::size_t i = some.size(); i > 1; --i)
-      std::swap(some[i - 1], some[static_cast<std::size_t>(world::between(dice_, 0, static_cast<double>(i) - 1e-9))]);
+      std::swap(some[i - 1], some[static_cast<std::size_t>(world::Between(dice_, 0, static_cast<double>(i) - 1e-9))]);
     if (t.count > 0 && some.size() > static_cast<std::size_t>(t.count)) some.resize(static_cast<std::size_t>(t.count));
     return some;
   }
-  std::vector<Box*> boxesFor(const Trouble& t) {
-    return chosen(boxes_, t, [&](const Box& b) {
+  std::vector<Box*> BoxesFor(const Trouble& t) {
+    return Chosen(boxes_, t, [&](const Box& b) {
       if (!b.process) return false;
-      static const char* const kinds[] = {"cache", "area", "office"};
-      return t.whom == b.make.id || t.whom == kinds[static_cast<int>(b.make.grade)];
+      static const char* const kKinds[] = {"cache", "area", "office"};
+      return t.whom == b.make.id || t.whom == kKinds[static_cast<int>(b.make.grade)];
     });
   }
-  std::vector<Host*> hostsFor(const Trouble& t) {
-    return chosen(hosts_, t, [&](const Host& h) { return h.served && (t.whom == "front" || t.whom == h.front.name); });
+  std::vector<Host*> HostsFor(const Trouble& t) {
+    return Chosen(hosts_, t, [&](const Host& h) { return h.served && (t.whom == "front" || t.whom == h.front.name); });
   }
   std::vector<Clients*> clients() {
     std::vector<Clients*> all;
@@ -398,195 +398,195 @@
   }
   void note(const Trouble& t, const std::string& whom) {
     char at[40];
-    std::snprintf(at, sizeof at, "%8.3f s  ", (scene_.now() - clientsFrom_) / second);
-    outcome_.happened.push_back(at + std::string(word(t.what)) + (whom.empty() ? "" : " " + whom));
+    std::snprintf(at, sizeof at, "%8.3f s  ", (scene_.now() - clients_from_) / kSecond);
+    outcome_.happened.push_back(at + std::string(ToString(t.what)) + (whom.empty() ? "" : " " + whom));
   }
-  void until(Ms lasts, std::function<void()> what) { scene_.at(scene_.now() + lasts, std::move(what)); }
+  void Until(Ms lasts, std::function<void()> what) { scene_.at(scene_.now() + lasts, std::move(what)); }
 
   // Told to go, gone after its time; with a successor there under a new id, or none.
-  void drain(Box& b, Ms lasts, bool back) {
+  void Drain(Box& b, Ms lasts, bool back) {
     if (!b.process || b.state != "in_service") return;
     list(b, "terminating", 0);
-    until(lasts, [this, &b, back, life = b.process] {
+    Until(lasts, [this, &b, back, life = b.process] {
       if (b.process != life) return;  // something else came over it
-      fell(b, false);
+      Fell(b, false);
       list(b, "terminated", site_.notice);
       if (!back) return;
-      until(site_.notice + 50, [this, &b] {  // the old one is off the list by then
+      Until(site_.notice + 50, [this, &b] {  // the old one is off the list by then
         if (b.process) return;
         std::size_t plus = b.make.id.find('+');
         b.make.id = b.make.id.substr(0, plus) + "+" + std::to_string(++b.successor);
-        rise(b);
+        Rise(b);
       });
     });
   }
 
-  void befall(const Trouble& t) {
+  void Befall(const Trouble& t) {
     Ms now = scene_.now();
-    auto forAll = [&](auto what) {
-      for (Box* b : boxesFor(t)) note(t, b->make.id), what(*b);
+    auto for_all = [&](auto what) {
+      for (Box* b : BoxesFor(t)) note(t, b->make.id), what(*b);
     };
     switch (t.what) {
-      case What::stall:
-        forAll([&](Box& b) {
-          model_.stall(now, b.make.id, now + t.lasts);
-          if (b.make.grade != Grade::office) b.process->standStill(now + t.lasts);
-          see(unseen(t.lasts + 3000));
-          if (b.make.grade == Grade::office) occur(Moment::officeStopped);
+      case What::kStall:
+        for_all([&](Box& b) {
+          model_.Stall(now, b.make.id, now + t.lasts);
+          if (b.make.grade != Grade::kOffice) b.process->StandStill(now + t.lasts);
+          See(Unseen(t.lasts + 3000));
+          if (b.make.grade == Grade::kOffice) Occur(Moment::kOfficeStopped);
         });
         return;
-      case What::slow:
-        forAll([&](Box& b) {
-          model_.slow(now, b.make.id, t.factor);
-          until(t.lasts, [this, &b] { model_.slow(scene_.now(), b.make.id, 1); });
+      case What::kSlow:
+        for_all([&](Box& b) {
+          model_.Slow(now, b.make.id, t.factor);
+          Until(t.lasts, [this, &b] { model_.Slow(scene_.now(), b.make.id, 1); });
         });
         return;
-      case What::ageing:
-        forAll([&](Box& b) {
-          constexpr int steps = 10;
-          for (int i = 1; i <= steps; ++i)
-            until(t.lasts * i / steps, [this, &b, f = 1 + (t.factor - 1) * i / steps, life = b.process] {
-              if (b.process == life) model_.slow(scene_.now(), b.make.id, f);
+      case What::kAgeing:
+        for_all([&](Box& b) {
+          constexpr int kSteps = 10;
+          for (int i = 1; i <= kSteps; ++i)
+            Until(t.lasts * i / kSteps, [this, &b, f = 1 + (t.factor - 1) * i / kSteps, life = b.process] {
+              if (b.process == life) model_.Slow(scene_.now(), b.make.id, f);
             });
-          until(t.lasts + 1, [this, &b] {
-            fell(b, false);
+          Until(t.lasts + 1, [this, &b] {
+            Fell(b, false);
             list(b, "terminated", site_.notice);
-            until(site_.notice + 500, [this, &b] { rise(b); });
+            Until(site_.notice + 500, [this, &b] { Rise(b); });
           });
         });
         return;
-      case What::kill:
-        forAll([&](Box& b) {
-          fell(b, false);
+      case What::kKill:
+        for_all([&](Box& b) {
+          Fell(b, false);
           list(b, "terminated", site_.notice);
         });
         return;
-      case What::restart:
-      case What::vanish:
-        forAll([&](Box& b) {
-          bool silent = t.what == What::vanish;
-          fell(b, silent);
-          Ms notice = silent ? site_.silentNotice : site_.notice;
+      case What::kRestart:
+      case What::kVanish:
+        for_all([&](Box& b) {
+          bool silent = t.what == What::kVanish;
+          Fell(b, silent);
+          Ms notice = silent ? site_.silent_notice : site_.notice;
           if (notice < t.lasts) list(b, "terminated", notice);
-          until(t.lasts, [this, &b] { rise(b); });
+          Until(t.lasts, [this, &b] { Rise(b); });
         });
         return;
-      case What::drain:
-        forAll([&](Box& b) { drain(b, t.lasts, true); });
+      case What::kDrain:
+        for_all([&](Box& b) { Drain(b, t.lasts, true); });
         return;
-      case What::take:
-        forAll([&](Box& b) { drain(b, t.lasts, false); });
+      case What::kTake:
+        for_all([&](Box& b) { Drain(b, t.lasts, false); });
         return;
-      case What::deploy: {
-        std::vector<Box*> all = boxesFor(t);
+      case What::kDeploy: {
+        std::vector<Box*> all = BoxesFor(t);
         for (std::size_t i = 0; i < all.size(); ++i)
-          until(t.lasts * static_cast<double>(i) / static_cast<double>(all.size()), [this, b = all[i], &t] {
+          Until(t.lasts * static_cast<double>(i) / static_cast<double>(all.size()), [this, b = all[i], &t] {
             note(t, b->make.id);
-            drain(*b, 1500, true);
+            Drain(*b, 1500, true);
           });
         return;
       }
-      case What::purge:
-      case What::purgeGroups: {
+      case What::kPurge:
+      case What::kPurgeGroups: {
         note(t, "");
-        bool groups = t.what == What::purgeGroups;
+        bool groups = t.what == What::kPurgeGroups;
         int many = groups ? static_cast<int>(std::round(256 * t.share)) : std::max(1, t.count);
         for (int i = 0; i < many; ++i) {
           Event e;
-          e.fact.deed = Deed::purged, e.fact.flag = groups, e.fact.number = std::floor(now);
+          e.fact.deed = Deed::kPurged, e.fact.flag = groups, e.fact.number = std::floor(now);
           std::string ms = std::to_string(static_cast<long long>(now));
           if (groups) {
             e.fact.group = (i * 167 + 13) % 256;
             e.json = "{\"flush\":{\"collection\":" + std::to_string(e.fact.group) + ",\"ms\":" + ms + "}}";
           } else {
-            e.fact.thing = clients()[static_cast<std::size_t>(i) % crowds_.size()]->anyPopular();
+            e.fact.thing = clients()[static_cast<std::size_t>(i) % crowds_.size()]->AnyPopular();
             e.json = "{\"flush\":{\"asset\":\"" + e.fact.thing + "\",\"ms\":" + ms + "}}";
           }
-          model_.purge(std::floor(now), groups, e.fact.thing, e.fact.group);
-          until(site_.purgeNotice, [this, e]() mutable { publish(std::move(e)); });
+          model_.ApplyPurge(std::floor(now), groups, e.fact.thing, e.fact.group);
+          Until(site_.purge_notice, [this, e]() mutable { Publish(std::move(e)); });
         }
         return;
       }
-      case What::apart:
+      case What::kApart:
         return part(t);
-      case What::cut:
-      case What::lag:
-      case What::oneWay:
-        return network(t);
-      case What::loss:
+      case What::kCut:
+      case What::kLag:
+      case What::kOneWay:
+        return Network(t);
+      case What::kLoss:
         note(t, "");
         for (int k = 1; k <= script_.stores; ++k)
           for (int other : {0, k, script_.stores + k})
             for (auto [a, b] : {std::pair{k, other}, std::pair{other, k}}) {
               net_->way(a, b).lost = t.share;
-              until(t.lasts, [this, a = a, b = b] { net_->way(a, b).lost = 0; });
+              Until(t.lasts, [this, a = a, b = b] { net_->way(a, b).lost = 0; });
             }
         {
-          Fact f = unseen(t.lasts + 3000);
+          Fact f = Unseen(t.lasts + 3000);
           f.flag = true;  // answers may come late by no fault of the front's
-          see(std::move(f));
+          See(std::move(f));
         }
         return;
-      case What::lateReports:
+      case What::kLateReports:
         note(t, "");
-        model_.lateReports(t.late);
-        until(t.lasts, [this] { model_.lateReports(0); });
+        model_.LateReports(t.late);
+        Until(t.lasts, [this] { model_.LateReports(0); });
         return;
-      case What::oddSizes:
+      case What::kOddSizes:
         note(t, "");
         for (Clients* c : clients()) {
-          c->odd = t.share, c->oddFactor = t.factor;
-          until(t.lasts, [c] { c->odd = 0; });
+          c->odd = t.share, c->odd_factor = t.factor;
+          Until(t.lasts, [c] { c->odd = 0; });
         }
         return;
-      case What::scan:
+      case What::kScan:
         note(t, "");
         for (Clients* c : clients()) {
           c->once = t.share;
-          until(t.lasts, [c] { c->once = 0; });
+          Until(t.lasts, [c] { c->once = 0; });
         }
         return;
-      case What::crowd:
+      case What::kCrowd:
         note(t, "");
         for (Clients* c : clients()) {
           c->crowd = t.factor;
-          until(t.lasts, [c] { c->crowd = 1; });
+          Until(t.lasts, [c] { c->crowd = 1; });
         }
         return;
-      case What::frontKill:
-        for (Host* h : hostsFor(t)) {
+      case What::kFrontKill:
+        for (Host* h : HostsFor(t)) {
           note(t, h->front.name);
-          kill(*h);
-          until(t.lasts, [this, h] { begin(*h); });
+          Kill(*h);
+          Until(t.lasts, [this, h] { begin(*h); });
         }
         return;
-      case What::frontStop:
-        for (Host* h : hostsFor(t)) {
+      case What::kFrontStop:
+        for (Host* h : HostsFor(t)) {
           note(t, h->front.name);
           h->stopping = true;
           // The protocol: new connections for 0.2 to 0.4 s more, requests on open ones for 0.2 s more.
           for (Clients* c : clients()) {
-            Ms fresh = now + world::between(dice_, 200, 400);
-            c->stopping(h->front.name, fresh, fresh + 200);
+            Ms fresh = now + world::Between(dice_, 200, 400);
+            c->Stopping(h->front.name, fresh, fresh + 200);
           }
-          h->served->stop();
+          h->served->Stop();
         }
         return;
-      case What::boardBreak:
+      case What::kBoardBreak:
         note(t, "");
-        for (auto& h : hosts_) h->boardProcess->act([&] { h->board->breakOff(); });
+        for (auto& h : hosts_) h->board_process->act([&] { h->board->BreakOff(); });
         return;
-      case What::boardStop:
+      case What::kBoardStop:
         note(t, "");
-        for (auto& h : hosts_) h->boardProcess->act([&] { h->board->stopUntil(now + t.lasts); });
+        for (auto& h : hosts_) h->board_process->act([&] { h->board->StopUntil(now + t.lasts); });
         return;
-      case What::swallowed:
-      case What::brokenOff:
-      case What::noise:
-        forAll([&](Box& b) {
+      case What::kSwallowed:
+      case What::kBrokenOff:
+      case What::kNoise:
+        for_all([&](Box& b) {
           Spoilt& s = b.speaker->spoilt;
-          (t.what == What::swallowed ? s.swallowed : t.what == What::brokenOff ? s.brokenOff : s.noise) = t.share;
-          until(t.lasts, [&b] {
+          (t.what == What::kSwallowed ? s.swallowed : t.what == What::kBrokenOff ? s.broken_off : s.noise) = t.share;
+          Until(t.lasts, [&b] {
             if (b.speaker) b.speaker->spoilt = {};
           });
         });
@@ -597,7 +597,7 @@
   // A group of fronts and the others of the fleet don't hear each other. Shorter of a quorum than the fleet, those of
   // the group may send nothing to other zones' caches.
   void part(const Trouble& t) {
-    std::vector<Host*> group = hostsFor(t);
+    std::vector<Host*> group = HostsFor(t);
     auto inside = [&](const Host* h) { return std::count(group.begin(), group.end(), h) > 0; };
     std::vector<std::pair<std::uint32_t, std::uint32_t>> pairs;
     for (Host* h : group) {
@@ -605,39 +605,39 @@
       for (auto& other : hosts_)
         if (!inside(other.get()))
           for (auto [a, b] : {std::pair{h->host, other->host}, std::pair{other->host, h->host}})
-            pairs.emplace_back(addressed(a), addressed(b));
+            pairs.emplace_back(Addressed(a), Addressed(b));
     }
     auto apart = [this, pairs](bool on) {
-      for (auto [a, b] : pairs) net_->setApart(a, b, on);
+      for (auto [a, b] : pairs) net_->SetApart(a, b, on);
     };
     apart(true);
-    until(t.lasts, [apart] { apart(false); });
+    Until(t.lasts, [apart] { apart(false); });
     if (2 * group.size() > hosts_.size()) return;
     for (Host* h : group)
       for (bool on : {true, false})
-        until(on ? 0 : t.lasts, [this, h, on] {
+        Until(on ? 0 : t.lasts, [this, h, on] {
           Fact f;
-          f.deed = Deed::parted, f.at = scene_.now(), f.who = h->front.name, f.group = h->front.store + 1, f.flag = on;
-          see(std::move(f));
+          f.deed = Deed::kParted, f.at = scene_.now(), f.who = h->front.name, f.group = h->front.store + 1, f.flag = on;
+          See(std::move(f));
         });
   }
 
-  void network(const Trouble& t) {
+  void Network(const Trouble& t) {
     std::vector<std::uint32_t> hosts;
     bool fronts = false;
-    if (t.whom == "board") hosts.push_back(boardHost), note(t, "board");
-    for (Box* b : boxesFor(t)) hosts.push_back(b->host), note(t, b->make.id);
-    for (Host* h : hostsFor(t)) hosts.push_back(h->host), note(t, h->front.name), fronts = true;
-    Fact f = unseen(t.lasts + 12000);
+    if (t.whom == "board") hosts.push_back(kBoardHost), note(t, "board");
+    for (Box* b : BoxesFor(t)) hosts.push_back(b->host), note(t, b->make.id);
+    for (Host* h : HostsFor(t)) hosts.push_back(h->host), note(t, h->front.name), fronts = true;
+    Fact f = Unseen(t.lasts + 12000);
     f.flag = fronts;  // what a front said may be held up
-    see(std::move(f));
+    See(std::move(f));
     for (std::uint32_t host : hosts) {
-      if (t.what == What::lag) {
-        net_->setLag(addressed(host), t.late);
-        until(t.lasts, [this, host] { net_->setLag(addressed(host), 0); });
+      if (t.what == What::kLag) {
+        net_->SetLag(Addressed(host), t.late);
+        Until(t.lasts, [this, host] { net_->SetLag(Addressed(host), 0); });
       } else {
-        net_->setCut(addressed(host), t.what == What::cut, true);
-        until(t.lasts, [this, host] { net_->setCut(addressed(host), false, false); });
+        net_->SetCut(Addressed(host), t.what == What::kCut, true);
+        Until(t.lasts, [this, host] { net_->SetCut(Addressed(host), false, false); });
       }
     }
   }
@@ -647,7 +647,7 @@
   Site site_;
   Scene& scene_;
   stage::Net* net_;  // null on sockets
-  Ms start_, clientsFrom_, end_;
+  Ms start_, clients_from_, end_;
   world::Dice dice_;
   rules::Checker checker_;
   world::Model model_;
@@ -666,27 +666,27 @@
 
 }  // namespace
 
-rules::Limits limitsFor(const Script& script, std::uint64_t seed) {
-  Site site = siteFor(script, seed);
+rules::Limits LimitsFor(const Script& script, std::uint64_t seed) {
+  Site site = SiteFor(script, seed);
   rules::Limits l;
   for (const auto& o : site.terms.offerings) {
     rules::OfferingRule r;
     r.name = o.name, r.effect = static_cast<rules::Effect>(o.effect), r.memory = o.memory;
-    r.span = rules::Span::zone;
+    r.span = rules::Span::kZone;
     l.offerings.push_back(r);
   }
-  l.purgeDone = site.terms.purgeDone;
+  l.purge_done = site.terms.purge_done;
   for (const auto& m : site.makes) l.places[m.id] = {m.store + 1, m.store + 1};
   return l;
 }
 
-Outcome play(const Script& script, const Options& options) {
+Outcome Play(const Script& script, const Options& options) {
   if (options.program.empty()) {
-    auto scene = staged(options.seed, options.logs);
-    return Stage(script, options, *scene).play();
+    auto scene = MakeStaged(options.seed, options.logs);
+    return Stage(script, options, *scene).Play();
   }
-  auto scene = onSockets(options.program, options.folder);
-  return Stage(script, options, *scene).play();
+  auto scene = OnSockets(options.program, options.folder);
+  return Stage(script, options, *scene).Play();
 }
 
 }  // namespace dunlinwick::drill
--- a/src/drill/run.hpp
+++ b/src/drill/run.hpp
@@ -17,8 +17,8 @@
  public:
   virtual ~Break() = default;
   virtual exchange::Decider around(exchange::Decider module, const StoreSheet&) { return module; }
-  virtual std::string sent(std::string bytes) { return bytes; }  // what the process gives its network
-  virtual bool sends() const { return false; }                   // sent() is wanted
+  virtual std::string Sent(std::string bytes) { return bytes; }  // what the process gives its network
+  virtual bool Sends() const { return false; }                   // sent() is wanted
 };
 using Breaker = std::function<std::unique_ptr<Break>()>;
 
@@ -28,7 +28,7 @@
   std::function<void(double done)> progress;   // 0 to 1, each virtual second
   std::ostream* trace = nullptr;               // facts, a line each
   std::ostream* logs = nullptr;                // what fronts say
-  bool stopAtBreach = false;
+  bool stop_at_breach = false;
   // On loopback sockets, in real time: the front's program, and a folder for its configurations and logs.
   std::string program, folder;
 };
@@ -37,30 +37,30 @@
   std::string drill;
   std::uint64_t seed = 0, digest = 0, events = 0;
   Ms played = 0;
-  double tookS = 0;  // real time; in no digest
+  double took_s = 0;  // real time; in no digest
   std::vector<rules::Breach> breaches;
-  std::uint64_t counts[rules::howMany] = {};
+  std::uint64_t counts[rules::kHowMany] = {};
   rules::Nearest nearest;
   Takings takings;
   std::vector<std::string> offerings;
   world::Model::Bytes bytes;
-  double askedKb = 0;  // as many as clients were answered with
+  double asked_kb = 0;  // as many as clients were answered with
   std::uint64_t legs = 0;
-  bool kept() const { return breaches.empty(); }
+  bool Kept() const { return breaches.empty(); }
   // Points by the brief's weights and penalties: 1 at most. Not the operators' score, which sets it between a floor
   // and a top of its own.
-  double points() const;
-  double wasted() const { return bytes.asked > 0 ? bytes.wasted / bytes.asked : 0; }
+  double Points() const;
+  double Wasted() const { return bytes.asked > 0 ? bytes.wasted / bytes.asked : 0; }
   std::vector<std::string> happened;  // troubles as they came, with their times
 };
 
-Outcome play(const Script& script, const Options& options);
+Outcome Play(const Script& script, const Options& options);
 
 // What the checker needs to know of a script's site.
-rules::Limits limitsFor(const Script& script, std::uint64_t seed);
+rules::Limits LimitsFor(const Script& script, std::uint64_t seed);
 
-std::string table(const Outcome& outcome);   // for people
-std::string report(const Outcome& outcome);  // JSON
-std::string hex(std::uint64_t digest);
+std::string Table(const Outcome& outcome);   // for people
+std::string Report(const Outcome& outcome);  // JSON
+std::string Hex(std::uint64_t digest);
 
 }  // namespace dunlinwick::drill
--- a/src/drill/scene.cpp
+++ b/src/drill/scene.cpp
@@ -23,8 +23,8 @@
  public:
   explicit StagedPlayer(stage::Process& p) : process(p) {}
   loop::Loop& loop() override { return process.loop(); }
-  void act(const std::function<void()>& what) override { process.act(what); }
-  void standStill(Ms until) override { process.standStill(until); }
+  void act(const std::function<void()>& what) override { process.Act(what); }
+  void StandStill(Ms until) override { process.StandStill(until); }
   stage::Process& process;
 };
 
@@ -32,22 +32,22 @@
  public:
   StagedFront(stage::Net& net, stage::Process& p, const std::string& text, std::unique_ptr<Break> broken)
       : net_(net), process_(p) {
-    front::Charter charter = front::readCharterText(text, p.name(), "");
-    exchange::Decider module = exchange::moduleFor(charter.sheet, charter.seed);
+    front::Charter charter = front::ReadCharterText(text, p.Name(), "");
+    exchange::Decider module = exchange::ModuleFor(charter.sheet, charter.seed);
     if (broken) {
       std::shared_ptr<Break> shared = std::move(broken);
       module = [shared, inner = shared->around(std::move(module), charter.sheet)](Ms now, const Event& e) {
         return inner(now, e);
       };
-      if (shared->sends()) p.tamper = [shared](std::string bytes) { return shared->sent(std::move(bytes)); };
+      if (shared->Sends()) p.tamper = [shared](std::string bytes) { return shared->Sent(std::move(bytes)); };
     }
-    p.act([&] { front_ = std::make_unique<front::Front>(p.loop(), charter, std::move(module)); });
+    p.Act([&] { front_ = std::make_unique<front::Front>(p.loop(), charter, std::move(module)); });
   }
-  ~StagedFront() override { net_.kill(process_); }  // the front goes after its process: it says nothing more
-  void stop() override {
-    process_.act([this] { front_->stop(); });
+  ~StagedFront() override { net_.Kill(process_); }  // the front goes after its process: it says nothing more
+  void Stop() override {
+    process_.Act([this] { front_->Stop(); });
   }
-  bool ended() override { return process_.loop().stopped(); }
+  bool Ended() override { return process_.loop().Stopped(); }
 
  private:
   stage::Net& net_;
@@ -59,30 +59,30 @@
  public:
   Staged(std::uint64_t seed, std::ostream* logs) : net_(seed) {
     if (logs)
-      net_.onLog([this, logs](const stage::Process& p, std::string_view line) {
-        *logs << static_cast<long long>(net_.now() - 1.7e12) << " " << p.name() << ": " << line << "\n";
+      net_.OnLog([this, logs](const stage::Process& p, std::string_view line) {
+        *logs << static_cast<long long>(net_.now() - 1.7e12) << " " << p.Name() << ": " << line << "\n";
       });
   }
   Ms now() override { return net_.now(); }
   void at(Ms when, std::function<void()> what) override { net_.at(when, std::move(what)); }
-  void runUntil(Ms time) override { net_.runUntil(time); }
-  loop::Address address(std::uint32_t host, std::uint16_t port) override { return stage::address(host | 10u << 24, port); }
-  Player& start(std::uint32_t host, const std::string& name) override {
-    return players_.emplace_back(net_.start(host | 10u << 24, name));
+  void RunUntil(Ms time) override { net_.RunUntil(time); }
+  loop::Address address(std::uint32_t host, std::uint16_t port) override { return stage::AddressOf(host | 10u << 24, port); }
+  Player& Start(std::uint32_t host, const std::string& name) override {
+    return players_.emplace_back(net_.Start(host | 10u << 24, name));
   }
-  void kill(Player& player) override { end(player, true); }
-  void vanish(Player& player) override { end(player, false); }
-  std::unique_ptr<Served> serve(std::uint32_t host, const std::string& name, const std::string& text,
+  void Kill(Player& player) override { end(player, true); }
+  void Vanish(Player& player) override { end(player, false); }
+  std::unique_ptr<Served> Serve(std::uint32_t host, const std::string& name, const std::string& text,
                                 std::size_t descriptors, std::unique_ptr<Break> broken) override {
-    return std::make_unique<StagedFront>(net_, net_.start(host | 10u << 24, name, descriptors), text, std::move(broken));
+    return std::make_unique<StagedFront>(net_, net_.Start(host | 10u << 24, name, descriptors), text, std::move(broken));
   }
   stage::Net* net() override { return &net_; }
 
  private:
   void end(Player& player, bool tell) {
     auto at = std::find_if(players_.begin(), players_.end(), [&](auto& one) { return &one == &player; });
-    if (tell) net_.kill(at->process);
-    else net_.vanish(at->process);
+    if (tell) net_.Kill(at->process);
+    else net_.Vanish(at->process);
     players_.erase(at);
   }
   stage::Net net_;
@@ -96,7 +96,7 @@
   explicit SocketPlayer(loop::Loop& l) : loop_(l) {}
   loop::Loop& loop() override { return loop_; }
   void act(const std::function<void()>& what) override { what(); }
-  void standStill(Ms) override {}  // the model stands still; its connections answer calls all the same
+  void StandStill(Ms) override {}  // the model stands still; its connections answer calls all the same
 
  private:
   loop::Loop& loop_;
@@ -121,10 +121,10 @@
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, nullptr, 0);
   }
-  void stop() override {
+  void Stop() override {
     if (pid_ > 0) ::kill(pid_, SIGTERM);
   }
-  bool ended() override {
+  bool Ended() override {
     if (pid_ > 0 && ::waitpid(pid_, nullptr, WNOHANG) == pid_) pid_ = 0;
     return pid_ == 0;
   }
@@ -142,20 +142,20 @@
   }
   Ms now() override { return loop_.now(); }
   void at(Ms when, std::function<void()> what) override { loop_.at(when, std::move(what)); }
-  void runUntil(Ms time) override {
+  void RunUntil(Ms time) override {
     while (loop_.now() < time) loop_.turn(std::min(50.0, time - loop_.now()));
   }
   // A network of loopback's for each process that plays, so that two may play at once.
   loop::Address address(std::uint32_t host, std::uint16_t port) override {
     std::uint32_t own = 64 + static_cast<std::uint32_t>(::getpid()) % 128;
-    return stage::address(127u << 24 | (own ^ (host >> 16 & 0xff)) << 16 | (host & 0xffff), port);
+    return stage::AddressOf(127u << 24 | (own ^ (host >> 16 & 0xff)) << 16 | (host & 0xffff), port);
   }
-  Player& start(std::uint32_t, const std::string&) override { return players_.emplace_back(loop_); }
-  void kill(Player& player) override {
+  Player& Start(std::uint32_t, const std::string&) override { return players_.emplace_back(loop_); }
+  void Kill(Player& player) override {
     players_.remove_if([&](auto& one) { return &one == &player; });
   }
-  void vanish(Player& player) override { kill(player); }
-  std::unique_ptr<Served> serve(std::uint32_t, const std::string& name, const std::string& text, std::size_t,
+  void Vanish(Player& player) override { Kill(player); }
+  std::unique_ptr<Served> Serve(std::uint32_t, const std::string& name, const std::string& text, std::size_t,
                                 std::unique_ptr<Break> broken) override {
     if (broken) throw std::runtime_error("a broken front plays on the stage only");
     return std::make_unique<Child>(program_, folder_, name, text);
@@ -170,16 +170,16 @@
 
 }  // namespace
 
-std::unique_ptr<Scene> staged(std::uint64_t seed, std::ostream* logs) { return std::make_unique<Staged>(seed, logs); }
+std::unique_ptr<Scene> MakeStaged(std::uint64_t seed, std::ostream* logs) { return std::make_unique<Staged>(seed, logs); }
 
-std::unique_ptr<Scene> onSockets(const std::string& program, const std::string& folder) {
+std::unique_ptr<Scene> OnSockets(const std::string& program, const std::string& folder) {
   return std::make_unique<Sockets>(program, folder);
 }
 
-std::string notOnSockets(const Script& script) {
+std::string NotOnSockets(const Script& script) {
   for (const Trouble& t : script.troubles)
-    for (What what : {What::vanish, What::cut, What::oneWay, What::lag, What::loss, What::apart})
-      if (t.what == what) return word(what);
+    for (What what : {What::kVanish, What::kCut, What::kOneWay, What::kLag, What::kLoss, What::kApart})
+      if (t.what == what) return ToString(what);
   return "";
 }
 
--- a/src/drill/scene.hpp
+++ b/src/drill/scene.hpp
@@ -16,15 +16,15 @@
   virtual ~Player() = default;
   virtual loop::Loop& loop() = 0;
   virtual void act(const std::function<void()>& what) = 0;  // from outside its own turns
-  virtual void standStill(Ms until) = 0;
+  virtual void StandStill(Ms until) = 0;
 };
 
 // A front that runs. Its end of life kills it outright.
 class Served {
  public:
   virtual ~Served() = default;
-  virtual void stop() = 0;   // asks it to
-  virtual bool ended() = 0;  // it has
+  virtual void Stop() = 0;   // asks it to
+  virtual bool Ended() = 0;  // it has
 };
 
 class Scene {
@@ -32,22 +32,22 @@
   virtual ~Scene() = default;
   virtual Ms now() = 0;
   virtual void at(Ms when, std::function<void()> what) = 0;
-  virtual void runUntil(Ms time) = 0;
+  virtual void RunUntil(Ms time) = 0;
   // Hosts are numbers below 2^24; the first eight bits are the scene's.
   virtual loop::Address address(std::uint32_t host, std::uint16_t port) = 0;
-  virtual Player& start(std::uint32_t host, const std::string& name) = 0;
-  virtual void kill(Player& player) = 0;  // what it has open is reset; the reference becomes invalid
-  virtual void vanish(Player& player) = 0;
-  virtual std::unique_ptr<Served> serve(std::uint32_t host, const std::string& name, const std::string& configuration,
+  virtual Player& Start(std::uint32_t host, const std::string& name) = 0;
+  virtual void Kill(Player& player) = 0;  // what it has open is reset; the reference becomes invalid
+  virtual void Vanish(Player& player) = 0;
+  virtual std::unique_ptr<Served> Serve(std::uint32_t host, const std::string& name, const std::string& configuration,
                                         std::size_t descriptors, std::unique_ptr<Break> broken) = 0;
   virtual stage::Net* net() = 0;  // null where the network is the system's own
 };
 
-std::unique_ptr<Scene> staged(std::uint64_t seed, std::ostream* logs);
+std::unique_ptr<Scene> MakeStaged(std::uint64_t seed, std::ostream* logs);
 // `program`: the front's; `folder`: for configurations and logs. Throws std::runtime_error.
-std::unique_ptr<Scene> onSockets(const std::string& program, const std::string& folder);
+std::unique_ptr<Scene> OnSockets(const std::string& program, const std::string& folder);
 
 // The first trouble of the script that sockets can't play; "" if there is none.
-std::string notOnSockets(const Script& script);
+std::string NotOnSockets(const Script& script);
 
 }  // namespace dunlinwick::drill
--- a/src/drill/site.hpp
+++ b/src/drill/site.hpp
@@ -18,24 +18,24 @@
   world::Terms terms;
   std::vector<world::Make> makes;  // caches, area caches, the head office
   std::vector<SiteFront> fronts;
-  std::vector<double> linkCapacity, traffic;  // by store: transfers; share of the pulls
+  std::vector<double> link_capacity, traffic;  // by store: transfers; share of the pulls
   std::vector<int> crews;                     // by store: fronts
-  double pullsPerS = 0;
-  Ms storeWay = 0.3, hubWay = 3, clientWay = 5;  // one way
-  Ms notice = 2000, silentNotice = 8000, addNotice = 1000, clientNotice = 2000, purgeNotice = 250;
+  double pulls_per_s = 0;
+  Ms store_way = 0.3, hub_way = 3, client_way = 5;  // one way
+  Ms notice = 2000, silent_notice = 8000, add_notice = 1000, client_notice = 2000, purge_notice = 250;
   double honour = 0.6;
 };
 
-Site siteFor(const Script& script, std::uint64_t seed);
+Site SiteFor(const Script& script, std::uint64_t seed);
 
 // One machine as the notice board lists it.
-std::string listing(const world::Make& make, const std::string& at, const char* state);
+std::string Listing(const world::Make& make, const std::string& at, const char* state);
 
 // The fleet block of a front's configuration; `members`: where each front of the site is heard, in its order.
-std::string fleetBlock(const Site& site, const SiteFront& front, const std::vector<std::string>& members);
+std::string FleetBlock(const Site& site, const SiteFront& front, const std::vector<std::string>& members);
 
 // The JSON that a front reads at its start. `known`: what the board tells at that time; `fleet`: "" or its block.
-std::string configuration(const Script& script, const Site& site, const SiteFront& front,
+std::string Configuration(const Script& script, const Site& site, const SiteFront& front,
                           const std::string& listen, const std::string& board, std::uint64_t seed,
                           const std::string& known, const std::string& fleet);
 
--- a/src/failover/health.hpp
+++ b/src/failover/health.hpp
@@ -12,25 +12,25 @@
 class Health {
  public:
   // `isCache`: whether a kind is a cache, neither parent nor origin.
-  Health(int zone, int parentKind, int originKind) : zone_(zone), parentKind_(parentKind), originKind_(originKind) {}
-  void take(const ListNews& news) {
-    if (news.listing == Listing::failed) return;
-    if (news.listing != Listing::changes) caches_.clear();
+  Health(int zone, int parent_kind, int origin_kind) : zone_(zone), parent_kind_(parent_kind), origin_kind_(origin_kind) {}
+  void Take(const ListNews& news) {
+    if (news.listing == Listing::kFailed) return;
+    if (news.listing != Listing::kChanges) caches_.clear();
     for (const ListEntry& e : news.entries) {
-      bool counts = e.zone == zone_ && e.kind != parentKind_ && e.kind != originKind_;
-      if (!counts || e.standing != Standing::ready) caches_.erase(e.cache);
+      bool counts = e.zone == zone_ && e.kind != parent_kind_ && e.kind != origin_kind_;
+      if (!counts || e.standing != Standing::kReady) caches_.erase(e.cache);
       else caches_[e.cache] = e.weight > 0 ? e.weight : 1;
     }
     told_ = told_ || !caches_.empty();
   }
-  void take(const TellHealth& told) {
-    constexpr std::size_t most = 1024;
+  void Take(const TellHealth& told) {
+    constexpr std::size_t kMost = 1024;
     if (!told.aside) return void(aside_.erase(told.cache));
-    if (aside_.size() >= most) std::erase_if(aside_, [&](std::uint32_t id) { return !caches_.count(id); });
+    if (aside_.size() >= kMost) std::erase_if(aside_, [&](std::uint32_t id) { return !caches_.count(id); });
     aside_.insert(told.cache);
   }
   // 0 to 1; below 0 before the first cache of the zone was listed: no opinion.
-  double share() const {
+  double Share() const {
     if (!told_) return -1;
     double all = 0, up = 0;
     for (const auto& [id, weight] : caches_) all += weight, up += aside_.count(id) ? 0 : weight;
@@ -38,7 +38,7 @@
   }
 
  private:
-  int zone_, parentKind_, originKind_;
+  int zone_, parent_kind_, origin_kind_;
   bool told_ = false;
   std::map<std::uint32_t, double> caches_;  // weights
   // The module's words outlive the list's: a cache that drains and is ready again is still aside. Emptied by the
--- a/src/failover/living.hpp
+++ b/src/failover/living.hpp
@@ -5,11 +5,11 @@
 
 namespace dunlinwick::failover {
 
-inline std::vector<Peer> living(const members::Swim& swim) {
+inline std::vector<Peer> Living(const members::Swim& swim) {
   std::vector<Peer> all;
-  for (const auto& [id, m] : swim.members())
-    if (m.state != members::State::dead)
-      all.push_back({id, m.state == members::State::suspect, m.noted, m.noted ? unpack(m.note.bits) : Opinion{}});
+  for (const auto& [id, m] : swim.Members())
+    if (m.state != members::State::kDead)
+      all.push_back({id, m.state == members::State::kSuspect, m.noted, m.noted ? Unpack(m.note.bits) : Opinion{}});
   return all;
 }
 
--- a/src/failover/verdict.hpp
+++ b/src/failover/verdict.hpp
@@ -28,9 +28,9 @@
 
 using Ms = double;
 using Id = std::uint32_t;
-constexpr std::size_t mostZones = 16;
-constexpr int steps = 4;  // of a zone's health
-constexpr double unknown = -1;
+constexpr std::size_t kMostZones = 16;
+constexpr int kSteps = 4;  // of a zone's health
+constexpr double kUnknown = -1;
 
 struct Place {
   int zone = 0, region = 0;
@@ -38,11 +38,11 @@
 
 struct Terms {
   int quorum = 0;        // 0: a majority of the configured fronts
-  Ms holdBack = 3000;    // a zone comes back by a quarter after so long without a reason against it
+  Ms hold_back = 3000;    // a zone comes back by a quarter after so long without a reason against it
   Ms lasting = 500;      // caches' trouble counts once it has lasted so long
   double overprovision = 1.4;  // Envoy's default
   double panic = 0.5;          // Envoy's default
-  double aliveShare = 0.5;     // a front holds a zone out where fewer than this share of its fronts are alive
+  double alive_share = 0.5;     // a front holds a zone out where fewer than this share of its fronts are alive
   // So many suspects of one zone at once count as gone already: chance does not make so many of one place, and at size
   // the news of each death by itself takes most of a minute. Guards against a large zone that is left one by one.
   // Harm: a storm of loss around one large zone, if a quorum sees it so.
@@ -52,12 +52,12 @@
 // What a front tells the others: its opinion, and the verdict it keeps with its epoch.
 struct Opinion {
   std::uint64_t out = 0;  // zones most of whose fronts it takes for dead
-  double health = unknown;  // the share of its own zone's caches that it can use; below 0 where it does not know
+  double health = kUnknown;  // the share of its own zone's caches that it can use; below 0 where it does not know
   std::uint64_t verdict = 0;
   std::uint32_t epoch = 0;
 };
-std::uint64_t pack(const Opinion& o);  // 24 bits of epoch, 8 of health, 16 of opinion, 16 of verdict
-Opinion unpack(std::uint64_t bits);
+std::uint64_t Pack(const Opinion& o);  // 24 bits of epoch, 8 of health, 16 of opinion, 16 of verdict
+Opinion Unpack(std::uint64_t bits);
 
 // A front that this one does not take for dead.
 struct Peer {
@@ -78,28 +78,28 @@
 class Verdicts {
  public:
   // `fronts`: where each configured front stands; `zoneRegion`: the region of each zone.
-  Verdicts(Id self, std::map<Id, Place> fronts, std::vector<int> zoneRegion, Terms terms);
+  Verdicts(Id self, std::map<Id, Place> fronts, std::vector<int> zone_region, Terms terms);
 
   // Looks at the other fronts that are not dead, forms this front's opinion (`health`: the share of its zone's caches
   // that it can use, below 0 where it does not know) and decides. `changed`: whether the verdict did. Returns what to
   // tell the others.
-  Opinion look(Ms now, double health, const std::vector<Peer>& living, bool& changed);
+  Opinion Look(Ms now, double health, const std::vector<Peer>& living, bool& changed);
   const Verdict& verdict() const { return verdict_; }
-  int quorum() const { return quorum_; }
+  int Quorum() const { return quorum_; }
 
  private:
-  bool decide(Ms now, const Opinion& own, const std::map<Id, Opinion>& heard, std::size_t alive);
-  std::vector<double> sharesFor(const std::vector<int>& health, bool& panic) const;
-  int healthOf(std::size_t zone, const std::vector<double>& said) const;
+  bool Decide(Ms now, const Opinion& own, const std::map<Id, Opinion>& heard, std::size_t alive);
+  std::vector<double> SharesFor(const std::vector<int>& health, bool& panic) const;
+  int HealthOf(std::size_t zone, const std::vector<double>& said) const;
 
   Id self_;
   std::map<Id, Place> fronts_;
-  std::vector<int> zoneRegion_;
+  std::vector<int> zone_region_;
   Terms terms_;
   int quorum_;
   Verdict verdict_;
   std::vector<int> configured_;            // fronts by zone
-  std::vector<Ms> betterSince_, worseSince_;  // by zone: since when its health seems other than it stands; < 0: it does not
+  std::vector<Ms> better_since_, worse_since_;  // by zone: since when its health seems other than it stands; < 0: it does not
 };
 
 }  // namespace dunlinwick::failover
--- a/src/front/active.hpp
+++ b/src/front/active.hpp
@@ -10,11 +10,11 @@
 namespace dunlinwick::drift {
 
 // Sections: build, sheet, offerings, permits, cold, road, fleet, owner.
-Form activeForm(const StoreSheet& sheet, const sheet::RoadTerms& road, const front::FleetTerms& fleet, const front::OwnerTerms& owner,
+Form ActiveForm(const StoreSheet& sheet, const sheet::RoadTerms& road, const front::FleetTerms& fleet, const front::OwnerTerms& owner,
                 const std::string& build);
 
 // What a field can break. Rules: effect, span, memory, agreed time's and expiry's terms, what a front may do, cold terms, purge terms,
 // what leases and clocks are trusted with. Nothing: names and the build. All else: capacity.
-Classes activeClasses();
+Classes ActiveClasses();
 
 }  // namespace dunlinwick::drift
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -33,17 +33,17 @@
   int zone = 0;
 };
 struct FleetTerms {
-  bool on = false, overPeers = false;
+  bool on = false, over_peers = false;
   std::uint32_t self = 0;
   loop::Address listen{};
   std::vector<FleetMember> members;  // self among them
   std::vector<std::string> zones;
-  std::vector<int> zoneRegion;
+  std::vector<int> zone_region;
   members::Terms swim;
   failover::Terms verdict;
   bool steer = false;                    // whether pulls follow the verdict
-  std::size_t platformZones = 0;         // with steer: the platform's zones, and which of them each zone here is
-  std::vector<std::size_t> platformZone;
+  std::size_t platform_zones = 0;         // with steer: the platform's zones, and which of them each zone here is
+  std::vector<std::size_t> platform_zone;
 };
 
 // The owner block: one owner at a time for the fleet's work (src/owner/). Off where the configuration has none. It opens one UDP
@@ -56,7 +56,7 @@
     std::vector<std::uint32_t> places;
     bool standing = false;  // held without steps: to own it is the work
   };
-  bool on = false, overPeers = false;
+  bool on = false, over_peers = false;
   std::uint32_t self = 0;
   loop::Address listen{};
   std::map<std::uint32_t, loop::Address> at;  // fronts and places, by id; over peers: places
@@ -67,14 +67,14 @@
   std::vector<Work> works;
 };
 
-constexpr std::size_t leastDescriptors = 64;  // with fewer there are none left for caches
+constexpr std::size_t kLeastDescriptors = 64;  // with fewer there are none left for caches
 
 struct Charter {
-  std::string name, boardText;
+  std::string name, board_text;
   loop::Address listen{}, board{};
   std::uint64_t seed = 0;
   std::size_t descriptors = 0;  // at least `leastDescriptors`
-  double memoryMb = 0;
+  double memory_mb = 0;
   json::Value known;  // the notice board's events up to now
   StoreSheet sheet;
   sheet::RoadTerms terms;
@@ -87,14 +87,14 @@
 };
 
 // Whether this build has the peers' socket and ownership; else their blocks are refused.
-bool partsBuilt();
-PeersTerms readPeers(const json::Value& block);  // throws, as below
-void readLayer(const json::Value& all, Charter& into);  // blocks record, recovery, rules; throws, as below
+bool PartsBuilt();
+PeersTerms ReadPeers(const json::Value& block);  // throws, as below
+void ReadLayer(const json::Value& all, Charter& into);  // blocks record, recovery, rules; throws, as below
 
 // Throws std::runtime_error with one line that says what is wrong. `listen`: in place of the file's, if
 // given.
-Charter readCharter(const std::string& path, const std::string& listen);
+Charter ReadCharter(const std::string& path, const std::string& listen);
 // The same of a text; `named` is what a fault calls it.
-Charter readCharterText(const std::string& text, const std::string& named, const std::string& listen);
+Charter ReadCharterText(const std::string& text, const std::string& named, const std::string& listen);
 
 }  // namespace dunlinwick::front
--- a/src/front/charter_peers.cpp
+++ b/src/front/charter_peers.cpp
@@ -8,31 +8,31 @@
 using json::Kind;
 using json::Value;
 
-PeersTerms readPeers(const Value& p) {
+PeersTerms ReadPeers(const Value& p) {
   PeersTerms t;
   t.on = true;
   auto fault = [](const std::string& where, const std::string& why) { return std::runtime_error("peers." + where + ": " + why); };
   auto id = [&](const Value& in, const std::string& where, const char* name) {
-    const Value* v = in.find(name, Kind::number);
-    double n = v ? v->asNumber() : 0;
+    const Value* v = in.Find(name, Kind::kNumber);
+    double n = v ? v->AsNumber() : 0;
     if (!(n >= 1 && n <= 1e9) || n != static_cast<double>(static_cast<long long>(n)))
       throw fault(where + name, "a whole number from 1 to 1000000000 wanted");
     return static_cast<std::uint32_t>(n);
   };
   t.self = id(p, "", "self");
-  auto listen = loop::readAddress(p.word("listen"));
+  auto listen = loop::ReadAddress(p.word("listen"));
   if (!listen) throw fault("listen", "an address such as 127.0.0.10:7400 wanted");
   t.listen = *listen;
-  const Value* members = p.find("members", Kind::list);
-  constexpr std::size_t most = peers::Terms{}.mostPeers;
-  if (!members || members->items.empty() || members->items.size() > most)
-    throw fault("members", "1 to " + std::to_string(most) + " wanted, each with id and at");
+  const Value* members = p.Find("members", Kind::kList);
+  constexpr std::size_t kMost = peers::Terms{}.most_peers;
+  if (!members || members->items.empty() || members->items.size() > kMost)
+    throw fault("members", "1 to " + std::to_string(kMost) + " wanted, each with id and at");
   for (std::size_t i = 0; i < members->items.size(); ++i) {
     const Value& m = members->items[i];
     std::string where = "members[" + std::to_string(i) + "].";
-    if (m.kind != Kind::object) throw fault("members[" + std::to_string(i) + "]", "an object with id and at wanted");
+    if (m.kind != Kind::kObject) throw fault("members[" + std::to_string(i) + "]", "an object with id and at wanted");
     std::uint32_t one = id(m, where, "id");
-    auto at = loop::readAddress(m.word("at"));
+    auto at = loop::ReadAddress(m.word("at"));
     if (!at) throw fault(where + "at", "an address such as 127.0.0.10:7400 wanted");
     if (!t.at.emplace(one, *at).second) throw fault(where + "id", "given twice");
   }
--- a/src/front/exposition.cpp
+++ b/src/front/exposition.cpp
@@ -16,51 +16,51 @@
   Counters::Count Counters::*count;
 };
 
-constexpr Row rows[] = {
+constexpr Row kRows[] = {
     {"pulls", "pulls taken from clients", &Counters::pulls},
     {"finished", "pulls answered 200", &Counters::finished},
     {"unchanged", "pulls answered 304", &Counters::unchanged},
     {"declined", "pulls answered 503", &Counters::declined},
     {"abandoned", "pulls answered 502", &Counters::abandoned},
     {"left", "pulls whose client went first", &Counters::left},
-    {"broken_midway", "streamed answers that broke after they had begun", &Counters::brokenMidway},
+    {"broken_midway", "streamed answers that broke after they had begun", &Counters::broken_midway},
     {"legs", "legs sent", &Counters::legs},
     {"fills", "legs sent with a source", &Counters::fills},
-    {"legs_finished", "legs ended by HIT or VALID", &Counters::legsFinished},
+    {"legs_finished", "legs ended by HIT or VALID", &Counters::legs_finished},
     {"misses", "legs ended by NONE", &Counters::misses},
     {"full", "legs ended by SHED", &Counters::full},
     {"errors", "legs ended by FAULT", &Counters::errors},
-    {"timed_out", "legs given up by time", &Counters::timedOut},
+    {"timed_out", "legs given up by time", &Counters::timed_out},
     {"moot", "legs ended by LATE", &Counters::moot},
-    {"never_ran", "legs lost with their connection, proven not to have run", &Counters::neverRan},
+    {"never_ran", "legs lost with their connection, proven not to have run", &Counters::never_ran},
     {"broken", "legs lost with their connection, written whole before", &Counters::broken},
     {"cancelled", "legs given up by the decisions", &Counters::cancelled},
-    {"late", "answers that came after their leg was given up", &Counters::lateAnswers},
+    {"late", "answers that came after their leg was given up", &Counters::late_answers},
     {"probes", "probes sent", &Counters::probes},
-    {"probes_answered", "probes answered well", &Counters::probesAnswered},
+    {"probes_answered", "probes answered well", &Counters::probes_answered},
     {"calls", "calls to learn whether a connection carries", &Counters::calls},
-    {"client_connections", "connections opened by clients", &Counters::clientConnections},
-    {"cache_connections", "connections opened to caches", &Counters::cacheConnections},
-    {"bad_requests", "requests that could not be read", &Counters::badRequests},
-    {"bad_lines", "lines of caches that could not be read", &Counters::badLines},
+    {"client_connections", "connections opened by clients", &Counters::client_connections},
+    {"cache_connections", "connections opened to caches", &Counters::cache_connections},
+    {"bad_requests", "requests that could not be read", &Counters::bad_requests},
+    {"bad_lines", "lines of caches that could not be read", &Counters::bad_lines},
     {"stalled", "connections to caches ended since an answer stopped short", &Counters::stalled},
     {"silent", "connections to caches ended since nothing came", &Counters::silent},
-    {"bad_notices", "notices that could not be read", &Counters::badNotices},
-    {"list_news", "lists of caches passed on", &Counters::listNews},
+    {"bad_notices", "notices that could not be read", &Counters::bad_notices},
+    {"list_news", "lists of caches passed on", &Counters::list_news},
     {"purges", "purges passed on", &Counters::purges},
-    {"board_connections", "connections opened to the notice board", &Counters::boardConnections},
-    {"short_of_descriptors", "clients not accepted for want of a descriptor", &Counters::shortOfDescriptors},
+    {"board_connections", "connections opened to the notice board", &Counters::board_connections},
+    {"short_of_descriptors", "clients not accepted for want of a descriptor", &Counters::short_of_descriptors},
     {"reloads", "new configurations taken", &Counters::reloads},
 };
-static_assert(std::size(rows) * sizeof(Counters::Count) == sizeof(Counters), "each counter is told");
+static_assert(std::size(kRows) * sizeof(Counters::Count) == sizeof(Counters), "each counter is told");
 
 class Gathered final : public prometheus::Collectable {
  public:
   explicit Gathered(const Counters& counters) : counters_(counters) {}
   std::vector<prometheus::MetricFamily> Collect() const override {
     std::vector<prometheus::MetricFamily> all;
-    all.reserve(std::size(rows));
-    for (const Row& row : rows) {
+    all.reserve(std::size(kRows));
+    for (const Row& row : kRows) {
       prometheus::ClientMetric metric;
       metric.counter.value = static_cast<double>(counters_.*row.count);
       std::string name = std::string("dunlinwick_").append(row.name).append("_total");
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-std::string exposition(const exchange::Counters& counters) {
+std::string Exposition(const exchange::Counters& counters) {
   return prometheus::TextSerializer().Serialize(Gathered(counters).Collect());
 }
 
--- a/src/front/exposition.hpp
+++ b/src/front/exposition.hpp
@@ -8,6 +8,6 @@
 namespace dunlinwick::front {
 
 // Each counter as `dunlinwick_NAME_total`, with its help and type; ends with a line end.
-std::string exposition(const exchange::Counters& counters);
+std::string Exposition(const exchange::Counters& counters);
 
 }  // namespace dunlinwick::front
--- a/src/front/fleet.hpp
+++ b/src/front/fleet.hpp
@@ -30,19 +30,19 @@
   Fleet(loop::Loop& loop, const FleetTerms& terms, std::uint64_t seed, failover::Health& health, Steer steer,
         Carrier* peers = nullptr);  // with it, no socket and no timer of its own
   ~Fleet();
-  peers::Channel channel() const override { return peers::Channel::members; }
-  void heard(peers::Id from, std::span<const char> message) override;
-  void wake() override;
-  Ms wakeAt() const override;
+  peers::Channel channel() const override { return peers::Channel::kMembers; }
+  void Heard(peers::Id from, std::span<const char> message) override;
+  void Wake() override;
+  Ms WakeAt() const override;
   std::string view() const override;  // JSON
   const failover::Verdict& verdict() const { return verdicts_.verdict(); }
 
  private:
-  void took(std::span<const char> datagram, const loop::Address& from);
-  void take(const members::Message& message);
-  void send(const std::vector<members::Message>& out);
-  void settle();
-  void arm();
+  void Took(std::span<const char> datagram, const loop::Address& from);
+  void Take(const members::Message& message);
+  void Send(const std::vector<members::Message>& out);
+  void Settle();
+  void Arm();
 
   loop::Loop& loop_;
   FleetTerms terms_;
@@ -53,7 +53,7 @@
   failover::Health& health_;
   Steer steer_;
   std::uint64_t timer_ = 0;
-  Ms lookedAt_ = 0;
+  Ms looked_at_ = 0;
   std::uint64_t sent_ = 0, received_ = 0, refused_ = 0;
   std::optional<loop::DatagramReader> reader_;  // of the socket
 };
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -18,105 +18,105 @@
 
 // Descriptors that are neither a client's nor a cache's: standard streams, listener, board, signals, and some
 // for what the system opens.
-constexpr std::size_t aside = 24;
+constexpr std::size_t kAside = 24;
 
 // The process may be held to fewer than the configuration says. Harm without the least: with none left for caches the count of
 // theirs wraps, and they take all.
-std::size_t descriptors(const Charter& c, loop::Loop& loop) {
-  std::size_t own = loop.ground().descriptorLimit();
-  if (own < leastDescriptors)
+std::size_t Descriptors(const Charter& c, loop::Loop& loop) {
+  std::size_t own = loop.ground().DescriptorLimit();
+  if (own < kLeastDescriptors)
     throw std::runtime_error("the process may hold " + std::to_string(own) + " descriptors, at least " +
-                             std::to_string(leastDescriptors) + " are wanted");
+                             std::to_string(kLeastDescriptors) + " are wanted");
   return std::min(c.descriptors, own);
 }
 
 // Those that were ended from here and are read until the other side ends them too: out of the clients' half.
-std::size_t mostLingering(const Charter& c, loop::Loop& loop) { return descriptors(c, loop) / 16; }
+std::size_t MostLingering(const Charter& c, loop::Loop& loop) { return Descriptors(c, loop) / 16; }
 
 // Clients hold at most a third of the descriptors; half leaves room for those that are about to close. Each
 // may hold one answer of the largest size, here and in the system's buffers, which the memory must bear.
-std::size_t mostClients(const Charter& c, loop::Loop& loop) {
-  constexpr double share = 0.6, eachMb = 0.25;
-  return std::min(descriptors(c, loop) / 2 - mostLingering(c, loop), static_cast<std::size_t>(share * c.memoryMb / eachMb));
+std::size_t MostClients(const Charter& c, loop::Loop& loop) {
+  constexpr double kShare = 0.6, kEachMb = 0.25;
+  return std::min(Descriptors(c, loop) / 2 - MostLingering(c, loop), static_cast<std::size_t>(kShare * c.memory_mb / kEachMb));
 }
 
-std::size_t forCaches(const Charter& c, loop::Loop& loop) {
-  return descriptors(c, loop) - aside - mostClients(c, loop) - mostLingering(c, loop);
+std::size_t ForCaches(const Charter& c, loop::Loop& loop) {
+  return Descriptors(c, loop) - kAside - MostClients(c, loop) - MostLingering(c, loop);
 }
 
-std::vector<bool> written(const StoreSheet& sheet) {
+std::vector<bool> Written(const StoreSheet& sheet) {
   std::vector<bool> all;
-  for (const Offering& o : sheet.offerings) all.push_back(o.neverKept);
+  for (const Offering& o : sheet.offerings) all.push_back(o.never_kept);
   return all;
 }
 
 }  // namespace
 
 Front::Front(loop::Loop& loop, const Charter& c)
-    : Front(loop, c, decidingFor(c)) {}
+    : Front(loop, c, DecidingFor(c)) {}
 
 Front::Front(loop::Loop& loop, const Charter& c, exchange::Decider decides)
     : Front(loop, c, Deciding{std::move(decides), nullptr, nullptr}) {}
 
 Front::Front(loop::Loop& loop, const Charter& c, Deciding deciding)
     : loop_(loop),
-      health_(c.sheet.zone, c.sheet.parentKind, c.sheet.originKind),
-      exchange_(loop, c.sheet, c.fleet.on ? noting(deciding.decides) : deciding.decides),
-      caches_(loop, exchange_, c.terms, forCaches(c, loop)),
+      health_(c.sheet.zone, c.sheet.parent_kind, c.sheet.origin_kind),
+      exchange_(loop, c.sheet, c.fleet.on ? Noting(deciding.decides) : deciding.decides),
+      caches_(loop, exchange_, c.terms, ForCaches(c, loop)),
       board_(loop, exchange_, c.terms, c.board),
-      clients_(loop, exchange_, c.terms.offerings, written(c.sheet), c.listen, mostClients(c, loop),
-               mostLingering(c, loop)) {
-  exchange_.meet(caches_);
+      clients_(loop, exchange_, c.terms.offerings, Written(c.sheet), c.listen, MostClients(c, loop),
+               MostLingering(c, loop)) {
+  exchange_.Meet(caches_);
   if (!board_.begin(c.known)) throw std::runtime_error("configuration lacks usable events under known");
-  board_.follow();
-  Fleet::Steer steer = [this](std::vector<double> shares) { exchange_.sharesCame(std::move(shares)); };
-  if (c.fleet.on && !c.fleet.overPeers) fleet_ = std::make_unique<Fleet>(loop, c.fleet, c.seed, health_, steer);
-  parts_ = makeParts(loop, c, health_, std::move(steer), exchange_, deciding);
+  board_.Follow();
+  Fleet::Steer steer = [this](std::vector<double> shares) { exchange_.SharesCame(std::move(shares)); };
+  if (c.fleet.on && !c.fleet.over_peers) fleet_ = std::make_unique<Fleet>(loop, c.fleet, c.seed, health_, steer);
+  parts_ = MakeParts(loop, c, health_, std::move(steer), exchange_, deciding);
 }
 
-exchange::Decider Front::noting(exchange::Decider decides) {
+exchange::Decider Front::Noting(exchange::Decider decides) {
   return [this, decides = std::move(decides)](Ms now, const Event& event) {
-    if (auto* news = std::get_if<ListNews>(&event)) health_.take(*news);
+    if (auto* news = std::get_if<ListNews>(&event)) health_.Take(*news);
     std::vector<Action> todo = decides(now, event);
     for (const Action& a : todo)
-      if (auto* told = std::get_if<TellHealth>(&a)) health_.take(*told);
+      if (auto* told = std::get_if<TellHealth>(&a)) health_.Take(*told);
     return todo;
   };
 }
 
-void Front::follow(const Charter& c) {
-  if (!board_.moveTo(c.board, c.known))
+void Front::Follow(const Charter& c) {
+  if (!board_.MoveTo(c.board, c.known))
     throw std::runtime_error("configuration lacks usable events under known");
   ++exchange_.counters.reloads;
 }
 
-void Front::stop() {
+void Front::Stop() {
   // New connections come for up to 0.4 s after the word to stop, and requests on open ones for 0.2 s more.
-  constexpr Ms clientsStillCome = 700;
+  constexpr Ms kClientsStillCome = 700;
   if (std::exchange(stopping_, true)) return;
-  log::say("stopping: %zu pulls open", exchange_.openPulls());
-  clients_.wind();
-  loop_.at(loop_.now() + clientsStillCome, [this] { leaveWhenDone(); });
+  log::Say("stopping: %zu pulls open", exchange_.OpenPulls());
+  clients_.Wind();
+  loop_.at(loop_.now() + kClientsStillCome, [this] { LeaveWhenDone(); });
 }
 
-void Front::leaveWhenDone() {
-  constexpr Ms look = 10;
-  clients_.leave();
-  if (clients_.empty()) return loop_.stop();
-  loop_.at(loop_.now() + look, [this] { leaveWhenDone(); });
+void Front::LeaveWhenDone() {
+  constexpr Ms kLook = 10;
+  clients_.Leave();
+  if (clients_.empty()) return loop_.Stop();
+  loop_.at(loop_.now() + kLook, [this] { LeaveWhenDone(); });
 }
 
-std::string Front::counters() const { return exposition(exchange_.counters); }
+std::string Front::counters() const { return Exposition(exchange_.counters); }
 
 // ---- signals, by a pipe that the loop watches
 
 namespace {
 
-int signalsTo = -1;
-void noteSignal(int which) {
+int signals_to = -1;
+void NoteSignal(int which) {
   int kept = errno;
   char byte = static_cast<char>(which);
-  [[maybe_unused]] ssize_t put = ::write(signalsTo, &byte, 1);
+  [[maybe_unused]] ssize_t put = ::write(signals_to, &byte, 1);
   errno = kept;
 }
 
@@ -129,41 +129,41 @@
     if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("no pipe for signals");
     from_ = loop::Descriptor(ends[0]);
     to_ = loop::Descriptor(ends[1]);
-    signalsTo = to_.get();
+    signals_to = to_.Get();
     struct sigaction action {};
-    action.sa_handler = noteSignal;
-    for (int which : caught) ::sigaction(which, &action, nullptr);
+    action.sa_handler = NoteSignal;
+    for (int which : kCaught) ::sigaction(which, &action, nullptr);
     ::signal(SIGPIPE, SIG_IGN);
   }
   ~Signals() {
-    for (int which : caught) ::signal(which, SIG_IGN);
-    loop_.forget(from_.get());
+    for (int which : kCaught) ::signal(which, SIG_IGN);
+    loop_.Forget(from_.Get());
   }
-  void reach(Front& front) {
+  void Reach(Front& front) {
     front_ = &front;
-    loop_.watch(from_.get(), *this, POLLIN);
+    loop_.WatchDescriptor(from_.Get(), *this, POLLIN);
   }
 
  private:
-  static constexpr int caught[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP};
+  static constexpr int kCaught[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP};
 
-  void ready(short) override {
+  void Ready(short) override {
     char byte = 0;
     bool again = false;
-    while (::read(from_.get(), &byte, 1) == 1)
+    while (::read(from_.Get(), &byte, 1) == 1)
       if (byte == SIGUSR1) log::WriteToStandardError(front_->counters());
       else if (byte == SIGHUP) again = true;  // several that wait are one: the file is read after all of them
-      else front_->stop();
-    if (again) reread();
+      else front_->Stop();
+    if (again) Reread();
   }
   // Guards against a file half written, or for somebody else: the front that serves goes on as it was.
-  void reread() {
+  void Reread() {
     try {
-      Charter charter = readCharter(path_, listen_);
-      front_->follow(charter);
-      log::say("new configuration: the notice board is at %s", charter.boardText.c_str());
+      Charter charter = ReadCharter(path_, listen_);
+      front_->Follow(charter);
+      log::Say("new configuration: the notice board is at %s", charter.board_text.c_str());
     } catch (const std::exception& fault) {
-      log::say("new configuration not taken, the old one stays: %s", fault.what());
+      log::Say("new configuration not taken, the old one stays: %s", fault.what());
     }
   }
   loop::Loop& loop_;
@@ -188,15 +188,15 @@
 
 }  // namespace
 
-int serve(const std::string& path, const std::string& listen) {
+int Serve(const std::string& path, const std::string& listen) {
   OpenStandardStreams();
   loop::Loop loop;
   Signals signals(loop, path, listen);
-  Charter charter = readCharter(path, listen);
+  Charter charter = ReadCharter(path, listen);
   Front front(loop, charter);
-  signals.reach(front);
-  log::say("%s serves", charter.name.c_str());
-  loop.run();
+  signals.Reach(front);
+  log::Say("%s serves", charter.name.c_str());
+  loop.Run();
   log::WriteToStandardError(front.counters());
   return 0;
 }
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -18,14 +18,14 @@
   Front(loop::Loop& loop, const Charter& charter, Deciding deciding);
   // Turns to the notice board that a new configuration names. The rest of it holds for the life of a process:
   // what differs there is passed over. Throws std::runtime_error, with nothing changed, where it is unusable.
-  void follow(const Charter& charter);
-  void stop();  // takes what still arrives, answers all it has taken, then ends the loop
+  void Follow(const Charter& charter);
+  void Stop();  // takes what still arrives, answers all it has taken, then ends the loop
   std::string counters() const;
 
  private:
-  void leaveWhenDone();
+  void LeaveWhenDone();
   // The module, with what the fleet's opinion needs of its words noted on the way.
-  exchange::Decider noting(exchange::Decider decides);
+  exchange::Decider Noting(exchange::Decider decides);
 
   loop::Loop& loop_;
   failover::Health health_;
@@ -40,6 +40,6 @@
 
 // Serves by the configuration at `path` until SIGTERM or SIGINT; SIGHUP reads it again, SIGUSR1 prints the
 // counters. `listen` as with readCharter(). Returns the exit code.
-int serve(const std::string& path, const std::string& listen);
+int Serve(const std::string& path, const std::string& listen);
 
 }  // namespace dunlinwick::front
--- a/src/front/layer.hpp
+++ b/src/front/layer.hpp
@@ -31,7 +31,7 @@
   std::vector<Part*> parts();
   std::string status() const;  // JSON: record, recovery, rules
   // An operator's datagram "DR" 1 | ...; reply may come later.
-  void asked(std::span<const char> bytes, std::function<void(std::string)> reply);
+  void Asked(std::span<const char> bytes, std::function<void(std::string)> reply);
 
  private:
   struct Inner;
--- a/src/front/layer_terms.hpp
+++ b/src/front/layer_terms.hpp
@@ -21,7 +21,7 @@
   record::SubscriberTerms subscriber;
   // A front that was not shown as caught up for so long asks for no copy older than so long: the stated delay of a recall is
   // this and the time from its acknowledgement to the keepers' answer.
-  record::Ms staleAfter = 10000;
+  record::Ms stale_after = 10000;
 };
 
 // "recovery": {"store": "folder", "first": 0.1, "grow": 1.3, "step_ms": 500, "young_ms": ...}
@@ -34,7 +34,7 @@
 // "rules": {"round_ms": 500, "second_approver": false, "at_once": 1, "least_serving": 0.5, ...}
 struct RulesTerms {
   bool on = false;
-  bool wantsSecond = false;
+  bool wants_second = false;
   drift::Terms terms;
 };
 
--- a/src/front/owner.hpp
+++ b/src/front/owner.hpp
@@ -26,24 +26,24 @@
   Owner(loop::Loop& loop, const OwnerTerms& terms, std::uint64_t seed, Carrier* peers = nullptr);
   ~Owner();
   // For the other parts of the fleet's layer. Token and whether this front may act under it now; 0 where it holds it not.
-  std::pair<std::uint64_t, bool> holds(const std::string& work) const;
-  std::uint32_t ownerOf(const std::string& work) const;  // as the group has it, in a member; 0: not known
-  void permit(bool may);                                 // to come to own anything
+  std::pair<std::uint64_t, bool> Holds(const std::string& work) const;
+  std::uint32_t OwnerOf(const std::string& work) const;  // as the group has it, in a member; 0: not known
+  void Permit(bool may);                                 // to come to own anything
   struct Group {
-    bool inGroup = false, member = false, leaderKnown = false, founded = false, lost = false;
+    bool in_group = false, member = false, leader_known = false, founded = false, lost = false;
     std::uint64_t token = 0;
   };
   Group group() const;
-  peers::Channel channel() const override { return peers::Channel::owner; }
-  void heard(peers::Id from, std::span<const char> message) override;
-  void raw(std::span<const char> datagram) override;
-  void wake() override;
-  Ms wakeAt() const override;
+  peers::Channel channel() const override { return peers::Channel::kOwner; }
+  void Heard(peers::Id from, std::span<const char> message) override;
+  void Raw(std::span<const char> datagram) override;
+  void Wake() override;
+  Ms WakeAt() const override;
   std::string view() const override;  // JSON
 
  private:
   struct Inner;
-  void took(std::span<const char> datagram, const loop::Address& from);
+  void Took(std::span<const char> datagram, const loop::Address& from);
 
   loop::Loop& loop_;
   std::unique_ptr<Inner> inner_;
--- a/src/front/part.hpp
+++ b/src/front/part.hpp
@@ -18,19 +18,19 @@
  public:
   virtual ~Part() = default;
   virtual peers::Channel channel() const = 0;
-  virtual void heard(peers::Id from, std::span<const char> message) = 0;  // never throws
-  virtual void raw(std::span<const char>) {}  // a datagram of the part's own, from no front (owner: what a place did); never throws
-  virtual void wake() = 0;             // time passed
-  virtual Ms wakeAt() const = 0;
+  virtual void Heard(peers::Id from, std::span<const char> message) = 0;  // never throws
+  virtual void Raw(std::span<const char>) {}  // a datagram of the part's own, from no front (owner: what a place did); never throws
+  virtual void Wake() = 0;             // time passed
+  virtual Ms WakeAt() const = 0;
   virtual std::string view() const = 0;  // one JSON object, for status commands
-  virtual bool stopping() { return true; }  // the front ends; true: nothing is left to do
+  virtual bool Stopping() { return true; }  // the front ends; true: nothing is left to do
 };
 
 // What a part on the peers' socket sends through. Lost where the system or a budget can't take it: as on a wire.
 class Carrier {
  public:
-  virtual void send(peers::Channel channel, peers::Id to, std::string message) = 0;
-  virtual void sendRaw(const loop::Address& to, const std::string& datagram) = 0;
+  virtual void Send(peers::Channel channel, peers::Id to, std::string message) = 0;
+  virtual void SendRaw(const loop::Address& to, const std::string& datagram) = 0;
 
  protected:
   ~Carrier() = default;
--- a/src/front/parts.hpp
+++ b/src/front/parts.hpp
@@ -25,8 +25,8 @@
   std::shared_ptr<generations::Generations> generations;
   std::shared_ptr<std::optional<StoreSheet>> next;  // to be turned to with the next event
 };
-Deciding decidingFor(const Charter& charter);
-std::unique_ptr<Parts> makeParts(loop::Loop& loop, const Charter& charter, failover::Health& health, Fleet::Steer steer,
+Deciding DecidingFor(const Charter& charter);
+std::unique_ptr<Parts> MakeParts(loop::Loop& loop, const Charter& charter, failover::Health& health, Fleet::Steer steer,
                                  exchange::Exchange& exchange, const Deciding& deciding);
 
 }  // namespace dunlinwick::front
--- a/src/front/peers.hpp
+++ b/src/front/peers.hpp
@@ -22,18 +22,18 @@
   // Throws std::runtime_error where the socket can't be had.
   Peers(loop::Loop& loop, const PeersTerms& terms);
   ~Peers();
-  void carry(Part& part);  // one a channel; it outlives this
+  void Carry(Part& part);  // one a channel; it outlives this
   using Reply = std::function<void(std::string)>;
   void operators(std::function<void(std::span<const char>, Reply)> asked, std::function<std::string()> status);
-  bool sends(peers::Channel channel, peers::Id to, std::string message);  // false: lost here already
-  void send(peers::Channel channel, peers::Id to, std::string message) override;
-  void sendRaw(const loop::Address& to, const std::string& datagram) override;
+  bool Sends(peers::Channel channel, peers::Id to, std::string message);  // false: lost here already
+  void Send(peers::Channel channel, peers::Id to, std::string message) override;
+  void SendRaw(const loop::Address& to, const std::string& datagram) override;
   std::string view() const;  // JSON
 
  private:
-  void took(std::span<const char> datagram, const loop::Address& from);
-  void wake();
-  void arm();
+  void Took(std::span<const char> datagram, const loop::Address& from);
+  void Wake();
+  void Arm();
   Part* part(peers::Channel channel) const;
 
   loop::Loop& loop_;
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -32,7 +32,7 @@
   Ms ago = 0;           // since it was given; 0: now, to be sure
 };
 // "object/NAME", "group/7", "offering/NAME"; nothing for any other key.
-std::optional<Recall> readRecall(const record::Entry& entry);
+std::optional<Recall> ReadRecall(const record::Entry& entry);
 
 /// How long ago, at least, a recall was given that the record's writer stamped with `written`; 0 where that can't be told. `fresh`: this
 /// front had read all before it, so it hears it as it is given.
@@ -43,33 +43,33 @@
   struct Ways {
     std::function<bool(peers::Id to, std::string message)> send;
     std::function<void(const Recall&)> recall;
-    std::function<void()> recallsVoid;              // all that was told before is void: started over
+    std::function<void()> recalls_void;              // all that was told before is void: started over
     std::function<void(const record::Entry&)> other;  // of the other streams
     // Why an operator's write can't be taken, or "".
     std::function<std::string(record::Stream, const std::string& key, bool tombstone, const std::string& value)> refuses;
-    std::function<void(Ms)> noOlder;                // copies asked for from now on: no older than so many ms; 0: as usual
+    std::function<void(Ms)> no_older;                // copies asked for from now on: no older than so many ms; 0: as usual
     std::function<std::pair<record::Token, bool>()> owns;  // token and whether it may act now; 0: another owns it
     std::function<peers::Id()> owner;               // as far as is known; 0: not
   };
   // A store that can't be had is tried again: src/record/replica.hpp.
   Record(loop::Loop& loop, const RecordTerms& terms, peers::Id self, std::uint64_t seed, Ways ways);
   ~Record() override;
-  peers::Channel channel() const override { return peers::Channel::record; }
-  void heard(peers::Id from, std::span<const char> message) override;
-  void wake() override;
-  Ms wakeAt() const override;
+  peers::Channel channel() const override { return peers::Channel::kRecord; }
+  void Heard(peers::Id from, std::span<const char> message) override;
+  void Wake() override;
+  Ms WakeAt() const override;
   std::string view() const override;
   // An operator's datagram, without its head. `reply` may come later, once at most.
   using Reply = std::function<void(std::string)>;
-  void asked(std::span<const char> bytes, Reply reply);
+  void Asked(std::span<const char> bytes, Reply reply);
 
-  bool caughtUp() const;
-  record::Offset position() const, committed() const;
-  Ms goodAt() const;
-  bool keeps() const;                  // is a replica, and its store is open
-  bool spoilt() const;                 // its store has holes, or is not open
+  bool CaughtUp() const;
+  record::Offset Position() const, Committed() const;
+  Ms GoodAt() const;
+  bool Keeps() const;                  // is a replica, and its store is open
+  bool Spoilt() const;                 // its store has holes, or is not open
   record::Head head() const;           // of its store, as it was when opened last
-  bool writes() const;
+  bool Writes() const;
 
  private:
   struct Inner;
--- a/src/front/recovery.hpp
+++ b/src/front/recovery.hpp
@@ -25,28 +25,28 @@
   struct Ways {
     std::function<bool(peers::Id to, std::string message)> send;
     std::function<Now()> now;
-    std::function<void(std::vector<double> byOffering, Ms comeBack)> admit;  // what may not be served while only what is certain is: 0
+    std::function<void(std::vector<double> by_offering, Ms come_back)> admit;  // what may not be served while only what is certain is: 0
     std::function<void(peers::Id from, std::uint64_t incarnation)> heard;
     std::function<std::uint64_t(peers::Id of)> seen;             // the incarnation that this front's disk has seen of another; 0: none
   };
   Recovering(loop::Loop& loop, const RecoveryTerms& terms, peers::Id self, std::vector<peers::Id> fronts,
              const recovery::StoreSeen& store, std::uint64_t incarnation, Ways ways);
-  peers::Channel channel() const override { return peers::Channel::recovery; }
-  void heard(peers::Id from, std::span<const char> message) override;
-  void wake() override;
-  Ms wakeAt() const override;
+  peers::Channel channel() const override { return peers::Channel::kRecovery; }
+  void Heard(peers::Id from, std::span<const char> message) override;
+  void Wake() override;
+  Ms WakeAt() const override;
   std::string view() const override;
-  bool mayOwn() const;
+  bool MayOwn() const;
   recovery::Phase phase() const;
   recovery::Floors floors() const;
 
  private:
-  void does(const std::vector<recovery::Action>& actions);
+  void Does(const std::vector<recovery::Action>& actions);
   loop::Loop& loop_;
   Ways ways_;
   std::unique_ptr<recovery::Recovery> recovery_;
-  bool certainOnly_ = true;
-  Ms saidAdmit_ = -1e15, wakeAt_ = 0;
+  bool certain_only_ = true;
+  Ms said_admit_ = -1e15, wake_at_ = 0;
 };
 
 }  // namespace dunlinwick::front
--- a/src/front/rules.hpp
+++ b/src/front/rules.hpp
@@ -21,31 +21,31 @@
   struct Ways {
     std::function<bool(peers::Id to, std::string message)> send;
     std::function<drift::Form()> active;                            // as decided by in memory, just now
-    std::function<std::string(const drift::Form&)> takeUp;          // "" once it is active, else why it can't be
+    std::function<std::string(const drift::Form&)> take_up;          // "" once it is active, else why it can't be
     std::function<std::pair<drift::Token, bool>()> owns;            // of the record's work
     std::function<drift::Pulls()> pulls;
     std::function<void(bool aside)> aside;                          // of this front
     std::function<void(bool serves)> serves;                        // false: its drift can break a rule
   };
   struct Fronts {
-    std::map<peers::Id, int> zoneOf;
+    std::map<peers::Id, int> zone_of;
     std::vector<std::string> zones;
   };
   Rules(loop::Loop& loop, const RulesTerms& terms, peers::Id self, Fronts fronts, drift::Classes classes, std::uint64_t seed, Ways ways);
   ~Rules() override;
-  peers::Channel channel() const override { return peers::Channel::rules; }
-  void heard(peers::Id from, std::span<const char> message) override;
-  void wake() override;
-  Ms wakeAt() const override;
+  peers::Channel channel() const override { return peers::Channel::kRules; }
+  void Heard(peers::Id from, std::span<const char> message) override;
+  void Wake() override;
+  Ms WakeAt() const override;
   std::string view() const override;
   void told(std::uint64_t offset, const std::string& key, bool tombstone, const std::string& value);  // by the record, in order
-  void startOver();                                  // what the record told is void
+  void StartOver();                                  // what the record told is void
   // Whether an approval may be written: "" or why not. The owner asks before it writes, so the record holds none that was refused.
-  std::string refuses(const std::string& key, const std::string& value) const;
-  bool on() const;         // something is approved for this front
-  bool inStep() const;
+  std::string Refuses(const std::string& key, const std::string& value) const;
+  bool enabled() const;         // something is approved for this front
+  bool InStep() const;
   drift::Version version() const;
-  std::uint64_t digest() const;
+  std::uint64_t Digest() const;
 
  private:
   struct Inner;
--- a/src/front/turning.cpp
+++ b/src/front/turning.cpp
@@ -21,15 +21,15 @@
   return text == "true" || text == "false";
 }
 bool read(const std::string& text, Effect& into) {
-  into = text == "rerunnable" ? Effect::rerunnable : text == "ticketed" ? Effect::ticketed : Effect::exclusive;
+  into = text == "rerunnable" ? Effect::kRerunnable : text == "ticketed" ? Effect::kTicketed : Effect::kExclusive;
   return text == "rerunnable" || text == "ticketed" || text == "exclusive";
 }
 bool read(const std::string& text, Span& into) {
-  into = text == "everywhere" ? Span::everywhere : text == "zone" ? Span::zone : Span::cell;
+  into = text == "everywhere" ? Span::kEverywhere : text == "zone" ? Span::kZone : Span::kCell;
   return text == "everywhere" || text == "zone" || text == "cell";
 }
 bool read(const std::string& text, Weighing& into) {
-  static const std::map<std::string, Weighing> words{{"none", Weighing::none}, {"nominal", Weighing::nominal}, {"rough", Weighing::rough}, {"live", Weighing::live}};
+  static const std::map<std::string, Weighing> words{{"none", Weighing::kNone}, {"nominal", Weighing::kNominal}, {"rough", Weighing::kRough}, {"live", Weighing::kLive}};
   auto at = words.find(text);
   if (at != words.end()) into = at->second;
   return at != words.end();
@@ -37,38 +37,38 @@
 
 using Set = std::function<bool(const std::string&)>;
 template <class T>
-Set into(T& field) {
+Set Into(T& field) {
   return [&field](const std::string& text) { return read(text, field); };
 }
-void cold(std::map<std::string, Set>& all, const std::string& name, ColdTerms& c) {
-  all["cold." + name + ".from"] = into(c.from), all["cold." + name + ".multiple"] = into(c.multiple), all["cold." + name + ".lasts"] = into(c.lasts);
+void Cold(std::map<std::string, Set>& all, const std::string& name, ColdTerms& c) {
+  all["cold." + name + ".from"] = Into(c.from), all["cold." + name + ".multiple"] = Into(c.multiple), all["cold." + name + ".lasts"] = Into(c.lasts);
 }
 
-std::map<std::string, Set> fields(StoreSheet& s) {
+std::map<std::string, Set> Fields(StoreSheet& s) {
   std::map<std::string, Set> all;
   for (std::size_t i = 0; i < s.offerings.size(); ++i) {
     Offering& o = s.offerings[i];
     std::string at = "offerings." + std::to_string(i) + ".";
-    all[at + "effect"] = into(o.effect), all[at + "span"] = into(o.span), all[at + "memory"] = into(o.memory), all[at + "agreed"] = into(o.agreed);
-    all[at + "agreed_stretch"] = into(o.agreedStretch), all[at + "expiry"] = into(o.expiry), all[at + "payoff"] = into(o.payoff);
-    all[at + "fresh_for"] = into(o.freshFor);  // streams, never_kept: of the process, since the exchange and the clients go by them
+    all[at + "effect"] = Into(o.effect), all[at + "span"] = Into(o.span), all[at + "memory"] = Into(o.memory), all[at + "agreed"] = Into(o.agreed);
+    all[at + "agreed_stretch"] = Into(o.agreed_stretch), all[at + "expiry"] = Into(o.expiry), all[at + "payoff"] = Into(o.payoff);
+    all[at + "fresh_for"] = Into(o.fresh_for);  // streams, never_kept: of the process, since the exchange and the clients go by them
   }
-  all["permits.probe"] = into(s.may.probe), all["permits.cancel"] = into(s.may.cancel), all["permits.two_legs_at_once"] = into(s.may.twoLegsAtOnce);
-  all["permits.join"] = into(s.may.join), all["permits.direct"] = into(s.may.direct);
-  cold(all, "store", s.coldStore), cold(all, "parent", s.coldParent);
-  all["cold.window"] = into(s.coldWindow);
-  all["sheet.fronts"] = into(s.fronts), all["sheet.crew"] = into(s.crew), all["sheet.weighing"] = into(s.weighing);
-  all["sheet.longest_retry_after"] = into(s.longestRetryAfter), all["sheet.most_legs"] = into(s.mostLegs), all["sheet.places"] = into(s.places);
-  all["sheet.lateral"] = into(s.lateral), all["sheet.stream_kb_per_ms"] = into(s.streamKbPerMs), all["sheet.link_kb_per_ms"] = into(s.linkKbPerMs);
-  all["sheet.link_report"] = into(s.linkReport), all["sheet.remarks"] = into(s.remarks), all["sheet.purge_done"] = into(s.purgeDone);
+  all["permits.probe"] = Into(s.may.probe), all["permits.cancel"] = Into(s.may.cancel), all["permits.two_legs_at_once"] = Into(s.may.two_legs_at_once);
+  all["permits.join"] = Into(s.may.join), all["permits.direct"] = Into(s.may.direct);
+  Cold(all, "store", s.cold_store), Cold(all, "parent", s.cold_parent);
+  all["cold.window"] = Into(s.cold_window);
+  all["sheet.fronts"] = Into(s.fronts), all["sheet.crew"] = Into(s.crew), all["sheet.weighing"] = Into(s.weighing);
+  all["sheet.longest_retry_after"] = Into(s.longest_retry_after), all["sheet.most_legs"] = Into(s.most_legs), all["sheet.places"] = Into(s.places);
+  all["sheet.lateral"] = Into(s.lateral), all["sheet.stream_kb_per_ms"] = Into(s.stream_kb_per_ms), all["sheet.link_kb_per_ms"] = Into(s.link_kb_per_ms);
+  all["sheet.link_report"] = Into(s.link_report), all["sheet.remarks"] = Into(s.remarks), all["sheet.purge_done"] = Into(s.purge_done);
   return all;
 }
 
 }  // namespace
 
-std::string takeUp(const drift::Form& approved, const drift::Form& active, StoreSheet& sheet) {
+std::string TakeUp(const drift::Form& approved, const drift::Form& active, StoreSheet& sheet) {
   StoreSheet next = sheet;
-  auto all = fields(next);
+  auto all = Fields(next);
   for (const auto& [section, rows] : approved) {
     auto at = active.find(section);
     for (const auto& [name, value] : rows) {
--- a/src/generations/generations.hpp
+++ b/src/generations/generations.hpp
@@ -25,16 +25,16 @@
 namespace dunlinwick::generations {
 
 using Number = std::uint64_t;  // from 1, rising; never used again
-constexpr std::size_t mostAlive = 4, mostPurges = 20000;
+constexpr std::size_t kMostAlive = 4, kMostPurges = 20000;
 
 class Generations {
  public:
   Generations(const StoreSheet& sheet, std::uint64_t seed);
-  std::vector<Action> handle(Ms now, const Event& event);
+  std::vector<Action> Handle(Ms now, const Event& event);
   // The next generation, from now on. 0, with nothing changed: too many live, or it has other offerings than the first (a pull
   // names its offering by place), or too many purges bind.
   Number turn(Ms now, const StoreSheet& sheet, std::vector<Action>& out);
-  Number newest() const { return lives_.back().number; }
+  Number Newest() const { return lives_.back().number; }
   const StoreSheet& sheet() const { return lives_.back().sheet; }
   struct Row {
     Number number = 0;
@@ -51,14 +51,14 @@
   };
   struct Open {  // a pull: until its final answer is out and its last leg is in
     Number number = 0;
-    int legsOut = 0;
+    int legs_out = 0;
     bool ended = false;
   };
   Life* life(Number number);
-  void tell(Life& life, Ms now, const Event& event, std::vector<Action>& out);
-  void lapse(Ms now);
+  void Tell(Life& life, Ms now, const Event& event, std::vector<Action>& out);
+  void Lapse(Ms now);
   void note(Ms now, const Event& event);
-  void settle(std::uint32_t pull);
+  void Settle(std::uint32_t pull);
 
   std::uint64_t seed_;
   Number last_ = 0;
@@ -72,7 +72,7 @@
     Purged purge;
   };
   std::deque<Bound> purges_;  // as they came; those that are past twice purgeDone go
-  Ms purgeKept_;
+  Ms purge_kept_;
   std::map<std::size_t, Event> facts_;  // of the fleet, the last of each kind
 };
 
--- a/src/json/json.hpp
+++ b/src/json/json.hpp
@@ -9,22 +9,22 @@
 
 namespace dunlinwick::json {
 
-enum class Kind { null, boolean, number, string, list, object };
+enum class Kind { kNull, kBoolean, kNumber, kString, kList, kObject };
 
 struct Member;
 
 struct Value {
-  Kind kind = Kind::null;
+  Kind kind = Kind::kNull;
   std::string text;  // of a string, unescaped; of a number or boolean as written
   std::vector<Value> items;
   std::vector<Member> members;  // of an object, as written; a name comes once
 
-  const Value* find(std::string_view name) const;
+  const Value* Find(std::string_view name) const;
   // The member's value if it is there and of that kind.
-  const Value* find(std::string_view name, Kind kind) const;
+  const Value* Find(std::string_view name, Kind kind) const;
   std::string_view word(std::string_view name) const;  // "" where absent or no string
   std::optional<double> number(std::string_view name) const;
-  double asNumber() const;  // of a number
+  double AsNumber() const;  // of a number
 };
 
 /// One member of an object.
@@ -36,6 +36,6 @@
 // Nothing where the text is not one JSON value whole: names twice in one object, more than 32 levels, a number beyond a
 // double's range, bad UTF-8, half a surrogate pair, a byte order mark, comments and anything behind the value are refused.
 // Takes time in proportion to the text (n log n in the names of one object), and never throws but for lack of memory.
-std::optional<Value> read(std::string_view text);
+std::optional<Value> Read(std::string_view text);
 
 }  // namespace dunlinwick::json
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 // A burst tells a start or a break whole; afterwards a reader's pace, so that junk can't fill a disk.
-constexpr double burst = 200, perMs = 0.01;
+constexpr double kBurst = 200, kPerMs = 0.01;
 
-thread_local Log* inUse = nullptr;
+thread_local Log* in_use = nullptr;
 
 // What peers sent may be in it: one line stays one line.
 class OneLine final : public spdlog::formatter {
@@ -50,7 +50,7 @@
   Log::Writer to_;
 };
 
-std::shared_ptr<spdlog::logger> loggerTo(spdlog::sink_ptr sink) {
+std::shared_ptr<spdlog::logger> LoggerTo(spdlog::sink_ptr sink) {
   auto logger = std::make_shared<spdlog::logger>(std::string(), std::move(sink));
   logger->set_error_handler([](const std::string&) {});  // the library's own would write lines past the limit
   return logger;
@@ -72,43 +72,43 @@
   std::size_t lost_ = 0;  // lines, since one was written
 };
 
-Log& standard() {
-  static Log one([] { return loop::system().now(); });
+Log& Standard() {
+  static Log one([] { return loop::MakeSystem().now(); });
   return one;
 }
 
 }  // namespace
 
 Log::Log(Clock clock, Writer to)
-    : clock_(std::move(clock)), to_(loggerTo(std::make_shared<Handed>(std::move(to)))), left_(burst), last_(clock_()) {}
+    : clock_(std::move(clock)), to_(LoggerTo(std::make_shared<Handed>(std::move(to)))), left_(kBurst), last_(clock_()) {}
 
-Log::Log(Clock clock) : clock_(std::move(clock)), to_(loggerTo(std::make_shared<StandardError>())), left_(burst), last_(clock_()) {}
+Log::Log(Clock clock) : clock_(std::move(clock)), to_(LoggerTo(std::make_shared<StandardError>())), left_(kBurst), last_(clock_()) {}
 
-void Log::put(std::string_view line) {
+void Log::Put(std::string_view line) {
   auto at = std::chrono::duration<double, std::milli>(last_);
   to_->log(spdlog::log_clock::time_point(std::chrono::duration_cast<spdlog::log_clock::duration>(at)), {}, spdlog::level::info,
            spdlog::string_view_t(line.data(), line.size()));
 }
 
-void Log::say(std::string_view line) {
+void Log::Say(std::string_view line) {
   double now = clock_();
-  left_ = std::min(burst, left_ + perMs * (now - last_));
+  left_ = std::min(kBurst, left_ + kPerMs * (now - last_));
   last_ = now;
   if (left_ < 1) {
     ++unsaid_;
     return;
   }
   --left_;
-  if (unsaid_ > 0) put(std::to_string(unsaid_).append(" lines left out"));
+  if (unsaid_ > 0) Put(std::to_string(unsaid_).append(" lines left out"));
   unsaid_ = 0;
-  put(line.substr(0, longest));
+  Put(line.substr(0, kLongest));
 }
 
 bool WriteToStandardError(std::string_view text) {
   while (!text.empty()) {
     // Writable, a pipe has room for PIPE_BUF bytes at least.
     pollfd standard_error{STDERR_FILENO, POLLOUT, 0};
-    int ready = loop::system().wait({&standard_error, 1}, 0);
+    int ready = loop::MakeSystem().Wait({&standard_error, 1}, 0);
     if (ready == -EINTR) continue;
     if (ready != 1 || (standard_error.revents & POLLOUT) == 0) return false;
     ssize_t written = ::write(STDERR_FILENO, text.data(), std::min<std::size_t>(text.size(), PIPE_BUF));
@@ -119,16 +119,16 @@
   return true;
 }
 
-void say(const char* format, ...) {
-  char line[longest + 1];
+void Say(const char* format, ...) {
+  char line[kLongest + 1];
   va_list args;
   va_start(args, format);
   std::vsnprintf(line, sizeof line, format, args);
   va_end(args);
-  (inUse ? *inUse : standard()).say(line);
+  (in_use ? *in_use : Standard()).Say(line);
 }
 
-Use::Use(Log& log) : before_(inUse) { inUse = &log; }
-Use::~Use() { inUse = before_; }
+Use::Use(Log& log) : before_(in_use) { in_use = &log; }
+Use::~Use() { in_use = before_; }
 
 }  // namespace dunlinwick::log
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -16,7 +16,7 @@
 
 namespace dunlinwick::log {
 
-inline constexpr std::size_t longest = 511;
+inline constexpr std::size_t kLongest = 511;
 
 // Where the lines of one process go. Times are milliseconds of the clock that is handed in. Says at most 200 lines at once and
 // 10 a second after that; what is beyond it is counted, and told before the next line.
@@ -27,10 +27,10 @@
   Log(Clock clock, Writer to);
   // To standard error, each line by one write. What that does not take is counted as well, and told before the next line.
   explicit Log(Clock clock);
-  void say(std::string_view line);
+  void Say(std::string_view line);
 
  private:
-  void put(std::string_view line);
+  void Put(std::string_view line);
 
   Clock clock_;
   std::shared_ptr<spdlog::logger> to_;
@@ -44,7 +44,7 @@
 bool WriteToStandardError(std::string_view text);
 
 // Like printf, without the line's end; the compiler checks what is handed in.
-[[gnu::format(printf, 1, 2)]] void say(const char* format, ...);
+[[gnu::format(printf, 1, 2)]] void Say(const char* format, ...);
 
 // While it lives, what this thread says goes to `log`; without one, to standard error by the system's clock.
 class Use {
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -11,26 +11,26 @@
 
 namespace dunlinwick {
 
-enum class Effect { rerunnable, ticketed, exclusive };
-enum class Span { everywhere, zone, cell };  // which caches drop the repeats of a ticketed pull
-enum class Weighing { none, nominal, rough, live };
+enum class Effect { kRerunnable, kTicketed, kExclusive };
+enum class Span { kEverywhere, kZone, kCell };  // which caches drop the repeats of a ticketed pull
+enum class Weighing { kNone, kNominal, kRough, kLive };
 
 struct Offering {
-  Effect effect = Effect::rerunnable;
-  Span span = Span::everywhere;
+  Effect effect = Effect::kRerunnable;
+  Span span = Span::kEverywhere;
   Ms memory = 0;  // how long the repeats of a ticketed pull are known
   Ms agreed = 0;
-  double agreedStretch = 0;  // the agreed time grows by this multiple of the pull's own sending time
+  double agreed_stretch = 0;  // the agreed time grows by this multiple of the pull's own sending time
   Ms expiry = 0;
   double payoff = 1;
   bool streams = false;
-  Ms freshFor = 0;  // 0: until purged
-  bool neverKept = false;
+  Ms fresh_for = 0;  // 0: until purged
+  bool never_kept = false;
 };
 
 // What a front may do here.
 struct Permits {
-  bool probe = false, cancel = false, twoLegsAtOnce = false, join = false, direct = false;
+  bool probe = false, cancel = false, two_legs_at_once = false, join = false, direct = false;
 };
 
 // How a machine starts cold, and what all fronts together may send it in any window of the stated length.
@@ -45,37 +45,37 @@
   int zone = 0;
   int fronts = 1;  // in all zones
   int crew = 1;    // fronts serving this zone
-  int parentKind = -1, originKind = -1;
-  bool asksForList = false;  // list changes come only when asked for
-  Weighing weighing = Weighing::none;
+  int parent_kind = -1, origin_kind = -1;
+  bool asks_for_list = false;  // list changes come only when asked for
+  Weighing weighing = Weighing::kNone;
   Permits may;
-  Ms longestRetryAfter = 0;  // 0: no retry time may be named
-  int mostLegs = 1;
+  Ms longest_retry_after = 0;  // 0: no retry time may be named
+  int most_legs = 1;
   int places = 0;        // pulls that clients can have open here at once; 0: not told
   bool lateral = false;  // a cache may be filled from another of its zone
-  double streamKbPerMs = 0;
-  double linkKbPerMs = 0;  // of this zone; 0: not told
-  int linkReport = -1;     // place in the answers' reports of how full that link is; -1: not reported
+  double stream_kb_per_ms = 0;
+  double link_kb_per_ms = 0;  // of this zone; 0: not told
+  int link_report = -1;     // place in the answers' reports of how full that link is; -1: not reported
   bool remarks = true;     // answers tell what became of a fill; else at most whether they were hits
-  Ms purgeDone = 0;
-  ColdTerms coldStore, coldParent;
-  Ms coldWindow = 0;
+  Ms purge_done = 0;
+  ColdTerms cold_store, cold_parent;
+  Ms cold_window = 0;
 };
 
 // ---- what happened
-enum class Listing { changes, whole, remembered, failed };
-enum class Standing { draining, gone, ready };
+enum class Listing { kChanges, kWhole, kRemembered, kFailed };
+enum class Standing { kDraining, kGone, kReady };
 struct ListEntry {
   std::uint32_t cache = 0;
   int zone = 0, kind = 0, cell = 0;
-  Standing standing = Standing::ready;
+  Standing standing = Standing::kReady;
   double weight = 1;
-  WallTime startedAt;  // 0: long ago
+  WallTime started_at;  // 0: long ago
   /// When this front was first told of that start. None: the stamp is of this front's own clock, as on the bench.
   std::optional<Notified> notified;
 };
 struct ListNews {
-  Listing listing = Listing::changes;
+  Listing listing = Listing::kChanges;
   std::vector<ListEntry> entries;
 };
 struct PullCame {
@@ -84,21 +84,21 @@
   std::uint64_t object = 0;
   int part = 0, group = 0;
   Ms ttl = 0;
-  double sizeKb = 0;  // 0: not told
+  double size_kb = 0;  // 0: not told
 };
-enum class Ending { finished, error, full, timedOut, noConnection, broken, cancelled, moot, miss };
+enum class Ending { kFinished, kError, kFull, kTimedOut, kNoConnection, kBroken, kCancelled, kMoot, kMiss };
 enum class Remark {
-  none,
-  hit,
-  filled,
-  filledByOrigin,
-  joined,
-  aged,
-  sourceRefused,
-  sourceLost,
-  sourceLacks,
-  noFillPlace,
-  originFailed
+  kNone,
+  kHit,
+  kFilled,
+  kFilledByOrigin,
+  kJoined,
+  kAged,
+  kSourceRefused,
+  kSourceLost,
+  kSourceLacks,
+  kNoFillPlace,
+  kOriginFailed
 };
 struct LegStarted {
   std::uint32_t pull = 0, cache = 0;
@@ -107,12 +107,12 @@
 struct LegEnded {
   std::uint32_t pull = 0, cache = 0;
   int leg = 0;
-  Ending ending = Ending::finished;
+  Ending ending = Ending::kFinished;
   Ms took = 0;
   bool final = false;
-  Remark remark = Remark::none;
+  Remark remark = Remark::kNone;
   Ms waited = 0;     // until the first byte of a fill came, or it failed
-  int fellWith = 0;  // legs told before it that ended with the same connection
+  int fell_with = 0;  // legs told before it that ended with the same connection
   bool ours = false;  // for want of something of this front's own, such as a descriptor: no sign of the machine
   std::vector<float> report;
 };
@@ -129,7 +129,7 @@
   std::vector<float> report;
 };
 struct Purged {
-  bool wholeGroup = false;
+  bool whole_group = false;
   std::uint64_t object = 0;
   int group = 0;
   Ms ago = 0;
@@ -161,8 +161,8 @@
 // The share of new pulls that is let in, by offering; empty: all, as at start. Comes only while a fleet comes back from a loss
 // (src/recovery/).
 struct LetIn {
-  std::vector<double> byOffering;
-  Ms comeBack = 0;  // told to what is not
+  std::vector<double> by_offering;
+  Ms come_back = 0;  // told to what is not
 };
 using Event = std::variant<ListNews, PullCame, LegStarted, LegEnded, ClientLeft, WakeUp, ProbeEnded, Purged,
                            PeerSaid, ZoneShares, NoOlder, LetIn>;
@@ -170,12 +170,12 @@
 // ---- what is to be done
 struct SendLeg {
   std::uint32_t pull = 0, cache = 0, source = 0;       // source == cache: no fill
-  bool join = false, renew = false, heldOnly = false;  // heldOnly: the source fetches nothing itself
+  bool join = false, renew = false, held_only = false;  // heldOnly: the source fetches nothing itself
   int rank = 0;
   Ms oldest = 0;        // 0: as old as the offering allows
   Ms patience = 0;      // 0: till the client quits
   bool proven = false;  // only over a connection that has just shown that it carries
-  Ms notAfter = 0;      // from then on it might take effect a second time: not begun any more, it ends as moot; 0: no limit
+  Ms not_after = 0;      // from then on it might take effect a second time: not begun any more, it ends as moot; 0: no limit
 };
 struct CancelLeg {
   std::uint32_t pull = 0;
@@ -183,7 +183,7 @@
 };
 struct DeclinePull {
   std::uint32_t pull = 0;
-  Ms retryAfter = 0;
+  Ms retry_after = 0;
 };
 struct AbandonPull {
   std::uint32_t pull = 0;
@@ -213,7 +213,7 @@
   ~Router();
   Router(Router&&) noexcept;
   // The one entry point: what happened at `now` in, what is to be done out, in order.
-  std::vector<Action> handle(Ms now, const Event& event);
+  std::vector<Action> Handle(Ms now, const Event& event);
 
  private:
   struct Mind;
--- a/src/logic/memories.hpp
+++ b/src/logic/memories.hpp
@@ -5,62 +5,62 @@
 namespace dunlinwick::logic {
 
 struct Memories : Part {
-  static constexpr Ms countAgeing = 30 * second;  // long beside any idle window, short beside a fashion
-  static constexpr Ms longestOmega = 4 * countAgeing;
+  static constexpr Ms kCountAgeing = 30 * kSecond;  // long beside any idle window, short beside a fashion
+  static constexpr Ms kLongestOmega = 4 * kCountAgeing;
   const Purges& purges;
   std::vector<Ware> wares{};
   Remembered table{};
 
-  void start(const std::vector<Offering>& offerings) {
+  void Start(const std::vector<Offering>& offerings) {
     // A sending on the long side, which the first pulls seen replace; the design's few seconds for omega.
-    for (const Offering& o : offerings) wares.push_back({o, o.expiry / 16, 5 * second});
+    for (const Offering& o : offerings) wares.push_back({o, o.expiry / 16, 5 * kSecond});
   }
 
-  Memory* recall(std::uint64_t object, int part) {
-    constexpr std::size_t most = 1 << 16;  // some minutes of a busy front's different parts
-    std::uint64_t key = mixed(object) + static_cast<std::uint64_t>(part);
-    if (Memory* found = table.use(key, now)) return found;
+  Memory* Recall(std::uint64_t object, int part) {
+    constexpr std::size_t kMost = 1 << 16;  // some minutes of a busy front's different parts
+    std::uint64_t key = Mixed(object) + static_cast<std::uint64_t>(part);
+    if (Memory* found = table.Use(key, now)) return found;
     // Beyond the longest omega, and with its count aged away, it says nothing more.
-    auto old = [&](Ms usedAt) { return table.all.size() >= most || usedAt < now - longestOmega; };
-    while (table.loose() && old(table.all.front().usedAt)) table.dropOldest();
-    return table.add(key, now);
+    auto old = [&](Ms used_at) { return table.all.size() >= kMost || used_at < now - kLongestOmega; };
+    while (table.Loose() && old(table.all.front().used_at)) table.DropOldest();
+    return table.Add(key, now);
   }
 
   // A pull came: it is counted, and its sending known by its size, else taken to be the usual one.
-  void meet(Pull& p) {
+  void Meet(Pull& p) {
     Ware& w = *p.ware;
-    Memory& m = *(p.memory = recall(p.object, p.part));
+    Memory& m = *(p.memory = Recall(p.object, p.part));
     ++m.pins;
-    p.gap = m.lastPull > longAgo ? now - m.lastPull : 0;
-    m.count = m.count * (m.lastPull > longAgo ? std::exp(-p.gap / countAgeing) : 0) + 1;
-    m.lastPull = now, p.lastAt = m.lastAt, p.sending = w.meanSending;
-    if (p.sizeKb > 0 && f.streamKbPerMs > 0) {
-      p.sending = p.sizeKb / f.streamKbPerMs;
+    p.gap = m.last_pull > kLongAgo ? now - m.last_pull : 0;
+    m.count = m.count * (m.last_pull > kLongAgo ? std::exp(-p.gap / kCountAgeing) : 0) + 1;
+    m.last_pull = now, p.last_at = m.last_at, p.sending = w.mean_sending;
+    if (p.size_kb > 0 && f.stream_kb_per_ms > 0) {
+      p.sending = p.size_kb / f.stream_kb_per_ms;
       // An object's parts come in a row and are of one size: a hundred pulls tell of six objects, and a mean
       // that was low by half sent a cold cache twice its share. Harm: it follows a new mix in minutes.
-      constexpr int steady = 500;  // some thirty objects
-      w.sendingsSeen = std::min(w.sendingsSeen + 1, steady);
-      w.meanSending += (p.sending - w.meanSending) / w.sendingsSeen;
+      constexpr int kSteady = 500;  // some thirty objects
+      w.sendings_seen = std::min(w.sendings_seen + 1, kSteady);
+      w.mean_sending += (p.sending - w.mean_sending) / w.sendings_seen;
     }
-    p.rank = rankOf(p);
+    p.rank = RankOf(p);
   }
 
   // Omega settles where as many answers miss below it as hit above it: the gap below which most answers hit.
   // Departure: nothing is learnt from a cache that started lately, from purged objects, or from another cache
   // than the part's last; omega stays within the fresh time. Else a deploy's misses cut it at all fronts.
-  void learnOmega(const Pull& p, const Leg& leg, bool hit) const {
-    constexpr double step = 0.02;  // fifty answers move it by e: seconds of traffic, not single surprises
+  void LearnOmega(const Pull& p, const Leg& leg, bool hit) const {
+    constexpr double kStep = 0.02;  // fifty answers move it by e: seconds of traffic, not single surprises
     Ware& w = *p.ware;
-    if (leg.at != p.lastAt || p.gap <= 0 || purges.at(p) > longAgo) return;
-    if (leg.at->slow_start_from > 0 && now - leg.at->slow_start_from < f.coldStore.lasts + p.gap) return;
-    if (hit && p.gap > w.omega) w.omega *= 1 + step;
-    if (!hit && p.gap < w.omega) w.omega *= 1 - step;
-    Ms most = w.freshFor > 0 ? w.freshFor : longestOmega;
-    w.omega = std::clamp(w.omega, second / 2, most);
+    if (leg.at != p.last_at || p.gap <= 0 || purges.at(p) > kLongAgo) return;
+    if (leg.at->slow_start_from > 0 && now - leg.at->slow_start_from < f.cold_store.lasts + p.gap) return;
+    if (hit && p.gap > w.omega) w.omega *= 1 + kStep;
+    if (!hit && p.gap < w.omega) w.omega *= 1 - kStep;
+    Ms most = w.fresh_for > 0 ? w.fresh_for : kLongestOmega;
+    w.omega = std::clamp(w.omega, kSecond / 2, most);
   }
 
-  int rankOf(const Pull& p) const {
-    double lambda = ((p.memory->count - 1) * f.crew + 1) / countAgeing;  // this pull tells of no others
+  int RankOf(const Pull& p) const {
+    double lambda = ((p.memory->count - 1) * f.crew + 1) / kCountAgeing;  // this pull tells of no others
     double held = 1 - std::exp(-lambda * p.ware->omega);
     return held > 2.0 / 3 ? 3 : held > 1.0 / 3 ? 2 : 1;  // three ranks, even thirds of the held chance
   }
--- a/src/logic/roster.hpp
+++ b/src/logic/roster.hpp
@@ -7,47 +7,47 @@
 struct Roster : Part, Machines {
   Memories& memories;
   // Live weights change from list to list, and a home must not: they count as absent.
-  const bool weighed = f.weighing == Weighing::nominal || f.weighing == Weighing::rough;
+  const bool weighed = f.weighing == Weighing::kNominal || f.weighing == Weighing::kRough;
   Machine* origin = nullptr;
 
-  bool take(const ListNews& news) {
-    if (news.listing == Listing::failed)  // ask again soon: the old list stays, and ages
-      return act(WakeMe{now + second, wakeList << 56}), false;
-    if (f.asksForList && news.listing == Listing::remembered) act(FollowList{});
-    if (news.listing != Listing::changes)
-      for (auto& [id, m] : machines) m.standing = Standing::gone;  // one that a full list lacks has left
-    for (const ListEntry& e : news.entries) takeEntry(e);
-    std::erase_if(machines, [&](auto& one) { return left(one.second); });
-    regroup(), origin = nullptr;
+  bool Take(const ListNews& news) {
+    if (news.listing == Listing::kFailed)  // ask again soon: the old list stays, and ages
+      return Act(WakeMe{now + kSecond, kWakeList << 56}), false;
+    if (f.asks_for_list && news.listing == Listing::kRemembered) Act(FollowList{});
+    if (news.listing != Listing::kChanges)
+      for (auto& [id, m] : machines) m.standing = Standing::kGone;  // one that a full list lacks has left
+    for (const ListEntry& e : news.entries) TakeEntry(e);
+    std::erase_if(machines, [&](auto& one) { return Left(one.second); });
+    Regroup(), origin = nullptr;
     for (Machine* m : origins)
-      if (!origin || m->standing == Standing::ready) origin = m;
+      if (!origin || m->standing == Standing::kReady) origin = m;
     return true;
   }
 
   // Gone, and nothing sent in the last minute was answered there: it is forgotten, unless a pull still points
   // to it. Harm: one listed again later is as new to this front.
-  bool left(const Machine& m) {
-    if (m.standing != Standing::gone || now - m.lastGood < 60 * second || pulls.pointTo(&m)) return false;
-    return memories.table.unlink(&m), true;
+  bool Left(const Machine& m) {
+    if (m.standing != Standing::kGone || now - m.last_good < 60 * kSecond || pulls.PointTo(&m)) return false;
+    return memories.table.Unlink(&m), true;
   }
 
-  void takeEntry(const ListEntry& e) {
+  void TakeEntry(const ListEntry& e) {
     Machine& m = machines[e.cache];
     Ms before = m.slow_start_from;
     static_cast<ListEntry&>(m) = e;
-    m.slow_start_from = std::max(startOf(e), before);
+    m.slow_start_from = std::max(StartOf(e), before);
     if (!weighed || e.weight <= 0) m.weight = 1;
-    m.role = roleOf(e, f);
+    m.role = RoleOf(e, f);
     if (m.slow_start_from > before) {  // a new start: what was known of the old process is void
-      if (m.aside) act(TellHealth{m.cache, false});
-      m.strikes = 0, m.aside = m.trialOut = false, m.room = {};
+      if (m.aside) Act(TellHealth{m.cache, false});
+      m.strikes = 0, m.aside = m.trial_out = false, m.room = {};
     }
     // Weights absent: a cache is held to carry four transfers, a small machine's worth, a source ample;
     // answers correct both. Until they prove more, cold budgets go by the four.
-    constexpr double small = 4, ample = 200;
-    m.room.nominal = m.isCache() ? small : ample;
-    if (weighed && m.role != Role::origin) m.room.nominal = m.weight;
-    m.room.proven = std::max(m.room.proven, small);
+    constexpr double kSmall = 4, kAmple = 200;
+    m.room.nominal = m.IsCache() ? kSmall : kAmple;
+    if (weighed && m.role != Role::kOrigin) m.room.nominal = m.weight;
+    m.room.proven = std::max(m.room.proven, kSmall);
     if (m.room.fits <= 0) m.room.fits = m.room.nominal;
   }
 
@@ -55,34 +55,34 @@
   // at which nothing was missing here, but for the time that its listing takes. A stamp from before that, or ahead of the telling, is of
   // a clock that disagrees, and the start counts as when it was told. Guards against a slow start that is missed, or never ends, after
   // a step of either clock. Harm: one that took longer to be listed, or comes back after the board forgot it, is spared anew.
-  static Ms startOf(const ListEntry& e) {
-    constexpr Ms listingTakes = 5 * second;
-    if (!e.startedAt.IsSet()) return 0;
-    if (!e.notified) return e.startedAt.UnixMs();
-    Ms earliest = e.notified->up_to_date_at ? *e.notified->up_to_date_at - listingTakes : 0;
-    return OnOwnClock(e.startedAt, earliest, e.notified->at);
+  static Ms StartOf(const ListEntry& e) {
+    constexpr Ms kListingTakes = 5 * kSecond;
+    if (!e.started_at.IsSet()) return 0;
+    if (!e.notified) return e.started_at.UnixMs();
+    Ms earliest = e.notified->up_to_date_at ? *e.notified->up_to_date_at - kListingTakes : 0;
+    return OnOwnClock(e.started_at, earliest, e.notified->at);
   }
 
-  const ColdTerms* coldTerms(const Machine& m) const {
-    if (m.role == Role::origin || m.slow_start_from <= 0) return nullptr;
-    const ColdTerms& t = m.role == Role::parent ? f.coldParent : f.coldStore;
+  const ColdTerms* cold_terms(const Machine& m) const {
+    if (m.role == Role::kOrigin || m.slow_start_from <= 0) return nullptr;
+    const ColdTerms& t = m.role == Role::kParent ? f.cold_parent : f.cold_store;
     return now - m.slow_start_from < t.lasts ? &t : nullptr;
   }
 
-  double warmth(const Machine& m) const {
-    const ColdTerms* t = coldTerms(m);
+  double Warmth(const Machine& m) const {
+    const ColdTerms* t = cold_terms(m);
     return t ? t->from + (1 - t->from) * std::max(0.0, now - m.slow_start_from) / t->lasts : 1;
   }
 
   // Weighted rendezvous hash: every front comes to the same order. A cold machine's weight grows with its
   // warmth, so that its objects come home in step with what it can carry.
-  std::vector<Machine*> inOrder(const std::vector<Machine*>& from, std::uint64_t object) const {
+  std::vector<Machine*> InOrder(const std::vector<Machine*>& from, std::uint64_t object) const {
     std::vector<std::pair<double, Machine*>> scored;
     for (Machine* m : from) {
-      double u = inside(mixed(mixed(object) ^ mixed(m->cache)));  // ids differ, so parents order on their own
-      scored.emplace_back(-std::log(u) / (m->weight * warmth(*m)), m);
+      double u = Inside(Mixed(Mixed(object) ^ Mixed(m->cache)));  // ids differ, so parents order on their own
+      scored.emplace_back(-std::log(u) / (m->weight * Warmth(*m)), m);
     }
-    return sorted(std::move(scored));
+    return Sorted(std::move(scored));
   }
 };
 
--- a/src/logic/router.cpp
+++ b/src/logic/router.cpp
@@ -21,31 +21,31 @@
   logic::Legs legs{part, memories, load, choice, sources};
 
   Mind(const StoreSheet& s, std::uint64_t seed) : turn{.chance = std::knuth_b(seed)}, figures(s) {
-    memories.start(s.offerings);
+    memories.Start(s.offerings);
   }
 
-  void take(const ListNews& e) { roster.take(e) ? load.expectLink() : void(); }
-  void take(const PullCame& e) { legs.arrive(e); }
-  void take(const LegEnded& e) { legs.ended(e); }
-  void take(const ProbeEnded& e) { health.probed(e); }
-  void take(const Purged& e) { purges.take(e); }
-  void take(const ZoneShares& e) { choice.take(e); }
-  void take(const NoOlder& e) { purges.noOlder = e.than; }
+  void take(const ListNews& e) { roster.Take(e) ? load.ExpectLink() : void(); }
+  void take(const PullCame& e) { legs.Arrive(e); }
+  void take(const LegEnded& e) { legs.Ended(e); }
+  void take(const ProbeEnded& e) { health.Probed(e); }
+  void take(const Purged& e) { purges.Take(e); }
+  void take(const ZoneShares& e) { choice.Take(e); }
+  void take(const NoOlder& e) { purges.no_older = e.than; }
   void take(const LetIn& e) { choice.admitted = e; }
   void take(const PeerSaid&) {}  // fronts tell each other nothing this way
   void take(const LegStarted& e) {
-    logic::Pull* p = pulls.known(e.pull);  // the client owns that leg now: nothing binds it but its end
-    if (p && !p->ended) p->streaming = true, legs.callOff(*p, e.leg);
+    logic::Pull* p = pulls.Known(e.pull);  // the client owns that leg now: nothing binds it but its end
+    if (p && !p->ended) p->streaming = true, legs.CallOff(*p, e.leg);
   }
   void take(const ClientLeft& e) {
-    logic::Pull* p = pulls.known(e.pull);
-    if (p && !p->ended) legs.finish(*p);
-    if (p) pulls.forget(*p);
+    logic::Pull* p = pulls.Known(e.pull);
+    if (p && !p->ended) legs.Finish(*p);
+    if (p) pulls.Forget(*p);
   }
   void take(const WakeUp& e) {
-    if (e.handle >> 56 == logic::wakeList) turn.todo->push_back(FollowList{});
-    if (e.handle >> 56 == logic::wakeMachine) health.wake(e);
-    if (e.handle >> 56 == logic::wakePull) legs.wake(static_cast<std::uint32_t>(e.handle));
+    if (e.handle >> 56 == logic::kWakeList) turn.todo->push_back(FollowList{});
+    if (e.handle >> 56 == logic::kWakeMachine) health.Wake(e);
+    if (e.handle >> 56 == logic::kWakePull) legs.Wake(static_cast<std::uint32_t>(e.handle));
   }
 };
 
@@ -53,7 +53,7 @@
 Router::~Router() = default;
 Router::Router(Router&&) noexcept = default;
 
-std::vector<Action> Router::handle(Ms now, const Event& event) {
+std::vector<Action> Router::Handle(Ms now, const Event& event) {
   std::vector<Action> todo;
   mind_->turn.now = now, mind_->turn.todo = &todo;
   std::visit([&](const auto& e) { mind_->take(e); }, event);
--- a/src/logic_state/tables.hpp
+++ b/src/logic_state/tables.hpp
@@ -12,34 +12,34 @@
 
 namespace dunlinwick::logic {
 
-inline std::uint64_t mixed(std::uint64_t x) {  // splitmix64's finisher: the same at all fronts, whatever their seeds
+inline std::uint64_t Mixed(std::uint64_t x) {  // splitmix64's finisher: the same at all fronts, whatever their seeds
   x += 0x9e3779b97f4a7c15ull;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
   return x ^ (x >> 31);
 }
-inline double fraction(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1p-53; }  // from 0 to below 1
-inline double inside(std::uint64_t hash) { return (static_cast<double>(hash >> 11) + 0.5) * 0x1p-53; }  // above 0 too
+inline double Fraction(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1p-53; }  // from 0 to below 1
+inline double Inside(std::uint64_t hash) { return (static_cast<double>(hash >> 11) + 0.5) * 0x1p-53; }  // above 0 too
 
 // Pulls under way by their number: one goes when it has ended and its last leg is in.
 struct Pulls : std::map<std::uint32_t, Pull> {
-  Pull* known(std::uint32_t id) {
+  Pull* Known(std::uint32_t id) {
     auto at = find(id);
     return at == end() ? nullptr : &at->second;
   }
-  bool pointTo(const Machine* m) const {
-    return std::any_of(begin(), end(), [&](auto& one) { return one.second.pointsTo(m); });
+  bool PointTo(const Machine* m) const {
+    return std::any_of(begin(), end(), [&](auto& one) { return one.second.PointsTo(m); });
   }
   // How many legs are out there, or fed from there, of which `which` holds.
   template <class Which>
-  int legsOut(const Machine* m, Which which) const {
+  int LegsOut(const Machine* m, Which which) const {
     int sum = 0;
     for (auto& [id, p] : *this)
       for (const Leg& leg : p.legs) sum += leg.out && (leg.at == m || leg.source == m) && which(p, leg);
     return sum;
   }
-  void forget(Pull& p) {
-    if (!p.ended || p.legOut()) return;
+  void Forget(Pull& p) {
+    if (!p.ended || p.LegOut()) return;
     --p.memory->pins;
     erase(p.pull);
   }
@@ -50,24 +50,24 @@
   std::map<std::uint32_t, Machine> machines;
   std::vector<Machine*> stores, parents, origins;
   std::map<int, std::vector<Machine*>> away;  // other zones' caches
-  Machine* known(std::uint32_t id) {
+  Machine* Known(std::uint32_t id) {
     auto at = machines.find(id);
     return at == machines.end() ? nullptr : &at->second;
   }
-  void regroup() {
+  void Regroup() {
     stores.clear(), parents.clear(), origins.clear(), away.clear();
     for (auto& [id, m] : machines) {
-      if (m.standing == Standing::gone) continue;
-      if (m.role == Role::store) stores.push_back(&m);
-      if (m.role == Role::parent) parents.push_back(&m);
-      if (m.role == Role::origin) origins.push_back(&m);
-      if (m.role == Role::foreign) away[m.zone].push_back(&m);
+      if (m.standing == Standing::kGone) continue;
+      if (m.role == Role::kStore) stores.push_back(&m);
+      if (m.role == Role::kParent) parents.push_back(&m);
+      if (m.role == Role::kOrigin) origins.push_back(&m);
+      if (m.role == Role::kForeign) away[m.zone].push_back(&m);
     }
   }
 };
 
 // Machines by their scores, the least first; equals by their numbers.
-inline std::vector<Machine*> sorted(std::vector<std::pair<double, Machine*>> scored) {
+inline std::vector<Machine*> Sorted(std::vector<std::pair<double, Machine*>> scored) {
   std::sort(scored.begin(), scored.end(), [](auto& a, auto& b) {
     return a.first != b.first ? a.first < b.first : a.second->cache < b.second->cache;
   });
@@ -80,31 +80,31 @@
 struct Remembered {
   std::list<Memory> all;  // oldest first
   std::unordered_map<std::uint64_t, std::list<Memory>::iterator> at;
-  Memory* use(std::uint64_t key, Ms now) {
+  Memory* Use(std::uint64_t key, Ms now) {
     auto found = at.find(key);
     if (found == at.end()) return nullptr;
     all.splice(all.end(), all, found->second);
-    return found->second->usedAt = now, &*found->second;
+    return found->second->used_at = now, &*found->second;
   }
-  Memory* add(std::uint64_t key, Ms now) {
+  Memory* Add(std::uint64_t key, Ms now) {
     all.push_back({key, now});
     at[key] = std::prev(all.end());
     return &all.back();
   }
-  bool loose() const { return !all.empty() && all.front().pins == 0; }  // no pull points to the oldest
-  void unlink(const Machine* m) {
+  bool Loose() const { return !all.empty() && all.front().pins == 0; }  // no pull points to the oldest
+  void Unlink(const Machine* m) {
     for (Memory& x : all)
-      if (x.lastAt == m) x.lastAt = nullptr;
+      if (x.last_at == m) x.last_at = nullptr;
   }
-  void dropOldest() {
+  void DropOldest() {
     at.erase(all.front().key);
     all.pop_front();
   }
 };
 
-inline std::string lineOf(const char* what, const Machine& m) {
-  static const char* const roles[] = {"cache ", "parent ", "origin ", "machine "};
-  return roles[static_cast<int>(m.role)] + std::to_string(m.cache) + " " + what + ": strikes " +
+inline std::string LineOf(const char* what, const Machine& m) {
+  static const char* const kRoles[] = {"cache ", "parent ", "origin ", "machine "};
+  return kRoles[static_cast<int>(m.role)] + std::to_string(m.cache) + " " + what + ": strikes " +
          std::to_string(m.strikes) + ", legs " + std::to_string(std::lround(m.legs.out));
 }
 
--- a/src/logic_state/turn.hpp
+++ b/src/logic_state/turn.hpp
@@ -7,36 +7,36 @@
 
 namespace dunlinwick::logic {
 
-constexpr Ms second = 1000;
+constexpr Ms kSecond = 1000;
 
-enum Wake : std::uint64_t { wakePull = 1, wakeMachine = 2, wakeList = 3 };  // the upper byte of a WakeMe's handle
+enum Wake : std::uint64_t { kWakePull = 1, kWakeMachine = 2, kWakeList = 3 };  // the upper byte of a WakeMe's handle
 
 // The sheet as the parts use it; what they make of it they derive themselves, at start.
 struct Figures {
-  int zone, crew, fronts, places, parentKind, originKind, mostLegs, linkReport;
+  int zone, crew, fronts, places, parent_kind, origin_kind, most_legs, link_report;
   Permits may;
-  bool asksForList, lateral, remarks;
+  bool asks_for_list, lateral, remarks;
   Weighing weighing;
-  Ms retryLimit, purgeDone, coldWindow;
-  double streamKbPerMs, linkRoom;  // transfers that the link carries, 0: not told
-  ColdTerms coldStore, coldParent;
+  Ms retry_limit, purge_done, cold_window;
+  double stream_kb_per_ms, link_room;  // transfers that the link carries, 0: not told
+  ColdTerms cold_store, cold_parent;
   explicit Figures(const StoreSheet& s)
-      : zone(s.zone), crew(std::max(1, s.crew)), fronts(std::max(1, s.fronts)), places(s.places), parentKind(s.parentKind),
-        originKind(s.originKind), mostLegs(s.mostLegs), linkReport(s.linkReport), may(s.may), asksForList(s.asksForList),
-        lateral(s.lateral), remarks(s.remarks), weighing(s.weighing), retryLimit(s.longestRetryAfter),
-        purgeDone(s.purgeDone), coldWindow(s.coldWindow), streamKbPerMs(s.streamKbPerMs),
-        linkRoom(s.linkKbPerMs > 0 && s.streamKbPerMs > 0 ? s.linkKbPerMs / s.streamKbPerMs : 0),
-        coldStore(s.coldStore), coldParent(s.coldParent) {}
+      : zone(s.zone), crew(std::max(1, s.crew)), fronts(std::max(1, s.fronts)), places(s.places), parent_kind(s.parent_kind),
+        origin_kind(s.origin_kind), most_legs(s.most_legs), link_report(s.link_report), may(s.may), asks_for_list(s.asks_for_list),
+        lateral(s.lateral), remarks(s.remarks), weighing(s.weighing), retry_limit(s.longest_retry_after),
+        purge_done(s.purge_done), cold_window(s.cold_window), stream_kb_per_ms(s.stream_kb_per_ms),
+        link_room(s.link_kb_per_ms > 0 && s.stream_kb_per_ms > 0 ? s.link_kb_per_ms / s.stream_kb_per_ms : 0),
+        cold_store(s.cold_store), cold_parent(s.cold_parent) {}
 };
 
-inline Role roleOf(const ListEntry& e, const Figures& f) {
-  if (e.kind == f.originKind) return Role::origin;
-  if (e.kind == f.parentKind) return Role::parent;
-  return e.zone == f.zone ? Role::store : Role::foreign;
+inline Role RoleOf(const ListEntry& e, const Figures& f) {
+  if (e.kind == f.origin_kind) return Role::kOrigin;
+  if (e.kind == f.parent_kind) return Role::kParent;
+  return e.zone == f.zone ? Role::kStore : Role::kForeign;
 }
 
 // A value of an answer's report by its place; not a number where there is none.
-inline double reported(const std::vector<float>& report, int place) {
+inline double Reported(const std::vector<float>& report, int place) {
   bool there = place >= 0 && place < static_cast<int>(report.size());
   return there ? static_cast<double>(report[static_cast<std::size_t>(place)]) : std::nan("");
 }
@@ -53,8 +53,8 @@
   const Figures& f;
   Pulls& pulls;
   const Ms& now = turn.now;
-  void act(Action a) const { turn.todo->push_back(std::move(a)); }
-  double drawn(double from = 0, double to = 1) const {
+  void Act(Action a) const { turn.todo->push_back(std::move(a)); }
+  double Drawn(double from = 0, double to = 1) const {
     return std::uniform_real_distribution<>(from, to)(turn.chance);
   }
 };
--- a/src/loop/buffer.hpp
+++ b/src/loop/buffer.hpp
@@ -23,16 +23,16 @@
     if (store_.size() - to_ < n) store_.resize(to_ + n);
     return {store_.data() + to_, store_.size() - to_};
   }
-  void wrote(std::size_t n) { to_ += n; }
+  void Wrote(std::size_t n) { to_ += n; }
 
-  void consume(std::size_t n) {
+  void Consume(std::size_t n) {
     from_ += n;
     if (from_ < to_) return;
     from_ = to_ = 0;
-    constexpr std::size_t small = 1 << 14;  // one read; 256 of these are 4 MB of the 32 that go with them
-    if (store_.size() > small) std::vector<char>().swap(store_);
+    constexpr std::size_t kSmall = 1 << 14;  // one read; 256 of these are 4 MB of the 32 that go with them
+    if (store_.size() > kSmall) std::vector<char>().swap(store_);
   }
-  void release() { *this = Buffer(); }
+  void Release() { *this = Buffer(); }
 
  private:
   std::vector<char> store_;
--- a/src/loop/connection.cpp
+++ b/src/loop/connection.cpp
@@ -8,13 +8,13 @@
 
 namespace dunlinwick::loop {
 
-const char* word(Parting how) {
-  static const char* const words[] = {"refused", "never up",  "no descriptor", "closed",   "reset",
+const char* ToString(Parting how) {
+  static const char* const kWords[] = {"refused", "never up",  "no descriptor", "closed",   "reset",
                                       "silent",  "malformed", "stalled",       "replaced", "let go"};
-  return words[static_cast<int>(how)];
+  return kWords[static_cast<int>(how)];
 }
 
-std::optional<Address> readAddress(std::string_view text) {
+std::optional<Address> ReadAddress(std::string_view text) {
   std::size_t colon = text.rfind(':');
   if (colon == text.npos) return std::nullopt;
   std::string host(text.substr(0, colon));
@@ -56,109 +56,109 @@
 
 Connection::Connection(Loop& loop, Owner& owner, Descriptor accepted)
     : loop_(loop), owner_(owner), fd_(std::move(accepted)), up_(true) {
-  rewatch();
+  Rewatch();
 }
 
 Connection::Connection(Loop& loop, Owner& owner, const Address& to, Ms within) : loop_(loop), owner_(owner) {
-  fd_ = Descriptor(loop.ground(), loop.ground().openStream());
+  fd_ = Descriptor(loop.ground(), loop.ground().OpenStream());
   if (!fd_) {
-    endAs(Parting::noDescriptor);
+    EndAs(Parting::kNoDescriptor);
     return;
   }
-  limit_ = loop_.at(loop_.now() + within, [this] { finish(Parting::neverUp); });
-  int result = loop.ground().connect(fd_.get(), to);
+  limit_ = loop_.at(loop_.now() + within, [this] { Finish(Parting::kNeverUp); });
+  int result = loop.ground().Connect(fd_.Get(), to);
   if (result == 0) up_ = true;
-  else if (result == -ECONNREFUSED) endAs(Parting::refused);
-  else if (IsLocalShortage(-result)) endAs(Parting::noDescriptor);
+  else if (result == -ECONNREFUSED) EndAs(Parting::kRefused);
+  else if (IsLocalShortage(-result)) EndAs(Parting::kNoDescriptor);
   // Interrupted, it proceeds as one in progress does.
-  else if (result != -EINPROGRESS && result != -EINTR) endAs(Parting::neverUp);
-  if (up_) loop_.cancel(limit_);
-  rewatch();
+  else if (result != -EINPROGRESS && result != -EINTR) EndAs(Parting::kNeverUp);
+  if (up_) loop_.Cancel(limit_);
+  Rewatch();
 }
 
-Connection::~Connection() { close(); }
+Connection::~Connection() { Close(); }
 
-void Connection::close() {
-  loop_.cancel(limit_);
-  loop_.cancel(report_);
-  loop_.cancel(buffer_wait_timer_);
-  loop_.forget(fd_.get());
-  fd_.reset();
+void Connection::Close() {
+  loop_.Cancel(limit_);
+  loop_.Cancel(report_);
+  loop_.Cancel(buffer_wait_timer_);
+  loop_.Forget(fd_.Get());
+  fd_.Reset();
   over_ = true;
 }
 
-void Connection::endAs(Parting how) {
-  if (isOver()) return;
-  loop_.forget(fd_.get());
-  report_ = loop_.at(loop_.now(), [this, how] { finish(how); });
+void Connection::EndAs(Parting how) {
+  if (IsOver()) return;
+  loop_.Forget(fd_.Get());
+  report_ = loop_.at(loop_.now(), [this, how] { Finish(how); });
 }
 
-void Connection::finish(Parting how) {
+void Connection::Finish(Parting how) {
   if (over_) return;
-  close();
-  owner_.ended(how);
+  Close();
+  owner_.Ended(how);
 }
 
-void Connection::rewatch() {
-  if (isOver() || broken_ || buffer_wait_timer_ != 0) return;
+void Connection::Rewatch() {
+  if (IsOver() || broken_ || buffer_wait_timer_ != 0) return;
   // POLLRDHUP shows a peer that left while nothing is read from it.
   short events = POLLRDHUP;
   if (up_ && in.size() < most_) events |= POLLIN;
   if (!up_ || !out_.empty()) events |= POLLOUT;
-  loop_.watch(fd_.get(), *this, events, patient_ && out_.empty());
+  loop_.WatchDescriptor(fd_.Get(), *this, events, patient_ && out_.empty());
 }
 
-void Connection::bePatient(bool patient) {
+void Connection::BePatient(bool patient) {
   patient_ = patient;
-  rewatch();
+  Rewatch();
 }
 
-void Connection::readUpTo(std::size_t most) {
+void Connection::ReadUpTo(std::size_t most) {
   most_ = most;
-  rewatch();
+  Rewatch();
 }
 
-std::uint64_t Connection::send(std::string message, bool more) {
-  return enqueue({.bytes = std::move(message)}, more);
+std::uint64_t Connection::Send(std::string message, bool more) {
+  return Enqueue({.bytes = std::move(message)}, more);
 }
 
-std::uint64_t Connection::sendComposed(Composer compose) {
-  return enqueue({.bytes = {}, .compose = std::move(compose)}, false);
+std::uint64_t Connection::SendComposed(Composer compose) {
+  return Enqueue({.bytes = {}, .compose = std::move(compose)}, false);
 }
 
-std::uint64_t Connection::enqueue(Message message, bool more) {
+std::uint64_t Connection::Enqueue(Message message, bool more) {
   // Where messages wait already, the socket is full: what is sent now goes out after them.
   bool waits = !out_.empty() && !held_;
   message.mark = ++marks_;
   out_.push_back(std::move(message));
   held_ = more && !waits;
   if (held_) return marks_;
-  if (up_ && !isOver() && !waits) flush();
-  rewatch();
+  if (up_ && !IsOver() && !waits) Flush();
+  Rewatch();
   return marks_;
 }
 
-bool Connection::unsent(std::uint64_t mark) const {
+bool Connection::Unsent(std::uint64_t mark) const {
   // Marks only grow, so all from the first waiting one on are unsent.
   return !out_.empty() && mark >= out_.front().mark;
 }
 
-bool Connection::takeBack(std::uint64_t mark) {
+bool Connection::TakeBack(std::uint64_t mark) {
   for (auto at = out_.begin(); at != out_.end(); ++at)
-    if (at->mark == mark && (at != out_.begin() || outDone_ == 0)) {
+    if (at->mark == mark && (at != out_.begin() || out_done_ == 0)) {
       out_.erase(at);
       return true;
     }
   return false;
 }
 
-void Connection::sayNoMore() {
-  if (!over_ && !shut_) loop_.ground().sayNoMore(fd_.get());
+void Connection::SayNoMore() {
+  if (!over_ && !shut_) loop_.ground().SayNoMore(fd_.Get());
   shut_ = true;
 }
 
 // False: the first message has no bytes, and is not to be written.
-bool Connection::composeFirst() {
+bool Connection::ComposeFirst() {
   Message& first = out_.front();
   if (!first.compose) return true;
   std::optional<std::string> bytes = first.compose();
@@ -166,9 +166,9 @@
   return bytes.has_value();
 }
 
-void Connection::flush() {
-  while (!isOver() && !broken_ && !out_.empty()) {
-    if (!composeFirst()) {
+void Connection::Flush() {
+  while (!IsOver() && !broken_ && !out_.empty()) {
+    if (!ComposeFirst()) {
       out_.pop_front();
       continue;
     }
@@ -176,19 +176,19 @@
     int count = 0;
     for (Message& m : out_) {
       if (m.compose && count > 0) break;  // its own moment is when everything before it is written
-      std::size_t skip = count == 0 ? outDone_ : 0;
+      std::size_t skip = count == 0 ? out_done_ : 0;
       parts[count++] = {m.bytes.data() + skip, m.bytes.size() - skip};
       if (count == 16) break;
     }
-    ssize_t put = loop_.ground().send(fd_.get(), {parts, static_cast<std::size_t>(count)});
+    ssize_t put = loop_.ground().Send(fd_.Get(), {parts, static_cast<std::size_t>(count)});
     if (put == -EINTR) continue;
     if (put == -EAGAIN || put == -EWOULDBLOCK) return;
     if (IsOutOfBuffers(put)) return WaitForBuffers();
-    if (put < 0) return lastWords();
-    outDone_ += static_cast<std::size_t>(put);
+    if (put < 0) return LastWords();
+    out_done_ += static_cast<std::size_t>(put);
     if (put > 0) out_.front().compose = nullptr;
-    while (!out_.empty() && !out_.front().compose && outDone_ >= out_.front().bytes.size()) {
-      outDone_ -= out_.front().bytes.size();
+    while (!out_.empty() && !out_.front().compose && out_done_ >= out_.front().bytes.size()) {
+      out_done_ -= out_.front().bytes.size();
       out_.pop_front();
     }
   }
@@ -196,74 +196,74 @@
 
 // Nothing can be written any more, but what the other side said before it broke off still lies in the system's buffers: it is
 // read in the next turn, then the end is reported. Harm without: an answer that had come counts as lost.
-void Connection::lastWords() {
+void Connection::LastWords() {
   broken_ = true;
-  peerDone_ = true;
-  loop_.forget(fd_.get());
+  peer_done_ = true;
+  loop_.Forget(fd_.Get());
   limit_ = loop_.at(loop_.now(), [this] {
-    constexpr int most = 64;  // reads: 1 MB, beyond any answer
-    for (int i = 0; i < most && !isOver() && in.size() < most_; ++i) {
+    constexpr int kMost = 64;  // reads: 1 MB, beyond any answer
+    for (int i = 0; i < kMost && !IsOver() && in.size() < most_; ++i) {
       std::span<char> room = in.room(1 << 14);
-      ssize_t got = loop_.ground().receive(fd_.get(), room);
+      ssize_t got = loop_.ground().receive(fd_.Get(), room);
       if (got == -EINTR) continue;
       if (got <= 0) break;
-      in.wrote(static_cast<std::size_t>(got));
-      owner_.came();
+      in.Wrote(static_cast<std::size_t>(got));
+      owner_.Came();
     }
-    if (!isOver()) finish(Parting::reset);
+    if (!IsOver()) Finish(Parting::kReset);
   });
 }
 
-void Connection::fetch() {
+void Connection::Fetch() {
   // One read a turn, so that a fast sender does not hold up the others.
-  constexpr std::size_t chunk = 1 << 14;
-  std::span<char> room = in.room(chunk);
-  ssize_t got = loop_.ground().receive(fd_.get(), room);
+  constexpr std::size_t kChunk = 1 << 14;
+  std::span<char> room = in.room(kChunk);
+  ssize_t got = loop_.ground().receive(fd_.Get(), room);
   if (got > 0) {
-    in.wrote(static_cast<std::size_t>(got));
-    owner_.came();
-    rewatch();
+    in.Wrote(static_cast<std::size_t>(got));
+    owner_.Came();
+    Rewatch();
   } else if (got == 0) {
-    finish(Parting::closed);
+    Finish(Parting::kClosed);
   } else if (IsOutOfBuffers(got)) {
     WaitForBuffers();
   } else if (got != -EAGAIN && got != -EWOULDBLOCK && got != -EINTR) {
-    finish(Parting::reset);
+    Finish(Parting::kReset);
   }
 }
 
 void Connection::WaitForBuffers() {
   // Short beside any deadline, long beside a turn of the loop.
   constexpr Ms kWait = 5;
-  if (isOver() || buffer_wait_timer_ != 0) return;
-  loop_.forget(fd_.get());
+  if (IsOver() || buffer_wait_timer_ != 0) return;
+  loop_.Forget(fd_.Get());
   buffer_wait_timer_ = loop_.at(loop_.now() + kWait, [this] {
     buffer_wait_timer_ = 0;
-    rewatch();
+    Rewatch();
   });
 }
 
-void Connection::ready(short events) {
+void Connection::Ready(short events) {
   if (!up_) {
-    int fault = loop_.ground().fault(fd_.get());
-    if (fault == ECONNREFUSED) return finish(Parting::refused);
-    if (fault != 0 || (events & (POLLERR | POLLHUP))) return finish(Parting::neverUp);
+    int fault = loop_.ground().Fault(fd_.Get());
+    if (fault == ECONNREFUSED) return Finish(Parting::kRefused);
+    if (fault != 0 || (events & (POLLERR | POLLHUP))) return Finish(Parting::kNeverUp);
     if (!(events & POLLOUT)) return;
     up_ = true;
-    loop_.cancel(limit_);
-    flush();
-    if (!isOver() && out_.empty()) owner_.drained();
-    return rewatch();
+    loop_.Cancel(limit_);
+    Flush();
+    if (!IsOver() && out_.empty()) owner_.Drained();
+    return Rewatch();
   }
-  peerDone_ |= (events & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  peer_done_ |= (events & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   // Answers that came before a break are read first.
-  if ((events & POLLIN) && in.size() < most_) fetch();
-  else if (events & (POLLERR | POLLHUP)) return finish(Parting::reset);
-  else if (events & POLLRDHUP) return finish(Parting::closed);
-  if (isOver() || broken_ || !(events & POLLOUT) || out_.empty()) return;
-  flush();
-  if (!isOver() && out_.empty()) owner_.drained();
-  rewatch();
+  if ((events & POLLIN) && in.size() < most_) Fetch();
+  else if (events & (POLLERR | POLLHUP)) return Finish(Parting::kReset);
+  else if (events & POLLRDHUP) return Finish(Parting::kClosed);
+  if (IsOver() || broken_ || !(events & POLLOUT) || out_.empty()) return;
+  Flush();
+  if (!IsOver() && out_.empty()) owner_.Drained();
+  Rewatch();
 }
 
 }  // namespace dunlinwick::loop
--- a/src/loop/connection.hpp
+++ b/src/loop/connection.hpp
@@ -13,28 +13,28 @@
 
 // Every way in which a connection can end.
 enum class Parting {
-  refused,       // the other side said no
-  neverUp,       // not up within the limit
-  noDescriptor,  // this machine has no descriptor, port, buffer or route for it: nothing is known of the other side
-  closed,        // the other side closed it
-  reset,         // it broke
-  silent,        // nothing came for too long
-  malformed,     // what came can't be read
-  stalled,       // what came stopped short
-  replaced,      // another process is listed in the other side's place
-  letGo          // closed from here, with nothing open on it
+  kRefused,       // the other side said no
+  kNeverUp,       // not up within the limit
+  kNoDescriptor,  // this machine has no descriptor, port, buffer or route for it: nothing is known of the other side
+  kClosed,        // the other side closed it
+  kReset,         // it broke
+  kSilent,        // nothing came for too long
+  kMalformed,     // what came can't be read
+  kStalled,       // what came stopped short
+  kReplaced,      // another process is listed in the other side's place
+  kLetGo          // closed from here, with nothing open on it
 };
-const char* word(Parting how);
+const char* ToString(Parting how);
 
-std::optional<Address> readAddress(std::string_view text);  // 127.0.0.1:5050
+std::optional<Address> ReadAddress(std::string_view text);  // 127.0.0.1:5050
 
 class Connection final : Handler {
  public:
   class Owner {
    public:
-    virtual void came() = 0;              // there are bytes in the buffer
-    virtual void drained() {}             // all messages are out
-    virtual void ended(Parting how) = 0;  // once; never called out of a call of the owner's
+    virtual void Came() = 0;              // there are bytes in the buffer
+    virtual void Drained() {}             // all messages are out
+    virtual void Ended(Parting how) = 0;  // once; never called out of a call of the owner's
 
    protected:
     ~Owner() = default;
@@ -50,21 +50,21 @@
 
   Buffer in;
   // Returns its mark. `more`: another follows at once, and both go out together.
-  std::uint64_t send(std::string message, bool more = false);
+  std::uint64_t Send(std::string message, bool more = false);
   /// Sends what `compose` gives once everything before it is written, which may be within this call. Returns its mark.
-  std::uint64_t sendComposed(Composer compose);
-  bool unsent(std::uint64_t mark) const;  // not written whole
-  bool takeBack(std::uint64_t mark);      // drops a message of which nothing was written
-  bool drainedOut() const { return out_.empty(); }
-  bool isOver() const { return over_ || report_ != 0; }  // or about to be reported so
+  std::uint64_t SendComposed(Composer compose);
+  bool Unsent(std::uint64_t mark) const;  // not written whole
+  bool TakeBack(std::uint64_t mark);      // drops a message of which nothing was written
+  bool DrainedOut() const { return out_.empty(); }
+  bool IsOver() const { return over_ || report_ != 0; }  // or about to be reported so
   // The other side has closed or broken it. Known before came() hands on the bytes that were read in the same moment: they may be
   // the last words of somebody who has left.
-  bool peerDone() const { return peerDone_; }
-  void readUpTo(std::size_t most);                       // reads no more while the buffer holds that much
-  void bePatient(bool patient);                          // nothing but its end is waited for
-  void endAs(Parting how);                               // reports it to the owner in the next turn
-  void sayNoMore();                                      // shuts the way out; reading goes on
-  void close();                                          // without a report
+  bool PeerDone() const { return peer_done_; }
+  void ReadUpTo(std::size_t most);                       // reads no more while the buffer holds that much
+  void BePatient(bool patient);                          // nothing but its end is waited for
+  void EndAs(Parting how);                               // reports it to the owner in the next turn
+  void SayNoMore();                                      // shuts the way out; reading goes on
+  void Close();                                          // without a report
 
  private:
   struct Message {
@@ -72,14 +72,14 @@
     std::uint64_t mark = 0;
     Composer compose = nullptr;  // until the first byte is written; none where the bytes were known when it was sent
   };
-  void ready(short events) override;
-  void finish(Parting how);
-  void fetch();
-  std::uint64_t enqueue(Message message, bool more);
-  bool composeFirst();
-  void flush();
-  void lastWords();
-  void rewatch();
+  void Ready(short events) override;
+  void Finish(Parting how);
+  void Fetch();
+  std::uint64_t Enqueue(Message message, bool more);
+  bool ComposeFirst();
+  void Flush();
+  void LastWords();
+  void Rewatch();
   /// Watches nothing for a moment: this machine is out of buffers for this connection, so that polling on would spin.
   void WaitForBuffers();
 
@@ -87,10 +87,10 @@
   Owner& owner_;
   Descriptor fd_;
   bool up_ = false, over_ = false, shut_ = false, patient_ = false, held_ = false;
-  bool peerDone_ = false, broken_ = false;
+  bool peer_done_ = false, broken_ = false;
   std::size_t most_ = 1 << 16;
   std::deque<Message> out_;  // emptied as the other side takes it
-  std::size_t outDone_ = 0;  // bytes of the first message that are written
+  std::size_t out_done_ = 0;  // bytes of the first message that are written
   std::uint64_t marks_ = 0;
   std::uint64_t limit_ = 0, report_ = 0;  // timers
   std::uint64_t buffer_wait_timer_ = 0;   // 0: not waiting for buffers
--- a/src/loop/datagram_reader.cpp
+++ b/src/loop/datagram_reader.cpp
@@ -19,19 +19,19 @@
 }
 
 DatagramReader::~DatagramReader() {
-  loop_.cancel(wait_timer_);
-  loop_.forget(socket_);
+  loop_.Cancel(wait_timer_);
+  loop_.Forget(socket_);
 }
 
-void DatagramReader::Watch() { loop_.watch(socket_, *this, POLLIN); }
+void DatagramReader::Watch() { loop_.WatchDescriptor(socket_, *this, POLLIN); }
 
-void DatagramReader::ready(short) {
+void DatagramReader::Ready(short) {
   // So many that a burst is read, so few that the other sockets have their turn.
   constexpr int kMostInTurn = 64;
   std::vector<char> buffer(longest_);
   for (int i = 0; i < kMostInTurn; ++i) {
     Address from{};
-    ssize_t size = loop_.ground().receiveFrom(socket_, buffer, from);
+    ssize_t size = loop_.ground().ReceiveFrom(socket_, buffer, from);
     if (size == -ENOBUFS || size == -ENOMEM) {
       WaitForBuffers();
       break;
@@ -46,7 +46,7 @@
 void DatagramReader::WaitForBuffers() {
   // Short beside any heartbeat, long beside a turn of the loop.
   constexpr Ms kWait = 5;
-  loop_.forget(socket_);
+  loop_.Forget(socket_);
   wait_timer_ = loop_.at(loop_.now() + kWait, [this] { Watch(); });
 }
 
--- a/src/loop/datagram_reader.hpp
+++ b/src/loop/datagram_reader.hpp
@@ -21,7 +21,7 @@
   DatagramReader& operator=(const DatagramReader&) = delete;
 
  private:
-  void ready(short events) override;
+  void Ready(short events) override;
   void Watch();
   /// Watches nothing for a moment: this machine is out of buffers, so that polling on would spin.
   void WaitForBuffers();
--- a/src/loop/ground.hpp
+++ b/src/loop/ground.hpp
@@ -20,34 +20,34 @@
  public:
   virtual Ms now() = 0;  // Unix time in milliseconds as at the start; it never goes back
   // As poll(2); waits no longer than `ms`. A staged ground does not wait: it notes what was asked for.
-  virtual int wait(std::span<pollfd> watched, int ms) = 0;
-  virtual int openStream() = 0;
-  virtual int connect(int fd, const Address& to) = 0;  // -EINPROGRESS: writable once it is up or failed
-  virtual int fault(int fd) = 0;                       // why it failed (SO_ERROR), 0 if it did not
-  virtual int listen(const Address& at) = 0;
-  virtual int accept(int fd) = 0;
+  virtual int Wait(std::span<pollfd> watched, int ms) = 0;
+  virtual int OpenStream() = 0;
+  virtual int Connect(int fd, const Address& to) = 0;  // -EINPROGRESS: writable once it is up or failed
+  virtual int Fault(int fd) = 0;                       // why it failed (SO_ERROR), 0 if it did not
+  virtual int Listen(const Address& at) = 0;
+  virtual int Accept(int fd) = 0;
   virtual ssize_t receive(int fd, std::span<char> into) = 0;  // 0: the other side says no more
-  virtual ssize_t send(int fd, std::span<const iovec> parts) = 0;
-  virtual void sayNoMore(int fd) = 0;
-  virtual void close(int fd) = 0;
-  virtual void abort(int fd) = 0;  // close, with a reset to the other side
+  virtual ssize_t Send(int fd, std::span<const iovec> parts) = 0;
+  virtual void SayNoMore(int fd) = 0;
+  virtual void Close(int fd) = 0;
+  virtual void Abort(int fd) = 0;  // close, with a reset to the other side
   // Datagrams come whole or never, perhaps late, twice or out of order. `at` port 0: any.
-  virtual int openDatagrams(const Address& at) = 0;
-  virtual ssize_t sendTo(int fd, std::span<const char> bytes, const Address& to) = 0;
-  virtual ssize_t receiveFrom(int fd, std::span<char> into, Address& from) = 0;
-  virtual std::size_t descriptorLimit() = 0;  // that a process may hold
+  virtual int OpenDatagrams(const Address& at) = 0;
+  virtual ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) = 0;
+  virtual ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) = 0;
+  virtual std::size_t DescriptorLimit() = 0;  // that a process may hold
 
  protected:
   ~Ground() = default;
 };
 
-Ground& system();  // the machine's own
+Ground& MakeSystem();  // the machine's own
 
 // Owns a descriptor of a ground.
 class Descriptor {
  public:
   Descriptor() = default;
-  explicit Descriptor(int fd) : Descriptor(system(), fd) {}
+  explicit Descriptor(int fd) : Descriptor(MakeSystem(), fd) {}
   Descriptor(Ground& ground, int fd) : ground_(&ground), fd_(fd) {}
   Descriptor(Descriptor&& other) noexcept : ground_(other.ground_), fd_(std::exchange(other.fd_, -1)) {}
   Descriptor& operator=(Descriptor&& other) noexcept {
@@ -55,15 +55,15 @@
     std::swap(fd_, other.fd_);
     return *this;
   }
-  ~Descriptor() { reset(); }
-  int get() const { return fd_; }
+  ~Descriptor() { Reset(); }
+  int Get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
-  void reset() {
-    if (fd_ >= 0) ground_->close(std::exchange(fd_, -1));
+  void Reset() {
+    if (fd_ >= 0) ground_->Close(std::exchange(fd_, -1));
   }
-  int release() { return std::exchange(fd_, -1); }  // the caller's from here on
-  void abort() {
-    if (fd_ >= 0) ground_->abort(std::exchange(fd_, -1));
+  int Release() { return std::exchange(fd_, -1); }  // the caller's from here on
+  void Abort() {
+    if (fd_ >= 0) ground_->Abort(std::exchange(fd_, -1));
   }
 
  private:
--- a/src/loop/listener.cpp
+++ b/src/loop/listener.cpp
@@ -14,37 +14,37 @@
 
 Listener::Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> taken)
     : loop_(loop), taken_(std::move(taken)) {
-  int fd = loop.ground().listen(at);
+  int fd = loop.ground().Listen(at);
   if (fd < 0) throw std::system_error(-fd, std::generic_category(), "cannot listen");
   fd_ = Descriptor(loop.ground(), fd);
-  resume();
+  Resume();
 }
 
-void Listener::pause() {
+void Listener::Pause() {
   paused_ = true;
-  loop_.forget(fd_.get());
+  loop_.Forget(fd_.Get());
 }
 
-void Listener::resume() {
+void Listener::Resume() {
   paused_ = false;
-  if (fd_) loop_.watch(fd_.get(), *this, POLLIN);
+  if (fd_) loop_.WatchDescriptor(fd_.Get(), *this, POLLIN);
 }
 
-bool Listener::drain() {
-  unsigned long before = shortOfDescriptors;
-  while (fd_ && acceptOne()) {
+bool Listener::Drain() {
+  unsigned long before = short_of_descriptors;
+  while (fd_ && AcceptOne()) {
   }
-  return shortOfDescriptors == before;
+  return short_of_descriptors == before;
 }
 
-void Listener::close() {
-  loop_.cancel(again_);
-  loop_.forget(fd_.get());
-  fd_.reset();
+void Listener::Close() {
+  loop_.Cancel(again_);
+  loop_.Forget(fd_.Get());
+  fd_.Reset();
 }
 
-bool Listener::acceptOne() {
-  int fd = loop_.ground().accept(fd_.get());
+bool Listener::AcceptOne() {
+  int fd = loop_.ground().Accept(fd_.Get());
   if (fd >= 0) {
     failed_in_row_ = 0;
     taken_(Descriptor(loop_.ground(), fd));
@@ -52,7 +52,7 @@
   }
   if (fd == -EAGAIN || fd == -EWOULDBLOCK) return false;
   if (IsShortage(-fd)) {
-    ++shortOfDescriptors;
+    ++short_of_descriptors;
     Rest();
     return false;
   }
@@ -66,16 +66,16 @@
 
 void Listener::Rest() {
   // A moment later a descriptor may be free.
-  constexpr Ms moment = 50;
-  loop_.forget(fd_.get());
-  loop_.cancel(again_);
-  again_ = loop_.at(loop_.now() + moment, [this] {
-    if (!paused_) resume();
+  constexpr Ms kMoment = 50;
+  loop_.Forget(fd_.Get());
+  loop_.Cancel(again_);
+  again_ = loop_.at(loop_.now() + kMoment, [this] {
+    if (!paused_) Resume();
   });
 }
 
-void Listener::ready(short) {
-  while (fd_ && !paused_ && acceptOne()) {
+void Listener::Ready(short) {
+  while (fd_ && !paused_ && AcceptOne()) {
   }
 }
 
--- a/src/loop/system.cpp
+++ b/src/loop/system.cpp
@@ -14,85 +14,85 @@
 namespace {
 
 template <class Clock>
-Ms ms() {
+Ms MakeMs() {
   return std::chrono::duration<double, std::milli>(Clock::now().time_since_epoch()).count();
 }
 
 template <class T>
-T orError(T result) {
+T OrError(T result) {
   return result < 0 ? static_cast<T>(-errno) : result;
 }
 
-void sendAtOnce(int fd) {
+void SendAtOnce(int fd) {
   int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-const sockaddr* plain(const Address& at) { return reinterpret_cast<const sockaddr*>(&at); }
+const sockaddr* Plain(const Address& at) { return reinterpret_cast<const sockaddr*>(&at); }
 
 class System final : public Ground {
  public:
-  Ms now() override { return ms<std::chrono::steady_clock>() + offset_; }
-  int wait(std::span<pollfd> watched, int ms) override {
-    return orError(::poll(watched.data(), watched.size(), ms));
+  Ms now() override { return MakeMs<std::chrono::steady_clock>() + offset_; }
+  int Wait(std::span<pollfd> watched, int ms) override {
+    return OrError(::poll(watched.data(), watched.size(), ms));
   }
-  int openStream() override {
-    int fd = orError(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    if (fd >= 0) sendAtOnce(fd);
+  int OpenStream() override {
+    int fd = OrError(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    if (fd >= 0) SendAtOnce(fd);
     return fd;
   }
-  int connect(int fd, const Address& to) override { return orError(::connect(fd, plain(to), sizeof to)); }
-  int fault(int fd) override {
+  int Connect(int fd, const Address& to) override { return OrError(::connect(fd, Plain(to), sizeof to)); }
+  int Fault(int fd) override {
     int fault = 0;
     socklen_t size = sizeof fault;
     ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &fault, &size);
     return fault;
   }
-  int listen(const Address& at) override {
-    Descriptor fd(*this, orError(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
+  int Listen(const Address& at) override {
+    Descriptor fd(*this, OrError(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
     int on = 1;
-    if (!fd) return fd.get();
-    if (::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-        ::bind(fd.get(), plain(at), sizeof at) != 0 || ::listen(fd.get(), SOMAXCONN) != 0)
+    if (!fd) return fd.Get();
+    if (::setsockopt(fd.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
+        ::bind(fd.Get(), Plain(at), sizeof at) != 0 || ::listen(fd.Get(), SOMAXCONN) != 0)
       return -errno;
-    return fd.release();
+    return fd.Release();
   }
-  int accept(int fd) override {
-    int got = orError(::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (got >= 0) sendAtOnce(got);
+  int Accept(int fd) override {
+    int got = OrError(::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (got >= 0) SendAtOnce(got);
     return got;
   }
   ssize_t receive(int fd, std::span<char> into) override {
-    return orError(::recv(fd, into.data(), into.size(), 0));
+    return OrError(::recv(fd, into.data(), into.size(), 0));
   }
-  ssize_t send(int fd, std::span<const iovec> parts) override {
+  ssize_t Send(int fd, std::span<const iovec> parts) override {
     msghdr head{};
     head.msg_iov = const_cast<iovec*>(parts.data());
     head.msg_iovlen = parts.size();
-    return orError(::sendmsg(fd, &head, MSG_NOSIGNAL));
+    return OrError(::sendmsg(fd, &head, MSG_NOSIGNAL));
   }
-  void sayNoMore(int fd) override { ::shutdown(fd, SHUT_WR); }
-  void close(int fd) override { ::close(fd); }
-  void abort(int fd) override {
+  void SayNoMore(int fd) override { ::shutdown(fd, SHUT_WR); }
+  void Close(int fd) override { ::close(fd); }
+  void Abort(int fd) override {
     linger now{1, 0};
     ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     ::close(fd);
   }
-  int openDatagrams(const Address& at) override {
-    Descriptor fd(*this, orError(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
-    if (!fd) return fd.get();
-    if (::bind(fd.get(), plain(at), sizeof at) != 0) return -errno;
-    return fd.release();
+  int OpenDatagrams(const Address& at) override {
+    Descriptor fd(*this, OrError(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
+    if (!fd) return fd.Get();
+    if (::bind(fd.Get(), Plain(at), sizeof at) != 0) return -errno;
+    return fd.Release();
   }
-  ssize_t sendTo(int fd, std::span<const char> bytes, const Address& to) override {
-    return orError(::sendto(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL, plain(to), sizeof to));
+  ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) override {
+    return OrError(::sendto(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL, Plain(to), sizeof to));
   }
-  ssize_t receiveFrom(int fd, std::span<char> into, Address& from) override {
+  ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) override {
     socklen_t size = sizeof from;
-    return orError(
+    return OrError(
         ::recvfrom(fd, into.data(), into.size(), 0, reinterpret_cast<sockaddr*>(&from), &size));
   }
-  std::size_t descriptorLimit() override {
+  std::size_t DescriptorLimit() override {
     rlimit limit{};
     if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY)
       return std::numeric_limits<std::size_t>::max();
@@ -100,12 +100,12 @@
   }
 
  private:
-  Ms offset_ = ms<std::chrono::system_clock>() - ms<std::chrono::steady_clock>();
+  Ms offset_ = MakeMs<std::chrono::system_clock>() - MakeMs<std::chrono::steady_clock>();
 };
 
 }  // namespace
 
-Ground& system() {
+Ground& MakeSystem() {
   static System one;
   return one;
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -27,12 +27,12 @@
       std::puts("dunlinwick " DUNLINWICK_VERSION);
       return 0;
     }
-    if (*serve) return front::serve(file, listen);
-    front::Charter charter = front::readCharter(file, listen);
+    if (*serve) return front::Serve(file, listen);
+    front::Charter charter = front::ReadCharter(file, listen);
     std::printf("%s: zone %s, %zu offerings, %d fronts, %zu events known\n", charter.name.c_str(),
                 charter.terms.zones.at(static_cast<std::size_t>(charter.sheet.zone)).c_str(),
                 charter.sheet.offerings.size(), charter.sheet.fronts,
-                charter.known.find("notices") ? charter.known.find("notices")->items.size() : 0);
+                charter.known.Find("notices") ? charter.known.Find("notices")->items.size() : 0);
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "dunlinwick: %s\n", fault.what());
     return 1;
--- a/src/members/swim.hpp
+++ b/src/members/swim.hpp
@@ -29,13 +29,13 @@
 using Ms = double;
 using Id = std::uint32_t;  // a front's number in the fleet, as configured
 
-enum class State : std::uint8_t { alive, suspect, dead };
-const char* word(State state);
+enum class State : std::uint8_t { kAlive, kSuspect, kDead };
+const char* ToString(State state);
 
 struct News {
   Id who = 0;
   std::uint32_t incarnation = 0;
-  State state = State::alive;
+  State state = State::kAlive;
   Id by = 0;  // who suspected or declared, for Lifeguard's independent confirmations
 };
 
@@ -47,11 +47,11 @@
   std::uint64_t bits = 0;
 };
 
-enum class Kind : std::uint8_t { ping, ack, askPing, nack };
-const char* word(Kind kind);
+enum class Kind : std::uint8_t { kPing, kAck, kAskPing, kNack };
+const char* ToString(Kind kind);
 
 struct Message {
-  Kind kind = Kind::ping;
+  Kind kind = Kind::kPing;
   Id from = 0, to = 0;
   std::uint32_t seq = 0;
   Id target = 0;  // askPing, and the ack or nack that answers it: whom to probe
@@ -62,9 +62,9 @@
 struct Terms {
   // One probe a period (SWIM's T'); a direct answer is awaited `probeTimeout`, the indirect ones until the end
   // of the period. Both are multiplied by the local health (Lifeguard), up to (healthMost + 1) times.
-  Ms period = 500, probeTimeout = 150;
+  Ms period = 500, probe_timeout = 150;
   int indirect = 3;  // SWIM's k, and what is added to it for each step of a bad local health, up to indirectMost
-  int indirectMost = 8;
+  int indirect_most = 8;
   // A probe that has no answer after a third and two thirds of its timeout is sent again, and so is a relayed one:
   // a lost datagram is not a lost member. Guards against heavy loss, under which one ping in two stays without its
   // answer; where nothing is lost it costs nothing.
@@ -74,12 +74,12 @@
   // Lifeguard's suspicion timeout: from alpha * log10(n) periods (at least alpha), shrinking from beta times that
   // to it as `confirmations` independent suspicions come in. The paper's figures: alpha 5, beta 6, K 3, S 8.
   double alpha = 5, beta = 6;
-  int confirmations = 3, healthMost = 8;
+  int confirmations = 3, health_most = 8;
   int retransmit = 4;  // each piece of news is sent retransmit * ceil(log10(n + 1)) times (SWIM's lambda)
   // So many that the news of a hundred deaths at once is through in seconds, and a message is under 600 bytes; where there is
   // less news, messages are as short as it is. With eight, a third of 300 members took 47 s to be left.
-  std::size_t newsPerMessage = 32, notesPerMessage = 8;
-  Ms noteRefresh = 5000;  // a note is published again this often, so that members who come late hear it
+  std::size_t news_per_message = 32, notes_per_message = 8;
+  Ms note_refresh = 5000;  // a note is published again this often, so that members who come late hear it
   // A member taken for dead is probed again, one at a time this often, so that the two sides of a healed partition
   // find each other (as Serf's reconnect does); the probe tells it that it is held dead, so that it refutes.
   Ms reconnect = 2000;
@@ -87,13 +87,13 @@
 
 struct Member {
   Id id = 0;
-  State state = State::alive;
+  State state = State::kAlive;
   std::uint32_t incarnation = 0;
   Ms since = 0;        // of the present state
-  Ms deadAt = 0;       // of a suspect: when it is taken for dead
+  Ms dead_at = 0;       // of a suspect: when it is taken for dead
   int looks = 0;       // of a suspect: how often it was looked for before that
-  Ms lookAt = 0;       // the next
-  std::vector<Id> suspectedBy;  // independent confirmations, at most Terms::confirmations + 1
+  Ms look_at = 0;       // the next
+  std::vector<Id> suspected_by;  // independent confirmations, at most Terms::confirmations + 1
   Note note;
   bool noted = false;
 };
@@ -101,9 +101,9 @@
 // What changed, for the layer above: a member's state, or a note heard.
 struct Change {
   Id who = 0;
-  State state = State::alive;
+  State state = State::kAlive;
   std::uint32_t incarnation = 0;
-  bool noteOnly = false;
+  bool note_only = false;
 };
 
 class Swim {
@@ -112,17 +112,17 @@
   // start's, best from the clock in seconds, so that a restart under the same id is newer than all it was.
   Swim(Id self, std::vector<Id> others, std::uint32_t incarnation, Terms terms, std::uint64_t seed, Ms now);
 
-  void tick(Ms now, std::vector<Message>& out);  // call at wakeAt() or later
-  void receive(Ms now, const Message& m, std::vector<Message>& out);
-  void publish(Ms now, std::uint64_t bits);      // own note; spread from the next message on
-  Ms wakeAt() const;
+  void Tick(Ms now, std::vector<Message>& out);  // call at wakeAt() or later
+  void Receive(Ms now, const Message& m, std::vector<Message>& out);
+  void Publish(Ms now, std::uint64_t bits);      // own note; spread from the next message on
+  Ms WakeAt() const;
 
-  Id self() const { return self_; }
-  std::uint32_t incarnation() const { return incarnation_; }
+  Id Self() const { return self_; }
+  std::uint32_t Incarnation() const { return incarnation_; }
   int health() const { return health_; }  // Lifeguard's local health multiplier, 0 (well) to healthMost
-  const std::map<Id, Member>& members() const { return members_; }  // without self
+  const std::map<Id, Member>& Members() const { return members_; }  // without self
   const Note& note() const { return own_; }
-  std::vector<Change> changes();  // since the last call; emptied by it
+  std::vector<Change> Changes();  // since the last call; emptied by it
   std::size_t alive() const;      // counting self
 
  private:
@@ -133,32 +133,32 @@
   };
   struct Relay {  // a probe made for somebody else
     Id asker = 0, target = 0;
-    std::uint32_t askerSeq = 0;
-    Ms until = 0, againAt = 0;
+    std::uint32_t asker_seq = 0;
+    Ms until = 0, again_at = 0;
     bool again = false;  // it was sent a second time
   };
   struct Probe {
     Id target = 0;
     std::uint32_t seq = 0;
-    Ms timeoutAt = 0, againAt = 0;
-    bool answered = true, askedOthers = false, askedAgain = false;
-    int tries = 0, nacksDue = 0;
+    Ms timeout_at = 0, again_at = 0;
+    bool answered = true, asked_others = false, asked_again = false;
+    int tries = 0, nacks_due = 0;
     std::vector<Id> helpers;
   };
 
-  Message make(Kind kind, Id to, std::uint32_t seq, Id target);
-  void startProbe(Ms now, std::vector<Message>& out);
-  void endProbe(Ms now);
-  void hear(Ms now, const News& n);
-  void hearNote(const Note& n);
-  void set(Ms now, Member& m, State state, std::uint32_t incarnation, Id by);
-  void spread(const News& n, bool first = false);
-  void refute();
-  Ms suspicionTimeout(std::size_t confirmations) const;
-  void ask(std::vector<Message>& out);
-  void lookFor(Ms now, Member& m, std::vector<Message>& out);
-  int retransmits() const;
-  void better(int by) { health_ = std::clamp(health_ + by, 0, terms_.healthMost); }
+  Message Make(Kind kind, Id to, std::uint32_t seq, Id target);
+  void StartProbe(Ms now, std::vector<Message>& out);
+  void EndProbe(Ms now);
+  void Hear(Ms now, const News& n);
+  void HearNote(const Note& n);
+  void Set(Ms now, Member& m, State state, std::uint32_t incarnation, Id by);
+  void Spread(const News& n, bool first = false);
+  void Refute();
+  Ms SuspicionTimeout(std::size_t confirmations) const;
+  void Ask(std::vector<Message>& out);
+  void LookFor(Ms now, Member& m, std::vector<Message>& out);
+  int Retransmits() const;
+  void Better(int by) { health_ = std::clamp(health_ + by, 0, terms_.health_most); }
 
   Id self_;
   std::uint32_t incarnation_;
@@ -168,11 +168,11 @@
   std::vector<Id> order_;  // of probing: shuffled each round
   std::size_t next_ = 0;
   std::vector<Queued> queue_;                 // at most one a member, self included
-  std::map<Id, int> noteSent_;                // by origin: how often its latest note went out
+  std::map<Id, int> note_sent_;                // by origin: how often its latest note went out
   std::map<std::uint32_t, Relay> relays_;     // by own seq; expire
   Probe probe_;
   Note own_;
-  Ms nextProbeAt_ = 0, noteAt_ = 0, reconnectAt_ = 0;
+  Ms next_probe_at_ = 0, note_at_ = 0, reconnect_at_ = 0;
   std::uint32_t seq_ = 0;
   int health_ = 0;
   std::vector<Change> changes_;
--- a/src/members/wire.hpp
+++ b/src/members/wire.hpp
@@ -15,10 +15,10 @@
 
 namespace dunlinwick::members {
 
-constexpr std::size_t mostInMessage = 32;  // news, and notes, in one message; 949 bytes at most in all
-std::string encode(const Message& m);
-std::optional<Message> decode(std::span<const char> bytes);
-bool isViewRequest(std::span<const char> bytes);
-inline constexpr char viewRequest[] = "DW?";
+constexpr std::size_t kMostInMessage = 32;  // news, and notes, in one message; 949 bytes at most in all
+std::string Encode(const Message& m);
+std::optional<Message> Decode(std::span<const char> bytes);
+bool IsViewRequest(std::span<const char> bytes);
+inline constexpr char kViewRequest[] = "DW?";
 
 }  // namespace dunlinwick::members
