--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -16,16 +16,16 @@
 using rapidjson::Value;
 
 // The names of the wire: a cache's x1 is how full its location's link is, a parent's what it has out.
-constexpr const char* linkReport = "x1";
-constexpr const char* linkReportMeans =
+constexpr const char* kLinkReport = "x1";
+constexpr const char* kLinkReportMeans =
     "a cache: transfers on its location's link over those that fit at full pace; a parent: fetches out";
 
-int lineOf(const std::string& text, std::size_t offset) {
+int LineOf(const std::string& text, std::size_t offset) {
   auto end = text.begin() + static_cast<std::ptrdiff_t>(std::min(offset, text.size()));
   return 1 + static_cast<int>(std::count(text.begin(), end, '\n'));
 }
 
-std::string oneLine(std::string text) {
+std::string OneLine(std::string text) {
   for (char& c : text)
     if (static_cast<unsigned char>(c) < ' ' || c == 0x7f) c = ' ';
   return text;
@@ -37,41 +37,41 @@
       : named_(named), target_(target) {
     root_.Parse<rapidjson::kParseFullPrecisionFlag>(text.c_str(), text.size());
     if (root_.HasParseError())
-      refuse(":" + std::to_string(lineOf(text, root_.GetErrorOffset())),
+      Refuse(":" + std::to_string(LineOf(text, root_.GetErrorOffset())),
              rapidjson::GetParseError_En(root_.GetParseError()));
-    acceptable(text, "");
+    Acceptable(text, "");
     settings_ = &root_["settings"];
   }
 
   Outcome operator()() {
-    secondLegs();
-    remarks();
-    links();
-    siblings();
-    reports();
-    tickets();
-    choices();
+    SecondLegs();
+    Remarks();
+    Links();
+    Siblings();
+    Reports();
+    Tickets();
+    Choices();
     rapidjson::StringBuffer bytes;
     rapidjson::PrettyWriter<rapidjson::StringBuffer> writer(bytes);
     writer.SetIndent(' ', 2);
     writer.SetFormatOptions(rapidjson::kFormatSingleLineArray);
     root_.Accept(writer);
     done_.text = std::string(bytes.GetString(), bytes.GetSize()) + "\n";
-    acceptable(done_.text, " once moved");  // what a front would refuse is not written
+    Acceptable(done_.text, " once moved");  // what a front would refuse is not written
     return std::move(done_);
   }
 
  private:
-  [[noreturn]] void refuse(const std::string& place, const std::string& why) const {
-    throw Refused(oneLine(named_ + place + ": " + why));
+  [[noreturn]] void Refuse(const std::string& place, const std::string& why) const {
+    throw Refused(OneLine(named_ + place + ": " + why));
   }
 
   // By the very reader that a front starts with.
-  void acceptable(const std::string& text, const char* when) const {
+  void Acceptable(const std::string& text, const char* when) const {
     try {
-      front::readCharterText(text, named_, "");
+      front::ReadCharterText(text, named_, "");
     } catch (const std::exception& fault) {
-      refuse(when, fault.what());
+      Refuse(when, fault.what());
     }
   }
 
@@ -81,11 +81,11 @@
       settings_->AddMember(rapidjson::StringRef(name), Value(rapidjson::kObjectType), root_.GetAllocator());
       at = settings_->FindMember(name);
     }
-    if (!at->value.IsObject()) refuse(std::string(": settings.") + name, "must be an object");
+    if (!at->value.IsObject()) Refuse(std::string(": settings.") + name, "must be an object");
     return &at->value;
   }
 
-  static std::string shown(const Value& v) {
+  static std::string Shown(const Value& v) {
     rapidjson::StringBuffer bytes;
     rapidjson::Writer<rapidjson::StringBuffer> writer(bytes);
     v.Accept(writer);
@@ -93,29 +93,29 @@
     return text.size() > 60 ? text.substr(0, 57) + "..." : text;
   }
 
-  void set(const char* in, const char* name, Value value, const std::string& why) {
+  void Set(const char* in, const char* name, Value value, const std::string& why) {
     Value& to = *group(in);
     std::string field = std::string("settings.") + in + '.' + name;
     auto at = to.FindMember(name);
     if (at != to.MemberEnd() && at->value == value) return;
     std::string what =
-        (at == to.MemberEnd() ? "was not there" : "was " + shown(at->value)) + ", is " + shown(value);
-    done_.changed.push_back({field, oneLine(what + (why.empty() ? "" : "; " + why))});
+        (at == to.MemberEnd() ? "was not there" : "was " + Shown(at->value)) + ", is " + Shown(value);
+    done_.changed.push_back({field, OneLine(what + (why.empty() ? "" : "; " + why))});
     if (at != to.MemberEnd()) at->value = std::move(value);
     else to.AddMember(Value(name, root_.GetAllocator()), std::move(value), root_.GetAllocator());
   }
-  void leave(const std::string& field, const std::string& what) {
-    done_.left.push_back({field, oneLine(what)});
+  void Leave(const std::string& field, const std::string& what) {
+    done_.left.push_back({field, OneLine(what)});
   }
 
   Value word(const std::string& text) { return Value(text.c_str(), root_.GetAllocator()); }
 
-  void secondLegs() { set("limits", "mayDuplicate", Value(false), "a pull never has two legs out at once"); }
+  void SecondLegs() { Set("limits", "mayDuplicate", Value(false), "a pull never has two legs out at once"); }
 
-  void remarks() { set("familyInfo", "detail", word("hit"), "answers tell only whether they were hits"); }
+  void Remarks() { Set("familyInfo", "detail", word("hit"), "answers tell only whether they were hits"); }
 
   // The new deployment does not tell links; what the old file told can't hold for other machines.
-  void links() {
+  void Links() {
     Value& info = *group("familyInfo");
     auto at = info.FindMember("pipeKbPerS");
     if (at == info.MemberEnd()) return;
@@ -124,44 +124,44 @@
                                   [](const Value& v) { return v.IsNumber() && v.GetDouble() > 0; })
                     : at->value.IsNumber() && at->value.GetDouble() > 0;
     if (!told) return;
-    leave("settings.familyInfo.pipeKbPerS",
-          "links told (" + shown(at->value) +
+    Leave("settings.familyInfo.pipeKbPerS",
+          "links told (" + Shown(at->value) +
               ") are those of the old machines; the new ones are learnt from reports");
     Value none(rapidjson::kArrayType);
     if (at->value.IsArray())
       for (rapidjson::SizeType i = 0; i < at->value.Size(); ++i)
         none.PushBack(Value(0.0), root_.GetAllocator());
-    set("familyInfo", "pipeKbPerS", std::move(none), "not told any more");
+    Set("familyInfo", "pipeKbPerS", std::move(none), "not told any more");
   }
 
-  void siblings() {
-    set("familyInfo", "lateral", word(target_.siblings),
+  void Siblings() {
+    Set("familyInfo", "lateral", word(target_.siblings),
         target_.siblings == "none" ? "a cache is filled from no other cache" : "");
   }
 
   // The level of the link comes in each answer. A report's other values stay as they are.
-  void reports() {
+  void Reports() {
     Value& report = *group("report");
     auto at = report.FindMember("names");
     Value names(rapidjson::kArrayType);
     if (at != report.MemberEnd() && at->value.IsArray()) names.CopyFrom(at->value, root_.GetAllocator());
     bool there = std::any_of(names.Begin(), names.End(), [](const Value& v) {
-      return v.IsString() && std::string(v.GetString()) == linkReport;
+      return v.IsString() && std::string(v.GetString()) == kLinkReport;
     });
-    constexpr rapidjson::SizeType most = 4;  // values in a report
-    if (!there && names.Size() >= most) {
-      leave("settings.report.names",
-            "no place for x1 beside " + shown(names) + ": the last of them is dropped");
+    constexpr rapidjson::SizeType kMost = 4;  // values in a report
+    if (!there && names.Size() >= kMost) {
+      Leave("settings.report.names",
+            "no place for x1 beside " + Shown(names) + ": the last of them is dropped");
       names.PopBack();
     }
-    if (!there) names.PushBack(word(linkReport), root_.GetAllocator());
-    set("report", "names", std::move(names), "x1 is how full a cache's link is");
-    set("report", "via", word("answers"), "");
-    set("familyInfo", "reportX1", word(linkReportMeans), "");
+    if (!there) names.PushBack(word(kLinkReport), root_.GetAllocator());
+    Set("report", "names", std::move(names), "x1 is how full a cache's link is");
+    Set("report", "via", word("answers"), "");
+    Set("familyInfo", "reportX1", word(kLinkReportMeans), "");
   }
 
   // What runs once stays so unless the operator says for how long its repeats are dropped.
-  void tickets() {
+  void Tickets() {
     Value& classes = (*settings_)["classes"];
     auto named = [](const Value& one) {
       auto at = one.FindMember("name");
@@ -171,7 +171,7 @@
     for (const auto& ticket : target_.tickets) {
       const std::string& name = ticket.first;
       if (std::none_of(classes.Begin(), classes.End(), [&](const Value& one) { return named(one) == name; }))
-        refuse("", "no offering is called " + name + ", which was to be ticketed");
+        Refuse("", "no offering is called " + name + ", which was to be ticketed");
     }
     for (rapidjson::SizeType i = 0; i < classes.Size(); ++i) {
       Value& one = classes[i];
@@ -182,19 +182,19 @@
           how == one.MemberEnd() || (how->value.IsString() && std::string(how->value.GetString()) == "once");
       if (to == target_.tickets.end()) {
         if (once)
-          leave(field + ".idempotency",
+          Leave(field + ".idempotency",
                 name + " stays exclusive: for how long its repeats are dropped is not said; --ticketed " +
                     name + "=MS makes it ticketed");
         continue;
       }
       if (!(to->second > 0) || !std::isfinite(to->second))
-        refuse(": " + field, name + " needs a time above 0 ms");
+        Refuse(": " + field, name + " needs a time above 0 ms");
       if (!once && how->value != word("by_key"))
-        refuse(": " + field, name + " is rerunnable: a ticket would only bind it");
+        Refuse(": " + field, name + " is rerunnable: a ticket would only bind it");
       auto put = [&](const char* key, Value value) {
         auto at = one.FindMember(key);
         if (at != one.MemberEnd() && at->value == value) return;
-        done_.changed.push_back({field + '.' + key, "is " + shown(value)});
+        done_.changed.push_back({field + '.' + key, "is " + Shown(value)});
         if (at != one.MemberEnd()) at->value = std::move(value);
         else one.AddMember(Value(key, root_.GetAllocator()), std::move(value), root_.GetAllocator());
       };
@@ -204,10 +204,10 @@
     }
   }
 
-  void choices() {
-    if (target_.direct) set("familyInfo", "direct", Value(*target_.direct), "");
-    if (target_.joins) set("familyInfo", "canJoin", Value(*target_.joins), "");
-    if (target_.probes) set("limits", "probing", Value(*target_.probes), "");
+  void Choices() {
+    if (target_.direct) Set("familyInfo", "direct", Value(*target_.direct), "");
+    if (target_.joins) Set("familyInfo", "canJoin", Value(*target_.joins), "");
+    if (target_.probes) Set("limits", "probing", Value(*target_.probes), "");
   }
 
   std::string named_;
@@ -219,9 +219,9 @@
 
 }  // namespace
 
-Outcome migrated(const std::string& text, const std::string& named, const Target& target) {
+Outcome Migrated(const std::string& text, const std::string& named, const Target& target) {
   if (target.siblings != "none" && target.siblings != "location" && target.siblings != "any")
-    throw Refused("siblings is none of none, location, any: " + oneLine(target.siblings.substr(0, 40)));
+    throw Refused("siblings is none of none, location, any: " + OneLine(target.siblings.substr(0, 40)));
   return Move(text, named, target)();
 }
 
--- a/src/migrate/migrate.hpp
+++ b/src/migrate/migrate.hpp
@@ -38,6 +38,6 @@
 };
 
 // `named` is what a refusal calls the text. Throws Refused, also where `target` names what the file lacks.
-Outcome migrated(const std::string& text, const std::string& named, const Target& target);
+Outcome Migrated(const std::string& text, const std::string& named, const Target& target);
 
 }  // namespace dunlinwick::migrate
--- a/src/owner/agent.hpp
+++ b/src/owner/agent.hpp
@@ -41,7 +41,7 @@
 };
 struct Did {
   Do what;
-  Landing landing = Landing::done;
+  Landing landing = Landing::kDone;
   Token highest = 0;
 };
 
@@ -54,18 +54,18 @@
   };
   // What a test breaks on purpose; all false in service.
   struct Breaks {
-    bool noMargin = false;    // acts until the lease's very end and beyond, by its own clock
-    bool fromTheStart = false;  // resumes from before the last recorded step
-    bool noLease = false;     // acts for ever once it was granted
+    bool no_margin = false;    // acts until the lease's very end and beyond, by its own clock
+    bool from_the_start = false;  // resumes from before the last recorded step
+    bool no_lease = false;     // acts for ever once it was granted
   };
   Agent(Id self, std::vector<Id> group, std::vector<Job> jobs, Terms terms, std::uint64_t seed, std::uint64_t incarnation,
         Ms now);
-  void tick(Ms now, const Out& out);  // every 20 ms or so
+  void Tick(Ms now, const Out& out);  // every 20 ms or so
   // Whether this front may come to own anything (it may at first). What it holds it keeps till it is lost; a standing
   // work is no longer renewed. For a front that is still coming back from a power loss, or that was set aside.
-  void permit(bool may) { permitted_ = may; }
-  void answered(Ms now, Id from, const Answer& a, const Out& out);
-  void did(Ms now, Id from, const Did& d, const Out& out);
+  void Permit(bool may) { permitted_ = may; }
+  void Answered(Ms now, Id from, const Answer& a, const Out& out);
+  void HandleResult(Ms now, Id from, const Did& d, const Out& out);
   Breaks breaks;
 
   struct Held {
@@ -75,8 +75,8 @@
     Ms until = 0;
   };
   std::vector<Held> held() const;
-  bool knowsLeader() const { return leader_ != 0; }
-  bool idle() const;  // nothing is left to do, as far as it knows
+  bool KnowsLeader() const { return leader_ != 0; }
+  bool Idle() const;  // nothing is left to do, as far as it knows
 
  private:
   struct One {
@@ -86,16 +86,16 @@
     std::uint64_t step = 0;     // under way; 0: none
     std::set<Id> landed;        // places that have it
     bool over = false, recording = false;
-    Ms nextStepAt = 0, sentAt = 0, renewAt = 0, tryAt = 0;
+    Ms next_step_at = 0, sent_at = 0, renew_at = 0, try_at = 0;
     std::uint64_t question = 0;  // under way; 0: none
-    Deed asked = Deed::take;
-    Ms askedAt = 0, askAgainAt = 0;
+    Deed asked = Deed::kTake;
+    Ms asked_at = 0, ask_again_at = 0;
     Id asking = 0;
     explicit One(Job j, Terms t) : job(std::move(j)), holder(t) {}
   };
-  void ask(Ms now, One& w, Deed deed, std::uint64_t step, const Out& out);
-  void lose(Ms now, One& w, const std::string& why, const Out& out);
-  bool mayAct(Ms now, const One& w) const;
+  void SendQuestion(Ms now, One& w, Deed deed, std::uint64_t step, const Out& out);
+  void Lose(Ms now, One& w, const std::string& why, const Out& out);
+  bool MayAct(Ms now, const One& w) const;
 
   Id self_;
   std::vector<Id> group_;
--- a/src/owner/bytes.hpp
+++ b/src/owner/bytes.hpp
@@ -12,7 +12,7 @@
   void number(std::uint64_t v, int width) {
     for (int i = 0; i < width; ++i) bytes.push_back(static_cast<char>(v >> (8 * i) & 0xff));
   }
-  void text(const std::string& t) { number(t.size(), 4), bytes += t; }
+  void Text(const std::string& t) { number(t.size(), 4), bytes += t; }
 };
 
 class Reader {
@@ -24,15 +24,15 @@
     for (int i = 0; i < width; ++i) v |= std::uint64_t{static_cast<unsigned char>(b_[at_++])} << (8 * i);
     return v;
   }
-  std::string text(std::size_t most) {
+  std::string Text(std::size_t most) {
     std::uint64_t n = number(4);
     if (bad_ || n > most || b_.size() - at_ < n) return bad_ = true, std::string();
     std::string t(b_.data() + at_, n);
     at_ += n;
     return t;
   }
-  bool bad() const { return bad_; }
-  bool whole() const { return !bad_ && at_ == b_.size(); }  // all read, and good
+  bool Bad() const { return bad_; }
+  bool Whole() const { return !bad_ && at_ == b_.size(); }  // all read, and good
 
  private:
   std::span<const char> b_;
--- a/src/owner/fence.hpp
+++ b/src/owner/fence.hpp
@@ -6,30 +6,30 @@
 
 namespace dunlinwick::owner {
 
-enum class Landing : std::uint8_t { done, doneBefore, staleToken, outOfTurn, full };
-inline const char* word(Landing l) {
-  static const char* const words[] = {"done", "done before", "stale token", "out of turn", "full"};
-  return words[static_cast<int>(l)];
+enum class Landing : std::uint8_t { kDone, kDoneBefore, kStaleToken, kOutOfTurn, kFull };
+inline const char* MakeWord(Landing l) {
+  static const char* const kWords[] = {"done", "done before", "stale token", "out of turn", "full"};
+  return kWords[static_cast<int>(l)];
 }
 
 class Fence {
  public:
   // Steps are numbered from 1 and land in order; a step that was done says so, so that an owner whose answer was lost goes on.
-  Landing take(const std::string& work, Token token, std::uint64_t step) {
+  Landing Take(const std::string& work, Token token, std::uint64_t step) {
     auto at = seen_.find(work);
     if (at == seen_.end()) {
-      if (seen_.size() >= mostWorks) return Landing::full;
+      if (seen_.size() >= kMostWorks) return Landing::kFull;
       at = seen_.emplace(work, Seen{}).first;
     }
     Seen& s = at->second;
-    if (token < s.token) return Landing::staleToken;
+    if (token < s.token) return Landing::kStaleToken;
     s.token = token;
-    if (step <= s.step) return Landing::doneBefore;
-    if (step != s.step + 1) return Landing::outOfTurn;
+    if (step <= s.step) return Landing::kDoneBefore;
+    if (step != s.step + 1) return Landing::kOutOfTurn;
     s.step = step;
-    return Landing::done;
+    return Landing::kDone;
   }
-  Token highest(const std::string& work) const {
+  Token Highest(const std::string& work) const {
     auto at = seen_.find(work);
     return at == seen_.end() ? 0 : at->second.token;
   }
--- a/src/owner/group.hpp
+++ b/src/owner/group.hpp
@@ -29,7 +29,7 @@
  public:
   using Send = std::function<void(Id to, std::string bytes)>;
   using Done = std::function<void(const Result&)>;
-  enum class Standing : std::uint8_t { begins, member, lost, failed };
+  enum class Standing : std::uint8_t { kBegins, kMember, kLost, kFailed };
   // `members`: all of the group, self among them. `incarnation`: of this process, newer at each start: best the clock in
   // milliseconds. Throws std::runtime_error where the store can't be read.
   Group(Id self, std::vector<Id> members, GroupTerms terms, Terms lease, Store& store, std::uint64_t incarnation, std::uint64_t seed,
@@ -38,27 +38,27 @@
   Group(const Group&) = delete;
   Group& operator=(const Group&) = delete;
 
-  void tick(Ms now);  // every GroupTerms::tick or so
-  void receive(Ms now, Id from, std::span<const char> bytes);
+  void Tick(Ms now);  // every GroupTerms::tick or so
+  void Receive(Ms now, Id from, std::span<const char> bytes);
   // At the leader: `done` is called once, now or in a later call into the group, with the result once a majority has it; unsure where
   // that can't be known, as when leadership was lost. False, and never called, elsewhere or with too many under way.
-  bool propose(Ms now, const Command& command, Done done);
+  bool Propose(Ms now, const Command& command, Done done);
 
   Standing standing() const;
-  bool leads() const;
-  Id leader() const;  // 0: not known
-  std::uint64_t term() const;
+  bool Leads() const;
+  Id Leader() const;  // 0: not known
+  std::uint64_t Term() const;
   const Table& table() const;
-  Ms leaseEnds(const std::string& work) const;  // at the leader: by when it has surely run out; 1e300 where nobody holds it
-  std::string why() const;  // of lost and failed
+  Ms LeaseEnds(const std::string& work) const;  // at the leader: by when it has surely run out; 1e300 where nobody holds it
+  std::string Why() const;  // of lost and failed
   /// Whether it may have promised anything to the others: it is or was a member of a group that is founded.
-  bool tookPart() const;
-  void breakTokens();       // for a test that breaks it on purpose: tokens begin at 1 with each founding
+  bool TookPart() const;
+  void BreakTokens();       // for a test that breaks it on purpose: tokens begin at 1 with each founding
 
  private:
   struct Inner;
   std::unique_ptr<Inner> inner_;
 };
-const char* word(Group::Standing standing);
+const char* MakeWord(Group::Standing standing);
 
 }  // namespace dunlinwick::owner
--- a/src/owner/group_messages.cpp
+++ b/src/owner/group_messages.cpp
@@ -4,13 +4,13 @@
 namespace dunlinwick::owner {
 
 namespace {
-constexpr std::size_t mostEntries = 64;
+constexpr std::size_t kMostEntries = 64;
 }
 
-int Group::Inner::sendMessage(raft_io* i, raft_io_send* req, const raft_message* m, raft_io_send_cb cb) {
-  Inner& in = of(i);
+int Group::Inner::SendMessage(raft_io* i, raft_io_send* req, const raft_message* m, raft_io_send_cb cb) {
+  Inner& in = Of(i);
   Writer w;
-  w.number(static_cast<std::uint64_t>(Kind::raft), 1), w.number(m->type, 1);
+  w.number(static_cast<std::uint64_t>(Kind::kRaft), 1), w.number(m->type, 1);
   bool fits = true;
   switch (m->type) {
     case RAFT_IO_REQUEST_VOTE: {
@@ -30,9 +30,9 @@
       // A follower that is far behind takes them in several messages; what is left out counts as lost on the way.
       unsigned n = 0;
       std::size_t bytes = 0;
-      while (n < a.n_entries && n < mostEntries && bytes + a.entries[n].buf.len + 16 < mostBytes - 200) bytes += a.entries[n].buf.len + 16, ++n;
+      while (n < a.n_entries && n < kMostEntries && bytes + a.entries[n].buf.len + 16 < kMostBytes - 200) bytes += a.entries[n].buf.len + 16, ++n;
       w.number(n, 2);
-      for (unsigned k = 0; k < n; ++k) w.number(a.entries[k].term, 8), w.number(a.entries[k].type, 2), w.text(textOf(a.entries[k].buf));
+      for (unsigned k = 0; k < n; ++k) w.number(a.entries[k].term, 8), w.number(a.entries[k].type, 2), w.Text(TextOf(a.entries[k].buf));
       break;
     }
     case RAFT_IO_APPEND_ENTRIES_RESULT: {
@@ -43,9 +43,9 @@
     case RAFT_IO_INSTALL_SNAPSHOT: {
       const auto& s = m->install_snapshot;
       w.number(s.term, 8), w.number(s.last_index, 8), w.number(s.last_term, 8), w.number(s.conf_index, 8);
-      w.bytes += encoded(s.conf);
-      w.text(textOf(s.data));
-      fits = w.bytes.size() <= mostBytes;
+      w.bytes += Encoded(s.conf);
+      w.Text(TextOf(s.data));
+      fits = w.bytes.size() <= kMostBytes;
       break;
     }
     case RAFT_IO_TIMEOUT_NOW: {
@@ -62,25 +62,25 @@
   return 0;
 }
 
-void Group::Inner::hearRaft(Id from, Reader& r) {
-  if (!started || standing != Standing::member || !recvCb) return;
+void Group::Inner::HearRaft(Id from, Reader& r) {
+  if (!started || standing != Standing::kMember || !recv_cb) return;
   raft_message m{};
-  std::string address = addressOf(from);
-  m.type = static_cast<unsigned short>(r.number(1)), m.server_id = raftId(from), m.server_address = address.c_str();
+  std::string address = AddressOf(from);
+  m.type = static_cast<unsigned short>(r.number(1)), m.server_id = RaftId(from), m.server_address = address.c_str();
   switch (m.type) {
     case RAFT_IO_REQUEST_VOTE: {
       auto& v = m.request_vote;
       v.term = r.number(8), v.candidate_id = r.number(8), v.last_log_index = r.number(8), v.last_log_term = r.number(8);
       std::uint64_t flags = r.number(1);
       v.disrupt_leader = flags & 1, v.pre_vote = flags & 2;
-      if (!r.whole() || v.candidate_id != m.server_id) return;
+      if (!r.Whole() || v.candidate_id != m.server_id) return;
       break;
     }
     case RAFT_IO_REQUEST_VOTE_RESULT: {
       auto& v = m.request_vote_result;
       v.term = r.number(8), v.vote_granted = r.number(1) != 0;
       std::uint64_t pre = r.number(1);
-      if (!r.whole() || pre > raft_tribool_false) return;
+      if (!r.Whole() || pre > raft_tribool_false) return;
       v.pre_vote = static_cast<raft_tribool>(pre);
       break;
     }
@@ -89,42 +89,42 @@
       a.term = r.number(8), a.prev_log_index = r.number(8), a.prev_log_term = r.number(8), a.leader_commit = r.number(8);
       std::uint64_t n = r.number(2);
       std::vector<LogEntry> all;
-      for (std::uint64_t i = 0; i < n && !r.bad(); ++i) {
+      for (std::uint64_t i = 0; i < n && !r.Bad(); ++i) {
         LogEntry e;
-        e.term = r.number(8), e.type = static_cast<unsigned short>(r.number(2)), e.bytes = r.text(mostBytes);
+        e.term = r.number(8), e.type = static_cast<unsigned short>(r.number(2)), e.bytes = r.Text(kMostBytes);
         if (e.type < RAFT_COMMAND || e.type > RAFT_CHANGE) return;
         all.push_back(std::move(e));
       }
-      if (!r.whole()) return;
+      if (!r.Whole()) return;
       a.n_entries = static_cast<unsigned>(all.size());
-      if (!all.empty()) fillEntries(all, a.entries);
+      if (!all.empty()) FillEntries(all, a.entries);
       break;
     }
     case RAFT_IO_APPEND_ENTRIES_RESULT: {
       auto& a = m.append_entries_result;
       a.term = r.number(8), a.rejected = r.number(8), a.last_log_index = r.number(8);
-      if (!r.whole()) return;
+      if (!r.Whole()) return;
       break;
     }
     case RAFT_IO_INSTALL_SNAPSHOT: {
       auto& s = m.install_snapshot;
       s.term = r.number(8), s.last_index = r.number(8), s.last_term = r.number(8), s.conf_index = r.number(8);
-      if (!decoded(r, s.conf)) return;
-      std::string data = r.text(mostBytes);
-      if (!r.whole()) return raft_configuration_close(&s.conf);
-      s.data = {copied(data), data.size()};
+      if (!Decoded(r, s.conf)) return;
+      std::string data = r.Text(kMostBytes);
+      if (!r.Whole()) return raft_configuration_close(&s.conf);
+      s.data = {Copied(data), data.size()};
       break;
     }
     case RAFT_IO_TIMEOUT_NOW: {
       auto& t = m.timeout_now;
       t.term = r.number(8), t.last_log_index = r.number(8), t.last_log_term = r.number(8);
-      if (!r.whole()) return;
+      if (!r.Whole()) return;
       break;
     }
     default:
       return;
   }
-  recvCb(&io, &m);
+  recv_cb(&io, &m);
 }
 
 }  // namespace dunlinwick::owner
--- a/src/owner/lease.hpp
+++ b/src/owner/lease.hpp
@@ -24,20 +24,20 @@
 using Ms = double;
 using Id = std::uint32_t;  // a front's number in the fleet; 0 is nobody
 using Token = std::uint64_t;
-constexpr std::size_t mostWorks = 64, longestName = 48;
+constexpr std::size_t kMostWorks = 64, kLongestName = 48;
 
 struct Terms {
   Ms lease = 3000, margin = 200;
   double drift = 0.01;
-  Ms renewEvery = 800;  // the owner asks again this often; under a third of the lease
+  Ms renew_every = 800;  // the owner asks again this often; under a third of the lease
 };
 
 // found: the first command of a group, by its leader; its token is what all others are above.
-enum class Deed : std::uint8_t { take, renew, record, finish, abandon, release, expire, found };
-const char* word(Deed deed);
+enum class Deed : std::uint8_t { kTake, kRenew, kRecord, kFinish, kAbandon, kRelease, kExpire, kFound };
+const char* MakeWord(Deed deed);
 
 struct Command {
-  Deed deed = Deed::take;
+  Deed deed = Deed::kTake;
   Id front = 0;       // who asks
   Token token = 0;    // that it holds; of expire: the one that has run out
   // Of record: done up to and with it; of take: how many there are, where the work is new; of expire: the owner's words as
@@ -45,9 +45,9 @@
   std::uint64_t step = 0;
   std::string work;
 };
-std::string encode(const Command& command);
-std::optional<Command> decode(std::span<const char> bytes);  // nothing for anything that is not one whole
-bool goodName(const std::string& name);
+std::string Encode(const Command& command);
+std::optional<Command> Decode(std::span<const char> bytes);  // nothing for anything that is not one whole
+bool GoodName(const std::string& name);
 
 struct Work {
   Id owner = 0;  // 0: nobody
@@ -59,10 +59,10 @@
   std::uint64_t heard = 0;
 };
 
-enum class Word : std::uint8_t { yes, held, stale, over, unknownWork, full, unsure };
-const char* word(Word word);
+enum class Word : std::uint8_t { kYes, kHeld, kStale, kOver, kUnknownWork, kFull, kUnsure };
+const char* MakeWord(Word word);
 struct Result {
-  Word word = Word::yes;
+  Word word = Word::kYes;
   Token token = 0;
   std::uint64_t done = 0;
   Id owner = 0;
@@ -70,38 +70,38 @@
 
 class Table {
  public:
-  Result apply(const Command& command);
-  const std::map<std::string, Work>& works() const { return works_; }
-  Token lastToken() const { return lastToken_; }
-  bool fresh() const { return lastToken_ == base_; }  // founded, or not even that, and nothing granted yet
-  std::string snapshot() const;
-  bool restore(std::span<const char> bytes);  // false, and nothing changed, where they are not one snapshot whole
+  Result Apply(const Command& command);
+  const std::map<std::string, Work>& Works() const { return works_; }
+  Token LastToken() const { return last_token_; }
+  bool Fresh() const { return last_token_ == base_; }  // founded, or not even that, and nothing granted yet
+  std::string Snapshot() const;
+  bool Restore(std::span<const char> bytes);  // false, and nothing changed, where they are not one snapshot whole
 
  private:
   std::map<std::string, Work> works_;
-  Token lastToken_ = 0, base_ = 0;  // base_: that the group was founded with
+  Token last_token_ = 0, base_ = 0;  // base_: that the group was founded with
 };
 
 // The leader's clock: which leases have run out for certain.
 class Keeper {
  public:
   explicit Keeper(Terms terms) : terms_(terms) {}
-  void leads(Ms now, const Table& table);          // it has just come to lead: every lease may be as young as now
-  void applied(Ms now, const Command& c, const Result& r);
-  std::vector<Command> due(Ms now, const Table& table) const;  // expirations to propose
+  void Leads(Ms now, const Table& table);          // it has just come to lead: every lease may be as young as now
+  void Applied(Ms now, const Command& c, const Result& r);
+  std::vector<Command> Due(Ms now, const Table& table) const;  // expirations to propose
   // A group that has granted nothing yet may follow one whose stores were lost: its leases may still run. Guards against two
   // owners after a founding anew; costs a lease at the first.
-  bool mayGrant(Ms now, const Table& table) const { return !table.fresh() || now >= runsOut(ledAt_); }
-  Ms ends(const std::string& work) const {         // by when its lease has surely run out; 1e300 where it is not known
+  bool MayGrant(Ms now, const Table& table) const { return !table.Fresh() || now >= RunsOut(led_at_); }
+  Ms Ends(const std::string& work) const {         // by when its lease has surely run out; 1e300 where it is not known
     auto at = seen_.find(work);
-    return at == seen_.end() ? 1e300 : runsOut(at->second);
+    return at == seen_.end() ? 1e300 : RunsOut(at->second);
   }
 
  private:
-  Ms runsOut(Ms from) const { return from + terms_.lease * (1 + terms_.drift) + terms_.margin; }
+  Ms RunsOut(Ms from) const { return from + terms_.lease * (1 + terms_.drift) + terms_.margin; }
   Terms terms_;
   std::map<std::string, Ms> seen_;  // by work; at most as many as works
-  Ms ledAt_ = 0;
+  Ms led_at_ = 0;
 };
 
 // An owner's clock, for one work at one front.
@@ -109,11 +109,11 @@
  public:
   explicit Holder(Terms terms) : terms_(terms) {}
   // A grant or renewal that was asked for at `askedAt`, by its own clock.
-  void granted(Ms askedAt, const Result& r) { token_ = r.token, until_ = askedAt + terms_.lease * (1 - terms_.drift) - terms_.margin; }
-  void lost() { token_ = 0, until_ = -1; }
-  bool holds() const { return token_ != 0; }
-  bool mayAct(Ms now) const { return token_ != 0 && now < until_; }
-  Ms until() const { return until_; }
+  void Granted(Ms asked_at, const Result& r) { token_ = r.token, until_ = asked_at + terms_.lease * (1 - terms_.drift) - terms_.margin; }
+  void Lost() { token_ = 0, until_ = -1; }
+  bool Holds() const { return token_ != 0; }
+  bool MayAct(Ms now) const { return token_ != 0 && now < until_; }
+  Ms Until() const { return until_; }
   Token token() const { return token_; }
 
  private:
--- a/src/owner/membership.cpp
+++ b/src/owner/membership.cpp
@@ -5,34 +5,34 @@
 
 namespace dunlinwick::owner {
 
-Membership::Membership(Node& node, OpenStore openStore, Say say)
-    : node_(node), openStore_(std::move(openStore)), say_(std::move(say)) {}
+Membership::Membership(Node& node, OpenStore open_store, Say say)
+    : node_(node), open_store_(std::move(open_store)), say_(std::move(say)) {}
 
-Membership::~Membership() { node_.leave(0); }
+Membership::~Membership() { node_.Leave(0); }
 
-void Membership::tick(Ms now) {
+void Membership::Tick(Ms now) {
   Group* group = node_.group();
-  if (group && group->standing() == Group::Standing::failed) close(now, group->why());
-  if (!store_ && retry_.isDue(now)) open(now);
+  if (group && group->standing() == Group::Standing::kFailed) Close(now, group->Why());
+  if (!store_ && retry_.IsDue(now)) Open(now);
 }
 
-void Membership::open(Ms now) {
+void Membership::Open(Ms now) {
   try {
-    store_ = openStore_();
-    node_.join(*store_, now);
+    store_ = open_store_();
+    node_.Join(*store_, now);
   } catch (const std::exception& fault) {
-    return close(now, fault.what());
+    return Close(now, fault.what());
   }
-  if (node_.group()->standing() == Group::Standing::failed) return close(now, node_.group()->why());
-  if (std::exchange(saidFailure_, false)) say_("owner store used again");
+  if (node_.group()->standing() == Group::Standing::kFailed) return Close(now, node_.group()->Why());
+  if (std::exchange(said_failure_, false)) say_("owner store used again");
 }
 
-void Membership::close(Ms now, const std::string& reason) {
+void Membership::Close(Ms now, const std::string& reason) {
   // The group refers to the store; and LMDB must not be opened twice in one process.
-  node_.leave(now);
+  node_.Leave(now);
   store_.reset();
-  retry_.failed(now);
-  if (!std::exchange(saidFailure_, true)) say_("owner store not used, tried again: " + reason);
+  retry_.Failed(now);
+  if (!std::exchange(said_failure_, true)) say_("owner store not used, tried again: " + reason);
 }
 
 }  // namespace dunlinwick::owner
--- a/src/owner/membership.hpp
+++ b/src/owner/membership.hpp
@@ -20,28 +20,28 @@
   using OpenStore = std::function<std::unique_ptr<Store>()>;
   using Say = std::function<void(const std::string& line)>;
   /// `node` outlives this; it is made without a store, and no one else lets it join or leave.
-  Membership(Node& node, OpenStore openStore, Say say);
+  Membership(Node& node, OpenStore open_store, Say say);
   ~Membership();
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
   /// After each Node::tick, and once before the first.
-  void tick(Ms now);
+  void Tick(Ms now);
   /// Whether the store is open and has not failed.
-  bool hasStore() const { return store_ != nullptr; }
+  bool HasStore() const { return store_ != nullptr; }
   /// Whether what is written outlives the process; false without a store.
-  bool lasts() const { return store_ && store_->lasts(); }
+  bool Lasts() const { return store_ && store_->Lasts(); }
 
  private:
-  void open(Ms now);
-  void close(Ms now, const std::string& reason);
+  void Open(Ms now);
+  void Close(Ms now, const std::string& reason);
 
   Node& node_;
-  OpenStore openStore_;
+  OpenStore open_store_;
   Say say_;
   std::unique_ptr<Store> store_;
-  backoff::Backoff retry_{backoff::shortestStoreRetry, backoff::longestStoreRetry};
-  bool saidFailure_ = false;
+  backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
+  bool said_failure_ = false;
 };
 
 }  // namespace dunlinwick::owner
--- a/src/owner/node.hpp
+++ b/src/owner/node.hpp
@@ -11,16 +11,16 @@
 
 namespace dunlinwick::owner {
 
-enum class Kind : std::uint8_t { group, ask, answer, act, did };
-std::string encodeDid(Id from, const Did& d);
-std::string encodeDo(Id from, const Do& d);
+enum class Kind : std::uint8_t { kGroup, kAsk, kAnswer, kAct, kDid };
+std::string EncodeDid(Id from, const Did& d);
+std::string EncodeDo(Id from, const Do& d);
 struct Frame {
-  Kind kind = Kind::group;
+  Kind kind = Kind::kGroup;
   Id from = 0;
   std::span<const char> body;
 };
-std::optional<Frame> frame(std::span<const char> bytes);
-std::optional<Do> decodeDo(std::span<const char> body);
+std::optional<Frame> ReadFrame(std::span<const char> bytes);
+std::optional<Do> DecodeDo(std::span<const char> body);
 
 struct NodeTerms {
   Id self = 0;
@@ -40,20 +40,20 @@
   Node(NodeTerms terms, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now, Ways ways);
   /// Becomes a member of the group on `store`, which outlives the membership. Throws std::runtime_error where the store can't be read;
   /// then it is no member. Not to be called from within a call of this node.
-  void join(Store& store, Ms now);
+  void Join(Store& store, Ms now);
   /// Ends the membership; what was under way in the group is told as unsure. The agent keeps what it holds and asks the other members.
-  void leave(Ms now);
-  void tick(Ms now);
-  void receive(Ms now, std::span<const char> bytes);
+  void Leave(Ms now);
+  void Tick(Ms now);
+  void Receive(Ms now, std::span<const char> bytes);
   Agent& agent() { return agent_; }
   Group* group() { return group_.get(); }
   const NodeTerms& terms() const { return terms_; }
-  std::uint64_t refused() const { return refused_; }
+  std::uint64_t Refused() const { return refused_; }
   // A group that grants to whoever asks, without asking its majority: for a test that breaks it on purpose.
-  bool grantsAlone = false;
+  bool grants_alone = false;
 
  private:
-  void asked(Ms now, Id from, const Ask& a);
+  void Asked(Ms now, Id from, const Ask& a);
   void answer(Ms now, Id to, const Answer& a);
   Agent::Out out(Ms now);
   void note();
@@ -65,10 +65,10 @@
   std::unique_ptr<Group> group_;
   Agent agent_;
   std::uint64_t refused_ = 0;
-  Group::Standing told_ = Group::Standing::begins;
+  Group::Standing told_ = Group::Standing::kBegins;
   bool led_ = false;
   // Questions under way here, so that one asked twice is put to the group once; emptied as they are answered.
-  std::set<std::pair<Id, std::uint64_t>> underWay_;
+  std::set<std::pair<Id, std::uint64_t>> under_way_;
   // The last answers given as a leader: a question whose answer was lost gets the same one, not a second grant. Known by its
   // words too: a number alone may be an earlier process's (found by a member that came back without its store).
   struct Given {
@@ -79,7 +79,7 @@
   };
   std::deque<Given> given_;
   // What is sent to oneself waits for the end of the call.
-  std::vector<std::string> toSelf_;
+  std::vector<std::string> to_self_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Table alone_;
 };
--- a/src/owner/store.hpp
+++ b/src/owner/store.hpp
@@ -14,7 +14,7 @@
   std::string bytes;
 };
 struct StoredSnapshot {
-  std::uint64_t index = 0, term = 0, configurationIndex = 0;
+  std::uint64_t index = 0, term = 0, configuration_index = 0;
   std::string configuration, data;
 };
 struct StoredState {
@@ -28,33 +28,33 @@
 class Store {
  public:
   virtual ~Store() = default;
-  virtual bool lasts() const = 0;  // past the end of the process
+  virtual bool Lasts() const = 0;  // past the end of the process
   virtual StoredState load() = 0;
-  virtual void found(const std::string& founding) = 0;
-  virtual void setTerm(std::uint64_t term) = 0;  // forgets the vote
-  virtual void setVote(std::uint64_t vote) = 0;
-  virtual void append(const std::vector<LogEntry>& entries) = 0;
-  virtual void truncate(std::uint64_t from) = 0;  // drops this index and all after it
+  virtual void Found(const std::string& founding) = 0;
+  virtual void SetTerm(std::uint64_t term) = 0;  // forgets the vote
+  virtual void SetVote(std::uint64_t vote) = 0;
+  virtual void Append(const std::vector<LogEntry>& entries) = 0;
+  virtual void Truncate(std::uint64_t from) = 0;  // drops this index and all after it
   // Entries up to its index less `trailing` go.
-  virtual void take(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
+  virtual void Take(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
 };
 
 // In memory: gone with the process. On the stage it is kept or dropped as a disk would be.
 class MemoryStore final : public Store {
  public:
-  bool lasts() const override { return false; }
+  bool Lasts() const override { return false; }
   StoredState load() override { return state_; }
-  void found(const std::string& founding) override { state_.founding = founding; }
-  void setTerm(std::uint64_t term) override { state_.term = term, state_.vote = 0; }
-  void setVote(std::uint64_t vote) override { state_.vote = vote; }
-  void append(const std::vector<LogEntry>& entries) override {
+  void Found(const std::string& founding) override { state_.founding = founding; }
+  void SetTerm(std::uint64_t term) override { state_.term = term, state_.vote = 0; }
+  void SetVote(std::uint64_t vote) override { state_.vote = vote; }
+  void Append(const std::vector<LogEntry>& entries) override {
     state_.entries.insert(state_.entries.end(), entries.begin(), entries.end());
   }
-  void truncate(std::uint64_t from) override {
+  void Truncate(std::uint64_t from) override {
     if (from < state_.first) state_.entries.clear(), state_.first = from;
     else if (from - state_.first < state_.entries.size()) state_.entries.resize(from - state_.first);
   }
-  void take(const StoredSnapshot& s, std::uint64_t trailing) override {
+  void Take(const StoredSnapshot& s, std::uint64_t trailing) override {
     std::uint64_t last = state_.first + state_.entries.size() - 1;
     // One that came from the leader may lie beyond the log: nothing of it is of use then.
     if (trailing == 0 || s.index > last) {
--- a/src/peers/peers.hpp
+++ b/src/peers/peers.hpp
@@ -36,33 +36,33 @@
 
 using Ms = double;
 using Id = std::uint32_t;  // a front's number in the fleet; 0 is nobody
-constexpr std::uint8_t version = 1;
-constexpr std::size_t mostInDatagram = 1200;  // of a message; a datagram is `header` longer
-constexpr std::size_t header = 13;
+constexpr std::uint8_t kVersion = 1;
+constexpr std::size_t kMostInDatagram = 1200;  // of a message; a datagram is `header` longer
+constexpr std::size_t kHeader = 13;
 
 // In order of service. Values are on the wire: never renumbered.
-enum class Channel : std::uint8_t { members = 0, owner = 1, quota = 2, recovery = 3, rules = 4, record = 5 };
-constexpr std::size_t channels = 6;
-const char* word(Channel channel);
-bool bearsLarge(Channel channel);
+enum class Channel : std::uint8_t { kMembers = 0, kOwner = 1, kQuota = 2, kRecovery = 3, kRules = 4, kRecord = 5 };
+constexpr std::size_t kChannels = 6;
+const char* ToString(Channel channel);
+bool BearsLarge(Channel channel);
 
 struct Budget {
-  double bytesPerS = 0;  // 0: no limit
+  double bytes_per_s = 0;  // 0: no limit
   double burst = 0;      // bytes that may be saved up
 };
 struct Terms {
   // Bursts and pieces in flight stay well below a socket's receive buffer (Linux: 212,992 bytes, some 90 of our datagrams): a
   // burst that fills it would cost the probes behind it.
-  std::array<Budget, channels> budgets{{{0, 0}, {0, 0}, {64e3, 32e3}, {128e3, 32e3}, {128e3, 32e3}, {2e6, 48e3}}};
-  std::size_t mostQueued = 1 << 20, mostPartial = 4, mostMessage = 4 << 20, mostHeld = 16 << 20, mostPeers = 128;
-  std::size_t mostInFlight = 40;  // pieces, of one large message
+  std::array<Budget, kChannels> budgets{{{0, 0}, {0, 0}, {64e3, 32e3}, {128e3, 32e3}, {128e3, 32e3}, {2e6, 48e3}}};
+  std::size_t most_queued = 1 << 20, most_partial = 4, most_message = 4 << 20, most_held = 16 << 20, most_peers = 128;
+  std::size_t most_in_flight = 40;  // pieces, of one large message
   Ms again = 200;                  // pieces that were not named as had are sent again
-  Ms answerWithin = 30;            // what came is named no later than this
-  Ms giveUp = 10000;
+  Ms answer_within = 30;            // what came is named no later than this
+  Ms give_up = 10000;
 };
 struct Counters {
-  std::uint64_t sent = 0, received = 0, junk = 0, otherVersion = 0, dropped = 0, delivered = 0, givenUp = 0;
-  std::uint64_t sentBytes = 0, sentAgain = 0;  // pieces that were sent more than once
+  std::uint64_t sent = 0, received = 0, junk = 0, other_version = 0, dropped = 0, delivered = 0, given_up = 0;
+  std::uint64_t sent_bytes = 0, sent_again = 0;  // pieces that were sent more than once
 };
 
 // Whoever carries datagrams for fronts looks at this much: who says it, in what version. Nothing: not of ours.
@@ -70,7 +70,7 @@
   std::uint8_t version = 0;
   Id from = 0;
 };
-std::optional<Head> head(std::span<const char> datagram);
+std::optional<Head> ReadHead(std::span<const char> datagram);
 
 class Peers {
  public:
@@ -82,23 +82,23 @@
   Peers(const Peers&) = delete;
   Peers& operator=(const Peers&) = delete;
   // False: too large, to nobody or oneself, or `to` has as much queued as may be; nothing was sent.
-  bool send(Ms now, Id to, Channel channel, std::string message);
-  void receive(Ms now, std::span<const char> datagram);  // of anybody; `from` is the datagram's word
-  void tick(Ms now);                                     // every 20 ms or so while wakeAt() says so
-  Ms wakeAt() const;                                     // 1e300: nothing is under way
+  bool Send(Ms now, Id to, Channel channel, std::string message);
+  void Receive(Ms now, std::span<const char> datagram);  // of anybody; `from` is the datagram's word
+  void Tick(Ms now);                                     // every 20 ms or so while wakeAt() says so
+  Ms WakeAt() const;                                     // 1e300: nothing is under way
   const Counters& counters(Channel channel) const;
-  std::uint64_t junk() const;  // what could not be told to be of any channel
-  std::map<Id, std::uint8_t> others() const;  // peers heard of with another version; at most 64
-  std::size_t held() const;                   // bytes of messages that wait, are under way or half received
+  std::uint64_t Junk() const;  // what could not be told to be of any channel
+  std::map<Id, std::uint8_t> Others() const;  // peers heard of with another version; at most 64
+  std::size_t Held() const;                   // bytes of messages that wait, are under way or half received
 
   // What a test breaks on purpose; all false in service.
   struct Breaks {
-    bool bulkFirst = false;   // serves the last channel first, and nothing at once
-    bool noDigest = false;    // delivers whatever pieces made
-    bool noVersion = false;   // reads every version as its own
-    bool noCheck = false;     // takes datagrams as they come
-    bool noResume = false;    // sends each piece once
-    bool oldLife = false;     // mixes what an earlier life of a peer sent or had with the present one
+    bool bulk_first = false;   // serves the last channel first, and nothing at once
+    bool no_digest = false;    // delivers whatever pieces made
+    bool no_version = false;   // reads every version as its own
+    bool no_check = false;     // takes datagrams as they come
+    bool no_resume = false;    // sends each piece once
+    bool old_life = false;     // mixes what an earlier life of a peer sent or had with the present one
   };
   Breaks breaks;
 
--- a/src/peers/wire.hpp
+++ b/src/peers/wire.hpp
@@ -11,18 +11,18 @@
 
 namespace dunlinwick::peers {
 
-enum class Kind : std::uint8_t { whole = 0, piece = 1, had = 2 };
+enum class Kind : std::uint8_t { kWhole = 0, kPiece = 1, kHad = 2 };
 
 struct Frame {
-  Channel channel = Channel::members;
+  Channel channel = Channel::kMembers;
   Id from = 0;
-  Kind kind = Kind::whole;
+  Kind kind = Kind::kWhole;
   std::span<const char> body;
 };
 // Of this version, whatever the bytes' version says: head() tells that.
-std::optional<Frame> frame(std::span<const char> datagram, bool checked = true);
-std::string encode(Channel channel, Id from, Kind kind, std::span<const char> body);
-void seal(std::string& datagram);  // writes its check anew; at least `header` long
+std::optional<Frame> ReadFrame(std::span<const char> datagram, bool checked = true);
+std::string Encode(Channel channel, Id from, Kind kind, std::span<const char> body);
+void Seal(std::string& datagram);  // writes its check anew; at least `header` long
 
 struct Piece {
   std::uint64_t incarnation = 0;  // of the sender
@@ -32,10 +32,10 @@
   std::uint64_t digest = 0;       // of the whole
   std::span<const char> bytes;
 };
-constexpr std::size_t pieceHead = 28, pieceBytes = mostInDatagram - pieceHead;
-constexpr std::size_t pieces(std::size_t size) { return (size + pieceBytes - 1) / pieceBytes; }
-std::string encode(Channel channel, Id from, const Piece& piece);
-std::optional<Piece> piece(std::span<const char> body);  // its bytes fit its index and size
+constexpr std::size_t kPieceHead = 28, kPieceBytes = kMostInDatagram - kPieceHead;
+constexpr std::size_t Pieces(std::size_t size) { return (size + kPieceBytes - 1) / kPieceBytes; }
+std::string Encode(Channel channel, Id from, const Piece& piece);
+std::optional<Piece> ReadPiece(std::span<const char> body);  // its bytes fit its index and size
 
 using Life = std::pair<std::uint64_t, std::uint32_t>;
 struct Had {
@@ -45,9 +45,9 @@
   Life life;
   std::vector<bool> pieces;  // empty: it has been delivered
 };
-std::string encode(Channel channel, Id from, const Had& had);
-std::optional<Had> had(std::span<const char> body);
+std::string Encode(Channel channel, Id from, const Had& had);
+std::optional<Had> ReadHad(std::span<const char> body);
 
-std::uint64_t digest(std::span<const char> bytes);
+std::uint64_t Digest(std::span<const char> bytes);
 
 }  // namespace dunlinwick::peers
--- a/src/quota/quota.hpp
+++ b/src/quota/quota.hpp
@@ -29,11 +29,11 @@
 using Ms = double;
 using Id = std::uint32_t;
 using Token = std::uint64_t;
-constexpr std::size_t mostLimits = 8;
+constexpr std::size_t kMostLimits = 8;
 
 struct Limit {
   std::string name;
-  double perS = 0;
+  double per_s = 0;
   double burst = 0.5;   // seconds' worth of a share that may be saved up
   double floor = 0.05;  // of limit / fronts, that each front always has
 };
@@ -55,8 +55,8 @@
 struct Report {
   Token token = 0;          // of the poll that it answers
   std::uint64_t round = 0;
-  Token usingToken = 0;     // of the grant in use; 0: none
-  std::uint64_t usingRound = 0;
+  Token using_token = 0;     // of the grant in use; 0: none
+  std::uint64_t using_round = 0;
   std::uint32_t bad = 0;    // a bit a limit: what it guards is crowded or failing, by what this front sees
   std::uint32_t epoch = 0;  // of the verdict it knows
   std::vector<double> want, have, factor;  // by limit: a second
@@ -67,65 +67,65 @@
   std::uint32_t epoch = 0;
   std::vector<double> share, factor;  // by limit
 };
-std::string encode(const Poll& p);
-std::string encode(const Report& r);
-std::string encode(const Grant& g);
-std::optional<Poll> decodePoll(std::span<const char> bytes);
-std::optional<Report> decodeReport(std::span<const char> bytes);
-std::optional<Grant> decodeGrant(std::span<const char> bytes);
+std::string Encode(const Poll& p);
+std::string Encode(const Report& r);
+std::string Encode(const Grant& g);
+std::optional<Poll> DecodePoll(std::span<const char> bytes);
+std::optional<Report> DecodeReport(std::span<const char> bytes);
+std::optional<Grant> DecodeGrant(std::span<const char> bytes);
 
 // A front's side.
 class Shares {
  public:
   Shares(std::vector<Limit> limits, Terms terms, std::size_t fronts, Ms now);
   // Asked for, whether it was had or not: demand.
-  void wanted(Ms now, std::size_t limit, double n = 1);
-  bool take(Ms now, std::size_t limit, double n = 1);  // spends where there is so much
-  void bad(std::size_t limit, bool is) { is ? bad_ |= 1u << limit : bad_ &= ~(1u << limit); }
-  std::optional<Report> polled(Ms now, const Poll& p);
-  bool granted(Ms now, const Grant& g);  // false: old, or not an answer to a report of this life
-  double share(Ms now, std::size_t limit) const;  // a second
-  double factor(std::size_t limit) const { return factor_[limit]; }
-  std::uint32_t epoch() const { return epoch_; }
-  Ms age(Ms now) const { return askedAt_ < 0 ? -1 : now - askedAt_; }  // of the share in use; below 0: none yet
-  bool fallen(Ms now) const { return now >= until_; }  // it lives on the safe share, or the floor
+  void Wanted(Ms now, std::size_t limit, double n = 1);
+  bool Take(Ms now, std::size_t limit, double n = 1);  // spends where there is so much
+  void Bad(std::size_t limit, bool is) { is ? bad_ |= 1u << limit : bad_ &= ~(1u << limit); }
+  std::optional<Report> Polled(Ms now, const Poll& p);
+  bool Granted(Ms now, const Grant& g);  // false: old, or not an answer to a report of this life
+  double Share(Ms now, std::size_t limit) const;  // a second
+  double Factor(std::size_t limit) const { return factor_[limit]; }
+  std::uint32_t Epoch() const { return epoch_; }
+  Ms Age(Ms now) const { return asked_at_ < 0 ? -1 : now - asked_at_; }  // of the share in use; below 0: none yet
+  bool Fallen(Ms now) const { return now >= until_; }  // it lives on the safe share, or the floor
   const std::vector<Limit>& limits() const { return limits_; }
 
  private:
   struct Bucket {
     double left = 0, rate = 0, count = 0;  // rate: of demand, over the last seconds
-    Ms at = 0, countedAt = 0;
+    Ms at = 0, counted_at = 0;
   };
-  void refill(Ms now, std::size_t limit);
+  void Refill(Ms now, std::size_t limit);
   std::vector<Limit> limits_;
   Terms terms_;
   double fronts_;
   std::vector<double> granted_, factor_;
   std::vector<Bucket> buckets_;
   std::uint32_t bad_ = 0, epoch_ = 0;
-  Token leastToken_ = 0, usingToken_ = 0;
-  std::uint64_t usingRound_ = 0;
+  Token least_token_ = 0, using_token_ = 0;
+  std::uint64_t using_round_ = 0;
   std::map<std::uint64_t, Ms> asked_;  // by round, under leastToken_: when its report was sent; the last 8
-  Ms askedAt_ = -1, until_ = -1;
+  Ms asked_at_ = -1, until_ = -1;
 };
 
 // The allocator's side, for one ownership: made anew with each token.
 class Allocator {
  public:
   Allocator(std::vector<Limit> limits, Terms terms, std::vector<Id> fronts, Token token, Ms now);
-  Poll poll(Ms now);  // begins a round; what the last one brought is kept
-  void heard(Ms now, Id front, const Report& r);
-  std::vector<std::pair<Id, Grant>> allocate(Ms now);  // of those heard in this round; call it half a round after the poll
-  double booked(Ms now, std::size_t limit) const;      // over all fronts
-  double factor(std::size_t limit) const { return factor_[limit]; }
-  std::uint32_t epoch() const { return epoch_; }
-  bool settled(Ms now) const { return now >= settledAt_; }
+  Poll TakePoll(Ms now);  // begins a round; what the last one brought is kept
+  void Heard(Ms now, Id front, const Report& r);
+  std::vector<std::pair<Id, Grant>> Allocate(Ms now);  // of those heard in this round; call it half a round after the poll
+  double Booked(Ms now, std::size_t limit) const;      // over all fronts
+  double Factor(std::size_t limit) const { return factor_[limit]; }
+  std::uint32_t Epoch() const { return epoch_; }
+  bool Settled(Ms now) const { return now >= settled_at_; }
   struct Row {
     Id front = 0;
     double want = 0, booked = 0;
-    Ms heardAt = -1;
+    Ms heard_at = -1;
   };
-  std::vector<Row> rows(Ms now, std::size_t limit) const;
+  std::vector<Row> Rows(Ms now, std::size_t limit) const;
 
  private:
   struct Given {
@@ -135,32 +135,32 @@
   };
   struct Front {
     bool known = false, heard = false;
-    Ms heardAt = -1;
+    Ms heard_at = -1;
     std::uint64_t ack = 0;
     std::vector<Given> given;   // since the one that it is known to use; at most 32
     std::vector<double> last;   // what it had when it last reported one
     Report report;
   };
-  double safe(std::size_t limit) const { return limits_[limit].perS / static_cast<double>(fronts_.size()); }
-  double bookedFor(Ms now, const Front& f, std::size_t limit) const;
-  void judge(Ms now);
+  double Safe(std::size_t limit) const { return limits_[limit].per_s / static_cast<double>(fronts_.size()); }
+  double BookedFor(Ms now, const Front& f, std::size_t limit) const;
+  void Judge(Ms now);
   std::vector<Limit> limits_;
   Terms terms_;
   Token token_;
-  Ms settledAt_;
+  Ms settled_at_;
   std::uint64_t round_ = 0;
   std::map<Id, Front> fronts_;
   std::vector<double> factor_;
-  std::vector<Ms> cutAt_, badAt_;
+  std::vector<Ms> cut_at_, bad_at_;
   std::uint32_t epoch_ = 0;
 };
 
 // ---- the stated bounds
-inline double spentAtMost(const Limit& l, double windowS) { return l.perS * (windowS + l.burst); }
-inline Ms shareAgeAtMost(const Terms& t) { return t.lease; }
+inline double SpentAtMost(const Limit& l, double window_s) { return l.per_s * (window_s + l.burst); }
+inline Ms ShareAgeAtMost(const Terms& t) { return t.lease; }
 // After a heal, or a new allocator: its wait, then demand is heard, room is freed, and handed on.
-inline Ms fairWithin(const Terms& t) { return t.lease * (1 + t.drift) + t.margin + 6 * t.every; }
+inline Ms FairWithin(const Terms& t) { return t.lease * (1 + t.drift) + t.margin + 6 * t.every; }
 // Of a limit that is cut by verdict: at fronts that are heard, and at those that are not.
-inline Ms verdictWithin(const Terms& t) { return 3 * t.every; }
+inline Ms VerdictWithin(const Terms& t) { return 3 * t.every; }
 
 }  // namespace dunlinwick::quota
--- a/src/record/disk.hpp
+++ b/src/record/disk.hpp
@@ -35,15 +35,15 @@
 class Disk {
  public:
   virtual ~Disk() = default;
-  virtual bool lasts() const = 0;
+  virtual bool Lasts() const = 0;
   virtual std::optional<Head> head() = 0;  // nothing: a new one
   // In offset order; one whose digest does not fit is told as a hole (offset, nothing).
-  virtual void each(const std::function<void(Offset, const Entry*)>& see) = 0;
-  virtual void write(const Head& head) = 0;
+  virtual void Each(const std::function<void(Offset, const Entry*)>& see) = 0;
+  virtual void Write(const Head& head) = 0;
   // In one step: drops all at and above `from` (0: none), then adds, with the head.
   virtual void append(Offset from, const std::vector<Entry>& entries, const Head& head) = 0;
-  virtual void drop(const std::vector<Offset>& gone, const Head& head) = 0;  // of a compaction step
-  virtual void heal(const Entry& entry) = 0;                                 // puts one back that was a hole
+  virtual void Drop(const std::vector<Offset>& gone, const Head& head) = 0;  // of a compaction step
+  virtual void Heal(const Entry& entry) = 0;                                 // puts one back that was a hole
 };
 
 }  // namespace dunlinwick::record
--- a/src/record/entry.cpp
+++ b/src/record/entry.cpp
@@ -6,13 +6,13 @@
 
 namespace dunlinwick::record {
 
-const char* word(Stream stream) {
-  static const char* const words[] = {"recalls", "rules", "terms"};
+const char* ToString(Stream stream) {
+  static const char* const kWords[] = {"recalls", "rules", "terms"};
   auto n = static_cast<std::size_t>(stream);
-  return n < streams ? words[n] : "unknown";
+  return n < kStreams ? kWords[n] : "unknown";
 }
 
-std::uint64_t digest(const Entry& e) {
+std::uint64_t Digest(const Entry& e) {
   // Lengths go in, so that no byte can move from the key to the value; little end first, whatever the machine.
   std::string head;
   auto number = [&](std::uint64_t v) {
--- a/src/record/keeper.cpp
+++ b/src/record/keeper.cpp
@@ -6,9 +6,9 @@
 namespace dunlinwick::record {
 
 namespace {
-constexpr Offset healing = ~Offset{0};  // Fetched::after of an answer to Fetch::only
-constexpr Id proving = 0;  // in Head::seen, which only grows: how often it was proved, or found to be old
-constexpr std::size_t holesATime = 16;
+constexpr Offset kHealing = ~Offset{0};  // Fetched::after of an answer to Fetch::only
+constexpr Id kProving = 0;  // in Head::seen, which only grows: how often it was proved, or found to be old
+constexpr std::size_t kHolesATime = 16;
 }  // namespace
 
 struct Keeper::Inner {
@@ -18,56 +18,56 @@
   Log& log;
   std::uint64_t life;
   bool failed = false, doubted = true, stranded = false;
-  Ms unixNow = 0, asked = -1e300;
+  Ms unix_now = 0, asked = -1e300;
   std::size_t turn = 0;
   std::pair<Token, std::uint64_t> begun{0, 0};  // the last session anew
 
   Inner(Id s, std::vector<Id> k, KeeperTerms t, Log& l, std::uint64_t n)
       : self(s), keepers(std::move(k)), terms(t), log(l), life(n != 0 ? n : l.head().starts) {
     // Entries that may be acknowledged are gone with a hole above what is known committed, and the next append covers it up.
-    auto holes = log.holes(SIZE_MAX);
+    auto holes = log.Holes(SIZE_MAX);
     // And of one lost where it looks compacted, nobody can tell which: only another's log, anew, has it.
-    stranded = log.lost();
-    if (stranded || (!holes.empty() && holes.back() > log.head().committed)) safely([&] { mark(false); });
+    stranded = log.Lost();
+    if (stranded || (!holes.empty() && holes.back() > log.head().committed)) Safely([&] { Mark(false); });
   }
 
-  bool knows(Id id) const { return std::find(keepers.begin(), keepers.end(), id) != keepers.end(); }
-  Offset marks() const {
+  bool Knows(Id id) const { return std::find(keepers.begin(), keepers.end(), id) != keepers.end(); }
+  Offset Marks() const {
     for (auto [who, n] : log.head().seen)
-      if (who == proving) return n;
+      if (who == kProving) return n;
     return 0;
   }
-  void mark(bool proved) {
-    if ((marks() % 2 == 1) == proved) return;
-    log.witness(proving, marks() + 1);
-    log.keep();
+  void Mark(bool proved) {
+    if ((Marks() % 2 == 1) == proved) return;
+    log.witness(kProving, Marks() + 1);
+    log.Keep();
   }
   // Begun anew and not yet brought up to where its source was compacted.
-  bool partial() const { return !log.whole(); }
+  bool Partial() const { return !log.Whole(); }
 
   Tail tail(std::uint64_t round) const {
     const Head& h = log.head();
     Tail t;
-    t.token = h.promised, t.store = h.store, t.starts = h.starts, t.round = round, t.life = life, t.doubted = doubted, t.unproved = marks() % 2 == 0;
-    t.last = log.last(), t.committed = partial() ? 0 : h.committed, t.first = h.first, t.cleaned = h.cleaned, t.forgotten = h.forgotten;
-    t.lastToken = log.lastToken(), t.seen = h.seen, t.holes = log.holes(holesATime);
+    t.token = h.promised, t.store = h.store, t.starts = h.starts, t.round = round, t.life = life, t.doubted = doubted, t.unproved = Marks() % 2 == 0;
+    t.last = log.Last(), t.committed = Partial() ? 0 : h.committed, t.first = h.first, t.cleaned = h.cleaned, t.forgotten = h.forgotten;
+    t.last_token = log.LastToken(), t.seen = h.seen, t.holes = log.Holes(kHolesATime);
     t.spoilt = !t.holes.empty();
     return t;
   }
 
   // Where what it has may still be what the writer has: below all that has the token of what differs.
-  Offset hint(Offset after) const {
-    Offset last = log.last(), floor = log.head().committed;
+  Offset Hint(Offset after) const {
+    Offset last = log.Last(), floor = log.head().committed;
     if (last < after) return last;
-    if (partial()) return 0;  // anew
-    auto differs = log.tokenAt(after);
+    if (Partial()) return 0;  // anew
+    auto differs = log.TokenAt(after);
     Offset at = after == 0 ? 0 : after - 1;
-    while (at > floor && differs && log.tokenAt(at) == differs) --at;
+    while (at > floor && differs && log.TokenAt(at) == differs) --at;
     return std::max(at, floor);
   }
 
   // What follows m.after goes to disk; true: it has all of it then.
-  bool write(const Append& m, Offset& upTo) {
+  bool Write(const Append& m, Offset& up_to) {
     const Head& h = log.head();
     Offset end = m.entries.empty() ? m.after : m.entries.back().offset;
     if (m.anew && m.after == 0) {
@@ -75,126 +75,126 @@
       if (begun == std::pair(m.token, m.session)) return false;
       // How far it was: one half brought up is not taken for one whose disk is old. (Else, with a minority of disks lost, a third
       // keeper caught in between would keep all from going on for ever.)
-      log.witness(self, log.last());
-      if (!log.anew(m.entries, {std::min(m.cleaned, end), std::min(m.forgotten, end)})) return false;
+      log.witness(self, log.Last());
+      if (!log.Anew(m.entries, {std::min(m.cleaned, end), std::min(m.forgotten, end)})) return false;
       begun = {m.token, m.session};
-      return upTo = end, true;
+      return up_to = end, true;
     }
     // Of this very session all is the writer's; and what is committed may have another token elsewhere, but no other content.
-    bool inSession = m.anew && partial() && begun == std::pair(m.token, m.session);
+    bool in_session = m.anew && Partial() && begun == std::pair(m.token, m.session);
     auto have = [&](const Entry& e) {
-      return (!partial() && e.offset <= h.committed) || (inSession && e.offset <= log.last()) || log.tokenAt(e.offset) == e.token;
+      return (!Partial() && e.offset <= h.committed) || (in_session && e.offset <= log.Last()) || log.TokenAt(e.offset) == e.token;
     };
     std::size_t skip = 0;
     while (skip < m.entries.size() && have(m.entries[skip])) ++skip;
     if (skip < m.entries.size()) {
       std::vector<Entry> rest(m.entries.begin() + static_cast<std::ptrdiff_t>(skip), m.entries.end());
       Offset from = rest.front().offset, before = skip == 0 ? m.after : m.entries[skip - 1].offset;
-      if (partial() && before < h.cleaned) return false;
+      if (Partial() && before < h.cleaned) return false;
       bool gaps = false;
       for (Offset o = before; const Entry& e : rest) gaps = gaps || e.offset != o + 1, o = e.offset;
       // Only so far as this message tells: beyond, this keeper is not compacted but empty.
       Source source;
       if (gaps || m.anew) source = {std::min(m.cleaned, end), std::min(m.forgotten, before)};
       // Over a gap: whatever it has above `before` is not the writer's.
-      if (gaps && log.last() > before && before >= h.committed) from = before + 1;
+      if (gaps && log.Last() > before && before >= h.committed) from = before + 1;
       if (!log.append(from, rest, source)) return false;
     }
-    return upTo = end, true;
+    return up_to = end, true;
   }
 
   void append(Id from, const Append& m, const Send& send) {
     const Head& h = log.head();
     Kept k;
-    k.life = life, k.token = h.promised, k.last = log.last();
-    if (m.token < h.promised && terms.breakFence && m.plan.upTo != 0) log.take({h.promised, m.plan.upTo, m.plan.forget});
+    k.life = life, k.token = h.promised, k.last = log.Last();
+    if (m.token < h.promised && terms.break_fence && m.plan.up_to != 0) log.Take({h.promised, m.plan.up_to, m.plan.forget});
     if (m.token < h.promised || m.life != life || m.token > h.promised) {
-      k.refused = true, k.unsought = m.token >= h.promised, k.partial = partial();
+      k.refused = true, k.unsought = m.token >= h.promised, k.partial = Partial();
       return send(from, k);
     }
-    bool known = (!partial() && m.after <= h.committed) || m.after == 0 || (m.afterToken != 0 && log.tokenAt(m.after) == m.afterToken);
+    bool known = (!Partial() && m.after <= h.committed) || m.after == 0 || (m.after_token != 0 && log.TokenAt(m.after) == m.after_token);
     // The session goes on where it was, though the source may have compacted that very entry.
-    known = known || (m.anew && begun == std::pair(m.token, m.session) && m.after == log.last());
-    Offset upTo = 0;
-    bool wasPartial = partial();
+    known = known || (m.anew && begun == std::pair(m.token, m.session) && m.after == log.Last());
+    Offset up_to = 0;
+    bool was_partial = Partial();
     try {
-      if (m.spoilt) mark(false);
-      if (!known || !write(m, upTo)) {
-        k.refused = true, k.hint = hint(m.after), k.partial = partial();
+      if (m.spoilt) Mark(false);
+      if (!known || !Write(m, up_to)) {
+        k.refused = true, k.hint = Hint(m.after), k.partial = Partial();
       } else {
         // Of a log begun anew nothing is served below where its source was compacted: keys would be missing.
-        bool whole = (!m.anew && !wasPartial) || upTo >= (m.anew ? std::max(m.cleaned, m.forgotten) : m.cleaned);
+        bool whole = (!m.anew && !was_partial) || up_to >= (m.anew ? std::max(m.cleaned, m.forgotten) : m.cleaned);
         // What the source had forgotten is forgotten here too, before anything is served: told too low, it brings the dead back to life
         // at a subscriber. But only here: it is also by this that a writer sees whether a source has forgotten meanwhile.
-        if (m.anew && whole && upTo >= m.forgotten && h.forgotten < m.forgotten) log.append(0, {}, {0, m.forgotten});
-        if (whole) log.commit(std::min(m.committed, upTo));
-        if (m.plan.upTo != 0 && m.plan.token == m.token) log.take(m.plan);
-        k.upTo = upTo;
-        k.holes = log.holes(holesATime), k.partial = partial();
-        if (m.proves && upTo >= m.committed && k.holes.empty() && !k.partial) doubted = false, mark(true);
+        if (m.anew && whole && up_to >= m.forgotten && h.forgotten < m.forgotten) log.append(0, {}, {0, m.forgotten});
+        if (whole) log.Commit(std::min(m.committed, up_to));
+        if (m.plan.up_to != 0 && m.plan.token == m.token) log.Take(m.plan);
+        k.up_to = up_to;
+        k.holes = log.Holes(kHolesATime), k.partial = Partial();
+        if (m.proves && up_to >= m.committed && k.holes.empty() && !k.partial) doubted = false, Mark(true);
       }
       for (auto [id, held] : m.held)
-        if (id != self && knows(id)) log.witness(id, held);
-      if (!m.held.empty()) log.keep();
+        if (id != self && Knows(id)) log.witness(id, held);
+      if (!m.held.empty()) log.Keep();
       if (m.entries.empty()) {
         if (!k.refused && !k.partial)
-          if (auto p = log.worth(unixNow, m.passed, m.token)) k.plan = *p;
+          if (auto p = log.Worth(unix_now, m.passed, m.token)) k.plan = *p;
       }
     } catch (const Full&) {
-      k.full = true, k.upTo = known ? std::min(m.after, log.last()) : 0, k.refused = !known, k.hint = known ? 0 : hint(m.after);
-      k.holes = log.holes(holesATime), k.partial = partial();
+      k.full = true, k.up_to = known ? std::min(m.after, log.Last()) : 0, k.refused = !known, k.hint = known ? 0 : Hint(m.after);
+      k.holes = log.Holes(kHolesATime), k.partial = Partial();
     }
-    if (log.holes(1).empty()) stranded = false;
-    k.last = log.last(), k.stranded = stranded;
+    if (log.Holes(1).empty()) stranded = false;
+    k.last = log.Last(), k.stranded = stranded;
     send(from, k);
   }
 
   void fetch(Id from, const Fetch& m, const Send& send) {
     const Head& h = log.head();
-    if (partial() || log.lost()) return;  // what is not here may be what is lost, not what is superseded
+    if (Partial() || log.Lost()) return;  // what is not here may be what is lost, not what is superseded
     Fetched f;
     f.committed = h.committed, f.cleaned = h.cleaned, f.forgotten = h.forgotten;
     if (!m.only.empty()) {
-      f.after = healing;
+      f.after = kHealing;
       std::size_t bytes = 0;
       std::vector<Offset> only(m.only);
       std::sort(only.begin(), only.end());
       only.erase(std::unique(only.begin(), only.end()), only.end());
-      auto holes = log.holes(SIZE_MAX);
+      auto holes = log.Holes(SIZE_MAX);
       for (Offset o : only) {
         if (o > h.committed || std::binary_search(holes.begin(), holes.end(), o)) break;
         if (const Entry* e = log.at(o)) {
-          if (bytes += e->key.size() + e->value.size(); !f.entries.empty() && bytes > terms.pieceBytes) break;
+          if (bytes += e->key.size() + e->value.size(); !f.entries.empty() && bytes > terms.piece_bytes) break;
           f.entries.push_back(*e);
         }
-        f.upTo = o, f.only.push_back(o);
+        f.up_to = o, f.only.push_back(o);
       }
     } else {
-      f.after = m.after, f.afterToken = log.tokenAt(m.after).value_or(0);
-      f.entries = log.read(m.after, m.upTo, terms.pieceBytes);
-      f.upTo = f.entries.empty() ? m.after : f.entries.back().offset;
+      f.after = m.after, f.after_token = log.TokenAt(m.after).value_or(0);
+      f.entries = log.Read(m.after, m.up_to, terms.piece_bytes);
+      f.up_to = f.entries.empty() ? m.after : f.entries.back().offset;
     }
     send(from, f);
   }
 
-  void heal(const Fetched& m) {
-    if (m.after != healing || partial()) return;
+  void Heal(const Fetched& m) {
+    if (m.after != kHealing || Partial()) return;
     Offset sure = std::min(m.committed, log.head().committed);  // above it, only a writer knows what belongs there
-    for (Offset o : log.holes(holesATime)) {
+    for (Offset o : log.Holes(kHolesATime)) {
       if (o > sure) break;
       // A late answer to another question must not close what it says nothing of.
       if (std::find(m.only.begin(), m.only.end(), o) == m.only.end()) continue;
       auto e = std::find_if(m.entries.begin(), m.entries.end(), [&](const Entry& one) { return one.offset == o; });
-      if (e != m.entries.end()) log.heal(*e);
+      if (e != m.entries.end()) log.Heal(*e);
       // Not there, and nothing so high is forgotten there: superseded. Else it may have been a tombstone that hides what is here
       // still: closing it would bring the dead back to life.
-      else if (o <= m.cleaned && o > m.forgotten) log.close(o, {m.cleaned, m.forgotten});
+      else if (o <= m.cleaned && o > m.forgotten) log.Close(o, {m.cleaned, m.forgotten});
       else if (o <= m.forgotten) stranded = true;
     }
   }
 
   template <class What>
-  void safely(What what) {
+  void Safely(What what) {
     if (failed) return;
     try {
       what();
@@ -208,28 +208,28 @@
 Keeper::Keeper(Id self, std::vector<Id> keepers, KeeperTerms terms, Log& log, std::uint64_t life)
     : inner_(std::make_shared<Inner>(self, std::move(keepers), terms, log, life)) {}
 
-void Keeper::receive(Ms, Id from, const Message& m, const Send& send) {
+void Keeper::Receive(Ms, Id from, const Message& m, const Send& send) {
   Inner& in = *inner_;
-  in.safely([&] {
+  in.Safely([&] {
     if (auto* seek = std::get_if<Seek>(&m)) {
-      in.log.promise(seek->token);
+      in.log.Promise(seek->token);
       send(from, in.tail(seek->round));
     } else if (auto* append = std::get_if<Append>(&m)) {
       in.append(from, *append, send);
     } else if (auto* fetch = std::get_if<Fetch>(&m)) {
       in.fetch(from, *fetch, send);
-    } else if (auto* fetched = std::get_if<Fetched>(&m); fetched && in.knows(from)) {
-      in.heal(*fetched);
+    } else if (auto* fetched = std::get_if<Fetched>(&m); fetched && in.Knows(from)) {
+      in.Heal(*fetched);
     }
   });
 }
 
-void Keeper::tick(Ms now, const Send& send, Ms unixNow) {
+void Keeper::Tick(Ms now, const Send& send, Ms unix_now) {
   Inner& in = *inner_;
-  in.unixNow = unixNow >= 0 ? unixNow : now;
-  in.safely([&] {
-    if (in.partial()) return;
-    if (auto holes = in.log.holes(holesATime); !holes.empty()) {
+  in.unix_now = unix_now >= 0 ? unix_now : now;
+  in.Safely([&] {
+    if (in.Partial()) return;
+    if (auto holes = in.log.Holes(kHolesATime); !holes.empty()) {
       while (!holes.empty() && holes.back() > in.log.head().committed) holes.pop_back();
       if (holes.empty() || now < in.asked + in.terms.again || in.keepers.size() < 2) return;
       in.asked = now;
@@ -238,13 +238,13 @@
       send(to, Fetch{0, 0, holes});
       return;
     }
-    in.log.step();
+    in.log.Step();
   });
 }
 
-bool Keeper::failed() const { return inner_->failed || inner_->log.failed(); }
-bool Keeper::doubted() const { return inner_->doubted; }
-void Keeper::setDoubted(bool doubted) { inner_->doubted = doubted; }
+bool Keeper::has_failed() const { return inner_->failed || inner_->log.has_failed(); }
+bool Keeper::Doubted() const { return inner_->doubted; }
+void Keeper::SetDoubted(bool doubted) { inner_->doubted = doubted; }
 Log& Keeper::log() { return inner_->log; }
 
 }  // namespace dunlinwick::record
--- a/src/record/keepers.hpp
+++ b/src/record/keepers.hpp
@@ -42,15 +42,15 @@
 
 struct KeeperTerms {
   Ms again = 200, heartbeat = 500;
-  std::size_t pieceBytes = 48 << 10, mostUnderWay = 256, mostWindow = 1 << 20;
-  bool doubtRestarts = false;
+  std::size_t piece_bytes = 48 << 10, most_under_way = 256, most_window = 1 << 20;
+  bool doubt_restarts = false;
   // Broken on purpose, for the checker to catch; all false in service.
-  bool breakReuse = false;     // an offset is taken that was given already
-  bool breakOwnDisk = false;   // its own tail is believed, whatever a majority has
-  bool breakFence = false;     // plans are not fenced by the token
-  bool breakMajority = false;  // acknowledged as one keeper has it
-  bool breakLongest = false;   // the tail is chosen by length
-  bool breakRewrite = false;   // all that is not known committed is written anew
+  bool break_reuse = false;     // an offset is taken that was given already
+  bool break_own_disk = false;   // its own tail is believed, whatever a majority has
+  bool break_fence = false;     // plans are not fenced by the token
+  bool break_majority = false;  // acknowledged as one keeper has it
+  bool break_longest = false;   // the tail is chosen by length
+  bool break_rewrite = false;   // all that is not known committed is written anew
 };
 
 // ---- messages (proto/record.proto on the wire, by encode()/decode())
@@ -64,7 +64,7 @@
   bool doubted = false;   // not proved by a writer since its start
   bool unproved = false;  // by its disk: new, or found old or holed, and not brought up by a serving writer since
   Offset last = 0, committed = 0, first = 1, cleaned = 0, forgotten = 0;
-  Token lastToken = 0;
+  Token last_token = 0;
   std::vector<std::pair<Id, Offset>> seen;
   bool spoilt = false;  // by its own word: a hole, a swapped disk
   std::vector<Offset> holes;
@@ -73,7 +73,7 @@
   Token token = 0;
   std::uint64_t life = 0;  // of the keeper that is meant
   Offset after = 0;      // the entries follow this one ...
-  Token afterToken = 0;  // ... which has this token at the writer (0: not known, where it is compacted)
+  Token after_token = 0;  // ... which has this token at the writer (0: not known, where it is compacted)
   Offset committed = 0;
   bool anew = false;     // a piece of a compacted log; after 0: all that is here goes first
   std::uint64_t session = 0;  // of anew: each is begun once, so that a late double throws nothing away
@@ -88,7 +88,7 @@
 struct Kept {
   Token token = 0;  // promised
   std::uint64_t life = 0;
-  Offset upTo = 0;    // what it holds in common with the writer, on disk
+  Offset up_to = 0;    // what it holds in common with the writer, on disk
   bool refused = false, full = false;
   bool unsought = false;  // of a life that this writer has not heard of
   bool partial = false;   // being brought up anew
@@ -98,19 +98,19 @@
   Plan plan;  // what it finds worth cleaning
 };
 struct Fetch {  // of a keeper, by the writer on taking over or by anybody to heal
-  Offset after = 0, upTo = 0;
+  Offset after = 0, up_to = 0;
   std::vector<Offset> only;  // these alone, where not empty
 };
 struct Fetched {
-  Offset after = 0, upTo = 0;  // whole between: what is not there was compacted
-  Token afterToken = 0;        // 0: not known
+  Offset after = 0, up_to = 0;  // whole between: what is not there was compacted
+  Token after_token = 0;        // 0: not known
   Offset committed = 0, cleaned = 0, forgotten = 0;
   std::vector<Entry> entries;
   std::vector<Offset> only;  // of these it tells, where it was asked for some alone
 };
 using Message = std::variant<Seek, Tail, Append, Kept, Fetch, Fetched>;
-std::string encode(const Message& m);
-std::optional<Message> decode(std::span<const char> bytes);  // nothing for anything that is not one whole
+std::string Encode(const Message& m);
+std::optional<Message> Decode(std::span<const char> bytes);  // nothing for anything that is not one whole
 
 // Only queues: it must not call back into who sends.
 using Send = std::function<void(Id to, const Message&)>;
@@ -119,46 +119,46 @@
  public:
   // `life`: another at each start, of any of its disks (0: the disk's count of starts, which an old copy repeats).
   Keeper(Id self, std::vector<Id> keepers, KeeperTerms terms, Log& log, std::uint64_t life = 0);
-  void receive(Ms now, Id from, const Message& m, const Send& send);
-  void tick(Ms now, const Send& send, Ms unixNow = -1);  // steps of a compaction, healing of holes from the others
-  bool failed() const;                  // its disk failed: it takes no part until the next start
+  void Receive(Ms now, Id from, const Message& m, const Send& send);
+  void Tick(Ms now, const Send& send, Ms unix_now = -1);  // steps of a compaction, healing of holes from the others
+  bool has_failed() const;                  // its disk failed: it takes no part until the next start
   Log& log();
-  bool doubted() const;
-  void setDoubted(bool doubted);  // for an exploration that takes states apart and puts them together
+  bool Doubted() const;
+  void SetDoubted(bool doubted);  // for an exploration that takes states apart and puts them together
 
  private:
   struct Inner;
   std::shared_ptr<Inner> inner_;
 };
 
-enum class Phase : std::uint8_t { seeking, fetching, rewriting, serving, fenced };
-const char* word(Phase phase);
+enum class Phase : std::uint8_t { kSeeking, kFetching, kRewriting, kServing, kFenced };
+const char* ToString(Phase phase);
 
 // The owner's side, made anew with each token it is granted; its front may be a keeper itself (messages to itself).
 class Writer {
  public:
-  enum class Outcome : std::uint8_t { acknowledged, lost, unsure };  // lost: surely not in the record; unsure: may be
+  enum class Outcome : std::uint8_t { kAcknowledged, kLost, kUnsure };  // lost: surely not in the record; unsure: may be
   using Done = std::function<void(Outcome, Offset first)>;
   struct Put {
-    Stream stream = Stream::recalls;
+    Stream stream = Stream::kRecalls;
     std::string key;
     bool tombstone = false;
     std::string value;
   };
-  Writer(Id self, std::vector<Id> keepers, KeeperTerms terms, LogTerms logTerms, Token token, Ms now);
-  void tick(Ms now, const Send& send);
-  void receive(Ms now, Id from, const Message& m, const Send& send);
+  Writer(Id self, std::vector<Id> keepers, KeeperTerms terms, LogTerms log_terms, Token token, Ms now);
+  void Tick(Ms now, const Send& send);
+  void Receive(Ms now, Id from, const Message& m, const Send& send);
   // All of a batch get offsets in a row and are acknowledged together. False: not serving, or too much under way.
   // `now` of put() is the owner's Unix clock where `at` is given none.
-  bool put(Ms now, const std::vector<Put>& batch, Done done, const Send& send, Ms at = -1);
+  bool Write(Ms now, const std::vector<Put>& batch, Done done, const Send& send, Ms at = -1);
   // Where not called, nothing is forgotten.
-  void passed(Ms now, Offset least);  // the least position of living subscribers (src/record/subscribers.hpp)
-  void stop();                        // ownership is over: what is under way is told as unsure
+  void Passed(Ms now, Offset least);  // the least position of living subscribers (src/record/subscribers.hpp)
+  void Stop();                        // ownership is over: what is under way is told as unsure
   Phase phase() const;
   Token token() const;
-  Offset committed() const;
-  bool founded() const;  // all keepers were empty: to be told aloud
-  std::map<Id, Offset> held() const;
+  Offset Committed() const;
+  bool Founded() const;  // all keepers were empty: to be told aloud
+  std::map<Id, Offset> Held() const;
   Writer copy() const;        // for an exploration: another one in the same state ...
   std::string state() const;  // ... told apart by it; times are left out
 
--- a/src/record/replica.cpp
+++ b/src/record/replica.cpp
@@ -5,79 +5,79 @@
 
 namespace dunlinwick::record {
 
-Replica::Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk openDisk,
-                 std::uint64_t newStore, Ms now, Say say)
+Replica::Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk open_disk,
+                 std::uint64_t new_store, Ms now, Say say)
     : self_(self),
       replicas_(std::move(replicas)),
       terms_(std::move(terms)),
-      openDisk_(std::move(openDisk)),
-      newStore_(newStore),
+      open_disk_(std::move(open_disk)),
+      new_store_(new_store),
       say_(std::move(say)) {
-  open(now);
+  Open(now);
 }
 
-void Replica::open(Ms now) {
+void Replica::Open(Ms now) {
   try {
-    disk_ = openDisk_();
+    disk_ = open_disk_();
     // A folder emptied meanwhile is another store than the one before.
-    std::uint64_t newStore = newStore_ ^ static_cast<std::uint64_t>(now);
-    log_ = std::make_unique<Log>(self_, terms_.log, *disk_, newStore);
+    std::uint64_t new_store = new_store_ ^ static_cast<std::uint64_t>(now);
+    log_ = std::make_unique<Log>(self_, terms_.log, *disk_, new_store);
   } catch (const Failed& fault) {
-    return close(now, std::string("record store not used: ") + fault.what());
+    return Close(now, std::string("record store not used: ") + fault.what());
   }
-  headAtOpening_ = log_->head();
+  head_at_opening_ = log_->head();
   life_ = std::max(life_ + 1, static_cast<std::uint64_t>(now));
   keeper_ = std::make_unique<Keeper>(self_, replicas_, terms_.keeper, *log_, life_);
   server_ = std::make_unique<Server>(*log_, terms_.subscriber, now);
-  if (keeper_->failed()) return close(now, "record keeper failed: its disk refused a write");
-  if (std::exchange(saidFailure_, false)) say_("record store used again");
+  if (keeper_->has_failed()) return Close(now, "record keeper failed: its disk refused a write");
+  if (std::exchange(said_failure_, false)) say_("record store used again");
 }
 
-void Replica::close(Ms now, const std::string& line) {
-  committedBefore_ = committed();
+void Replica::Close(Ms now, const std::string& line) {
+  committed_before_ = Committed();
   server_.reset();
   keeper_.reset();
   log_.reset();
   disk_.reset();
-  currentAt_ = 0;
-  retry_.failed(now);
-  if (!std::exchange(saidFailure_, true))
+  current_at_ = 0;
+  retry_.Failed(now);
+  if (!std::exchange(said_failure_, true))
     say_(line + "; it acknowledges nothing until its store can be read and written again");
 }
 
-void Replica::receive(Ms now, Id from, const Message& message, const Send& send) {
-  if (!isOpen()) return;
-  keeper_->receive(now, from, message, send);
-  if (keeper_->failed()) return close(now, "record keeper failed: its disk refused a write");
-  if (const auto* append = std::get_if<Append>(&message)) heardWriter(now, from, *append);
+void Replica::Receive(Ms now, Id from, const Message& message, const Send& send) {
+  if (!IsOpen()) return;
+  keeper_->Receive(now, from, message, send);
+  if (keeper_->has_failed()) return Close(now, "record keeper failed: its disk refused a write");
+  if (const auto* append = std::get_if<Append>(&message)) HeardWriter(now, from, *append);
 }
 
-void Replica::heardWriter(Ms now, Id from, const Append& append) {
+void Replica::HeardWriter(Ms now, Id from, const Append& append) {
   const Head& head = log_->head();
   if (append.token < head.promised) return;
-  lastWriter_ = from;
+  last_writer_ = from;
   // One that could not take what the writer calls committed (no room, not brought up yet) must not pass for
   // current: a subscriber would miss recalls that are acknowledged.
-  if (head.committed >= append.committed) currentAt_ = now;
+  if (head.committed >= append.committed) current_at_ = now;
 }
 
-void Replica::tick(Ms now, const Send& send) {
-  if (!isOpen()) {
-    if (retry_.isDue(now)) open(now);
+void Replica::Tick(Ms now, const Send& send) {
+  if (!IsOpen()) {
+    if (retry_.IsDue(now)) Open(now);
     return;
   }
-  keeper_->tick(now, send, now);
-  if (keeper_->failed()) close(now, "record keeper failed: its disk refused a write");
+  keeper_->Tick(now, send, now);
+  if (keeper_->has_failed()) Close(now, "record keeper failed: its disk refused a write");
 }
 
-std::optional<Piece> Replica::wants(Ms now, const Want& want) {
-  if (!isOpen()) return std::nullopt;
-  return server_->wants(now, want, static_cast<std::uint64_t>(now - currentAt_));
+std::optional<Piece> Replica::Wants(Ms now, const Want& want) {
+  if (!IsOpen()) return std::nullopt;
+  return server_->Wants(now, want, static_cast<std::uint64_t>(now - current_at_));
 }
 
-Offset Replica::committed() const {
-  if (!log_) return committedBefore_;
-  return std::max(committedBefore_, log_->head().committed);
+Offset Replica::Committed() const {
+  if (!log_) return committed_before_;
+  return std::max(committed_before_, log_->head().committed);
 }
 
 }  // namespace dunlinwick::record
--- a/src/record/replica.hpp
+++ b/src/record/replica.hpp
@@ -31,51 +31,51 @@
 
   /// Tries to open the disk at once. `replicas`: all of the record, `self` among them. `newStore` identifies
   /// a disk that is empty.
-  Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk openDisk, std::uint64_t newStore,
+  Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk open_disk, std::uint64_t new_store,
           Ms now, Say say);
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
   /// A message of a writer or of another replica.
-  void receive(Ms now, Id from, const Message& message, const Send& send);
+  void Receive(Ms now, Id from, const Message& message, const Send& send);
   /// Compaction, healing, and the next try to open the disk.
-  void tick(Ms now, const Send& send);
+  void Tick(Ms now, const Send& send);
   /// The answer to a subscriber; nothing while closed.
-  std::optional<Piece> wants(Ms now, const Want& want);
+  std::optional<Piece> Wants(Ms now, const Want& want);
 
-  bool isOpen() const { return keeper_ != nullptr; }
+  bool IsOpen() const { return keeper_ != nullptr; }
   /// Of the store as it was read when it was opened last; empty before that.
-  const Head& headAtOpening() const { return headAtOpening_; }
+  const Head& HeadAtOpening() const { return head_at_opening_; }
   /// While open; nullptr else.
   const Log* log() const { return log_.get(); }
   const Server* server() const { return server_.get(); }
   /// The highest offset that this replica knew as committed, open or not.
-  Offset committed() const;
+  Offset Committed() const;
   /// Who appended here last; 0: nobody yet.
-  Id lastWriter() const { return lastWriter_; }
+  Id LastWriter() const { return last_writer_; }
 
  private:
-  void open(Ms now);
-  void close(Ms now, const std::string& line);
-  void heardWriter(Ms now, Id from, const Append& append);
+  void Open(Ms now);
+  void Close(Ms now, const std::string& line);
+  void HeardWriter(Ms now, Id from, const Append& append);
 
   Id self_;
   std::vector<Id> replicas_;
   ReplicaTerms terms_;
-  OpenDisk openDisk_;
-  std::uint64_t newStore_;
+  OpenDisk open_disk_;
+  std::uint64_t new_store_;
   Say say_;
   std::unique_ptr<Disk> disk_;
   std::unique_ptr<Log> log_;
   std::unique_ptr<Keeper> keeper_;
   std::unique_ptr<Server> server_;
-  backoff::Backoff retry_{backoff::shortestStoreRetry, backoff::longestStoreRetry};
-  bool saidFailure_ = false;
-  Head headAtOpening_;
+  backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
+  bool said_failure_ = false;
+  Head head_at_opening_;
   std::uint64_t life_ = 0;
-  Offset committedBefore_ = 0;  // at the last closing
-  Id lastWriter_ = 0;
-  Ms currentAt_ = 0;  // the last word of a writer by which all that is committed is here
+  Offset committed_before_ = 0;  // at the last closing
+  Id last_writer_ = 0;
+  Ms current_at_ = 0;  // the last word of a writer by which all that is committed is here
 };
 
 }  // namespace dunlinwick::record
--- a/src/record/subscribers.cpp
+++ b/src/record/subscribers.cpp
@@ -10,22 +10,22 @@
 namespace dunlinwick::record {
 
 namespace {
-constexpr std::size_t mostPositions = 65536;
-std::size_t sizeOf(const Entry& e) { return e.key.size() + e.value.size() + 40; }
+constexpr std::size_t kMostPositions = 65536;
+std::size_t SizeOf(const Entry& e) { return e.key.size() + e.value.size() + 40; }
 }  // namespace
 
-std::uint64_t digest(const Piece& p) {
+std::uint64_t Digest(const Piece& p) {
   std::string bytes;
   auto number = [&](std::uint64_t v) {
     for (int k = 0; k < 8; ++k) bytes.push_back(static_cast<char>(v >> (8 * k)));
   };
-  number(p.number), number(p.after), number(p.upTo), number(p.committed), number(p.snapshot);
-  number(p.forgotten), number(p.age), number(p.startOver);
-  for (const Entry& e : p.entries) number(digest(e));
+  number(p.number), number(p.after), number(p.up_to), number(p.committed), number(p.snapshot);
+  number(p.forgotten), number(p.age), number(p.start_over);
+  for (const Entry& e : p.entries) number(Digest(e));
   return XXH64(bytes.data(), bytes.size(), 1);
 }
 
-std::string encode(const Saying& s) {
+std::string Encode(const Saying& s) {
   proto::record::Message m;
   if (const auto* w = std::get_if<Want>(&s)) {
     auto* to = m.mutable_want();
@@ -33,9 +33,9 @@
     to->set_streams(w->streams), to->set_clean(w->clean);
   } else if (const auto* p = std::get_if<Piece>(&s)) {
     auto* to = m.mutable_piece();
-    to->set_number(p->number), to->set_after(p->after), to->set_up_to(p->upTo), to->set_committed(p->committed);
-    to->set_snapshot(p->snapshot), to->set_forgotten(p->forgotten), to->set_age(p->age), to->set_start_over(p->startOver), to->set_digest(p->digest);
-    for (const Entry& e : p->entries) toWire(e, to->add_entries());
+    to->set_number(p->number), to->set_after(p->after), to->set_up_to(p->up_to), to->set_committed(p->committed);
+    to->set_snapshot(p->snapshot), to->set_forgotten(p->forgotten), to->set_age(p->age), to->set_start_over(p->start_over), to->set_digest(p->digest);
+    for (const Entry& e : p->entries) ToWire(e, to->add_entries());
   } else {
     auto* to = m.mutable_lease();
     for (const auto& [id, offset] : std::get<Lease>(s).positions) {
@@ -46,7 +46,7 @@
   return m.SerializeAsString();
 }
 
-std::optional<Saying> decodeSaying(std::span<const char> bytes) {
+std::optional<Saying> DecodeSaying(std::span<const char> bytes) {
   proto::record::Message m;
   if (bytes.size() > (1u << 20) || !m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
   if (m.has_want()) {
@@ -57,17 +57,17 @@
   if (m.has_piece()) {
     const auto& w = m.piece();
     Piece p;
-    p.number = w.number(), p.after = w.after(), p.upTo = w.up_to(), p.committed = w.committed(), p.snapshot = w.snapshot();
-    p.forgotten = w.forgotten(), p.age = w.age(), p.startOver = w.start_over(), p.digest = w.digest();
+    p.number = w.number(), p.after = w.after(), p.up_to = w.up_to(), p.committed = w.committed(), p.snapshot = w.snapshot();
+    p.forgotten = w.forgotten(), p.age = w.age(), p.start_over = w.start_over(), p.digest = w.digest();
     for (const auto& one : w.entries()) {
-      auto e = fromWire(one);
+      auto e = FromWire(one);
       if (!e) return std::nullopt;
       p.entries.push_back(std::move(*e));
     }
     return p;
   }
   if (m.has_lease()) {
-    if (m.lease().positions_size() > static_cast<int>(mostPositions)) return std::nullopt;
+    if (m.lease().positions_size() > static_cast<int>(kMostPositions)) return std::nullopt;
     Lease l;
     for (const auto& one : m.lease().positions()) l.positions.emplace_back(one.subscriber(), one.offset());
     return l;
@@ -91,34 +91,34 @@
     for (auto i = all.begin(); i != all.end();) i = i->second.until <= now ? all.erase(i) : std::next(i);
   }
   // From `after` to `limit`, the streams asked for: how far it came goes into the piece.
-  void fill(Piece& p, Offset limit, std::uint32_t mask) const {
+  void Fill(Piece& p, Offset limit, std::uint32_t mask) const {
     std::size_t used = 0;
-    for (int reads = 0; reads < 8 && p.upTo < limit; ++reads) {  // a few, where most are of other streams
-      Offset reached = p.upTo;
-      std::vector<Entry> some = log.read(p.upTo, limit, terms.pieceBytes, &reached);
+    for (int reads = 0; reads < 8 && p.up_to < limit; ++reads) {  // a few, where most are of other streams
+      Offset reached = p.up_to;
+      std::vector<Entry> some = log.Read(p.up_to, limit, terms.piece_bytes, &reached);
       for (Entry& e : some) {
         if ((mask >> static_cast<unsigned>(e.stream) & 1) == 0) continue;
-        if (!p.entries.empty() && used + sizeOf(e) > terms.pieceBytes) {
-          p.upTo = e.offset - 1;
+        if (!p.entries.empty() && used + SizeOf(e) > terms.piece_bytes) {
+          p.up_to = e.offset - 1;
           return;
         }
-        used += sizeOf(e), p.entries.push_back(std::move(e));
+        used += SizeOf(e), p.entries.push_back(std::move(e));
       }
-      if (reached == p.upTo) return;  // a hole
-      p.upTo = reached;
+      if (reached == p.up_to) return;  // a hole
+      p.up_to = reached;
     }
   }
 };
 
 Server::Server(Log& log, SubscriberTerms terms, Ms) : inner_(std::make_shared<Inner>(Inner{log, terms, {}})) {}
 
-std::optional<Piece> Server::wants(Ms now, const Want& w, std::uint64_t age) {
+std::optional<Piece> Server::Wants(Ms now, const Want& w, std::uint64_t age) {
   Inner& in = *inner_;
-  if (!in.log.whole()) return std::nullopt;
+  if (!in.log.Whole()) return std::nullopt;
   in.empty(now);
   auto i = in.all.find(w.subscriber);
   if (i == in.all.end()) {
-    if (in.all.size() >= in.terms.mostSubscribers) return std::nullopt;
+    if (in.all.size() >= in.terms.most_subscribers) return std::nullopt;
     i = in.all.emplace(w.subscriber, Inner::One{}).first;
   } else if (w.life < i->second.life || (w.life == i->second.life && w.number <= i->second.number)) {
     return std::nullopt;
@@ -128,33 +128,33 @@
   const Head& head = in.log.head();
   one.life = w.life, one.number = w.number, one.position = w.after, one.until = now + in.terms.lease;
   Piece p;
-  p.number = w.number, p.after = p.upTo = w.after, p.committed = head.committed, p.forgotten = head.forgotten, p.age = age;
+  p.number = w.number, p.after = p.up_to = w.after, p.committed = head.committed, p.forgotten = head.forgotten, p.age = age;
   if (w.after == 0) {
     one.snapshot = head.committed;
-  } else if (w.after < head.forgotten && w.clean < head.forgotten && !in.terms.breaks.resumedForgotten) {
+  } else if (w.after < head.forgotten && w.clean < head.forgotten && !in.terms.breaks.resumed_forgotten) {
     // Whatever became of its lease: it may hold what a tombstone that is no more took away. (One that began after that was let
     // go may well be below it still: a record's oldest live entries are, and it never saw what was hidden.)
-    p.startOver = true, one.position = 0, one.snapshot = 0;
+    p.start_over = true, one.position = 0, one.snapshot = 0;
   }
-  if (!p.startOver) {
+  if (!p.start_over) {
     bool joins = w.after < one.snapshot;
     if (joins) p.snapshot = one.snapshot;
-    in.fill(p, joins ? one.snapshot : head.committed, w.streams);
-    if (in.terms.breaks.gapAfterSnapshot && joins && p.upTo == one.snapshot) p.upTo = head.committed;
+    in.Fill(p, joins ? one.snapshot : head.committed, w.streams);
+    if (in.terms.breaks.gap_after_snapshot && joins && p.up_to == one.snapshot) p.up_to = head.committed;
   }
-  p.digest = digest(p);
+  p.digest = Digest(p);
   return p;
 }
 
-Lease Server::living(Ms now) const {
+Lease Server::Living(Ms now) const {
   Lease l;
   for (const auto& [id, one] : inner_->all)
     if (one.until > now) l.positions.emplace_back(id, one.position);
   return l;
 }
-Offset Server::passed(Ms now) const {
+Offset Server::Passed(Ms now) const {
   Offset least = inner_->log.head().committed;
-  for (const auto& [id, offset] : living(now).positions) least = std::min(least, offset);
+  for (const auto& [id, offset] : Living(now).positions) least = std::min(least, offset);
   return least;
 }
 
@@ -168,23 +168,23 @@
   Offset position = 0, committed = 0, snapshot = 0, clean = 0;
   std::uint64_t number = 0, bytes = 0, refused = 0;
   bool waiting = false, answered = false;
-  Ms due = 0, askedAt = 0, goodAt = -1;
+  Ms due = 0, asked_at = 0, good_at = -1;
 
-  void next() { at = keepers.empty() ? 0 : (at + 1) % keepers.size(); }
-  bool caughtUp() const { return answered && position >= committed && position >= snapshot; }
-  void ask(Ms now, const Out& out) {
+  void Next() { at = keepers.empty() ? 0 : (at + 1) % keepers.size(); }
+  bool CaughtUp() const { return answered && position >= committed && position >= snapshot; }
+  void Ask(Ms now, const Out& out) {
     if (keepers.empty()) return;
     Want w;
     w.subscriber = self, w.life = life, w.number = ++number, w.after = position, w.clean = clean;
-    waiting = true, askedAt = now, due = now + terms.again;
+    waiting = true, asked_at = now, due = now + terms.again;
     out.ask(keepers[at], w);
   }
-  bool fits(const Piece& p) const {
-    if (p.after != position || p.upTo < p.after) return false;
-    if (!terms.breaks.digestUnchecked && digest(p) != p.digest) return false;
+  bool Fits(const Piece& p) const {
+    if (p.after != position || p.up_to < p.after) return false;
+    if (!terms.breaks.digest_unchecked && Digest(p) != p.digest) return false;
     Offset before = p.after;
     for (const Entry& e : p.entries) {
-      if (e.offset <= before || e.offset > p.upTo) return false;
+      if (e.offset <= before || e.offset > p.up_to) return false;
       before = e.offset;
     }
     return true;
@@ -200,54 +200,54 @@
   if (!in.keepers.empty()) in.at = chance() % in.keepers.size();
 }
 
-void Subscriber::tick(Ms now, const Out& out) {
+void Subscriber::Tick(Ms now, const Out& out) {
   Inner& in = *inner_;
   if (now < in.due) return;
-  if (in.waiting) in.next();
-  in.ask(now, out);
+  if (in.waiting) in.Next();
+  in.Ask(now, out);
 }
 
-void Subscriber::receive(Ms now, Id from, const Piece& p, const Out& out) {
+void Subscriber::Receive(Ms now, Id from, const Piece& p, const Out& out) {
   Inner& in = *inner_;
   if (!in.waiting || p.number != in.number || in.keepers[in.at] != from) return;  // late, or a second copy
-  if (!in.fits(p)) {
+  if (!in.Fits(p)) {
     // Still waiting: the next one is asked, and not at once, since this one may garble all.
-    ++in.refused, in.due = std::min(in.due, now + in.terms.askEvery);
+    ++in.refused, in.due = std::min(in.due, now + in.terms.ask_every);
     return;
   }
   in.waiting = false;
-  if (p.startOver) {
+  if (p.start_over) {
     in.position = in.snapshot = in.clean = 0, in.answered = false;
-    if (out.startOver) out.startOver();
-    in.ask(now, out);
+    if (out.start_over) out.start_over();
+    in.Ask(now, out);
     return;
   }
   in.answered = true;
   if (in.position == 0) in.snapshot = p.snapshot, in.clean = p.forgotten;
   in.clean = std::min(in.clean, p.forgotten);
   in.committed = std::max(in.committed, p.committed);
-  bool moved = p.upTo > in.position;
-  in.position = p.upTo;
+  bool moved = p.up_to > in.position;
+  in.position = p.up_to;
   for (const Entry& e : p.entries) {
-    in.bytes += sizeOf(e);
+    in.bytes += SizeOf(e);
     out.entry(e);
   }
-  if (in.caughtUp()) {
-    if (p.committed >= in.committed) in.goodAt = std::max(in.goodAt, in.askedAt - static_cast<Ms>(p.age));
-    if (static_cast<Ms>(p.age) > in.terms.staleNews) in.next();
-    in.due = now + in.terms.askEvery;
+  if (in.CaughtUp()) {
+    if (p.committed >= in.committed) in.good_at = std::max(in.good_at, in.asked_at - static_cast<Ms>(p.age));
+    if (static_cast<Ms>(p.age) > in.terms.stale_news) in.Next();
+    in.due = now + in.terms.ask_every;
   } else if (moved) {
-    in.ask(now, out);
+    in.Ask(now, out);
   } else {  // behind the others, or at a hole
-    in.next(), in.due = now + in.terms.askEvery;
+    in.Next(), in.due = now + in.terms.ask_every;
   }
 }
 
-Offset Subscriber::position() const { return inner_->position; }
-Offset Subscriber::committed() const { return inner_->committed; }
-bool Subscriber::caughtUp() const { return inner_->caughtUp(); }
-Ms Subscriber::goodAt() const { return inner_->goodAt; }
+Offset Subscriber::Position() const { return inner_->position; }
+Offset Subscriber::Committed() const { return inner_->committed; }
+bool Subscriber::CaughtUp() const { return inner_->CaughtUp(); }
+Ms Subscriber::GoodAt() const { return inner_->good_at; }
 std::uint64_t Subscriber::bytes() const { return inner_->bytes; }
-std::uint64_t Subscriber::refused() const { return inner_->refused; }
+std::uint64_t Subscriber::Refused() const { return inner_->refused; }
 
 }  // namespace dunlinwick::record
--- a/src/record/subscribers.hpp
+++ b/src/record/subscribers.hpp
@@ -23,9 +23,9 @@
 namespace dunlinwick::record {
 
 struct SubscriberTerms {
-  Ms lease = 30000, askEvery = 200, again = 400;
-  std::size_t pieceBytes = 32 << 10, mostSubscribers = 1024;
-  Ms staleNews = 1500;  // a keeper that has not heard a writer for so long is left for the next one
+  Ms lease = 30000, ask_every = 200, again = 400;
+  std::size_t piece_bytes = 32 << 10, most_subscribers = 1024;
+  Ms stale_news = 1500;  // a keeper that has not heard a writer for so long is left for the next one
   Breaks breaks = {};
 };
 
@@ -38,21 +38,21 @@
 };
 struct Piece {
   std::uint64_t number = 0;  // of the question
-  Offset after = 0, upTo = 0, committed = 0, snapshot = 0;  // snapshot: S, while a join reads up to it
+  Offset after = 0, up_to = 0, committed = 0, snapshot = 0;  // snapshot: S, while a join reads up to it
   Offset forgotten = 0;  // of the keeper, as it answers
   std::uint64_t age = 0;  // ms since the keeper last heard a writer: what it does not know may be so old
-  bool startOver = false;
+  bool start_over = false;
   std::vector<Entry> entries;
   std::uint64_t digest = 0;  // over all of the above
 };
-std::uint64_t digest(const Piece& p);  // what Piece::digest must be
+std::uint64_t Digest(const Piece& p);  // what Piece::digest must be
 struct Lease {  // keeper to the writer's front, gathered: positions of its living subscribers
   std::vector<std::pair<std::uint64_t, Offset>> positions;
 };
 using Saying = std::variant<Want, Piece, Lease>;
-std::string encode(const Saying& s);
+std::string Encode(const Saying& s);
 // Nothing for anything that is not one of them, or is out of bounds. A piece's digest is looked at by the subscriber.
-std::optional<Saying> decodeSaying(std::span<const char> bytes);
+std::optional<Saying> DecodeSaying(std::span<const char> bytes);
 
 // A keeper's side: answers from its own log; what it holds of leases is told to the writer by Lease. A subscriber's entry is
 // emptied once its lease has run; an entry of a life is taken over by a later life only.
@@ -61,9 +61,9 @@
   Server(Log& log, SubscriberTerms terms, Ms now);
   // Nothing: full of subscribers, a late copy of an earlier question, or this keeper is itself being brought up (Log::whole()).
   // `age`: ms since this keeper last heard a writer.
-  std::optional<Piece> wants(Ms now, const Want& want, std::uint64_t age = 0);
-  Lease living(Ms now) const;
-  Offset passed(Ms now) const;  // least position of the living; the log's committed offset where there is none
+  std::optional<Piece> Wants(Ms now, const Want& want, std::uint64_t age = 0);
+  Lease Living(Ms now) const;
+  Offset Passed(Ms now) const;  // least position of the living; the log's committed offset where there is none
 
  private:
   struct Inner;
@@ -76,21 +76,21 @@
   struct Out {
     std::function<void(Id keeper, const Want&)> ask;
     std::function<void(const Entry&)> entry;     // in offset order, each once
-    std::function<void()> startOver;             // all that was told before is void
+    std::function<void()> start_over;             // all that was told before is void
   };
   // `at`: resumes from what was kept (0: from nothing).
   Subscriber(std::uint64_t self, std::uint64_t life, std::vector<Id> keepers, SubscriberTerms terms, Offset at,
       std::uint64_t seed, Ms now);
-  void tick(Ms now, const Out& out);
-  void receive(Ms now, Id from, const Piece& piece, const Out& out);
-  Offset position() const;
-  Offset committed() const;  // the highest told by a keeper
-  bool caughtUp() const;     // position >= the highest told as committed, and past the snapshot
+  void Tick(Ms now, const Out& out);
+  void Receive(Ms now, Id from, const Piece& piece, const Out& out);
+  Offset Position() const;
+  Offset Committed() const;  // the highest told by a keeper
+  bool CaughtUp() const;     // position >= the highest told as committed, and past the snapshot
   // As of when it was last shown caught up with a keeper not behind the highest told: when the question was asked, less the age of that
   // keeper's own news of the writer; < 0: never. So a front whose keeper is cut off as well knows that it may have missed something.
-  Ms goodAt() const;
+  Ms GoodAt() const;
   std::uint64_t bytes() const;    // of keys and values told, and 40 for each entry
-  std::uint64_t refused() const;  // pieces that did not fit: digest, order, or another place than asked for
+  std::uint64_t Refused() const;  // pieces that did not fit: digest, order, or another place than asked for
 
  private:
   struct Inner;
--- a/src/recovery/letting_in.cpp
+++ b/src/recovery/letting_in.cpp
@@ -8,40 +8,40 @@
 namespace dunlinwick::recovery {
 
 namespace {
-double slow(const Terms& t) { return 1 + (t.grow - 1) / 4; }
+double Slow(const Terms& t) { return 1 + (t.grow - 1) / 4; }
 }  // namespace
 
-Terms fit(Terms terms, double from, double usualMiss) {
-  terms.first = std::clamp(0.5 * from * usualMiss, 0.001, 1.0);
+Terms Fit(Terms terms, double from, double usual_miss) {
+  terms.first = std::clamp(0.5 * from * usual_miss, 0.001, 1.0);
   terms.least = std::min(terms.least, terms.first);
   return terms;
 }
 
-Ms lettingInTakes(const Terms& t) { return (std::ceil(std::log(1 / t.least) / std::log(slow(t))) + 2) * t.stepEvery; }
+Ms LettingInTakes(const Terms& t) { return (std::ceil(std::log(1 / t.least) / std::log(Slow(t))) + 2) * t.step_every; }
 
-LettingIn::LettingIn(const Terms& terms) : terms_(terms), share_(terms.first), halvedAt_(-1e18) {}
+LettingIn::LettingIn(const Terms& terms) : terms_(terms), share_(terms.first), halved_at_(-1e18) {}
 
 void LettingIn::begin(Ms now) {
-  next_ = now + terms_.stepEvery * (1 + static_cast<double>(terms_.zone) / std::max(1, terms_.zones));
+  next_ = now + terms_.step_every * (1 + static_cast<double>(terms_.zone) / std::max(1, terms_.zones));
 }
 
-void LettingIn::crowded(Ms now, bool halve) {
+void LettingIn::Crowded(Ms now, bool halve) {
   held_ = true;
-  if (!halve || now - halvedAt_ < terms_.stepEvery) return;
-  edge_ = share_, halvedAt_ = now, share_ = std::max(terms_.least, share_ / 2);
+  if (!halve || now - halved_at_ < terms_.step_every) return;
+  edge_ = share_, halved_at_ = now, share_ = std::max(terms_.least, share_ / 2);
 }
 
-bool LettingIn::step(Ms now) {
+bool LettingIn::Step(Ms now) {
   if (now < next_) return false;
-  next_ = std::max(next_ + terms_.stepEvery, now + terms_.stepEvery / 2);
-  if (std::exchange(held_, false) && now - halvedAt_ < 2 * terms_.stepEvery) return false;
-  double by = edge_ > 0 && share_ > 0.75 * edge_ ? slow(terms_) : terms_.grow;
+  next_ = std::max(next_ + terms_.step_every, now + terms_.step_every / 2);
+  if (std::exchange(held_, false) && now - halved_at_ < 2 * terms_.step_every) return false;
+  double by = edge_ > 0 && share_ > 0.75 * edge_ ? Slow(terms_) : terms_.grow;
   if (share_ > edge_) edge_ = 0;  // it bears more than it did
   share_ = std::min(1.0, share_ * by);
   return true;
 }
 
-std::vector<double> LettingIn::byOffering(bool certainOnly) const {
+std::vector<double> LettingIn::ByOffering(bool certain_only) const {
   std::size_t n = terms_.payoff.size();
   auto work = [&](std::size_t i) { return i < terms_.work.size() ? terms_.work[i] : 1.0; };
   std::vector<std::size_t> order(n);
@@ -53,7 +53,7 @@
   double left = share_ * total;
   std::vector<double> out(n, 0.0);
   for (std::size_t i : order) {
-    if (certainOnly && !(i < terms_.certain.size() && terms_.certain[i])) continue;
+    if (certain_only && !(i < terms_.certain.size() && terms_.certain[i])) continue;
     double take = std::min(left, work(i));
     out[i] = work(i) > 0 ? take / work(i) : 1, left -= take;
   }
--- a/src/recovery/trust.cpp
+++ b/src/recovery/trust.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 // Each line has a test of its own in tests/recovery_test.cpp; it counts these.
-constexpr Trust lines[] = {
+constexpr Trust kLines[] = {
     {"token", "floor", "one used twice lets two owners past a fence; a higher one harms nobody"},
     {"offset", "floor", "a record that starts again below it would pass old recalls for new ones"},
     {"incarnation", "floor", "a lower one is refuted by what others remember, and this front is taken for dead"},
@@ -28,29 +28,29 @@
 };
 }  // namespace
 
-std::span<const Trust> trusted() { return lines; }
+std::span<const Trust> Trusted() { return kLines; }
 
-std::string encode(const Hello& h) {
+std::string Encode(const Hello& h) {
   proto::recovery::Hello m;
   m.set_life(h.life), m.set_up(h.up), m.set_phase(static_cast<std::uint32_t>(h.phase));
   m.set_store(static_cast<std::uint32_t>(h.store)), m.set_committed(h.committed);
-  m.set_group_leads(h.groupLeads), m.set_group_member(h.groupMember), m.set_zone(h.zone), m.set_carries(h.carries);
-  m.set_of_you(h.ofYou);
+  m.set_group_leads(h.group_leads), m.set_group_member(h.group_member), m.set_zone(h.zone), m.set_carries(h.carries);
+  m.set_of_you(h.of_you);
   auto* f = m.mutable_floors();
   f->set_token(h.floors.token), f->set_offset(h.floors.offset), f->set_incarnation(h.floors.incarnation);
-  f->set_rules_digest(h.floors.rulesDigest), f->set_rules_version(h.floors.rulesVersion);
+  f->set_rules_digest(h.floors.rules_digest), f->set_rules_version(h.floors.rules_version);
   return m.SerializeAsString();
 }
 
-std::optional<Hello> decode(std::span<const char> bytes) {
+std::optional<Hello> Decode(std::span<const char> bytes) {
   proto::recovery::Hello m;
-  if (bytes.size() > mostHelloBytes || !m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return {};
-  if (m.phase() >= phases || m.store() > static_cast<std::uint32_t>(StoreSeen::State::spoilt)) return {};
+  if (bytes.size() > kMostHelloBytes || !m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return {};
+  if (m.phase() >= kPhases || m.store() > static_cast<std::uint32_t>(StoreSeen::State::kSpoilt)) return {};
   if (!std::isfinite(m.up()) || m.up() < 0 || !(m.carries() >= 0 && m.carries() <= 1) || m.zone() < 0) return {};
   Hello h;
   h.life = m.life(), h.up = m.up(), h.phase = static_cast<Phase>(m.phase()), h.store = static_cast<StoreSeen::State>(m.store());
-  h.committed = m.committed(), h.groupLeads = m.group_leads(), h.groupMember = m.group_member();
-  h.zone = m.zone(), h.carries = m.carries(), h.ofYou = m.of_you();
+  h.committed = m.committed(), h.group_leads = m.group_leads(), h.group_member = m.group_member();
+  h.zone = m.zone(), h.carries = m.carries(), h.of_you = m.of_you();
   const auto& f = m.floors();
   h.floors = {f.token(), f.offset(), f.incarnation(), f.rules_digest(), f.rules_version()};
   return h;
--- a/src/rig/drift_judge.hpp
+++ b/src/rig/drift_judge.hpp
@@ -16,33 +16,33 @@
  public:
   explicit DriftJudge(const DriftSim& sim) : sim_(sim) {}
   void step();                                     // every 50 ms of virtual time
-  void found(Id by, const drift::Found& f);
-  void takesUp(Id front, Token token, Token heard);
-  void asks(Id by, const drift::Repair& r);
+  void RecordFinding(Id by, const drift::Found& f);
+  void TakesUp(Id front, Token token, Token heard);
+  void Asks(Id by, const drift::Repair& r);
   void kind(Id front, drift::Standing standing) { kind_[front] = standing; }  // what the deviation is made as
-  void disturbed(Id front);                        // it changed its place in the world: paused, cut, restarted
+  void Disturbed(Id front);                        // it changed its place in the world: paused, cut, restarted
   Ms bound() const;                                // foundWithin + what was lost adds
-  void strictKinds(bool on) { strict_ = on; }
+  void StrictKinds(bool on) { strict_ = on; }
 
   std::vector<std::string> faults;                 // at most 20
-  std::vector<Ms> foundAfter;                      // of each deviation, until the last front named it
-  std::vector<Ms> firstAfter;                      // until the first one did
+  std::vector<Ms> found_after;                      // of each deviation, until the last front named it
+  std::vector<Ms> first_after;                      // until the first one did
   std::uint64_t asked = 0;                         // repairs asked for
   std::uint64_t owed = 0, met = 0, ended = 0;      // deviations to be found; found; repaired before
 
  private:
   void fault(const std::string& text);
   struct Watch {
-    Ms badSince = -1, disturbedAt = 0, lastRealBad = -1e18;
+    Ms bad_since = -1, disturbed_at = 0, last_real_bad = -1e18;
     std::uint64_t what = 0;
     bool due = false, done = false, first = false, named = false;
   };
   const DriftSim& sim_;
   std::map<Id, Watch> watch_;
   std::map<Id, drift::Standing> kind_;
-  std::map<Id, Ms> asideSince_;
-  double goneMost_ = 0;    // the most fronts that were away at once, as a share
-  Ms thinAt_ = 0;
+  std::map<Id, Ms> aside_since_;
+  double gone_most_ = 0;    // the most fronts that were away at once, as a share
+  Ms thin_at_ = 0;
   bool strict_ = true;
 };
 
--- a/src/rig/drift_script.hpp
+++ b/src/rig/drift_script.hpp
@@ -7,12 +7,12 @@
 
 struct DriftRun {
   std::vector<std::string> faults;
-  std::vector<Ms> foundAfter;
+  std::vector<Ms> found_after;
   std::uint64_t owed = 0, met = 0, ended = 0, repairs = 0;
   double loss = 0;
   std::size_t fronts = 0;
 };
-Form driftForm(int limit, int memory = 60000);
-DriftRun driftRun(std::uint64_t seed, DriftFlaw flaw = DriftFlaw::none);
+Form DriftForm(int limit, int memory = 60000);
+DriftRun PlayDrift(std::uint64_t seed, DriftFlaw flaw = DriftFlaw::kNone);
 
 }  // namespace dunlinwick::rig
--- a/src/rig/history.hpp
+++ b/src/rig/history.hpp
@@ -15,8 +15,8 @@
 
 struct Happened {
   // forgot: the whole group lost its store; what it had recorded is gone, and only the fences still know.
-  enum class What : std::uint8_t { granted, sent, landed, recorded, finished, abandoned, forgot };
-  What what = What::granted;
+  enum class What : std::uint8_t { kGranted, kSent, kLanded, kRecorded, kFinished, kAbandoned, kForgot };
+  What what = What::kGranted;
   Ms at = 0;
   std::string work;
   Token token = 0;
@@ -24,7 +24,7 @@
   Id front = 0;             // of landed: whose
   std::uint64_t life = 0;   // of granted: of the front's process
   Id place = 0;             // of landed
-  Landing landing = Landing::done;
+  Landing landing = Landing::kDone;
 };
 struct Begun {
   std::string work;
@@ -37,8 +37,8 @@
   std::string what;
 };
 // `clocksKept`: no clock went past the stated bound. `whole`: the run went on long enough after its last fault to finish.
-std::vector<Breach> judge(const std::vector<Happened>& history, const std::vector<Begun>& works, bool clocksKept, bool whole);
+std::vector<Breach> CheckHistory(const std::vector<Happened>& history, const std::vector<Begun>& works, bool clocks_kept, bool whole);
 // Handovers: from the last action of one token that landed to the first of the next, by work.
-std::vector<Ms> handovers(const std::vector<Happened>& history);
+std::vector<Ms> Handovers(const std::vector<Happened>& history);
 
 }  // namespace dunlinwick::owner
--- a/src/rig/judge.hpp
+++ b/src/rig/judge.hpp
@@ -40,7 +40,7 @@
   Ms at = 0, ttl = 0;
   int answers = 0;       // final ones
   int status = 0;        // of the first; 0: none
-  Ms answeredAt = 0;
+  Ms answered_at = 0;
   std::string place;     // whose caches served it, where the answer says
   bool ended = false;    // its connection is over, or its time and half a second are
 };
@@ -48,7 +48,7 @@
   Ms from = 0, until = 0;
   std::vector<CueDone> cues;
   std::vector<VerdictSeen> verdicts;  // by time
-  std::vector<std::pair<std::size_t, std::uint32_t>> epochsAtEnd;  // of fronts that are up
+  std::vector<std::pair<std::size_t, std::uint32_t>> epochs_at_end;  // of fronts that are up
   std::vector<PullSeen> pulls;
   std::map<std::string, int> ran;  // exclusive pulls by id: how often one reached where it runs
 };
@@ -59,17 +59,17 @@
 };
 
 // The stated bounds, from a fleet's terms.
-Ms leaveWithin(const FleetFile& fleet);   // the longest suspicion, a round of probes, the news' way
-Ms cachesWithin(const FleetFile& fleet);  // where pulls are asked for: strikes at each cache, `lasting`, the news' way
-Ms settleWithin(const FleetFile& fleet);  // both, and the way back in quarters
+Ms LeaveWithin(const FleetFile& fleet);   // the longest suspicion, a round of probes, the news' way
+Ms CachesWithin(const FleetFile& fleet);  // where pulls are asked for: strikes at each cache, `lasting`, the news' way
+Ms SettleWithin(const FleetFile& fleet);  // both, and the way back in quarters
 
-std::vector<Broken> judge(const FleetFile& fleet, const History& history);
+std::vector<Broken> CheckHistory(const FleetFile& fleet, const History& history);
 
 // What pulls came to between two times: for the tables.
 struct Kept {
   int asked = 0, finished = 0, near = 0;  // near: of those finished, by the front's own zone
-  double share() const { return finished > 0 ? static_cast<double>(near) / finished : 1; }
+  double Share() const { return finished > 0 ? static_cast<double>(near) / finished : 1; }
 };
-Kept kept(const FleetFile& fleet, const History& history, Ms from, Ms until);
+Kept MakeKept(const FleetFile& fleet, const History& history, Ms from, Ms until);
 
 }  // namespace dunlinwick::fleet
--- a/src/rig/ownersim.cpp
+++ b/src/rig/ownersim.cpp
@@ -10,7 +10,7 @@
 using owner::Id;
 using owner::Ms;
 
-constexpr Id firstPlace = 1000;
+constexpr Id kFirstPlace = 1000;
 
 struct OwnerSim::Front {
   Id id = 0;
@@ -28,12 +28,12 @@
 };
 
 OwnerSim::OwnerSim(OwnerTerms terms, std::uint64_t seed) : terms_(terms), seed_(seed), random_(static_cast<unsigned>(seed * 2654435761u + 17)) {
-  for (std::size_t p = 0; p < terms_.places; ++p) places_.push_back(std::make_unique<Place>(Place{static_cast<Id>(firstPlace + p), {}}));
+  for (std::size_t p = 0; p < terms_.places; ++p) places_.push_back(std::make_unique<Place>(Place{static_cast<Id>(kFirstPlace + p), {}}));
   for (std::size_t i = 0; i < terms_.fronts; ++i) {
     auto f = std::make_unique<Front>();
     f->id = static_cast<Id>(i + 1), f->member = i < terms_.group;
     f->store = std::make_unique<owner::MemoryStore>();
-    f->offset = 1.7e12 + 1000 * unit();
+    f->offset = 1.7e12 + 1000 * Unit();
     fronts_.push_back(std::move(f));
   }
   for (std::size_t w = 0; w < terms_.works; ++w) {
@@ -43,11 +43,11 @@
       if (w == 0 || p == w % terms_.places) b.places.push_back(places_[p]->id);
     run_.works.push_back(b);
   }
-  for (auto& f : fronts_) start(*f);
+  for (auto& f : fronts_) Start(*f);
 }
 OwnerSim::~OwnerSim() = default;
 
-void OwnerSim::start(Front& f) {
+void OwnerSim::Start(Front& f) {
   ++f.life;
   owner::NodeTerms t;
   t.self = f.id, t.lease = terms_.lease, t.raft = terms_.raft;
@@ -55,7 +55,7 @@
   for (const owner::Begun& b : run_.works) t.jobs.push_back({b.work, b.steps, terms_.each, b.places});
   Ms clock = f.clock(now_);
   owner::Node::Ways ways;
-  ways.send = [this, id = f.id](Id to, std::string bytes) { send(id, to, std::move(bytes)); };
+  ways.send = [this, id = f.id](Id to, std::string bytes) { Send(id, to, std::move(bytes)); };
   ways.say = [this, &f](const std::string& line) {
     char at[32];
     std::snprintf(at, sizeof at, "%9.1f ", now_);
@@ -64,92 +64,92 @@
     h.at = now_, h.front = f.id, h.life = f.life;
     char work[64];
     unsigned long long token = 0, step = 0;
-    if (std::sscanf(line.c_str(), "owner of %63s token %llu from step %llu", work, &token, &step) == 3) h.what = Happened::What::granted;
-    else if (std::sscanf(line.c_str(), "owner finished %63s token %llu", work, &token) == 2) h.what = Happened::What::finished;
+    if (std::sscanf(line.c_str(), "owner of %63s token %llu from step %llu", work, &token, &step) == 3) h.what = Happened::What::kGranted;
+    else if (std::sscanf(line.c_str(), "owner finished %63s token %llu", work, &token) == 2) h.what = Happened::What::kFinished;
     else return;
     h.work = work, h.token = token, h.step = step;
     run_.history.push_back(h);
   };
   f.node = std::make_unique<owner::Node>(std::move(t), f.member ? f.store.get() : nullptr, static_cast<std::uint64_t>(clock / 1000) * 64 + f.life % 64,
                                          seed_ * 1009 + f.id * 131 + f.life, clock, std::move(ways));
-  f.node->agent().breaks.noMargin = terms_.breaks.noMargin;
-  f.node->agent().breaks.fromTheStart = terms_.breaks.fromTheStart;
-  f.node->agent().breaks.noLease = terms_.breaks.noLease;
-  f.node->grantsAlone = terms_.breaks.grantAlone;
-  if (f.member && terms_.breaks.reuseTokens) f.node->group()->breakTokens();
+  f.node->agent().breaks.no_margin = terms_.breaks.no_margin;
+  f.node->agent().breaks.from_the_start = terms_.breaks.from_the_start;
+  f.node->agent().breaks.no_lease = terms_.breaks.no_lease;
+  f.node->grants_alone = terms_.breaks.grant_alone;
+  if (f.member && terms_.breaks.reuse_tokens) f.node->group()->BreakTokens();
   f.up = true, f.paused = false, f.waiting.clear(), f.ticked = 0;
 }
 
-void OwnerSim::send(Id from, Id to, std::string bytes) {
+void OwnerSim::Send(Id from, Id to, std::string bytes) {
   ++datagrams_;
-  auto f = owner::frame(bytes);
-  if (f && f->kind == owner::Kind::act)
-    if (auto d = owner::decodeDo(f->body)) {
+  auto f = owner::ReadFrame(bytes);
+  if (f && f->kind == owner::Kind::kAct)
+    if (auto d = owner::DecodeDo(f->body)) {
       Happened h;
-      h.what = Happened::What::sent, h.at = now_, h.work = d->work, h.token = d->token, h.step = d->step, h.front = from;
+      h.what = Happened::What::kSent, h.at = now_, h.work = d->work, h.token = d->token, h.step = d->step, h.front = from;
       run_.history.push_back(h);
     }
   auto cut = cuts_.find({from, to});
-  if ((cut != cuts_.end() && cut->second > 0) || unit() < loss_) return;
-  int copies = 1 + (unit() < doubled_);
-  for (int c = 0; c < copies; ++c) flights_.push({now_ + 0.3 + 0.4 * unit() + extra_ * unit(), order_++, to, bytes});
+  if ((cut != cuts_.end() && cut->second > 0) || Unit() < loss_) return;
+  int copies = 1 + (Unit() < doubled_);
+  for (int c = 0; c < copies; ++c) flights_.push({now_ + 0.3 + 0.4 * Unit() + extra_ * Unit(), order_++, to, bytes});
 }
 
-void OwnerSim::deliver(Flight one) {
-  if (one.to >= firstPlace) {
-    Place& p = *places_[one.to - firstPlace];
-    auto f = owner::frame(one.bytes);
-    auto d = f && f->kind == owner::Kind::act ? owner::decodeDo(f->body) : std::nullopt;
+void OwnerSim::Deliver(Flight one) {
+  if (one.to >= kFirstPlace) {
+    Place& p = *places_[one.to - kFirstPlace];
+    auto f = owner::ReadFrame(one.bytes);
+    auto d = f && f->kind == owner::Kind::kAct ? owner::DecodeDo(f->body) : std::nullopt;
     if (!d) return;
-    owner::Did did{*d, owner::Landing::done, 0};
-    did.landing = terms_.breaks.noFence ? owner::Landing::done : p.fence.take(d->work, d->token, d->step);
-    did.highest = p.fence.highest(d->work);
+    owner::Did did{*d, owner::Landing::kDone, 0};
+    did.landing = terms_.breaks.no_fence ? owner::Landing::kDone : p.fence.Take(d->work, d->token, d->step);
+    did.highest = p.fence.Highest(d->work);
     Happened h;
-    h.what = Happened::What::landed, h.at = now_, h.work = d->work, h.token = d->token, h.step = d->step, h.front = f->from;
+    h.what = Happened::What::kLanded, h.at = now_, h.work = d->work, h.token = d->token, h.step = d->step, h.front = f->from;
     h.place = p.id, h.landing = did.landing;
     run_.history.push_back(h);
-    return send(p.id, f->from, owner::encodeDid(p.id, did));
+    return Send(p.id, f->from, owner::EncodeDid(p.id, did));
   }
   Front& f = *fronts_[one.to - 1];
   if (!f.up) return;
   if (f.paused) {
-    constexpr std::size_t buffered = 256;
-    if (f.waiting.size() < buffered) f.waiting.push_back(std::move(one.bytes));
+    constexpr std::size_t kBuffered = 256;
+    if (f.waiting.size() < kBuffered) f.waiting.push_back(std::move(one.bytes));
     return;
   }
-  f.node->receive(f.clock(now_), one.bytes);
+  f.node->Receive(f.clock(now_), one.bytes);
 }
 
-void OwnerSim::runUntil(Ms t) {
-  constexpr Ms each = 20;
+void OwnerSim::RunUntil(Ms t) {
+  constexpr Ms kEach = 20;
   while (now_ < t) {
     Ms next = t;
     for (auto& f : fronts_)
-      if (f->up && !f->paused) next = std::min(next, std::max(now_, f->ticked + each));
+      if (f->up && !f->paused) next = std::min(next, std::max(now_, f->ticked + kEach));
     if (!flights_.empty()) next = std::min(next, flights_.top().at);
     now_ = std::max(now_, next);
     while (!flights_.empty() && flights_.top().at <= now_) {
       Flight one = flights_.top();
       flights_.pop();
-      deliver(std::move(one));
+      Deliver(std::move(one));
     }
     for (auto& f : fronts_)
-      if (f->up && !f->paused && now_ >= f->ticked + each) {
+      if (f->up && !f->paused && now_ >= f->ticked + kEach) {
         f->ticked = now_;
         // What the group has recorded, as its leader holds it: for the checker.
-        f->node->tick(f->clock(now_));
-        if (f->member && f->node->group()->leads())
-          for (const auto& [name, w] : f->node->group()->table().works()) {
-            auto known = std::find_if(run_.history.rbegin(), run_.history.rend(), [&, n = &name](const Happened& h) { return h.what == Happened::What::recorded && h.work == *n; });
+        f->node->Tick(f->clock(now_));
+        if (f->member && f->node->group()->Leads())
+          for (const auto& [name, w] : f->node->group()->table().Works()) {
+            auto known = std::find_if(run_.history.rbegin(), run_.history.rend(), [&, n = &name](const Happened& h) { return h.what == Happened::What::kRecorded && h.work == *n; });
             if (w.done > (known == run_.history.rend() ? 0 : known->step)) {
               Happened h;
-              h.what = Happened::What::recorded, h.at = now_, h.work = name, h.step = w.done;
+              h.what = Happened::What::kRecorded, h.at = now_, h.work = name, h.step = w.done;
               run_.history.push_back(h);
             }
-            bool told = std::any_of(run_.history.begin(), run_.history.end(), [&, n = &name](const Happened& h) { return h.what == Happened::What::finished && h.work == *n; });
+            bool told = std::any_of(run_.history.begin(), run_.history.end(), [&, n = &name](const Happened& h) { return h.what == Happened::What::kFinished && h.work == *n; });
             if (w.finished && !told) {
               Happened h;
-              h.what = Happened::What::finished, h.at = now_, h.work = name;
+              h.what = Happened::What::kFinished, h.at = now_, h.work = name;
               run_.history.push_back(h);
             }
           }
@@ -157,37 +157,37 @@
   }
 }
 
-void OwnerSim::pause(Id id, bool on) {
+void OwnerSim::Pause(Id id, bool on) {
   Front& f = *fronts_[id - 1];
   if (!f.up || f.paused == on) return;
   f.paused = on;
   if (!on)
-    for (std::string& bytes : std::exchange(f.waiting, {})) f.node->receive(f.clock(now_), bytes);
+    for (std::string& bytes : std::exchange(f.waiting, {})) f.node->Receive(f.clock(now_), bytes);
 }
-void OwnerSim::kill(Id id) {
+void OwnerSim::Kill(Id id) {
   Front& f = *fronts_[id - 1];
   f.up = false, f.paused = false, f.waiting.clear();
   f.node.reset();
 }
-void OwnerSim::restart(Id id, bool lost) {
+void OwnerSim::Restart(Id id, bool lost) {
   Front& f = *fronts_[id - 1];
-  kill(id);
+  Kill(id);
   if (lost) f.store = std::make_unique<owner::MemoryStore>();
-  start(f);
+  Start(f);
 }
-void OwnerSim::cut(const std::vector<Id>& group, bool outOnly, bool on, bool places) {
+void OwnerSim::Cut(const std::vector<Id>& group, bool out_only, bool on, bool places) {
   auto in = [&](Id id) { return std::count(group.begin(), group.end(), id) > 0; };
   auto change = [&](Id a, Id b) { cuts_[{a, b}] += on ? 1 : -1; };
   for (Id a : group) {
     for (auto& f : fronts_)
       if (!in(f->id)) {
         change(a, f->id);
-        if (!outOnly) change(f->id, a);
+        if (!out_only) change(f->id, a);
       }
     if (!places) continue;
     for (auto& p : places_) {
       change(a, p->id);
-      if (!outOnly) change(p->id, a);
+      if (!out_only) change(p->id, a);
     }
   }
 }
@@ -204,9 +204,9 @@
         if (h.work == work && f->clock(now_) < h.until) return f->id;
   return 0;
 }
-bool OwnerSim::allOver() const {
+bool OwnerSim::AllOver() const {
   for (const owner::Begun& b : run_.works)
-    if (std::none_of(run_.history.begin(), run_.history.end(), [&](const Happened& h) { return h.what == Happened::What::finished && h.work == b.work; })) return false;
+    if (std::none_of(run_.history.begin(), run_.history.end(), [&](const Happened& h) { return h.what == Happened::What::kFinished && h.work == b.work; })) return false;
   return true;
 }
 OwnerRun OwnerSim::result(bool whole) {
@@ -214,8 +214,8 @@
   return std::move(run_);
 }
 
-OwnerRun OwnerSim::run() {
-  runUntil(6500);  // the group is founded first, and waits a lease before its first grant
+OwnerRun OwnerSim::Run() {
+  RunUntil(6500);  // the group is founded first, and waits a lease before its first grant
   struct Undo {
     Ms at;
     std::function<void()> what;
@@ -230,73 +230,73 @@
     while (true) {
       auto next = std::min_element(undo.begin(), undo.end(), [](const Undo& a, const Undo& b) { return a.at < b.at; });
       if (next == undo.end() || next->at > t) break;
-      runUntil(next->at);
+      RunUntil(next->at);
       auto what = next->what;
       undo.erase(next);
       what();
     }
-    runUntil(t);
+    RunUntil(t);
   };
-  bool someLost = false;
+  bool some_lost = false;
   const owner::Terms& l = terms_.lease;
   for (int i = 0; i < terms_.faults; ++i) {
-    until(now_ + 200 + 1800 * unit());
+    until(now_ + 200 + 1800 * Unit());
     // Half of the faults strike whoever owns something just now.
-    Id who = static_cast<Id>(1 + unit() * static_cast<double>(terms_.fronts));
-    Id owns = holder(run_.works[static_cast<std::size_t>(unit() * static_cast<double>(run_.works.size()))].work);
-    if (owns != 0 && unit() < 0.5) who = owns;
-    Ms lasts = l.lease * (0.2 + 2.3 * unit());
+    Id who = static_cast<Id>(1 + Unit() * static_cast<double>(terms_.fronts));
+    Id owns = holder(run_.works[static_cast<std::size_t>(Unit() * static_cast<double>(run_.works.size()))].work);
+    if (owns != 0 && Unit() < 0.5) who = owns;
+    Ms lasts = l.lease * (0.2 + 2.3 * Unit());
     std::string name = std::to_string(who), time = " for " + std::to_string(static_cast<int>(lasts)) + " ms";
     Front& f = *fronts_[who - 1];
-    switch (static_cast<int>(unit() * 9)) {
+    switch (static_cast<int>(Unit() * 9)) {
       case 0:
       case 1:
-        if (f.up && !f.paused) note("pause " + name + time), pause(who, true), undo.push_back({now_ + lasts, [this, who] { pause(who, false); }});
+        if (f.up && !f.paused) note("pause " + name + time), Pause(who, true), undo.push_back({now_ + lasts, [this, who] { Pause(who, false); }});
         break;
       case 2: {
-        bool lost = f.member && !someLost && unit() < 0.4;
-        someLost |= lost;
+        bool lost = f.member && !some_lost && Unit() < 0.4;
+        some_lost |= lost;
         note("kill " + name + (lost ? ", what it stored is lost" : "") + time);
-        kill(who);
-        undo.push_back({now_ + lasts, [this, who, lost] { restart(who, lost); }});
+        Kill(who);
+        undo.push_back({now_ + lasts, [this, who, lost] { Restart(who, lost); }});
         break;
       }
       case 3:
       case 4: {
-        bool outOnly = unit() < 0.4, places = unit() < 0.3;
-        note("cut " + name + (outOnly ? " out only" : "") + (places ? " from places too" : "") + time);
-        cut({who}, outOnly, true, places);
-        undo.push_back({now_ + lasts, [this, who, outOnly, places] { cut({who}, outOnly, false, places); }});
+        bool out_only = Unit() < 0.4, places = Unit() < 0.3;
+        note("cut " + name + (out_only ? " out only" : "") + (places ? " from places too" : "") + time);
+        Cut({who}, out_only, true, places);
+        undo.push_back({now_ + lasts, [this, who, out_only, places] { Cut({who}, out_only, false, places); }});
         break;
       }
       case 5: {
-        Ms delay = l.lease * (0.1 + 0.8 * unit());
+        Ms delay = l.lease * (0.1 + 0.8 * Unit());
         note("slow by up to " + std::to_string(static_cast<int>(delay)) + time);
-        slow(delay);
-        undo.push_back({now_ + lasts, [this] { slow(0); }});
+        Slow(delay);
+        undo.push_back({now_ + lasts, [this] { Slow(0); }});
         break;
       }
       case 6:
         note("loss, doubles" + time);
-        loss_ = 0.3 * unit(), doubled_ = 0.2 * unit();
+        loss_ = 0.3 * Unit(), doubled_ = 0.2 * Unit();
         undo.push_back({now_ + lasts, [this] { loss_ = doubled_ = 0; }});
         break;
       case 7: {
         // Within the bound: a rate under `drift`, a step under half the margin; at most one step a lease at this pace.
-        double rate = (2 * unit() - 1) * l.drift * (terms_.pastBound ? 95 : 0.95);
-        Ms step = (2 * unit() - 1) * l.margin * (terms_.pastBound ? 20 : 0.2);
-        if (terms_.pastBound) run_.clocksKept = false, who = owns != 0 ? owns : who;
+        double rate = (2 * Unit() - 1) * l.drift * (terms_.past_bound ? 95 : 0.95);
+        Ms step = (2 * Unit() - 1) * l.margin * (terms_.past_bound ? 20 : 0.2);
+        if (terms_.past_bound) run_.clocks_kept = false, who = owns != 0 ? owns : who;
         note("clock " + name + " rate " + std::to_string(rate) + " step " + std::to_string(step));
         clock(who, rate, step);
         break;
       }
       case 8:
-        if (terms_.loseAll && unit() < 0.5) {
+        if (terms_.lose_all && Unit() < 0.5) {
           note("all members lose what they stored");
           Happened h;
-          h.what = Happened::What::forgot, h.at = now_;
+          h.what = Happened::What::kForgot, h.at = now_;
           run_.history.push_back(h);
-          for (std::size_t m = 1; m <= terms_.group; ++m) restart(static_cast<Id>(m), true);
+          for (std::size_t m = 1; m <= terms_.group; ++m) Restart(static_cast<Id>(m), true);
         }
         break;
     }
@@ -305,10 +305,10 @@
   loss_ = doubled_ = extra_ = 0;
   for (auto& f : fronts_) clock(f->id, 0, 0);  // else a lease at a clock that hardly goes outlasts the run
   for (auto& f : fronts_)
-    if (!f->up) restart(f->id, false);
+    if (!f->up) Restart(f->id, false);
   Ms end = now_ + 60000;
-  while (now_ < end && !allOver()) runUntil(now_ + 500);
-  runUntil(now_ + 500);
+  while (now_ < end && !AllOver()) RunUntil(now_ + 500);
+  RunUntil(now_ + 500);
   return result(true);
 }
 
--- a/src/rig/ownersim.hpp
+++ b/src/rig/ownersim.hpp
@@ -14,7 +14,7 @@
 namespace dunlinwick::fleet {
 
 struct OwnerBreaks {  // each a way to be wrong, for the checker to catch
-  bool noFence = false, noMargin = false, reuseTokens = false, grantAlone = false, fromTheStart = false, noLease = false;
+  bool no_fence = false, no_margin = false, reuse_tokens = false, grant_alone = false, from_the_start = false, no_lease = false;
 };
 struct OwnerTerms {
   std::size_t fronts = 5, group = 3, places = 2, works = 2;
@@ -22,8 +22,8 @@
   owner::Ms each = 100;
   owner::Terms lease;
   owner::GroupTerms raft;
-  bool pastBound = false;  // clocks may run off and step past the bound: the fence must do
-  bool loseAll = false;    // all members may lose what they stored, at once: a group founded anew
+  bool past_bound = false;  // clocks may run off and step past the bound: the fence must do
+  bool lose_all = false;    // all members may lose what they stored, at once: a group founded anew
   int faults = 6;
   bool quiet = false;      // no faults but those a test makes
   OwnerBreaks breaks;
@@ -35,24 +35,24 @@
   std::vector<std::string> faults;  // what was done
   std::uint64_t datagrams = 0;
   owner::Ms length = 0;
-  bool clocksKept = true, whole = true;
+  bool clocks_kept = true, whole = true;
 };
 
 class OwnerSim {
  public:
   OwnerSim(OwnerTerms terms, std::uint64_t seed);
   ~OwnerSim();
-  void runUntil(owner::Ms t);
+  void RunUntil(owner::Ms t);
   owner::Ms now() const { return now_; }
-  void pause(owner::Id front, bool on);
-  void kill(owner::Id front);
-  void restart(owner::Id front, bool lost);
-  void cut(const std::vector<owner::Id>& group, bool outOnly, bool on, bool places);
-  void slow(owner::Ms delay) { extra_ = delay; }
+  void Pause(owner::Id front, bool on);
+  void Kill(owner::Id front);
+  void Restart(owner::Id front, bool lost);
+  void Cut(const std::vector<owner::Id>& group, bool out_only, bool on, bool places);
+  void Slow(owner::Ms delay) { extra_ = delay; }
   void clock(owner::Id front, double rate, owner::Ms step);
   owner::Id holder(const std::string& work) const;  // who acts just now; 0: nobody
-  bool allOver() const;
-  OwnerRun run();  // the schedule of its seed, to its end
+  bool AllOver() const;
+  OwnerRun Run();  // the schedule of its seed, to its end
   OwnerRun result(bool whole);
 
  private:
@@ -65,10 +65,10 @@
     std::string bytes;
     bool operator>(const Flight& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
-  void start(Front& f);
-  void send(owner::Id from, owner::Id to, std::string bytes);
-  void deliver(Flight one);
-  double unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  void Start(Front& f);
+  void Send(owner::Id from, owner::Id to, std::string bytes);
+  void Deliver(Flight one);
+  double Unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   OwnerTerms terms_;
   std::uint64_t seed_;
--- a/src/rig/place.cpp
+++ b/src/rig/place.cpp
@@ -23,21 +23,21 @@
   owner::Fence fence;
   Place(loop::Loop& l, int fd, owner::Id i) : loop(l), socket(l.ground(), fd), id(i) {}
 
-  void ready(short) override {
+  void Ready(short) override {
     std::vector<char> buffer(2048);
     loop::Address from{};
-    for (ssize_t got = 0; (got = loop.ground().receiveFrom(socket.get(), buffer, from)) >= 0;) {
-      auto f = owner::frame({buffer.data(), static_cast<std::size_t>(got)});
-      auto d = f && f->kind == owner::Kind::act ? owner::decodeDo(f->body) : std::nullopt;
+    for (ssize_t got = 0; (got = loop.ground().ReceiveFrom(socket.Get(), buffer, from)) >= 0;) {
+      auto f = owner::ReadFrame({buffer.data(), static_cast<std::size_t>(got)});
+      auto d = f && f->kind == owner::Kind::kAct ? owner::DecodeDo(f->body) : std::nullopt;
       if (!d) continue;
-      owner::Did did{*d, fence.take(d->work, d->token, d->step), 0};
-      did.highest = fence.highest(d->work);
-      bool landed = did.landing == owner::Landing::done;
-      std::fprintf(landed || did.landing == owner::Landing::doneBefore ? stdout : stderr, "%s %s token %llu step %llu front %u highest %llu at %.0f: %s\n",
-                   landed ? "landed" : did.landing == owner::Landing::doneBefore ? "known" : "refused", d->work.c_str(),
+      owner::Did did{*d, fence.Take(d->work, d->token, d->step), 0};
+      did.highest = fence.Highest(d->work);
+      bool landed = did.landing == owner::Landing::kDone;
+      std::fprintf(landed || did.landing == owner::Landing::kDoneBefore ? stdout : stderr, "%s %s token %llu step %llu front %u highest %llu at %.0f: %s\n",
+                   landed ? "landed" : did.landing == owner::Landing::kDoneBefore ? "known" : "refused", d->work.c_str(),
                    static_cast<unsigned long long>(d->token), static_cast<unsigned long long>(d->step), f->from,
-                   static_cast<unsigned long long>(did.highest), loop.now(), owner::word(did.landing));
-      if (auto at = fronts.find(f->from); at != fronts.end()) loop.ground().sendTo(socket.get(), owner::encodeDid(id, did), at->second);
+                   static_cast<unsigned long long>(did.highest), loop.now(), owner::MakeWord(did.landing));
+      if (auto at = fronts.find(f->from); at != fronts.end()) loop.ground().SendTo(socket.Get(), owner::EncodeDid(id, did), at->second);
     }
   }
 };
@@ -55,16 +55,16 @@
   CLI11_PARSE(app, argc, argv);
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   loop::Loop loop;
-  auto at = loop::readAddress(listen);
-  int fd = at ? loop.ground().openDatagrams(*at) : -1;
+  auto at = loop::ReadAddress(listen);
+  int fd = at ? loop.ground().OpenDatagrams(*at) : -1;
   if (fd < 0) return std::fprintf(stderr, "dunlinwick_place: %s cannot be had\n", listen.c_str()), 1;
   Place place(loop, fd, id);
   for (const std::string& one : fronts) {
     std::size_t eq = one.find('=');
-    auto to = eq == one.npos ? std::nullopt : loop::readAddress(one.substr(eq + 1));
+    auto to = eq == one.npos ? std::nullopt : loop::ReadAddress(one.substr(eq + 1));
     if (!to) return std::fprintf(stderr, "dunlinwick_place: --front %s: ID=ADDRESS wanted\n", one.c_str()), 1;
     place.fronts[static_cast<owner::Id>(std::strtoul(one.c_str(), nullptr, 10))] = *to;
   }
-  loop.watch(place.socket.get(), place, POLLIN);
-  loop.run();
+  loop.WatchDescriptor(place.socket.Get(), place, POLLIN);
+  loop.Run();
 }
--- a/src/rig/processes.cpp
+++ b/src/rig/processes.cpp
@@ -16,30 +16,30 @@
 // can have; kill(2) may be called from a handler.
 namespace {
 volatile std::sig_atomic_t started[128];
-void endStarted(int) {
+void EndStarted(int) {
   for (auto& pid : started)
     if (pid > 0) ::kill(static_cast<pid_t>(pid), SIGKILL);
 }
-void noteStarted(pid_t pid) {
-  std::signal(SIGABRT, endStarted);
+void NoteStarted(pid_t pid) {
+  std::signal(SIGABRT, EndStarted);
   for (auto& slot : started)
     if (slot == 0) return void(slot = pid);
 }
-void noteEnded(pid_t pid) {
+void NoteEnded(pid_t pid) {
   for (auto& slot : started)
     if (slot == pid) slot = 0;
 }
 }  // namespace
 
-void endProcess(pid_t& pid) {
+void EndProcess(pid_t& pid) {
   if (pid <= 0) return;
   ::kill(pid, SIGKILL);
   ::waitpid(pid, nullptr, 0);
-  noteEnded(pid);
+  NoteEnded(pid);
   pid = 0;
 }
 
-pid_t startProcess(std::vector<std::string> words, const std::string& log) {
+pid_t StartProcess(std::vector<std::string> words, const std::string& log) {
   posix_spawn_file_actions_t actions;
   ::posix_spawn_file_actions_init(&actions);
   ::posix_spawn_file_actions_addopen(&actions, 1, (log + ".out").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
@@ -51,7 +51,7 @@
   int fault = ::posix_spawn(&pid, words[0].c_str(), &actions, nullptr, args.data(), environ);
   ::posix_spawn_file_actions_destroy(&actions);
   if (fault != 0) throw std::runtime_error(words[0] + " cannot be started");
-  noteStarted(pid);
+  NoteStarted(pid);
   return pid;
 }
 
--- a/src/rig/record_judge.hpp
+++ b/src/rig/record_judge.hpp
@@ -24,40 +24,40 @@
   using Id = record::Id;
   using Entry = record::Entry;
 
-  Offset putBegins() const { return acknowledgedUpTo_; }  // to be handed to acknowledged() with the outcome
-  void acknowledged(Offset before, const std::vector<Entry>& batch);
-  void committedAt(Id keeper, const Entry& e);
-  void promised(Id keeper, Token token);      // as its disk has it
-  void replaced(Id keeper, Token promised);   // its disk is another now: what it promised before is not known to it
+  Offset PutBegins() const { return acknowledged_up_to_; }  // to be handed to acknowledged() with the outcome
+  void Acknowledged(Offset before, const std::vector<Entry>& batch);
+  void CommittedAt(Id keeper, const Entry& e);
+  void Promised(Id keeper, Token token);      // as its disk has it
+  void Replaced(Id keeper, Token promised);   // its disk is another now: what it promised before is not known to it
   // A word was taken: entries landed, or a plan that allows compaction up to `cleaned`, `forgotten`.
-  void landed(Id keeper, Token token);
-  void mayClean(Id keeper, Token token, Offset cleaned, Offset forgotten);
-  void cleaned(Id keeper, Offset cleaned, Offset forgotten);
-  void given(std::uint64_t subscriber, const Entry& e);
-  void startOver(std::uint64_t subscriber);
+  void Landed(Id keeper, Token token);
+  void MayClean(Id keeper, Token token, Offset cleaned, Offset forgotten);
+  void Cleaned(Id keeper, Offset cleaned, Offset forgotten);
+  void Given(std::uint64_t subscriber, const Entry& e);
+  void StartOver(std::uint64_t subscriber);
 
   // When all is well again: what a keeper holds up to what is committed.
-  void inTheEnd(Id keeper, const std::vector<Entry>& entries, Offset committed, Offset forgotten);
-  void subscriberInTheEnd(std::uint64_t subscriber, const std::vector<Entry>& keepers);
-  void find(const std::string& what);  // by the rig, e.g. that it does not come to rest
+  void InTheEnd(Id keeper, const std::vector<Entry>& entries, Offset committed, Offset forgotten);
+  void SubscriberInTheEnd(std::uint64_t subscriber, const std::vector<Entry>& keepers);
+  void Find(const std::string& what);  // by the rig, e.g. that it does not come to rest
 
-  const std::vector<std::string>& findings() const { return findings_; }
-  std::size_t acknowledgedCount() const { return acknowledged_.size(); }
-  Offset acknowledgedUpTo() const { return acknowledgedUpTo_; }
+  const std::vector<std::string>& Findings() const { return findings_; }
+  std::size_t AcknowledgedCount() const { return acknowledged_.size(); }
+  Offset AcknowledgedUpTo() const { return acknowledged_up_to_; }
 
  private:
   struct AtKeeper {
     Token promised = 0;
-    Offset mayClean = 0, mayForget = 0;
+    Offset may_clean = 0, may_forget = 0;
   };
   struct AtSubscriber {
     Offset last = 0;
     std::map<std::pair<int, std::string>, Entry> held;
   };
-  void content(const char* who, const Entry& e);
+  void Content(const char* who, const Entry& e);
   std::map<Offset, std::string> contents_;
   std::map<Offset, Entry> acknowledged_;
-  Offset acknowledgedUpTo_ = 0;
+  Offset acknowledged_up_to_ = 0;
   std::map<Id, AtKeeper> keepers_;
   std::map<std::uint64_t, AtSubscriber> subscribers_;
   std::vector<std::string> findings_;
--- a/src/rig/recordsim.hpp
+++ b/src/rig/recordsim.hpp
@@ -14,16 +14,16 @@
   std::size_t keepers = 3;
   record::Ms faults = 20000, settle = 60000;
   bool calm = false;            // no faults but changes of owner
-  bool resumesForgotten = false, tombstoneEarly = false;  // broken variants of the log and its server
+  bool resumes_forgotten = false, tombstone_early = false;  // broken variants of the log and its server
   record::KeeperTerms keeper;   // with its broken variants
 };
 struct RecordRun {
   std::vector<std::string> findings;
-  std::size_t acknowledged = 0, unsure = 0, refused = 0, owners = 0, kills = 0, damages = 0, anew = 0, cleanings = 0, startOvers = 0, founded = 0;
-  std::string text() const;
+  std::size_t acknowledged = 0, unsure = 0, refused = 0, owners = 0, kills = 0, damages = 0, anew = 0, cleanings = 0, start_overs = 0, founded = 0;
+  std::string Text() const;
 };
 // Everything from the seed; the same seed, the same run. What is drawn by it: 3 or 5 keepers, doubted restarts or not (unless given).
-RecordTerms drawn(std::uint64_t seed);
-RecordRun run(std::uint64_t seed, const RecordTerms& terms);
+RecordTerms Drawn(std::uint64_t seed);
+RecordRun Run(std::uint64_t seed, const RecordTerms& terms);
 
 }  // namespace dunlinwick::rig
--- a/src/rig/recovery_judge.cpp
+++ b/src/rig/recovery_judge.cpp
@@ -7,7 +7,7 @@
 
 using recovery::Phase;
 
-std::vector<std::string> judge(const RecoveryRun& run) {
+std::vector<std::string> CheckHistory(const RecoveryRun& run) {
   std::map<std::string, std::string> broken;  // the first of each
   auto say = [&](const char* promise, const Seen& s, const std::string& what) {
     char at[64];
@@ -15,67 +15,67 @@
     broken.emplace(promise, std::string(promise) + at + what);
   };
   struct Now {
-    Phase phase = Phase::store;
-    bool started = false, mayGoBack = false, on = true;
+    Phase phase = Phase::kStore;
+    bool started = false, may_go_back = false, on = true;
     int losses = 0;
     std::string lost;
   };
   std::map<recovery::Id, Now> fronts;
-  std::uint64_t lastToken = 0;
-  Ms overFrom = -1;
+  std::uint64_t last_token = 0;
+  Ms over_from = -1;
   for (const Seen& s : run.seen) {
     Now& f = fronts[s.front];
     switch (s.what) {
-      case Seen::What::power: f = Now{}, f.started = s.value > 0, f.on = s.value > 0; break;
-      case Seen::What::spoilt:
-      case Seen::What::lost: f.mayGoBack = true; break;
-      case Seen::What::entered: {
+      case Seen::What::kPower: f = Now{}, f.started = s.value > 0, f.on = s.value > 0; break;
+      case Seen::What::kSpoilt:
+      case Seen::What::kLost: f.may_go_back = true; break;
+      case Seen::What::kEntered: {
         bool next = static_cast<int>(s.phase) == static_cast<int>(f.phase) + 1;
-        bool back = s.phase == Phase::neighbours && f.mayGoBack;
-        if (f.started && !next && !back) say("order", s, std::string("from ") + word(f.phase) + " to " + word(s.phase));
-        if (back) f.mayGoBack = false;
+        bool back = s.phase == Phase::kNeighbours && f.may_go_back;
+        if (f.started && !next && !back) say("order", s, std::string("from ") + ToString(f.phase) + " to " + ToString(s.phase));
+        if (back) f.may_go_back = false;
         f.phase = s.phase;
         // By time alone it may go on, serving what is certain; never on to letting everything in.
-        if (f.started && s.bad && s.phase == Phase::whole) say("spoilt", s, "whole by a bad disk that it believes");
+        if (f.started && s.bad && s.phase == Phase::kWhole) say("spoilt", s, "whole by a bad disk that it believes");
         break;
       }
-      case Seen::What::admit:
-        if (f.started && !s.certainOnly && !s.current) say("uncertain", s,
+      case Seen::What::kAdmit:
+        if (f.started && !s.certain_only && !s.current) say("uncertain", s,
             "serves what is not certain before its record is caught up");
         break;
-      case Seen::What::grant:
-        if (s.at < s.leaseOver) say("lease", s, "owns before the leases from before are over");
-        if (s.number <= s.floor || (!run.allStoresLost && s.number <= lastToken)) say("floor", s,
+      case Seen::What::kGrant:
+        if (s.at < s.lease_over) say("lease", s, "owns before the leases from before are over");
+        if (s.number <= s.floor || (!run.all_stores_lost && s.number <= last_token)) say("floor", s,
             "token " + std::to_string(s.number) + " is not above a floor");
         if (s.number > (std::uint64_t{1} << 39)) say("spoilt", s, "a token from a flipped floor");
-        lastToken = s.number;
+        last_token = s.number;
         break;
-      case Seen::What::committed:
+      case Seen::What::kCommitted:
         if (s.number <= s.floor)
           say("floor", s, "offset " + std::to_string(s.number) + " is not above " + std::to_string(s.floor));
         break;
-      case Seen::What::level:
+      case Seen::What::kLevel:
         // Fronts see crowding late; a parent is pushed over where it lasts or goes far.
-        if (s.value <= 1) overFrom = -1;
-        else if (overFrom < 0) overFrom = s.at;
-        if (overFrom >= 0 && (s.at - overFrom > 2000 || (s.value > 2 && s.at - overFrom > 300))) {
+        if (s.value <= 1) over_from = -1;
+        else if (over_from < 0) over_from = s.at;
+        if (over_from >= 0 && (s.at - over_from > 2000 || (s.value > 2 && s.at - over_from > 300))) {
           char level[32];
           std::snprintf(level, sizeof level, "parents' level %.2f", s.value);
           say("overload", s, level);
         }
         break;
-      case Seen::What::loss: ++f.losses, f.lost = s.why; break;
+      case Seen::What::kLoss: ++f.losses, f.lost = s.why; break;
     }
   }
-  Seen end{.what = Seen::What::power, .at = run.end};
-  if (!run.allWhole || run.end - run.faultsOver > recovery::whole(run.terms)) say("whole", end,
+  Seen end{.what = Seen::What::kPower, .at = run.end};
+  if (!run.all_whole || run.end - run.faults_over > recovery::Whole(run.terms)) say("whole", end,
       "not every front was whole in time");
-  if (run.wholeLoss)
+  if (run.whole_loss)
     for (auto& [id, f] : fronts) {
       if (id == 0) continue;
       end.front = id;
       if (f.started && f.losses == 0) say("told", end, "no loss told");
-      if (f.started && run.allStoresLost && f.lost.empty()) say("told", end, "what was lost is not told");
+      if (f.started && run.all_stores_lost && f.lost.empty()) say("told", end, "what was lost is not told");
     }
   std::vector<std::string> out;
   for (auto& [promise, line] : broken) out.push_back(line);
--- a/src/rig/recovery_judge.hpp
+++ b/src/rig/recovery_judge.hpp
@@ -5,5 +5,5 @@
 namespace dunlinwick::rig {
 // One line for each broken promise, its name first: order, uncertain, lease, floor, spoilt, overload, whole, told. Empty: all
 // kept.
-std::vector<std::string> judge(const RecoveryRun& run);
+std::vector<std::string> CheckHistory(const RecoveryRun& run);
 }  // namespace dunlinwick::rig
--- a/src/rig/recoverysim.hpp
+++ b/src/rig/recoverysim.hpp
@@ -15,14 +15,14 @@
 using recovery::Id;
 using recovery::Ms;
 
-enum class Fault { all, zone, allButOne, staggered, again, stores, allStores, clocks, board, partition, alone, mixed };
-constexpr int faultKinds = 12;
-const char* word(Fault f);
+enum class Fault { kAll, kZone, kAllButOne, kStaggered, kAgain, kStores, kAllStores, kClocks, kBoard, kPartition, kAlone, kMixed };
+constexpr int kFaultKinds = 12;
+const char* ToString(Fault f);
 
 struct RecoveryBreaks {  // each a way to be wrong, for the judge to catch
-  bool ownDisk = false;  // own disk believed over the majority
+  bool own_disk = false;  // own disk believed over the majority
   bool lease = false;    // a lease from before believed after the loss
-  bool atOnce = false;   // all pulls let in at once
+  bool at_once = false;   // all pulls let in at once
   bool skip = false;     // a front whose store is good skips phases
   bool foreign = false;  // another's disk taken
   bool untold = false;   // loss not told
@@ -31,24 +31,24 @@
   int fronts = 7, zones = 3, group = 3;
   recovery::Terms each;
   Ms tick = 50, longest = 600000;
-  double parentFrom = 0.3, usualMiss = 0.1, spare = 2;  // capacity at start; of pulls with warm caches; of usual fills when warm
-  Ms parentLasts = 30000;
-  double cacheHolds = 1000;  // ms of a front's usual pulls, all filled, that warm its part of the zone's caches to 63%
+  double parent_from = 0.3, usual_miss = 0.1, spare = 2;  // capacity at start; of pulls with warm caches; of usual fills when warm
+  Ms parent_lasts = 30000;
+  double cache_holds = 1000;  // ms of a front's usual pulls, all filled, that warm its part of the zone's caches to 63%
   bool bytes = true;         // hellos go through their bytes
   RecoveryBreaks breaks;
 };
-RecoverySimTerms usual(int fronts, int zones);
+RecoverySimTerms Usual(int fronts, int zones);
 
 // What the judge reads: what happened, by the rig's own knowledge.
 struct Seen {
-  enum class What { power, entered, admit, loss, spoilt, grant, committed, level, lost } what;
+  enum class What { kPower, kEntered, kAdmit, kLoss, kSpoilt, kGrant, kCommitted, kLevel, kLost } what;
   Ms at = 0;
   Id front = 0;
-  recovery::Phase phase = recovery::Phase::store;
-  bool byTime = false, certainOnly = false, current = false;  // current: its record was truly caught up in this life
+  recovery::Phase phase = recovery::Phase::kStore;
+  bool by_time = false, certain_only = false, current = false;  // current: its record was truly caught up in this life
   bool bad = false;       // its disk is another's, old or flipped, and is still believed
   std::uint64_t number = 0, floor = 0, ceiling = 0;  // token or offset; known to a majority's disks; highest ever true
-  Ms leaseOver = 0;       // of a grant: when the last lease from before runs out
+  Ms lease_over = 0;       // of a grant: when the last lease from before runs out
   double value = 0;       // level of the parents
   std::string why = {};
 };
@@ -56,20 +56,20 @@
   std::vector<Seen> seen;
   std::vector<std::string> faults;
   recovery::Terms terms;
-  Ms faultsOver = 0, end = 0;
-  bool allWhole = false, allStoresLost = false, wholeLoss = false;
+  Ms faults_over = 0, end = 0;
+  bool all_whole = false, all_stores_lost = false, whole_loss = false;
   // For the bench: from the (last) return of power on.
-  Ms firstSafe = -1, firstKept = -1, goodput95 = -1;
-  double peakParents = 0;  // level: what is asked of them over what they bear
-  double peakOffice = 0, usualOffice = 0;
+  Ms first_safe = -1, first_kept = -1, goodput95 = -1;
+  double peak_parents = 0;  // level: what is asked of them over what they bear
+  double peak_office = 0, usual_office = 0;
 };
 
 class RecoverySim {
  public:
   RecoverySim(RecoverySimTerms terms, std::uint64_t seed);
   ~RecoverySim();
-  RecoveryRun run(Fault fault);
-  bool lateStopped = true;  // end as soon as all are whole; false: run on until goodput is back
+  RecoveryRun Run(Fault fault);
+  bool late_stopped = true;  // end as soon as all are whole; false: run on until goodput is back
 
  private:
   struct Front;
@@ -80,17 +80,17 @@
     std::string bytes;
     recovery::Hello hello;
   };
-  void up(Front& f);
-  void down(Front& f);
-  void spoil(Fault fault);
-  void act(Front& f, std::vector<recovery::Action> actions);
-  void give(Front& f, recovery::Event e);
-  void groupTurn();
-  void frontTurn(Front& f);
-  void behindTurn();
+  void Up(Front& f);
+  void Down(Front& f);
+  void Spoil(Fault fault);
+  void Act(Front& f, std::vector<recovery::Action> actions);
+  void Give(Front& f, recovery::Event e);
+  void GroupTurn();
+  void FrontTurn(Front& f);
+  void BehindTurn();
   bool reach(const Front& a, const Front& b) const;
-  double unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  Ms between(Ms a, Ms b) { return a + (b - a) * unit(); }
+  double Unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  Ms Between(Ms a, Ms b) { return a + (b - a) * Unit(); }
 
   RecoverySimTerms terms_;
   std::knuth_b random_;
@@ -99,13 +99,13 @@
   std::unique_ptr<Group> group_;
   std::deque<std::vector<Flight>> flights_;  // by tick
   std::vector<double> warm_;                 // by zone
-  std::vector<Ms> zoneSince_;                // start of its caches
-  Ms parentsSince_ = -1e9;
-  double parentsWarm_ = 1;
+  std::vector<Ms> zone_since_;                // start of its caches
+  Ms parents_since_ = -1e9;
+  double parents_warm_ = 1;
   std::deque<bool> crowded_;
-  bool crowdedNow_ = false;
-  Ms boardDownUntil_ = -1, powerBack_ = -1;
-  std::uint64_t knownToken_ = 0, knownOffset_ = 0;  // by a majority's disks, when power went
+  bool crowded_now_ = false;
+  Ms board_down_until_ = -1, power_back_ = -1;
+  std::uint64_t known_token_ = 0, known_offset_ = 0;  // by a majority's disks, when power went
   double worst_ = 0;
   RecoveryRun run_;
 };
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -10,14 +10,14 @@
 
 namespace dunlinwick::fleet {
 
-constexpr std::size_t mostFronts = 64, mostCaches = 64, mostHeld = 10000;
+constexpr std::size_t kMostFronts = 64, kMostCaches = 64, kMostHeld = 10000;
 
 struct Relay::Face final : loop::Handler {
   Relay* relay = nullptr;
   std::size_t from = 0, to = 0;
   loop::Descriptor fd;
-  loop::Ms busyUntil = 0;  // of its bandwidth
-  void ready(short) override { relay->pass(*this); }
+  loop::Ms busy_until = 0;  // of its bandwidth
+  void Ready(short) override { relay->Pass(*this); }
 };
 
 // One direction of a stream: what came is sent on in order, each piece when its delay and the bandwidth allow.
@@ -30,36 +30,36 @@
   loop::Ms last = 0;
   bool over = false;
   Way(Stream& s, Fault& f) : stream(s), fault(f) {}
-  void came() override { take(); }
-  void ended(loop::Parting) override {
-    take();
+  void Came() override { Take(); }
+  void Ended(loop::Parting) override {
+    Take();
     over = true;
-    from->close();
+    from->Close();
   }
-  void take();
+  void Take();
 };
 struct Relay::Stream {
   Relay& relay;
-  Way toCache, fromCache;
-  Stream(Relay& r, Fault& to, Fault& back) : relay(r), toCache(*this, to), fromCache(*this, back) {
-    toCache.other = &fromCache, fromCache.other = &toCache;
+  Way to_cache, from_cache;
+  Stream(Relay& r, Fault& to, Fault& back) : relay(r), to_cache(*this, to), from_cache(*this, back) {
+    to_cache.other = &from_cache, from_cache.other = &to_cache;
   }
 };
 
-void Relay::Way::take() {
-  constexpr std::size_t mostPieces = 256;
+void Relay::Way::Take() {
+  constexpr std::size_t kMostPieces = 256;
   Relay& r = stream.relay;
-  if (fault.cut() || held.size() >= mostPieces || from->in.size() == 0) return;  // read no further: it waits
+  if (fault.Cut() || held.size() >= kMostPieces || from->in.size() == 0) return;  // read no further: it waits
   std::uniform_real_distribution<double> unit(0, 1);
   std::string bytes(from->in.bytes());
-  from->in.consume(bytes.size());
-  constexpr loop::Ms resent = 200;
-  loop::Ms due = r.loop_.now() + fault.delay + fault.jitter * unit(r.random_) + (unit(r.random_) < fault.loss ? resent : 0);
+  from->in.Consume(bytes.size());
+  constexpr loop::Ms kResent = 200;
+  loop::Ms due = r.loop_.now() + fault.delay + fault.jitter * unit(r.random_) + (unit(r.random_) < fault.loss ? kResent : 0);
   due = std::max(due, last);
-  if (fault.kbPerS > 0) due += static_cast<double>(bytes.size()) / fault.kbPerS;
+  if (fault.kb_per_s > 0) due += static_cast<double>(bytes.size()) / fault.kb_per_s;
   last = due;
   if (due <= r.loop_.now() && held.empty()) {
-    if (other->from && !other->over) other->from->send(std::move(bytes));
+    if (other->from && !other->over) other->from->Send(std::move(bytes));
   } else {
     held.emplace_back(due, std::move(bytes));
   }
@@ -77,112 +77,112 @@
              std::uint64_t seed)
     : loop_(loop), fronts_(std::move(fronts)), caches_(std::move(caches)), random_(static_cast<unsigned>(seed)) {
   std::size_t n = fronts_.size();
-  if (n > mostFronts || caches_.size() > mostCaches) throw std::runtime_error("the relay takes 64 fronts and 64 caches at most");
+  if (n > kMostFronts || caches_.size() > kMostCaches) throw std::runtime_error("the relay takes 64 fronts and 64 caches at most");
   faults_.assign(n * n, Fault{});
-  cacheFaults_.assign(2 * n * caches_.size(), Fault{});
+  cache_faults_.assign(2 * n * caches_.size(), Fault{});
   for (std::size_t i = 0; i < n; ++i)
     for (std::size_t j = 0; j < n; ++j) {
       if (i == j) continue;
       auto f = std::make_unique<Face>();
       f->relay = this, f->from = i, f->to = j;
-      int fd = loop_.ground().openDatagrams(face(i, j, port));
+      int fd = loop_.ground().OpenDatagrams(face(i, j, port));
       if (fd < 0) throw std::runtime_error("the relay's face " + std::to_string(i) + " to " + std::to_string(j) +
                                            " cannot be had: errno " + std::to_string(-fd));
       f->fd = loop::Descriptor(loop_.ground(), fd);
-      loop_.watch(fd, *f, POLLIN);
+      loop_.WatchDescriptor(fd, *f, POLLIN);
       faces_.push_back(std::move(f));
     }
   for (std::size_t i = 0; i < n; ++i)
     for (std::size_t c = 0; c < caches_.size(); ++c)
       listeners_.push_back(std::make_unique<loop::Listener>(loop_, face(i, c, port), [this, i, c](loop::Descriptor fd) {
-        constexpr loop::Ms within = 2000;
-        auto s = std::make_shared<Stream>(*this, toCache(i, c), fromCache(i, c));
-        s->toCache.from = std::make_unique<loop::Connection>(loop_, s->toCache, std::move(fd));
-        s->fromCache.from = std::make_unique<loop::Connection>(loop_, s->fromCache, caches_[c], within);
+        constexpr loop::Ms kWithin = 2000;
+        auto s = std::make_shared<Stream>(*this, ToCache(i, c), FromCache(i, c));
+        s->to_cache.from = std::make_unique<loop::Connection>(loop_, s->to_cache, std::move(fd));
+        s->from_cache.from = std::make_unique<loop::Connection>(loop_, s->from_cache, caches_[c], kWithin);
         streams_.push_back(std::move(s));
       }));
-  if (!caches_.empty()) sweep();
+  if (!caches_.empty()) Sweep();
 }
 
 Relay::~Relay() {
-  loop_.cancel(sweep_);
-  for (auto& f : faces_) loop_.forget(f->fd.get());
+  loop_.Cancel(sweep_);
+  for (auto& f : faces_) loop_.Forget(f->fd.Get());
 }
 
 // Held bytes that are due go on, what waited behind a cut is taken up, and a stream with one end over ends.
-void Relay::sweep() {
-  constexpr loop::Ms every = 2;
+void Relay::Sweep() {
+  constexpr loop::Ms kEvery = 2;
   for (auto& s : streams_)
-    for (Way* w : {&s->toCache, &s->fromCache}) {
-      while (!w->held.empty() && w->held.front().first <= loop_.now() && !w->fault.cut()) {
-        if (!w->other->over) w->other->from->send(std::move(w->held.front().second));
+    for (Way* w : {&s->to_cache, &s->from_cache}) {
+      while (!w->held.empty() && w->held.front().first <= loop_.now() && !w->fault.Cut()) {
+        if (!w->other->over) w->other->from->Send(std::move(w->held.front().second));
         w->held.pop_front();
       }
-      if (!w->over) w->take();
+      if (!w->over) w->Take();
     }
   for (auto& s : streams_)
-    for (Way* w : {&s->toCache, &s->fromCache})
-      if (w->over && !w->other->over && w->held.empty() && !w->fault.cut() && w->other->from->drainedOut()) {
-        w->other->from->close();
+    for (Way* w : {&s->to_cache, &s->from_cache})
+      if (w->over && !w->other->over && w->held.empty() && !w->fault.Cut() && w->other->from->DrainedOut()) {
+        w->other->from->Close();
         w->other->over = true;
       }
   std::erase_if(streams_, [&](auto& s) {
-    if (!s->toCache.over || !s->fromCache.over) return false;
-    loop_.bury(s);
+    if (!s->to_cache.over || !s->from_cache.over) return false;
+    loop_.Bury(s);
     return true;
   });
-  sweep_ = loop_.at(loop_.now() + every, [this] { sweep(); });
+  sweep_ = loop_.at(loop_.now() + kEvery, [this] { Sweep(); });
 }
 
-void Relay::cutAround(const std::vector<std::size_t>& group, bool oneWayOut, int by) {
+void Relay::CutAround(const std::vector<std::size_t>& group, bool one_way_out, int by) {
   std::vector<bool> in(fronts_.size(), false);
   for (std::size_t i : group) in.at(i) = true;
   for (std::size_t a = 0; a < fronts_.size(); ++a)
     for (std::size_t b = 0; b < fronts_.size(); ++b)
-      if ((in[a] && !in[b]) || (!oneWayOut && !in[a] && in[b])) link(a, b).cuts += by;
+      if ((in[a] && !in[b]) || (!one_way_out && !in[a] && in[b])) link(a, b).cuts += by;
 }
-void Relay::healAll() {
+void Relay::HealAll() {
   for (Fault& f : faults_) f = Fault{};
-  for (Fault& f : cacheFaults_) f = Fault{};
+  for (Fault& f : cache_faults_) f = Fault{};
 }
-void Relay::everywhere(const Fault& f) {
+void Relay::Everywhere(const Fault& f) {
   for (Fault& one : faults_) {
     int cuts = one.cuts;
     one = f, one.cuts = cuts;
   }
 }
 
-void Relay::pass(Face& face) {
-  constexpr int mostATurn = 64;
+void Relay::Pass(Face& face) {
+  constexpr int kMostATurn = 64;
   std::uniform_real_distribution<double> unit(0, 1);
   char buffer[2048];
-  for (int i = 0; i < mostATurn; ++i) {
+  for (int i = 0; i < kMostATurn; ++i) {
     loop::Address from{};
-    ssize_t got = loop_.ground().receiveFrom(face.fd.get(), buffer, from);
+    ssize_t got = loop_.ground().ReceiveFrom(face.fd.Get(), buffer, from);
     if (got < 0) return;
     const Fault& f = link(face.from, face.to);
     loop::Ms now = loop_.now(), waits = 0;
-    constexpr loop::Ms longestQueue = 1000;
-    if (f.kbPerS > 0) {
-      face.busyUntil = std::max(face.busyUntil, now) + static_cast<double>(got) / f.kbPerS;
-      waits = face.busyUntil - now;
-      if (waits > longestQueue) face.busyUntil -= static_cast<double>(got) / f.kbPerS;
+    constexpr loop::Ms kLongestQueue = 1000;
+    if (f.kb_per_s > 0) {
+      face.busy_until = std::max(face.busy_until, now) + static_cast<double>(got) / f.kb_per_s;
+      waits = face.busy_until - now;
+      if (waits > kLongestQueue) face.busy_until -= static_cast<double>(got) / f.kb_per_s;
     }
-    if (f.cut() || waits > longestQueue || unit(random_) < f.loss) {
+    if (f.Cut() || waits > kLongestQueue || unit(random_) < f.loss) {
       ++dropped_;
       continue;
     }
     int copies = 1 + (unit(random_) < f.duplicate);
     std::string bytes(buffer, static_cast<std::size_t>(got));
     for (int c = 0; c < copies; ++c) {
-      constexpr loop::Ms late = 20;  // a reordered one comes after what was sent within so long
-      double after = waits + f.delay + f.jitter * unit(random_) + (unit(random_) < f.reorder ? late : 0);
+      constexpr loop::Ms kLate = 20;  // a reordered one comes after what was sent within so long
+      double after = waits + f.delay + f.jitter * unit(random_) + (unit(random_) < f.reorder ? kLate : 0);
       ++passed_;
       if (after <= 0) {
-        loop_.ground().sendTo(face.fd.get(), bytes, fronts_[face.to]);
+        loop_.ground().SendTo(face.fd.Get(), bytes, fronts_[face.to]);
         continue;
       }
-      if (held_ >= mostHeld) {
+      if (held_ >= kMostHeld) {
         ++dropped_;
         continue;
       }
@@ -190,7 +190,7 @@
       Face* through = &face;
       loop_.at(loop_.now() + after, [this, through, bytes] {
         --held_;
-        loop_.ground().sendTo(through->fd.get(), bytes, fronts_[through->to]);
+        loop_.ground().SendTo(through->fd.Get(), bytes, fronts_[through->to]);
       });
     }
   }
--- a/src/rig/relay.hpp
+++ b/src/rig/relay.hpp
@@ -19,8 +19,8 @@
   int cuts = 0;                   // partitions that this link lies across; they may overlap
   double delay = 0, jitter = 0;  // ms
   double loss = 0, duplicate = 0, reorder = 0;
-  double kbPerS = 0;  // 0: no limit
-  bool cut() const { return cuts > 0; }
+  double kb_per_s = 0;  // 0: no limit
+  bool Cut() const { return cuts > 0; }
 };
 
 class Relay {
@@ -30,28 +30,28 @@
   ~Relay();
   static loop::Address face(std::size_t from, std::size_t to, std::uint16_t port);
   Fault& link(std::size_t from, std::size_t to) { return faults_[from * fronts_.size() + to]; }
-  Fault& toCache(std::size_t front, std::size_t cache) { return cacheFaults_[2 * (front * caches_.size() + cache)]; }
-  Fault& fromCache(std::size_t front, std::size_t cache) {
-    return cacheFaults_[2 * (front * caches_.size() + cache) + 1];
+  Fault& ToCache(std::size_t front, std::size_t cache) { return cache_faults_[2 * (front * caches_.size() + cache)]; }
+  Fault& FromCache(std::size_t front, std::size_t cache) {
+    return cache_faults_[2 * (front * caches_.size() + cache) + 1];
   }
   // By 1: the links between a group of fronts and the others are cut once more, by -1 once less. `oneWayOut`: only
   // those out of the group.
-  void cutAround(const std::vector<std::size_t>& group, bool oneWayOut, int by = 1);
-  void healAll();
-  void everywhere(const Fault& f);  // between fronts; cuts stay
-  std::uint64_t passed() const { return passed_; }
-  std::uint64_t dropped() const { return dropped_; }
+  void CutAround(const std::vector<std::size_t>& group, bool one_way_out, int by = 1);
+  void HealAll();
+  void Everywhere(const Fault& f);  // between fronts; cuts stay
+  std::uint64_t Passed() const { return passed_; }
+  std::uint64_t Dropped() const { return dropped_; }
 
  private:
   struct Face;
   struct Stream;
   struct Way;
-  void pass(Face& face);
-  void sweep();
+  void Pass(Face& face);
+  void Sweep();
 
   loop::Loop& loop_;
   std::vector<loop::Address> fronts_, caches_;
-  std::vector<Fault> faults_, cacheFaults_;
+  std::vector<Fault> faults_, cache_faults_;
   std::vector<std::unique_ptr<Face>> faces_;
   std::vector<std::unique_ptr<loop::Listener>> listeners_;
   std::vector<std::shared_ptr<Stream>> streams_;  // emptied by the sweep once both ends are over
--- a/src/rig/script.hpp
+++ b/src/rig/script.hpp
@@ -19,7 +19,7 @@
   bool on = false;
   int group = 3, places = 2;
   bool lasting = true;  // members keep what they must not forget on disk
-  double lease = 2000, margin = 150, renewEvery = 500, election = 300;
+  double lease = 2000, margin = 150, renew_every = 500, election = 300;
   struct Work {
     std::string name;
     int steps = 100;
@@ -31,13 +31,13 @@
 struct FleetFile {
   std::vector<std::string> zones, regions;  // by zone
   int fronts = 0;                           // spread over the zones in turn, unless `zoneOf` names each
-  std::vector<int> zoneOf;
-  int cachesPerZone = 2;
+  std::vector<int> zone_of;
+  int caches_per_zone = 2;
   std::uint16_t port = 7400;
   members::Terms swim;
   failover::Terms verdict;
   bool steer = true;
-  double pullsPerS = 20;  // asked of each front
+  double pulls_per_s = 20;  // asked of each front
   OwnerFile owner;
   // The fleet's layer: record (kept by the owner's group, who writes owns the standing work of that name), rules, recovery. Over one
   // socket a front.
@@ -45,41 +45,41 @@
   bool peers = false;  // members and owner over one socket a front; members' ids are then those of the owner's fronts, from 1
 };
 // `fronts`: in place of the file's number, 0 for that. Throws schema::Refused.
-FleetFile readFleetFile(const std::string& path, int fronts = 0);
-FleetFile readFleetText(const std::string& named, const std::string& text, int fronts = 0);
+FleetFile ReadFleetFile(const std::string& path, int fronts = 0);
+FleetFile ReadFleetText(const std::string& named, const std::string& text, int fronts = 0);
 
-enum class Deed { kill, restart, stop, resume, cut, cutOut, links, cachesDown, cachesSilent, heal };
-const char* word(Deed deed);
+enum class Deed { kKill, kRestart, kStop, kResume, kCut, kCutOut, kLinks, kCachesDown, kCachesSilent, kHeal };
+const char* ToString(Deed deed);
 
 struct Step {
   Ms at = 0, lasts = 0;  // 0: until a later step undoes it
-  Deed deed = Deed::kill;
+  Deed deed = Deed::kKill;
   std::vector<std::size_t> fronts;
   std::string zone;
-  double delay = 0, jitter = 0, loss = 0, duplicate = 0, reorder = 0, kbPerS = 0;
+  double delay = 0, jitter = 0, loss = 0, duplicate = 0, reorder = 0, kb_per_s = 0;
 };
 struct Script {
   std::string name, about;
   Ms length = 0;
   std::vector<Step> steps;  // by time
 };
-Script readFaults(const std::string& path);
-Script readFaultsText(const std::string& named, const std::string& text);
+Script ReadFaults(const std::string& path);
+Script ReadFaultsText(const std::string& named, const std::string& text);
 // What can't go with this fleet (a front or zone that it does not have); empty where all goes.
-std::string unfit(const Script& script, const FleetFile& fleet);
+std::string Unfit(const Script& script, const FleetFile& fleet);
 
 // Whatever a script is played on. `on`: begins, else ends (cuts, links, silent and lost caches, stops).
 class Target {
  public:
   virtual ~Target() = default;
-  virtual void kill(std::size_t front) = 0;
-  virtual void restart(std::size_t front) = 0;
-  virtual void stop(std::size_t front) = 0;
-  virtual void resume(std::size_t front) = 0;
-  virtual void cut(const std::vector<std::size_t>& group, bool outOnly, bool on) = 0;
-  virtual void links(const Step& how, bool on) = 0;
+  virtual void Kill(std::size_t front) = 0;
+  virtual void Restart(std::size_t front) = 0;
+  virtual void Stop(std::size_t front) = 0;
+  virtual void Resume(std::size_t front) = 0;
+  virtual void Cut(const std::vector<std::size_t>& group, bool out_only, bool on) = 0;
+  virtual void Links(const Step& how, bool on) = 0;
   virtual void caches(std::size_t zone, bool silent, bool on) = 0;
-  virtual void heal() = 0;
+  virtual void Heal() = 0;
 };
 // One deed as a script's times yield it: what to do at `at`.
 struct Cue {
@@ -87,8 +87,8 @@
   Step step;
   bool on = true;
 };
-std::vector<Cue> cues(const Script& script);  // by time; an `on` of a step before its own end
-void play(const Cue& cue, Target& target, const FleetFile& fleet);
-std::string text(const Cue& cue);  // "stop 0", "cut 1,2 ends": for logs and the checker
+std::vector<Cue> Cues(const Script& script);  // by time; an `on` of a step before its own end
+void Play(const Cue& cue, Target& target, const FleetFile& fleet);
+std::string Text(const Cue& cue);  // "stop 0", "cut 1,2 ends": for logs and the checker
 
 }  // namespace dunlinwick::fleet
--- a/src/rig/seen.cpp
+++ b/src/rig/seen.cpp
@@ -32,8 +32,8 @@
       }
       h.verdicts.push_back(v);
     }
-    if (up(i))
-      if (auto v = view(i)) h.epochsAtEnd.emplace_back(i, static_cast<std::uint32_t>(v->number("epoch").value_or(0)));
+    if (Up(i))
+      if (auto v = view(i)) h.epochs_at_end.emplace_back(i, static_cast<std::uint32_t>(v->number("epoch").value_or(0)));
   }
   std::stable_sort(h.verdicts.begin(), h.verdicts.end(), [](const VerdictSeen& a, const VerdictSeen& b) { return a.at < b.at; });
   std::set<std::string> exclusive;
@@ -49,18 +49,18 @@
   return h;
 }
 
-std::optional<json::Value> askView(loop::Loop& loop, loop::Descriptor& asker, const loop::Address& front,
+std::optional<json::Value> AskView(loop::Loop& loop, loop::Descriptor& asker, const loop::Address& front,
                                    std::string* raw, const char* question) {
-  loop.ground().sendTo(asker.get(), std::string_view(question), front);
-  constexpr double within = 300;
-  double end = loop.now() + within;
+  loop.ground().SendTo(asker.Get(), std::string_view(question), front);
+  constexpr double kWithin = 300;
+  double end = loop.now() + kWithin;
   std::vector<char> buffer(65536);
   while (loop.now() < end) {
     loop::Address from{};
-    ssize_t got = loop.ground().receiveFrom(asker.get(), buffer, from);
+    ssize_t got = loop.ground().ReceiveFrom(asker.Get(), buffer, from);
     if (got > 0 && from.sin_addr.s_addr == front.sin_addr.s_addr && from.sin_port == front.sin_port) {
-      auto v = json::read(std::string_view(buffer.data(), static_cast<std::size_t>(got)));
-      if (v && v->kind == json::Kind::object) {
+      auto v = json::Read(std::string_view(buffer.data(), static_cast<std::size_t>(got)));
+      if (v && v->kind == json::Kind::kObject) {
         if (raw) raw->assign(buffer.data(), static_cast<std::size_t>(got));
         return v;
       }
@@ -70,19 +70,19 @@
   return std::nullopt;
 }
 
-std::optional<json::Value> Harness::view(std::size_t i) { return askView(loop_, asker_, at(i, fleet_.port)); }
+std::optional<json::Value> Harness::view(std::size_t i) { return AskView(loop_, asker_, at(i, fleet_.port)); }
 
-std::optional<json::Value> Harness::ownerStatus(std::size_t i) { return askView(loop_, asker_, ownerAt(i), nullptr, "DO?"); }
+std::optional<json::Value> Harness::OwnerStatus(std::size_t i) { return AskView(loop_, asker_, OwnerAt(i), nullptr, "DO?"); }
 
-std::optional<json::Value> Harness::layerStatus(std::size_t i) { return askView(loop_, asker_, at(i, fleet_.port), nullptr, "DR?"); }
+std::optional<json::Value> Harness::LayerStatus(std::size_t i) { return AskView(loop_, asker_, at(i, fleet_.port), nullptr, "DR?"); }
 
 std::optional<std::string> Harness::operatorAsks(std::size_t i, const std::string& datagram, double within) {
   loop::Address to = at(i, fleet_.port);
-  loop_.ground().sendTo(asker_.get(), datagram, to);
+  loop_.ground().SendTo(asker_.Get(), datagram, to);
   std::vector<char> buffer(65536);
   for (double end = loop_.now() + within; loop_.now() < end;) {
     loop::Address from{};
-    ssize_t got = loop_.ground().receiveFrom(asker_.get(), buffer, from);
+    ssize_t got = loop_.ground().ReceiveFrom(asker_.Get(), buffer, from);
     bool view = got > 0 && buffer[0] == '{';  // of a status that was asked for before and comes late
     if (got > 0 && !view && from.sin_addr.s_addr == to.sin_addr.s_addr && from.sin_port == to.sin_port) return std::string(buffer.data(), static_cast<std::size_t>(got));
     if (got <= 0) loop_.turn(5);
@@ -90,7 +90,7 @@
   return std::nullopt;
 }
 
-std::string Harness::logOf(std::size_t i) const {
+std::string Harness::LogOf(std::size_t i) const {
   std::ifstream in(programs_.folder + "/front-" + std::to_string(i) + ".log");
   return std::string(std::istreambuf_iterator<char>(in), {});
 }
--- a/src/rig/sim.hpp
+++ b/src/rig/sim.hpp
@@ -28,15 +28,15 @@
   int cuts = 0;                  // partitions that it lies across; they may overlap
   Ms delay = 0.2, jitter = 0.1;  // one way, ms: loopback-like unless told otherwise
   double loss = 0, duplicate = 0, reorder = 0;
-  double kbPerS = 0;  // 0: no limit
-  Ms busyUntil = 0;
+  double kb_per_s = 0;  // 0: no limit
+  Ms busy_until = 0;
 };
 
 struct SimTerms {
   members::Terms members;
   failover::Terms failover;
   std::vector<failover::Place> places;  // by member id 0..n-1
-  std::vector<int> zoneRegion;
+  std::vector<int> zone_region;
   std::uint64_t seed = 1;
 };
 
@@ -44,7 +44,7 @@
 struct Seen {
   Ms at = 0;
   Id by = 0, about = 0;
-  members::State state = members::State::alive;
+  members::State state = members::State::kAlive;
 };
 struct Judged {
   Ms at = 0;
@@ -59,29 +59,29 @@
   std::size_t size() const { return nodes_.size(); }
   Ms now() const { return now_; }
 
-  void runUntil(Ms until);
+  void RunUntil(Ms until);
   Link& link(Id from, Id to) { return links_[from * nodes_.size() + to]; }
   // From (and to) the rest, once more; by -1 once less.
-  void cutAround(const std::vector<Id>& group, bool oneWayOut = false, int by = 1);
-  void healAll();
-  void everywhere(const std::function<void(Link&)>& change);
-  void kill(Id id);
-  void pause(Id id);
-  void resume(Id id);
-  void restart(Id id);
+  void CutAround(const std::vector<Id>& group, bool one_way_out = false, int by = 1);
+  void HealAll();
+  void Everywhere(const std::function<void(Link&)>& change);
+  void Kill(Id id);
+  void Pause(Id id);
+  void Resume(Id id);
+  void Restart(Id id);
   // The share of its zone's caches that a member can use from now on, as its module would hold it.
   void caches(Id id, double share) { nodes_[id].health = share; }
 
-  bool up(Id id) const { return nodes_[id].up && !nodes_[id].paused; }
+  bool Up(Id id) const { return nodes_[id].up && !nodes_[id].paused; }
   const members::Swim& swim(Id id) const { return *nodes_[id].swim; }
   const failover::Verdicts& verdicts(Id id) const { return *nodes_[id].verdicts; }
   // Whether every member that is up takes `about` as `state` (or, for alive, as alive or suspect).
-  bool allSee(Id about, members::State state) const;
-  bool allJudge(std::uint64_t out) const;  // every member that is up keeps that verdict, at one epoch
+  bool AllSee(Id about, members::State state) const;
+  bool AllJudge(std::uint64_t out) const;  // every member that is up keeps that verdict, at one epoch
 
   const std::vector<Seen>& seen() const { return seen_; }
   const std::vector<Judged>& judged() const { return judged_; }
-  std::uint64_t messages() const { return messages_; }
+  std::uint64_t Messages() const { return messages_; }
   std::uint64_t bytes() const { return bytes_; }
 
  private:
@@ -101,24 +101,24 @@
     bool operator>(const Flight& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
   };
 
-  void start(Id id);
-  void send(const std::vector<members::Message>& out);
-  void deliver(members::Message m);
+  void Start(Id id);
+  void Send(const std::vector<members::Message>& out);
+  void Deliver(members::Message m);
   // After a member heard or ticked: its changes; its opinion and verdict where something changed, or `always`.
-  void settle(Id id, bool always);
+  void Settle(Id id, bool always);
 
   SimTerms terms_;
   std::vector<Node> nodes_;
   std::vector<Link> links_;
   std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights_;
   std::knuth_b random_;
-  Ms now_ = 0, lastSweep_ = 0;
+  Ms now_ = 0, last_sweep_ = 0;
   std::uint64_t order_ = 0, messages_ = 0, bytes_ = 0;
   std::vector<Seen> seen_;
   std::vector<Judged> judged_;
 };
 
 // Bytes of a message on the wire (src/members/wire.hpp) with UDP and IP headers, for the figures.
-std::size_t wireSize(const members::Message& m);
+std::size_t WireSize(const members::Message& m);
 
 }  // namespace dunlinwick::fleet
--- a/src/rig/staged.cpp
+++ b/src/rig/staged.cpp
@@ -9,34 +9,34 @@
 class Staged final : public Target {
  public:
   Staged(Sim& sim, const FleetFile& fleet) : sim_(sim), fleet_(fleet), lost_(fleet.zones.size()) {}
-  void kill(std::size_t f) override { sim_.kill(static_cast<Id>(f)); }
-  void restart(std::size_t f) override { sim_.restart(static_cast<Id>(f)), hold(f); }
-  void stop(std::size_t f) override { sim_.pause(static_cast<Id>(f)); }
-  void resume(std::size_t f) override { sim_.resume(static_cast<Id>(f)); }
-  void cut(const std::vector<std::size_t>& group, bool outOnly, bool on) override {
-    sim_.cutAround(std::vector<Id>(group.begin(), group.end()), outOnly, on ? 1 : -1);
+  void Kill(std::size_t f) override { sim_.Kill(static_cast<Id>(f)); }
+  void Restart(std::size_t f) override { sim_.Restart(static_cast<Id>(f)), Hold(f); }
+  void Stop(std::size_t f) override { sim_.Pause(static_cast<Id>(f)); }
+  void Resume(std::size_t f) override { sim_.Resume(static_cast<Id>(f)); }
+  void Cut(const std::vector<std::size_t>& group, bool out_only, bool on) override {
+    sim_.CutAround(std::vector<Id>(group.begin(), group.end()), out_only, on ? 1 : -1);
   }
-  void links(const Step& s, bool on) override {
-    sim_.everywhere([&](Link& l) {
+  void Links(const Step& s, bool on) override {
+    sim_.Everywhere([&](Link& l) {
       int cuts = l.cuts;
       l = Link{}, l.cuts = cuts;
       if (!on) return;
       l.delay += s.delay, l.jitter += s.jitter, l.loss = s.loss, l.duplicate = s.duplicate, l.reorder = s.reorder;
-      l.kbPerS = s.kbPerS;
+      l.kb_per_s = s.kb_per_s;
     });
   }
   void caches(std::size_t zone, bool, bool on) override {
     lost_[zone] += on ? 1 : -1;
-    for (std::size_t f = 0; f < fleet_.zoneOf.size(); ++f) hold(f);
+    for (std::size_t f = 0; f < fleet_.zone_of.size(); ++f) Hold(f);
   }
-  void heal() override {
-    sim_.healAll();
+  void Heal() override {
+    sim_.HealAll();
     std::fill(lost_.begin(), lost_.end(), 0);
-    for (std::size_t f = 0; f < fleet_.zoneOf.size(); ++f) hold(f);
+    for (std::size_t f = 0; f < fleet_.zone_of.size(); ++f) Hold(f);
   }
 
  private:
-  void hold(std::size_t f) { sim_.caches(static_cast<Id>(f), lost_[static_cast<std::size_t>(fleet_.zoneOf[f])] > 0 ? 0 : 1); }
+  void Hold(std::size_t f) { sim_.caches(static_cast<Id>(f), lost_[static_cast<std::size_t>(fleet_.zone_of[f])] > 0 ? 0 : 1); }
   Sim& sim_;
   const FleetFile& fleet_;
   std::vector<int> lost_;
@@ -44,36 +44,36 @@
 
 }  // namespace
 
-SimTerms simTerms(const FleetFile& fleet, std::uint64_t seed) {
+SimTerms MakeSimTerms(const FleetFile& fleet, std::uint64_t seed) {
   SimTerms t;
   t.members = fleet.swim, t.failover = fleet.verdict, t.seed = seed;
   std::vector<std::string> regions;
   for (const std::string& r : fleet.regions) {
     auto at = std::find(regions.begin(), regions.end(), r);
     if (at == regions.end()) regions.push_back(r), at = regions.end() - 1;
-    t.zoneRegion.push_back(static_cast<int>(at - regions.begin()));
+    t.zone_region.push_back(static_cast<int>(at - regions.begin()));
   }
-  for (int z : fleet.zoneOf) t.places.push_back({z, t.zoneRegion[static_cast<std::size_t>(z)]});
+  for (int z : fleet.zone_of) t.places.push_back({z, t.zone_region[static_cast<std::size_t>(z)]});
   return t;
 }
 
-History playStaged(const FleetFile& fleet, const Script& script, std::uint64_t seed) {
-  Sim sim(simTerms(fleet, seed));
+History PlayStaged(const FleetFile& fleet, const Script& script, std::uint64_t seed) {
+  Sim sim(MakeSimTerms(fleet, seed));
   Staged target(sim, fleet);
-  constexpr Ms settles = 3000;  // members meet first, as processes do before the first cue
-  sim.runUntil(settles);
+  constexpr Ms kSettles = 3000;  // members meet first, as processes do before the first cue
+  sim.RunUntil(kSettles);
   History h;
-  for (const Cue& c : cues(script)) {
+  for (const Cue& c : Cues(script)) {
     if (c.at >= script.length) break;
-    sim.runUntil(settles + c.at);
+    sim.RunUntil(kSettles + c.at);
     h.cues.push_back({sim.now(), c});
-    play(c, target, fleet);
+    Play(c, target, fleet);
   }
-  sim.runUntil(settles + script.length);
+  sim.RunUntil(kSettles + script.length);
   h.until = sim.now();
   for (const Judged& j : sim.judged()) h.verdicts.push_back({j.at, j.by, j.out, j.epoch});
   for (Id f = 0; f < sim.size(); ++f)
-    if (sim.up(f)) h.epochsAtEnd.emplace_back(f, sim.verdicts(f).verdict().epoch);
+    if (sim.Up(f)) h.epochs_at_end.emplace_back(f, sim.verdicts(f).verdict().epoch);
   return h;
 }
 
--- a/src/rig/staged.hpp
+++ b/src/rig/staged.hpp
@@ -6,7 +6,7 @@
 
 namespace dunlinwick::fleet {
 
-SimTerms simTerms(const FleetFile& fleet, std::uint64_t seed);
-History playStaged(const FleetFile& fleet, const Script& script, std::uint64_t seed);
+SimTerms MakeSimTerms(const FleetFile& fleet, std::uint64_t seed);
+History PlayStaged(const FleetFile& fleet, const Script& script, std::uint64_t seed);
 
 }  // namespace dunlinwick::fleet
