--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -15,10 +15,10 @@
 namespace dunlinwick::schema {
 namespace {
 
-constexpr unsigned flags = rapidjson::kParseCommentsFlag | rapidjson::kParseTrailingCommasFlag |
+constexpr unsigned kFlags = rapidjson::kParseCommentsFlag | rapidjson::kParseTrailingCommasFlag |
                            rapidjson::kParseFullPrecisionFlag | rapidjson::kParseIterativeFlag;
 
-int lineAt(const std::string& text, std::size_t offset) {
+int LineAt(const std::string& text, std::size_t offset) {
   return 1 + static_cast<int>(std::count(text.begin(), text.begin() + static_cast<long>(std::min(offset, text.size())), '\n'));
 }
 
@@ -37,7 +37,7 @@
   std::size_t counted = 0;
   int line = 1;
 
-  std::string path() const {
+  std::string Path() const {
     std::string p;
     for (const Level& l : levels) p += "/" + (l.list ? std::to_string(l.index) : l.name);
     return p;
@@ -48,14 +48,14 @@
       line += static_cast<int>(std::count(text.begin() + static_cast<long>(counted), text.begin() + static_cast<long>(at), '\n'));
       counted = at;
     }
-    lines.push_back({path(), line});
+    lines.push_back({Path(), line});
     return true;
   }
   bool value() {
     note();
-    return next();
+    return Next();
   }
-  bool next() {
+  bool Next() {
     if (!levels.empty() && levels.back().list) ++levels.back().index;
     return true;
   }
@@ -75,11 +75,11 @@
     levels.push_back({true, "", 0});
     return true;
   }
-  bool EndObject(rapidjson::SizeType) { return levels.pop_back(), next(); }
-  bool EndArray(rapidjson::SizeType) { return levels.pop_back(), next(); }
+  bool EndObject(rapidjson::SizeType) { return levels.pop_back(), Next(); }
+  bool EndArray(rapidjson::SizeType) { return levels.pop_back(), Next(); }
 };
 
-std::string shown(const rapidjson::Value& v) {
+std::string Shown(const rapidjson::Value& v) {
   rapidjson::StringBuffer out;
   rapidjson::Writer<rapidjson::StringBuffer> writer(out);
   v.Accept(writer);
@@ -87,19 +87,19 @@
   return text.size() > 40 ? text.substr(0, 37) + "..." : text;
 }
 
-std::string listed(const rapidjson::Value& names) {
+std::string Listed(const rapidjson::Value& names) {
   std::string all;
-  for (auto& one : names.GetArray()) all += (all.empty() ? "" : ", ") + shown(one);
+  for (auto& one : names.GetArray()) all += (all.empty() ? "" : ", ") + Shown(one);
   return all;
 }
 
 // What a keyword of the schema asks for, in plain words.
-std::string why(const std::string& keyword, const rapidjson::Value* rule, const rapidjson::Value* value) {
+std::string Why(const std::string& keyword, const rapidjson::Value* rule, const rapidjson::Value* value) {
   auto of = [&](const char* name) -> const rapidjson::Value* {
     if (!rule || !rule->IsObject() || !rule->HasMember(name)) return nullptr;
     return &(*rule)[name];
   };
-  std::string is = value ? shown(*value) : "it";
+  std::string is = value ? Shown(*value) : "it";
   const rapidjson::Value* want = of(keyword.c_str());
   if (keyword == "type" && want && want->IsString()) {
     std::string type = want->GetString();
@@ -113,27 +113,27 @@
       std::vector<std::string> known;
       for (auto& one : want->GetArray())
         if (one.IsString()) known.push_back(one.GetString());
-      std::string near = nearest(value->GetString(), known);
+      std::string near = Nearest(value->GetString(), known);
       if (!near.empty()) hint = "; did you mean \"" + near + "\"?";
     }
-    return is + " is none of " + listed(*want) + hint;
+    return is + " is none of " + Listed(*want) + hint;
   }
-  if (keyword == "minimum" && want) return is + " is below " + shown(*want) + ", the least";
-  if (keyword == "maximum" && want) return is + " is above " + shown(*want) + ", the most";
+  if (keyword == "minimum" && want) return is + " is below " + Shown(*want) + ", the least";
+  if (keyword == "maximum" && want) return is + " is above " + Shown(*want) + ", the most";
   if (keyword == "required" && want && value && value->IsObject()) {
     for (auto& one : want->GetArray())
-      if (!value->HasMember(one)) return "lacks " + shown(one);
+      if (!value->HasMember(one)) return "lacks " + Shown(one);
   }
   if (keyword == "minItems") return "has too few entries";
   if (keyword == "maxItems") return "has too many entries";
-  if (keyword == "pattern" && want) return is + " is not of the form " + shown(*want);
+  if (keyword == "pattern" && want) return is + " is not of the form " + Shown(*want);
   if (keyword == "minLength") return "is empty";
   return is + " breaks the rule '" + keyword + "'";
 }
 
 }  // namespace
 
-std::string Fault::text() const {
+std::string Fault::Text() const {
   std::string out = file;
   if (line > 0) out += ":" + std::to_string(line);
   out += ": ";
@@ -142,9 +142,9 @@
 }
 
 Refused::Refused(std::vector<Fault> all)
-    : std::runtime_error(all.empty() ? "refused" : all.front().text()), faults(std::move(all)) {}
+    : std::runtime_error(all.empty() ? "refused" : all.front().Text()), faults(std::move(all)) {}
 
-std::string nearest(const std::string& word, const std::vector<std::string>& known) {
+std::string Nearest(const std::string& word, const std::vector<std::string>& known) {
   std::string best;
   std::size_t least = std::max<std::size_t>(2, word.size() / 3) + 1;
   for (const std::string& one : known) {
@@ -164,13 +164,13 @@
   return best;
 }
 
-std::string readFile(const std::string& path) {
-  constexpr std::size_t most = 4 << 20;
+std::string ReadFile(const std::string& path) {
+  constexpr std::size_t kMost = 4 << 20;
   std::ifstream file(path, std::ios::binary);
   std::stringstream text;
   if (!file || !(text << file.rdbuf())) throw Refused({{path, 0, "", "cannot be read, or is empty"}});
   std::string all = text.str();
-  if (all.size() > most) throw Refused({{path, 0, "", "is larger than 4 MB"}});
+  if (all.size() > kMost) throw Refused({{path, 0, "", "is larger than 4 MB"}});
   return all;
 }
 
@@ -178,26 +178,26 @@
   rapidjson::StringStream stream(text.c_str());
   Locator locator(text, stream);
   rapidjson::Reader reader;
-  rapidjson::ParseResult parsed = reader.Parse<flags>(stream, locator);
+  rapidjson::ParseResult parsed = reader.Parse<kFlags>(stream, locator);
   if (!parsed)
-    throw Refused({{file_, lineAt(text, parsed.Offset()), "", rapidjson::GetParseError_En(parsed.Code())}});
+    throw Refused({{file_, LineAt(text, parsed.Offset()), "", rapidjson::GetParseError_En(parsed.Code())}});
   lines_ = std::move(locator.lines);
-  root_.Parse<flags>(text.c_str());
+  root_.Parse<kFlags>(text.c_str());
   // A name that comes twice would be taken once, which of the two nobody could tell.
   struct Twice {
     const Sheet& sheet;
-    void look(const rapidjson::Value& v, const std::string& path) const {
+    void Look(const rapidjson::Value& v, const std::string& path) const {
       if (v.IsObject())
         for (auto a = v.MemberBegin(); a != v.MemberEnd(); ++a) {
           for (auto b = v.MemberBegin(); b != a; ++b)
-            if (a->name == b->name) sheet.refuse(path, std::string("has \"") + a->name.GetString() + "\" twice");
-          look(a->value, path + "/" + a->name.GetString());
+            if (a->name == b->name) sheet.Refuse(path, std::string("has \"") + a->name.GetString() + "\" twice");
+          Look(a->value, path + "/" + a->name.GetString());
         }
       if (v.IsArray())
-        for (rapidjson::SizeType i = 0; i < v.Size(); ++i) look(v[i], path + "/" + std::to_string(i));
+        for (rapidjson::SizeType i = 0; i < v.Size(); ++i) Look(v[i], path + "/" + std::to_string(i));
     }
   };
-  Twice{*this}.look(root_, "");
+  Twice{*this}.Look(root_, "");
   rapidjson::Document schema;
   if (schema.Parse(rules).HasParseError())
     throw std::logic_error(std::string("schema of the program's own: ") + rapidjson::GetParseError_En(schema.GetParseError()));
@@ -211,7 +211,7 @@
   const rapidjson::Value* rule = validator.GetInvalidSchemaPointer().Get(schema);
   const rapidjson::Value* value = validator.GetInvalidDocumentPointer().Get(root_);
   std::string keyword = validator.GetInvalidSchemaKeyword() ? validator.GetInvalidSchemaKeyword() : "";
-  std::string reason = why(keyword, rule, value);
+  std::string reason = Why(keyword, rule, value);
   // An unknown name: it is the pointer's last part, and what is known stands in the rule.
   if (keyword == "additionalProperties") {
     std::size_t slash = pointer.rfind('/');
@@ -219,14 +219,14 @@
     std::vector<std::string> names;
     if (rule && rule->IsObject() && rule->HasMember("properties"))
       for (auto& one : (*rule)["properties"].GetObject()) names.push_back(one.name.GetString());
-    std::string near = nearest(name, names);
+    std::string near = Nearest(name, names);
     reason = "unknown field \"" + name + "\"" + (near.empty() ? "" : "; did you mean \"" + near + "\"?");
-    throw Refused({{file_, lineOf(pointer), pointer.substr(0, slash), reason}});
+    throw Refused({{file_, LineOf(pointer), pointer.substr(0, slash), reason}});
   }
-  throw Refused({{file_, lineOf(pointer), pointer, reason}});
+  throw Refused({{file_, LineOf(pointer), pointer, reason}});
 }
 
-int Sheet::lineOf(const std::string& pointer) const {
+int Sheet::LineOf(const std::string& pointer) const {
   for (std::string p = pointer;; p = p.substr(0, p.rfind('/'))) {
     for (auto& [path, line] : lines_)
       if (path == p) return line;
@@ -234,8 +234,8 @@
   }
 }
 
-void Sheet::refuse(const std::string& pointer, const std::string& why) const {
-  throw Refused({{file_, lineOf(pointer), pointer, why}});
+void Sheet::Refuse(const std::string& pointer, const std::string& why) const {
+  throw Refused({{file_, LineOf(pointer), pointer, why}});
 }
 
 }  // namespace dunlinwick::schema
--- a/src/schema/schema.hpp
+++ b/src/schema/schema.hpp
@@ -15,7 +15,7 @@
   int line = 0;       // counted from 1; 0: of the file as a whole
   std::string field;  // a JSON pointer as /troubles/2/for_s
   std::string why;
-  std::string text() const;  // file:line: field: why
+  std::string Text() const;  // file:line: field: why
 };
 
 struct Refused : std::runtime_error {
@@ -28,11 +28,11 @@
  public:
   // Throws Refused. `rules`: the schema's text, which is the program's own and must be good.
   Sheet(std::string file, const std::string& text, const char* rules);
-  const rapidjson::Document& root() const { return root_; }
-  int lineOf(const std::string& pointer) const;  // of the value, or of the nearest one it stands in
-  const std::string& file() const { return file_; }
+  const rapidjson::Document& Root() const { return root_; }
+  int LineOf(const std::string& pointer) const;  // of the value, or of the nearest one it stands in
+  const std::string& File() const { return file_; }
   // For what no schema can say: throws Refused at that value.
-  [[noreturn]] void refuse(const std::string& pointer, const std::string& why) const;
+  [[noreturn]] void Refuse(const std::string& pointer, const std::string& why) const;
 
  private:
   std::string file_;
@@ -42,13 +42,13 @@
 
 // A member of an object, null where it is not there; and its value put into `into` (numbers times `times`), which stays as it
 // was where it is absent. Only after the schema has seen to its kind.
-inline const rapidjson::Value* member(const rapidjson::Value& v, const char* name) {
+inline const rapidjson::Value* Member(const rapidjson::Value& v, const char* name) {
   auto at = v.FindMember(name);
   return at == v.MemberEnd() ? nullptr : &at->value;
 }
 template <class T>
-void take(const rapidjson::Value* in, const char* name, T& into, double times = 1) {
-  const rapidjson::Value* v = in ? member(*in, name) : nullptr;
+void Take(const rapidjson::Value* in, const char* name, T& into, double times = 1) {
+  const rapidjson::Value* v = in ? Member(*in, name) : nullptr;
   if (!v) return;
   if constexpr (std::is_same_v<T, bool>) into = v->GetBool();
   else if constexpr (std::is_same_v<T, std::string>) into = v->GetString();
@@ -56,9 +56,9 @@
 }
 
 // Throws Refused where the file can't be read. At most 4 MB.
-std::string readFile(const std::string& path);
+std::string ReadFile(const std::string& path);
 
 // The one of `known` that is nearest to `word` in spelling; "" where none is near.
-std::string nearest(const std::string& word, const std::vector<std::string>& known);
+std::string Nearest(const std::string& word, const std::vector<std::string>& known);
 
 }  // namespace dunlinwick::schema
--- a/src/sheet/sheet.hpp
+++ b/src/sheet/sheet.hpp
@@ -17,16 +17,16 @@
 // What the network code goes by: names as they stand on the wire, and the limits of connections.
 struct RoadTerms {
   std::vector<std::string> offerings, zones, kinds, reported;
-  Ms connectWithin = 0, idleFor = 0;
-  int legsAtOnce = 1;  // on one connection
-  bool mayProbe = false;
+  Ms connect_within = 0, idle_for = 0;
+  int legs_at_once = 1;  // on one connection
+  bool may_probe = false;
 };
 
 // Unknown keys are skipped; a needed one that is missing or unreadable throws SheetFault, naming it.
-StoreSheet readSheet(std::string_view text);
-RoadTerms readRoadTerms(std::string_view text);
+StoreSheet ReadSheet(std::string_view text);
+RoadTerms ReadRoadTerms(std::string_view text);
 
-std::string dotted(const json::Value& settings);
-std::string plainWord(std::string_view text);  // as a value stands in the text
+std::string Dotted(const json::Value& settings);
+std::string PlainWord(std::string_view text);  // as a value stands in the text
 
 }  // namespace dunlinwick::sheet
--- a/src/stage/stage.hpp
+++ b/src/stage/stage.hpp
@@ -33,15 +33,15 @@
 struct Way {
   Ms latency = 0.2;
   double jitter = 0.2;   // latency times one plus up to this much
-  double kbPerMs = 0;    // 0: no limit worth counting; each stream has it for itself
+  double kb_per_ms = 0;    // 0: no limit worth counting; each stream has it for itself
   double lost = 0;       // share of what is sent; a stream sends it again after 200 ms
   double doubled = 0;    // share of datagrams that come twice
   double shuffled = 0;   // share of datagrams that come up to 20 latencies late
   bool cut = false;      // nothing passes; streams wait
 };
 
-Address address(std::uint32_t host, std::uint16_t port);
-std::string text(const Address& at);  // 10.0.0.1:5050
+Address AddressOf(std::uint32_t host, std::uint16_t port);
+std::string Text(const Address& at);  // 10.0.0.1:5050
 
 class Net;
 struct Stream;
@@ -51,48 +51,48 @@
  public:
   Process(Net& net, std::uint32_t host, std::string name, std::size_t descriptors);
   ~Process();
-  const std::string& name() const { return name_; }
+  const std::string& Name() const { return name_; }
   std::uint32_t host() const { return host_; }
   loop::Loop& loop() { return *loop_; }
   log::Log& log() { return log_; }
   bool alive() const { return alive_; }
-  std::size_t openDescriptors() const;
+  std::size_t OpenDescriptors() const;
   // Does something on the process's behalf, from outside its own turns, and lets it go on.
-  void act(const std::function<void()>& what);
+  void Act(const std::function<void()>& what);
   /// Puts `environment`, which wraps this process, between the process and its loop. Call it before anything is on the loop;
   /// `environment` must outlive the process. For tests in which system calls fail.
   void UseEnvironment(loop::Ground& environment) { loop_ = std::make_unique<loop::Loop>(environment); }
   // Between a process and its network: what it sends goes through here. For tests that break a front.
   std::function<std::string(std::string bytes)> tamper;
-  void standStill(Ms until);  // it runs nothing before then; what comes waits
+  void StandStill(Ms until);  // it runs nothing before then; what comes waits
 
   Ms now() override;
-  int wait(std::span<pollfd> watched, int ms) override;
-  int openStream() override;
-  int connect(int fd, const Address& to) override;
-  int fault(int fd) override;
-  int listen(const Address& at) override;
-  int accept(int fd) override;
+  int Wait(std::span<pollfd> watched, int ms) override;
+  int OpenStream() override;
+  int Connect(int fd, const Address& to) override;
+  int Fault(int fd) override;
+  int Listen(const Address& at) override;
+  int Accept(int fd) override;
   ssize_t receive(int fd, std::span<char> into) override;
-  ssize_t send(int fd, std::span<const iovec> parts) override;
-  void sayNoMore(int fd) override;
-  void close(int fd) override;
-  void abort(int fd) override;
-  int openDatagrams(const Address& at) override;
-  ssize_t sendTo(int fd, std::span<const char> bytes, const Address& to) override;
-  ssize_t receiveFrom(int fd, std::span<char> into, Address& from) override;
-  std::size_t descriptorLimit() override { return descriptors_; }
+  ssize_t Send(int fd, std::span<const iovec> parts) override;
+  void SayNoMore(int fd) override;
+  void Close(int fd) override;
+  void Abort(int fd) override;
+  int OpenDatagrams(const Address& at) override;
+  ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) override;
+  ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) override;
+  std::size_t DescriptorLimit() override { return descriptors_; }
   Address peer(int fd);  // the other side's host
 
  private:
   friend class Net;
-  enum class Kind { none, stream, listener, datagrams };
+  enum class Kind { kNone, kStream, kListener, kDatagrams };
   struct Datagram {
     Address from;
     std::string bytes;
   };
   struct Slot {
-    Kind kind = Kind::none;
+    Kind kind = Kind::kNone;
     Stream* stream = nullptr;
     int side = 0;
     std::uint16_t port = 0;
@@ -100,11 +100,11 @@
     std::deque<Datagram> datagrams;               // at most `mostDatagrams`
   };
   Slot* slot(int fd, Kind kind);
-  int take(Kind kind);
-  short readiness(const Slot& slot) const;
-  void run();
-  void wake();  // it runs at the present time, after what is due before it
-  void die(bool tell);
+  int Take(Kind kind);
+  short Readiness(const Slot& slot) const;
+  void Run();
+  void Wake();  // it runs at the present time, after what is due before it
+  void Die(bool tell);
 
   Net& net_;
   std::uint32_t host_;
@@ -114,7 +114,7 @@
   bool alive_ = true, running_ = false, quiet_ = false;
   int wish_ = 0;  // of the last wait
   Ms due_ = -1, still_ = 0;
-  std::uint64_t dueSeq_ = 0;
+  std::uint64_t due_seq_ = 0;
   log::Log log_;
   std::unique_ptr<loop::Loop> loop_;
 };
@@ -126,38 +126,38 @@
   ~Net();
   Ms now() const { return now_; }
   // Runs what is due up to then. Events at one time run in the order in which they were asked for.
-  void runUntil(Ms time);
+  void RunUntil(Ms time);
   void at(Ms when, std::function<void()> what);
 
   // ---- the map
   void place(std::uint32_t host, int site);
-  void join(int from, int to, const Way& way);  // one direction
+  void Join(int from, int to, const Way& way);  // one direction
   Way& way(int from, int to);
-  void setCut(std::uint32_t host, bool in, bool out);  // the host alone: nothing comes to it, or from it
-  void setLag(std::uint32_t host, Ms late);            // all that comes and goes there takes longer
-  void setApart(std::uint32_t from, std::uint32_t to, bool apart);  // datagrams from one host to another are lost
-  void setChoppy(double share) { choppy_ = share; }  // of reads and writes that take a part only
-  int siteOf(std::uint32_t host);
+  void SetCut(std::uint32_t host, bool in, bool out);  // the host alone: nothing comes to it, or from it
+  void SetLag(std::uint32_t host, Ms late);            // all that comes and goes there takes longer
+  void SetApart(std::uint32_t from, std::uint32_t to, bool apart);  // datagrams from one host to another are lost
+  void SetChoppy(double share) { choppy_ = share; }  // of reads and writes that take a part only
+  int SiteOf(std::uint32_t host);
 
   // ---- processes. The reference holds for the net's life; a process that was ended is a shell.
-  Process& start(std::uint32_t host, std::string name, std::size_t descriptors = 1 << 16);
+  Process& Start(std::uint32_t host, std::string name, std::size_t descriptors = 1 << 16);
   // Killed: its connections are reset. Vanished: nothing is said; the host answers nothing until a new process
   // starts there, which resets what it does not know.
-  void kill(Process& process);
-  void vanish(Process& process);
+  void Kill(Process& process);
+  void Vanish(Process& process);
 
-  void onLog(std::function<void(const Process&, std::string_view)> to) { logTo_ = std::move(to); }
-  std::uint64_t digest() const;  // of all that arrived anywhere so far, with its time
-  std::uint64_t events() const { return ran_; }
-  std::size_t pending() const { return queue_.size(); }
+  void OnLog(std::function<void(const Process&, std::string_view)> to) { log_to_ = std::move(to); }
+  std::uint64_t Digest() const;  // of all that arrived anywhere so far, with its time
+  std::uint64_t Events() const { return ran_; }
+  std::size_t Pending() const { return queue_.size(); }
 
  private:
   friend class Process;
-  enum class What { call, run, bytes, fin, reset, syn, up, refused, room, datagram };
+  enum class What { kCall, kRun, kBytes, kFin, kReset, kSyn, kUp, kRefused, kRoom, kDatagram };
   struct Event {
     Ms at = 0;
     std::uint64_t seq = 0;
-    What what = What::call;
+    What what = What::kCall;
     Stream* stream = nullptr;
     int side = 0;  // at whose end it happens
     std::size_t n = 0;
@@ -166,7 +166,7 @@
   };
   struct Host {
     int site = 0;
-    bool cutIn = false, cutOut = false, silent = false;
+    bool cut_in = false, cut_out = false, silent = false;
     Ms late = 0;
     std::map<std::uint16_t, std::pair<Process*, int>> listeners, receivers;  // emptied by close()
   };
@@ -174,15 +174,15 @@
     Address from{}, to{};
     std::string bytes;
   };
-  static bool later(const Event& a, const Event& b);
-  void push(Event event);
-  void handle(const Event& event);
+  static bool Later(const Event& a, const Event& b);
+  void Push(Event event);
+  void Handle(const Event& event);
   void note(const Event& event, const char* bytes, std::size_t n);
-  Ms travel(std::uint32_t from, std::uint32_t to, std::size_t n);
-  bool blocked(std::uint32_t from, std::uint32_t to);
-  void post(What what, Stream* stream, int side, std::size_t n = 0);
-  void release(Stream* stream);
-  double chance();
+  Ms Travel(std::uint32_t from, std::uint32_t to, std::size_t n);
+  bool Blocked(std::uint32_t from, std::uint32_t to);
+  void Post(What what, Stream* stream, int side, std::size_t n = 0);
+  void Release(Stream* stream);
+  double Chance();
   std::size_t part(std::size_t n);
 
   Ms now_;
@@ -192,13 +192,13 @@
   std::vector<Event> queue_;  // a heap
   std::vector<std::function<void()>> calls_;
   std::vector<Parcel> parcels_;
-  std::vector<std::size_t> freeCalls_, freeParcels_;
+  std::vector<std::size_t> free_calls_, free_parcels_;
   std::map<std::uint32_t, Host> hosts_;
   std::map<std::pair<int, int>, Way> ways_;
   std::set<std::pair<std::uint32_t, std::uint32_t>> apart_;
-  std::vector<std::vector<Way*>> wayAt_;
+  std::vector<std::vector<Way*>> way_at_;
   std::vector<std::unique_ptr<Process>> processes_;
-  std::function<void(const Process&, std::string_view)> logTo_;
+  std::function<void(const Process&, std::string_view)> log_to_;
   struct Hash;
   std::unique_ptr<Hash> hash_;
 };
--- a/src/store/environment.hpp
+++ b/src/store/environment.hpp
@@ -19,7 +19,7 @@
 };
 
 /// The readable text of an errno or a fault of LMDB.
-inline std::string faultText(int code) { return code > 0 ? std::strerror(code) : mdb_strerror(code); }
+inline std::string FaultText(int code) { return code > 0 ? std::strerror(code) : mdb_strerror(code); }
 
 class Environment {
  public:
@@ -31,18 +31,18 @@
   Environment& operator=(const Environment&) = delete;
 
   /// Makes the folder where it is not there. Called once; after a fault the object is of no further use.
-  OpenResult open(const std::string& folder, std::size_t mapBytes) {
-    bool isNew = ::mkdir(folder.c_str(), 0700) == 0;
-    if (!isNew && errno != EEXIST) return {"can't be made", errno};
-    if (int code = discardUnfinished(folder + "/data.mdb"); code != 0) return {"can't be looked at", code};
-    if (int code = reserveLock(folder + "/lock.mdb"); code != 0) return {"has no room for its lock", code};
+  OpenResult Open(const std::string& folder, std::size_t map_bytes) {
+    bool is_new = ::mkdir(folder.c_str(), 0700) == 0;
+    if (!is_new && errno != EEXIST) return {"can't be made", errno};
+    if (int code = DiscardUnfinished(folder + "/data.mdb"); code != 0) return {"can't be looked at", code};
+    if (int code = ReserveLock(folder + "/lock.mdb"); code != 0) return {"has no room for its lock", code};
     if (int code = mdb_env_create(&env_); code != 0) return {"no environment", code};
-    if (int code = mdb_env_set_mapsize(env_, mapBytes); code != 0) return {"can't be set up", code};
+    if (int code = mdb_env_set_mapsize(env_, map_bytes); code != 0) return {"can't be set up", code};
     if (int code = mdb_env_open(env_, folder.c_str(), 0, 0600); code != 0) return {"can't be opened", code};
     // LMDB syncs its file, not the names that lead to it.
-    if (int code = syncFolder(folder); code != 0) return {"can't be kept", code};
-    if (isNew) {
-      if (int code = syncFolder(folder + "/.."); code != 0) return {"can't be kept", code};
+    if (int code = SyncFolder(folder); code != 0) return {"can't be kept", code};
+    if (is_new) {
+      if (int code = SyncFolder(folder + "/.."); code != 0) return {"can't be kept", code};
     }
     MDB_txn* txn = nullptr;
     if (int code = mdb_txn_begin(env_, nullptr, 0, &txn); code != 0) return {"no transaction", code};
@@ -52,13 +52,13 @@
     }
     return {"can't be kept", mdb_txn_commit(txn)};
   }
-  MDB_env* get() const { return env_; }
+  MDB_env* Get() const { return env_; }
   MDB_dbi table() const { return table_; }
 
  private:
   /// A file shorter than LMDB's two head pages was never begun whole (a full disk, a kill): no transaction
   /// can be in it, and LMDB would refuse it for ever.
-  static int discardUnfinished(const std::string& path) {
+  static int DiscardUnfinished(const std::string& path) {
     struct stat file {};
     if (::stat(path.c_str(), &file) != 0) return errno == ENOENT ? 0 : errno;
     if (file.st_size == 0 || file.st_size >= 2 * ::sysconf(_SC_PAGESIZE)) return 0;
@@ -66,15 +66,15 @@
   }
   /// LMDB maps its lock file; on a full disk the first touch of a page that has no block would end the
   /// process (SIGBUS).
-  static int reserveLock(const std::string& path) {
-    constexpr off_t lockBytes = 8192;
+  static int ReserveLock(const std::string& path) {
+    constexpr off_t kLockBytes = 8192;
     int descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (descriptor < 0) return errno;
-    int code = ::posix_fallocate(descriptor, 0, lockBytes);
+    int code = ::posix_fallocate(descriptor, 0, kLockBytes);
     ::close(descriptor);
     return code;
   }
-  static int syncFolder(const std::string& path) {
+  static int SyncFolder(const std::string& path) {
     int descriptor = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (descriptor < 0) return errno == EACCES ? 0 : errno;  // one that may be passed through, not read
     int code = ::fsync(descriptor) == 0 ? 0 : errno;
--- a/src/store/floors.cpp
+++ b/src/store/floors.cpp
@@ -13,49 +13,49 @@
 struct FloorStore::Inner {
   std::string folder;
   Environment environment;
-  void check(const char* what, int fault) const {
-    if (fault != 0) throw std::runtime_error(folder + ": " + what + ": " + faultText(fault));
+  void Check(const char* what, int fault) const {
+    if (fault != 0) throw std::runtime_error(folder + ": " + what + ": " + FaultText(fault));
   }
 };
 
 FloorStore::FloorStore(const std::string& folder) : inner_(std::make_unique<Inner>()) {
   Inner& in = *inner_;
   in.folder = folder;
-  constexpr std::size_t mapBytes = 1 << 20;
-  OpenResult opened = in.environment.open(folder, mapBytes);
-  in.check(opened.step, opened.code);
+  constexpr std::size_t kMapBytes = 1 << 20;
+  OpenResult opened = in.environment.Open(folder, kMapBytes);
+  in.Check(opened.step, opened.code);
 }
 FloorStore::~FloorStore() = default;
 
-FloorDisk::Found FloorStore::read(KeptFloors& into) {
+FloorDisk::Found FloorStore::Read(KeptFloors& into) {
   Inner& in = *inner_;
   MDB_txn* txn = nullptr;
-  in.check("no transaction", mdb_txn_begin(in.environment.get(), nullptr, MDB_RDONLY, &txn));
+  in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, MDB_RDONLY, &txn));
   char name[] = "floors";
   MDB_val key{sizeof name - 1, name}, value{};
   int fault = mdb_get(txn, in.environment.table(), &key, &value);
   std::string bytes;
   if (fault == 0) bytes.assign(static_cast<const char*>(value.mv_data), value.mv_size);
   mdb_txn_abort(txn);
-  if (fault == MDB_NOTFOUND) return Found::empty;
-  in.check("can't be read", fault);
+  if (fault == MDB_NOTFOUND) return Found::kEmpty;
+  in.Check("can't be read", fault);
   proto::floors::Floors f;
   std::uint64_t digest = 0;
-  if (bytes.size() < sizeof digest) return Found::spoilt;
+  if (bytes.size() < sizeof digest) return Found::kSpoilt;
   std::memcpy(&digest, bytes.data(), sizeof digest);
   const char* body = bytes.data() + sizeof digest;
   std::size_t size = bytes.size() - sizeof digest;
-  if (XXH64(body, size, 0) != digest || !f.ParseFromArray(body, static_cast<int>(size))) return Found::spoilt;
+  if (XXH64(body, size, 0) != digest || !f.ParseFromArray(body, static_cast<int>(size))) return Found::kSpoilt;
   into = {f.whose(), f.token(), f.offset(), f.incarnation(), f.rules_digest(), f.rules_version(), {}};
   for (const auto& w : f.witnessed()) into.witnessed[w.front()] = w.incarnation();
-  return Found::good;
+  return Found::kGood;
 }
 
-void FloorStore::write(const KeptFloors& k) {
+void FloorStore::Write(const KeptFloors& k) {
   Inner& in = *inner_;
   proto::floors::Floors f;
   f.set_whose(k.whose), f.set_token(k.token), f.set_offset(k.offset), f.set_incarnation(k.incarnation);
-  f.set_rules_digest(k.rulesDigest), f.set_rules_version(k.rulesVersion);
+  f.set_rules_digest(k.rules_digest), f.set_rules_version(k.rules_version);
   for (const auto& [id, incarnation] : k.witnessed) {
     auto* w = f.add_witnessed();
     w->set_front(id), w->set_incarnation(incarnation);
@@ -68,11 +68,11 @@
   char name[] = "floors";
   MDB_val key{sizeof name - 1, name}, value{bytes.size(), bytes.data()};
   MDB_txn* txn = nullptr;
-  in.check("no transaction", mdb_txn_begin(in.environment.get(), nullptr, 0, &txn));
+  in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, 0, &txn));
   int fault = mdb_put(txn, in.environment.table(), &key, &value, 0);
   if (fault != 0) mdb_txn_abort(txn);
-  in.check("can't be written", fault);
-  in.check("can't be kept", mdb_txn_commit(txn));
+  in.Check("can't be written", fault);
+  in.Check("can't be kept", mdb_txn_commit(txn));
 }
 
 }  // namespace dunlinwick::store
--- a/src/store/floors.hpp
+++ b/src/store/floors.hpp
@@ -12,7 +12,7 @@
 
 struct KeptFloors {
   std::uint32_t whose = 0;
-  std::uint64_t token = 0, offset = 0, incarnation = 0, rulesDigest = 0, rulesVersion = 0;
+  std::uint64_t token = 0, offset = 0, incarnation = 0, rules_digest = 0, rules_version = 0;
   std::map<std::uint32_t, std::uint64_t> witnessed;  // incarnations of other fronts; at most 1000
   bool operator==(const KeptFloors&) const = default;
 };
@@ -20,12 +20,12 @@
 /// Where floors last: a folder on machines, memory with planned faults in tests.
 class FloorDisk {
  public:
-  enum class Found { empty, good, spoilt };
+  enum class Found { kEmpty, kGood, kSpoilt };
   virtual ~FloorDisk() = default;
   /// Reads what was written last. Throws std::runtime_error where it can't be read at all.
-  virtual Found read(KeptFloors& into) = 0;
+  virtual Found Read(KeptFloors& into) = 0;
   /// Lasts when it returns, or throws std::runtime_error; then the floors of before or these may be on the disk.
-  virtual void write(const KeptFloors& floors) = 0;
+  virtual void Write(const KeptFloors& floors) = 0;
 };
 
 class FloorStore final : public FloorDisk {
@@ -34,8 +34,8 @@
   ~FloorStore() override;
   FloorStore(const FloorStore&) = delete;
   FloorStore& operator=(const FloorStore&) = delete;
-  Found read(KeptFloors& into) override;
-  void write(const KeptFloors& floors) override;
+  Found Read(KeptFloors& into) override;
+  void Write(const KeptFloors& floors) override;
 
  private:
   struct Inner;
--- a/src/store/lasting_floors.hpp
+++ b/src/store/lasting_floors.hpp
@@ -18,32 +18,32 @@
   /// Opens the disk; throws std::runtime_error where it can't.
   using OpenDisk = std::function<std::unique_ptr<FloorDisk>()>;
   using Say = std::function<void(const std::string& line)>;
-  LastingFloors(OpenDisk openDisk, Say say);
+  LastingFloors(OpenDisk open_disk, Say say);
 
   /// Opens the disk and reads what is there, once, at the start of front `self`. A disk that can't be opened
   /// or read is `spoilt`: nothing of it is trusted in this process.
-  FloorDisk::Found start(Ms now, std::uint32_t self, KeptFloors& found);
+  FloorDisk::Found Start(Ms now, std::uint32_t self, KeptFloors& found);
   /// Keeps `floors`, or tries to again where the time for it has come. Floors of the same front that the disk
   /// holds since a start without it are never lowered.
-  void keep(Ms now, const KeptFloors& floors);
+  void Keep(Ms now, const KeptFloors& floors);
   /// What lasts: the floors of the last write that succeeded, or that were read.
-  const KeptFloors& lasting() const { return lasting_; }
+  const KeptFloors& Lasting() const { return lasting_; }
   /// Whether the last write succeeded.
-  bool isKept() const { return isKept_; }
+  bool IsKept() const { return is_kept_; }
 
  private:
-  void open();
-  KeptFloors raised(KeptFloors floors) const;
-  void failed(Ms now, const std::string& reason);
+  void Open();
+  KeptFloors Raised(KeptFloors floors) const;
+  void Failed(Ms now, const std::string& reason);
 
-  OpenDisk openDisk_;
+  OpenDisk open_disk_;
   Say say_;
   std::unique_ptr<FloorDisk> disk_;
-  backoff::Backoff retry_{backoff::shortestStoreRetry, backoff::longestStoreRetry};
+  backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
   KeptFloors lasting_;
-  KeptFloors heldBefore_;  // what the disk held of this front as it was opened late
-  bool isKept_ = false;
-  bool saidFailure_ = false;
+  KeptFloors held_before_;  // what the disk held of this front as it was opened late
+  bool is_kept_ = false;
+  bool said_failure_ = false;
 };
 
 }  // namespace dunlinwick::store
--- a/src/store/lmdb.hpp
+++ b/src/store/lmdb.hpp
@@ -12,14 +12,14 @@
  public:
   explicit LmdbStore(const std::string& folder);  // made where it is not there
   ~LmdbStore() override;
-  bool lasts() const override { return true; }
+  bool Lasts() const override { return true; }
   owner::StoredState load() override;
-  void found(const std::string& founding) override;
-  void setTerm(std::uint64_t term) override;
-  void setVote(std::uint64_t vote) override;
-  void append(const std::vector<owner::LogEntry>& entries) override;
-  void truncate(std::uint64_t from) override;
-  void take(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override;
+  void Found(const std::string& founding) override;
+  void SetTerm(std::uint64_t term) override;
+  void SetVote(std::uint64_t vote) override;
+  void Append(const std::vector<owner::LogEntry>& entries) override;
+  void Truncate(std::uint64_t from) override;
+  void Take(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override;
 
  private:
   struct Inner;
--- a/src/store/record_lmdb.hpp
+++ b/src/store/record_lmdb.hpp
@@ -12,16 +12,16 @@
 
 class RecordLmdb final : public record::Disk {
  public:
-  explicit RecordLmdb(const std::string& folder, std::size_t mapBytes = 64 << 20);  // the folder is made where it is not there
+  explicit RecordLmdb(const std::string& folder, std::size_t map_bytes = 64 << 20);  // the folder is made where it is not there
   ~RecordLmdb() override;
-  bool lasts() const override { return true; }
+  bool Lasts() const override { return true; }
   std::optional<record::Head> head() override;
-  void each(const std::function<void(record::Offset, const record::Entry*)>& see) override;
-  void write(const record::Head& head) override;
+  void Each(const std::function<void(record::Offset, const record::Entry*)>& see) override;
+  void Write(const record::Head& head) override;
   void append(record::Offset from, const std::vector<record::Entry>& entries, const record::Head& head) override;
-  void drop(const std::vector<record::Offset>& gone, const record::Head& head) override;
-  void heal(const record::Entry& entry) override;
-  std::size_t pageBytes() const;  // in pages that hold entries and the head
+  void Drop(const std::vector<record::Offset>& gone, const record::Head& head) override;
+  void Heal(const record::Entry& entry) override;
+  std::size_t PageBytes() const;  // in pages that hold entries and the head
 
  private:
   struct Inner;
--- a/src/world/model.cpp
+++ b/src/world/model.cpp
@@ -12,27 +12,27 @@
 
 Model::~Model() = default;
 
-double Model::meanSending(int offering) const {
+double Model::MeanSending(int offering) const {
   return terms_.offerings[static_cast<std::size_t>(offering)].sending;
 }
 
-void Model::setLink(int store, double capacity) {
+void Model::SetLink(int store, double capacity) {
   auto at = static_cast<std::size_t>(store);
   if (links_.size() <= at) links_.resize(at + 1);
-  links_[at] = std::make_unique<Pipe>(*this, capacity, terms_.fillPace);
+  links_[at] = std::make_unique<Pipe>(*this, capacity, terms_.fill_pace);
 }
 
-void Model::add(const Make& make) {
+void Model::Add(const Make& make) {
   auto m = std::make_shared<Machine>();
   m->make = make;
   m->life = ++last_;
-  m->pipe = std::make_unique<Pipe>(*this, make.capacity, make.grade == Grade::store ? 1 : terms_.fillPace);
-  m->pipe->slows = make.grade == Grade::office;
+  m->pipe = std::make_unique<Pipe>(*this, make.capacity, make.grade == Grade::kStore ? 1 : terms_.fill_pace);
+  m->pipe->slows = make.grade == Grade::kOffice;
   machines_[make.id] = m;
-  sample(make.id, m->life);
+  Sample(make.id, m->life);
 }
 
-void Model::remove(Ms now, const std::string& machine) {
+void Model::Remove(Ms now, const std::string& machine) {
   auto at = machines_.find(machine);
   if (at == machines_.end()) return;
   auto m = at->second;
@@ -42,38 +42,38 @@
   // Its fills end at their sources.
   for (auto& [ticket, work] : open)
     for (auto& job : work->jobs)
-      if (job.link >= 0) links_[static_cast<std::size_t>(job.link)]->remove(now, job.id);
-      else if (auto where = job.where.lock()) where->pipe->remove(now, job.id);
+      if (job.link >= 0) links_[static_cast<std::size_t>(job.link)]->Remove(now, job.id);
+      else if (auto where = job.where.lock()) where->pipe->Remove(now, job.id);
 }
 
-double Model::capacityOf(Machine& m, Ms now) const {
+double Model::CapacityOf(Machine& m, Ms now) const {
   double c = m.make.capacity;
-  if (m.make.startedAt > 0) {
-    double from = m.store() ? terms_.coldStoreFrom : terms_.coldAreaFrom;
-    Ms lasts = m.store() ? terms_.coldStoreLasts : terms_.coldAreaLasts;
-    double warm = std::clamp((now - m.make.startedAt) / lasts, 0.0, 1.0);
-    if (m.make.grade != Grade::office) c *= from + (1 - from) * warm;
+  if (m.make.started_at > 0) {
+    double from = m.Store() ? terms_.cold_store_from : terms_.cold_area_from;
+    Ms lasts = m.Store() ? terms_.cold_store_lasts : terms_.cold_area_lasts;
+    double warm = std::clamp((now - m.make.started_at) / lasts, 0.0, 1.0);
+    if (m.make.grade != Grade::kOffice) c *= from + (1 - from) * warm;
   }
   return c;
 }
 
 // Every quarter second while it is cold, and at each report: what it can do by now, and what it would report.
-void Model::sample(const std::string& machine, std::uint64_t life) {
+void Model::Sample(const std::string& machine, std::uint64_t life) {
   auto at = machines_.find(machine);
   if (at == machines_.end() || at->second->life != life) return;
   Machine& m = *at->second;
-  Ms now = m.samples.empty() ? std::max(start_, m.make.startedAt) : m.samples.back().first + terms_.reportEvery;
-  m.pipe->change(now, capacityOf(m, now) / m.slowed);
+  Ms now = m.samples.empty() ? std::max(start_, m.make.started_at) : m.samples.back().first + terms_.report_every;
+  m.pipe->Change(now, CapacityOf(m, now) / m.slowed);
   Load l;
   l.util = std::min(1.0, m.pipe->level());
-  l.inflight = m.inHand + static_cast<double>(m.waiting.size());
+  l.inflight = m.in_hand + static_cast<double>(m.waiting.size());
   l.hits = m.answers > 0 ? m.hits / m.answers : 0;
-  if (m.make.grade == Grade::area) l.link = static_cast<double>(m.fetches.size());
+  if (m.make.grade == Grade::kArea) l.link = static_cast<double>(m.fetches.size());
   else if (m.make.store >= 0) l.link = std::min(1.0, links_[static_cast<std::size_t>(m.make.store)]->level());
   m.hits *= 0.8, m.answers *= 0.8;
   m.samples.push_back({now, l});
   while (m.samples.size() > 1 && m.samples.front().first < now - 8000) m.samples.pop_front();
-  at_(now + terms_.reportEvery, [this, machine, life] { sample(machine, life); });
+  at_(now + terms_.report_every, [this, machine, life] { Sample(machine, life); });
 }
 
 Load Model::load(Ms now, const std::string& machine) {
@@ -81,52 +81,52 @@
   if (at == machines_.end()) return {};
   Load l;
   for (auto& [when, one] : at->second->samples)
-    if (when <= now - terms_.reportLate - reportsLater_) l = one;
+    if (when <= now - terms_.report_late - reports_later_) l = one;
   return l;
 }
 
 // The cold rule: all that comes to a machine counts, also what it turns away, at its offering's mean.
-void Model::book(Machine& m, double work, Ms now) {
-  if (m.make.startedAt <= 0 || m.make.grade == Grade::office) return;
-  Ms lasts = m.store() ? terms_.coldStoreLasts : terms_.coldAreaLasts;
-  if (now > m.make.startedAt + lasts) return;
+void Model::Book(Machine& m, double work, Ms now) {
+  if (m.make.started_at <= 0 || m.make.grade == Grade::kOffice) return;
+  Ms lasts = m.Store() ? terms_.cold_store_lasts : terms_.cold_area_lasts;
+  if (now > m.make.started_at + lasts) return;
   m.pushes.push_back({now, work});
   m.pushed += work;
-  while (m.pushes.front().first <= now - terms_.coldWindow) {
+  while (m.pushes.front().first <= now - terms_.cold_window) {
     m.pushed -= m.pushes.front().second;
     m.pushes.pop_front();
   }
-  double limit = (m.store() ? terms_.coldStoreMultiple : terms_.coldAreaMultiple) * capacityOf(m, now) *
-                 terms_.coldWindow;
-  witness_.coldPush(m.make.id, m.pushed / limit);
+  double limit = (m.Store() ? terms_.cold_store_multiple : terms_.cold_area_multiple) * CapacityOf(m, now) *
+                 terms_.cold_window;
+  witness_.ColdPush(m.make.id, m.pushed / limit);
   // One leg alone falls over nothing: the window's sum less its last counts, as slack for chance.
-  if (m.pushed - work > limit) witness_.pushedOver(now, m.make.id, m.pushed, limit);
+  if (m.pushed - work > limit) witness_.PushedOver(now, m.make.id, m.pushed, limit);
 }
 
-void Model::startTold(const std::string& machine) {
-  if (auto at = machines_.find(machine); at != machines_.end() && at->second->make.grade != Grade::office)
+void Model::StartTold(const std::string& machine) {
+  if (auto at = machines_.find(machine); at != machines_.end() && at->second->make.grade != Grade::kOffice)
     at->second->pushes.clear(), at->second->pushed = 0;
 }
 
 // ---- troubles
 
-void Model::stall(Ms now, const std::string& machine, Ms until) {
+void Model::Stall(Ms now, const std::string& machine, Ms until) {
   auto at = machines_.find(machine);
   if (at == machines_.end()) return;
   auto m = at->second;
-  m->stalledUntil = std::max(m->stalledUntil, until);
-  m->pipe->stop(now, true);
+  m->stalled_until = std::max(m->stalled_until, until);
+  m->pipe->Stop(now, true);
   std::weak_ptr<Machine> which = m;
-  at_(m->stalledUntil, [which, until] {
-    if (auto one = which.lock(); one && one->stalledUntil <= until) one->pipe->stop(until, false);
+  at_(m->stalled_until, [which, until] {
+    if (auto one = which.lock(); one && one->stalled_until <= until) one->pipe->Stop(until, false);
   });
 }
 
-void Model::slow(Ms now, const std::string& machine, double factor) {
+void Model::Slow(Ms now, const std::string& machine, double factor) {
   auto at = machines_.find(machine);
   if (at == machines_.end()) return;
   at->second->slowed = factor;
-  at->second->pipe->change(now, capacityOf(*at->second, now) / factor);
+  at->second->pipe->Change(now, CapacityOf(*at->second, now) / factor);
 }
 
 }  // namespace dunlinwick::world
--- a/src/world/model.hpp
+++ b/src/world/model.hpp
@@ -22,30 +22,30 @@
 using Ms = double;
 using Dice = boost::random::mt19937_64;
 
-double between(Dice& dice, double low, double high);
+double Between(Dice& dice, double low, double high);
 
 // The name of a popular thing, the same in every run; `store` -1: wanted everywhere. Other names beginning with f
 // are of things of odd size.
-std::string thingName(int offering, int store, std::size_t rank);
-std::string hexName(std::uint64_t number);
+std::string ThingName(int offering, int store, std::size_t rank);
+std::string HexName(std::uint64_t number);
 
-enum class Effect { rerunnable, ticketed, exclusive };
-enum class Grade { store, area, office };
+enum class Effect { kRerunnable, kTicketed, kExclusive };
+enum class Grade { kStore, kArea, kOffice };
 
 struct OfferingTerms {
   std::string name;
-  Effect effect = Effect::rerunnable;
+  Effect effect = Effect::kRerunnable;
   double share = 0;         // of the pulls
   Ms sending = 0;           // mean, at full pace
-  double sizeSpread = 0;    // sigma of the sizes' logarithm
-  double sizeScale = 1;     // so that what is asked for has the mean above, whatever sizes popular things drew
+  double size_spread = 0;    // sigma of the sizes' logarithm
+  double size_scale = 1;     // so that what is asked for has the mean above, whatever sizes popular things drew
   Ms agreed = 0, expiry = 0;
-  double agreedStretch = 0, payoff = 1, lateWorth = 0;
-  Ms freshFor = 0;          // 0: until purged
-  bool neverKept = false;
+  double agreed_stretch = 0, payoff = 1, late_worth = 0;
+  Ms fresh_for = 0;          // 0: until purged
+  bool never_kept = false;
   Ms memory = 0;            // ticketed: how long its repeats are known
-  double leastParts = 1, mostParts = 1;
-  Ms leastGap = 0, mostGap = 0;  // between parts
+  double least_parts = 1, most_parts = 1;
+  Ms least_gap = 0, most_gap = 0;  // between parts
   double zipf = 1, local = 0;    // popularity; share of pulls for objects wanted at one store only
   int objects = 0;               // that are popular at all
 };
@@ -53,49 +53,49 @@
 // What holds for the whole run; ranges are drawn by whoever fills it.
 struct Terms {
   std::vector<OfferingTerms> offerings;
-  double flowKbPerMs = 8;  // at which one client is sent an answer
-  double fillPace = 3;
-  Ms officeAnswers = 40;
-  double officeMultiple = 2.5;  // of its capacity, for `officeWindow`: then it stops
-  Ms officeWindow = 3000;
-  int officeStops = 2;  // at most
-  Ms fillTimeout = 2500;
-  Ms purgeDone = 6000;
-  Ms coldWindow = 1000;
-  double coldStoreFrom = 0.29, coldStoreMultiple = 2, coldAreaFrom = 0.079, coldAreaMultiple = 2;
-  Ms coldStoreLasts = 17000, coldAreaLasts = 22000;
-  double errorRate = 0.0002;
-  Ms reportEvery = 500, reportLate = 150;
+  double flow_kb_per_ms = 8;  // at which one client is sent an answer
+  double fill_pace = 3;
+  Ms office_answers = 40;
+  double office_multiple = 2.5;  // of its capacity, for `officeWindow`: then it stops
+  Ms office_window = 3000;
+  int office_stops = 2;  // at most
+  Ms fill_timeout = 2500;
+  Ms purge_done = 6000;
+  Ms cold_window = 1000;
+  double cold_store_from = 0.29, cold_store_multiple = 2, cold_area_from = 0.079, cold_area_multiple = 2;
+  Ms cold_store_lasts = 17000, cold_area_lasts = 22000;
+  double error_rate = 0.0002;
+  Ms report_every = 500, report_late = 150;
 };
 
 struct Make {
   std::string id;
-  Grade grade = Grade::store;
+  Grade grade = Grade::kStore;
   int store = -1;         // whose link its fills share; -1: none
   double capacity = 6;    // transfers
   int slots = 30, queue = 40, fills = 30;
-  double keepKb = 1e6;
+  double keep_kb = 1e6;
   Ms way = 5;             // to it from a store, one way
-  Ms startedAt = 0;       // 0: long ago, warm
+  Ms started_at = 0;       // 0: long ago, warm
 };
 
 struct Wish {
   std::string id, thing, source, mine;
   int offering = 0, part = 0, rank = 0;
   Ms most = 0, within = 0;
-  bool join = false, heldOnly = false, passing = false, renew = false;
+  bool join = false, held_only = false, passing = false, renew = false;
 };
 
-enum class Word { hit, valid, none, shed, fault, late };
-enum class Note { none, local, pulled, pulledFar, rode, expired, turnedAway, cutOff, notThere, noPlace, farFault };
+enum class Word { kHit, kValid, kNone, kShed, kFault, kLate };
+enum class Note { kNone, kLocal, kPulled, kPulledFar, kRode, kExpired, kTurnedAway, kCutOff, kNotThere, kNoPlace, kFarFault };
 
 struct Reply {
-  Word word = Word::fault;
-  Note note = Note::none;
+  Word word = Word::kFault;
+  Note note = Note::kNone;
   Ms delay = 0;
   std::string tag;
   Ms issued = 0;
-  double sizeKb = 0;  // of the answer, 0 without bytes
+  double size_kb = 0;  // of the answer, 0 without bytes
 };
 
 struct Load {
@@ -105,10 +105,10 @@
 // What the world does that the rules ask about.
 class Witness {
  public:
-  virtual void ran(Ms, const std::string& /*id*/, const std::string& /*thing*/) {}
+  virtual void Ran(Ms, const std::string& /*id*/, const std::string& /*thing*/) {}
   // A machine that had started cold was sent `work` in a window in which it could bear `limit`.
-  virtual void pushedOver(Ms, const std::string& /*machine*/, double /*work*/, double /*limit*/) {}
-  virtual void coldPush(const std::string& /*machine*/, double /*share of what it bears*/) {}
+  virtual void PushedOver(Ms, const std::string& /*machine*/, double /*work*/, double /*limit*/) {}
+  virtual void ColdPush(const std::string& /*machine*/, double /*share of what it bears*/) {}
 
  protected:
   ~Witness() = default;
@@ -128,27 +128,27 @@
   const Terms& terms() const { return terms_; }
   Bytes bytes;
 
-  void setLink(int store, double capacity);  // transfers
-  void add(const Make& make);                // a new process: empty, cold if it started late
-  void remove(Ms now, const std::string& machine);   // with all that it had open; nobody is called back
-  bool has(const std::string& machine) const { return machines_.count(machine) != 0; }
+  void SetLink(int store, double capacity);  // transfers
+  void Add(const Make& make);                // a new process: empty, cold if it started late
+  void Remove(Ms now, const std::string& machine);   // with all that it had open; nobody is called back
+  bool Has(const std::string& machine) const { return machines_.count(machine) != 0; }
 
   // Returns a ticket for giveUp(); `answered` is called later, once, unless the wish is given up.
-  std::uint64_t want(Ms now, const std::string& machine, Wish wish, Answered answered);
-  void giveUp(Ms now, const std::string& machine, std::uint64_t ticket);
+  std::uint64_t Want(Ms now, const std::string& machine, Wish wish, Answered answered);
+  void GiveUp(Ms now, const std::string& machine, std::uint64_t ticket);
   Load load(Ms now, const std::string& machine);  // as the machine would report it
-  void purge(Ms now, bool wholeGroup, const std::string& thing, int group);
+  void ApplyPurge(Ms now, bool whole_group, const std::string& thing, int group);
 
   // Fronts are told from now on that it started: what came before does not count against them.
-  void startTold(const std::string& machine);
+  void StartTold(const std::string& machine);
 
   // ---- troubles
-  void stall(Ms now, const std::string& machine, Ms until);      // does nothing till then
-  void slow(Ms now, const std::string& machine, double factor);  // of its pace; 1: as it should
-  void lateReports(Ms by) { reportsLater_ = by; }
+  void Stall(Ms now, const std::string& machine, Ms until);      // does nothing till then
+  void Slow(Ms now, const std::string& machine, double factor);  // of its pace; 1: as it should
+  void LateReports(Ms by) { reports_later_ = by; }
 
   // ---- facts of a thing, which follow from its name
-  double sizeKb(int offering, const std::string& thing) const;
+  double SizeKb(int offering, const std::string& thing) const;
   static int group(const std::string& thing);
 
  private:
@@ -156,47 +156,47 @@
   struct Machine;
   struct Work;
   struct Copy {
-    double sizeKb = 0;
-    Ms issued = 0, usedAt = 0;
+    double size_kb = 0;
+    Ms issued = 0, used_at = 0;
     int rank = 0, group = 0;
     std::uint64_t object = 0;
   };
   struct Purge {
-    bool wholeGroup = false;
+    bool whole_group = false;
     std::uint64_t object = 0;
     int group = 0;
     Ms at = 0;
   };
   using Key = std::uint64_t;
 
-  Copy* holds(Machine& m, Key key, Ms now, Ms oldest);
-  void keep(Machine& m, Key key, Copy copy, Ms now);
-  void take(std::shared_ptr<Work> work, Ms now);
-  void start(std::shared_ptr<Work> work, Ms now);
-  void fill(std::shared_ptr<Work> work, Ms now);
-  void arrive(std::shared_ptr<Work> work, Ms now);  // at the source
-  void come(std::shared_ptr<Work> work, Ms now, Ms issued, Note note);
-  void send(std::shared_ptr<Work> work, Ms now, double sizeKb);
-  void giveUpFill(std::shared_ptr<Work> work, Ms now);
-  void fromOffice(std::shared_ptr<Machine> office, std::shared_ptr<Work> work, Ms now);
-  void fetched(std::shared_ptr<Work> far, Ms now, Ms issued);
-  static std::string tagOf(const Work& work);
-  void end(std::shared_ptr<Work> work, Ms now, Word word, Note note, Ms issued = 0, double sizeKb = 0);
-  void leave(Machine& m, std::shared_ptr<Work> work, Ms now);
-  void book(Machine& m, double work, Ms now);
-  void later(Ms when, std::shared_ptr<Work> work, void (Model::*what)(std::shared_ptr<Work>, Ms));
-  bool dropped(const Copy& copy, const Machine& m, Ms now) const;
-  void sample(const std::string& machine, std::uint64_t life);
-  double capacityOf(Machine& m, Ms now) const;
-  double meanSending(int offering) const;
+  Copy* Holds(Machine& m, Key key, Ms now, Ms oldest);
+  void Keep(Machine& m, Key key, Copy copy, Ms now);
+  void Take(std::shared_ptr<Work> work, Ms now);
+  void Start(std::shared_ptr<Work> work, Ms now);
+  void Fill(std::shared_ptr<Work> work, Ms now);
+  void Arrive(std::shared_ptr<Work> work, Ms now);  // at the source
+  void Come(std::shared_ptr<Work> work, Ms now, Ms issued, Note note);
+  void Send(std::shared_ptr<Work> work, Ms now, double size_kb);
+  void GiveUpFill(std::shared_ptr<Work> work, Ms now);
+  void FromOffice(std::shared_ptr<Machine> office, std::shared_ptr<Work> work, Ms now);
+  void Fetched(std::shared_ptr<Work> far, Ms now, Ms issued);
+  static std::string TagOf(const Work& work);
+  void end(std::shared_ptr<Work> work, Ms now, Word word, Note note, Ms issued = 0, double size_kb = 0);
+  void Leave(Machine& m, std::shared_ptr<Work> work, Ms now);
+  void Book(Machine& m, double work, Ms now);
+  void Later(Ms when, std::shared_ptr<Work> work, void (Model::*what)(std::shared_ptr<Work>, Ms));
+  bool Dropped(const Copy& copy, const Machine& m, Ms now) const;
+  void Sample(const std::string& machine, std::uint64_t life);
+  double CapacityOf(Machine& m, Ms now) const;
+  double MeanSending(int offering) const;
 
   Terms terms_;
   Dice dice_;
   Ms start_;
   At at_;
   Witness& witness_;
-  Ms reportsLater_ = 0;
-  int officeStops_ = 0;
+  Ms reports_later_ = 0;
+  int office_stops_ = 0;
   std::uint64_t last_ = 0;
   std::map<std::string, std::shared_ptr<Machine>> machines_;  // emptied by remove()
   std::vector<std::unique_ptr<Pipe>> links_;                  // by store
--- a/src/world/things.cpp
+++ b/src/world/things.cpp
@@ -8,35 +8,35 @@
 
 namespace dunlinwick::world {
 
-double between(Dice& dice, double low, double high) {
+double Between(Dice& dice, double low, double high) {
   if (!(high > low)) return low;
   return boost::random::uniform_real_distribution<double>(low, high)(dice);
 }
 
-std::string hexName(std::uint64_t v) {
+std::string HexName(std::uint64_t v) {
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(v));
   if (text[0] == 'f') text[0] = 'e';  // f says that a thing is of odd size
   return text;
 }
 
-std::string thingName(int offering, int store, std::size_t rank) {
+std::string ThingName(int offering, int store, std::size_t rank) {
   std::uint64_t h = static_cast<std::uint64_t>(offering + 1) * 0x9e3779b97f4a7c15ull + rank * 0xbf58476d1ce4e5b9ull;
-  return hexName(mixed(h + static_cast<std::uint64_t>(store + 1) * 0x94d049bb133111ebull));
+  return HexName(Mixed(h + static_cast<std::uint64_t>(store + 1) * 0x94d049bb133111ebull));
 }
 
-double Model::sizeKb(int offering, const std::string& thing) const {
+double Model::SizeKb(int offering, const std::string& thing) const {
   const OfferingTerms& o = terms_.offerings[static_cast<std::size_t>(offering)];
-  double mean = o.sending * terms_.flowKbPerMs * o.sizeScale;
+  double mean = o.sending * terms_.flow_kb_per_ms * o.size_scale;
   // By Box and Muller, from the thing's name.
-  double u = unit(hashed(thing, 1)), v = unit(hashed(thing, 2));
+  double u = Unit(Hashed(thing, 1)), v = Unit(Hashed(thing, 2));
   double normal = std::sqrt(-2 * std::log(u)) * std::cos(2 * 3.14159265358979323846 * v);
-  double size = mean * std::exp(o.sizeSpread * normal - o.sizeSpread * o.sizeSpread / 2);
+  double size = mean * std::exp(o.size_spread * normal - o.size_spread * o.size_spread / 2);
   // A thing of odd size says so in its name: f, then its factor.
-  if (thing.size() == 16 && thing[0] == 'f') size = mean / o.sizeScale * std::stoi(thing.substr(1, 2), nullptr, 16);
+  if (thing.size() == 16 && thing[0] == 'f') size = mean / o.size_scale * std::stoi(thing.substr(1, 2), nullptr, 16);
   return std::clamp(size, mean / 50, mean * 255);
 }
 
-int Model::group(const std::string& thing) { return static_cast<int>(hashed(thing, 3) % 256); }
+int Model::group(const std::string& thing) { return static_cast<int>(Hashed(thing, 3) % 256); }
 
 }  // namespace dunlinwick::world
--- a/src/world/work.hpp
+++ b/src/world/work.hpp
@@ -9,19 +9,19 @@
   std::uint64_t life = 0;
   std::unique_ptr<Pipe> pipe;
   double slowed = 1;
-  Ms stalledUntil = 0;
-  int inHand = 0, fills = 0;
+  Ms stalled_until = 0;
+  int in_hand = 0, fills = 0;
   std::map<std::uint64_t, std::shared_ptr<Work>> open;  // by ticket; emptied by answers and giving up
   std::deque<std::shared_ptr<Work>> waiting;            // at most `queue`
   std::unordered_map<Key, Copy> copies;                 // at most `keepKb`; never walked in its own order
   std::set<std::tuple<int, Ms, Key>> order;             // rank, use, key: the first leaves first
-  double keptKb = 0;
+  double kept_kb = 0;
   std::map<Key, std::vector<std::shared_ptr<Work>>> fetches;  // of an area cache; emptied when they come
   std::deque<std::pair<Ms, double>> pushes;                   // of the last window
   double pushed = 0;
   double hits = 0, answers = 0;
   std::deque<std::pair<Ms, Load>> samples;  // of some seconds
-  bool store() const { return make.grade == Grade::store; }
+  bool Store() const { return make.grade == Grade::kStore; }
 };
 
 // One wish, from its coming to its end.
@@ -31,9 +31,9 @@
   Answered answered;
   std::uint64_t ticket = 0;
   Key key = 0;
-  Ms cameAt = 0, fillAt = 0, delay = 0, issued = 0;
-  Note note = Note::none;
-  double sizeKb = 0, spent = 0;
+  Ms came_at = 0, fill_at = 0, delay = 0, issued = 0;
+  Note note = Note::kNone;
+  double size_kb = 0, spent = 0;
   bool over = false, begun = false, filling = false, fetched = false;
   bool passed = false;  // an area cache's own, for those who wait there
   int parts = 0;  // of a transfer, still to be done: the sending, the link, the source
--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -19,15 +19,15 @@
 
 /// The deadline in milliseconds that the request line of `which` names; -1 where there is no such line.
 long long ToldDeadline(const std::string& bytes, int which) {
-  std::size_t line = bytes.find(wantOf(which));
+  std::size_t line = bytes.find(WantOf(which));
   if (line == std::string::npos) return -1;
   std::size_t deadline = bytes.find(",max=", line);
   REQUIRE(deadline < bytes.find("\r\n", line));
   return std::stoll(bytes.substr(deadline + 5));
 }
 
-StoreSheet SheetWithExpiry(Ms expiry, Effect effect = Effect::exclusive) {
-  StoreSheet sheet = sheetWith(false, effect);
+StoreSheet SheetWithExpiry(Ms expiry, Effect effect = Effect::kExclusive) {
+  StoreSheet sheet = SheetWith(false, effect);
   sheet.offerings[kVideo].expiry = expiry;
   sheet.offerings[kWrite].expiry = expiry;
   return sheet;
@@ -92,7 +92,7 @@
   loop::Loop loop;
   exchange::Exchange exchange;
   caches::Caches caches;
-  loop::Address front_address = freeAddress();
+  loop::Address front_address = FreeAddress();
   clients::Clients clients;
   Far client;
   Far first;
@@ -101,18 +101,18 @@
 
   TwoServers(Further further, Pause pause, Ms expiry = 60000)
       : exchange(loop, SheetWithExpiry(expiry), [s = script](Ms now, const Event& event) { return s->Decide(now, event); }),
-        caches(loop, exchange, terms(20000), 8),
-        clients(loop, exchange, terms().offerings, {false, true}, front_address, 50) {
+        caches(loop, exchange, MakeTerms(20000), 8),
+        clients(loop, exchange, MakeTerms().offerings, {false, true}, front_address, 50) {
     script->further = further;
     script->proven = pause == Pause::kCheck;
-    exchange.meet(caches);
-    exchange.listCame(true, machines({{"s-1", first_listener.at}, {"s-2", second_listener.at}}));
+    exchange.Meet(caches);
+    exchange.ListCame(true, Machines({{"s-1", first_listener.at}, {"s-2", second_listener.at}}));
     if (pause == Pause::kQueue) FillSecond();
     Ms before = loop.now();
-    client = Far::to(front_address);
-    client.say(getAs(1));
-    first = first_listener.next(loop);
-    until(loop, [&] { return first.hears(WantLine()); });
+    client = Far::To(front_address);
+    client.Send(GetAs(1));
+    first = first_listener.Next(loop);
+    Until(loop, [&] { return first.Hears(WantLine()); });
     deadline = {before + expiry, loop.now() + expiry};
   }
 
@@ -127,30 +127,30 @@
     how.source = how.cache;
     how.patience = 60000;
     for (int i = 0; i < 7; ++i) {
-      Ask big = askFor("00000000000000b" + std::to_string(i));
+      Ask big = AskFor("00000000000000b" + std::to_string(i));
       big.body.assign(4 << 20, 'x');
-      caches.send({1000000u + static_cast<std::uint32_t>(i), 0}, big, how, {});
+      caches.Send({1000000u + static_cast<std::uint32_t>(i), 0}, big, how, {});
     }
-    second = second_listener.next(loop);
+    second = second_listener.Next(loop);
     Turns(3);
   }
   /// Until the further attempt waits as said.
   void ReachPause(Pause pause) {
     if (script->further != Further::kHedged) {
-      first.say("00000000000000f1 FAULT - 0\r\n\r\n");
-      until(loop, [&] { return exchange.counters.errors == 1; });
+      first.Send("00000000000000f1 FAULT - 0\r\n\r\n");
+      Until(loop, [&] { return exchange.counters.errors == 1; });
     }
     if (pause == Pause::kBackoff) return;
-    if (script->further != Further::kRetry) loop.skip(kBackoff + 1);
-    until(loop, [&] { return exchange.counters.legs == 2; });
+    if (script->further != Further::kRetry) loop.Skip(kBackoff + 1);
+    Until(loop, [&] { return exchange.counters.legs == 2; });
     if (pause != Pause::kCheck) return;
-    second = second_listener.next(loop);
-    until(loop, [&] { return second.hears("there call\r\n"); });
+    second = second_listener.Next(loop);
+    Until(loop, [&] { return second.Hears("there call\r\n"); });
   }
   /// Lets what waits go.
   void Release(Pause pause) {
-    if (pause == Pause::kCheck) second.say(kCheckAnswer);
-    if (pause == Pause::kDial) second = second_listener.next(loop);
+    if (pause == Pause::kCheck) second.Send(kCheckAnswer);
+    if (pause == Pause::kDial) second = second_listener.Next(loop);
     if (pause == Pause::kQueue) Drain();
     Turns();
   }
@@ -159,7 +159,7 @@
     while (quiet_turns < 20) {
       std::size_t before = second.got.size();
       loop.turn(1);
-      quiet_turns = second.read(1 << 20).size() == before ? quiet_turns + 1 : 0;
+      quiet_turns = second.Read(1 << 20).size() == before ? quiet_turns + 1 : 0;
       if (second.got.size() > (1 << 21)) second.got.erase(0, second.got.size() - 4096);
     }
   }
@@ -183,56 +183,56 @@
     Ms expiry;
     Ms waited;
   };
-  for (Wait wait : {dial, queue, check})
+  for (Wait wait : {kDial, kQueue, kCheck})
     for (Case c : {Case{5000, 1229}, {2500, 1021}, {5000, 0}}) {
       CAPTURE(static_cast<int>(wait));
       CAPTURE(c.waited);
-      Ms before = loop::system().now();
-      Waiting waiting(wait, SheetWithExpiry(c.expiry), {}, wait == check ? kWrite : kVideo);
+      Ms before = loop::MakeSystem().now();
+      Waiting waiting(wait, SheetWithExpiry(c.expiry), {}, wait == kCheck ? kWrite : kVideo);
       Deadline deadline{before + c.expiry, waiting.r.loop.now() + c.expiry};
-      waiting.r.loop.skip(c.waited);
+      waiting.r.loop.Skip(c.waited);
       Ms skipped = waiting.r.loop.now();
-      waiting.letGo();
-      until(waiting.r.loop, [&] { return waiting.began(); });
+      waiting.LetGo();
+      Until(waiting.r.loop, [&] { return waiting.Began(); });
       CheckTold(ToldDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
     }
 }
 
 TEST_CASE("an attempt that moves to another connection tells what is left then") {
-  Ms before = loop::system().now();
-  Waiting waiting(check, SheetWithExpiry(5000), {}, kWrite);
+  Ms before = loop::MakeSystem().now();
+  Waiting waiting(kCheck, SheetWithExpiry(5000), {}, kWrite);
   Deadline deadline{before + 5000, waiting.r.loop.now() + 5000};
   for (Ms waited : {700, 600}) {
-    waiting.peer.reset();
-    waiting.peer = waiting.far.next(waiting.r.loop);
-    until(waiting.r.loop, [&] { return waiting.peer.hears("there call\r\n"); });
-    waiting.r.loop.skip(waited);
+    waiting.peer.Reset();
+    waiting.peer = waiting.far.Next(waiting.r.loop);
+    Until(waiting.r.loop, [&] { return waiting.peer.Hears("there call\r\n"); });
+    waiting.r.loop.Skip(waited);
   }
   Ms skipped = waiting.r.loop.now();
-  waiting.letGo();
-  until(waiting.r.loop, [&] { return waiting.began(); });
+  waiting.LetGo();
+  Until(waiting.r.loop, [&] { return waiting.Began(); });
   CheckTold(ToldDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
 }
 
 TEST_CASE("with a few milliseconds left the deadline told is never 0, and with nothing left nothing is written") {
   constexpr Ms kExpiry = 5000;
-  for (Wait wait : {dial, check})
+  for (Wait wait : {kDial, kCheck})
     for (Ms left : {40.0, 3.0, 0.4, -1.0}) {
       CAPTURE(static_cast<int>(wait));
       CAPTURE(left);
-      Ms before = loop::system().now();
-      Waiting waiting(wait, SheetWithExpiry(kExpiry), {}, wait == check ? kWrite : kVideo);
+      Ms before = loop::MakeSystem().now();
+      Waiting waiting(wait, SheetWithExpiry(kExpiry), {}, wait == kCheck ? kWrite : kVideo);
       Deadline deadline{before + kExpiry, waiting.r.loop.now() + kExpiry};
-      if (wait == check) waiting.peer.say(kCheckAnswer);  // read in the turn in which time is up
-      waiting.r.loop.skip(deadline.latest - left - waiting.r.loop.now());
+      if (wait == kCheck) waiting.peer.Send(kCheckAnswer);  // read in the turn in which time is up
+      waiting.r.loop.Skip(deadline.latest - left - waiting.r.loop.now());
       Ms skipped = waiting.r.loop.now();
-      waiting.r.turns();
-      if (wait == dial) waiting.peer = waiting.far.next(waiting.r.loop);
-      waiting.r.turns();
-      long long told = waiting.began() ? ToldDeadline(waiting.peer.got, 1) : -1;
+      waiting.r.Turns();
+      if (wait == kDial) waiting.peer = waiting.far.Next(waiting.r.loop);
+      waiting.r.Turns();
+      long long told = waiting.Began() ? ToldDeadline(waiting.peer.got, 1) : -1;
       if (left < 0) CHECK(told == -1);
       if (told != -1) CheckTold(told, deadline, skipped, waiting.r.loop.now());
-      until(waiting.r.loop, [&] { return !waiting.client.told.empty(); });  // and its client is answered once its time is up
+      Until(waiting.r.loop, [&] { return !waiting.client.told.empty(); });  // and its client is answered once its time is up
       CHECK(waiting.client.told.size() == 1);
     }
 }
@@ -243,8 +243,8 @@
     std::string told;
   };
   for (const Case& c : {Case{0.0004, "1"}, {0.4, "1"}, {1, "1"}, {2.3, "3"}, {999.99, "1000"}, {5000, "5000"}, {5000.0002, "5000"}}) {
-    std::string bytes = caches::RequestLine(askFor(), SendLeg{}, "").withTimeLeft(c.left);
-    CHECK(bytes == "want " + id + " profile=video,thing=7f3a,nth=0,max=" + c.told + " 0\r\n\r\n");
+    std::string bytes = caches::RequestLine(AskFor(), SendLeg{}, "").WithTimeLeft(c.left);
+    CHECK(bytes == "want " + kId + " profile=video,thing=7f3a,nth=0,max=" + c.told + " 0\r\n\r\n");
   }
 }
 
@@ -254,12 +254,12 @@
     CAPTURE(static_cast<int>(crossing.further));
     CAPTURE(static_cast<int>(crossing.pause));
     TwoServers servers(crossing.further, crossing.pause, 5000);
-    servers.loop.skip(800);
+    servers.loop.Skip(800);
     servers.ReachPause(crossing.pause);
-    servers.loop.skip(1229);
+    servers.loop.Skip(1229);
     Ms skipped = servers.loop.now();
     servers.Release(crossing.pause);
-    until(servers.loop, [&] { return servers.second.hears(TwoServers::WantLine()); });
+    Until(servers.loop, [&] { return servers.second.Hears(TwoServers::WantLine()); });
     std::string line = servers.second.got.substr(servers.second.got.find(TwoServers::WantLine()));
     long long told = std::stoll(line.substr(line.find(",max=") + 5));
     CheckTold(told, servers.deadline, skipped, servers.loop.now());
@@ -276,17 +276,17 @@
       if (auto* attempt = std::get_if<SendLeg>(&action)) attempt->patience = 1500;
     return actions;
   });
-  caches::Caches caches(loop, exchange, terms(20000), 8);
-  exchange.meet(caches);
-  exchange.listCame(true, machines({{"s-1", listener.at}}));
+  caches::Caches caches(loop, exchange, MakeTerms(20000), 8);
+  exchange.Meet(caches);
+  exchange.ListCame(true, Machines({{"s-1", listener.at}}));
   Asked client;
   Ms before = loop.now();
-  exchange.pullCame(askAs(1), client);
+  exchange.OnRequest(AskAs(1), client);
   Deadline timeout{before + 1500, loop.now() + 1500};
-  loop.skip(700);
+  loop.Skip(700);
   Ms skipped = loop.now();
-  Far server = listener.next(loop);
-  until(loop, [&] { return server.hears(wantOf(1)); });
+  Far server = listener.Next(loop);
+  Until(loop, [&] { return server.Hears(WantOf(1)); });
   CheckTold(ToldDeadline(server.got, 1), timeout, skipped, loop.now());
 }
 
@@ -298,20 +298,20 @@
     TwoServers servers(crossing.further, crossing.pause);
     servers.ReachPause(crossing.pause);
     std::size_t attempts = servers.exchange.counters.legs;
-    servers.client.fd.reset();
-    if (crossing.pause == Pause::kCheck) servers.second.say(kCheckAnswer);
-    servers.loop.skip(200);
-    until(servers.loop, [&] { return servers.exchange.counters.left == 1; });
+    servers.client.fd.Reset();
+    if (crossing.pause == Pause::kCheck) servers.second.Send(kCheckAnswer);
+    servers.loop.Skip(200);
+    Until(servers.loop, [&] { return servers.exchange.counters.left == 1; });
     if (crossing.pause == Pause::kQueue) servers.Drain();
     servers.Turns();
     if (!servers.second.fd) {  // a connection that was on its way may have come up, and carries nothing
-      int accepted = ::accept4(servers.second_listener.fd.get(), nullptr, nullptr, SOCK_NONBLOCK);
+      int accepted = ::accept4(servers.second_listener.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
       CHECK((accepted < 0 || crossing.pause == Pause::kDial));
       if (accepted >= 0) servers.second = Far(loop::Descriptor(accepted));
     }
-    if (servers.second.fd) CHECK_FALSE(servers.second.hears(TwoServers::WantLine()));
+    if (servers.second.fd) CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
     CHECK_FALSE(servers.second.got.find("never_mind") != std::string::npos);
-    CHECK(servers.exchange.counters.neverRan == 0);
+    CHECK(servers.exchange.counters.never_ran == 0);
     // A router that still asks for one in a backoff is told that it came to nothing; no other ever is.
     CHECK(servers.exchange.counters.legs <= attempts + (crossing.pause == Pause::kBackoff ? 1 : 0));
   }
@@ -326,17 +326,17 @@
     how.cache = servers.script->servers.at(1);
     how.source = how.cache;
     how.patience = 60000;
-    servers.caches.send({1000000, 0}, askFor(), how, {});
-    servers.second = servers.second_listener.next(servers.loop);
-    until(servers.loop, [&] { return servers.second.hears(id); });
-    servers.second.say(id + " HIT entity=t,issued=1,remark=local 0\r\n\r\n");
+    servers.caches.Send({1000000, 0}, AskFor(), how, {});
+    servers.second = servers.second_listener.Next(servers.loop);
+    Until(servers.loop, [&] { return servers.second.Hears(kId); });
+    servers.second.Send(kId + " HIT entity=t,issued=1,remark=local 0\r\n\r\n");
     servers.Turns();
-    if (further == Further::kRetry) servers.first.say("00000000000000f1 FAULT - 0\r\n\r\n");
+    if (further == Further::kRetry) servers.first.Send("00000000000000f1 FAULT - 0\r\n\r\n");
     if (further == Further::kRetryAfterBackoff) servers.ReachPause(Pause::kBackoff);
-    servers.client.fd.reset();
-    servers.loop.skip(200);  // the backoff ends, the client's close and the first server's answer are there: one turn
-    until(servers.loop, [&] { return servers.exchange.counters.left == 1; });
+    servers.client.fd.Reset();
+    servers.loop.Skip(200);  // the backoff ends, the client's close and the first server's answer are there: one turn
+    Until(servers.loop, [&] { return servers.exchange.counters.left == 1; });
     servers.Turns();
-    CHECK_FALSE(servers.second.hears(TwoServers::WantLine()));
+    CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
   }
 }
--- a/tests/connection_test.cpp
+++ b/tests/connection_test.cpp
@@ -5,23 +5,23 @@
 
 namespace {
 
-void aMessageHalfWrittenIsToldApart() {
+void AMessageHalfWrittenIsToldApart() {
   loop::Loop loop;
   FarListener far;
   struct Owner final : loop::Connection::Owner {
     std::optional<loop::Parting> how;
-    void came() override {}
-    void ended(loop::Parting p) override { how = p; }
+    void Came() override {}
+    void Ended(loop::Parting p) override { how = p; }
   } owner;
   loop::Connection c(loop, owner, far.at, 1000);
-  std::uint64_t first = c.send("small"), second = c.send(std::string(32 << 20, 'x')), third = c.send("last");
-  Far peer = far.next(loop);
-  until(loop, [&] { return !c.unsent(first); });
+  std::uint64_t first = c.Send("small"), second = c.Send(std::string(32 << 20, 'x')), third = c.Send("last");
+  Far peer = far.Next(loop);
+  Until(loop, [&] { return !c.Unsent(first); });
   loop.turn(1);
-  assert(c.unsent(second) && c.unsent(third) && !c.takeBack(second) && c.takeBack(third));
-  peer.reset();
-  until(loop, [&] { return owner.how.has_value(); });
-  assert(*owner.how == loop::Parting::reset && c.unsent(second) && !c.unsent(first));
+  assert(c.Unsent(second) && c.Unsent(third) && !c.TakeBack(second) && c.TakeBack(third));
+  peer.Reset();
+  Until(loop, [&] { return owner.how.has_value(); });
+  assert(*owner.how == loop::Parting::kReset && c.Unsent(second) && !c.Unsent(first));
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"a message half written is told apart", aMessageHalfWrittenIsToldApart}}) {
+  for (Case c : {Case{"a message half written is told apart", AMessageHalfWrittenIsToldApart}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/datagram_failures_test.cpp
+++ b/tests/datagram_failures_test.cpp
@@ -27,12 +27,12 @@
 
 struct NotingPart final : front::Part {
   std::vector<std::string> received;
-  peers::Channel channel() const override { return peers::Channel::record; }
-  void heard(peers::Id, std::span<const char> message) override {
+  peers::Channel channel() const override { return peers::Channel::kRecord; }
+  void Heard(peers::Id, std::span<const char> message) override {
     received.emplace_back(message.data(), message.size());
   }
-  void wake() override {}
-  Ms wakeAt() const override { return 1e300; }
+  void Wake() override {}
+  Ms WakeAt() const override { return 1e300; }
   std::string view() const override { return "{}"; }
 };
 
@@ -43,9 +43,9 @@
     environment.plan = std::move(plan);
     processes_[0]->UseEnvironment(environment);
     for (std::size_t i = 0; i < 2; ++i) {
-      processes_[i]->act([&] {
+      processes_[i]->Act([&] {
         sockets_[i] = std::make_unique<front::Peers>(processes_[i]->loop(), Terms(i));
-        sockets_[i]->carry(parts[i]);
+        sockets_[i]->Carry(parts[i]);
       });
     }
   }
@@ -53,25 +53,25 @@
 
   void Exchange() {
     for (std::size_t i = 0; i < 2; ++i)
-      processes_[i]->act([&] { sockets_[i]->send(peers::Channel::record, IdOf(1 - i), message); });
-    net.runUntil(net.now() + 5000);
+      processes_[i]->Act([&] { sockets_[i]->Send(peers::Channel::kRecord, IdOf(1 - i), message); });
+    net.RunUntil(net.now() + 5000);
   }
   void CheckInvariants() {
     for (const NotingPart& part : parts) {
       CHECK(part.received.size() == 1);
       if (!part.received.empty()) CHECK(part.received.front() == message);
     }
-    CHECK(environment.most_idle_waits() < kMostIdleWaits);
+    CHECK(environment.MostIdleWaits() < kMostIdleWaits);
     TakeDown();
-    CHECK(environment.open_descriptors() == 0);
-    CHECK(environment.strange_closes() == 0);
+    CHECK(environment.OpenDescriptors() == 0);
+    CHECK(environment.StrangeCloses() == 0);
   }
 
   stage::Net net{1};
   const std::string message = std::string(20000, 'm');
 
  private:
-  stage::Process* processes_[2] = {&net.start(kHosts[0], "first"), &net.start(kHosts[1], "second")};
+  stage::Process* processes_[2] = {&net.Start(kHosts[0], "first"), &net.Start(kHosts[1], "second")};
 
  public:
   FailingEnvironment environment{*processes_[0]};
@@ -83,12 +83,12 @@
     front::PeersTerms terms;
     terms.on = true;
     terms.self = IdOf(index);
-    terms.listen = stage::address(kHosts[index], kPort);
-    for (std::size_t i = 0; i < 2; ++i) terms.at[IdOf(i)] = stage::address(kHosts[i], kPort);
+    terms.listen = stage::AddressOf(kHosts[index], kPort);
+    for (std::size_t i = 0; i < 2; ++i) terms.at[IdOf(i)] = stage::AddressOf(kHosts[i], kPort);
     return terms;
   }
   void TakeDown() {
-    for (std::size_t i = 0; i < 2; ++i) processes_[i]->act([&] { sockets_[i].reset(); });
+    for (std::size_t i = 0; i < 2; ++i) processes_[i]->Act([&] { sockets_[i].reset(); });
   }
 
   std::unique_ptr<front::Peers> sockets_[2];
@@ -101,20 +101,20 @@
     environment.plan = std::move(plan);
     processes_[0]->UseEnvironment(environment);
     for (std::size_t i = 0; i < 2; ++i) {
-      processes_[i]->act([&] {
+      processes_[i]->Act([&] {
         fleets_[i] = std::make_unique<front::Fleet>(processes_[i]->loop(), Terms(i), i, health_,
                                                     [](std::vector<double>) {});
       });
     }
   }
   ~FleetScenario() {
-    for (std::size_t i = 0; i < 2; ++i) processes_[i]->act([&] { fleets_[i].reset(); });
+    for (std::size_t i = 0; i < 2; ++i) processes_[i]->Act([&] { fleets_[i].reset(); });
   }
 
   stage::Net net{1};
 
  private:
-  stage::Process* processes_[2] = {&net.start(kHosts[0], "first"), &net.start(kHosts[1], "second")};
+  stage::Process* processes_[2] = {&net.Start(kHosts[0], "first"), &net.Start(kHosts[1], "second")};
 
  public:
   FailingEnvironment environment{*processes_[0]};
@@ -124,15 +124,15 @@
     front::FleetTerms terms;
     terms.on = true;
     terms.self = static_cast<std::uint32_t>(index);
-    terms.listen = stage::address(kHosts[index], kPort);
+    terms.listen = stage::AddressOf(kHosts[index], kPort);
     for (std::uint32_t i = 0; i < 2; ++i) {
       front::FleetMember member;
       member.id = i;
-      member.at = stage::address(kHosts[i], kPort);
+      member.at = stage::AddressOf(kHosts[i], kPort);
       terms.members.push_back(member);
     }
     terms.zones = {"a"};
-    terms.zoneRegion = {0};
+    terms.zone_region = {0};
     return terms;
   }
 
@@ -154,8 +154,8 @@
   whole.Exchange();
   std::size_t plans = 0;
   for (Call call : kDatagramCalls) {
-    REQUIRE(whole.environment.calls(call) > 0);
-    for (std::size_t ordinal = 0; ordinal < whole.environment.calls(call); ++ordinal) {
+    REQUIRE(whole.environment.Calls(call) > 0);
+    for (std::size_t ordinal = 0; ordinal < whole.environment.Calls(call); ++ordinal) {
       for (Failure failure : FailuresOf(call)) {
         CAPTURE(Name(call));
         CAPTURE(ordinal);
@@ -180,13 +180,13 @@
       PeersScenario peers;
       peers.environment.plan = FailFor(peers.net, call, error, kLasting);
       CHECK_NOTHROW(peers.Exchange());
-      CHECK(peers.environment.failures() > 0);
+      CHECK(peers.environment.Failures() > 0);
       peers.CheckInvariants();
       FleetScenario fleet;
       fleet.environment.plan = FailFor(fleet.net, call, error, 3000);
-      CHECK_NOTHROW(fleet.net.runUntil(fleet.net.now() + 6000));
-      CHECK(fleet.environment.failures() > 0);
-      CHECK(fleet.environment.most_idle_waits() < kMostIdleWaits);
+      CHECK_NOTHROW(fleet.net.RunUntil(fleet.net.now() + 6000));
+      CHECK(fleet.environment.Failures() > 0);
+      CHECK(fleet.environment.MostIdleWaits() < kMostIdleWaits);
     }
   }
 }
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-const loop::Address there = stage::address(0x0a000002, 80);
+const loop::Address kThere = stage::AddressOf(0x0a000002, 80);
 
 struct Peer final : loop::Connection::Owner {  // a client that never closes
   std::string got;
   bool over = false;
   std::unique_ptr<loop::Connection> connection;
-  void came() override {
+  void Came() override {
     got += connection->in.bytes();
-    connection->in.consume(connection->in.size());
+    connection->in.Consume(connection->in.size());
   }
-  void ended(loop::Parting) override { over = true; }
+  void Ended(loop::Parting) override { over = true; }
 };
 
 struct Tier {
@@ -29,40 +29,40 @@
   std::vector<std::unique_ptr<Peer>> all;
 
   Tier(std::size_t descriptors, std::size_t most)
-      : peers(net.start(0x0a000001, "clients")), front(net.start(0x0a000002, "front", descriptors)) {
-    front.act([&] {
-      exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::sheet(), 1);
-      exchange->meet(caches);
-      exchange->listCame(true, machines({{"origin", {}}, {"s-0", {}}}));
-      clients = std::make_unique<clients::Clients>(front.loop(), *exchange, terms().offerings, std::vector<bool>{false, true},
-                                                   there, most);
+      : peers(net.Start(0x0a000001, "clients")), front(net.Start(0x0a000002, "front", descriptors)) {
+    front.Act([&] {
+      exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::Sheet(), 1);
+      exchange->Meet(caches);
+      exchange->ListCame(true, Machines({{"origin", {}}, {"s-0", {}}}));
+      clients = std::make_unique<clients::Clients>(front.loop(), *exchange, MakeTerms().offerings, std::vector<bool>{false, true},
+                                                   kThere, most);
     });
   }
   ~Tier() {
-    front.act([&] { clients.reset(), exchange.reset(); });
-    peers.act([&] { all.clear(); });
+    front.Act([&] { clients.reset(), exchange.reset(); });
+    peers.Act([&] { all.clear(); });
   }
-  void come(const std::string& request) {
-    peers.act([&] {
+  void Come(const std::string& request) {
+    peers.Act([&] {
       all.push_back(std::make_unique<Peer>());
       Peer& p = *all.back();
-      p.connection = std::make_unique<loop::Connection>(peers.loop(), p, there, 60000);
-      p.connection->send(request);
+      p.connection = std::make_unique<loop::Connection>(peers.loop(), p, kThere, 60000);
+      p.connection->Send(request);
     });
   }
-  std::uint64_t eventsIn(loop::Ms time) {
-    std::uint64_t before = net.events();
-    net.runUntil(net.now() + time);
-    return net.events() - before;
+  std::uint64_t EventsIn(loop::Ms time) {
+    std::uint64_t before = net.Events();
+    net.RunUntil(net.now() + time);
+    return net.Events() - before;
   }
 };
 
 // The process is out of descriptors long before the places are: no wake-up but for the listener's rests and the sweep, and who
 // rests longest makes room, so that all are served.
-void outOfDescriptorsAllAreServedWithoutSpinning() {
+void OutOfDescriptorsAllAreServedWithoutSpinning() {
   Tier t(8, 50);  // three for the system, one listens: four clients
-  for (int i = 0; i < 10; ++i) t.come("GET /alive HTTP/1.1\r\n\r\n");
-  std::uint64_t events = t.eventsIn(6000);
+  for (int i = 0; i < 10; ++i) t.Come("GET /alive HTTP/1.1\r\n\r\n");
+  std::uint64_t events = t.EventsIn(6000);
   std::printf("  %llu events\n", static_cast<unsigned long long>(events));
   assert(events < 600);
   for (auto& p : t.all) assert(p->got.starts_with("HTTP/1.1 200"));
@@ -70,10 +70,10 @@
 
 // All places are taken by open requests, others wait in the backlog: the listener is left alone, and only the look at who still
 // waits, every 5 ms, wakes the front.
-void allPlacesTakenIsNoSpin() {
+void AllPlacesTakenIsNoSpin() {
   Tier t(100, 2);
-  for (int i = 0; i < 8; ++i) t.come(getAs(i)), t.eventsIn(10);
-  std::uint64_t events = t.eventsIn(3000);
+  for (int i = 0; i < 8; ++i) t.Come(GetAs(i)), t.EventsIn(10);
+  std::uint64_t events = t.EventsIn(3000);
   std::printf("  %llu events\n", static_cast<unsigned long long>(events));
   assert(t.caches.sent.size() == 3 && events < 900);
 }
@@ -85,8 +85,8 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"out of descriptors, all are served without spinning", outOfDescriptorsAllAreServedWithoutSpinning},
-                 {"all places taken is no spin", allPlacesTakenIsNoSpin}}) {
+  for (Case c : {Case{"out of descriptors, all are served without spinning", OutOfDescriptorsAllAreServedWithoutSpinning},
+                 {"all places taken is no spin", AllPlacesTakenIsNoSpin}}) {
     if (count > 1 && std::string_view(words[1]) != c.name) continue;
     std::puts(c.name);
     std::fflush(stdout);
--- a/tests/drill_test.cpp
+++ b/tests/drill_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-void scriptsAreRefusedWithLineAndReason() {
+void ScriptsAreRefusedWithLineAndReason() {
   struct Case {
     const char *text, *says;
   };
@@ -52,7 +52,7 @@
             "the fleet has no area caches"}}) {
     std::string said = "taken";
     try {
-      drill::readScriptText("s.json", c.text);
+      drill::ReadScriptText("s.json", c.text);
     } catch (const schema::Refused& fault) {
       said = fault.what();
     }
@@ -60,126 +60,126 @@
     assert(said.find(c.says) != said.npos);
   }
   // What is written is read as the same.
-  Script s = drill::readScriptText("s.json", "{\"length_s\": 10, /* a */ \"troubles\": [{\"what\": \"cut\", \"whom\": \"front-2\", \"at_s\": 1.5},]}");
+  Script s = drill::ReadScriptText("s.json", "{\"length_s\": 10, /* a */ \"troubles\": [{\"what\": \"cut\", \"whom\": \"front-2\", \"at_s\": 1.5},]}");
   assert(s.name == "s" && s.troubles.size() == 1 && s.troubles[0].whom == "front-2" && s.troubles[0].at == 1500);
-  assert(drill::written(drill::readScriptText("x.json", drill::written(s))) == drill::written(s));
+  assert(drill::Written(drill::ReadScriptText("x.json", drill::Written(s))) == drill::Written(s));
 }
 
 // ---- the checker, by facts alone
 
-rules::Limits limits() {
+rules::Limits Limits() {
   rules::Limits l;
-  l.offerings = {{"video", rules::Effect::rerunnable, rules::Span::cell, 0},
-                 {"order", rules::Effect::exclusive, rules::Span::cell, 0},
-                 {"stamp", rules::Effect::ticketed, rules::Span::zone, 5000}};
+  l.offerings = {{"video", rules::Effect::kRerunnable, rules::Span::kCell, 0},
+                 {"order", rules::Effect::kExclusive, rules::Span::kCell, 0},
+                 {"stamp", rules::Effect::kTicketed, rules::Span::kZone, 5000}};
   l.places = {{"c1", {1, 1}}, {"c2", {1, 1}}, {"p", {0, 0}}};
   return l;
 }
-Fact fact(rules::Ms at, Deed deed, const std::string& pull = "a") {
+Fact MakeFact(rules::Ms at, Deed deed, const std::string& pull = "a") {
   Fact f;
   f.at = at, f.deed = deed, f.pull = pull, f.thing = "t", f.who = "f";
   return f;
 }
-Fact asked(rules::Ms at, int offering = 0, rules::Ms ttl = 1000) {
-  Fact f = fact(at, Deed::asked);
+Fact Asked(rules::Ms at, int offering = 0, rules::Ms ttl = 1000) {
+  Fact f = MakeFact(at, Deed::kAsked);
   f.offering = offering, f.number = ttl;
   return f;
 }
-Fact came(rules::Ms at, const std::string& machine, const std::string& source = "") {
-  Fact f = fact(at, Deed::legCame);
+Fact Came(rules::Ms at, const std::string& machine, const std::string& source = "") {
+  Fact f = MakeFact(at, Deed::kLegCame);
   f.who = machine, f.other = source;
   return f;
 }
-Fact ended(rules::Ms at, const std::string& machine, const std::string& word, const std::string& tag = "", rules::Ms issued = 0) {
-  Fact f = fact(at, Deed::legEnded);
+Fact Ended(rules::Ms at, const std::string& machine, const std::string& word, const std::string& tag = "", rules::Ms issued = 0) {
+  Fact f = MakeFact(at, Deed::kLegEnded);
   f.who = machine, f.word = word, f.tag = tag, f.number = issued;
   return f;
 }
-Fact answer(rules::Ms at, int status, const std::string& tag = "") {
-  Fact f = fact(at, Deed::answered);
+Fact Answer(rules::Ms at, int status, const std::string& tag = "") {
+  Fact f = MakeFact(at, Deed::kAnswered);
   f.status = status, f.tag = tag, f.flag = true;
   return f;
 }
-Fact listed(rules::Ms at, const std::string& machine, const std::string& word) {
-  Fact f = fact(at, Deed::listed, "");
+Fact Listed(rules::Ms at, const std::string& machine, const std::string& word) {
+  Fact f = MakeFact(at, Deed::kListed, "");
   f.other = machine, f.word = word;
   return f;
 }
-Fact purged(rules::Ms at, rules::Ms when, bool group = false) {
-  Fact f = fact(at, Deed::purged, "");
+Fact Purged(rules::Ms at, rules::Ms when, bool group = false) {
+  Fact f = MakeFact(at, Deed::kPurged, "");
   f.number = when, f.flag = group;
   return f;
 }
-Fact ran(rules::Ms at, const std::string& pull) { return fact(at, Deed::ran, pull); }
+Fact Ran(rules::Ms at, const std::string& pull) { return MakeFact(at, Deed::kRan, pull); }
 
-void theCheckerTellsBreachesFromGoodRuns() {
+void TheCheckerTellsBreachesFromGoodRuns() {
   struct Case {
     const char* name;
     std::vector<Fact> facts;
     std::vector<Rule> broken;
   };
-  Fact down = fact(300, Deed::frontDown, ""), left = fact(500, Deed::left), second = asked(600, 1);
+  Fact down = MakeFact(300, Deed::kFrontDown, ""), left = MakeFact(500, Deed::kLeft), second = Asked(600, 1);
   second.pull = "b";
-  Fact dropped = fact(50, Deed::legDropped);
+  Fact dropped = MakeFact(50, Deed::kLegDropped);
   dropped.who = "c1";
   std::vector<Case> cases{
-      {"finished", {asked(0), came(5, "c1"), ended(50, "c1", "hit", "x"), answer(60, 200, "x")}, {}},
-      {"no answer", {asked(0), came(5, "c1")}, {Rule::answer}},
-      {"no answer, but the front died", {asked(0), came(5, "c1"), down}, {}},
-      {"no answer, but the client left", {asked(0), came(5, "c1"), left}, {}},
-      {"two answers", {asked(0), came(5, "c1"), ended(50, "c1", "hit", "x"), answer(60, 200, "x"), answer(61, 200, "x")}, {Rule::answer}},
-      {"in the slack", {asked(0), came(5, "c1"), answer(1040, 502)}, {}},
-      {"made up", {asked(0), came(5, "c1"), ended(50, "c1", "hit", "x"), answer(60, 200, "y")}, {Rule::answer}},
-      {"a leg for nobody", {came(5, "c1")}, {Rule::answer}},
+      {"finished", {Asked(0), Came(5, "c1"), Ended(50, "c1", "hit", "x"), Answer(60, 200, "x")}, {}},
+      {"no answer", {Asked(0), Came(5, "c1")}, {Rule::kAnswer}},
+      {"no answer, but the front died", {Asked(0), Came(5, "c1"), down}, {}},
+      {"no answer, but the client left", {Asked(0), Came(5, "c1"), left}, {}},
+      {"two answers", {Asked(0), Came(5, "c1"), Ended(50, "c1", "hit", "x"), Answer(60, 200, "x"), Answer(61, 200, "x")}, {Rule::kAnswer}},
+      {"in the slack", {Asked(0), Came(5, "c1"), Answer(1040, 502)}, {}},
+      {"made up", {Asked(0), Came(5, "c1"), Ended(50, "c1", "hit", "x"), Answer(60, 200, "y")}, {Rule::kAnswer}},
+      {"a leg for nobody", {Came(5, "c1")}, {Rule::kAnswer}},
       {"exclusive, moved on from what never ran",
-       {asked(0, 1), came(5, "c1"), ended(9, "c1", "shed"), came(12, "c2"), ended(20, "c2", "hit", "x"), answer(25, 200, "x")}, {}},
-      {"exclusive, again after a break", {asked(0, 1), came(5, "c1"), dropped, came(60, "c2"), answer(70, 502)}, {Rule::effect}},
-      {"exclusive, again beside one that is out", {asked(0, 1), came(5, "c1"), came(6, "c2"), answer(70, 502)}, {Rule::effect}},
-      {"exclusive, declined after a break", {asked(0, 1), came(5, "c1"), dropped, answer(60, 503)}, {Rule::effect}},
-      {"exclusive, abandoned after a break", {asked(0, 1), came(5, "c1"), dropped, answer(60, 502)}, {}},
-      {"an effect ran twice", {asked(0, 1), ran(10, "a"), answer(20, 502), second, ran(610, "b")}, {Rule::effect, Rule::answer}},
-      {"ticketed, again in its group", {asked(0, 2), came(5, "c1"), dropped, came(60, "c2"), answer(70, 502)}, {}},
-      {"ticketed, again outside", {asked(0, 2), came(5, "c1"), dropped, came(60, "p"), answer(70, 502)}, {Rule::effect}},
-      {"ticketed, after its memory", {asked(0, 2, 9000), came(5, "c1"), dropped, came(5100, "c2"), answer(5200, 502)}, {Rule::effect}},
-      {"a drain in its grace", {listed(0, "c1", "draining"), asked(400), came(540, "c1"), answer(600, 502)}, {}},
-      {"a drain past it", {listed(0, "c1", "draining"), asked(400), came(560, "c1"), answer(600, 502)}, {Rule::drain}},
-      {"as a source", {listed(0, "p", "gone"), asked(400), came(560, "c1", "p"), answer(600, 502)}, {Rule::drain}},
-      {"ready again", {listed(0, "c1", "draining"), listed(100, "c1", "ready"), asked(400), came(900, "c1"), answer(950, 502)}, {}},
+       {Asked(0, 1), Came(5, "c1"), Ended(9, "c1", "shed"), Came(12, "c2"), Ended(20, "c2", "hit", "x"), Answer(25, 200, "x")}, {}},
+      {"exclusive, again after a break", {Asked(0, 1), Came(5, "c1"), dropped, Came(60, "c2"), Answer(70, 502)}, {Rule::kEffect}},
+      {"exclusive, again beside one that is out", {Asked(0, 1), Came(5, "c1"), Came(6, "c2"), Answer(70, 502)}, {Rule::kEffect}},
+      {"exclusive, declined after a break", {Asked(0, 1), Came(5, "c1"), dropped, Answer(60, 503)}, {Rule::kEffect}},
+      {"exclusive, abandoned after a break", {Asked(0, 1), Came(5, "c1"), dropped, Answer(60, 502)}, {}},
+      {"an effect ran twice", {Asked(0, 1), Ran(10, "a"), Answer(20, 502), second, Ran(610, "b")}, {Rule::kEffect, Rule::kAnswer}},
+      {"ticketed, again in its group", {Asked(0, 2), Came(5, "c1"), dropped, Came(60, "c2"), Answer(70, 502)}, {}},
+      {"ticketed, again outside", {Asked(0, 2), Came(5, "c1"), dropped, Came(60, "p"), Answer(70, 502)}, {Rule::kEffect}},
+      {"ticketed, after its memory", {Asked(0, 2, 9000), Came(5, "c1"), dropped, Came(5100, "c2"), Answer(5200, 502)}, {Rule::kEffect}},
+      {"a drain in its grace", {Listed(0, "c1", "draining"), Asked(400), Came(540, "c1"), Answer(600, 502)}, {}},
+      {"a drain past it", {Listed(0, "c1", "draining"), Asked(400), Came(560, "c1"), Answer(600, 502)}, {Rule::kDrain}},
+      {"as a source", {Listed(0, "p", "gone"), Asked(400), Came(560, "c1", "p"), Answer(600, 502)}, {Rule::kDrain}},
+      {"ready again", {Listed(0, "c1", "draining"), Listed(100, "c1", "ready"), Asked(400), Came(900, "c1"), Answer(950, 502)}, {}},
       {"told twice: the first word counts",
-       {listed(0, "c1", "draining"), listed(400, "c1", "gone"), asked(401), came(700, "c1"), answer(750, 502)}, {Rule::drain}},
+       {Listed(0, "c1", "draining"), Listed(400, "c1", "gone"), Asked(401), Came(700, "c1"), Answer(750, 502)}, {Rule::kDrain}},
       {"a copy older than a purge, long told",
-       {purged(0, -10), asked(600), came(605, "c1"), ended(650, "c1", "hit", "x", -20), answer(660, 200, "x")}, {Rule::purge}},
-      {"of its group", {purged(0, -10, true), asked(600), came(605, "c1"), ended(650, "c1", "hit", "x", -20), answer(660, 200, "x")}, {Rule::purge}},
-      {"a copy newer than it", {purged(0, -10), asked(600), came(605, "c1"), ended(650, "c1", "hit", "x", -5), answer(660, 200, "x")}, {}},
-      {"just told", {purged(100, -10), asked(600), came(605, "c1"), ended(650, "c1", "hit", "x", -20), answer(660, 200, "x")}, {}},
-      {"declined at once", {asked(0), answer(10, 503)}, {}},
-      {"declined after its leg's end", {asked(0), came(5, "c1"), ended(900, "c1", "shed"), answer(910, 503)}, {}},
-      {"held back", {asked(0), answer(700, 503)}, {Rule::held}},
-      {"held back after its leg's end", {asked(0), came(5, "c1"), ended(100, "c1", "shed"), answer(800, 503)}, {Rule::held}},
+       {Purged(0, -10), Asked(600), Came(605, "c1"), Ended(650, "c1", "hit", "x", -20), Answer(660, 200, "x")}, {Rule::kPurge}},
+      {"of its group", {Purged(0, -10, true), Asked(600), Came(605, "c1"), Ended(650, "c1", "hit", "x", -20), Answer(660, 200, "x")}, {Rule::kPurge}},
+      {"a copy newer than it", {Purged(0, -10), Asked(600), Came(605, "c1"), Ended(650, "c1", "hit", "x", -5), Answer(660, 200, "x")}, {}},
+      {"just told", {Purged(100, -10), Asked(600), Came(605, "c1"), Ended(650, "c1", "hit", "x", -20), Answer(660, 200, "x")}, {}},
+      {"declined at once", {Asked(0), Answer(10, 503)}, {}},
+      {"declined after its leg's end", {Asked(0), Came(5, "c1"), Ended(900, "c1", "shed"), Answer(910, 503)}, {}},
+      {"held back", {Asked(0), Answer(700, 503)}, {Rule::kHeld}},
+      {"held back after its leg's end", {Asked(0), Came(5, "c1"), Ended(100, "c1", "shed"), Answer(800, 503)}, {Rule::kHeld}},
   };
   for (const Case& c : cases) {
-    rules::Checker checker(limits());
-    checker.take([] {
-      Fact f = fact(-1, Deed::frontUp, "");
+    rules::Checker checker(Limits());
+    checker.Take([] {
+      Fact f = MakeFact(-1, Deed::kFrontUp, "");
       return f;
     }());
     for (const Fact& f : c.facts) {
-      auto again = rules::readLine(rules::line(f));  // as a trace keeps it
-      assert(again && rules::line(*again) == rules::line(f));
-      checker.take(*again);
+      auto again = rules::ReadLine(rules::Line(f));  // as a trace keeps it
+      assert(again && rules::Line(*again) == rules::Line(f));
+      checker.Take(*again);
     }
-    checker.finish(60000);
+    checker.Finish(60000);
     std::vector<Rule> got;
-    for (const rules::Breach& b : checker.breaches()) got.push_back(b.rule);
+    for (const rules::Breach& b : checker.Breaches()) got.push_back(b.rule);
     if (got != c.broken) std::fprintf(stderr, "%s: %zu breaches\n", c.name, got.size());
     assert(got == c.broken);
   }
-  for (const char* bad : {"", "x", "1.0\tasked", "1.0\tasket\t-\t-\t-\t-\t-\t-\t0\t0\t0\t0\t0\t0"}) assert(!rules::readLine(bad));
+  for (const char* bad : {"", "x", "1.0\tasked", "1.0\tasket\t-\t-\t-\t-\t-\t-\t0\t0\t0\t0\t0\t0"}) assert(!rules::ReadLine(bad));
 }
 
 // ---- runs
 
-const char* const rough = R"({"length_s": 8, "troubles": [
+const char* const kRough = R"({"length_s": 8, "troubles": [
   {"what": "stall", "whom": "office", "at_s": 2, "for_s": 2},
   {"what": "restart", "whom": "cache", "count": 2, "when": "the office stops", "after_ms": 100, "for_s": 1},
   {"what": "front_kill", "count": 2, "at_s": 4, "for_s": 1},
@@ -187,65 +187,65 @@
   {"what": "broken_off", "whom": "cache", "count": 0, "at_s": 5, "for_s": 2, "share": 0.05},
   {"what": "drain", "whom": "cache", "when": "a purge is told", "after_ms": 10, "for_s": 1}]})";
 
-void theSameSeedReplaysWhateverTheJobs() {
-  Script s = drill::readScriptText("rough", rough);
+void TheSameSeedReplaysWhateverTheJobs() {
+  Script s = drill::ReadScriptText("rough", kRough);
   drill::HuntOptions options;
-  options.seeds = 3, options.vary = 0.3, options.shrinkRuns = 0;
-  drill::Hunted one = drill::hunt(s, options);
+  options.seeds = 3, options.vary = 0.3, options.shrink_runs = 0;
+  drill::Hunted one = drill::Hunt(s, options);
   options.jobs = 3;
-  drill::Hunted three = drill::hunt(s, options);
+  drill::Hunted three = drill::Hunt(s, options);
   assert(one.digest == three.digest && one.failing.empty() && three.failing.empty());
   drill::Options o;
   o.seed = 1;
-  std::uint64_t first = drill::play(s, o).digest;
-  assert(drill::play(s, o).digest == first);
+  std::uint64_t first = drill::Play(s, o).digest;
+  assert(drill::Play(s, o).digest == first);
   o.seed = 2;
-  assert(drill::play(s, o).digest != first);
+  assert(drill::Play(s, o).digest != first);
 }
 
-void aBrokenFrontIsCaughtAndItsScriptCutDown() {
+void ABrokenFrontIsCaughtAndItsScriptCutDown() {
   const mutants::Mutant* ignores = nullptr;
-  for (const mutants::Mutant& m : mutants::all())
+  for (const mutants::Mutant& m : mutants::All())
     if (m.name == "ignores-drains") ignores = &m;
   assert(ignores);
-  Script s = drill::readScriptText("noisy", R"({"length_s": 10, "troubles": [
+  Script s = drill::ReadScriptText("noisy", R"({"length_s": 10, "troubles": [
     {"what": "purge", "at_s": 1, "count": 5}, {"what": "drain", "whom": "cache", "count": 2, "at_s": 2, "for_s": 4},
     {"what": "late_reports", "at_s": 3, "for_s": 2}, {"what": "front_kill", "at_s": 6, "for_s": 1}]})");
   drill::HuntOptions options;
-  options.seeds = 1, options.breaker = ignores->breaker, options.shrinkRuns = 25;
-  drill::Hunted h = drill::hunt(s, options);
-  assert(h.failing.size() == 1 && h.shrunk.size() == 1 && h.shrunk[0].rule == Rule::drain);
+  options.seeds = 1, options.breaker = ignores->breaker, options.shrink_runs = 25;
+  drill::Hunted h = drill::Hunt(s, options);
+  assert(h.failing.size() == 1 && h.shrunk.size() == 1 && h.shrunk[0].rule == Rule::kDrain);
   const Script& small = h.shrunk[0].script;
-  assert(small.troubles.size() == 1 && small.troubles[0].what == drill::What::drain && small.length <= 6000);
+  assert(small.troubles.size() == 1 && small.troubles[0].what == drill::What::kDrain && small.length <= 6000);
   // It still fails as a file, and the unbroken front passes it.
-  Script again = drill::readScriptText("small", drill::written(small));
+  Script again = drill::ReadScriptText("small", drill::Written(small));
   drill::Options o;
   o.seed = h.shrunk[0].seed;
-  assert(drill::play(again, o).kept());
+  assert(drill::Play(again, o).Kept());
   o.breaker = ignores->breaker;
-  assert(!drill::play(again, o).kept());
+  assert(!drill::Play(again, o).Kept());
 }
 
-void everyBrokenFrontIsCaughtByItsRule() {
-  int byRule[rules::howMany] = {};
-  for (const mutants::Mutant& m : mutants::all()) {
-    mutants::Verdict v = mutants::judge(m, 3);
-    if (!v.byItsRule || !v.unbrokenKept) std::fprintf(stderr, "%s\n", m.name.c_str());
-    assert(v.byItsRule && v.unbrokenKept);
-    ++byRule[static_cast<int>(m.breaks)];
+void EveryBrokenFrontIsCaughtByItsRule() {
+  int by_rule[rules::kHowMany] = {};
+  for (const mutants::Mutant& m : mutants::All()) {
+    mutants::Verdict v = mutants::Judge(m, 3);
+    if (!v.by_its_rule || !v.unbroken_kept) std::fprintf(stderr, "%s\n", m.name.c_str());
+    assert(v.by_its_rule && v.unbroken_kept);
+    ++by_rule[static_cast<int>(m.breaks)];
   }
-  for (int count : byRule) assert(count >= 2);
+  for (int count : by_rule) assert(count >= 2);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   if (argc > 1 && std::strcmp(argv[1], "mutants") == 0) {
-    everyBrokenFrontIsCaughtByItsRule();
+    EveryBrokenFrontIsCaughtByItsRule();
     return 0;
   }
-  scriptsAreRefusedWithLineAndReason();
-  theCheckerTellsBreachesFromGoodRuns();
-  theSameSeedReplaysWhateverTheJobs();
-  aBrokenFrontIsCaughtAndItsScriptCutDown();
+  ScriptsAreRefusedWithLineAndReason();
+  TheCheckerTellsBreachesFromGoodRuns();
+  TheSameSeedReplaysWhateverTheJobs();
+  ABrokenFrontIsCaughtAndItsScriptCutDown();
 }
--- a/tests/exposition_test.cpp
+++ b/tests/exposition_test.cpp
@@ -13,11 +13,11 @@
 
 TEST_CASE("each counter is told once, with help and type before it") {
   exchange::Counters c;
-  constexpr std::size_t many = sizeof c / sizeof(exchange::Counters::Count);
-  exchange::Counters::Count numbers[many];
-  for (std::size_t i = 0; i < many; ++i) numbers[i] = 9007199254740000u + i;  // whole in a double, and each another's
+  constexpr std::size_t kMany = sizeof c / sizeof(exchange::Counters::Count);
+  exchange::Counters::Count numbers[kMany];
+  for (std::size_t i = 0; i < kMany; ++i) numbers[i] = 9007199254740000u + i;  // whole in a double, and each another's
   std::memcpy(&c, numbers, sizeof c);
-  std::istringstream text(front::exposition(c));
+  std::istringstream text(front::Exposition(c));
   std::map<std::string, double> told;
   std::set<std::string> helped, typed;
   for (std::string line; std::getline(text, line);) {
@@ -36,13 +36,13 @@
     CHECK(typed.count(first) == 1);
     CHECK(told.emplace(first, value).second);
   }
-  CHECK(told.size() == many);
+  CHECK(told.size() == kMany);
   std::set<double> values;
   for (auto& [name, value] : told) values.insert(value);
-  CHECK(values.size() == many);
+  CHECK(values.size() == kMany);
   CHECK(*values.begin() == static_cast<double>(numbers[0]));
-  CHECK(*values.rbegin() == static_cast<double>(numbers[many - 1]));
+  CHECK(*values.rbegin() == static_cast<double>(numbers[kMany - 1]));
   CHECK(told.at("dunlinwick_pulls_total") == static_cast<double>(c.pulls));
-  CHECK(told.at("dunlinwick_late_total") == static_cast<double>(c.lateAnswers));
+  CHECK(told.at("dunlinwick_late_total") == static_cast<double>(c.late_answers));
   CHECK(told.at("dunlinwick_reloads_total") == static_cast<double>(c.reloads));
 }
--- a/tests/fleet_budget_test.cpp
+++ b/tests/fleet_budget_test.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr std::uint32_t coldCache = 11, coldParent = 21;
-constexpr Ms began = 1e6, window = 1000;
+constexpr std::uint32_t kColdCache = 11, kColdParent = 21;
+constexpr Ms kBegan = 1e6, kWindow = 1000;
 
 // Servers that start together, and the one that leaves then, if any. A server that starts again is in a later one of these.
 struct Start {
   Ms after = 0;  // since `began`
-  std::vector<std::uint32_t> servers{coldCache, coldParent};
+  std::vector<std::uint32_t> servers{kColdCache, kColdParent};
   std::uint32_t leaves = 0;
 };
 
@@ -36,7 +36,7 @@
   double sigma;     // of its logarithm
   int row;          // parts of one object, of one size, that come one after the other
   double load;      // of what all caches carry when warm
-  Ms newsWithin;    // 0: all fronts are told of the start at once
+  Ms news_within;    // 0: all fronts are told of the start at once
   std::uint64_t seed;
   std::vector<Start> starts = std::vector<Start>(1);
   Kills kills = {};
@@ -45,9 +45,9 @@
 };
 
 /// What the rule allows in a window beyond which the expected number is `n`, in requests of mean work.
-double limitOf(double n) { return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2; }
+double LimitOf(double n) { return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2; }
 /// The limit before issue 40, narrower for n < 30. Plays that kept it go on to be held to it.
-double formerLimitOf(double n) { return n + 2 * std::sqrt(n) + 2; }
+double FormerLimitOf(double n) { return n + 2 * std::sqrt(n) + 2; }
 
 struct Sent {
   Ms at;
@@ -58,7 +58,7 @@
 struct Fleet {
   Play play;
   std::knuth_b chance;
-  StoreSheet sheet = kit::sheet();
+  StoreSheet sheet = kit::Sheet();
   std::vector<std::unique_ptr<Front>> fronts;
   std::vector<int> lives;                                            // by front: how often it was started
   std::vector<std::map<std::uint32_t, std::size_t>> told;            // by front and server: its last start it knows of
@@ -75,67 +75,67 @@
   std::size_t order = 0;
   std::vector<std::map<std::uint32_t, std::pair<int, double>>> requests;  // by front: attempts so far, work
 
-  double drawn() { return std::uniform_real_distribution<>()(chance); }
-  static constexpr int anyLife = -1;
-  static constexpr std::size_t killed = ~std::size_t{0};
-  void later(Ms at, std::size_t front, Event e, int life = anyLife) { due.push({at, ++order, front, life, std::move(e)}); }
-  static bool isCache(std::uint32_t id) { return id < 20; }
-  double weightOf(std::uint32_t id) const { return isCache(id) ? play.weight : 5 * play.weight; }
-  Ms startOf(std::size_t start) const { return began + play.starts[start].after; }
-  ListEntry fresh(std::uint32_t id, std::size_t start) const {
-    ListEntry e = entry(id, isCache(id) ? storeKind : parentKind, isCache(id) ? 1 : 0, Standing::ready, startOf(start));
-    e.weight = weightOf(id);
+  double Drawn() { return std::uniform_real_distribution<>()(chance); }
+  static constexpr int kAnyLife = -1;
+  static constexpr std::size_t kKilled = ~std::size_t{0};
+  void Later(Ms at, std::size_t front, Event e, int life = kAnyLife) { due.push({at, ++order, front, life, std::move(e)}); }
+  static bool IsCache(std::uint32_t id) { return id < 20; }
+  double WeightOf(std::uint32_t id) const { return IsCache(id) ? play.weight : 5 * play.weight; }
+  Ms StartOf(std::size_t start) const { return kBegan + play.starts[start].after; }
+  ListEntry Fresh(std::uint32_t id, std::size_t start) const {
+    ListEntry e = MakeEntry(id, IsCache(id) ? kStoreKind : kParentKind, IsCache(id) ? 1 : 0, Standing::kReady, StartOf(start));
+    e.weight = WeightOf(id);
     return e;
   }
   // What the rule allows in the window that ends then, in work, without what is chance.
-  double allowed(std::uint32_t id, Ms started, Ms at) const {
-    const ColdTerms& t = isCache(id) ? sheet.coldStore : sheet.coldParent;
-    return t.multiple * weightOf(id) * (t.from + (1 - t.from) * std::min(1.0, (at - started) / t.lasts)) * window;
+  double Allowed(std::uint32_t id, Ms started, Ms at) const {
+    const ColdTerms& t = IsCache(id) ? sheet.cold_store : sheet.cold_parent;
+    return t.multiple * WeightOf(id) * (t.from + (1 - t.from) * std::min(1.0, (at - started) / t.lasts)) * kWindow;
   }
-  void tellStart(std::size_t front, std::size_t start) {
+  void TellStart(std::size_t front, std::size_t start) {
     const Start& s = play.starts[start];
-    ListNews news{Listing::changes, {}};
+    ListNews news{Listing::kChanges, {}};
     for (std::uint32_t id : s.servers) {
-      news.entries.push_back(fresh(id, start));
+      news.entries.push_back(Fresh(id, start));
       told[front][id] = start;
     }
-    if (s.leaves) news.entries.push_back(entry(s.leaves, isCache(s.leaves) ? storeKind : parentKind, 1, Standing::gone));
-    fronts[front]->tell(news);
+    if (s.leaves) news.entries.push_back(MakeEntry(s.leaves, IsCache(s.leaves) ? kStoreKind : kParentKind, 1, Standing::kGone));
+    fronts[front]->Tell(news);
   }
-  ListNews listAtStart() const {
-    ListNews news = list();
-    for (ListEntry& e : news.entries) e.weight = e.kind == storeKind ? play.weight : 5 * play.weight;
+  ListNews ListAtStart() const {
+    ListNews news = List();
+    for (ListEntry& e : news.entries) e.weight = e.kind == kStoreKind ? play.weight : 5 * play.weight;
     return news;
   }
   // A process takes the place of one that was killed, and reads the list as it is then.
-  void restart(std::size_t front, Ms at) {
+  void Restart(std::size_t front, Ms at) {
     ++lives[front];
     requests[front].clear();
     auto seed = 1000 * play.seed + front + 1000000 * static_cast<std::size_t>(lives[front]);
-    fronts[front] = std::make_unique<Front>(sheet, seed, ListNews{Listing::whole, {}});
+    fronts[front] = std::make_unique<Front>(sheet, seed, ListNews{Listing::kWhole, {}});
     fronts[front]->now = at;
-    fronts[front]->tell(listAtStart());
+    fronts[front]->Tell(ListAtStart());
     for (std::size_t start = 0; start < play.starts.size(); ++start)
-      if (startOf(start) <= at) tellStart(front, start);
+      if (StartOf(start) <= at) TellStart(front, start);
   }
 
   explicit Fleet(const Play& p) : play(p), chance(p.seed) {
     auto n = static_cast<std::size_t>(p.fronts);
-    sheet.fronts = sheet.crew = p.fronts, sheet.linkKbPerMs = 1e9;
-    for (Offering& o : sheet.offerings) o.expiry = 20000, o.agreedStretch = 4;
-    if (!p.ramps) sheet.coldStore.from = 1;
-    ListNews news = listAtStart();
+    sheet.fronts = sheet.crew = p.fronts, sheet.link_kb_per_ms = 1e9;
+    for (Offering& o : sheet.offerings) o.expiry = 20000, o.agreed_stretch = 4;
+    if (!p.ramps) sheet.cold_store.from = 1;
+    ListNews news = ListAtStart();
     lives.resize(n), told.resize(n);
     std::vector<double> busy;  // some fronts get several times the mean
     double all = 0;
     for (std::size_t i = 0; i < n; ++i) {
       fronts.push_back(std::make_unique<Front>(sheet, 1000 * p.seed + i, news));
-      busy.push_back(std::exp(1.5 * drawn()) * (drawn() < 0.1 ? 4 : 1)), all += busy.back();
+      busy.push_back(std::exp(1.5 * Drawn()) * (Drawn() < 0.1 ? 4 : 1)), all += busy.back();
       for (std::size_t start = 0; start < p.starts.size(); ++start)
-        due.push({startOf(start) + p.newsWithin * drawn(), ++order, i, anyLife, start});
+        due.push({StartOf(start) + p.news_within * Drawn(), ++order, i, kAnyLife, start});
       for (Ms after : p.kills.after) {
-        Ms spread = p.kills.together ? 0 : window * static_cast<double>(i) / static_cast<double>(n);
-        due.push({began + after + spread, ++order, i, anyLife, killed});
+        Ms spread = p.kills.together ? 0 : kWindow * static_cast<double>(i) / static_cast<double>(n);
+        due.push({kBegan + after + spread, ++order, i, kAnyLife, kKilled});
       }
     }
     requests.resize(n);
@@ -147,44 +147,44 @@
     for (std::size_t i = 0; i < n; ++i) {
       std::exponential_distribution<> gap(rate * busy[i] / all);
       PullCame r;
-      for (Ms at = began - 2000 + gap(chance); at < began + sheet.coldStore.lasts; at += gap(chance)) {
+      for (Ms at = kBegan - 2000 + gap(chance); at < kBegan + sheet.cold_store.lasts; at += gap(chance)) {
         if (came % p.row == 0 || r.pull == 0) {
           r.object = ++object, r.part = 0;
-          constexpr double rare = 1.0 / 50;
+          constexpr double kRare = 1.0 / 50;
           double size = std::exp(p.sigma * normal(chance) - p.sigma * p.sigma / 2);
-          if (p.largest > 0) size = drawn() < rare ? p.largest : (1 - rare * p.largest) / (1 - rare);
-          r.sizeKb = 10 * p.mean * std::clamp(size, 0.01, 40.0);
+          if (p.largest > 0) size = Drawn() < kRare ? p.largest : (1 - kRare * p.largest) / (1 - kRare);
+          r.size_kb = 10 * p.mean * std::clamp(size, 0.01, 40.0);
         }
-        ++r.part, ++r.pull, ++came, works += r.sizeKb / 10;
+        ++r.part, ++r.pull, ++came, works += r.size_kb / 10;
         r.ttl = 15000, r.group = 7;
-        later(at, i, r);
+        Later(at, i, r);
       }
     }
     mean = works / came;
-    for (; !due.empty() && due.top().at < began + sheet.coldStore.lasts;) {
+    for (; !due.empty() && due.top().at < kBegan + sheet.cold_store.lasts;) {
       Due next = due.top();
       due.pop(), turn(next);
     }
   }
 
   void turn(const Due& next) {
-    if (next.life != anyLife && next.life != lives[next.front]) return;  // meant for a process that was killed
+    if (next.life != kAnyLife && next.life != lives[next.front]) return;  // meant for a process that was killed
     if (auto* start = std::get_if<std::size_t>(&next.event)) {
       fronts[next.front]->now = next.at;
-      if (*start == killed) restart(next.front, next.at);
-      else tellStart(next.front, *start);
+      if (*start == kKilled) Restart(next.front, next.at);
+      else TellStart(next.front, *start);
     } else {
-      tell(next, std::get<Event>(next.event));
+      Tell(next, std::get<Event>(next.event));
     }
   }
-  void tell(const Due& next, const Event& event) {
+  void Tell(const Due& next, const Event& event) {
     Front& f = *fronts[next.front];
     int life = lives[next.front];
     auto& open = requests[next.front];
-    if (auto* r = std::get_if<PullCame>(&event)) open[r->pull] = {0, r->sizeKb / 10};
-    f.now = next.at, f.tell(event);
+    if (auto* r = std::get_if<PullCame>(&event)) open[r->pull] = {0, r->size_kb / 10};
+    f.now = next.at, f.Tell(event);
     for (const Action& a : std::vector<Action>(f.did)) {
-      if (auto* w = std::get_if<WakeMe>(&a)) later(w->at, next.front, WakeUp{w->handle}, life);
+      if (auto* w = std::get_if<WakeMe>(&a)) Later(w->at, next.front, WakeUp{w->handle}, life);
       auto* s = std::get_if<SendLeg>(&a);
       if (!s) continue;
       auto& [attempts, work] = open[s->pull];
@@ -192,51 +192,51 @@
         if (s->cache == id || s->source == id) sent[{start, id}].push_back({f.now, work});
       LegEnded e;
       e.pull = s->pull, e.cache = s->cache, e.leg = attempts++;
-      double u = drawn();
+      double u = Drawn();
       bool fills = s->source != s->cache;
-      if (u < 0.08) e.ending = Ending::full, e.took = 3;  // refused
-      else if (!fills && u < 0.4) e.ending = Ending::miss, e.took = 5;
-      else e.ending = Ending::finished, e.remark = fills && u < 0.4 ? Remark::filled : Remark::hit, e.took = 5 + work;
-      e.final = e.ending == Ending::finished;
-      later(f.now + e.took, next.front, e, life);
+      if (u < 0.08) e.ending = Ending::kFull, e.took = 3;  // refused
+      else if (!fills && u < 0.4) e.ending = Ending::kMiss, e.took = 5;
+      else e.ending = Ending::kFinished, e.remark = fills && u < 0.4 ? Remark::kFilled : Remark::kHit, e.took = 5 + work;
+      e.final = e.ending == Ending::kFinished;
+      Later(f.now + e.took, next.front, e, life);
     }
   }
 
   // The rule counts requests of mean work: works over their mean. The former count held each request for a mean one at least.
-  double countedFormerly(const Sent& s) const { return std::max(s.work, mean); }
+  double CountedFormerly(const Sent& s) const { return std::max(s.work, mean); }
   // The worst window against what the rule allows with chance, the same by the former limit and count, and the mean window
   // against N (by the former count).
   struct Seen {
-    double worst = 0, worstFormer = 0, usual = 0;
+    double worst = 0, worst_former = 0, usual = 0;
   };
-  Seen seen(std::uint32_t id, std::size_t start = 0) {
+  Seen Observe(std::uint32_t id, std::size_t start = 0) {
     Seen out;
-    Ms started = startOf(start);
+    Ms started = StartOf(start);
     double works = 0, formerly = 0, all = 0;
     std::size_t first = 0;
     auto& here = sent[{start, id}];
     for (const Sent& s : here) {
       works += s.work;
-      formerly += countedFormerly(s);
-      for (; here[first].at <= s.at - window; ++first) {
+      formerly += CountedFormerly(s);
+      for (; here[first].at <= s.at - kWindow; ++first) {
         works -= here[first].work;
-        formerly -= countedFormerly(here[first]);
+        formerly -= CountedFormerly(here[first]);
       }
-      double n = allowed(id, started, s.at) / mean;
-      out.worst = std::max(out.worst, works / mean / limitOf(n));
-      out.worstFormer = std::max(out.worstFormer, formerly / mean / formerLimitOf(n));
-      if (s.at >= started + 3000) all += countedFormerly(s);
+      double n = Allowed(id, started, s.at) / mean;
+      out.worst = std::max(out.worst, works / mean / LimitOf(n));
+      out.worst_former = std::max(out.worst_former, formerly / mean / FormerLimitOf(n));
+      if (s.at >= started + 3000) all += CountedFormerly(s);
     }
-    Ms lasts = began + sheet.coldStore.lasts - started - 3000;
-    out.usual = all / (allowed(id, started, started + 3000 + lasts / 2) * lasts / window);
+    Ms lasts = kBegan + sheet.cold_store.lasts - started - 3000;
+    out.usual = all / (Allowed(id, started, started + 3000 + lasts / 2) * lasts / kWindow);
     return out;
   }
 };
 
 // Crossing: requests of any size, and the news of a start at each front in its own time.
-int fleetsSpareColdMachines() {
+int FleetsSpareColdMachines() {
   int broken = 0;
-  double worst = 0, worstFormer = 0;
+  double worst = 0, worst_former = 0;
   // Under sanitizers, where DUNLINWICK_SEEDS is set, the first seed of each.
   std::uint64_t seeds = std::getenv("DUNLINWICK_SEEDS") ? 1 : 3;
   for (int fronts : {1, 2, 3, 5, 20, 30, 300})
@@ -248,27 +248,27 @@
               for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
                 double weight = thin ? 6 : std::max(6.0, fronts / 5.0);
                 Fleet fleet({fronts, weight, large ? 800.0 : 100.0, sigma, row, thin ? 0.3 : 0.9, within, seed});
-                for (std::uint32_t id : {coldCache, coldParent}) {
-                  auto s = fleet.seen(id);
+                for (std::uint32_t id : {kColdCache, kColdParent}) {
+                  auto s = fleet.Observe(id);
                   bool formerly = fronts >= 5;  // plays that were held to the former limit and count stay so
-                  bool over = s.worst > 1 || (formerly && s.worstFormer > 1);
+                  bool over = s.worst > 1 || (formerly && s.worst_former > 1);
                   worst = std::max(worst, s.worst);
-                  if (formerly) worstFormer = std::max(worstFormer, s.worstFormer);
+                  if (formerly) worst_former = std::max(worst_former, s.worst_former);
                   broken += over;
                   if (over || std::getenv("FLEET_BUDGET_ALL"))
                     std::printf("%s fronts %d weight %g load %.1f mean %.0f sigma %.1f row %d within %.0f seed %d machine %u: "
                                 "worst window %.2f of the limit, %.2f of the former, usual %.2f of N\n",
                                 over ? "OVER" : "fine", fronts, weight, thin ? 0.3 : 0.9, fleet.mean, sigma, row,
                                 within,
-                                static_cast<int>(seed), id, s.worst, s.worstFormer, s.usual);
+                                static_cast<int>(seed), id, s.worst, s.worst_former, s.usual);
                 }
               }
-  std::printf("worst window %.2f of the limit; at 5 and more %.2f of the former\n", worst, worstFormer);
+  std::printf("worst window %.2f of the limit; at 5 and more %.2f of the former\n", worst, worst_former);
   return broken;
 }
 
 // The worst window of each server that started, over some seeds, against the limit. Returns how many are over.
-int judged(const char* name, Play play) {
+int Judged(const char* name, Play play) {
   int over = 0;
   double worst = 0;
   // Where few processes share a server, chance is the larger.
@@ -277,19 +277,19 @@
     Fleet fleet(play);
     for (std::size_t start = 0; start < play.starts.size(); ++start)
       for (std::uint32_t id : play.starts[start].servers) {
-        double here = fleet.seen(id, start).worst;
+        double here = fleet.Observe(id, start).worst;
         worst = std::max(worst, here);
         over += here > 1;
       }
   }
   if (over || std::getenv("FLEET_BUDGET_ALL"))
     std::printf("%s %s: fronts %d mean %.0f sigma %.1f row %d within %.0f: %d over, worst window %.2f of the limit\n",
-                over ? "OVER" : "fine", name, play.fronts, play.mean, play.sigma, play.row, play.newsWithin, over, worst);
+                over ? "OVER" : "fine", name, play.fronts, play.mean, play.sigma, play.row, play.news_within, over, worst);
   return over;
 }
 
 template <class Change>
-int judgedInAll(const char* name, Change change) {
+int JudgedInAll(const char* name, Change change) {
   int over = 0;
   for (int fronts : {1, 2, 3, 5, 300})
     for (double mean : {100.0, 800.0})
@@ -297,65 +297,65 @@
         for (int row : {1, 17}) {
           Play play{fronts, std::max(6.0, fronts / 5.0), mean, sigma, row, 0.9, 0, 1};
           change(play);
-          over += judged(name, play);
+          over += Judged(name, play);
         }
   return over;
 }
 
 // Processes are killed in the middle of a slow start; those in their place don't know what was sent.
-int restartsForgetNoBudget() {
-  int over = judgedInAll("all killed once", [](Play& p) { p.kills = {{5000}, true}; });
-  over += judgedInAll("one after the other", [](Play& p) { p.kills = {{5000, 6000, 7000}, false}; });
-  over += judgedInAll("all killed again and again", [](Play& p) {
+int RestartsForgetNoBudget() {
+  int over = JudgedInAll("all killed once", [](Play& p) { p.kills = {{5000}, true}; });
+  over += JudgedInAll("one after the other", [](Play& p) { p.kills = {{5000, 6000, 7000}, false}; });
+  over += JudgedInAll("all killed again and again", [](Play& p) {
     for (Ms at = 4000; at < 9000; at += 240) p.kills.after.push_back(at);
   });
-  over += judgedInAll("killed as the news comes", [](Play& p) {
+  over += JudgedInAll("killed as the news comes", [](Play& p) {
     p.kills = {{300, 700}, true};
-    p.newsWithin = 600;
+    p.news_within = 600;
   });
   return over;
 }
 
 // The limit falls by a seventh where N reaches 30: what is allowed just under it is too much just over it.
-int limitsHoldAroundThirty() {
+int LimitsHoldAroundThirty() {
   int over = 0;
   for (double n : {28.0, 29.9, 30.1, 32.0})
     for (int fronts : {1, 2, 3, 5, 30})
       for (double sigma : {0.0, 1.0, 1.7})
         for (bool killed : {false, true}) {
-          Play play{fronts, 6, 2 * 6 * window / n, sigma, 1, 0.9, 0, 1};
+          Play play{fronts, 6, 2 * 6 * kWindow / n, sigma, 1, 0.9, 0, 1};
           play.ramps = false;
           if (killed) play.kills = {{5000}, true};
-          over += judged(killed ? "around thirty, killed once" : "around thirty", play);
+          over += Judged(killed ? "around thirty, killed once" : "around thirty", play);
         }
   return over;
 }
 
 // A few processes that each have a request of nearly half the limit in a window, at twice what all caches carry.
-int largestRequestsOfFewProcesses() {
+int LargestRequestsOfFewProcesses() {
   int over = 0;
   for (int fronts : {1, 2, 3, 5})
     for (double n : {12.0, 29.0, 36.0})
       for (double part : {0.3, 0.45, 0.49}) {
-        Play play{fronts, 6, 2 * 6 * window / n, 0, 1, 2, 0, 1};
+        Play play{fronts, 6, 2 * 6 * kWindow / n, 0, 1, 2, 0, 1};
         play.ramps = false;
-        play.largest = part * formerLimitOf(n);
-        over += judged("largest requests", play);
+        play.largest = part * FormerLimitOf(n);
+        over += Judged("largest requests", play);
       }
   return over;
 }
 
-int serversStartTogether() {
-  return judgedInAll("several start at once", [](Play& p) { p.starts = {{0, {11, 12, 13, 21, 22}}}; });
+int ServersStartTogether() {
+  return JudgedInAll("several start at once", [](Play& p) { p.starts = {{0, {11, 12, 13, 21, 22}}}; });
 }
 
 // A server leaves, and another starts in its place, with a new id or with its own and a later start.
-int serversComeBack() {
-  int over = judgedInAll("back under a new id", [](Play& p) { p.starts = {{}, {5000, {15}, 11}}; });
-  over += judgedInAll("back under its id", [](Play& p) { p.starts = {{}, {5000, {11, 21}}}; });
-  over += judgedInAll("back under its id, news late", [](Play& p) {
+int ServersComeBack() {
+  int over = JudgedInAll("back under a new id", [](Play& p) { p.starts = {{}, {5000, {15}, 11}}; });
+  over += JudgedInAll("back under its id", [](Play& p) { p.starts = {{}, {5000, {11, 21}}}; });
+  over += JudgedInAll("back under its id, news late", [](Play& p) {
     p.starts = {{}, {5000, {11, 21}}};
-    p.newsWithin = 3000;
+    p.news_within = 3000;
   });
   return over;
 }
@@ -363,7 +363,7 @@
 // Where all caches get twice what they carry, a cold one gets a fifth of what it may: a budget that sends
 // nothing breaks no rule either. Where a front asks for one object's parts in a row, it has something for the
 // cold cache in one window of some, and nothing in the others: then a tenth. The limit holds as well.
-int budgetsAreUsedWhereThereIsDemand() {
+int BudgetsAreUsedWhereThereIsDemand() {
   int broken = 0;
   for (int fronts : {1, 2, 3, 5, 20, 30, 300})
     for (double sigma : {0.0, 1.0, 1.7})
@@ -373,8 +373,8 @@
           for (std::uint64_t seed : {1, 2, 3}) {
             Play play{fronts, std::max(6.0, fronts / 5.0), 100, sigma, row, 2, 3000, seed};
             if (killed) play.kills = {{6000}, true};
-            auto s = Fleet(play).seen(coldCache);
-            usual += s.usual / 3, worst = std::max(worst, s.worstFormer);
+            auto s = Fleet(play).Observe(kColdCache);
+            usual += s.usual / 3, worst = std::max(worst, s.worst_former);
           }
           bool wrong = usual < (row == 1 ? 0.2 : 0.1) || worst > 1;
           broken += wrong;
@@ -387,27 +387,27 @@
 
 // Crossing: a start whose news comes late. What went there in the last window before the news counts: with it
 // the front keeps within its share, as if it had known.
-int whatWentBeforeTheNewsCounts() {
-  StoreSheet s = sheet();
-  s.linkKbPerMs = 1e9;
+int WhatWentBeforeTheNewsCounts() {
+  StoreSheet s = Sheet();
+  s.link_kb_per_ms = 1e9;
   Front f(s);
-  std::uint32_t home = f.pull(1).cache;
-  f.finish({1, home});
+  std::uint32_t home = f.Pull(1).cache;
+  f.Finish({1, home});
   Ms start = f.now += 10;
   std::uint64_t object = 1;
-  double sent = 0, share = 0.5 * 2 * 6 * (0.3 + 0.7 * 0.9 / 15) * window;  // at the end of the window
+  double sent = 0, share = 0.5 * 2 * 6 * (0.3 + 0.7 * 0.9 / 15) * kWindow;  // at the end of the window
   auto play = [&](Ms until) {
     while (f.now < until) {
       f.now += 5;
-      SendLeg a = f.pull(++object);
+      SendLeg a = f.Pull(++object);
       if (a.cache == home) sent += 100;
-      if (a.cache) f.finish(a);
+      if (a.cache) f.Finish(a);
     }
   };
   while (sent < share && f.now < start + 800) play(f.now + 5);
   assert(sent >= share);
   double before = sent;
-  f.tell(ListNews{Listing::changes, {entry(home, storeKind, 1, Standing::ready, start)}});
+  f.Tell(ListNews{Listing::kChanges, {MakeEntry(home, kStoreKind, 1, Standing::kReady, start)}});
   play(start + 900);
   if (sent > before) std::printf("sent %.0f after the news, of a share of %.0f\n", sent - before, share - before);
   return sent > before;
@@ -416,50 +416,50 @@
 // One process's requests to a server in slow start: in each window a few small ones and then one of nearly half the limit, all at
 // home there, before many small ones. N is about 31.
 struct LargestFirst {
-  static constexpr double smallWork = 260, largeWork = 8125;
-  static constexpr int firstOnes = 4, smallOnes = 57, windows = 14;
+  static constexpr double kSmallWork = 260, kLargeWork = 8125;
+  static constexpr int kFirstOnes = 4, kSmallOnes = 57, kWindows = 14;
   Front front;
   std::uint32_t home = 0;
-  std::vector<std::uint64_t> atHome;
+  std::vector<std::uint64_t> at_home;
   std::vector<Sent> sent;
   double works = 0;
   int came = 0;
 
   LargestFirst(const StoreSheet& s, std::uint64_t seed) : front(s, seed) {
-    home = front.pull(1).cache;
-    front.finish({1, home});
-    for (std::uint64_t object = 2; atHome.size() < (firstOnes + 1) * windows || front.lastPull < 500; ++object)
-      if (request(object, smallWork) == home) atHome.push_back(object);
+    home = front.Pull(1).cache;
+    front.Finish({1, home});
+    for (std::uint64_t object = 2; at_home.size() < (kFirstOnes + 1) * kWindows || front.last_pull < 500; ++object)
+      if (Request(object, kSmallWork) == home) at_home.push_back(object);
     sent.clear(), works = 0, came = 0;
-    Ms start = front.now += 2 * window;
-    front.tell(ListNews{Listing::changes, {entry(home, storeKind, 1, Standing::ready, start)}});
-    auto next = atHome.begin();
-    for (int w = 0; w < windows; ++w) {
-      front.now = start + w * window;
-      for (int i = 0; i < firstOnes; ++i) request(*next++, smallWork);
-      request(*next++, largeWork);
-      for (int i = 0; i < smallOnes; ++i) {
+    Ms start = front.now += 2 * kWindow;
+    front.Tell(ListNews{Listing::kChanges, {MakeEntry(home, kStoreKind, 1, Standing::kReady, start)}});
+    auto next = at_home.begin();
+    for (int w = 0; w < kWindows; ++w) {
+      front.now = start + w * kWindow;
+      for (int i = 0; i < kFirstOnes; ++i) Request(*next++, kSmallWork);
+      Request(*next++, kLargeWork);
+      for (int i = 0; i < kSmallOnes; ++i) {
         front.now += 15;
-        request(static_cast<std::uint64_t>(1000000 + w * smallOnes + i), smallWork);
+        Request(static_cast<std::uint64_t>(1000000 + w * kSmallOnes + i), kSmallWork);
       }
     }
   }
-  std::uint32_t request(std::uint64_t object, double work) {
+  std::uint32_t Request(std::uint64_t object, double work) {
     front.now += 1;
     works += work, ++came;
-    SendLeg a = front.pull(object, 0, 10 * work, 19000);
+    SendLeg a = front.Pull(object, 0, 10 * work, 19000);
     if (a.cache == home) sent.push_back({front.now, work});
-    if (a.cache) front.finish(a);
+    if (a.cache) front.Finish(a);
     return a.cache;
   }
 };
 
 // Crossing: one, two or three processes that each have a request of nearly half the limit at the same time.
-int largestOfFewComeTogether() {
+int LargestOfFewComeTogether() {
   int over = 0;
-  StoreSheet s = sheet();
-  s.linkKbPerMs = 1e9, s.coldStore.from = 1;
-  for (Offering& o : s.offerings) o.expiry = 20000, o.agreedStretch = 4;
+  StoreSheet s = Sheet();
+  s.link_kb_per_ms = 1e9, s.cold_store.from = 1;
+  for (Offering& o : s.offerings) o.expiry = 20000, o.agreed_stretch = 4;
   for (int fronts : {1, 2, 3}) {
     s.fronts = s.crew = fronts;
     double worst = 0;
@@ -473,11 +473,11 @@
         works += one.works, came += one.came;
       }
       std::sort(all.begin(), all.end(), [](const Sent& a, const Sent& b) { return a.at < b.at; });
-      double mean = works / came, n = s.coldStore.multiple * 6 * window / mean, sum = 0;
+      double mean = works / came, n = s.cold_store.multiple * 6 * kWindow / mean, sum = 0;
       std::size_t first = 0;
       for (const Sent& each : all) {
-        for (sum += each.work; all[first].at <= each.at - window; ++first) sum -= all[first].work;
-        worst = std::max(worst, sum / mean / limitOf(n));
+        for (sum += each.work; all[first].at <= each.at - kWindow; ++first) sum -= all[first].work;
+        worst = std::max(worst, sum / mean / LimitOf(n));
       }
     }
     over += worst > 1;
@@ -495,15 +495,15 @@
     int (*run)();
   };
   int broken = 0;
-  for (auto [name, run] : {Case{"what went before the news counts", whatWentBeforeTheNewsCounts},
-                           {"budgets are used where there is demand", budgetsAreUsedWhereThereIsDemand},
-                           {"fleets spare cold machines", fleetsSpareColdMachines},
-                           {"restarts forget no budget", restartsForgetNoBudget},
-                           {"limits hold around thirty", limitsHoldAroundThirty},
-                           {"largest requests of few processes", largestRequestsOfFewProcesses},
-                           {"largest of few come together", largestOfFewComeTogether},
-                           {"servers start together", serversStartTogether},
-                           {"servers come back", serversComeBack}}) {
+  for (auto [name, run] : {Case{"what went before the news counts", WhatWentBeforeTheNewsCounts},
+                           {"budgets are used where there is demand", BudgetsAreUsedWhereThereIsDemand},
+                           {"fleets spare cold machines", FleetsSpareColdMachines},
+                           {"restarts forget no budget", RestartsForgetNoBudget},
+                           {"limits hold around thirty", LimitsHoldAroundThirty},
+                           {"largest requests of few processes", LargestRequestsOfFewProcesses},
+                           {"largest of few come together", LargestOfFewComeTogether},
+                           {"servers start together", ServersStartTogether},
+                           {"servers come back", ServersComeBack}}) {
     std::puts(name);
     int wrong = run();
     std::printf("%d broken\n", wrong), std::fflush(stdout);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -20,20 +20,20 @@
 
 namespace {
 
-std::string state(const json::Value& view, std::size_t id) {
-  if (const json::Value* ms = view.find("members", json::Kind::list))
+std::string State(const json::Value& view, std::size_t id) {
+  if (const json::Value* ms = view.Find("members", json::Kind::kList))
     for (const json::Value& m : ms->items)
       if (m.number("id") == static_cast<double>(id)) return std::string(m.word("state"));
   return "?";
 }
-std::string out(const json::Value& view) {
+std::string Out(const json::Value& view) {
   std::string s;
-  if (const json::Value* o = view.find("out", json::Kind::list))
+  if (const json::Value* o = view.Find("out", json::Kind::kList))
     for (const json::Value& z : o->items) s += z.text;
   return s;
 }
 
-bool onPeers = false;
+bool on_peers = false;
 
 struct Scene {
   const char* name;
@@ -47,13 +47,13 @@
     folder = (std::filesystem::temp_directory_path() / ("fleet-test-" + std::to_string(::getpid()) + what)).string();
     std::filesystem::create_directories(folder);
     int port = 10000 + (::getpid() % 50) * 1000;  // two runs at once do not meet
-    fleet::FleetFile f = fleet::readFleetText("test", R"({"zones": [{"name": "a", "region": "north"}, {"name": "b", "region": "north"},
+    fleet::FleetFile f = fleet::ReadFleetText("test", R"({"zones": [{"name": "a", "region": "north"}, {"name": "b", "region": "north"},
       {"name": "c", "region": "south"}], "front_zones": ["a", "a", "b", "b", "c"], "lasting_ms": 300, "pulls_per_s": 20,
-      "port": )" + std::to_string(port) + (onPeers ? ", \"peers\": true}" : "}"));
+      "port": )" + std::to_string(port) + (on_peers ? ", \"peers\": true}" : "}"));
     h = std::make_unique<fleet::Harness>(loop, f, fleet::Programs{programs[1], programs[2], "", folder}, 7);
-    until("all see each other", [&] { return calm(); });
-    h->ask(f.pullsPerS);
-    h->wait(1000);
+    Until("all see each other", [&] { return Calm(); });
+    h->Ask(f.pulls_per_s);
+    h->Wait(1000);
     from = loop.now();
   }
   ~Scene() {
@@ -64,163 +64,163 @@
   // Whether every front that is up, but those named, answers, holds `about` as `what`, and zones `zones` out.
   bool all(int about, const std::string& what, const std::string& zones, const std::vector<std::size_t>& but = {}) {
     for (std::size_t i = 0; i < h->size(); ++i) {
-      if (!h->up(i) || std::count(but.begin(), but.end(), i)) continue;
+      if (!h->Up(i) || std::count(but.begin(), but.end(), i)) continue;
       auto v = h->view(i);
       if (!v) return false;
-      if (about >= 0 && static_cast<int>(i) != about && state(*v, h->memberId(static_cast<std::size_t>(about))) != what) return false;
-      if (out(*v) != zones) return false;
+      if (about >= 0 && static_cast<int>(i) != about && State(*v, h->MemberId(static_cast<std::size_t>(about))) != what) return false;
+      if (Out(*v) != zones) return false;
     }
     return true;
   }
-  bool calm() {
+  bool Calm() {
     for (int a = 0; a < static_cast<int>(h->size()); ++a)
       if (!all(a, "alive", "")) return false;
     return true;
   }
-  bool home() {  // all traffic of all fronts in their own zones
+  bool Home() {  // all traffic of all fronts in their own zones
     for (std::size_t i = 0; i < h->size(); ++i) {
       auto v = h->view(i);
-      const json::Value* shares = v ? v->find("shares") : nullptr;
-      if (!shares || shares->number(h->fleet().zones[static_cast<std::size_t>(h->fleet().zoneOf[i])]).value_or(0) < 0.999) return false;
+      const json::Value* shares = v ? v->Find("shares") : nullptr;
+      if (!shares || shares->number(h->fleet().zones[static_cast<std::size_t>(h->fleet().zone_of[i])]).value_or(0) < 0.999) return false;
     }
     return true;
   }
   // Waits until `holds`, 40 s at most; prints how long it took.
-  void until(const char* what, const std::function<bool()>& holds) {
+  void Until(const char* what, const std::function<bool()>& holds) {
     double begun = loop.now();
     while (!holds()) {
       if (loop.now() - begun > 40000) {
         for (std::size_t i = 0; i < h->size(); ++i)
-          if (auto v = h->view(i)) std::printf("front %zu holds %s out\n", i, out(*v).c_str());
+          if (auto v = h->view(i)) std::printf("front %zu holds %s out\n", i, Out(*v).c_str());
         std::fflush(stdout);
       }
       assert(loop.now() - begun < 40000 && "the fleet did not come to it in time");
-      h->wait(100);
+      h->Wait(100);
     }
     std::printf("%-10s %-52s %6.0f ms\n", name, what, loop.now() - begun);
   }
-  void does(Deed deed, std::vector<std::size_t> fronts, const std::string& zone = "", bool on = true) {
+  void Does(Deed deed, std::vector<std::size_t> fronts, const std::string& zone = "", bool on = true) {
     fleet::Step s;
     s.deed = deed, s.fronts = std::move(fronts), s.zone = zone;
-    h->does(Cue{0, s, on});
+    h->Does(Cue{0, s, on});
   }
-  fleet::Kept keptSince(Ms since) { return fleet::kept(h->fleet(), h->history(), since, loop.now() - 600); }
+  fleet::Kept KeptSince(Ms since) { return fleet::MakeKept(h->fleet(), h->history(), since, loop.now() - 600); }
   // The end of a part: the last pulls come in, and nothing that was promised was broken.
-  void judged() {
-    h->ask(0);
-    h->wait(2300);
+  void Judged() {
+    h->Ask(0);
+    h->Wait(2300);
     fleet::History history = h->history();
-    auto broken = fleet::judge(h->fleet(), history);
+    auto broken = fleet::CheckHistory(h->fleet(), history);
     for (const fleet::Broken& b : broken) std::printf("broken: %s at %.1f s: %s\n", b.promise.c_str(), b.at / 1000, b.what.c_str());
     assert(broken.empty());
-    fleet::Kept k = fleet::kept(h->fleet(), history, from, loop.now());
+    fleet::Kept k = fleet::MakeKept(h->fleet(), history, from, loop.now());
     std::printf("%-10s %d pulls, %d finished, %.1f%% in their own zone; %zu exclusive ones ran, none twice\n", name, k.asked,
-                k.finished, 100 * k.share(), history.ran.size());
+                k.finished, 100 * k.Share(), history.ran.size());
     assert(k.asked > 100 && k.finished > k.asked / 2 && history.ran.size() > 10);
   }
 };
 
-void killed(char** programs) {
+void Killed(char** programs) {
   Scene s("killed", programs);
-  s.h->wait(4000);
-  fleet::Kept k = s.keptSince(s.from);
-  std::printf("%-10s calm: %.2f%% of %d in their own zone\n", s.name, 100 * k.share(), k.finished);
-  s.does(Deed::kill, {4});  // zone c has front 4 alone
-  s.until("kill -9: front 4 dead to all, zone c out", [&] { return s.all(4, "dead", "c"); });
-  s.does(Deed::restart, {4});
-  s.until("restart: front 4 back, zone c back", [&] { return s.calm(); });
-  s.does(Deed::stop, {0});
-  s.until("SIGSTOP: front 0 dead to the others", [&] { return s.all(0, "dead", ""); });
-  s.does(Deed::resume, {0});
-  s.until("SIGCONT: front 0 refutes, alive to all", [&] { return s.calm(); });
-  s.judged();
+  s.h->Wait(4000);
+  fleet::Kept k = s.KeptSince(s.from);
+  std::printf("%-10s calm: %.2f%% of %d in their own zone\n", s.name, 100 * k.Share(), k.finished);
+  s.Does(Deed::kKill, {4});  // zone c has front 4 alone
+  s.Until("kill -9: front 4 dead to all, zone c out", [&] { return s.all(4, "dead", "c"); });
+  s.Does(Deed::kRestart, {4});
+  s.Until("restart: front 4 back, zone c back", [&] { return s.Calm(); });
+  s.Does(Deed::kStop, {0});
+  s.Until("SIGSTOP: front 0 dead to the others", [&] { return s.all(0, "dead", ""); });
+  s.Does(Deed::kResume, {0});
+  s.Until("SIGCONT: front 0 refutes, alive to all", [&] { return s.Calm(); });
+  s.Judged();
 }
 
 // A fleet of one version restarted one by one into another, with the same configuration; and one goes back.
-void rolling(char** programs, const std::string& to) {
+void Rolling(char** programs, const std::string& to) {
   Scene s("rolling", programs);
   std::string from = programs[1];
   for (std::size_t i = 0; i < s.h->size(); ++i) {
-    s.h->runs(i, to);
-    s.does(Deed::restart, {i});
-    s.until(("restart: front " + std::to_string(i) + " by the other version, all see each other").c_str(), [&] { return s.calm(); });
+    s.h->Runs(i, to);
+    s.Does(Deed::kRestart, {i});
+    s.Until(("restart: front " + std::to_string(i) + " by the other version, all see each other").c_str(), [&] { return s.Calm(); });
   }
-  s.h->runs(2, from);
-  s.does(Deed::restart, {2});
-  s.until("restart: front 2 by the first version again", [&] { return s.calm(); });
-  s.does(Deed::kill, {4});
-  s.until("kill -9: front 4 dead to all, zone c out", [&] { return s.all(4, "dead", "c"); });
-  s.does(Deed::restart, {4});
-  s.until("restart: front 4 back, zone c back", [&] { return s.calm(); });
-  s.judged();
+  s.h->Runs(2, from);
+  s.Does(Deed::kRestart, {2});
+  s.Until("restart: front 2 by the first version again", [&] { return s.Calm(); });
+  s.Does(Deed::kKill, {4});
+  s.Until("kill -9: front 4 dead to all, zone c out", [&] { return s.all(4, "dead", "c"); });
+  s.Does(Deed::kRestart, {4});
+  s.Until("restart: front 4 back, zone c back", [&] { return s.Calm(); });
+  s.Judged();
 }
 
-void cutOff(char** programs) {
+void CutOff(char** programs) {
   Scene s("cut off", programs);
-  s.does(Deed::cut, {1});
-  s.until("front 1 cut off alone: dead to the others", [&] { return s.all(1, "dead", "", {1}); });
+  s.Does(Deed::kCut, {1});
+  s.Until("front 1 cut off alone: dead to the others", [&] { return s.all(1, "dead", "", {1}); });
   // Alone it holds all others dead, but alone it is no quorum: it keeps its zone, and its pulls stay there.
-  s.until("front 1 alone takes the others for dead", [&] {
+  s.Until("front 1 alone takes the others for dead", [&] {
     auto v = s.h->view(1);
-    return v && state(*v, s.h->memberId(0)) == "dead" && state(*v, s.h->memberId(4)) == "dead";
+    return v && State(*v, s.h->MemberId(0)) == "dead" && State(*v, s.h->MemberId(4)) == "dead";
   });
   auto lone = s.h->view(1);
-  assert(lone && out(*lone).empty());
-  s.does(Deed::cut, {1}, "", false);
-  s.until("healed: all alive again", [&] { return s.calm(); });
+  assert(lone && Out(*lone).empty());
+  s.Does(Deed::kCut, {1}, "", false);
+  s.Until("healed: all alive again", [&] { return s.Calm(); });
 
-  s.does(Deed::cut, {2, 3});  // a minority: all of zone b
-  s.until("minority: the others leave zone b together", [&] { return s.all(-1, "", "b", {2, 3}); });
-  s.h->wait(3000);
+  s.Does(Deed::kCut, {2, 3});  // a minority: all of zone b
+  s.Until("minority: the others leave zone b together", [&] { return s.all(-1, "", "b", {2, 3}); });
+  s.h->Wait(3000);
   for (std::size_t f : {2u, 3u}) {
     auto v = s.h->view(f);
-    assert(v && out(*v).empty());  // it keeps its zone
+    assert(v && Out(*v).empty());  // it keeps its zone
   }
-  s.does(Deed::cut, {2, 3}, "", false);
-  s.until("healed: zone b back at all", [&] { return s.calm(); });
-
-  s.does(Deed::cutOut, {3});  // front 3 hears all, is heard by none
-  s.until("one-way cut: front 3 dead to the others", [&] { return s.all(3, "dead", "", {3}); });
-  s.does(Deed::cutOut, {3}, "", false);
-  s.until("healed: all alive again", [&] { return s.calm(); });
-  s.judged();
+  s.Does(Deed::kCut, {2, 3}, "", false);
+  s.Until("healed: zone b back at all", [&] { return s.Calm(); });
+
+  s.Does(Deed::kCutOut, {3});  // front 3 hears all, is heard by none
+  s.Until("one-way cut: front 3 dead to the others", [&] { return s.all(3, "dead", "", {3}); });
+  s.Does(Deed::kCutOut, {3}, "", false);
+  s.Until("healed: all alive again", [&] { return s.Calm(); });
+  s.Judged();
 }
 
-void rough(char** programs) {
+void Rough(char** programs) {
   Scene s("rough", programs);
   fleet::Step bad;
-  bad.deed = Deed::links, bad.loss = 0.3, bad.delay = 10, bad.jitter = 20, bad.duplicate = 0.05, bad.reorder = 0.1;
-  s.h->does(Cue{0, bad, true});
-  s.h->wait(6000);
-  s.h->does(Cue{0, bad, false});
-  s.until("after 6 s of 30% loss, delay, doubles, disorder: calm", [&] { return s.calm(); });
+  bad.deed = Deed::kLinks, bad.loss = 0.3, bad.delay = 10, bad.jitter = 20, bad.duplicate = 0.05, bad.reorder = 0.1;
+  s.h->Does(Cue{0, bad, true});
+  s.h->Wait(6000);
+  s.h->Does(Cue{0, bad, false});
+  s.Until("after 6 s of 30% loss, delay, doubles, disorder: calm", [&] { return s.Calm(); });
   fleet::Step narrow;
-  narrow.deed = Deed::links, narrow.kbPerS = 2;
-  s.h->does(Cue{0, narrow, true});
-  s.h->wait(4000);
-  s.h->does(Cue{0, narrow, false});
-  s.until("after 4 s of 2 KB/s on each link: calm", [&] { return s.calm(); });
-  assert(s.h->relay().dropped() > 50);
-  s.judged();
+  narrow.deed = Deed::kLinks, narrow.kb_per_s = 2;
+  s.h->Does(Cue{0, narrow, true});
+  s.h->Wait(4000);
+  s.h->Does(Cue{0, narrow, false});
+  s.Until("after 4 s of 2 KB/s on each link: calm", [&] { return s.Calm(); });
+  assert(s.h->relay().Dropped() > 50);
+  s.Judged();
 }
 
-void caches(char** programs) {
+void Caches(char** programs) {
   Scene s("caches", programs);
-  s.does(Deed::cachesDown, {}, "a");
-  s.until("caches of a killed: zone a out at all", [&] { return s.all(-1, "", "a"); });
+  s.Does(Deed::kCachesDown, {}, "a");
+  s.Until("caches of a killed: zone a out at all", [&] { return s.all(-1, "", "a"); });
   Ms left = s.loop.now();
-  s.h->wait(3000);
-  fleet::Kept k = s.keptSince(left + 300);
-  std::printf("%-10s while out: %d of %d finished, %.1f%% near\n", s.name, k.finished, k.asked, 100 * k.share());
+  s.h->Wait(3000);
+  fleet::Kept k = s.KeptSince(left + 300);
+  std::printf("%-10s while out: %d of %d finished, %.1f%% near\n", s.name, k.finished, k.asked, 100 * k.Share());
   assert(k.finished > 0.95 * k.asked);  // pulls of zone a's fronts are served next door
-  assert(k.share() < 0.9);
-  s.does(Deed::cachesDown, {}, "a", false);
-  s.until("caches of a back: all traffic home", [&] { return s.all(-1, "", "") && s.home(); });
-  s.does(Deed::cachesSilent, {}, "b");
-  s.until("caches of b silent: zone b out at all", [&] { return s.all(-1, "", "b"); });
-  s.does(Deed::cachesSilent, {}, "b", false);
-  s.until("caches of b heard again: all traffic home", [&] { return s.all(-1, "", "") && s.home(); });
-  s.judged();
+  assert(k.Share() < 0.9);
+  s.Does(Deed::kCachesDown, {}, "a", false);
+  s.Until("caches of a back: all traffic home", [&] { return s.all(-1, "", "") && s.Home(); });
+  s.Does(Deed::kCachesSilent, {}, "b");
+  s.Until("caches of b silent: zone b out at all", [&] { return s.all(-1, "", "b"); });
+  s.Does(Deed::kCachesSilent, {}, "b", false);
+  s.Until("caches of b heard again: all traffic home", [&] { return s.all(-1, "", "") && s.Home(); });
+  s.Judged();
 }
 
 }  // namespace
@@ -229,11 +229,11 @@
   assert(argc >= 3 && argc <= 5);
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::string part = argc >= 4 ? argv[3] : "", more = argc == 5 ? argv[4] : "";
-  onPeers = more == "peers";
-  if (part == "rolling") rolling(argv, more);
-  if (part.empty() || part == "killed") killed(argv);
-  if (part.empty() || part == "cut") cutOff(argv);
-  if (part.empty() || part == "rough") rough(argv);
-  if (part.empty() || part == "caches") caches(argv);
+  on_peers = more == "peers";
+  if (part == "rolling") Rolling(argv, more);
+  if (part.empty() || part == "killed") Killed(argv);
+  if (part.empty() || part == "cut") CutOff(argv);
+  if (part.empty() || part == "rough") Rough(argv);
+  if (part.empty() || part == "caches") Caches(argv);
   std::puts("fleet_test: all passed");
 }
--- a/tests/front_terms_test.cpp
+++ b/tests/front_terms_test.cpp
@@ -30,31 +30,31 @@
 /// Servers, each on a port of its own, that all do the same.
 class FakeServers {
  public:
-  FakeServers(stage::Net& net, ServerMode mode) : process_(net.start(kServerHost, "servers")), mode_(mode) {
+  FakeServers(stage::Net& net, ServerMode mode) : process_(net.Start(kServerHost, "servers")), mode_(mode) {
     if (mode == ServerMode::kRefuse) return;
-    process_.act([&] {
+    process_.Act([&] {
       for (int i = 0; i < kServers; ++i) {
         const auto port = static_cast<std::uint16_t>(kFirstServerPort + i);
-        listeners_.push_back(std::make_unique<loop::Listener>(process_.loop(), stage::address(kServerHost, port), [this](loop::Descriptor fd) {
+        listeners_.push_back(std::make_unique<loop::Listener>(process_.loop(), stage::AddressOf(kServerHost, port), [this](loop::Descriptor fd) {
           peers_.push_back(std::make_unique<Peer>(*this, std::move(fd)));
         }));
       }
     });
   }
   ~FakeServers() {
-    process_.act([&] {
+    process_.Act([&] {
       peers_.clear();
       listeners_.clear();
     });
   }
-  std::size_t attempts() const { return attempts_; }
+  std::size_t Attempts() const { return attempts_; }
 
  private:
   struct Peer final : loop::Connection::Owner {
     FakeServers& all;
     loop::Connection connection;
     Peer(FakeServers& servers, loop::Descriptor fd) : all(servers), connection(servers.process_.loop(), *this, std::move(fd)) {}
-    void came() override {
+    void Came() override {
       std::string_view bytes = connection.in.bytes();
       std::size_t end = bytes.find("\r\n");
       while (end != bytes.npos) {
@@ -62,7 +62,7 @@
         bytes.remove_prefix(end + 2);
         end = bytes.find("\r\n");
       }
-      connection.in.consume(connection.in.size() - bytes.size());
+      connection.in.Consume(connection.in.size() - bytes.size());
     }
     void Answer(std::string_view line) {
       constexpr std::string_view kRequest = "want ";
@@ -70,10 +70,10 @@
       ++all.attempts_;
       line.remove_prefix(kRequest.size());
       const std::string id(line.substr(0, line.find(' ')));
-      if (all.mode_ == ServerMode::kAnswer) connection.send(id + " HIT entity=t,issued=1,remark=local 2\r\nok\r\n");
-      if (all.mode_ == ServerMode::kReset) connection.endAs(loop::Parting::letGo);
+      if (all.mode_ == ServerMode::kAnswer) connection.Send(id + " HIT entity=t,issued=1,remark=local 2\r\nok\r\n");
+      if (all.mode_ == ServerMode::kReset) connection.EndAs(loop::Parting::kLetGo);
     }
-    void ended(loop::Parting) override { connection.close(); }
+    void Ended(loop::Parting) override { connection.Close(); }
   };
   stage::Process& process_;
   ServerMode mode_;
@@ -92,12 +92,12 @@
   stage::Process* process = nullptr;
   std::unique_ptr<loop::Connection> connection;
 
-  void came() override {
+  void Came() override {
     received += connection->in.bytes();
-    connection->in.consume(connection->in.size());
+    connection->in.Consume(connection->in.size());
     if (answered_at == 0 && received.find("\r\n\r\n") != std::string::npos) answered_at = process->loop().now();
   }
-  void ended(loop::Parting) override { ended_by_front = true; }
+  void Ended(loop::Parting) override { ended_by_front = true; }
   std::size_t CountAnswers() const {
     std::size_t count = 0;
     for (std::size_t at = received.find("HTTP/1.1 "); at != std::string::npos; at = received.find("HTTP/1.1 ", at + 1)) ++count;
@@ -109,7 +109,7 @@
   std::string servers;
   for (int i = 0; i < kServers; ++i) {
     servers += std::string(i > 0 ? "," : "") + R"({"id":"s-)" + std::to_string(i) + R"(","addr":")" +
-               stage::text(stage::address(kServerHost, static_cast<std::uint16_t>(kFirstServerPort + i))) +
+               stage::Text(stage::AddressOf(kServerHost, static_cast<std::uint16_t>(kFirstServerPort + i))) +
                R"(","zone":"e-1","kind":"box","state":"in_service","weight":9})";
   }
   return R"({"name":"n0","listen":"10.0.0.2:80","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":32,"sockets":)" +
@@ -125,42 +125,42 @@
  public:
   explicit Deployment(ServerMode servers, DiscoveryMode discovery = DiscoveryMode::kMute, std::size_t sockets = 256)
       : servers_(net, servers),
-        clients_(net.start(kClientHost, "clients")),
-        discovery_(net.start(kDiscoveryHost, "discovery")),
-        front_process(net.start(kFrontHost, "front", sockets)) {
+        clients_(net.Start(kClientHost, "clients")),
+        discovery_(net.Start(kDiscoveryHost, "discovery")),
+        front_process(net.Start(kFrontHost, "front", sockets)) {
     if (discovery == DiscoveryMode::kMute) {
-      discovery_.act([&] {
+      discovery_.Act([&] {
         discovery_listener_ = std::make_unique<loop::Listener>(
-            discovery_.loop(), stage::address(kDiscoveryHost, 5050), [this](loop::Descriptor fd) { watches_.push_back(std::move(fd)); });
+            discovery_.loop(), stage::AddressOf(kDiscoveryHost, 5050), [this](loop::Descriptor fd) { watches_.push_back(std::move(fd)); });
       });
     }
-    front_process.act([&] {
-      front = std::make_unique<front::Front>(front_process.loop(), front::readCharterText(Configuration(sockets), "test", ""));
+    front_process.Act([&] {
+      front = std::make_unique<front::Front>(front_process.loop(), front::ReadCharterText(Configuration(sockets), "test", ""));
     });
   }
   ~Deployment() {
-    front_process.act([&] { front.reset(); });
-    clients_.act([&] { all.clear(); });
-    discovery_.act([&] {
+    front_process.Act([&] { front.reset(); });
+    clients_.Act([&] { all.clear(); });
+    discovery_.Act([&] {
       watches_.clear();
       discovery_listener_.reset();
     });
   }
-  void RunFor(Ms time) { net.runUntil(net.now() + time); }
+  void RunFor(Ms time) { net.RunUntil(net.now() + time); }
   Client& Connect() {
     all.push_back(std::make_unique<Client>());
     Client& client = *all.back();
     client.process = &clients_;
-    clients_.act([&] {
-      client.connection = std::make_unique<loop::Connection>(clients_.loop(), client, stage::address(kFrontHost, 80), Ms{60000});
+    clients_.Act([&] {
+      client.connection = std::make_unique<loop::Connection>(clients_.loop(), client, stage::AddressOf(kFrontHost, 80), Ms{60000});
     });
     return client;
   }
   void Send(Client& client, const std::string& bytes) {
-    clients_.act([&] { client.connection->send(bytes); });
+    clients_.Act([&] { client.connection->Send(bytes); });
   }
   void Close(Client& client) {
-    clients_.act([&] { client.connection->close(); });
+    clients_.Act([&] { client.connection->Close(); });
   }
   std::string NextRequest(Ms deadline) {
     char id[17];
@@ -277,19 +277,19 @@
       for (int i = 0; i < 8; ++i) open.push_back(&deployment.Connect());
       deployment.RunFor(100);
       const Ms stopped_at = deployment.net.now();
-      deployment.front_process.act([&] { deployment.front->stop(); });
+      deployment.front_process.Act([&] { deployment.front->Stop(); });
       std::size_t requests = 0;
       for (Ms after : {0.0, 200.0, 400.0, 550.0, 600.0, 640.0, 670.0, 695.0}) {
-        deployment.net.runUntil(stopped_at + after);
-        if (after == 550 && still > 0) deployment.front_process.standStill(deployment.net.now() + still);
+        deployment.net.RunUntil(stopped_at + after);
+        if (after == 550 && still > 0) deployment.front_process.StandStill(deployment.net.now() + still);
         deployment.Request(*open[requests / 2], kLongestDeadline);
         deployment.Request(kLongestDeadline);
         requests += 2;
       }
-      deployment.net.runUntil(stopped_at + kKillAfter);
+      deployment.net.RunUntil(stopped_at + kKillAfter);
       deployment.CheckAnswers(requests);
       deployment.RunFor(300);
-      CHECK(deployment.front_process.loop().stopped());
+      CHECK(deployment.front_process.loop().Stopped());
     }
   }
 }
@@ -301,8 +301,8 @@
   deployment.RunFor(100);
   std::size_t requests = first.size();
   const Ms stopped_at = deployment.net.now();
-  deployment.front_process.act([&] { deployment.front->stop(); });
+  deployment.front_process.Act([&] { deployment.front->Stop(); });
   for (int i = 0; i < 8; ++i, ++requests) deployment.Request(kLongestDeadline);
-  deployment.net.runUntil(stopped_at + kKillAfter);
+  deployment.net.RunUntil(stopped_at + kKillAfter);
   deployment.CheckAnswers(requests);
 }
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 // Fronts 0, 1 in zone 0, 2, 3 in zone 1 (one region), 4 in zone 2 (another).
-failover::Verdicts verdicts(failover::Id self) {
+failover::Verdicts Verdicts(failover::Id self) {
   failover::Terms t;
-  t.holdBack = 1000, t.lasting = 300;
+  t.hold_back = 1000, t.lasting = 300;
   return failover::Verdicts(self, {{0, {0, 0}}, {1, {0, 0}}, {2, {1, 0}}, {3, {1, 0}}, {4, {2, 1}}}, {0, 0, 1}, t);
 }
-std::vector<Peer> peers(failover::Id self, std::map<failover::Id, double> health, std::vector<failover::Id> dead = {}) {
+std::vector<Peer> Peers(failover::Id self, std::map<failover::Id, double> health, std::vector<failover::Id> dead = {}) {
   std::vector<Peer> all;
   for (failover::Id id = 0; id < 5; ++id)
     if (id != self && !std::count(dead.begin(), dead.end(), id)) {
@@ -32,93 +32,93 @@
   return all;
 }
 
-void healthIsHeldInCommon() {
+void HealthIsHeldInCommon() {
   bool changed = false;
   auto near = [](double a, double b) { return a > b - 1e-9 && a < b + 1e-9; };
-  failover::Verdicts v = verdicts(0);
+  failover::Verdicts v = Verdicts(0);
   // One of two fronts of the zone in trouble of its own: the upper of the two counts.
-  for (Ms t = 0; t < 3000; t += 100) v.look(t, 0, peers(0, {}), changed), assert(!changed);
+  for (Ms t = 0; t < 3000; t += 100) v.Look(t, 0, Peers(0, {}), changed), assert(!changed);
   // Both: down once it has lasted, to the next zone of the region, not before.
-  v.look(3000, 0, peers(0, {{1, 0}}), changed);
+  v.Look(3000, 0, Peers(0, {{1, 0}}), changed);
   assert(!changed);
-  v.look(3299, 0, peers(0, {{1, 0}}), changed);
+  v.Look(3299, 0, Peers(0, {{1, 0}}), changed);
   assert(!changed);
-  v.look(3300, 0, peers(0, {{1, 0}}), changed);
+  v.Look(3300, 0, Peers(0, {{1, 0}}), changed);
   assert(changed && v.verdict().out == 1 && near(v.verdict().shares[1], 1) && near(v.verdict().shares[0], 0));
   // Back in quarters, a hold apart: with 1.4 times its health at home.
   double shares[] = {0.35, 0.7, 1, 1};
   for (int q = 0; q < 4; ++q) {
     Ms from = 4000 + 1000 * q;
-    for (Ms t = from; t < from + 1000; t += 50) v.look(t, 1, peers(0, {}), changed), assert(!changed || t == from);
-    v.look(from + 1000, 1, peers(0, {}), changed);
+    for (Ms t = from; t < from + 1000; t += 50) v.Look(t, 1, Peers(0, {}), changed), assert(!changed || t == from);
+    v.Look(from + 1000, 1, Peers(0, {}), changed);
     assert(changed && v.verdict().health[0] == q + 1 && near(v.verdict().shares[0], shares[q]));
     assert(near(v.verdict().shares[0] + v.verdict().shares[1] + v.verdict().shares[2], 1));
   }
   // Half of the caches: seven tenths stay.
-  v.look(9000, 0.5, peers(0, {{1, 0.5}}), changed), v.look(9300, 0.5, peers(0, {{1, 0.5}}), changed);
+  v.Look(9000, 0.5, Peers(0, {{1, 0.5}}), changed), v.Look(9300, 0.5, Peers(0, {{1, 0.5}}), changed);
   assert(changed && near(v.verdict().shares[0], 0.7) && near(v.verdict().shares[1], 0.3) && v.verdict().out == 0);
   // A front alone, or with one other, makes no verdict: its zone stays whatever it sees.
-  failover::Verdicts alone = verdicts(0);
+  failover::Verdicts alone = Verdicts(0);
   for (Ms t = 0; t < 5000; t += 100) {
-    alone.look(t, 0, peers(0, {{1, 0}}, {2, 3, 4}), changed);
+    alone.Look(t, 0, Peers(0, {{1, 0}}, {2, 3, 4}), changed);
     assert(!changed && near(alone.verdict().shares[0], 1));
   }
   // Fronts of a zone dead to a quorum, but one that is heard says that its caches serve: the zone stays.
-  failover::Verdicts far = verdicts(4);
-  auto against = [&](bool oneLives) {
-    std::vector<Peer> all = peers(4, {}, oneLives ? std::vector<failover::Id>{} : std::vector<failover::Id>{2, 3});
+  failover::Verdicts far = Verdicts(4);
+  auto against = [&](bool one_lives) {
+    std::vector<Peer> all = Peers(4, {}, one_lives ? std::vector<failover::Id>{} : std::vector<failover::Id>{2, 3});
     for (Peer& p : all) p.said.out = 1u << 1;
     return all;
   };
-  far.look(0, 1, against(true), changed);
+  far.Look(0, 1, against(true), changed);
   assert(!changed);
-  far.look(100, 1, against(false), changed);
+  far.Look(100, 1, against(false), changed);
   assert(changed && far.verdict().out == 2);
   // Most of the fleet's caches lost: panic, all zones alike.
-  failover::Verdicts panic = verdicts(0);
+  failover::Verdicts panic = Verdicts(0);
   std::map<failover::Id, double> none{{1, 0}, {2, 0}, {3, 0}};
-  panic.look(0, 0, peers(0, none), changed), panic.look(300, 0, peers(0, none), changed);
+  panic.Look(0, 0, Peers(0, none), changed), panic.Look(300, 0, Peers(0, none), changed);
   assert(changed && panic.verdict().panic && near(panic.verdict().shares[2], 1.0 / 3));
 }
 
-void opinionsPackWhole() {
-  for (double h : {failover::unknown, 0.0, 0.25, 0.5, 1.0}) {
+void OpinionsPackWhole() {
+  for (double h : {failover::kUnknown, 0.0, 0.25, 0.5, 1.0}) {
     Opinion o{0x8001, h, 0x4002, 0xabcdef};
-    Opinion back = failover::unpack(failover::pack(o));
+    Opinion back = failover::Unpack(failover::Pack(o));
     assert(back.out == o.out && back.verdict == o.verdict && back.epoch == o.epoch);
     assert(h < 0 ? back.health < 0 : back.health > h - 0.003 && back.health < h + 0.003);
   }
   Opinion late;
   late.epoch = 0x7fffffff;  // more than the note has room for: it stays at its highest
-  assert(failover::unpack(failover::pack(late)).epoch == 0xffffff);
+  assert(failover::Unpack(failover::Pack(late)).epoch == 0xffffff);
 }
 
-void healthFollowsListAndModule() {
+void HealthFollowsListAndModule() {
   failover::Health h(1, 7, 8);
-  assert(h.share() < 0);
+  assert(h.Share() < 0);
   auto entry = [](std::uint32_t id, int zone, int kind, double weight) {
     ListEntry e;
     e.cache = id, e.zone = zone, e.kind = kind, e.weight = weight;
     return e;
   };
-  h.take(ListNews{Listing::whole, {entry(9, 0, 7, 50)}});
-  assert(h.share() < 0);  // no cache of its zone yet: no opinion
-  h.take(ListNews{Listing::whole, {entry(1, 1, 0, 30), entry(2, 1, 0, 10), entry(3, 2, 0, 90), entry(4, 1, 7, 90)}});
-  assert(h.share() == 1);
-  h.take(TellHealth{2, true}), h.take(TellHealth{3, true});
-  assert(h.share() == 0.75);
+  h.Take(ListNews{Listing::kWhole, {entry(9, 0, 7, 50)}});
+  assert(h.Share() < 0);  // no cache of its zone yet: no opinion
+  h.Take(ListNews{Listing::kWhole, {entry(1, 1, 0, 30), entry(2, 1, 0, 10), entry(3, 2, 0, 90), entry(4, 1, 7, 90)}});
+  assert(h.Share() == 1);
+  h.Take(TellHealth{2, true}), h.Take(TellHealth{3, true});
+  assert(h.Share() == 0.75);
   ListEntry drains = entry(1, 1, 0, 30);
-  drains.standing = Standing::draining;
-  h.take(ListNews{Listing::changes, {drains}});
-  assert(h.share() == 0);
-  h.take(TellHealth{2, false});
-  assert(h.share() == 1);
+  drains.standing = Standing::kDraining;
+  h.Take(ListNews{Listing::kChanges, {drains}});
+  assert(h.Share() == 0);
+  h.Take(TellHealth{2, false});
+  assert(h.Share() == 1);
 }
 
-const char* const fleetText = R"({"zones": [{"name": "a", "region": "n"}, {"name": "b", "region": "n"}, {"name": "c", "region": "s"}],
+const char* const kFleetText = R"({"zones": [{"name": "a", "region": "n"}, {"name": "b", "region": "n"}, {"name": "c", "region": "s"}],
   "fronts": 9, "pulls_per_s": 1, "lasting_ms": 300})";
 
-void filesAreRefusedWithLineAndReason() {
+void FilesAreRefusedWithLineAndReason() {
   auto refused = [](const std::function<void()>& read, const char* why) {
     try {
       read();
@@ -131,16 +131,16 @@
     std::fprintf(stderr, "not refused: %s\n", why);
     assert(false);
   };
-  auto fleetFile = [](const char* text, int fronts = 0) { return [text, fronts] { readFleetText("file", text, fronts); }; };
-  refused(fleetFile("{}"), "zones");
-  refused(fleetFile(R"({"zones": [{"name": "a", "region": "n"}, {"name": "a", "region": "n"}]})"), "there twice");
-  refused(fleetFile("{\"zones\": [{\"name\": \"a\", \"region\": \"n\"}],\n \"fronts\": 1}"), "file:2: /fronts");
-  refused(fleetFile(R"({"zones": [{"name": "a", "region": "n"}], "fronts": 4, "quorum": 2})"), "both sides of a partition");
-  refused(fleetFile(R"({"zones": [{"name": "a", "region": "n"}], "front_zones": ["a", "x"]})"), "not among zones");
-  refused(fleetFile(R"({"zones": [{"name": "a", "region": "n"}], "front_zones": ["a", "a"]})", 3), "another number");
-  refused(fleetFile(R"({"zones": [{"name": "a", "region": "n"}], "probe_timeout_ms": 500})"), "shorter than period_ms");
-  refused(fleetFile(R"({"zones": [{"name": "a", "region": "n"}], "fronst": 5})"), "fronst");
-  auto faults = [](const char* text) { return [text] { readFaultsText("file", text); }; };
+  auto fleet_file = [](const char* text, int fronts = 0) { return [text, fronts] { ReadFleetText("file", text, fronts); }; };
+  refused(fleet_file("{}"), "zones");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}, {"name": "a", "region": "n"}]})"), "there twice");
+  refused(fleet_file("{\"zones\": [{\"name\": \"a\", \"region\": \"n\"}],\n \"fronts\": 1}"), "file:2: /fronts");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "fronts": 4, "quorum": 2})"), "both sides of a partition");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "front_zones": ["a", "x"]})"), "not among zones");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "front_zones": ["a", "a"]})", 3), "another number");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "probe_timeout_ms": 500})"), "shorter than period_ms");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "fronst": 5})"), "fronst");
+  auto faults = [](const char* text) { return [text] { ReadFaultsText("file", text); }; };
   refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "kil", "fronts": [1]}]})"), "/steps/0/do");
   refused(faults("{\"length_s\": 5, \"steps\": [\n {\"at_s\": 1, \"do\": \"kill\"}]}"), "file:2: /steps/0: \"kill\" needs fronts");
   refused(faults(R"({"length_s": 5, "steps": [{"at_s": 6, "do": "heal"}]})"), "after the script's end");
@@ -148,14 +148,14 @@
   refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "cut", "fronts": [1], "loss": 0.5}]})"), "go with \"links\"");
   refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "caches_down"}]})"), "needs a zone");
   refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "restart", "fronts": [1], "for_s": 2}]})"), "has no end");
-  FleetFile f = readFleetText("file", fleetText);
-  assert(f.fronts == 9 && f.zoneOf[5] == 2);
-  assert(unfit(readFaultsText("file", R"({"length_s": 5, "steps": [{"at_s": 1, "do": "kill", "fronts": [9]}]})"), f).find("no front 9") != std::string::npos);
-  assert(!unfit(readFaultsText("file", R"({"length_s": 5, "steps": [{"at_s": 1, "do": "caches_down", "zone": "x"}]})"), f).empty());
+  FleetFile f = ReadFleetText("file", kFleetText);
+  assert(f.fronts == 9 && f.zone_of[5] == 2);
+  assert(Unfit(ReadFaultsText("file", R"({"length_s": 5, "steps": [{"at_s": 1, "do": "kill", "fronts": [9]}]})"), f).find("no front 9") != std::string::npos);
+  assert(!Unfit(ReadFaultsText("file", R"({"length_s": 5, "steps": [{"at_s": 1, "do": "caches_down", "zone": "x"}]})"), f).empty());
 }
 
 // Scripts on the staged members, by the checker; the same seed the same history.
-void stagedScriptsKeepThePromises(std::uint64_t seeds) {
+void StagedScriptsKeepThePromises(std::uint64_t seeds) {
   const char* scripts[] = {
       R"({"length_s": 40, "steps": [{"at_s": 2, "do": "kill", "fronts": [2, 5, 8], "for_s": 20}]})",
       R"({"length_s": 50, "steps": [{"at_s": 2, "do": "cut", "fronts": [1, 4, 7, 0], "for_s": 25}]})",
@@ -163,79 +163,79 @@
       R"({"length_s": 60, "steps": [{"at_s": 2, "do": "links", "loss": 0.3, "delay_ms": 10, "jitter_ms": 30, "duplicate": 0.1, "reorder": 0.2, "for_s": 20}]})",
       R"({"length_s": 40, "steps": [{"at_s": 2, "do": "caches_down", "zone": "a", "for_s": 15}, {"at_s": 5, "do": "cut", "fronts": [0], "for_s": 10}]})",
       R"({"length_s": 40, "steps": [{"at_s": 2, "do": "links", "kb_per_s": 1, "for_s": 10}, {"at_s": 4, "do": "kill", "fronts": [1], "for_s": 10}]})"};
-  FleetFile f = readFleetText("file", fleetText);
-  std::size_t verdictsSeen = 0;
+  FleetFile f = ReadFleetText("file", kFleetText);
+  std::size_t verdicts_seen = 0;
   for (const char* text : scripts) {
-    Script s = readFaultsText("file", text);
+    Script s = ReadFaultsText("file", text);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      History h = playStaged(f, s, seed);
-      auto broken = judge(f, h);
+      History h = PlayStaged(f, s, seed);
+      auto broken = CheckHistory(f, h);
       for (const Broken& b : broken) std::fprintf(stderr, "seed %llu: %s at %.1f s: %s\n%s\n", static_cast<unsigned long long>(seed), b.promise.c_str(), b.at / 1000, b.what.c_str(), text);
       assert(broken.empty());
-      verdictsSeen += h.verdicts.size();
+      verdicts_seen += h.verdicts.size();
       if (seed == 1) {
-        History again = playStaged(f, s, seed);
+        History again = PlayStaged(f, s, seed);
         assert(again.verdicts.size() == h.verdicts.size());
         for (std::size_t i = 0; i < h.verdicts.size(); ++i)
           assert(again.verdicts[i].at == h.verdicts[i].at && again.verdicts[i].out == h.verdicts[i].out && again.verdicts[i].epoch == h.verdicts[i].epoch);
       }
     }
   }
-  assert(verdictsSeen > 20);  // they were not all idle
-  std::printf("staged: %zu verdicts in %llu runs, all promises kept\n", verdictsSeen, static_cast<unsigned long long>(6 * seeds));
+  assert(verdicts_seen > 20);  // they were not all idle
+  std::printf("staged: %zu verdicts in %llu runs, all promises kept\n", verdicts_seen, static_cast<unsigned long long>(6 * seeds));
 }
 
 // A fleet whose quorum is one, as a front broken on purpose: the checker, which goes by a majority, catches it on the same stage.
-void aLoneDeciderIsCaught() {
-  FleetFile f = readFleetText("file", fleetText), broken = f;
+void ALoneDeciderIsCaught() {
+  FleetFile f = ReadFleetText("file", kFleetText), broken = f;
   broken.verdict.quorum = 1;
-  Script s = readFaultsText("file", R"({"length_s": 40, "steps": [{"at_s": 2, "do": "cut", "fronts": [0], "for_s": 30}]})");
-  assert(judge(f, playStaged(f, s, 1)).empty());
-  auto found = judge(f, playStaged(broken, s, 1));
+  Script s = ReadFaultsText("file", R"({"length_s": 40, "steps": [{"at_s": 2, "do": "cut", "fronts": [0], "for_s": 30}]})");
+  assert(CheckHistory(f, PlayStaged(f, s, 1)).empty());
+  auto found = CheckHistory(f, PlayStaged(broken, s, 1));
   assert(!found.empty() && found[0].promise == "alone");
 }
 
-void eachBrokenHistoryIsCaught() {
-  FleetFile f = readFleetText("file", fleetText);
-  Script s = readFaultsText("file", R"({"length_s": 60, "steps": [{"at_s": 2, "do": "kill", "fronts": [2, 5, 8], "for_s": 30}]})");
-  History good = playStaged(f, s, 3);
+void EachBrokenHistoryIsCaught() {
+  FleetFile f = ReadFleetText("file", kFleetText);
+  Script s = ReadFaultsText("file", R"({"length_s": 60, "steps": [{"at_s": 2, "do": "kill", "fronts": [2, 5, 8], "for_s": 30}]})");
+  History good = PlayStaged(f, s, 3);
   auto pull = [&](Ms at) {
     PullSeen p;
-    p.id = "p", p.front = 1, p.at = at, p.ttl = 1500, p.answers = 1, p.status = 200, p.answeredAt = at + 20, p.ended = true, p.place = "b";
+    p.id = "p", p.front = 1, p.at = at, p.ttl = 1500, p.answers = 1, p.status = 200, p.answered_at = at + 20, p.ended = true, p.place = "b";
     return p;
   };
   good.pulls = {pull(4000)};
   good.ran = {{"x", 1}};
-  assert(judge(f, good).empty());
+  assert(CheckHistory(f, good).empty());
   struct Case {
     const char* promise;
     std::function<void(History&)> harm;
   };
-  auto firstOut = [](History& h) { return std::find_if(h.verdicts.begin(), h.verdicts.end(), [](const VerdictSeen& v) { return v.out == 4; }); };
+  auto first_out = [](History& h) { return std::find_if(h.verdicts.begin(), h.verdicts.end(), [](const VerdictSeen& v) { return v.out == 4; }); };
   for (const Case& c : {
            Case{"left", [&](History& h) { std::erase_if(h.verdicts, [](const VerdictSeen& v) { return v.front == 3; }); }},
-           Case{"epochs", [&](History& h) { auto v = firstOut(h); h.verdicts.push_back({h.until - 100, v->front, 0, v->epoch}); }},
+           Case{"epochs", [&](History& h) { auto v = first_out(h); h.verdicts.push_back({h.until - 100, v->front, 0, v->epoch}); }},
            Case{"flapping", [&](History& h) {
-                  auto v = *firstOut(h);
-                  h.verdicts.insert(firstOut(h) + 1, {v.at + 50, v.front, 0, v.epoch + 1});
+                  auto v = *first_out(h);
+                  h.verdicts.insert(first_out(h) + 1, {v.at + 50, v.front, 0, v.epoch + 1});
                   for (VerdictSeen& other : h.verdicts)
                     if (other.front == v.front && other.at > v.at + 50) other.epoch += 100;
                 }},
            Case{"agreement", [&](History& h) { h.verdicts.push_back({h.until - 100, 4, 1, 1000}); }},
-           Case{"agreement", [&](History& h) { h.epochsAtEnd[0].second += 1; }},
+           Case{"agreement", [&](History& h) { h.epochs_at_end[0].second += 1; }},
            Case{"alone", [&](History& h) {
                   Step cut;
-                  cut.deed = Deed::cut, cut.fronts = {0};
+                  cut.deed = Deed::kCut, cut.fronts = {0};
                   h.cues.push_back({h.until - 9000, Cue{0, cut, true}});
                   h.verdicts.push_back({h.until - 4000, 0, 1, 1000});
                 }},
            Case{"answers", [&](History& h) { h.pulls[0].answers = 2; }},
            Case{"answers", [&](History& h) { h.pulls[0].answers = 0; }},
-           Case{"answers", [&](History& h) { h.pulls[0].answeredAt += 3000; }},
+           Case{"answers", [&](History& h) { h.pulls[0].answered_at += 3000; }},
            Case{"effects", [&](History& h) { h.ran["x"] = 2; }}}) {
     History h = good;
     c.harm(h);
-    auto found = judge(f, h);
+    auto found = CheckHistory(f, h);
     bool caught = std::any_of(found.begin(), found.end(), [&](const Broken& b) { return b.promise == c.promise; });
     if (!caught) std::fprintf(stderr, "missed: %s\n", c.promise);
     assert(caught);
@@ -243,19 +243,19 @@
   // What a killed front owes is not held against it.
   History h = good;
   h.pulls[0].front = 2, h.pulls[0].at = good.cues[0].at - 100, h.pulls[0].answers = 0;
-  assert(judge(f, h).empty());
+  assert(CheckHistory(f, h).empty());
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   std::uint64_t seeds = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 4;  // more by hand
-  healthIsHeldInCommon();
-  opinionsPackWhole();
-  healthFollowsListAndModule();
-  filesAreRefusedWithLineAndReason();
-  stagedScriptsKeepThePromises(seeds);
-  aLoneDeciderIsCaught();
-  eachBrokenHistoryIsCaught();
+  HealthIsHeldInCommon();
+  OpinionsPackWhole();
+  HealthFollowsListAndModule();
+  FilesAreRefusedWithLineAndReason();
+  StagedScriptsKeepThePromises(seeds);
+  ALoneDeciderIsCaught();
+  EachBrokenHistoryIsCaught();
   std::puts("judge_test: all passed");
 }
--- a/tests/keepers_explore.hpp
+++ b/tests/keepers_explore.hpp
@@ -6,8 +6,8 @@
 struct ExploreTerms {
   int puts = 2, ticks = 0;       // ticks: of each writer, beyond its first
   bool crash = false;            // one keeper ends and starts, before or after a call of its disk
-  bool oldCopy = false;          // one disk comes back as it was at some earlier moment
-  bool doubt = false, rewriteAll = false, firstMajority = false;
+  bool old_copy = false;          // one disk comes back as it was at some earlier moment
+  bool doubt = false, rewrite_all = false, first_majority = false;
   std::size_t most = 200000;
 };
 struct Explored {
@@ -16,4 +16,4 @@
   std::size_t acknowledged = 0;  // states in which something is
   std::string found;
 };
-Explored explore(const ExploreTerms& terms);
+Explored Explore(const ExploreTerms& terms);
--- a/tests/kit.hpp
+++ b/tests/kit.hpp
@@ -16,52 +16,52 @@
 namespace kit {
 using namespace dunlinwick;
 
-constexpr int storeKind = 0, parentKind = 1, originKind = 2;
+constexpr int kStoreKind = 0, kParentKind = 1, kOriginKind = 2;
 
-inline StoreSheet sheet() {
+inline StoreSheet Sheet() {
   StoreSheet s;
   Offering video, write;
-  video.agreed = 500, video.agreedStretch = 2, video.expiry = 5000, video.payoff = 2;
-  write.effect = Effect::exclusive, write.agreed = 700, write.expiry = 3000, write.payoff = 3;
-  write.neverKept = true;
+  video.agreed = 500, video.agreed_stretch = 2, video.expiry = 5000, video.payoff = 2;
+  write.effect = Effect::kExclusive, write.agreed = 700, write.expiry = 3000, write.payoff = 3;
+  write.never_kept = true;
   s.offerings = {video, write};
   s.zone = 1, s.fronts = 2, s.crew = 1;
-  s.parentKind = parentKind, s.originKind = originKind;
-  s.weighing = Weighing::nominal;
+  s.parent_kind = kParentKind, s.origin_kind = kOriginKind;
+  s.weighing = Weighing::kNominal;
   s.may = {true, true, true, false, true};
-  s.mostLegs = 8, s.lateral = true;
-  s.streamKbPerMs = 10, s.linkKbPerMs = 150, s.purgeDone = 6000;
-  s.coldStore = {0.3, 2, 15000}, s.coldParent = {0.1, 2, 20000}, s.coldWindow = 1000;
+  s.most_legs = 8, s.lateral = true;
+  s.stream_kb_per_ms = 10, s.link_kb_per_ms = 150, s.purge_done = 6000;
+  s.cold_store = {0.3, 2, 15000}, s.cold_parent = {0.1, 2, 20000}, s.cold_window = 1000;
   return s;
 }
 
-inline ListEntry entry(std::uint32_t id, int kind, int zone, Standing standing = Standing::ready,
-                       Ms startedAt = 0) {
+inline ListEntry MakeEntry(std::uint32_t id, int kind, int zone, Standing standing = Standing::kReady,
+                       Ms started_at = 0) {
   ListEntry e;
-  e.cache = id, e.kind = kind, e.zone = zone, e.standing = standing, e.startedAt = startedAt;
-  e.weight = kind == storeKind ? 6 : 30;
+  e.cache = id, e.kind = kind, e.zone = zone, e.standing = standing, e.started_at = started_at;
+  e.weight = kind == kStoreKind ? 6 : 30;
   return e;
 }
 
 // Caches 11 to 14, parents 21 and 22, origin 31.
-inline ListNews list() {
-  ListNews news{Listing::whole, {}};
-  for (std::uint32_t id : {11, 12, 13, 14}) news.entries.push_back(entry(id, storeKind, 1));
-  for (std::uint32_t id : {21, 22}) news.entries.push_back(entry(id, parentKind, 0));
-  news.entries.push_back(entry(31, originKind, 0));
+inline ListNews List() {
+  ListNews news{Listing::kWhole, {}};
+  for (std::uint32_t id : {11, 12, 13, 14}) news.entries.push_back(MakeEntry(id, kStoreKind, 1));
+  for (std::uint32_t id : {21, 22}) news.entries.push_back(MakeEntry(id, kParentKind, 0));
+  news.entries.push_back(MakeEntry(31, kOriginKind, 0));
   return news;
 }
 
 struct Front {
   Router router;
   Ms now = 1e6;
-  std::uint32_t lastPull = 0;
+  std::uint32_t last_pull = 0;
   std::vector<Action> did;  // by the last event
 
-  explicit Front(StoreSheet s = sheet(), std::uint64_t seed = 1, ListNews news = list()) : router(s, seed) {
-    tell(news);
+  explicit Front(StoreSheet s = Sheet(), std::uint64_t seed = 1, ListNews news = List()) : router(s, seed) {
+    Tell(news);
   }
-  void tell(const Event& e) { did = router.handle(now, e); }
+  void Tell(const Event& e) { did = router.Handle(now, e); }
   template <class A>
   std::vector<A> all() const {
     std::vector<A> found;
@@ -70,31 +70,31 @@
     return found;
   }
   // The leg that a new pull leads to; cache 0 when it leads to none.
-  SendLeg pull(std::uint64_t object, int offering = 0, double sizeKb = 1000, Ms ttl = 4000, int part = 0) {
+  SendLeg Pull(std::uint64_t object, int offering = 0, double size_kb = 1000, Ms ttl = 4000, int part = 0) {
     PullCame p;
-    p.pull = ++lastPull, p.offering = offering, p.object = object, p.ttl = ttl, p.sizeKb = sizeKb,
+    p.pull = ++last_pull, p.offering = offering, p.object = object, p.ttl = ttl, p.size_kb = size_kb,
     p.part = part;
     p.group = 7;
-    tell(p);
+    Tell(p);
     return leg();
   }
   SendLeg leg() const { return all<SendLeg>().empty() ? SendLeg{} : all<SendLeg>().front(); }
-  bool declined() const { return !all<DeclinePull>().empty(); }
-  bool abandoned() const { return !all<AbandonPull>().empty(); }
-  void end(const SendLeg& a, Ending ending, Remark remark = Remark::none, int leg = 0, Ms took = 105) {
+  bool Declined() const { return !all<DeclinePull>().empty(); }
+  bool Abandoned() const { return !all<AbandonPull>().empty(); }
+  void end(const SendLeg& a, Ending ending, Remark remark = Remark::kNone, int leg = 0, Ms took = 105) {
     LegEnded e;
     e.pull = a.pull, e.cache = a.cache, e.leg = leg, e.ending = ending, e.remark = remark, e.took = took;
-    e.final = ending == Ending::finished;
-    tell(e);
+    e.final = ending == Ending::kFinished;
+    Tell(e);
   }
-  void finish(const SendLeg& a, Remark remark = Remark::hit) { end(a, Ending::finished, remark); }
+  void Finish(const SendLeg& a, Remark remark = Remark::kHit) { end(a, Ending::kFinished, remark); }
 };
 
 // ---- sockets
 
 // Turns the loop until something holds; that it does within some seconds is asserted, when is not.
 template <class Condition>
-void until(loop::Loop& loop, Condition holds) {
+void Until(loop::Loop& loop, Condition holds) {
   Ms end = loop.now() + 20000;
   bool held = holds();
   for (; !held && loop.now() < end; held = holds()) loop.turn(1);
@@ -108,31 +108,31 @@
   bool over = false;  // the near side ended it
 
   explicit Far(loop::Descriptor d = {}) : fd(std::move(d)) {}
-  static Far to(const loop::Address& at) {
+  static Far To(const loop::Address& at) {
     Far f(loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0)));
-    assert(::connect(f.fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
-    ::fcntl(f.fd.get(), F_SETFL, O_NONBLOCK);
+    assert(::connect(f.fd.Get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
+    ::fcntl(f.fd.Get(), F_SETFL, O_NONBLOCK);
     return f;
   }
-  void say(std::string_view text) {
-    assert(::send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
+  void Send(std::string_view text) {
+    assert(::send(fd.Get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
-  const std::string& read(std::size_t most = 1 << 16) {
+  const std::string& Read(std::size_t most = 1 << 16) {
     std::string chunk(most, 0);
-    ssize_t n = ::recv(fd.get(), chunk.data(), chunk.size(), 0);
+    ssize_t n = ::recv(fd.Get(), chunk.data(), chunk.size(), 0);
     if (n > 0) got.append(chunk, 0, static_cast<std::size_t>(n));
     over |= n == 0 || (n < 0 && errno != EAGAIN);
     return got;
   }
-  bool hears(std::string_view text) { return read().find(text) != std::string::npos; }
-  void reset() {  // ends with a reset, not a close
+  bool Hears(std::string_view text) { return Read().find(text) != std::string::npos; }
+  void Reset() {  // ends with a reset, not a close
     linger now{1, 0};
-    ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
-    fd.reset();
+    ::setsockopt(fd.Get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    fd.Reset();
   }
 };
 
-inline std::string text(const loop::Address& at) {
+inline std::string Text(const loop::Address& at) {
   char host[INET_ADDRSTRLEN];
   ::inet_ntop(AF_INET, &at.sin_addr, host, sizeof host);
   return std::string(host) + ':' + std::to_string(ntohs(at.sin_port));
@@ -146,20 +146,20 @@
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(host);
     socklen_t size = sizeof at;
-    assert(::bind(fd.get(), reinterpret_cast<sockaddr*>(&at), size) == 0);
-    assert(::listen(fd.get(), backlog) == 0);
-    assert(::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&at), &size) == 0);
+    assert(::bind(fd.Get(), reinterpret_cast<sockaddr*>(&at), size) == 0);
+    assert(::listen(fd.Get(), backlog) == 0);
+    assert(::getsockname(fd.Get(), reinterpret_cast<sockaddr*>(&at), &size) == 0);
   }
-  Far next(loop::Loop& loop) {
+  Far Next(loop::Loop& loop) {
     int got = -1;
-    until(loop, [&] { return (got = ::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)) >= 0; });
+    Until(loop, [&] { return (got = ::accept4(fd.Get(), nullptr, nullptr, SOCK_NONBLOCK)) >= 0; });
     return Far(loop::Descriptor(got));
   }
-  std::string text() const { return kit::text(at); }
+  std::string Text() const { return kit::Text(at); }
 };
 
 // An address of loopback at which nobody listens just now, of a host that no other process uses.
-inline loop::Address freeAddress() {
+inline loop::Address FreeAddress() {
   return FarListener(1, 0x7f400001 + 4 * static_cast<in_addr_t>(::getpid() & 0xffff)).at;
 }
 }  // namespace kit
