--- a/tests/large_objects_test.cpp
+++ b/tests/large_objects_test.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr Ms tick = 3, lasts = 60000, leadIn = 5000, longest = 30000;  // the lead-in is played and not counted
-constexpr double cacheRoom = 6, sourceRoom = 30, caches = 4;
+constexpr Ms kTick = 3, kLasts = 60000, kLeadIn = 5000, kLongest = 30000;  // the lead-in is played and not counted
+constexpr double kCacheRoom = 6, kSourceRoom = 30, kCaches = 4;
 
 // A class: its share of the offered work, and the mean sending time of its requests.
 struct Class {
   double work, payoff;
   Ms agreed, mean;
 };
-constexpr Class classes[] = {{0.6, 2, 500, 100}, {0.3, 1, 300, 40}, {0.1, 4, 1000, 800}};  // the last is thin: under 400
+constexpr Class kClasses[] = {{0.6, 2, 500, 100}, {0.3, 1, 300, 40}, {0.1, 4, 1000, 800}};  // the last is thin: under 400
 
 struct Play {
   double sigma;   // of the sizes' logarithm
@@ -32,10 +32,10 @@
 
 struct Request {
   std::size_t offering;
-  Ms at, sending, agreedAt, leavesAt;
+  Ms at, sending, agreed_at, leaves_at;
   bool kept;  // caches hold it
   int attempts = 0;
-  bool open = true, answered = false, inTime = false;
+  bool open = true, answered = false, in_time = false;
 };
 
 // An attempt that is being sent, at the least pace of the machines and the link that it takes.
@@ -49,84 +49,84 @@
 struct Site {
   Play play;
   std::mt19937_64 chance;
-  StoreSheet sheet = kit::sheet();
+  StoreSheet sheet = kit::Sheet();
   std::vector<Request> requests{};
   std::vector<Transfer> transfers{};
   std::multimap<Ms, Event> due{};
   std::map<std::uint32_t, int> held{};  // transfers, by machine
-  int heldByLink = 0, open = 0;
-  std::size_t turnedAway = 0, declined = 0;
+  int held_by_link = 0, open = 0;
+  std::size_t turned_away = 0, declined = 0;
 
   explicit Site(const Play& p) : play(p), chance(p.seed) {
     sheet.offerings.clear();
-    for (const Class& c : classes) {
+    for (const Class& c : kClasses) {
       Offering o;
-      o.agreed = c.agreed, o.agreedStretch = 2, o.expiry = longest, o.payoff = c.payoff;
+      o.agreed = c.agreed, o.agreed_stretch = 2, o.expiry = kLongest, o.payoff = c.payoff;
       sheet.offerings.push_back(o);
     }
-    sheet.fronts = sheet.crew = 1, sheet.places = p.places, sheet.linkKbPerMs = 10 * p.link;
+    sheet.fronts = sheet.crew = 1, sheet.places = p.places, sheet.link_kb_per_ms = 10 * p.link;
     std::normal_distribution<> normal;
     std::uniform_real_distribution<> uniform;
-    for (std::size_t i = 0; i < std::size(classes); ++i) {
-      const Class& c = classes[i];
-      std::exponential_distribution<> gap(p.load * caches * cacheRoom * c.work / c.mean);
+    for (std::size_t i = 0; i < std::size(kClasses); ++i) {
+      const Class& c = kClasses[i];
+      std::exponential_distribution<> gap(p.load * kCaches * kCacheRoom * c.work / c.mean);
       std::size_t first = requests.size();
       double sum = 0;
-      for (Ms at = gap(chance); at < lasts + leadIn; at += gap(chance)) {
+      for (Ms at = gap(chance); at < kLasts + kLeadIn; at += gap(chance)) {
         double size = std::exp(p.sigma * normal(chance) - p.sigma * p.sigma / 2);
         size = std::clamp(size, 0.02, 8.0);  // a larger one would not be sent before its client leaves
-        requests.push_back({i, 1e6 + at, c.mean * size, 0, 1e6 + at + longest, uniform(chance) >= 0.2}), sum += size;
+        requests.push_back({i, 1e6 + at, c.mean * size, 0, 1e6 + at + kLongest, uniform(chance) >= 0.2}), sum += size;
       }
       for (std::size_t k = first; k < requests.size(); ++k) {  // bounded sizes, and the same mean
         Request& r = requests[k];
         r.sending *= static_cast<double>(requests.size() - first) / sum;
-        r.agreedAt = r.at + std::min(c.agreed + 2 * r.sending, longest);
+        r.agreed_at = r.at + std::min(c.agreed + 2 * r.sending, kLongest);
       }
     }
     std::sort(requests.begin(), requests.end(), [](const Request& a, const Request& b) { return a.at < b.at; });
     Front f(sheet, p.seed);
     std::size_t next = 0;
-    for (f.now = 1e6; f.now < 1e6 + lasts + leadIn + 10000; f.now += tick) {
-      for (; next < requests.size() && requests[next].at <= f.now; ++next) come(f, static_cast<std::uint32_t>(next));
+    for (f.now = 1e6; f.now < 1e6 + kLasts + kLeadIn + 10000; f.now += kTick) {
+      for (; next < requests.size() && requests[next].at <= f.now; ++next) Come(f, static_cast<std::uint32_t>(next));
       while (!due.empty() && due.begin()->first <= f.now) {
         Event e = due.begin()->second;
         due.erase(due.begin());
-        hear(f, e);
+        Hear(f, e);
       }
-      move(f);
+      Move(f);
     }
   }
 
-  void come(Front& f, std::uint32_t i) {
+  void Come(Front& f, std::uint32_t i) {
     Request& r = requests[i];
     if (play.places > 0 && open >= play.places) {
-      r.open = false, ++turnedAway;
+      r.open = false, ++turned_away;
       return;
     }
     ++open;
     PullCame e;
     e.pull = i + 1, e.offering = static_cast<int>(r.offering), e.object = i + 1, e.group = 7;
-    e.ttl = r.leavesAt - r.at, e.sizeKb = 10 * r.sending;
-    due.emplace(r.leavesAt, ClientLeft{i + 1});
-    hear(f, e);
+    e.ttl = r.leaves_at - r.at, e.size_kb = 10 * r.sending;
+    due.emplace(r.leaves_at, ClientLeft{i + 1});
+    Hear(f, e);
   }
 
-  void close(Request& r) {
+  void Close(Request& r) {
     if (std::exchange(r.open, false)) --open;
   }
 
-  void hear(Front& f, const Event& e) {
+  void Hear(Front& f, const Event& e) {
     if (auto* left = std::get_if<ClientLeft>(&e)) {
       if (!requests[left->pull - 1].open) return;
-      close(requests[left->pull - 1]);
+      Close(requests[left->pull - 1]);
     }
-    f.tell(e);
+    f.Tell(e);
     for (const Action& a : std::vector<Action>(f.did)) {
       if (auto* w = std::get_if<WakeMe>(&a)) due.emplace(w->at, WakeUp{w->handle});
-      if (auto* p = std::get_if<ProbeCache>(&a)) due.emplace(f.now + tick, ProbeEnded{p->cache, true, 1, {}});
-      if (auto* d = std::get_if<DeclinePull>(&a)) declined += requests[d->pull - 1].open, close(requests[d->pull - 1]);
-      if (auto* d = std::get_if<AbandonPull>(&a)) close(requests[d->pull - 1]);
-      if (auto* s = std::get_if<SendLeg>(&a)) send(f, *s);
+      if (auto* p = std::get_if<ProbeCache>(&a)) due.emplace(f.now + kTick, ProbeEnded{p->cache, true, 1, {}});
+      if (auto* d = std::get_if<DeclinePull>(&a)) declined += requests[d->pull - 1].open, Close(requests[d->pull - 1]);
+      if (auto* d = std::get_if<AbandonPull>(&a)) Close(requests[d->pull - 1]);
+      if (auto* s = std::get_if<SendLeg>(&a)) Send(f, *s);
       if (auto* c = std::get_if<CancelLeg>(&a))
         for (Transfer& t : transfers) t.called |= t.request == c->pull && t.leg == c->leg;
     }
@@ -135,40 +135,40 @@
   void end(const Transfer& t, Ms at, Ending ending, Remark remark) {
     LegEnded e;
     e.pull = t.request, e.cache = t.cache, e.leg = t.leg, e.ending = ending, e.remark = remark;
-    e.took = at - t.began, e.waited = t.fills ? 10 : 0, e.final = ending == Ending::finished;
+    e.took = at - t.began, e.waited = t.fills ? 10 : 0, e.final = ending == Ending::kFinished;
     due.emplace(at, e);
   }
 
-  void send(Front& f, const SendLeg& s) {
+  void Send(Front& f, const SendLeg& s) {
     Request& r = requests[s.pull - 1];
     Transfer t{s.pull, s.cache, s.source, r.attempts++, f.now, r.sending, !r.kept};
-    bool fillable = s.source != s.cache && !s.heldOnly;
-    if (t.fills && !fillable) return end(t, f.now + 5, Ending::miss, Remark::none);
-    if (held[t.cache] >= 5 * cacheRoom) return end(t, f.now + 3, Ending::full, Remark::none);
+    bool fillable = s.source != s.cache && !s.held_only;
+    if (t.fills && !fillable) return end(t, f.now + 5, Ending::kMiss, Remark::kNone);
+    if (held[t.cache] >= 5 * kCacheRoom) return end(t, f.now + 3, Ending::kFull, Remark::kNone);
     ++held[t.cache];
-    if (t.fills) ++held[t.source], ++heldByLink;
+    if (t.fills) ++held[t.source], ++held_by_link;
     transfers.push_back(t);
   }
 
   // One tick of all transfers: machines and the link share what they carry evenly.
-  void move(Front& f) {
+  void Move(Front& f) {
     auto pace = [&](std::uint32_t id, double room) { return std::min(1.0, room / held[id]); };
-    double linkPace = std::min(1.0, play.link / std::max(heldByLink, 1));
+    double link_pace = std::min(1.0, play.link / std::max(held_by_link, 1));
     std::vector<Transfer> over;
     for (Transfer& t : transfers) {
-      double at = pace(t.cache, t.cache < 20 ? cacheRoom : sourceRoom);
-      if (t.fills) at = std::min({at, linkPace, pace(t.source, sourceRoom)});
-      t.left -= tick * at;
+      double at = pace(t.cache, t.cache < 20 ? kCacheRoom : kSourceRoom);
+      if (t.fills) at = std::min({at, link_pace, pace(t.source, kSourceRoom)});
+      t.left -= kTick * at;
       if (t.left <= 0 || t.called) over.push_back(t);
     }
     std::erase_if(transfers, [](const Transfer& t) { return t.left <= 0 || t.called; });
     for (const Transfer& t : over) {
       --held[t.cache];
-      if (t.fills) --held[t.source], --heldByLink;
+      if (t.fills) --held[t.source], --held_by_link;
       Request& r = requests[t.request - 1];
-      if (t.left <= 0 && r.open) r.answered = true, r.inTime = f.now + 5 <= r.agreedAt, close(r);
-      end(t, f.now + 5, t.left <= 0 ? Ending::finished : Ending::cancelled,
-          t.left > 0 ? Remark::none : t.fills ? Remark::filled : Remark::hit);
+      if (t.left <= 0 && r.open) r.answered = true, r.in_time = f.now + 5 <= r.agreed_at, Close(r);
+      end(t, f.now + 5, t.left <= 0 ? Ending::kFinished : Ending::kCancelled,
+          t.left > 0 ? Remark::kNone : t.fills ? Remark::kFilled : Remark::kHit);
     }
   }
 
@@ -180,7 +180,7 @@
   Shares shares(std::size_t offering) const {
     std::vector<const Request*> of;
     for (const Request& r : requests)
-      if (r.offering == offering && r.at >= 1e6 + leadIn) of.push_back(&r);
+      if (r.offering == offering && r.at >= 1e6 + kLeadIn) of.push_back(&r);
     std::sort(of.begin(), of.end(), [](auto* a, auto* b) { return a->sending > b->sending; });
     auto share = [&](std::size_t from, std::size_t to) {
       auto answered = std::count_if(of.begin() + static_cast<std::ptrdiff_t>(from),
@@ -191,17 +191,17 @@
     return {share(0, n), share(0, top), share(top, top + n / 5), n};
   }
   // Payoff answered in the agreed time, of all that was offered.
-  double worth() const {
+  double Worth() const {
     double won = 0, offered = 0;
     for (const Request& r : requests)
-      if (r.at >= 1e6 + leadIn)
-        offered += classes[r.offering].payoff, won += r.inTime ? classes[r.offering].payoff : 0;
+      if (r.at >= 1e6 + kLeadIn)
+        offered += kClasses[r.offering].payoff, won += r.in_time ? kClasses[r.offering].payoff : 0;
     return won / offered;
   }
 };
 
 // Each mix of sizes, load, link and places, by some seeds; every play is judged by itself.
-int largeObjectsAreAnswered() {
+int LargeObjectsAreAnswered() {
   int broken = 0;
   bool told = std::getenv("LARGE_OBJECTS_ALL");
   // Under sanitizers, where DUNLINWICK_SEEDS is set, the first seed of each.
@@ -215,10 +215,10 @@
           for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             bool quiet = load < 1;
             Site site({sigma, load, link, places, seed});
-            double bound = quiet ? 2.0 / 3 : 0.5, worth = site.worth();
+            double bound = quiet ? 2.0 / 3 : 0.5, worth = site.Worth();
             auto day = load < 1 ? 0 : load < 1.2 ? 1 : 2;
             worths[day] += worth, ++counts[day];
-            for (std::size_t i = 0; i < std::size(classes); ++i) {
+            for (std::size_t i = 0; i < std::size(kClasses); ++i) {
               auto s = site.shares(i);
               bool wrong = s.largest < bound * s.all || s.next < bound * s.all;
               broken += wrong;
@@ -226,7 +226,7 @@
                 std::printf("%s load %.1f sigma %.1f link %2.0f places %2d seed %d class %zu (%zu requests): answered %.3f, "
                             "of the largest %.3f (%.2f), of the next fifth %.3f (%.2f); worth %.3f away %zu declined %zu\n",
                             wrong ? "STARVED" : "fine", load, sigma, link, places, static_cast<int>(seed), i, s.count,
-                            s.all, s.largest, s.largest / s.all, s.next, s.next / s.all, worth, site.turnedAway,
+                            s.all, s.largest, s.largest / s.all, s.next, s.next / s.all, worth, site.turned_away,
                             site.declined);
             }
           }
@@ -239,7 +239,7 @@
 
 int main() {
   std::puts("large objects are answered");
-  int broken = largeObjectsAreAnswered();
+  int broken = LargeObjectsAreAnswered();
   std::printf("%d broken\n", broken), std::fflush(stdout);
   assert(broken == 0);
 }
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -20,16 +20,16 @@
   double now = 1e12;
   std::vector<std::string> lines;
   log::Log log{[this] { return now; }, [this](std::string_view line) { lines.emplace_back(line); }};
-  std::string of(std::string_view line) {
+  std::string Of(std::string_view line) {
     lines.clear(), now += 1000;
-    log.say(line);
+    log.Say(line);
     REQUIRE(lines.size() == 1);
     return lines[0];
   }
 };
 
 // What a terminal or a reader of lines may take for an end, or for an order.
-bool plain(std::string_view line) {
+bool Plain(std::string_view line) {
   for (char c : line)
     if (static_cast<unsigned char>(c) < ' ' || c == 127) return false;
   for (std::string_view bad : {"\xe2\x80\xa8", "\xe2\x80\xa9"})  // line and paragraph separators
@@ -40,7 +40,7 @@
 }
 
 // Undoes the escapes of bytes below 0x80 and of one byte each.
-std::string undone(std::string_view line) {
+std::string Undone(std::string_view line) {
   std::string all;
   for (std::size_t i = 0; i < line.size(); ++i) {
     if (line[i] != '\\') {
@@ -55,7 +55,7 @@
 }
 
 // Bytes as a hostile peer picks them.
-rc::Gen<std::string> hostile() {
+rc::Gen<std::string> Hostile() {
   return rc::gen::container<std::string>(rc::gen::weightedOneOf<char>(
       {{2, rc::gen::elementOf("\n\r\t\v\f\x1b\x7f\\\"x0an\xc2\x85\x9b\xe2\x80\xa8\xa9\xff"s)}, {1, rc::gen::arbitrary<char>()}}));
 }
@@ -64,75 +64,75 @@
 
 TEST_CASE("a plain line stays as it is") {
   Kept k;
-  CHECK(k.of("cache-1: silent; its connection ends, 3 open") == "cache-1: silent; its connection ends, 3 open");
-  CHECK(k.of("caf\xc3\xa9 serves") == "caf\xc3\xa9 serves");
-  CHECK(k.of("") == "");
+  CHECK(k.Of("cache-1: silent; its connection ends, 3 open") == "cache-1: silent; its connection ends, 3 open");
+  CHECK(k.Of("caf\xc3\xa9 serves") == "caf\xc3\xa9 serves");
+  CHECK(k.Of("") == "");
 }
 
 TEST_CASE("what could end a line or give an order is escaped, and an escape can't be written") {
   Kept k;
-  CHECK(k.of("a\nb\r\tc") == "a\\nb\\r\\tc");
-  CHECK(k.of("\x1b[2J\x7f"s + '\0') == "\\x1b[2J\\x7f\\x00");
-  CHECK(k.of("a\\nb \"q\"") == "a\\\\nb \\\"q\\\"");
-  CHECK(plain(k.of("\xc2\x85 \xc2\x9b \xe2\x80\xa8 \xe2\x80\xa9")));
-  CHECK(k.of("\xff\xc3") == "\\xff\\xc3");
+  CHECK(k.Of("a\nb\r\tc") == "a\\nb\\r\\tc");
+  CHECK(k.Of("\x1b[2J\x7f"s + '\0') == "\\x1b[2J\\x7f\\x00");
+  CHECK(k.Of("a\\nb \"q\"") == "a\\\\nb \\\"q\\\"");
+  CHECK(Plain(k.Of("\xc2\x85 \xc2\x9b \xe2\x80\xa8 \xe2\x80\xa9")));
+  CHECK(k.Of("\xff\xc3") == "\\xff\\xc3");
 }
 
 TEST_CASE("no bytes make two lines, nor a line that another's bytes would make") {
   CHECK(rc::check("one record, one line", [] {
-    std::string bytes = *hostile();
+    std::string bytes = *Hostile();
     Kept k;
     log::Use use(k.log);
-    log::say("%.*s", static_cast<int>(bytes.size()), bytes.data());
+    log::Say("%.*s", static_cast<int>(bytes.size()), bytes.data());
     RC_ASSERT(k.lines.size() == 1u);
-    RC_ASSERT(plain(k.lines[0]));
+    RC_ASSERT(Plain(k.lines[0]));
   }));
   CHECK(rc::check("what is escaped can be told from what is not", [] {
     std::string bytes = *rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127));
     Kept k;
-    k.log.say(bytes);
-    RC_ASSERT(undone(k.lines.at(0)) == bytes);
+    k.log.Say(bytes);
+    RC_ASSERT(Undone(k.lines.at(0)) == bytes);
   }));
 }
 
 TEST_CASE("a line has a bound before it is escaped, and one after") {
   Kept k;
-  CHECK(k.of(std::string(5000, 'a')) == std::string(log::longest, 'a'));
-  CHECK(k.of(std::string(5000, '\n')).size() == 2 * log::longest);
-  CHECK(k.of(std::string(5000, '\xff')).size() == 4 * log::longest);
+  CHECK(k.Of(std::string(5000, 'a')) == std::string(log::kLongest, 'a'));
+  CHECK(k.Of(std::string(5000, '\n')).size() == 2 * log::kLongest);
+  CHECK(k.Of(std::string(5000, '\xff')).size() == 4 * log::kLongest);
   log::Use use(k.log);
   k.lines.clear();
-  log::say("%s", std::string(5000, 'b').c_str());
-  CHECK(k.lines.at(0) == std::string(log::longest, 'b'));
+  log::Say("%s", std::string(5000, 'b').c_str());
+  CHECK(k.lines.at(0) == std::string(log::kLongest, 'b'));
 }
 
 TEST_CASE("200 at once, then 10 a second; what is left out is told") {
   Kept k;
-  for (int i = 0; i < 250; ++i) k.log.say("x");
+  for (int i = 0; i < 250; ++i) k.log.Say("x");
   CHECK(k.lines.size() == 200);
   k.now += 99;
-  k.log.say("y");
+  k.log.Say("y");
   CHECK(k.lines.size() == 200);
   k.now += 2;
-  k.log.say("z");
+  k.log.Say("z");
   REQUIRE(k.lines.size() == 202);
   CHECK(k.lines[200] == "51 lines left out");
   CHECK(k.lines[201] == "z");
   k.now += 1e9;
   k.lines.clear();
-  for (int i = 0; i < 250; ++i) k.log.say("x");
+  for (int i = 0; i < 250; ++i) k.log.Say("x");
   CHECK(k.lines.size() == 200);
 }
 
 TEST_CASE("lines go to the log in use, and back to the one before it") {
   Kept one, two;
   log::Use a(one.log);
-  log::say("%d", 1);
+  log::Say("%d", 1);
   {
     log::Use b(two.log);
-    log::say("%s", "2");
+    log::Say("%s", "2");
   }
-  log::say("%d", 3);
+  log::Say("%d", 3);
   CHECK(one.lines == std::vector<std::string>{"1", "3"});
   CHECK(two.lines == std::vector<std::string>{"2"});
 }
@@ -141,8 +141,8 @@
   int ends[2], before = ::dup(2);
   REQUIRE(::pipe2(ends, O_DIRECT) == 0);  // a pipe that keeps writes apart
   ::dup2(ends[1], 2);
-  log::say("a%sb", "\nforged");
-  log::say("%s", "second");
+  log::Say("a%sb", "\nforged");
+  log::Say("%s", "second");
   ::dup2(before, 2);
   ::close(before), ::close(ends[1]);
   char buffer[4096];
@@ -198,10 +198,10 @@
   std::string received;
   {
     FullStandardError standard_error;
-    log::say("lost");
-    log::say("lost as well");
+    log::Say("lost");
+    log::Say("lost as well");
     standard_error.Read();
-    log::say("after");
+    log::Say("after");
     received = standard_error.Read();
   }
   ::alarm(0);
@@ -211,13 +211,13 @@
 TEST_CASE("a closed standard error is borne, and what was left out is told") {
   int before = ::dup(STDERR_FILENO);
   ::close(STDERR_FILENO);
-  log::say("lost");
+  log::Say("lost");
   int ends[2];
   // The lowest free number: that of standard error stays free.
   int kept = ::open("/dev/null", O_RDWR);
   bool opened = ::pipe2(ends, O_NONBLOCK) == 0;
   ::dup2(ends[1], STDERR_FILENO);
-  log::say("after");
+  log::Say("after");
   ::dup2(before, STDERR_FILENO);
   ::close(before);
   ::close(ends[1]);
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -22,67 +22,67 @@
 std::string example, ctl, node;
 fs::path folder;
 
-std::string read(const fs::path& path) {
+std::string Read(const fs::path& path) {
   std::ifstream file(path, std::ios::binary);
   assert(file);
   std::stringstream text;
   text << file.rdbuf();
   return text.str();
 }
-void write(const fs::path& path, const std::string& text) {
+void Write(const fs::path& path, const std::string& text) {
   std::ofstream(path, std::ios::binary) << text;
-  assert(read(path) == text);
+  assert(Read(path) == text);
 }
-std::string with(std::string text, const std::string& from, const std::string& to) {
+std::string With(std::string text, const std::string& from, const std::string& to) {
   assert(text.find(from) != text.npos);
   return text.replace(text.find(from), from.size(), to);
 }
-bool names(const std::vector<migrate::Note>& notes, const std::string& field) {
+bool Names(const std::vector<migrate::Note>& notes, const std::string& field) {
   return std::any_of(notes.begin(), notes.end(), [&](const migrate::Note& n) { return n.field == field; });
 }
-StoreSheet sheetOf(const std::string& text) { return front::readCharterText(text, "new", "").sheet; }
+StoreSheet SheetOf(const std::string& text) { return front::ReadCharterText(text, "new", "").sheet; }
 
-void theNewShapeIsWhatTheModuleReads() {
-  StoreSheet old = sheetOf(example);
-  assert(old.remarks && old.linkReport < 0 && old.linkKbPerMs > 0 && old.may.twoLegsAtOnce && old.lateral);
-  migrate::Outcome done = migrate::migrated(example, "f", {});
-  StoreSheet s = sheetOf(done.text);
-  assert(!s.remarks && s.linkReport == 2 && s.linkKbPerMs == 0 && !s.may.twoLegsAtOnce && !s.lateral);
+void TheNewShapeIsWhatTheModuleReads() {
+  StoreSheet old = SheetOf(example);
+  assert(old.remarks && old.link_report < 0 && old.link_kb_per_ms > 0 && old.may.two_legs_at_once && old.lateral);
+  migrate::Outcome done = migrate::Migrated(example, "f", {});
+  StoreSheet s = SheetOf(done.text);
+  assert(!s.remarks && s.link_report == 2 && s.link_kb_per_ms == 0 && !s.may.two_legs_at_once && !s.lateral);
   for (const char* field :
        {"settings.limits.mayDuplicate", "settings.familyInfo.detail", "settings.familyInfo.lateral",
         "settings.familyInfo.pipeKbPerS", "settings.report.names", "settings.report.via"})
-    assert(names(done.changed, field));
-  assert(done.left.size() == 2 && names(done.left, "settings.familyInfo.pipeKbPerS") &&
-         names(done.left, "settings.classes.1.idempotency"));
+    assert(Names(done.changed, field));
+  assert(done.left.size() == 2 && Names(done.left, "settings.familyInfo.pipeKbPerS") &&
+         Names(done.left, "settings.classes.1.idempotency"));
   // All else as it was.
-  assert(s.offerings[1].effect == Effect::exclusive && s.may.direct && s.may.probe &&
-         s.mostLegs == old.mostLegs && s.purgeDone == old.purgeDone && s.crew == old.crew &&
-         s.longestRetryAfter == old.longestRetryAfter);
+  assert(s.offerings[1].effect == Effect::kExclusive && s.may.direct && s.may.probe &&
+         s.most_legs == old.most_legs && s.purge_done == old.purge_done && s.crew == old.crew &&
+         s.longest_retry_after == old.longest_retry_after);
 }
 
-void whatIsMovedNeedsNoFurtherMove() {
+void WhatIsMovedNeedsNoFurtherMove() {
   Target target;
   target.tickets["order-handover"] = 6000;
-  migrate::Outcome once = migrate::migrated(example, "f", target),
-                   twice = migrate::migrated(once.text, "f", target);
+  migrate::Outcome once = migrate::Migrated(example, "f", target),
+                   twice = migrate::Migrated(once.text, "f", target);
   assert(twice.changed.empty() && twice.left.empty() && twice.text == once.text);
-  StoreSheet s = sheetOf(once.text);
-  assert(s.offerings[1].effect == Effect::ticketed && s.offerings[1].span == Span::everywhere &&
+  StoreSheet s = SheetOf(once.text);
+  assert(s.offerings[1].effect == Effect::kTicketed && s.offerings[1].span == Span::kEverywhere &&
          s.offerings[1].memory == 6000);
 }
 
-void choicesAreTheOperators() {
+void ChoicesAreTheOperators() {
   Target target;
   target.siblings = "any", target.direct = false, target.joins = true, target.probes = false;
-  StoreSheet s = sheetOf(migrate::migrated(example, "f", target).text);
+  StoreSheet s = SheetOf(migrate::Migrated(example, "f", target).text);
   assert(s.lateral && !s.may.direct && s.may.join && !s.may.probe);
   // Four values are the most in a report.
-  migrate::Outcome full = migrate::migrated(
-      with(example, "[\"load_share\", \"concurrent\"]", "[\"depth\",\"tps\",\"x0\",\"err_ps\"]"), "f", {});
-  assert(names(full.left, "settings.report.names") && sheetOf(full.text).linkReport == 3);
+  migrate::Outcome full = migrate::Migrated(
+      With(example, "[\"load_share\", \"concurrent\"]", "[\"depth\",\"tps\",\"x0\",\"err_ps\"]"), "f", {});
+  assert(Names(full.left, "settings.report.names") && SheetOf(full.text).link_report == 3);
 }
 
-void badInputIsRefusedWithPlaceAndReason() {
+void BadInputIsRefusedWithPlaceAndReason() {
   struct Case {
     std::string text, said;
   };
@@ -90,18 +90,18 @@
   for (const Case& c :
        {Case{"", "f:1: "}, Case{"{\n\"name\": \"x\",\n}", "f:3: "}, Case{example + "x", "f:"},
         Case{"[]", "no JSON object"}, Case{"{}", "listen"},
-        Case{with(example, "\"pipeKbPerS\": [0, 120000]", "\"pipeKbPerS\": [0, \"wide\"]"),
+        Case{With(example, "\"pipeKbPerS\": [0, 120000]", "\"pipeKbPerS\": [0, \"wide\"]"),
              "familyInfo.pipeKbPerS is no number: wide"},
-        Case{with(example, "\"repeatable\"", "\"twice\""),
+        Case{With(example, "\"repeatable\"", "\"twice\""),
              "classes.0.idempotency is none of repeatable, by_key, once: twice"},
-        Case{with(example, "\"mayDuplicate\": true", "\"mayDuplicate\": \"yes\""),
+        Case{With(example, "\"mayDuplicate\": true", "\"mayDuplicate\": \"yes\""),
              "limits.mayDuplicate is neither true nor false: yes"},
-        Case{with(example, "\"maxAttempts\": 4", "\"maxAttempts\": 0"), "limits.maxAttempts is out of"},
-        Case{with(example, "\"purgeDone\": 6000", "\"purgeDone\": 6000, \"detail\": \"so\\nso\""),
+        Case{With(example, "\"maxAttempts\": 4", "\"maxAttempts\": 0"), "limits.maxAttempts is out of"},
+        Case{With(example, "\"purgeDone\": 6000", "\"purgeDone\": 6000, \"detail\": \"so\\nso\""),
              "familyInfo.detail is none of all, hit, none: so_so"}}) {
     std::string said;
     try {
-      migrate::migrated(c.text, "f", none);
+      migrate::Migrated(c.text, "f", none);
     } catch (const migrate::Refused& fault) {
       said = fault.what();
     }
@@ -112,7 +112,7 @@
     target.tickets[name] = 6000;
     bool refused = false;
     try {
-      migrate::migrated(example, "f", target);
+      migrate::Migrated(example, "f", target);
     } catch (const migrate::Refused&) {
       refused = true;
     }
@@ -126,82 +126,82 @@
   int code;
   std::string out, err;
 };
-Said run(const std::string& arguments) {
+Said Run(const std::string& arguments) {
   fs::path out = folder / "out.txt", err = folder / "err.txt";
   int status = std::system(
       ("'" + ctl + "' config migrate " + arguments + " >'" + out.string() + "' 2>'" + err.string() + "'")
           .c_str());
   assert(WIFEXITED(status));
-  Said said{WEXITSTATUS(status), read(out), read(err)};
+  Said said{WEXITSTATUS(status), Read(out), Read(err)};
   fs::remove(out), fs::remove(err);
   return said;
 }
-std::string quoted(const fs::path& path) { return std::string("'").append(path.string()).append("'"); }
-std::size_t files() {
+std::string Quoted(const fs::path& path) { return std::string("'").append(path.string()).append("'"); }
+std::size_t Files() {
   return static_cast<std::size_t>(std::distance(fs::directory_iterator(folder), fs::directory_iterator()));
 }
 
-void theCommandTouchesNothingButItsOutput() {
+void TheCommandTouchesNothingButItsOutput() {
   fs::path old = folder / "old.json", fresh = folder / "new.json", twin = folder / "twin.json";
-  write(old, example);
-  Said dry = run(quoted(old) + " --dry-run");
+  Write(old, example);
+  Said dry = Run(Quoted(old) + " --dry-run");
   assert(dry.code == 3 && dry.out.find("left behind settings.classes.1.idempotency") != dry.out.npos &&
-         files() == 1);
-  Said done = run(quoted(old) + " --out " + quoted(fresh));
-  assert(done.code == 3 && read(old) == example && files() == 2);
-  assert(read(fresh) == migrate::migrated(example, "f", {}).text);
+         Files() == 1);
+  Said done = Run(Quoted(old) + " --out " + Quoted(fresh));
+  assert(done.code == 3 && Read(old) == example && Files() == 2);
+  assert(Read(fresh) == migrate::Migrated(example, "f", {}).text);
   // Neither its input, under whatever name, nor another file is overwritten.
   fs::create_hard_link(old, twin);
-  std::string before = read(fresh);
+  std::string before = Read(fresh);
   for (const fs::path& taken : {old, twin, fresh}) {
-    Said said = run(quoted(old) + " --out " + quoted(taken));
+    Said said = Run(Quoted(old) + " --out " + Quoted(taken));
     assert(said.code == 2 && std::count(said.err.begin(), said.err.end(), '\n') == 1 && said.out.empty());
   }
-  assert(read(old) == example && read(fresh) == before && files() == 3);
-  Said again = run(quoted(fresh) + " --ticketed order-handover=6000 --dry-run --json");
-  assert(again.code == 0 && again.out.find("\"written\": null") != again.out.npos && json::read(again.out));
+  assert(Read(old) == example && Read(fresh) == before && Files() == 3);
+  Said again = Run(Quoted(fresh) + " --ticketed order-handover=6000 --dry-run --json");
+  assert(again.code == 0 && again.out.find("\"written\": null") != again.out.npos && json::Read(again.out));
   // Bad input: one line, 2, nothing written.
   fs::path bad = folder / "bad.json", none = folder / "none.json";
-  write(bad, "{\n  \"name\": 1,,\n}");
+  Write(bad, "{\n  \"name\": 1,,\n}");
   for (const std::string& arguments :
-       {quoted(bad) + " --dry-run", quoted(none) + " --dry-run", quoted(old), quoted(folder) + " --dry-run",
-        quoted(old) + " --dry-run --ticketed order-handover=soon",
-        quoted(old) + " --dry-run --ticketed x=6000",
-        quoted(old) + " --out '" + (folder / "no/such/place.json").string() + "'"}) {
-    Said said = run(arguments);
+       {Quoted(bad) + " --dry-run", Quoted(none) + " --dry-run", Quoted(old), Quoted(folder) + " --dry-run",
+        Quoted(old) + " --dry-run --ticketed order-handover=soon",
+        Quoted(old) + " --dry-run --ticketed x=6000",
+        Quoted(old) + " --out '" + (folder / "no/such/place.json").string() + "'"}) {
+    Said said = Run(arguments);
     assert(said.code == 2 && std::count(said.err.begin(), said.err.end(), '\n') == 1);
   }
-  assert(run(quoted(bad) + " --dry-run").err.find("bad.json:2: ") != std::string::npos && files() == 4);
-  assert(run("--help").out.find("exit: 0 all carried over, 3 something") != std::string::npos);
+  assert(Run(Quoted(bad) + " --dry-run").err.find("bad.json:2: ") != std::string::npos && Files() == 4);
+  assert(Run("--help").out.find("exit: 0 all carried over, 3 something") != std::string::npos);
 }
 
 // ---- a front that serves by it, among stand-ins on loopback
 
 // A refusal that comes from behind the cache is its source's where answers tell only hits: the pull is asked
 // of the same cache again, with another source. By the old shape the next cache is asked.
-void aFrontServesByBothShapes() {
+void AFrontServesByBothShapes() {
   for (bool moved : {false, true}) {
     loop::Loop loop;
     FarListener one, two, board;
-    loop::Address at = freeAddress();
-    std::string text = moved ? migrate::migrated(example, "f", {}).text : example;
-    for (auto& [from, to] : {std::pair{std::string("127.0.0.1:8080"), kit::text(at)},
-                             {"127.0.0.1:4222", board.text()},
-                             {"127.0.0.1:5101", one.text()},
-                             {"127.0.0.1:5102", two.text()}})
-      text = with(text, from, to);
+    loop::Address at = FreeAddress();
+    std::string text = moved ? migrate::Migrated(example, "f", {}).text : example;
+    for (auto& [from, to] : {std::pair{std::string("127.0.0.1:8080"), kit::Text(at)},
+                             {"127.0.0.1:4222", board.Text()},
+                             {"127.0.0.1:5101", one.Text()},
+                             {"127.0.0.1:5102", two.Text()}})
+      text = With(text, from, to);
     fs::path file = folder / "front.json";
-    write(file, text);
-    assert(std::system(("'" + node + "' check --config " + quoted(file) + " >/dev/null").c_str()) == 0);
+    Write(file, text);
+    assert(std::system(("'" + node + "' check --config " + Quoted(file) + " >/dev/null").c_str()) == 0);
     pid_t child = ::fork();
     assert(child >= 0);
     if (child == 0) {
       ::execl(node.c_str(), node.c_str(), "serve", "--config", file.c_str(), nullptr);
       ::_exit(127);
     }
-    Far watch = board.next(loop);
-    Far client = Far::to(at);
-    client.say(
+    Far watch = board.Next(loop);
+    Far client = Far::To(at);
+    client.Send(
         "GET /ops/video-parts/7f3a HTTP/1.1\r\nX-Request-Id: 00000000000000a1\r\nX-Timeout-Ms: 60000\r\n"
         "X-Group: 1\r\n\r\n");
     // Whichever cache is the home gets the pull; the other hears nothing of it yet.
@@ -209,29 +209,29 @@
     std::vector<FarListener*> stores{&one, &two};
     auto take = [&] {
       for (int i = 0; i < 2; ++i) {
-        int got = ::accept4(stores[static_cast<std::size_t>(i)]->fd.get(), nullptr, nullptr, SOCK_NONBLOCK);
+        int got = ::accept4(stores[static_cast<std::size_t>(i)]->fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
         if (got >= 0) heard.emplace_back(i, Far(loop::Descriptor(got)));
       }
     };
     auto wanted = [&](std::size_t n) -> std::pair<int, Far>* {  // the nth connection that carries the pull
       take();
       for (auto& one : heard)
-        if (one.second.hears("want 00000000000000a1") && n-- == 0) return &one;
+        if (one.second.Hears("want 00000000000000a1") && n-- == 0) return &one;
       return nullptr;
     };
-    until(loop, [&] { return wanted(0) != nullptr; });
+    Until(loop, [&] { return wanted(0) != nullptr; });
     int home = wanted(0)->first;
     assert(wanted(0)->second.got.find("miss=parent-1") != std::string::npos);
     std::this_thread::sleep_for(std::chrono::milliseconds(30));  // beyond the way to the cache
-    wanted(0)->second.say("00000000000000a1 SHED report=x1:0.4;concurrent:3 0\r\n\r\n");
-    until(loop, [&] { return wanted(1) != nullptr; });
+    wanted(0)->second.Send("00000000000000a1 SHED report=x1:0.4;concurrent:3 0\r\n\r\n");
+    Until(loop, [&] { return wanted(1) != nullptr; });
     assert((wanted(1)->first == home) == moved);
     assert(!moved || wanted(1)->second.got.find("miss=origin") != std::string::npos);
-    wanted(1)->second.say("00000000000000a1 HIT entity=t,issued=1,remark=local,report=x1:0.4 2\r\nok\r\n");
-    until(loop, [&] { return client.hears("\r\n\r\nok"); });
+    wanted(1)->second.Send("00000000000000a1 HIT entity=t,issued=1,remark=local,report=x1:0.4 2\r\nok\r\n");
+    Until(loop, [&] { return client.Hears("\r\n\r\nok"); });
     ::kill(child, SIGTERM);
     int status = -1;
-    until(loop, [&] { return ::waitpid(child, &status, WNOHANG) == child; });
+    Until(loop, [&] { return ::waitpid(child, &status, WNOHANG) == child; });
     assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
     fs::remove(file);
   }
@@ -241,7 +241,7 @@
 
 int main(int argc, char** argv) {
   assert(argc == 4);
-  example = read(argv[1]), ctl = argv[2], node = argv[3];
+  example = Read(argv[1]), ctl = argv[2], node = argv[3];
   std::string name = (fs::temp_directory_path() / "migrate-XXXXXX").string();
   assert(::mkdtemp(name.data()));
   folder = name;
@@ -249,12 +249,12 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"the new shape is what the module reads", theNewShapeIsWhatTheModuleReads},
-                 {"what is moved needs no further move", whatIsMovedNeedsNoFurtherMove},
-                 {"choices are the operators'", choicesAreTheOperators},
-                 {"bad input is refused with place and reason", badInputIsRefusedWithPlaceAndReason},
-                 {"a front serves by both shapes", aFrontServesByBothShapes},
-                 {"the command touches nothing but its output", theCommandTouchesNothingButItsOutput}}) {
+  for (Case c : {Case{"the new shape is what the module reads", TheNewShapeIsWhatTheModuleReads},
+                 {"what is moved needs no further move", WhatIsMovedNeedsNoFurtherMove},
+                 {"choices are the operators'", ChoicesAreTheOperators},
+                 {"bad input is refused with place and reason", BadInputIsRefusedWithPlaceAndReason},
+                 {"a front serves by both shapes", AFrontServesByBothShapes},
+                 {"the command touches nothing but its output", TheCommandTouchesNothingButItsOutput}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/mutants.cpp
+++ b/tests/mutants.cpp
@@ -22,10 +22,10 @@
       if (auto* p = std::get_if<PullCame>(&event)) note(now, *p);
       Event told = event;
       Actions actions;
-      if (tell(now, told)) actions = module(now, told);
+      if (Tell(now, told)) actions = module(now, told);
       for (const Action& a : actions)
         if (auto* s = std::get_if<SendLeg>(&a)) pulls_[s->pull].legs.push_back(*s);
-      act(now, event, actions);
+      Act(now, event, actions);
       return actions;
     };
   }
@@ -36,11 +36,11 @@
     Ms at = 0;
     std::vector<SendLeg> legs;
   };
-  virtual bool tell(Ms, Event&) { return true; }               // false: the module is not told
-  virtual void act(Ms, const Event&, Actions&) {}              // after the module's own
+  virtual bool Tell(Ms, Event&) { return true; }               // false: the module is not told
+  virtual void Act(Ms, const Event&, Actions&) {}              // after the module's own
   Effect effect(std::uint32_t pull) { return sheet_.offerings[static_cast<std::size_t>(pulls_[pull].came.offering)].effect; }
-  static bool unclear(const LegEnded& e) {
-    return e.ending == Ending::broken || e.ending == Ending::timedOut || e.ending == Ending::error;
+  static bool Unclear(const LegEnded& e) {
+    return e.ending == Ending::kBroken || e.ending == Ending::kTimedOut || e.ending == Ending::kError;
   }
 
   StoreSheet sheet_;
@@ -54,28 +54,28 @@
 };
 
 class LosesRefusals : public Around {
-  void act(Ms, const Event&, Actions& a) override {
+  void Act(Ms, const Event&, Actions& a) override {
     std::erase_if(a, [](const Action& one) {
       return std::holds_alternative<DeclinePull>(one) || std::holds_alternative<AbandonPull>(one);
     });
   }
 };
 class ForgetsToWake : public Around {
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     auto* l = std::get_if<LegEnded>(&e);
-    return !std::holds_alternative<WakeUp>(e) && !(l && l->ending == Ending::timedOut);
+    return !std::holds_alternative<WakeUp>(e) && !(l && l->ending == Ending::kTimedOut);
   }
 };
 class AnswersTwice : public Break {
-  std::string sent(std::string bytes) override {
+  std::string Sent(std::string bytes) override {
     if (!bytes.starts_with("HTTP/1.1 503")) return bytes;
     return ++count_ % 10 == 0 ? bytes + bytes : bytes;
   }
-  bool sends() const override { return true; }
+  bool Sends() const override { return true; }
   int count_ = 0;
 };
 class AnswersTooLate : public Around {  // a refusal is kept until its client's time is over
-  void act(Ms now, const Event& event, Actions& a) override {
+  void Act(Ms now, const Event& event, Actions& a) override {
     Actions now_;
     for (Action& one : a) {
       auto* d = std::get_if<DeclinePull>(&one);
@@ -93,14 +93,14 @@
     (void)now;
     a = std::move(now_);
   }
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     auto* w = std::get_if<WakeUp>(&e);
     return !w || w->handle >> 62 != 1;
   }
   std::map<std::uint32_t, DeclinePull> held_;
 };
 class HoldsRefusals : public Around {  // until shortly before its client's time is over
-  void act(Ms, const Event& event, Actions& a) override {
+  void Act(Ms, const Event& event, Actions& a) override {
     Actions out;
     for (Action& one : a) {
       auto* d = std::get_if<DeclinePull>(&one);
@@ -116,14 +116,14 @@
         out.push_back(at->second), held_.erase(at);
     a = std::move(out);
   }
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     auto* w = std::get_if<WakeUp>(&e);
     return !w || w->handle >> 62 != 1;
   }
   std::map<std::uint32_t, DeclinePull> held_;
 };
 class HoldsAWhile : public Around {  // each refusal, for a second
-  void act(Ms now, const Event& event, Actions& a) override {
+  void Act(Ms now, const Event& event, Actions& a) override {
     Actions out;
     for (Action& one : a) {
       auto* d = std::get_if<DeclinePull>(&one);
@@ -139,24 +139,24 @@
         out.push_back(at->second), held_.erase(at);
     a = std::move(out);
   }
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     auto* w = std::get_if<WakeUp>(&e);
     return !w || w->handle >> 62 != 1;
   }
   std::map<std::uint32_t, DeclinePull> held_;
 };
 class MakesUpBytes : public Break {
-  std::string sent(std::string bytes) override {
+  std::string Sent(std::string bytes) override {
     if (bytes.starts_with("HTTP/1.1 200") && bytes.size() > 300 && ++count_ % 50 == 0) bytes.back() ^= 1;
     return bytes;
   }
-  bool sends() const override { return true; }
+  bool Sends() const override { return true; }
   int count_ = 0;
 };
 class RepeatsExclusive : public Around {  // after an end that leaves unclear whether it ran
-  void act(Ms, const Event& event, Actions& a) override {
+  void Act(Ms, const Event& event, Actions& a) override {
     auto* e = std::get_if<LegEnded>(&event);
-    if (!e || e->final || !unclear(*e) || !pulls_.count(e->pull) || effect(e->pull) != Effect::exclusive) return;
+    if (!e || e->final || !Unclear(*e) || !pulls_.count(e->pull) || effect(e->pull) != Effect::kExclusive) return;
     std::erase_if(a, [&](const Action& one) {
       auto* b = std::get_if<AbandonPull>(&one);
       return b && b->pull == e->pull;
@@ -168,16 +168,16 @@
   }
 };
 class DeclinesWhatMayHaveRun : public Around {
-  void act(Ms, const Event&, Actions& a) override {
+  void Act(Ms, const Event&, Actions& a) override {
     for (Action& one : a)
-      if (auto* b = std::get_if<AbandonPull>(&one); b && effect(b->pull) == Effect::exclusive)
+      if (auto* b = std::get_if<AbandonPull>(&one); b && effect(b->pull) == Effect::kExclusive)
         one = DeclinePull{b->pull, 0};
   }
 };
 class DoublesExclusive : public Around {  // two legs at once, for speed
-  void act(Ms, const Event& event, Actions& a) override {
+  void Act(Ms, const Event& event, Actions& a) override {
     auto* p = std::get_if<PullCame>(&event);
-    if (!p || effect(p->pull) != Effect::exclusive) return;
+    if (!p || effect(p->pull) != Effect::kExclusive) return;
     for (std::size_t i = 0; i < a.size(); ++i)
       if (auto* s = std::get_if<SendLeg>(&a[i])) {
         SendLeg again = *s;
@@ -187,13 +187,13 @@
   }
 };
 class LeavesTheGroup : public Around {  // a ticketed pull goes to any machine once one fails
-  void act(Ms, const Event& event, Actions& a) override {
-    if (auto* p = std::get_if<PullCame>(&event); p && effect(p->pull) == Effect::ticketed) {
+  void Act(Ms, const Event& event, Actions& a) override {
+    if (auto* p = std::get_if<PullCame>(&event); p && effect(p->pull) == Effect::kTicketed) {
       for (const Action& one : a)
         if (auto* s = std::get_if<SendLeg>(&one); s && s->source != s->cache) parent_ = s->source;
     }
     auto* e = std::get_if<LegEnded>(&event);
-    if (!e || e->final || !unclear(*e) || !pulls_.count(e->pull) || effect(e->pull) != Effect::ticketed || parent_ == 0)
+    if (!e || e->final || !Unclear(*e) || !pulls_.count(e->pull) || effect(e->pull) != Effect::kTicketed || parent_ == 0)
       return;
     std::erase_if(a, [&](const Action& one) {
       auto* s = std::get_if<SendLeg>(&one);
@@ -207,56 +207,56 @@
   std::uint32_t parent_ = 0;
 };
 class IgnoresDrains : public Around {
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     if (auto* n = std::get_if<ListNews>(&e))
       for (ListEntry& one : n->entries)
-        if (one.standing == Standing::draining && one.kind == 0) one.standing = Standing::ready;
+        if (one.standing == Standing::kDraining && one.kind == 0) one.standing = Standing::kReady;
     return true;
   }
 };
 class FillsFromDrained : public Around {
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     if (auto* n = std::get_if<ListNews>(&e))
       for (ListEntry& one : n->entries)
-        if (one.standing == Standing::draining && one.kind == sheet_.parentKind) one.standing = Standing::ready;
+        if (one.standing == Standing::kDraining && one.kind == sheet_.parent_kind) one.standing = Standing::kReady;
     return true;
   }
 };
 class TakesColdForWarm : public Around {  // its module is handed no terms for caches that start
   Decider around(Decider, const StoreSheet& sheet) override {
     StoreSheet other = sheet;
-    other.coldStore = {};
-    return Around::around(exchange::moduleFor(other, 1), sheet);
+    other.cold_store = {};
+    return Around::around(exchange::ModuleFor(other, 1), sheet);
   }
 };
 class TakesColdAreaForWarm : public Around {
   Decider around(Decider, const StoreSheet& sheet) override {
     StoreSheet other = sheet;
-    other.coldParent = {};
-    return Around::around(exchange::moduleFor(other, 1), sheet);
+    other.cold_parent = {};
+    return Around::around(exchange::ModuleFor(other, 1), sheet);
   }
 };
 class ForgetsPurges : public Around {
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     auto* p = std::get_if<Purged>(&e);
-    return !p || p->wholeGroup;
+    return !p || p->whole_group;
   }
 };
 class ForgetsGroupPurges : public Around {
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     auto* p = std::get_if<Purged>(&e);
-    return !p || !p->wholeGroup;
+    return !p || !p->whole_group;
   }
 };
 class AsksNoAge : public Around {
-  void act(Ms, const Event&, Actions& a) override {
+  void Act(Ms, const Event&, Actions& a) override {
     for (Action& one : a)
       if (auto* s = std::get_if<SendLeg>(&one)) s->oldest = 0;
   }
 };
 
 class GoesFar : public Around {  // half its pulls go to another zone, whatever its fleet says
-  bool tell(Ms, Event& e) override {
+  bool Tell(Ms, Event& e) override {
     if (auto* told = std::get_if<ZoneShares>(&e)) told->shares = shares_;
     return true;
   }
@@ -269,7 +269,7 @@
   std::vector<double> shares_;
 };
 class GoesByItsOwnView : public Around {  // a cache that it sets aside sends it to another zone, without asking its fleet
-  void act(Ms now, const Event&, Actions& a) override {
+  void Act(Ms now, const Event&, Actions& a) override {
     for (const Action& one : a)
       if (auto* told = std::get_if<TellHealth>(&one); told && told->aside) {
         std::vector<double> shares(4, 0);
@@ -285,87 +285,87 @@
 };
 
 template <class T>
-drill::Breaker made() {
+drill::Breaker Made() {
   return [] { return std::unique_ptr<Break>(std::make_unique<T>()); };
 }
 
-const char* const crowd = R"({"length_s": 14, "troubles": [
+const char* const kCrowd = R"({"length_s": 14, "troubles": [
   {"what": "crowd", "at_s": 2, "for_s": 10, "factor": 2.5}]})";
-const char* const brokenLegs = R"({"length_s": 25, "troubles": [
+const char* const kBrokenLegs = R"({"length_s": 25, "troubles": [
   {"what": "broken_off", "whom": "office", "at_s": 2, "for_s": 22, "share": 0.5},
   {"what": "broken_off", "whom": "cache", "count": 0, "at_s": 2, "for_s": 22, "share": 0.05}]})";
-const char* const brokenTickets = R"({"length_s": 25, "ticketed": true, "troubles": [
+const char* const kBrokenTickets = R"({"length_s": 25, "ticketed": true, "troubles": [
   {"what": "broken_off", "whom": "cache", "count": 0, "at_s": 2, "for_s": 22, "share": 0.05}]})";
-const char* const drains = R"({"length_s": 20, "troubles": [
+const char* const kDrains = R"({"length_s": 20, "troubles": [
   {"what": "drain", "whom": "cache", "count": 3, "at_s": 4, "for_s": 6},
   {"what": "drain", "whom": "area", "at_s": 5, "for_s": 6}]})";
-const char* const coldCaches = R"({"length_s": 25, "load": {"pulls_per_s": 240, "of_capacity": 1.3}, "troubles": [
+const char* const kColdCaches = R"({"length_s": 25, "load": {"pulls_per_s": 240, "of_capacity": 1.3}, "troubles": [
   {"what": "restart", "whom": "cache", "count": 0, "at_s": 4, "for_s": 1}]})";
-const char* const coldAreas = R"({"length_s": 30, "load": {"pulls_per_s": 240, "of_capacity": 0.9}, "troubles": [
+const char* const kColdAreas = R"({"length_s": 30, "load": {"pulls_per_s": 240, "of_capacity": 0.9}, "troubles": [
   {"what": "restart", "whom": "area", "count": 1, "at_s": 4, "for_s": 2}]})";
-const char* const alone = R"({"length_s": 20, "fleet": {"fronts": 6, "in_common": true}, "troubles": [
+const char* const kAlone = R"({"length_s": 20, "fleet": {"fronts": 6, "in_common": true}, "troubles": [
   {"what": "apart", "whom": "front-1", "at_s": 2, "for_s": 16},
   {"what": "kill", "whom": "cache", "count": 6, "at_s": 6}]})";
-const char* const purges = R"({"length_s": 30, "troubles": [
+const char* const kPurges = R"({"length_s": 30, "troubles": [
   {"what": "purge", "at_s": 10, "count": 30}, {"what": "purge", "at_s": 14, "count": 30},
   {"what": "purge_groups", "at_s": 18, "share": 0.4}]})";
 
 }  // namespace
 
-const std::vector<Mutant>& all() {
-  static const std::vector<Mutant> list{
-      {"loses-refusals", "what is declined or abandoned is never told", Rule::answer, made<LosesRefusals>(), crowd},
-      {"forgets-to-wake", "neither a pull nor a leg is ended by its time", Rule::answer, made<ForgetsToWake>(),
+const std::vector<Mutant>& All() {
+  static const std::vector<Mutant> kList{
+      {"loses-refusals", "what is declined or abandoned is never told", Rule::kAnswer, Made<LosesRefusals>(), kCrowd},
+      {"forgets-to-wake", "neither a pull nor a leg is ended by its time", Rule::kAnswer, Made<ForgetsToWake>(),
        R"({"length_s": 20, "troubles": [{"what": "swallowed", "whom": "cache", "count": 0, "at_s": 2, "for_s": 15, "share": 0.05},
           {"what": "swallowed", "whom": "office", "at_s": 2, "for_s": 15, "share": 0.3}]})"},
-      {"answers-twice", "one refusal in ten is written twice", Rule::answer, made<AnswersTwice>(), crowd},
-      {"answers-too-late", "a refusal comes after its client's time", Rule::answer, made<AnswersTooLate>(), crowd},
-      {"makes-up-bytes", "one answer in fifty has a byte changed", Rule::answer, made<MakesUpBytes>(),
+      {"answers-twice", "one refusal in ten is written twice", Rule::kAnswer, Made<AnswersTwice>(), kCrowd},
+      {"answers-too-late", "a refusal comes after its client's time", Rule::kAnswer, Made<AnswersTooLate>(), kCrowd},
+      {"makes-up-bytes", "one answer in fifty has a byte changed", Rule::kAnswer, Made<MakesUpBytes>(),
        R"({"length_s": 8})"},
-      {"repeats-exclusive", "an exclusive pull goes out again after an unclear end", Rule::effect,
-       made<RepeatsExclusive>(), brokenLegs},
-      {"declines-what-may-have-run", "an exclusive pull with an unclear end is declined", Rule::effect,
-       made<DeclinesWhatMayHaveRun>(), brokenLegs},
-      {"doubles-exclusive", "an exclusive pull gets two legs at once", Rule::effect, made<DoublesExclusive>(),
+      {"repeats-exclusive", "an exclusive pull goes out again after an unclear end", Rule::kEffect,
+       Made<RepeatsExclusive>(), kBrokenLegs},
+      {"declines-what-may-have-run", "an exclusive pull with an unclear end is declined", Rule::kEffect,
+       Made<DeclinesWhatMayHaveRun>(), kBrokenLegs},
+      {"doubles-exclusive", "an exclusive pull gets two legs at once", Rule::kEffect, Made<DoublesExclusive>(),
        R"({"length_s": 8})"},
-      {"leaves-the-group", "a ticketed pull with an unclear end goes to another group", Rule::effect,
-       made<LeavesTheGroup>(), brokenTickets},
-      {"ignores-drains", "legs go on to a cache that drains", Rule::drain, made<IgnoresDrains>(), drains},
-      {"fills-from-drained", "an area cache that drains is still named as a source", Rule::drain,
-       made<FillsFromDrained>(), drains},
-      {"takes-cold-for-warm", "a cache that has just started gets its full share", Rule::cold,
-       made<TakesColdForWarm>(), coldCaches},
-      {"takes-cold-area-for-warm", "an area cache that has just started gets all its fills", Rule::cold,
-       made<TakesColdAreaForWarm>(), coldAreas},
-      {"forgets-purges", "purges of objects are not passed on", Rule::purge, made<ForgetsPurges>(), purges},
-      {"forgets-group-purges", "purges of groups are not passed on", Rule::purge, made<ForgetsGroupPurges>(), purges},
-      {"asks-no-age", "no leg says how old a copy may be", Rule::purge, made<AsksNoAge>(), purges},
-      {"holds-refusals", "a refusal is held until near its client's time", Rule::held, made<HoldsRefusals>(), crowd},
-      {"goes-far", "half the pulls go to another zone, whatever the fleet says", Rule::near, made<GoesFar>(), alone},
-      {"goes-by-its-own-view", "a front leaves its zone by what it alone sees", Rule::near, made<GoesByItsOwnView>(), alone},
-      {"holds-a-while", "a refusal is held for a second", Rule::held, made<HoldsAWhile>(), crowd},
+      {"leaves-the-group", "a ticketed pull with an unclear end goes to another group", Rule::kEffect,
+       Made<LeavesTheGroup>(), kBrokenTickets},
+      {"ignores-drains", "legs go on to a cache that drains", Rule::kDrain, Made<IgnoresDrains>(), kDrains},
+      {"fills-from-drained", "an area cache that drains is still named as a source", Rule::kDrain,
+       Made<FillsFromDrained>(), kDrains},
+      {"takes-cold-for-warm", "a cache that has just started gets its full share", Rule::kCold,
+       Made<TakesColdForWarm>(), kColdCaches},
+      {"takes-cold-area-for-warm", "an area cache that has just started gets all its fills", Rule::kCold,
+       Made<TakesColdAreaForWarm>(), kColdAreas},
+      {"forgets-purges", "purges of objects are not passed on", Rule::kPurge, Made<ForgetsPurges>(), kPurges},
+      {"forgets-group-purges", "purges of groups are not passed on", Rule::kPurge, Made<ForgetsGroupPurges>(), kPurges},
+      {"asks-no-age", "no leg says how old a copy may be", Rule::kPurge, Made<AsksNoAge>(), kPurges},
+      {"holds-refusals", "a refusal is held until near its client's time", Rule::kHeld, Made<HoldsRefusals>(), kCrowd},
+      {"goes-far", "half the pulls go to another zone, whatever the fleet says", Rule::kNear, Made<GoesFar>(), kAlone},
+      {"goes-by-its-own-view", "a front leaves its zone by what it alone sees", Rule::kNear, Made<GoesByItsOwnView>(), kAlone},
+      {"holds-a-while", "a refusal is held for a second", Rule::kHeld, Made<HoldsAWhile>(), kCrowd},
   };
-  return list;
+  return kList;
 }
 
-Verdict judge(const Mutant& m, std::uint64_t seeds) {
-  drill::Script script = drill::readScriptText(m.name, m.drill);
+Verdict Judge(const Mutant& m, std::uint64_t seeds) {
+  drill::Script script = drill::ReadScriptText(m.name, m.drill);
   Verdict v;
-  for (std::uint64_t seed = 1; seed <= seeds && !v.byItsRule; ++seed) {
+  for (std::uint64_t seed = 1; seed <= seeds && !v.by_its_rule; ++seed) {
     drill::Options options;
     options.seed = seed;
     options.breaker = m.breaker;
-    drill::Outcome o = drill::play(script, options);
-    if (o.kept()) continue;
+    drill::Outcome o = drill::Play(script, options);
+    if (o.Kept()) continue;
     v.caught = true;
     v.seed = seed;
     for (const rules::Breach& b : o.breaches)
       if (b.rule == m.breaks) {
-        v.byItsRule = true, v.first = b;
+        v.by_its_rule = true, v.first = b;
         break;
       }
     options.breaker = nullptr;
-    v.unbrokenKept = drill::play(script, options).kept();
+    v.unbroken_kept = drill::Play(script, options).Kept();
   }
   return v;
 }
--- a/tests/mutants.hpp
+++ b/tests/mutants.hpp
@@ -15,14 +15,14 @@
   std::string drill;  // JSON, as a script's file
 };
 
-const std::vector<Mutant>& all();
+const std::vector<Mutant>& All();
 
 struct Verdict {
-  bool caught = false, byItsRule = false, unbrokenKept = false;
+  bool caught = false, by_its_rule = false, unbroken_kept = false;
   std::uint64_t seed = 0;  // with which it was caught
   rules::Breach first;     // of its rule, where that was found
 };
 // Up to `seeds` runs until it is caught; the unbroken front plays the same.
-Verdict judge(const Mutant& mutant, std::uint64_t seeds);
+Verdict Judge(const Mutant& mutant, std::uint64_t seeds);
 
 }  // namespace dunlinwick::mutants
--- a/tests/peers_front_test.cpp
+++ b/tests/peers_front_test.cpp
@@ -23,35 +23,35 @@
   int woken = 0;
   explicit Notes(peers::Channel c) : on(c) {}
   peers::Channel channel() const override { return on; }
-  void heard(peers::Id from, std::span<const char> m) override { came.emplace_back(from, std::string(m.data(), m.size())); }
-  void raw(std::span<const char> d) override { raws.emplace_back(d.data(), d.size()); }
-  void wake() override { ++woken; }
-  front::Ms wakeAt() const override { return 1e300; }
-  std::string view() const override { return std::string("{\"part\":\"") + peers::word(on) + "\"}"; }
+  void Heard(peers::Id from, std::span<const char> m) override { came.emplace_back(from, std::string(m.data(), m.size())); }
+  void Raw(std::span<const char> d) override { raws.emplace_back(d.data(), d.size()); }
+  void Wake() override { ++woken; }
+  front::Ms WakeAt() const override { return 1e300; }
+  std::string view() const override { return std::string("{\"part\":\"") + peers::ToString(on) + "\"}"; }
 };
 
-loop::Address at(int last, int port) { return *loop::readAddress("127.0.0." + std::to_string(last) + ":" + std::to_string(port)); }
+loop::Address At(int last, int port) { return *loop::ReadAddress("127.0.0." + std::to_string(last) + ":" + std::to_string(port)); }
 
-std::string refusal(const std::string& blocks) {
+std::string Refusal(const std::string& blocks) {
   std::ifstream file(EXAMPLE);
   std::stringstream text;
   text << file.rdbuf();
   std::string all = text.str();
   all.insert(all.find('{') + 1, blocks + ",");
   try {
-    front::readCharterText(all, "test", "");
+    front::ReadCharterText(all, "test", "");
   } catch (const std::exception& fault) {
     return fault.what();
   }
   return "";
 }
 
-const std::string good = R"("peers": {"self": 2, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "127.0.0.100:7401"}, {"id": 2, "at": "127.0.0.10:7400"}]})";
-std::string fleetOf(const std::string& self, const std::string& listen, const std::string& members) {
-  return good + R"(, "fleet": {"self": )" + self + listen + R"(, "zones": [{"name": "a", "region": "n"}], "members": [)" + members + "]}";
+const std::string kGood = R"("peers": {"self": 2, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "127.0.0.100:7401"}, {"id": 2, "at": "127.0.0.10:7400"}]})";
+std::string FleetOf(const std::string& self, const std::string& listen, const std::string& members) {
+  return kGood + R"(, "fleet": {"self": )" + self + listen + R"(, "zones": [{"name": "a", "region": "n"}], "members": [)" + members + "]}";
 }
-std::string ownerOf(const std::string& members, const std::string& places) {
-  return good + R"(, "owner": {"self": 2, "members": [)" + members + R"(], "places": [)" + places + R"(], "group": [1, 2, 3], "works": []})";
+std::string OwnerOf(const std::string& members, const std::string& places) {
+  return kGood + R"(, "owner": {"self": 2, "members": [)" + members + R"(], "places": [)" + places + R"(], "group": [1, 2, 3], "works": []})";
 }
 
 }  // namespace
@@ -61,20 +61,20 @@
   int port = 20000 + ::getpid() % 20000;
   front::PeersTerms one, two;
   one.on = two.on = true, one.self = 1, two.self = 2;
-  one.listen = at(31, port), two.listen = at(32, port);
+  one.listen = At(31, port), two.listen = At(32, port);
   one.at = two.at = {{1, one.listen}, {2, two.listen}};
   front::Peers a(loop, one), b(loop, two);
-  Notes record(peers::Channel::record), owner(peers::Channel::owner), members(peers::Channel::members);
-  b.carry(record), b.carry(owner), b.carry(members);
+  Notes record(peers::Channel::kRecord), owner(peers::Channel::kOwner), members(peers::Channel::kMembers);
+  b.Carry(record), b.Carry(owner), b.Carry(members);
   std::string bulk;
   for (std::uint32_t i = 0; i < 300000; ++i) bulk += static_cast<char>(i * i >> 7);
-  a.send(peers::Channel::record, 2, bulk);
-  a.send(peers::Channel::members, 2, "probe");
-  a.send(peers::Channel::members, 9, "to nobody");
-  loop::Descriptor other(loop.ground(), loop.ground().openDatagrams(at(33, port)));
-  auto say = [&](const std::string& d) { loop.ground().sendTo(other.get(), d, two.listen); };
-  say(peers::encode(peers::Channel::members, 7, peers::Kind::whole, std::string("a stranger")));
-  say(peers::encode(peers::Channel::members, 2, peers::Kind::whole, std::string("oneself")));
+  a.Send(peers::Channel::kRecord, 2, bulk);
+  a.Send(peers::Channel::kMembers, 2, "probe");
+  a.Send(peers::Channel::kMembers, 9, "to nobody");
+  loop::Descriptor other(loop.ground(), loop.ground().OpenDatagrams(At(33, port)));
+  auto say = [&](const std::string& d) { loop.ground().SendTo(other.Get(), d, two.listen); };
+  say(peers::Encode(peers::Channel::kMembers, 7, peers::Kind::kWhole, std::string("a stranger")));
+  say(peers::Encode(peers::Channel::kMembers, 2, peers::Kind::kWhole, std::string("oneself")));
   say("DO\x01 what a place did");
   say("junk"), say(""), say("DP"), say(std::string(3000, 'D'));
   for (const char* q : {"DW?", "DO?", "DP?"}) say(q);
@@ -89,48 +89,48 @@
   std::vector<std::string> answers;
   char buffer[4096];
   loop::Address from{};
-  for (ssize_t got = 0; (got = loop.ground().receiveFrom(other.get(), buffer, from)) >= 0;) answers.emplace_back(buffer, static_cast<std::size_t>(got));
+  for (ssize_t got = 0; (got = loop.ground().ReceiveFrom(other.Get(), buffer, from)) >= 0;) answers.emplace_back(buffer, static_cast<std::size_t>(got));
   REQUIRE(answers.size() == 3);
   CHECK(answers[0] == "{\"part\":\"members\"}");
   CHECK(answers[1] == "{\"part\":\"owner\"}");
-  auto v = json::read(answers[2]);
+  auto v = json::Read(answers[2]);
   REQUIRE(v);
-  auto now = json::read(b.view());
+  auto now = json::Read(b.view());
   REQUIRE(now);
   CHECK(now->number("strangers") == 2.0);
   CHECK(now->number("junk") == 4.0);
-  CHECK(json::read(a.view())->number("unsent") == 1.0);
+  CHECK(json::Read(a.view())->number("unsent") == 1.0);
 }
 
 TEST_CASE("a peers block is refused whole, with field and reason") {
-  CHECK(refusal(good) == "");
-  CHECK(refusal(R"("peers": 7)") == "peers: an object wanted");
-  CHECK(refusal(R"("peers": ["10.3.0.1:7946"])") == "");  // the platform's own word for the addresses, no block of ours
-  CHECK(refusal(R"("peers": {})") == "peers.self: a whole number from 1 to 1000000000 wanted");
-  CHECK(refusal(R"("peers": {"self": 0})") == "peers.self: a whole number from 1 to 1000000000 wanted");
-  CHECK(refusal(R"("peers": {"self": 1})") == "peers.listen: an address such as 127.0.0.10:7400 wanted");
-  CHECK(refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": []})") == "peers.members: 1 to 128 wanted, each with id and at");
-  CHECK(refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 2, "at": "127.0.0.1:1"}]})") == "peers.self: not among members");
-  CHECK(refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "x"}]})") ==
+  CHECK(Refusal(kGood) == "");
+  CHECK(Refusal(R"("peers": 7)") == "peers: an object wanted");
+  CHECK(Refusal(R"("peers": ["10.3.0.1:7946"])") == "");  // the platform's own word for the addresses, no block of ours
+  CHECK(Refusal(R"("peers": {})") == "peers.self: a whole number from 1 to 1000000000 wanted");
+  CHECK(Refusal(R"("peers": {"self": 0})") == "peers.self: a whole number from 1 to 1000000000 wanted");
+  CHECK(Refusal(R"("peers": {"self": 1})") == "peers.listen: an address such as 127.0.0.10:7400 wanted");
+  CHECK(Refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": []})") == "peers.members: 1 to 128 wanted, each with id and at");
+  CHECK(Refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 2, "at": "127.0.0.1:1"}]})") == "peers.self: not among members");
+  CHECK(Refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "x"}]})") ==
         "peers.members[0].at: an address such as 127.0.0.10:7400 wanted");
-  CHECK(refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "127.0.0.1:1"}, {"id": 1, "at": "127.0.0.1:2"}]})") ==
+  CHECK(Refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "127.0.0.1:1"}, {"id": 1, "at": "127.0.0.1:2"}]})") ==
         "peers.members[1].id: given twice");
-  CHECK(refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [3]})") == "peers.members[0]: an object with id and at wanted");
+  CHECK(Refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [3]})") == "peers.members[0]: an object with id and at wanted");
 }
 
 TEST_CASE("the fleet and the owner over peers go by its ids; with a listen of their own they go as before") {
-  CHECK(refusal(fleetOf("2", "", R"({"id": 1, "zone": "a"}, {"id": 2, "zone": "a"})")) == "");
-  CHECK(refusal(fleetOf("1", "", R"({"id": 1, "zone": "a"})")) == "fleet.self: another than peers.self, over whose socket the fleet runs");
-  CHECK(refusal(fleetOf("2", "", R"({"id": 3, "zone": "a"}, {"id": 2, "zone": "a"})")) == "fleet.members[0].id: not among peers.members, over whose socket the fleet runs");
-  CHECK(refusal(fleetOf("2", "", R"({"id": 2, "at": "127.0.0.1:1", "zone": "a"})")) ==
+  CHECK(Refusal(FleetOf("2", "", R"({"id": 1, "zone": "a"}, {"id": 2, "zone": "a"})")) == "");
+  CHECK(Refusal(FleetOf("1", "", R"({"id": 1, "zone": "a"})")) == "fleet.self: another than peers.self, over whose socket the fleet runs");
+  CHECK(Refusal(FleetOf("2", "", R"({"id": 3, "zone": "a"}, {"id": 2, "zone": "a"})")) == "fleet.members[0].id: not among peers.members, over whose socket the fleet runs");
+  CHECK(Refusal(FleetOf("2", "", R"({"id": 2, "at": "127.0.0.1:1", "zone": "a"})")) ==
         "fleet.members[0].at: goes with a listen of the fleet's own; peers.members says where each is");
-  CHECK(refusal(fleetOf("0", R"(, "listen": "127.0.0.10:7500")", R"({"id": 0, "at": "127.0.0.1:1", "zone": "a"})")) == "");
-  CHECK(refusal(R"("fleet": {"self": 0, "zones": [{"name": "a", "region": "n"}], "members": [{"id": 0, "at": "127.0.0.1:1", "zone": "a"}]})") ==
+  CHECK(Refusal(FleetOf("0", R"(, "listen": "127.0.0.10:7500")", R"({"id": 0, "at": "127.0.0.1:1", "zone": "a"})")) == "");
+  CHECK(Refusal(R"("fleet": {"self": 0, "zones": [{"name": "a", "region": "n"}], "members": [{"id": 0, "at": "127.0.0.1:1", "zone": "a"}]})") ==
         "fleet.listen: an address such as 127.0.0.10:7400 wanted");
-  CHECK(refusal(ownerOf(R"({"id": 1}, {"id": 2}, {"id": 3})", R"({"id": 1000, "at": "127.0.0.1:1"})")) ==
+  CHECK(Refusal(OwnerOf(R"({"id": 1}, {"id": 2}, {"id": 3})", R"({"id": 1000, "at": "127.0.0.1:1"})")) ==
         "owner.members[2].id: not among peers.members, over whose socket the owner runs");
-  CHECK(refusal(ownerOf(R"({"id": 1, "at": "127.0.0.1:1"}, {"id": 2})", R"({"id": 1000, "at": "127.0.0.1:1"})")) ==
+  CHECK(Refusal(OwnerOf(R"({"id": 1, "at": "127.0.0.1:1"}, {"id": 2})", R"({"id": 1000, "at": "127.0.0.1:1"})")) ==
         "owner.members[0].at: goes with a listen of the owner's own; peers.members says where each is");
-  CHECK(refusal(ownerOf(R"({"id": 1}, {"id": 2})", R"({"id": 2, "at": "127.0.0.1:1"})")) == "owner.places[0].id: given twice");
-  CHECK(refusal(ownerOf(R"({"id": 2})", R"({"id": 1, "at": "127.0.0.1:1"})")) == "owner.places[0].id: is a peer's");
+  CHECK(Refusal(OwnerOf(R"({"id": 1}, {"id": 2})", R"({"id": 2, "at": "127.0.0.1:1"})")) == "owner.places[0].id: given twice");
+  CHECK(Refusal(OwnerOf(R"({"id": 2})", R"({"id": 1, "at": "127.0.0.1:1"})")) == "owner.places[0].id: is a peer's");
 }
--- a/tests/record_storage_test.cpp
+++ b/tests/record_storage_test.cpp
@@ -15,115 +15,115 @@
 
 namespace {
 
-constexpr Id replicas = 3;
-constexpr Id writerId = 9;  // a front that is no replica itself
-constexpr Ms failingFor = 3000;
-constexpr Ms settleTime = 60000;
+constexpr Id kReplicas = 3;
+constexpr Id kWriterId = 9;  // a front that is no replica itself
+constexpr Ms kFailingFor = 3000;
+constexpr Ms kSettleTime = 60000;
 // Opening and the promise to the first writer: a record whose disks are all empty is founded by all replicas,
 // so until then one that fails holds it up; after that the others go on.
-constexpr std::uint64_t foundingCalls = 2;
+constexpr std::uint64_t kFoundingCalls = 2;
 
 class Cluster {
  public:
   std::map<Id, MemoryDisk> disks;
   std::map<Id, int> open;
   std::map<Offset, std::size_t> acknowledged;  // offset; on how many disks it was then
-  std::size_t twiceOpen = 0;
+  std::size_t twice_open = 0;
   std::vector<std::string> lines;
 
   Cluster() {
-    for (Id id = 1; id <= replicas; ++id) disks[id];
+    for (Id id = 1; id <= kReplicas; ++id) disks[id];
   }
-  void start(Id id) {
-    auto openDisk = [this, id]() -> std::unique_ptr<Disk> {
+  void Start(Id id) {
+    auto open_disk = [this, id]() -> std::unique_ptr<Disk> {
       return std::make_unique<OpenedDisk>(disks[id], open[id]);
     };
     auto say = [this](const std::string& line) { lines.push_back(line); };
-    replicas_[id] = std::make_unique<Replica>(id, ids(), ReplicaTerms{}, openDisk, id, now_, say);
+    replicas_[id] = std::make_unique<Replica>(id, Ids(), ReplicaTerms{}, open_disk, id, now_, say);
   }
-  void stop(Id id) { replicas_[id].reset(); }
-  void startAll() {
-    for (Id id = 1; id <= replicas; ++id) start(id);
-    writer_ = std::make_unique<Writer>(writerId, ids(), KeeperTerms{}, LogTerms{}, 1000, now_);
+  void Stop(Id id) { replicas_[id].reset(); }
+  void StartAll() {
+    for (Id id = 1; id <= kReplicas; ++id) Start(id);
+    writer_ = std::make_unique<Writer>(kWriterId, Ids(), KeeperTerms{}, LogTerms{}, 1000, now_);
   }
   // One write is given each 100 ms while the writer serves.
-  void run(Ms until, const std::function<bool()>& holds = {}) {
-    constexpr Ms tick = 20;
-    constexpr Ms writeEach = 100;
+  void Run(Ms until, const std::function<bool()>& holds = {}) {
+    constexpr Ms kTick = 20;
+    constexpr Ms kWriteEach = 100;
     while (now_ < until && !(holds && holds())) {
       now_ += 1;
-      deliver();
-      if (std::fmod(now_, tick) == 0) tickAll();
-      if (std::fmod(now_, writeEach) == 0) write();
-      for (auto& [id, count] : open) twiceOpen += count > 1;
+      Deliver();
+      if (std::fmod(now_, kTick) == 0) TickAll();
+      if (std::fmod(now_, kWriteEach) == 0) Write();
+      for (auto& [id, count] : open) twice_open += count > 1;
     }
   }
   Ms now() const { return now_; }
   Writer& writer() { return *writer_; }
   Replica& replica(Id id) { return *replicas_[id]; }
-  bool isServing() const { return writer_->phase() == Phase::serving && writer_->committed() > 0; }
+  bool IsServing() const { return writer_->phase() == Phase::kServing && writer_->Committed() > 0; }
   // All hold the same up to what the writer has committed.
-  bool isWhole() {
-    if (!isServing()) return false;
-    for (Id id = 1; id <= replicas; ++id) {
-      if (!replicas_[id] || !replicas_[id]->isOpen()) return false;
+  bool IsWhole() {
+    if (!IsServing()) return false;
+    for (Id id = 1; id <= kReplicas; ++id) {
+      if (!replicas_[id] || !replicas_[id]->IsOpen()) return false;
       const Log& log = *replicas_[id]->log();
-      if (log.last() + 1 < writer_->committed() || !log.holes(1).empty() || !log.whole()) return false;
-      if (log.head().committed + 1 < writer_->committed()) return false;
+      if (log.Last() + 1 < writer_->Committed() || !log.Holes(1).empty() || !log.Whole()) return false;
+      if (log.head().committed + 1 < writer_->Committed()) return false;
     }
     return true;
   }
   // How many of the acknowledged are on fewer disks now than a majority.
-  std::size_t owed() {
+  std::size_t Owed() {
     std::size_t missing = 0;
-    for (const auto& [offset, copies] : acknowledged) missing += copiesOf(offset) < majority;
+    for (const auto& [offset, copies] : acknowledged) missing += CopiesOf(offset) < kMajority;
     return missing;
   }
-  std::size_t acknowledgedTooEarly() const {
+  std::size_t AcknowledgedTooEarly() const {
     std::size_t early = 0;
-    for (const auto& [offset, copies] : acknowledged) early += copies < majority;
+    for (const auto& [offset, copies] : acknowledged) early += copies < kMajority;
     return early;
   }
 
  private:
-  static constexpr std::size_t majority = 2;
+  static constexpr std::size_t kMajority = 2;
   struct Sent {
     Ms at = 0;
     Id from = 0;
     Id to = 0;
     Message message;
   };
-  static std::vector<Id> ids() { return {1, 2, 3}; }
-  Send sendFrom(Id from) {
+  static std::vector<Id> Ids() { return {1, 2, 3}; }
+  Send SendFrom(Id from) {
     return [this, from](Id to, const Message& message) { wire_.push_back({now_ + 1, from, to, message}); };
   }
-  std::size_t copiesOf(Offset offset) {
+  std::size_t CopiesOf(Offset offset) {
     std::size_t copies = 0;
-    for (auto& [id, disk] : disks) copies += disk.has(offset);
+    for (auto& [id, disk] : disks) copies += disk.Has(offset);
     return copies;
   }
-  void deliver() {
+  void Deliver() {
     while (!wire_.empty() && wire_.front().at <= now_) {
       Sent sent = std::move(wire_.front());
       wire_.pop_front();
-      if (sent.to == writerId) writer_->receive(now_, sent.from, sent.message, sendFrom(writerId));
+      if (sent.to == kWriterId) writer_->Receive(now_, sent.from, sent.message, SendFrom(kWriterId));
       else if (replicas_[sent.to])
-        replicas_[sent.to]->receive(now_, sent.from, sent.message, sendFrom(sent.to));
+        replicas_[sent.to]->Receive(now_, sent.from, sent.message, SendFrom(sent.to));
     }
   }
-  void tickAll() {
-    writer_->tick(now_, sendFrom(writerId));
+  void TickAll() {
+    writer_->Tick(now_, SendFrom(kWriterId));
     for (auto& [id, replica] : replicas_)
-      if (replica) replica->tick(now_, sendFrom(id));
+      if (replica) replica->Tick(now_, SendFrom(id));
   }
-  void write() {
-    if (writer_->phase() != Phase::serving) return;
+  void Write() {
+    if (writer_->phase() != Phase::kServing) return;
     Writer::Put put;
     put.key = "object/" + std::to_string(++written_);
     auto done = [this](Writer::Outcome outcome, Offset first) {
-      if (outcome == Writer::Outcome::acknowledged) acknowledged[first] = copiesOf(first);
+      if (outcome == Writer::Outcome::kAcknowledged) acknowledged[first] = CopiesOf(first);
     };
-    writer_->put(now_, {put}, done, sendFrom(writerId));
+    writer_->Write(now_, {put}, done, SendFrom(kWriterId));
   }
 
   std::map<Id, std::unique_ptr<Replica>> replicas_;
@@ -133,13 +133,13 @@
   Ms now_ = 1e6;
 };
 
-std::uint64_t callsOfAQuietRun() {
+std::uint64_t CallsOfAQuietRun() {
   Cluster cluster;
-  cluster.startAll();
-  cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
-  REQUIRE(cluster.isWhole());
-  cluster.run(cluster.now() + 1000);
-  return cluster.disks[1].calls();
+  cluster.StartAll();
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
+  REQUIRE(cluster.IsWhole());
+  cluster.Run(cluster.now() + 1000);
+  return cluster.disks[1].Calls();
 }
 
 }  // namespace
@@ -147,37 +147,37 @@
 TEST_CASE(
     "a replica whose disk fails at any call for a while owes nothing it acknowledged and comes back by "
     "itself") {
-  std::uint64_t calls = callsOfAQuietRun();
+  std::uint64_t calls = CallsOfAQuietRun();
   REQUIRE(calls >= 10);
-  for (Fate fate : {Fate::failsBefore, Fate::failsAfter, Fate::full})
+  for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter, Fate::kFull})
     for (std::uint64_t call = 1; call <= calls; ++call) {
       CAPTURE(static_cast<int>(fate));
       CAPTURE(call);
       Cluster cluster;
-      Ms failsUntil = -1;
+      Ms fails_until = -1;
       cluster.disks[1].fate = [&](std::uint64_t number) {
-        if (number == call) failsUntil = cluster.now() + failingFor;
-        return cluster.now() < failsUntil ? fate : Fate::well;
+        if (number == call) fails_until = cluster.now() + kFailingFor;
+        return cluster.now() < fails_until ? fate : Fate::kWell;
       };
-      cluster.startAll();
-      cluster.run(cluster.now() + settleTime, [&] { return failsUntil >= 0; });
-      REQUIRE(failsUntil >= 0);
-      cluster.run(failsUntil);
-      bool isNeeded = call <= foundingCalls;
-      CHECK(cluster.isServing() == !isNeeded);
-      CHECK((cluster.acknowledged.size() > 0) == !isNeeded);
-      cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
-      CHECK(cluster.isWhole());
-      CHECK(cluster.replica(1).isOpen());
-      CHECK(cluster.owed() == 0);
-      CHECK(cluster.acknowledgedTooEarly() == 0);
-      CHECK(cluster.twiceOpen == 0);
+      cluster.StartAll();
+      cluster.Run(cluster.now() + kSettleTime, [&] { return fails_until >= 0; });
+      REQUIRE(fails_until >= 0);
+      cluster.Run(fails_until);
+      bool is_needed = call <= kFoundingCalls;
+      CHECK(cluster.IsServing() == !is_needed);
+      CHECK((cluster.acknowledged.size() > 0) == !is_needed);
+      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
+      CHECK(cluster.IsWhole());
+      CHECK(cluster.replica(1).IsOpen());
+      CHECK(cluster.Owed() == 0);
+      CHECK(cluster.AcknowledgedTooEarly() == 0);
+      CHECK(cluster.twice_open == 0);
     }
 }
 
 TEST_CASE("a replica killed within any call, whether the write landed or not, owes nothing it acknowledged") {
-  std::uint64_t calls = callsOfAQuietRun();
-  for (Fate fate : {Fate::failsBefore, Fate::failsAfter})
+  std::uint64_t calls = CallsOfAQuietRun();
+  for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
     for (std::uint64_t call = 1; call <= calls; ++call) {
       CAPTURE(static_cast<int>(fate));
       CAPTURE(call);
@@ -185,87 +185,87 @@
       bool killed = false;
       cluster.disks[1].fate = [&](std::uint64_t number) {
         killed = killed || number == call;
-        return number == call ? fate : Fate::well;
+        return number == call ? fate : Fate::kWell;
       };
-      cluster.startAll();
-      cluster.run(cluster.now() + settleTime, [&] { return killed; });
+      cluster.StartAll();
+      cluster.Run(cluster.now() + kSettleTime, [&] { return killed; });
       REQUIRE(killed);
-      cluster.stop(1);
-      cluster.run(cluster.now() + 300);
-      cluster.start(1);
-      cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
-      CHECK(cluster.isWhole());
-      CHECK(cluster.owed() == 0);
-      CHECK(cluster.acknowledgedTooEarly() == 0);
+      cluster.Stop(1);
+      cluster.Run(cluster.now() + 300);
+      cluster.Start(1);
+      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
+      CHECK(cluster.IsWhole());
+      CHECK(cluster.Owed() == 0);
+      CHECK(cluster.AcknowledgedTooEarly() == 0);
     }
 }
 
 TEST_CASE("with a majority of disks failing nothing is acknowledged, and all is again once there is space") {
-  for (Fate fate : {Fate::failsBefore, Fate::failsAfter, Fate::full})
+  for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter, Fate::kFull})
     for (Id failing : {Id{2}, Id{3}}) {
       CAPTURE(static_cast<int>(fate));
       CAPTURE(failing);
       Cluster cluster;
-      cluster.startAll();
-      cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
-      REQUIRE(cluster.isWhole());
+      cluster.StartAll();
+      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
+      REQUIRE(cluster.IsWhole());
       bool fails = true;
       for (Id id = 1; id <= failing; ++id)
-        cluster.disks[id].fate = [&](std::uint64_t) { return fails ? fate : Fate::well; };
+        cluster.disks[id].fate = [&](std::uint64_t) { return fails ? fate : Fate::kWell; };
       // What came to a disk before is acknowledged still; then nothing.
-      cluster.run(cluster.now() + 500);
+      cluster.Run(cluster.now() + 500);
       std::size_t before = cluster.acknowledged.size();
-      cluster.run(cluster.now() + failingFor);
+      cluster.Run(cluster.now() + kFailingFor);
       CHECK(cluster.acknowledged.size() == before);
       fails = false;
-      cluster.run(cluster.now() + settleTime,
-                  [&] { return cluster.isWhole() && cluster.acknowledged.size() > before; });
-      CHECK(cluster.isWhole());
+      cluster.Run(cluster.now() + kSettleTime,
+                  [&] { return cluster.IsWhole() && cluster.acknowledged.size() > before; });
+      CHECK(cluster.IsWhole());
       CHECK(cluster.acknowledged.size() > before);
-      CHECK(cluster.owed() == 0);
-      CHECK(cluster.acknowledgedTooEarly() == 0);
+      CHECK(cluster.Owed() == 0);
+      CHECK(cluster.AcknowledgedTooEarly() == 0);
     }
 }
 
 TEST_CASE("a replica that has no room, or is closed, does not pass for current to a subscriber") {
-  for (Fate fate : {Fate::failsBefore, Fate::full}) {
+  for (Fate fate : {Fate::kFailsBefore, Fate::kFull}) {
     CAPTURE(static_cast<int>(fate));
     Cluster cluster;
-    cluster.startAll();
-    cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
+    cluster.StartAll();
+    cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
     cluster.disks[1].fate = [&](std::uint64_t) { return fate; };
-    cluster.run(cluster.now() + failingFor);
+    cluster.Run(cluster.now() + kFailingFor);
     Want want;
     want.subscriber = 77;
     want.number = 1;
-    std::optional<Piece> piece = cluster.replica(1).wants(cluster.now(), want);
-    CHECK(piece.has_value() == (fate == Fate::full));
+    std::optional<Piece> piece = cluster.replica(1).Wants(cluster.now(), want);
+    CHECK(piece.has_value() == (fate == Fate::kFull));
     if (piece) {
-      CHECK(piece->committed < cluster.writer().committed());
-      CHECK(piece->age > SubscriberTerms{}.staleNews);
+      CHECK(piece->committed < cluster.writer().Committed());
+      CHECK(piece->age > SubscriberTerms{}.stale_news);
     }
-    std::optional<Piece> other = cluster.replica(2).wants(cluster.now(), want);
+    std::optional<Piece> other = cluster.replica(2).Wants(cluster.now(), want);
     REQUIRE(other);
-    CHECK(other->age <= SubscriberTerms{}.staleNews);
+    CHECK(other->age <= SubscriberTerms{}.stale_news);
   }
 }
 
 TEST_CASE("a replica whose store can't be opened says so once, and is one as soon as it can be") {
   Cluster cluster;
-  cluster.startAll();
-  cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
-  REQUIRE(cluster.isWhole());
-  cluster.stop(1);
+  cluster.StartAll();
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
+  REQUIRE(cluster.IsWhole());
+  cluster.Stop(1);
   bool down = true;
-  cluster.disks[1].fate = [&](std::uint64_t) { return down ? Fate::failsBefore : Fate::well; };
-  cluster.start(1);
-  cluster.run(cluster.now() + failingFor);
-  CHECK(cluster.isServing());
-  CHECK_FALSE(cluster.replica(1).isOpen());
+  cluster.disks[1].fate = [&](std::uint64_t) { return down ? Fate::kFailsBefore : Fate::kWell; };
+  cluster.Start(1);
+  cluster.Run(cluster.now() + kFailingFor);
+  CHECK(cluster.IsServing());
+  CHECK_FALSE(cluster.replica(1).IsOpen());
   REQUIRE(cluster.lines.size() == 1);
   CHECK(cluster.lines[0].starts_with("record store not used: "));
   down = false;
-  cluster.run(cluster.now() + settleTime, [&] { return cluster.isWhole(); });
-  CHECK(cluster.isWhole());
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
+  CHECK(cluster.IsWhole());
   CHECK(cluster.lines.back() == "record store used again");
 }
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -11,15 +11,15 @@
 using exchange::Ask;
 using exchange::LegKey;
 
-inline const std::string id = "9b1f03aa5c7e2d41";
+inline const std::string kId = "9b1f03aa5c7e2d41";
 
-inline sheet::RoadTerms terms(Ms within = 400, Ms idle = 30000) {
+inline sheet::RoadTerms MakeTerms(Ms within = 400, Ms idle = 30000) {
   return {{"video", "write"}, {"hub", "e-1"}, {"box", "parent", "origin"}, {"util"}, within, idle, 100};
 }
 
-inline Ask askFor(const std::string& name = id) {
+inline Ask AskFor(const std::string& name = kId) {
   Ask a;
-  a.id = name, a.offering = "video", a.object = "7f3a", a.part = "0", a.ttl = 60000, a.sizeKb = 1000;
+  a.id = name, a.offering = "video", a.object = "7f3a", a.part = "0", a.ttl = 60000, a.size_kb = 1000;
   return a;
 }
 
@@ -27,17 +27,17 @@
 struct Asked final : exchange::Asker {
   std::vector<std::string> told;
   std::string body;
-  void finished(const std::string& tag, std::string bytes) override {
+  void Finished(const std::string& tag, std::string bytes) override {
     told.push_back("200 " + tag), body = bytes;
   }
-  void unchanged(const std::string& tag) override { told.push_back("304 " + tag); }
-  void declined(Ms retryAfter) override { told.push_back(retryAfter > 0 ? "503 later" : "503"); }
-  void abandoned() override { told.push_back("502"); }
-  void begun(const std::string& tag, std::size_t) override { told.push_back("begun " + tag); }
-  void more(std::string_view bytes) override { body += bytes; }
-  void completed() override { told.push_back("completed"); }
-  void brokeOff() override { told.push_back("broke"); }
-  bool is(const std::vector<std::string>& all) const { return told == all; }
+  void Unchanged(const std::string& tag) override { told.push_back("304 " + tag); }
+  void Declined(Ms retry_after) override { told.push_back(retry_after > 0 ? "503 later" : "503"); }
+  void Abandoned() override { told.push_back("502"); }
+  void Begun(const std::string& tag, std::size_t) override { told.push_back("begun " + tag); }
+  void More(std::string_view bytes) override { body += bytes; }
+  void Completed() override { told.push_back("completed"); }
+  void BrokeOff() override { told.push_back("broke"); }
+  bool Is(const std::vector<std::string>& all) const { return told == all; }
 };
 
 // A caches' side that notes what it is asked for.
@@ -48,38 +48,38 @@
     std::vector<std::uint64_t> avoid;
   };
   std::vector<One> sent;
-  std::vector<LegKey> givenUp;
-  std::uint64_t send(LegKey key, const Ask&, const SendLeg& how,
+  std::vector<LegKey> given_up;
+  std::uint64_t Send(LegKey key, const Ask&, const SendLeg& how,
                      const std::vector<std::uint64_t>& avoid) override {
     sent.push_back({key, how, avoid});
     return sent.size();
   }
-  void giveUp(LegKey key, const Ask&, std::uint32_t) override { givenUp.push_back(key); }
+  void GiveUp(LegKey key, const Ask&, std::uint32_t) override { given_up.push_back(key); }
   bool waiting = false;  // nothing has left yet
-  std::vector<LegKey> takenBack;
-  bool takeBack(LegKey key, const Ask&, std::uint32_t) override {
-    if (waiting) takenBack.push_back(key);
+  std::vector<LegKey> taken_back;
+  bool TakeBack(LegKey key, const Ask&, std::uint32_t) override {
+    if (waiting) taken_back.push_back(key);
     return waiting;
   }
-  void probe(std::uint32_t) override {}
+  void Probe(std::uint32_t) override {}
   std::map<std::string, std::uint32_t> numbers;  // of all machines ever listed, by id
   void list(const ListEntry& one, const std::string& machine, const loop::Address&) override {
     numbers[machine] = one.cache;
   }
   std::vector<std::uint32_t> forgotten;
-  void forget(std::uint32_t cache) override { forgotten.push_back(cache); }
+  void Forget(std::uint32_t cache) override { forgotten.push_back(cache); }
 };
 
-inline exchange::Word said(Ending ending, Remark remark = Remark::none) {
+inline exchange::Word Said(Ending ending, Remark remark = Remark::kNone) {
   exchange::Word w;
   w.ending = ending, w.remark = remark, w.tag = "t1", w.dated = true;
   return w;
 }
 
-inline std::vector<exchange::Listed> machines(const std::vector<std::pair<std::string, loop::Address>>& stores) {
+inline std::vector<exchange::Listed> Machines(const std::vector<std::pair<std::string, loop::Address>>& stores) {
   std::vector<exchange::Listed> all;
   for (auto& [name, at] : stores)
-    all.push_back({entry(0, name[0] == 'o' ? originKind : storeKind, 1), name, at});
+    all.push_back({MakeEntry(0, name[0] == 'o' ? kOriginKind : kStoreKind, 1), name, at});
   return all;
 }
 
@@ -87,22 +87,22 @@
   loop::Loop loop;
   exchange::Exchange exchange;
   Sent caches;
-  explicit Desk(StoreSheet s = kit::sheet(), int stores = 4) : exchange(loop, s, 1) {
-    exchange.meet(caches);
+  explicit Desk(StoreSheet s = kit::Sheet(), int stores = 4) : exchange(loop, s, 1) {
+    exchange.Meet(caches);
     std::vector<std::pair<std::string, loop::Address>> all{{"origin", {}}};
     for (int i = 0; i < stores; ++i) all.push_back({"s-" + std::to_string(i), {}});
-    exchange.listCame(true, machines(all));
+    exchange.ListCame(true, Machines(all));
   }
 };
 
-inline std::string get(const std::string& more = "", const std::string& target = "/ops/video/7f3a?part=3") {
-  return "GET " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\n" +
+inline std::string Get(const std::string& more = "", const std::string& target = "/ops/video/7f3a?part=3") {
+  return "GET " + target + " HTTP/1.1\r\nX-Request-Id: " + kId + "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\n" +
          more + "\r\n";
 }
 
-inline std::string getAs(int which) {  // under an id of its own
-  std::string text = get();
-  return text.replace(text.find(id), id.size(), "00000000000000f" + std::to_string(which));
+inline std::string GetAs(int which) {  // under an id of its own
+  std::string text = Get();
+  return text.replace(text.find(kId), kId.size(), "00000000000000f" + std::to_string(which));
 }
 
 }  // namespace kit
--- a/tests/stage_test.cpp
+++ b/tests/stage_test.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-const loop::Address there = stage::address(0x0a000002, 80);
+const loop::Address kThere = stage::AddressOf(0x0a000002, 80);
 
 // One end of a connection that notes what it sees.
 struct Side final : loop::Connection::Owner {
   std::string got;
   std::vector<Parting> ends;
   std::unique_ptr<loop::Connection> connection;
-  void came() override {
+  void Came() override {
     got += connection->in.bytes();
-    connection->in.consume(connection->in.size());
+    connection->in.Consume(connection->in.size());
   }
-  void ended(Parting how) override { ends.push_back(how); }
+  void Ended(Parting how) override { ends.push_back(how); }
 };
 
 // Two processes, a listener at the second, one connection from the first.
@@ -37,64 +37,64 @@
   std::unique_ptr<loop::Listener> listener;
 
   explicit Pair(std::uint64_t seed = 1, bool listens = true, loop::Ms latency = 5)
-      : net(seed), a(net.start(0x0a000001, "a")), b(net.start(0x0a000002, "b")) {
+      : net(seed), a(net.Start(0x0a000001, "a")), b(net.Start(0x0a000002, "b")) {
     net.place(0x0a000002, 1);
     stage::Way w;
     w.latency = latency;
-    net.join(0, 1, w), net.join(1, 0, w);
+    net.Join(0, 1, w), net.Join(1, 0, w);
     if (listens)
-      b.act([&] {
-        listener = std::make_unique<loop::Listener>(b.loop(), there, [this](loop::Descriptor fd) {
+      b.Act([&] {
+        listener = std::make_unique<loop::Listener>(b.loop(), kThere, [this](loop::Descriptor fd) {
           far.push_back(std::make_unique<Side>());
           far.back()->connection = std::make_unique<loop::Connection>(b.loop(), *far.back(), std::move(fd));
         });
       });
   }
-  void open(loop::Ms within = 400) {
-    a.act([&] { near.connection = std::make_unique<loop::Connection>(a.loop(), near, there, within); });
+  void Open(loop::Ms within = 400) {
+    a.Act([&] { near.connection = std::make_unique<loop::Connection>(a.loop(), near, kThere, within); });
   }
-  void pass(loop::Ms ms) { net.runUntil(net.now() + ms); }
-  void say(Side& side, Process& of, std::string text) {
-    of.act([&] { side.connection->send(std::move(text)); });
+  void Pass(loop::Ms ms) { net.RunUntil(net.now() + ms); }
+  void Send(Side& side, Process& of, std::string text) {
+    of.Act([&] { side.connection->Send(std::move(text)); });
   }
 };
 
-std::string pattern(std::size_t n) {
+std::string Pattern(std::size_t n) {
   std::string text;
   for (std::size_t i = 0; i < n; ++i) text += static_cast<char>('a' + i * 7 % 26);
   return text;
 }
 
-void bytesComeWholeAndInOrder() {
+void BytesComeWholeAndInOrder() {
   for (double choppy : {0.0, 0.9})
     for (std::size_t size : {std::size_t{1}, std::size_t{5000}, std::size_t{700000}}) {
       Pair p;
-      p.net.setChoppy(choppy);
-      p.open();
-      p.say(p.near, p.a, pattern(size));
-      p.say(p.near, p.a, "end");
-      p.pass(60000);
-      assert(p.far.size() == 1 && p.far[0]->got == pattern(size) + "end");
-      p.say(*p.far[0], p.b, pattern(size));
-      p.pass(60000);
-      assert(p.near.got == pattern(size) && p.near.ends.empty());
+      p.net.SetChoppy(choppy);
+      p.Open();
+      p.Send(p.near, p.a, Pattern(size));
+      p.Send(p.near, p.a, "end");
+      p.Pass(60000);
+      assert(p.far.size() == 1 && p.far[0]->got == Pattern(size) + "end");
+      p.Send(*p.far[0], p.b, Pattern(size));
+      p.Pass(60000);
+      assert(p.near.got == Pattern(size) && p.near.ends.empty());
     }
 }
 
-void aSlowReaderHoldsTheSenderUp() {
+void ASlowReaderHoldsTheSenderUp() {
   Pair p;
-  p.open();
-  p.pass(50);
-  p.b.act([&] { p.far[0]->connection->readUpTo(0); });
-  p.say(p.near, p.a, pattern(1 << 20));
-  p.pass(1000);
-  assert(!p.near.connection->drainedOut() && p.far[0]->got.empty());
-  p.b.act([&] { p.far[0]->connection->readUpTo(1 << 16); });
-  p.pass(60000);
-  assert(p.near.connection->drainedOut() && p.far[0]->got == pattern(1 << 20));
+  p.Open();
+  p.Pass(50);
+  p.b.Act([&] { p.far[0]->connection->ReadUpTo(0); });
+  p.Send(p.near, p.a, Pattern(1 << 20));
+  p.Pass(1000);
+  assert(!p.near.connection->DrainedOut() && p.far[0]->got.empty());
+  p.b.Act([&] { p.far[0]->connection->ReadUpTo(1 << 16); });
+  p.Pass(60000);
+  assert(p.near.connection->DrainedOut() && p.far[0]->got == Pattern(1 << 20));
 }
 
-void endsAreToldAsTheyAre() {
+void EndsAreToldAsTheyAre() {
   struct Case {
     const char* name;
     bool listens, opens;
@@ -102,81 +102,81 @@
     std::vector<Parting> near;
   };
   for (const Case& c : std::vector<Case>{
-           {"nobody listens", false, false, [](Pair&) {}, {Parting::refused}},
-           {"the host is cut", true, false, [](Pair& p) { p.net.setCut(0x0a000002, true, true); }, {Parting::neverUp}},
-           {"the host has vanished", true, false, [](Pair& p) { p.net.vanish(p.b); }, {Parting::neverUp}},
-           {"closed", true, true, [](Pair& p) { p.b.act([&] { p.far[0]->connection->close(); }); }, {Parting::closed}},
-           {"half closed", true, true, [](Pair& p) { p.b.act([&] { p.far[0]->connection->sayNoMore(); }); }, {Parting::closed}},
-           {"killed", true, true, [](Pair& p) { p.net.kill(p.b); }, {Parting::reset}},
-           {"vanished under it: silent", true, true, [](Pair& p) { p.net.vanish(p.b); }, {}},
-           {"cut under it: silent", true, true, [](Pair& p) { p.net.setCut(0x0a000002, true, true); }, {}},
+           {"nobody listens", false, false, [](Pair&) {}, {Parting::kRefused}},
+           {"the host is cut", true, false, [](Pair& p) { p.net.SetCut(0x0a000002, true, true); }, {Parting::kNeverUp}},
+           {"the host has vanished", true, false, [](Pair& p) { p.net.Vanish(p.b); }, {Parting::kNeverUp}},
+           {"closed", true, true, [](Pair& p) { p.b.Act([&] { p.far[0]->connection->Close(); }); }, {Parting::kClosed}},
+           {"half closed", true, true, [](Pair& p) { p.b.Act([&] { p.far[0]->connection->SayNoMore(); }); }, {Parting::kClosed}},
+           {"killed", true, true, [](Pair& p) { p.net.Kill(p.b); }, {Parting::kReset}},
+           {"vanished under it: silent", true, true, [](Pair& p) { p.net.Vanish(p.b); }, {}},
+           {"cut under it: silent", true, true, [](Pair& p) { p.net.SetCut(0x0a000002, true, true); }, {}},
            {"vanished, and a new process there: a reset once something is said", true, true,
             [](Pair& p) {
-              p.net.vanish(p.b);
-              p.net.start(0x0a000002, "b2");
-              p.say(p.near, p.a, "still there?");
+              p.net.Vanish(p.b);
+              p.net.Start(0x0a000002, "b2");
+              p.Send(p.near, p.a, "still there?");
             },
-            {Parting::reset}}}) {
+            {Parting::kReset}}}) {
     Pair p(1, c.listens);
     if (!c.opens) c.what(p);
-    p.open();
-    p.pass(100);
+    p.Open();
+    p.Pass(100);
     if (c.opens) c.what(p);
-    p.pass(5000);
+    p.Pass(5000);
     if (p.near.ends != c.near) std::fprintf(stderr, "%s\n", c.name);
     assert(p.near.ends == c.near);
   }
 }
 
-void whatACutHeldUpComesAfterIt() {
+void WhatACutHeldUpComesAfterIt() {
   Pair p;
-  p.open();
-  p.pass(100);
-  p.net.setCut(0x0a000001, false, true);  // one way
-  p.say(p.near, p.a, "held");
-  p.say(*p.far[0], p.b, "passes");
-  p.pass(1000);
+  p.Open();
+  p.Pass(100);
+  p.net.SetCut(0x0a000001, false, true);  // one way
+  p.Send(p.near, p.a, "held");
+  p.Send(*p.far[0], p.b, "passes");
+  p.Pass(1000);
   assert(p.far[0]->got.empty() && p.near.got == "passes");
-  p.a.act([&] { p.near.connection->close(); });
-  p.net.setCut(0x0a000001, false, false);
-  p.pass(1000);
-  assert(p.far[0]->got == "held" && p.far[0]->ends == std::vector<Parting>{Parting::closed});
+  p.a.Act([&] { p.near.connection->Close(); });
+  p.net.SetCut(0x0a000001, false, false);
+  p.Pass(1000);
+  assert(p.far[0]->got == "held" && p.far[0]->ends == std::vector<Parting>{Parting::kClosed});
 }
 
-void descriptorsAndBacklogHaveLimits() {
+void DescriptorsAndBacklogHaveLimits() {
   Net net(1);
-  Process& a = net.start(0x0a000001, "a", 6);  // three for the standard streams
-  a.act([&] {
-    for (int fd : {3, 4, 5}) assert(a.openStream() == fd);
-    assert(a.openStream() == -EMFILE);
-    a.close(4);
-    assert(a.openStream() == 4 && a.openDescriptors() == 3);
-    assert(a.listen(stage::address(0x0a000002, 80)) == -EADDRNOTAVAIL);
+  Process& a = net.Start(0x0a000001, "a", 6);  // three for the standard streams
+  a.Act([&] {
+    for (int fd : {3, 4, 5}) assert(a.OpenStream() == fd);
+    assert(a.OpenStream() == -EMFILE);
+    a.Close(4);
+    assert(a.OpenStream() == 4 && a.OpenDescriptors() == 3);
+    assert(a.Listen(stage::AddressOf(0x0a000002, 80)) == -EADDRNOTAVAIL);
   });
 }
 
-void datagramsComeWholeOrNot() {
+void DatagramsComeWholeOrNot() {
   struct Case {
     double lost, doubled, shuffled;
   };
   for (const Case& c : {Case{0, 0, 0}, {0.3, 0, 0}, {0, 0.3, 0}, {0, 0, 0.5}}) {
     Net net(7);
-    Process &a = net.start(0x0a000001, "a"), &b = net.start(0x0a000002, "b");
+    Process &a = net.Start(0x0a000001, "a"), &b = net.Start(0x0a000002, "b");
     stage::Way& w = net.way(0, 0);
     w.latency = 5, w.lost = c.lost, w.doubled = c.doubled, w.shuffled = c.shuffled;
-    int from = a.openDatagrams(stage::address(0x0a000001, 0)), to = b.openDatagrams(there);
-    assert(from >= 0 && to >= 0 && b.openDatagrams(there) == -EADDRINUSE);
+    int from = a.OpenDatagrams(stage::AddressOf(0x0a000001, 0)), to = b.OpenDatagrams(kThere);
+    assert(from >= 0 && to >= 0 && b.OpenDatagrams(kThere) == -EADDRINUSE);
     std::vector<int> got;
     int sent = 200;
     for (int i = 0; i < sent; ++i) {
       std::string text = std::to_string(i);
-      assert(a.sendTo(from, text, there) == static_cast<ssize_t>(text.size()));
-      net.runUntil(net.now() + 2);
+      assert(a.SendTo(from, text, kThere) == static_cast<ssize_t>(text.size()));
+      net.RunUntil(net.now() + 2);
       char into[16];
       loop::Address who{};
-      for (ssize_t n; (n = b.receiveFrom(to, into, who)) > 0;) {
+      for (ssize_t n; (n = b.ReceiveFrom(to, into, who)) > 0;) {
         got.push_back(std::stoi(std::string(into, static_cast<std::size_t>(n))));
-        assert(stage::text(who) == "10.0.0.1:49152");
+        assert(stage::Text(who) == "10.0.0.1:49152");
       }
     }
     bool ordered = std::is_sorted(got.begin(), got.end());
@@ -186,41 +186,41 @@
   }
 }
 
-void aProcessThatNeverRestsIsFound() {
+void AProcessThatNeverRestsIsFound() {
   Net net(1);
-  Process& a = net.start(0x0a000001, "a");
+  Process& a = net.Start(0x0a000001, "a");
   std::function<void()> again = [&] { a.loop().at(a.loop().now(), again); };
-  a.act(again);
+  a.Act(again);
   bool found = false;
   try {
-    net.runUntil(net.now() + 10);
+    net.RunUntil(net.now() + 10);
   } catch (const stage::StageFault& fault) {
     found = std::string(fault.what()).find("a spins") == 0;
   }
   assert(found);
 }
 
-void standingStillDelaysWhatComes() {
+void StandingStillDelaysWhatComes() {
   Pair p;
-  p.open();
-  p.pass(100);
-  p.b.standStill(p.net.now() + 500);
-  p.say(p.near, p.a, "x");
-  p.pass(400);
+  p.Open();
+  p.Pass(100);
+  p.b.StandStill(p.net.now() + 500);
+  p.Send(p.near, p.a, "x");
+  p.Pass(400);
   assert(p.far[0]->got.empty());
-  p.pass(200);
+  p.Pass(200);
   assert(p.far[0]->got == "x");
 }
 
-void theSameSeedReplays() {
+void TheSameSeedReplays() {
   auto digest = [](std::uint64_t seed) {
     Pair p(seed);
-    p.net.setChoppy(0.5);
+    p.net.SetChoppy(0.5);
     p.net.way(0, 1).lost = 0.1;
-    p.open();
-    for (int i = 0; i < 50; ++i) p.say(p.near, p.a, pattern(static_cast<std::size_t>(100 * i + 1))), p.pass(7);
-    p.pass(1000);
-    return p.net.digest();
+    p.Open();
+    for (int i = 0; i < 50; ++i) p.Send(p.near, p.a, Pattern(static_cast<std::size_t>(100 * i + 1))), p.Pass(7);
+    p.Pass(1000);
+    return p.net.Digest();
   };
   assert(digest(1) == digest(1) && digest(2) == digest(2) && digest(1) != digest(2));
 }
@@ -228,13 +228,13 @@
 }  // namespace
 
 int main() {
-  bytesComeWholeAndInOrder();
-  aSlowReaderHoldsTheSenderUp();
-  endsAreToldAsTheyAre();
-  whatACutHeldUpComesAfterIt();
-  descriptorsAndBacklogHaveLimits();
-  datagramsComeWholeOrNot();
-  aProcessThatNeverRestsIsFound();
-  standingStillDelaysWhatComes();
-  theSameSeedReplays();
+  BytesComeWholeAndInOrder();
+  ASlowReaderHoldsTheSenderUp();
+  EndsAreToldAsTheyAre();
+  WhatACutHeldUpComesAfterIt();
+  DescriptorsAndBacklogHaveLimits();
+  DatagramsComeWholeOrNot();
+  AProcessThatNeverRestsIsFound();
+  StandingStillDelaysWhatComes();
+  TheSameSeedReplays();
 }
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -41,7 +41,7 @@
 
 // From here on a write past `bytes` of any file fails with EFBIG, as on a disk that is full; nothing else
 // does.
-void limitFiles(rlim_t bytes) {
+void LimitFiles(rlim_t bytes) {
   ::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
   ::getrlimit(RLIMIT_FSIZE, &limit);
@@ -51,7 +51,7 @@
 
 // Runs `body` in a child of its own, so that the limit is only there. It returns the line of the first check
 // that failed, or 0.
-int inChild(const std::function<int()>& body) {
+int InChild(const std::function<int()>& body) {
   std::fflush(nullptr);
   pid_t child = ::fork();
   REQUIRE(child >= 0);
@@ -72,15 +72,15 @@
 #define HOLDS(what) \
   if (!(what)) return __LINE__
 
-constexpr rlim_t smallLimit = 64 << 10;
-constexpr rlim_t replicaLimit = 256 << 10;
+constexpr rlim_t kSmallLimit = 64 << 10;
+constexpr rlim_t kReplicaLimit = 256 << 10;
 // Values of one page are refused whole (no room); of several pages a write is cut short, which LMDB tells as
 // an I/O error.
-constexpr std::size_t valueOfOnePage = 2000;
-constexpr std::size_t valueOfPages = 10000;
-constexpr int mostTries = 10000;
+constexpr std::size_t kValueOfOnePage = 2000;
+constexpr std::size_t kValueOfPages = 10000;
+constexpr int kMostTries = 10000;
 
-bool fails(const std::function<void()>& call) {
+bool Fails(const std::function<void()>& call) {
   try {
     call();
     return false;
@@ -99,45 +99,45 @@
   std::uint64_t written = 0;
 
   std::vector<std::string> lines;
-  std::size_t valueBytes;
+  std::size_t value_bytes;
 
-  Alone(const std::string& folder, std::size_t bytes) : valueBytes(bytes) {
-    auto openDisk = [folder]() -> std::unique_ptr<record::Disk> {
+  Alone(const std::string& folder, std::size_t bytes) : value_bytes(bytes) {
+    auto open_disk = [folder]() -> std::unique_ptr<record::Disk> {
       return std::make_unique<store::RecordLmdb>(folder);
     };
     replica =
-        std::make_unique<record::Replica>(1, std::vector<record::Id>{1}, record::ReplicaTerms{}, openDisk, 5,
+        std::make_unique<record::Replica>(1, std::vector<record::Id>{1}, record::ReplicaTerms{}, open_disk, 5,
                                           now, [this](const std::string& line) { lines.push_back(line); });
     writer = std::make_unique<record::Writer>(1, std::vector<record::Id>{1}, record::KeeperTerms{},
                                               record::LogTerms{}, 1000, now);
   }
-  record::Send send() {
+  record::Send Send() {
     return [this](record::Id to, const record::Message& message) { wire.emplace_back(to, message); };
   }
-  void step() {
-    constexpr record::Ms tick = 20;
-    now += tick;
-    writer->tick(now, send());
-    replica->tick(now, send());
-    if (writer->phase() == record::Phase::serving) {
+  void Step() {
+    constexpr record::Ms kTick = 20;
+    now += kTick;
+    writer->Tick(now, Send());
+    replica->Tick(now, Send());
+    if (writer->phase() == record::Phase::kServing) {
       record::Writer::Put put;
       put.key = "object/" + std::to_string(++written);
-      put.value = std::string(valueBytes, 'v');
-      writer->put(
+      put.value = std::string(value_bytes, 'v');
+      writer->Write(
           now, {put},
           [this](record::Writer::Outcome outcome, record::Offset first) {
-            if (outcome == record::Writer::Outcome::acknowledged) acknowledged.insert(first);
+            if (outcome == record::Writer::Outcome::kAcknowledged) acknowledged.insert(first);
           },
-          send());
+          Send());
     }
     while (!wire.empty()) {
       record::Message message = std::move(wire.front().second);
       wire.pop_front();
-      bool isAnswer = std::holds_alternative<record::Tail>(message) ||
+      bool is_answer = std::holds_alternative<record::Tail>(message) ||
                       std::holds_alternative<record::Kept>(message) ||
                       std::holds_alternative<record::Fetched>(message);
-      if (isAnswer) writer->receive(now, 1, message, send());
-      else replica->receive(now, 1, message, send());
+      if (is_answer) writer->Receive(now, 1, message, Send());
+      else replica->Receive(now, 1, message, Send());
     }
   }
 };
@@ -148,35 +148,35 @@
     "an owner's store on a file that can't grow keeps what it took, takes nothing more, and goes on once "
     "there is room") {
   Folder folder;
-  int result = inChild([&] {
+  int result = InChild([&] {
     std::vector<std::string> taken;
     auto open = [&] { return std::make_unique<store::LmdbStore>(folder.at("owner")); };
     auto entry = [](std::size_t n) {
       return owner::LogEntry{1, 1, std::string(900, 'a') + std::to_string(n)};
     };
     auto disk = open();
-    limitFiles(smallLimit);
-    while (taken.size() < mostTries && !fails([&] { disk->append({entry(taken.size())}); }))
+    LimitFiles(kSmallLimit);
+    while (taken.size() < kMostTries && !Fails([&] { disk->Append({entry(taken.size())}); }))
       taken.push_back(entry(taken.size()).bytes);
     HOLDS(taken.size() > 5);
-    HOLDS(taken.size() < mostTries);
-    auto holdsAll = [&](owner::StoredState state) {
+    HOLDS(taken.size() < kMostTries);
+    auto holds_all = [&](owner::StoredState state) {
       if (state.entries.size() != taken.size()) return false;
       for (std::size_t i = 0; i < taken.size(); ++i)
         if (state.entries[i].bytes != taken[i]) return false;
       return true;
     };
-    HOLDS(holdsAll(disk->load()));
-    limitFiles(RLIM_INFINITY);
+    HOLDS(holds_all(disk->load()));
+    LimitFiles(RLIM_INFINITY);
     disk.reset();
     disk = open();
-    HOLDS(holdsAll(disk->load()));
-    disk->append({entry(taken.size())});
+    HOLDS(holds_all(disk->load()));
+    disk->Append({entry(taken.size())});
     taken.push_back(entry(taken.size()).bytes);
-    disk->truncate(taken.size());
+    disk->Truncate(taken.size());
     taken.pop_back();
     disk.reset();
-    HOLDS(holdsAll(open()->load()));
+    HOLDS(holds_all(open()->load()));
     return 0;
   });
   CHECK(result == 0);
@@ -185,33 +185,33 @@
 TEST_CASE(
     "a replica on a file that can't grow acknowledges no more, and by itself again once there is room; "
     "nothing acknowledged is lost") {
-  for (std::size_t valueBytes : {valueOfOnePage, valueOfPages}) {
+  for (std::size_t valueBytes : {kValueOfOnePage, kValueOfPages}) {
     CAPTURE(valueBytes);
     Folder folder;
-    int result = inChild([&] {
+    int result = InChild([&] {
       std::set<record::Offset> acknowledged;
       {
         Alone alone(folder.at("record"), valueBytes);
-        constexpr int steps = 400;
-        for (int i = 0; i < 10; ++i) alone.step();
+        constexpr int kSteps = 400;
+        for (int i = 0; i < 10; ++i) alone.Step();
         HOLDS(!alone.acknowledged.empty());
-        limitFiles(replicaLimit);
-        for (int i = 0; i < steps; ++i) alone.step();
+        LimitFiles(kReplicaLimit);
+        for (int i = 0; i < kSteps; ++i) alone.Step();
         std::size_t before = alone.acknowledged.size();
-        for (int i = 0; i < steps; ++i) alone.step();
+        for (int i = 0; i < kSteps; ++i) alone.Step();
         HOLDS(alone.acknowledged.size() == before);
-        limitFiles(RLIM_INFINITY);
-        for (int i = 0; i < mostTries && alone.acknowledged.size() < before + 20; ++i) alone.step();
+        LimitFiles(RLIM_INFINITY);
+        for (int i = 0; i < kMostTries && alone.acknowledged.size() < before + 20; ++i) alone.Step();
         HOLDS(alone.acknowledged.size() >= before + 20);
-        HOLDS(alone.replica->isOpen());
-        HOLDS(alone.lines.empty() == (valueBytes == valueOfOnePage));
+        HOLDS(alone.replica->IsOpen());
+        HOLDS(alone.lines.empty() == (valueBytes == kValueOfOnePage));
         HOLDS(alone.lines.empty() || alone.lines.back() == "record store used again");
         acknowledged = alone.acknowledged;
       }
       store::RecordLmdb disk(folder.at("record"));
       record::Log log(1, {}, disk, 5);
       for (record::Offset offset : acknowledged) HOLDS(log.at(offset) != nullptr);
-      HOLDS(log.holes(1).empty());
+      HOLDS(log.Holes(1).empty());
       return 0;
     });
     CHECK(result == 0);
@@ -221,34 +221,34 @@
 TEST_CASE(
     "floors on a file that can't grow say so, keep what was written, and are kept again once there is room") {
   Folder folder;
-  int result = inChild([&] {
-    auto openDisk = [&]() -> std::unique_ptr<FloorDisk> {
+  int result = InChild([&] {
+    auto open_disk = [&]() -> std::unique_ptr<FloorDisk> {
       return std::make_unique<store::FloorStore>(folder.at("floors"));
     };
     std::vector<std::string> lines;
-    store::LastingFloors floors(openDisk, [&](const std::string& line) { lines.push_back(line); });
+    store::LastingFloors floors(open_disk, [&](const std::string& line) { lines.push_back(line); });
     KeptFloors found;
-    HOLDS(floors.start(0, 3, found) == FloorDisk::Found::empty);
+    HOLDS(floors.Start(0, 3, found) == FloorDisk::Found::kEmpty);
     KeptFloors wanted;
     wanted.whose = 3;
-    constexpr rlim_t tight = 20 << 10;
-    limitFiles(tight);
+    constexpr rlim_t kTight = 20 << 10;
+    LimitFiles(kTight);
     store::Ms now = 0;
     KeptFloors last;
-    constexpr std::uint32_t mostWitnessed = 1000;
-    for (std::uint32_t id = 1; id <= mostWitnessed; ++id) {
+    constexpr std::uint32_t kMostWitnessed = 1000;
+    for (std::uint32_t id = 1; id <= kMostWitnessed; ++id) {
       wanted.witnessed[id] = 1764629600000 + id;
-      floors.keep(now += 20, wanted);
-      if (!floors.isKept()) break;
+      floors.Keep(now += 20, wanted);
+      if (!floors.IsKept()) break;
       last = wanted;
     }
-    HOLDS(!floors.isKept());
+    HOLDS(!floors.IsKept());
     HOLDS(lines.size() == 1);
-    HOLDS(floors.lasting() == last);
-    limitFiles(RLIM_INFINITY);
-    for (int i = 0; i < mostTries && !floors.isKept(); ++i) floors.keep(now += 20, wanted);
-    HOLDS(floors.isKept());
-    HOLDS(floors.lasting() == wanted);
+    HOLDS(floors.Lasting() == last);
+    LimitFiles(RLIM_INFINITY);
+    for (int i = 0; i < kMostTries && !floors.IsKept(); ++i) floors.Keep(now += 20, wanted);
+    HOLDS(floors.IsKept());
+    HOLDS(floors.Lasting() == wanted);
     HOLDS(lines.back() == "recovery floors kept again");
     return 0;
   });
@@ -261,18 +261,18 @@
       CAPTURE(kind);
       CAPTURE(limit);
       Folder folder;
-      int result = inChild([&] {
+      int result = InChild([&] {
         auto use = [&] {
           std::string at = folder.at(kind);
-          if (kind == std::string("owner")) store::LmdbStore(at).setTerm(4);
-          if (kind == std::string("record")) store::RecordLmdb(at).write(record::Head{});
-          if (kind == std::string("floors")) store::FloorStore(at).write(KeptFloors{});
+          if (kind == std::string("owner")) store::LmdbStore(at).SetTerm(4);
+          if (kind == std::string("record")) store::RecordLmdb(at).Write(record::Head{});
+          if (kind == std::string("floors")) store::FloorStore(at).Write(KeptFloors{});
         };
-        limitFiles(limit);
-        HOLDS(fails(use));
-        HOLDS(fails(use));
-        limitFiles(RLIM_INFINITY);
-        HOLDS(!fails(use));
+        LimitFiles(limit);
+        HOLDS(Fails(use));
+        HOLDS(Fails(use));
+        LimitFiles(RLIM_INFINITY);
+        HOLDS(!Fails(use));
         if (kind == std::string("owner")) HOLDS(store::LmdbStore(folder.at(kind)).load().term == 4);
         return 0;
       });
@@ -294,7 +294,7 @@
       if (kind == std::string("record")) CHECK_FALSE(store::RecordLmdb(folder.at(kind)).head());
       KeptFloors found;
       if (kind == std::string("floors"))
-        CHECK(store::FloorStore(folder.at(kind)).read(found) == FloorDisk::Found::empty);
+        CHECK(store::FloorStore(folder.at(kind)).Read(found) == FloorDisk::Found::kEmpty);
     }
 }
 
@@ -318,7 +318,7 @@
     REQUIRE(state.snapshot);
     CHECK(state.snapshot->index == 3);
     CHECK(state.snapshot->data == "table");
-    owned.append({{8, 1, "new"}});
+    owned.Append({{8, 1, "new"}});
   }
   for (int opening = 0; opening < 2; ++opening) {
     store::RecordLmdb disk(folder.at("record"), 1 << 20);
@@ -327,13 +327,13 @@
     CHECK(log.head().starts == static_cast<std::uint64_t>(2 + opening));
     CHECK(log.head().promised == 12);
     CHECK(log.head().committed == 5);
-    CHECK(log.holes(1).empty());
+    CHECK(log.Holes(1).empty());
     REQUIRE(log.size() == static_cast<std::size_t>(6 + opening));
     CHECK(log.at(4)->value == "value 4");
     CHECK(log.at(5)->tombstone);
-    CHECK(log.tokenAt(6) == 11);
+    CHECK(log.TokenAt(6) == 11);
     record::Entry more = *log.at(6);
-    more.offset = log.last() + 1;
+    more.offset = log.Last() + 1;
     CHECK(log.append(0, {more}));
   }
   KeptFloors expected;
@@ -341,22 +341,22 @@
   expected.token = 1140001;
   expected.offset = 41;
   expected.incarnation = 1764629612345;
-  expected.rulesDigest = 0xfeedbeef;
-  expected.rulesVersion = 9;
+  expected.rules_digest = 0xfeedbeef;
+  expected.rules_version = 9;
   expected.witnessed = {{1, 1764629600001}, {2, 1764629600002}};
   for (int opening = 0; opening < 2; ++opening) {
     store::FloorStore floors(folder.at("floors"));
     KeptFloors found;
-    REQUIRE(floors.read(found) == FloorDisk::Found::good);
+    REQUIRE(floors.Read(found) == FloorDisk::Found::kGood);
     CHECK(found == expected);
     expected.offset = 42;
-    floors.write(expected);
+    floors.Write(expected);
   }
 }
 
 namespace {
 
-enum class Fate { works, failsBefore, failsAfter };
+enum class Fate { kWorks, kFailsBefore, kFailsAfter };
 
 // What is on a floor disk; it outlives its openings.
 struct PlannedFloors {
@@ -364,37 +364,37 @@
   std::uint64_t calls = 0;
   std::function<Fate(std::uint64_t call)> fate;
   int open = 0;
-  int mostOpen = 0;
+  int most_open = 0;
 
-  void call(const std::function<void()>& change) {
+  void Call(const std::function<void()>& change) {
     ++calls;
-    Fate now = fate ? fate(calls) : Fate::works;
-    if (now == Fate::failsBefore) throw std::runtime_error("no space left on device");
+    Fate now = fate ? fate(calls) : Fate::kWorks;
+    if (now == Fate::kFailsBefore) throw std::runtime_error("no space left on device");
     change();
-    if (now == Fate::failsAfter) throw std::runtime_error("input/output error");
+    if (now == Fate::kFailsAfter) throw std::runtime_error("input/output error");
   }
 };
 
 class PlannedFloorDisk final : public FloorDisk {
  public:
   explicit PlannedFloorDisk(PlannedFloors& disk) : disk_(disk) {
-    disk_.call([] {});
-    disk_.mostOpen = std::max(disk_.mostOpen, ++disk_.open);
+    disk_.Call([] {});
+    disk_.most_open = std::max(disk_.most_open, ++disk_.open);
   }
   ~PlannedFloorDisk() override { --disk_.open; }
-  Found read(KeptFloors& into) override {
-    disk_.call([&] { into = disk_.kept.value_or(KeptFloors{}); });
-    return disk_.kept ? Found::good : Found::empty;
+  Found Read(KeptFloors& into) override {
+    disk_.Call([&] { into = disk_.kept.value_or(KeptFloors{}); });
+    return disk_.kept ? Found::kGood : Found::kEmpty;
   }
-  void write(const KeptFloors& floors) override {
-    disk_.call([&] { disk_.kept = floors; });
+  void Write(const KeptFloors& floors) override {
+    disk_.Call([&] { disk_.kept = floors; });
   }
 
  private:
   PlannedFloors& disk_;
 };
 
-KeptFloors floorsAt(std::uint64_t offset) {
+KeptFloors FloorsAt(std::uint64_t offset) {
   KeptFloors floors;
   floors.whose = 3;
   floors.offset = offset;
@@ -404,80 +404,80 @@
   return floors;
 }
 
-constexpr std::uint64_t lifeBegins = 100;
+constexpr std::uint64_t kLifeBegins = 100;
 
 }  // namespace
 
 TEST_CASE(
     "floors on a disk that fails at any call for a while are told only once they last, never fall, and are "
     "kept again") {
-  constexpr store::Ms failingFor = 3000;
-  constexpr std::uint64_t calls = 12;
+  constexpr store::Ms kFailingFor = 3000;
+  constexpr std::uint64_t kCalls = 12;
   for (bool isKilled : {false, true})
-    for (Fate fate : {Fate::failsBefore, Fate::failsAfter})
-      for (std::uint64_t call = 1; call <= calls; ++call) {
+    for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
+      for (std::uint64_t call = 1; call <= kCalls; ++call) {
         CAPTURE(isKilled);
         CAPTURE(static_cast<int>(fate));
         CAPTURE(call);
         PlannedFloors disk;
-        disk.kept = floorsAt(50);
+        disk.kept = FloorsAt(50);
         store::Ms now = 0;
-        store::Ms failsUntil = -1;
+        store::Ms fails_until = -1;
         disk.fate = [&](std::uint64_t number) {
-          if (number == call) failsUntil = now + failingFor;
-          return now < failsUntil ? fate : Fate::works;
+          if (number == call) fails_until = now + kFailingFor;
+          return now < fails_until ? fate : Fate::kWorks;
         };
         std::size_t lines = 0;
-        auto openDisk = [&]() -> std::unique_ptr<FloorDisk> {
+        auto open_disk = [&]() -> std::unique_ptr<FloorDisk> {
           return std::make_unique<PlannedFloorDisk>(disk);
         };
         auto say = [&](const std::string&) { ++lines; };
-        auto floors = std::make_unique<store::LastingFloors>(openDisk, say);
+        auto floors = std::make_unique<store::LastingFloors>(open_disk, say);
         KeptFloors found;
-        floors->start(now, 3, found);
+        floors->Start(now, 3, found);
         std::uint64_t offset = std::max<std::uint64_t>(found.offset, 1);
         std::uint64_t lowest = 50;
         for (; now < 30000; now += 100) {
-          if (isKilled && failsUntil > 0 && now >= failsUntil) {
+          if (isKilled && fails_until > 0 && now >= fails_until) {
             // The process ends while the disk fails; the next one begins once it works.
-            floors = std::make_unique<store::LastingFloors>(openDisk, say);
-            floors->start(now, 3, found);
+            floors = std::make_unique<store::LastingFloors>(open_disk, say);
+            floors->Start(now, 3, found);
             offset = std::max(offset, found.offset);
             isKilled = false;
           }
-          if (offset < lifeBegins) ++offset;
-          floors->keep(now, floorsAt(offset));
+          if (offset < kLifeBegins) ++offset;
+          floors->Keep(now, FloorsAt(offset));
           CHECK(disk.kept->offset >= lowest);
           lowest = std::max(lowest, disk.kept->offset);
-          if (floors->isKept()) CHECK(floors->lasting() == *disk.kept);
-          std::uint64_t told = floors->lasting().witnessed.count(1) ? floors->lasting().witnessed.at(1) : 0;
+          if (floors->IsKept()) CHECK(floors->Lasting() == *disk.kept);
+          std::uint64_t told = floors->Lasting().witnessed.count(1) ? floors->Lasting().witnessed.at(1) : 0;
           CHECK(told <= disk.kept->witnessed.at(1));
         }
-        REQUIRE(failsUntil > 0);
-        CHECK(floors->isKept());
-        CHECK(*disk.kept == floorsAt(lifeBegins));
-        CHECK(disk.mostOpen == 1);
+        REQUIRE(fails_until > 0);
+        CHECK(floors->IsKept());
+        CHECK(*disk.kept == FloorsAt(kLifeBegins));
+        CHECK(disk.most_open == 1);
         CHECK(lines <= 3);
       }
 }
 
 TEST_CASE("another front's floors are not told as this one's, nor do they raise it") {
   PlannedFloors disk;
-  disk.kept = floorsAt(500);
+  disk.kept = FloorsAt(500);
   disk.kept->whose = 8;
   bool down = false;
-  disk.fate = [&](std::uint64_t) { return down ? Fate::failsBefore : Fate::works; };
+  disk.fate = [&](std::uint64_t) { return down ? Fate::kFailsBefore : Fate::kWorks; };
   store::LastingFloors floors(
       [&]() -> std::unique_ptr<FloorDisk> { return std::make_unique<PlannedFloorDisk>(disk); },
       [](const std::string&) {});
   KeptFloors found;
-  CHECK(floors.start(0, 3, found) == FloorDisk::Found::good);
+  CHECK(floors.Start(0, 3, found) == FloorDisk::Found::kGood);
   CHECK(found.whose == 8);
   down = true;
-  floors.keep(0, floorsAt(7));
-  CHECK(floors.lasting().witnessed.empty());
+  floors.Keep(0, FloorsAt(7));
+  CHECK(floors.Lasting().witnessed.empty());
   down = false;
-  constexpr store::Ms later = 60000;
-  floors.keep(later, floorsAt(7));
-  CHECK(*disk.kept == floorsAt(7));
+  constexpr store::Ms kLater = 60000;
+  floors.Keep(kLater, FloorsAt(7));
+  CHECK(*disk.kept == FloorsAt(7));
 }
--- a/tests/support/failing_disk.hpp
+++ b/tests/support/failing_disk.hpp
@@ -11,20 +11,20 @@
   ~OpenedDisk() override { --open_; }
   OpenedDisk(const OpenedDisk&) = delete;
   OpenedDisk& operator=(const OpenedDisk&) = delete;
-  bool lasts() const override { return disk_.lasts(); }
+  bool Lasts() const override { return disk_.Lasts(); }
   std::optional<record::Head> head() override { return disk_.head(); }
-  void each(const std::function<void(record::Offset, const record::Entry*)>& see) override {
-    disk_.each(see);
+  void Each(const std::function<void(record::Offset, const record::Entry*)>& see) override {
+    disk_.Each(see);
   }
-  void write(const record::Head& head) override { disk_.write(head); }
+  void Write(const record::Head& head) override { disk_.Write(head); }
   void append(record::Offset from, const std::vector<record::Entry>& entries,
               const record::Head& head) override {
     disk_.append(from, entries, head);
   }
-  void drop(const std::vector<record::Offset>& gone, const record::Head& head) override {
-    disk_.drop(gone, head);
+  void Drop(const std::vector<record::Offset>& gone, const record::Head& head) override {
+    disk_.Drop(gone, head);
   }
-  void heal(const record::Entry& entry) override { disk_.heal(entry); }
+  void Heal(const record::Entry& entry) override { disk_.Heal(entry); }
 
  private:
   record::MemoryDisk& disk_;
--- a/tests/support/failing_environment.hpp
+++ b/tests/support/failing_environment.hpp
@@ -89,52 +89,52 @@
 
   Plan plan;
 
-  std::size_t calls(Call call) const { return calls_[static_cast<std::size_t>(call)]; }
+  std::size_t Calls(Call call) const { return calls_[static_cast<std::size_t>(call)]; }
   /// Failures that the plan asked for.
-  std::size_t failures() const { return failures_; }
+  std::size_t Failures() const { return failures_; }
   /// Connections taken from a listener that were ended by a failure.
-  std::size_t accepted_lost() const { return accepted_lost_; }
+  std::size_t AcceptedLost() const { return accepted_lost_; }
   /// Opened and not closed.
-  std::size_t open_descriptors() const { return open_.size(); }
+  std::size_t OpenDescriptors() const { return open_.size(); }
   /// Closed without being open: a descriptor closed twice, or one of somebody else's.
-  std::size_t strange_closes() const { return strange_closes_; }
+  std::size_t StrangeCloses() const { return strange_closes_; }
   /// The longest run of waits without the clock going on, a byte moved or a connection accepted: of turns
   /// that led to nothing.
-  std::size_t most_idle_waits() const { return most_waits_; }
+  std::size_t MostIdleWaits() const { return most_waits_; }
 
   loop::Ms now() override { return inner_.now(); }
 
-  int wait(std::span<pollfd> watched, int ms) override {
+  int Wait(std::span<pollfd> watched, int ms) override {
     CountWait();
     // A wait for nothing but time needs no memory, and none is asked for it.
     std::optional<Failure> failure = watched.empty() ? std::nullopt : Ask(Call::kWait);
     if (failure) return -failure->error;
-    return inner_.wait(watched, ms);
+    return inner_.Wait(watched, ms);
   }
 
-  int openStream() override {
+  int OpenStream() override {
     if (auto failure = Ask(Call::kOpenStream)) return -failure->error;
-    return Opened(inner_.openStream(), Origin::kOpened);
+    return Opened(inner_.OpenStream(), Origin::kOpened);
   }
 
-  int connect(int fd, const loop::Address& to) override {
+  int Connect(int fd, const loop::Address& to) override {
     auto failure = Ask(Call::kConnect);
-    if (!failure) return inner_.connect(fd, to);
+    if (!failure) return inner_.Connect(fd, to);
     // Interrupted, it proceeds, as connect(2) states.
-    if (failure->error == EINTR) inner_.connect(fd, to);
+    if (failure->error == EINTR) inner_.Connect(fd, to);
     return -failure->error;
   }
 
-  int fault(int fd) override {
+  int Fault(int fd) override {
     if (auto failure = Ask(Call::kConnectResult)) return failure->error;
-    return inner_.fault(fd);
+    return inner_.Fault(fd);
   }
 
-  int listen(const loop::Address& at) override { return Opened(inner_.listen(at), Origin::kListening); }
+  int Listen(const loop::Address& at) override { return Opened(inner_.Listen(at), Origin::kListening); }
 
-  int accept(int fd) override {
+  int Accept(int fd) override {
     if (auto failure = Ask(Call::kAccept)) return -failure->error;
-    return Progressed(Opened(inner_.accept(fd), Origin::kAccepted));
+    return Progressed(Opened(inner_.Accept(fd), Origin::kAccepted));
   }
 
   ssize_t receive(int fd, std::span<char> into) override {
@@ -144,19 +144,19 @@
     return got == -EAGAIN && IsBroken(fd) ? -ECONNRESET : got;
   }
 
-  ssize_t send(int fd, std::span<const iovec> parts) override {
+  ssize_t Send(int fd, std::span<const iovec> parts) override {
     auto failure = Ask(Call::kSend);
     if (failure && failure->error != 0) return -Failed(Call::kSend, fd, failure->error);
     if (IsBroken(fd)) return -EPIPE;
-    if (!failure || parts.empty() || parts.front().iov_len == 0) return Progressed(inner_.send(fd, parts));
+    if (!failure || parts.empty() || parts.front().iov_len == 0) return Progressed(inner_.Send(fd, parts));
     iovec one = parts.front();
     one.iov_len = 1;
-    return Progressed(inner_.send(fd, {&one, 1}));
+    return Progressed(inner_.Send(fd, {&one, 1}));
   }
 
-  void sayNoMore(int fd) override { inner_.sayNoMore(fd); }
+  void SayNoMore(int fd) override { inner_.SayNoMore(fd); }
 
-  void close(int fd) override {
+  void Close(int fd) override {
     auto found = open_.find(fd);
     if (found == open_.end()) {
       ++strange_closes_;
@@ -164,31 +164,31 @@
     }
     bool broken = found->second.broken;
     open_.erase(found);
-    if (broken) inner_.abort(fd);
-    else inner_.close(fd);
+    if (broken) inner_.Abort(fd);
+    else inner_.Close(fd);
   }
 
-  void abort(int fd) override {
+  void Abort(int fd) override {
     strange_closes_ += open_.erase(fd) == 0 ? 1 : 0;
-    inner_.abort(fd);
+    inner_.Abort(fd);
   }
 
-  int openDatagrams(const loop::Address& at) override {
+  int OpenDatagrams(const loop::Address& at) override {
     if (auto failure = Ask(Call::kOpenDatagrams)) return -failure->error;
-    return Opened(inner_.openDatagrams(at), Origin::kOpened);
+    return Opened(inner_.OpenDatagrams(at), Origin::kOpened);
   }
 
-  ssize_t sendTo(int fd, std::span<const char> bytes, const loop::Address& to) override {
+  ssize_t SendTo(int fd, std::span<const char> bytes, const loop::Address& to) override {
     if (auto failure = Ask(Call::kSendTo)) return -failure->error;
-    return inner_.sendTo(fd, bytes, to);
+    return inner_.SendTo(fd, bytes, to);
   }
 
-  ssize_t receiveFrom(int fd, std::span<char> into, loop::Address& from) override {
+  ssize_t ReceiveFrom(int fd, std::span<char> into, loop::Address& from) override {
     if (auto failure = Ask(Call::kReceiveFrom)) return -failure->error;
-    return inner_.receiveFrom(fd, into, from);
+    return inner_.ReceiveFrom(fd, into, from);
   }
 
-  std::size_t descriptorLimit() override { return inner_.descriptorLimit(); }
+  std::size_t DescriptorLimit() override { return inner_.DescriptorLimit(); }
 
  private:
   enum class Origin { kOpened, kListening, kAccepted };
--- a/tests/support/failing_store.hpp
+++ b/tests/support/failing_store.hpp
@@ -11,7 +11,7 @@
 
 namespace dunlinwick::tests {
 
-enum class Fate : std::uint8_t { works, failsBefore, failsAfter };
+enum class Fate : std::uint8_t { kWorks, kFailsBefore, kFailsAfter };
 
 /// What lies on the disk. Opening counts as a call too, as it does on LMDB.
 struct StoreDisk {
@@ -20,52 +20,52 @@
   /// Asked at each call that writes, with its number from 1 on.
   std::function<Fate(std::uint64_t call)> fate;
   std::size_t open = 0;
-  std::size_t mostOpen = 0;
-  std::size_t votesChanged = 0;
+  std::size_t most_open = 0;
+  std::size_t votes_changed = 0;
 
-  void call(const std::function<void()>& change) {
+  void Call(const std::function<void()>& change) {
     ++calls;
-    Fate now = fate ? fate(calls) : Fate::works;
-    if (now == Fate::failsBefore) throw std::runtime_error("no space left on device");
+    Fate now = fate ? fate(calls) : Fate::kWorks;
+    if (now == Fate::kFailsBefore) throw std::runtime_error("no space left on device");
     change();
-    if (now == Fate::failsAfter) throw std::runtime_error("input/output error");
+    if (now == Fate::kFailsAfter) throw std::runtime_error("input/output error");
   }
 };
 
 class FailingStore final : public owner::Store {
  public:
   explicit FailingStore(StoreDisk& disk) : disk_(disk) {
-    disk_.call([] {});
+    disk_.Call([] {});
     ++disk_.open;
-    disk_.mostOpen = std::max(disk_.mostOpen, disk_.open);
+    disk_.most_open = std::max(disk_.most_open, disk_.open);
   }
   ~FailingStore() override { --disk_.open; }
-  bool lasts() const override { return true; }
+  bool Lasts() const override { return true; }
   owner::StoredState load() override { return disk_.kept.load(); }
-  void found(const std::string& founding) override {
-    disk_.call([&] { disk_.kept.found(founding); });
+  void Found(const std::string& founding) override {
+    disk_.Call([&] { disk_.kept.Found(founding); });
   }
-  void setTerm(std::uint64_t term) override {
-    disk_.call([&] {
-      if (term <= disk_.kept.load().term) ++disk_.votesChanged;
-      disk_.kept.setTerm(term);
+  void SetTerm(std::uint64_t term) override {
+    disk_.Call([&] {
+      if (term <= disk_.kept.load().term) ++disk_.votes_changed;
+      disk_.kept.SetTerm(term);
     });
   }
-  void setVote(std::uint64_t vote) override {
-    disk_.call([&] {
+  void SetVote(std::uint64_t vote) override {
+    disk_.Call([&] {
       std::uint64_t before = disk_.kept.load().vote;
-      if (before != 0 && before != vote) ++disk_.votesChanged;
-      disk_.kept.setVote(vote);
+      if (before != 0 && before != vote) ++disk_.votes_changed;
+      disk_.kept.SetVote(vote);
     });
   }
-  void append(const std::vector<owner::LogEntry>& entries) override {
-    disk_.call([&] { disk_.kept.append(entries); });
+  void Append(const std::vector<owner::LogEntry>& entries) override {
+    disk_.Call([&] { disk_.kept.Append(entries); });
   }
-  void truncate(std::uint64_t from) override {
-    disk_.call([&] { disk_.kept.truncate(from); });
+  void Truncate(std::uint64_t from) override {
+    disk_.Call([&] { disk_.kept.Truncate(from); });
   }
-  void take(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override {
-    disk_.call([&] { disk_.kept.take(snapshot, trailing); });
+  void Take(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override {
+    disk_.Call([&] { disk_.kept.Take(snapshot, trailing); });
   }
 
  private:
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -22,8 +22,8 @@
 
 namespace {
 
-const loop::Address kFrontAddress = stage::address(0x0a000002, 80);
-const loop::Address kServerAddresses[] = {stage::address(0x0a000003, 5000), stage::address(0x0a000004, 5000)};
+const loop::Address kFrontAddress = stage::AddressOf(0x0a000002, 80);
+const loop::Address kServerAddresses[] = {stage::AddressOf(0x0a000003, 5000), stage::AddressOf(0x0a000004, 5000)};
 constexpr std::size_t kMostIdleWaits = 100;
 
 // ---- one connection, whose environment fails
@@ -33,19 +33,19 @@
   std::string received;
   std::vector<Parting> ends;
   int drains = 0;
-  void came() override {
+  void Came() override {
     received += connection->in.bytes();
-    connection->in.consume(connection->in.size());
+    connection->in.Consume(connection->in.size());
   }
-  void drained() override { ++drains; }
-  void ended(Parting how) override { ends.push_back(how); }
+  void Drained() override { ++drains; }
+  void Ended(Parting how) override { ends.push_back(how); }
 };
 
 /// A process that dials, through a failing environment, one that listens.
 struct ConnectionFixture {
   stage::Net net{1};
-  stage::Process& dialling = net.start(0x0a000001, "dialling");
-  stage::Process& listening = net.start(0x0a000002, "listening");
+  stage::Process& dialling = net.Start(0x0a000001, "dialling");
+  stage::Process& listening = net.Start(0x0a000002, "listening");
   FailingEnvironment environment{dialling};
   NotedOwner near;
   NotedOwner far;
@@ -53,7 +53,7 @@
 
   ConnectionFixture() {
     dialling.UseEnvironment(environment);
-    listening.act([&] {
+    listening.Act([&] {
       listener =
           std::make_unique<loop::Listener>(listening.loop(), kFrontAddress, [this](loop::Descriptor fd) {
             far.connection = std::make_unique<loop::Connection>(listening.loop(), far, std::move(fd));
@@ -61,19 +61,19 @@
     });
   }
   ~ConnectionFixture() {
-    listening.act([&] {
+    listening.Act([&] {
       far.connection.reset();
       listener.reset();
     });
-    dialling.act([&] { near.connection.reset(); });
+    dialling.Act([&] { near.connection.reset(); });
   }
   void Dial() {
-    dialling.act([&] {
+    dialling.Act([&] {
       near.connection = std::make_unique<loop::Connection>(dialling.loop(), near, kFrontAddress, 1000);
-      near.connection->send("hello");
+      near.connection->Send("hello");
     });
   }
-  void Run(Ms time) { net.runUntil(net.now() + time); }
+  void Run(Ms time) { net.RunUntil(net.now() + time); }
 };
 
 /// Fails calls of one kind with one error until `ends`.
@@ -100,7 +100,7 @@
     test.environment.plan = FailOnce(Call::kConnect, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{Parting::noDescriptor});
+    CHECK(test.near.ends == std::vector{Parting::kNoDescriptor});
   }
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     CAPTURE(error);
@@ -108,7 +108,7 @@
     test.environment.plan = FailOnce(Call::kOpenStream, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{Parting::noDescriptor});
+    CHECK(test.near.ends == std::vector{Parting::kNoDescriptor});
   }
 }
 
@@ -120,7 +120,7 @@
       test.environment.plan = FailOnce(call, 0, {error});
       test.Dial();
       test.Run(100);
-      CHECK(test.near.ends == std::vector{error == ECONNREFUSED ? Parting::refused : Parting::neverUp});
+      CHECK(test.near.ends == std::vector{error == ECONNREFUSED ? Parting::kRefused : Parting::kNeverUp});
     }
   }
 }
@@ -129,22 +129,22 @@
   ConnectionFixture test;
   test.Dial();
   test.Run(100);
-  test.listening.act([&] { test.far.connection->send("answer"); });
+  test.listening.Act([&] { test.far.connection->Send("answer"); });
   // The answer lies in the buffers of a process that stands still; then its write fails before it reads.
-  test.dialling.standStill(test.net.now() + 50);
+  test.dialling.StandStill(test.net.now() + 50);
   test.Run(40);
   REQUIRE(test.near.received.empty());
-  std::size_t next_read = test.environment.calls(Call::kReceive);
-  std::size_t next_write = test.environment.calls(Call::kSend);
+  std::size_t next_read = test.environment.Calls(Call::kReceive);
+  std::size_t next_write = test.environment.Calls(Call::kSend);
   test.environment.plan = [=](Call call, std::size_t ordinal) -> std::optional<Failure> {
     if (call == Call::kSend && ordinal >= next_write) return Failure{EPIPE};
     if (call == Call::kReceive && ordinal == next_read) return Failure{EINTR};
     return std::nullopt;
   };
-  test.dialling.act([&] { test.near.connection->send("next"); });
+  test.dialling.Act([&] { test.near.connection->Send("next"); });
   test.Run(100);
   CHECK(test.near.received == "answer");
-  CHECK(test.near.ends == std::vector{Parting::reset});
+  CHECK(test.near.ends == std::vector{Parting::kReset});
 }
 
 TEST_CASE("want of buffers for a write is waited out, and the message goes") {
@@ -157,7 +157,7 @@
     CHECK(test.near.ends.empty());
     CHECK(test.far.received == "hello");
     CHECK(test.near.drains == 1);
-    CHECK(test.environment.most_idle_waits() < kMostIdleWaits);
+    CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
 
@@ -168,14 +168,14 @@
     test.Dial();
     test.Run(100);
     test.environment.plan = FailUntil(test.net, Call::kReceive, error, test.net.now() + 60);
-    test.listening.act([&] {
-      test.far.connection->send("answer");
-      test.far.connection->sayNoMore();
+    test.listening.Act([&] {
+      test.far.connection->Send("answer");
+      test.far.connection->SayNoMore();
     });
     CHECK_NOTHROW(test.Run(200));
     CHECK(test.near.received == "answer");
-    CHECK(test.near.ends == std::vector{Parting::closed});
-    CHECK(test.environment.most_idle_waits() < kMostIdleWaits);
+    CHECK(test.near.ends == std::vector{Parting::kClosed});
+    CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
 
@@ -188,13 +188,13 @@
     Ms start = test.net.now();
     Ms ran_at = 0;
     test.environment.plan = FailUntil(test.net, Call::kWait, error, start + 60);
-    test.dialling.act([&] { test.dialling.loop().at(start + 30, [&] { ran_at = test.net.now(); }); });
-    test.listening.act([&] { test.far.connection->send("answer"); });
+    test.dialling.Act([&] { test.dialling.loop().at(start + 30, [&] { ran_at = test.net.now(); }); });
+    test.listening.Act([&] { test.far.connection->Send("answer"); });
     CHECK_NOTHROW(test.Run(200));
     CHECK(ran_at >= start + 30);
     CHECK(ran_at < start + 60);
     CHECK(test.near.received == "answer");
-    CHECK(test.environment.most_idle_waits() < kMostIdleWaits);
+    CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
 
@@ -216,8 +216,8 @@
 
 struct ListenerFixture {
   stage::Net net{1};
-  stage::Process& listening = net.start(0x0a000002, "listening");
-  stage::Process& dialling = net.start(0x0a000001, "dialling");
+  stage::Process& listening = net.Start(0x0a000002, "listening");
+  stage::Process& dialling = net.Start(0x0a000001, "dialling");
   FailingEnvironment environment{listening};
   std::vector<loop::Descriptor> taken;
   std::unique_ptr<loop::Listener> listener;
@@ -225,20 +225,20 @@
 
   ListenerFixture() {
     listening.UseEnvironment(environment);
-    listening.act([&] {
+    listening.Act([&] {
       listener = std::make_unique<loop::Listener>(
           listening.loop(), kFrontAddress, [this](loop::Descriptor fd) { taken.push_back(std::move(fd)); });
     });
   }
   ~ListenerFixture() {
-    dialling.act([&] { peers.clear(); });
-    listening.act([&] {
+    dialling.Act([&] { peers.clear(); });
+    listening.Act([&] {
       taken.clear();
       listener.reset();
     });
   }
   void Come(int count) {
-    dialling.act([&] {
+    dialling.Act([&] {
       for (int i = 0; i < count; ++i) {
         auto peer = std::make_unique<NotedOwner>();
         peer->connection = std::make_unique<loop::Connection>(dialling.loop(), *peer, kFrontAddress, 60000);
@@ -256,13 +256,13 @@
     ListenerFixture test;
     auto lasting = FailUntil(test.net, Call::kAccept, failure.error, test.net.now() + 300);
     test.environment.plan = [&](Call call, std::size_t ordinal) {
-      return test.environment.failures() < kMostFailures ? lasting(call, ordinal) : std::nullopt;
+      return test.environment.Failures() < kMostFailures ? lasting(call, ordinal) : std::nullopt;
     };
     test.Come(5);
-    CHECK_NOTHROW(test.net.runUntil(test.net.now() + 600));
+    CHECK_NOTHROW(test.net.RunUntil(test.net.now() + 600));
     CHECK(test.taken.size() == 5);
-    CHECK(test.environment.failures() < kMostFailures);
-    CHECK(test.environment.most_idle_waits() < kMostIdleWaits);
+    CHECK(test.environment.Failures() < kMostFailures);
+    CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
 
@@ -272,29 +272,29 @@
     ListenerFixture test;
     test.environment.plan = FailOnce(Call::kAccept, 0, {error});
     test.Come(2);
-    test.net.runUntil(test.net.now() + 10);
+    test.net.RunUntil(test.net.now() + 10);
     CHECK(test.taken.size() == 2);
-    CHECK(test.listener->shortOfDescriptors == 0);
+    CHECK(test.listener->short_of_descriptors == 0);
   }
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     CAPTURE(error);
     ListenerFixture test;
     test.environment.plan = FailOnce(Call::kAccept, 0, {error});
     test.Come(2);
-    test.net.runUntil(test.net.now() + 100);
+    test.net.RunUntil(test.net.now() + 100);
     CHECK(test.taken.size() == 2);
-    CHECK(test.listener->shortOfDescriptors == 1);
+    CHECK(test.listener->short_of_descriptors == 1);
   }
 }
 
 TEST_CASE("a stop accepts all who wait though one of them is broken") {
   ListenerFixture test;
-  test.listening.act([&] { test.listener->pause(); });
+  test.listening.Act([&] { test.listener->Pause(); });
   test.Come(3);
-  test.net.runUntil(test.net.now() + 10);
+  test.net.RunUntil(test.net.now() + 10);
   test.environment.plan = FailOnce(Call::kAccept, 0, {EPROTO});
   bool drained = false;
-  test.listening.act([&] { drained = test.listener->drain(); });
+  test.listening.Act([&] { drained = test.listener->Drain(); });
   CHECK(drained);
   CHECK(test.taken.size() == 3);
 }
@@ -312,14 +312,14 @@
 class FakeServer {
  public:
   FakeServer(stage::Process& process, const loop::Address& at) : process_(process) {
-    process_.act([&] {
+    process_.Act([&] {
       listener_ = std::make_unique<loop::Listener>(process_.loop(), at, [this](loop::Descriptor fd) {
         lines_.push_back(std::make_unique<Line>(*this, std::move(fd)));
       });
     });
   }
   ~FakeServer() {
-    process_.act([&] {
+    process_.Act([&] {
       lines_.clear();
       listener_.reset();
     });
@@ -330,11 +330,11 @@
   struct Line final : loop::Connection::Owner {
     Line(FakeServer& all, loop::Descriptor fd)
         : server(all), connection(all.process_.loop(), *this, std::move(fd)) {}
-    void came() override {
+    void Came() override {
       while (ReadOne()) {
       }
     }
-    void ended(Parting) override {}
+    void Ended(Parting) override {}
 
     bool ReadOne() {
       std::string_view bytes = connection.in.bytes();
@@ -343,20 +343,20 @@
       std::string line(bytes.substr(0, end));
       std::string id = Word(line, 1);
       if (!line.starts_with("want ")) {
-        connection.in.consume(end + 2);
-        if (!line.starts_with("never_mind ")) connection.send(id + " PONG - 0\r\n\r\n");
+        connection.in.Consume(end + 2);
+        if (!line.starts_with("never_mind ")) connection.Send(id + " PONG - 0\r\n\r\n");
         return true;
       }
       std::size_t size = std::stoul(line.substr(line.rfind(' ') + 1));
       if (bytes.size() < end + 2 + size + 2) return false;
-      connection.in.consume(end + 2 + size + 2);
+      connection.in.Consume(end + 2 + size + 2);
       ++server.executions[id];
       Answer(id, line.find("thing=" + kLargeObject) != line.npos);
       return true;
     }
     void Answer(const std::string& id, bool large) {
       std::string body = large ? std::string(150000, 'x') : std::string("ok");
-      connection.send(id + " HIT entity=t,issued=1,remark=local " + std::to_string(body.size()) + "\r\n" +
+      connection.Send(id + " HIT entity=t,issued=1,remark=local " + std::to_string(body.size()) + "\r\n" +
                       body + "\r\n");
     }
     static std::string Word(const std::string& line, int number) {
@@ -379,28 +379,28 @@
  public:
   FakeClient(stage::Process& process, std::vector<std::string> requests)
       : process_(process), requests_(std::move(requests)) {
-    process_.act([&] {
+    process_.Act([&] {
       connection_ = std::make_unique<loop::Connection>(process_.loop(), *this, kFrontAddress, 60000);
       SendNext();
     });
   }
   ~FakeClient() {
-    process_.act([&] { connection_.reset(); });
+    process_.Act([&] { connection_.reset(); });
   }
 
   /// Of each request that had its answer, in order.
   std::vector<int> statuses;
   bool lost = false;        // the connection ended before the last answer
   std::size_t unasked = 0;  // answers beyond the requests sent
-  std::size_t request_count() const { return requests_.size(); }
+  std::size_t RequestCount() const { return requests_.size(); }
 
  private:
   void SendNext() {
-    if (sent_ < requests_.size()) connection_->send(requests_[sent_++]);
+    if (sent_ < requests_.size()) connection_->Send(requests_[sent_++]);
   }
-  void came() override {
+  void Came() override {
     received_ += connection_->in.bytes();
-    connection_->in.consume(connection_->in.size());
+    connection_->in.Consume(connection_->in.size());
     while (ReadOne()) {
     }
   }
@@ -417,7 +417,7 @@
     SendNext();
     return true;
   }
-  void ended(Parting) override {
+  void Ended(Parting) override {
     lost = statuses.size() < requests_.size();
     unasked += received_.find("HTTP/1.1 ", 1) != received_.npos ? 1 : 0;
   }
@@ -436,15 +436,15 @@
     environment.plan = std::move(plan);
     front_.UseEnvironment(environment);
     for (const loop::Address& at : kServerAddresses) {
-      stage::Process& process = net.start(ntohl(at.sin_addr.s_addr), "server");
+      stage::Process& process = net.Start(ntohl(at.sin_addr.s_addr), "server");
       servers.push_back(std::make_unique<FakeServer>(process, at));
     }
-    front_.act([&] {
-      exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::sheet(), 1);
-      caches_ = std::make_unique<caches::Caches>(front_.loop(), *exchange, kit::terms(), 8);
-      exchange->meet(*caches_);
-      exchange->listCame(true, kit::machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
-      clients_ = std::make_unique<clients::Clients>(front_.loop(), *exchange, kit::terms().offerings,
+    front_.Act([&] {
+      exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Sheet(), 1);
+      caches_ = std::make_unique<caches::Caches>(front_.loop(), *exchange, kit::MakeTerms(), 8);
+      exchange->Meet(*caches_);
+      exchange->ListCame(true, kit::Machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
+      clients_ = std::make_unique<clients::Clients>(front_.loop(), *exchange, kit::MakeTerms().offerings,
                                                     std::vector<bool>{false, true}, kFrontAddress, 50);
     });
   }
@@ -464,7 +464,7 @@
   void Come(std::vector<std::string> requests) {
     clients.push_back(std::make_unique<FakeClient>(peers_, std::move(requests)));
   }
-  void Run(Ms time) { net.runUntil(net.now() + time); }
+  void Run(Ms time) { net.RunUntil(net.now() + time); }
 
   std::string Read(const std::string& object) { return Request("GET", "video", object, "", false); }
   std::string Write() { return Request("PUT", "write", "order", "pay", true); }
@@ -476,19 +476,19 @@
     for (auto& client : clients) {
       lost += client->lost ? 1 : 0;
       CHECK(client->unasked == 0);
-      if (!client->lost) CHECK(client->statuses.size() == client->request_count());
+      if (!client->lost) CHECK(client->statuses.size() == client->RequestCount());
     }
-    CHECK(lost <= environment.accepted_lost());
+    CHECK(lost <= environment.AcceptedLost());
     for (const std::string& id : written_) {
       int ran = 0;
       for (auto& server : servers) ran += server->executions[id];
       CHECK(ran <= 1);
     }
-    CHECK(exchange->openPulls() == 0);
-    CHECK(environment.most_idle_waits() < kMostIdleWaits);
+    CHECK(exchange->OpenPulls() == 0);
+    CHECK(environment.MostIdleWaits() < kMostIdleWaits);
     TakeDown();
-    CHECK(environment.open_descriptors() == 0);
-    CHECK(environment.strange_closes() == 0);
+    CHECK(environment.OpenDescriptors() == 0);
+    CHECK(environment.StrangeCloses() == 0);
   }
   bool AllAnsweredWith200() const {
     for (auto& client : clients)
@@ -500,8 +500,8 @@
   stage::Net net{1};
 
  private:
-  stage::Process& peers_ = net.start(0x0a000001, "clients");
-  stage::Process& front_ = net.start(0x0a000002, "front");
+  stage::Process& peers_ = net.Start(0x0a000001, "clients");
+  stage::Process& front_ = net.Start(0x0a000002, "front");
 
  public:
   FailingEnvironment environment{front_};
@@ -512,7 +512,7 @@
  private:
   void TakeDown() {
     clients.clear();
-    front_.act([&] {
+    front_.Act([&] {
       clients_.reset();
       caches_.reset();
       exchange.reset();
@@ -548,7 +548,7 @@
   ServingScenario scenario;
   scenario.Serve();
   CHECK(scenario.AllAnsweredWith200());
-  for (Call call : kServingCalls) CHECK(scenario.environment.calls(call) > 0);
+  for (Call call : kServingCalls) CHECK(scenario.environment.Calls(call) > 0);
   scenario.CheckInvariants();
 }
 
@@ -557,14 +557,14 @@
   whole.Serve();
   std::size_t plans = 0;
   for (Call call : kServingCalls) {
-    for (std::size_t ordinal = 0; ordinal < whole.environment.calls(call); ++ordinal) {
+    for (std::size_t ordinal = 0; ordinal < whole.environment.Calls(call); ++ordinal) {
       for (Failure failure : FailuresOf(call)) {
         CAPTURE(Name(call));
         CAPTURE(ordinal);
         CAPTURE(failure.error);
         ServingScenario scenario(FailOnce(call, ordinal, failure));
         REQUIRE_NOTHROW(scenario.Serve());
-        CHECK(scenario.environment.failures() == 1);
+        CHECK(scenario.environment.Failures() == 1);
         if (MustNotShow(call, failure.error)) CHECK(scenario.AllAnsweredWith200());
         scenario.Come({scenario.Read("afterwards")});
         REQUIRE_NOTHROW(scenario.Run(3000));
@@ -589,7 +589,7 @@
       scenario.environment.plan =
           FailUntil(scenario.net, call, failure.error, scenario.net.now() + kLastingFor);
       REQUIRE_NOTHROW(scenario.Serve());
-      CHECK(scenario.environment.failures() > 0);
+      CHECK(scenario.environment.Failures() > 0);
       scenario.Come({scenario.Read("afterwards")});
       REQUIRE_NOTHROW(scenario.Run(3000));
       CHECK(scenario.clients.back()->statuses == std::vector{200});
@@ -612,7 +612,7 @@
       scenario.environment.plan =
           FailAtRandom(seed, share, ends, [&net = scenario.net] { return net.now(); });
       REQUIRE_NOTHROW(scenario.Serve());
-      failures += scenario.environment.failures();
+      failures += scenario.environment.Failures();
       scenario.Come({scenario.Read("afterwards")});
       REQUIRE_NOTHROW(scenario.Run(6000));
       scenario.CheckInvariants();
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -40,9 +40,9 @@
 
 // A front's discovery on a socket, with five servers listed that started long ago, and a client that asks.
 struct Discovery {
-  Desk desk{kit::sheet(), 5};
+  Desk desk{kit::Sheet(), 5};
   FarListener listener;
-  board::Board board{desk.loop, desk.exchange, terms(), listener.at};
+  board::Board board{desk.loop, desk.exchange, MakeTerms(), listener.at};
   Far peer;
   std::uint64_t last = 1;
   int asked = 0;
@@ -50,19 +50,19 @@
   Ms Now() const { return desk.loop.now(); }
 
   void Begin(const std::string& notices = "") {
-    auto known = json::read("{\"notices\":[" + notices + "],\"rev\":1}");
+    auto known = json::Read("{\"notices\":[" + notices + "],\"rev\":1}");
     REQUIRE(known);
     REQUIRE(board.begin(*known));
   }
   void Follow() {
-    board.follow();
-    peer = listener.next(desk.loop);
+    board.Follow();
+    peer = listener.Next(desk.loop);
     BeUpToDate();
   }
   // Seconds pass, in each of which the board says that there is nothing new.
   void Wait(int seconds) {
     for (int i = 0; i < seconds; ++i) {
-      desk.loop.skip(kSecond);
+      desk.loop.Skip(kSecond);
       BeUpToDate();
     }
   }
@@ -73,22 +73,22 @@
   }
   // A notice that the board announces now.
   void Announce(const std::string& notice) {
-    peer.say(notice + "\n");
+    peer.Send(notice + "\n");
     ++last;
-    until(desk.loop, [&] { return board.last() == last; });
+    Until(desk.loop, [&] { return board.Last() == last; });
   }
   // A request for a new object, or for the one that is purged; what a cache is then asked for.
   SendLeg Request(const std::string& object) {
-    Ask ask = askFor("request-" + std::to_string(++asked));
+    Ask ask = AskFor("request-" + std::to_string(++asked));
     ask.object = object;
     ask.ttl = 4 * kSecond;
     Asked client;
     std::size_t before = desk.caches.sent.size();
-    std::uint32_t request = desk.exchange.pullCame(ask, client);
+    std::uint32_t request = desk.exchange.OnRequest(ask, client);
     SendLeg attempt;
     if (desk.caches.sent.size() > before) {
       attempt = desk.caches.sent.back().how;
-      desk.exchange.answerWhole({request, 0}, said(Ending::finished, Remark::hit));
+      desk.exchange.AnswerWhole({request, 0}, Said(Ending::kFinished, Remark::kHit));
     }
     return attempt;
   }
@@ -97,7 +97,7 @@
 // What a cache may be asked for after a purge that happened at `purged` on this front's clock, whatever its stamp said: no copy that
 // is older, but one that was made since this front heard of it.
 void CheckPurgeBinds(Discovery& d, Ms purged, Ms heard) {
-  d.desk.loop.skip(500);
+  d.desk.loop.Skip(500);
   Ms since_heard = d.Now() - heard;
   SendLeg attempt = d.Request("7f3a");
   REQUIRE(attempt.cache != 0);
@@ -105,7 +105,7 @@
   CHECK(attempt.oldest <= d.Now() - purged);
   CHECK(attempt.oldest >= since_heard - 2);
   // It ends: copies are as good as ever some time after all caches have dropped the older ones.
-  d.desk.loop.skip(3 * kPurgeDone);
+  d.desk.loop.Skip(3 * kPurgeDone);
   CHECK(d.Request("7f3a").oldest == 0);
 }
 
@@ -113,7 +113,7 @@
 int SentTo(Discovery& d, std::uint32_t server) {
   int count = 0;
   for (int i = 0; i < 400; ++i) {
-    d.desk.loop.skip(1);
+    d.desk.loop.Skip(1);
     count += d.Request("object-" + std::to_string(d.asked)).cache == server;
   }
   return count;
@@ -135,7 +135,7 @@
   d.Begin();
   d.Follow();
   d.Announce(ServerNotice(d.last + 1, id, 0));
-  d.desk.loop.skip(kSlowStart + 2 * kSecond);
+  d.desk.loop.Skip(kSlowStart + 2 * kSecond);
   return SentTo(d, NumberOf(id));
 }
 
@@ -144,7 +144,7 @@
   std::uint32_t server = NumberOf(id);
   REQUIRE(warm > 40);
   CHECK(SentTo(d, server) <= warm / 2);
-  d.desk.loop.skip(kSlowStart + 2 * kSecond);
+  d.desk.loop.Skip(kSlowStart + 2 * kSecond);
   CHECK(SentTo(d, server) >= warm * 8 / 10);
 }
 
@@ -199,7 +199,7 @@
       if (!at_start) d.Follow();
       if (!at_start) purged = std::floor(d.Now()) - age;
       if (!at_start) d.Announce(PurgeNotice(d.last + 1, purged));
-      d.desk.loop.skip(300);
+      d.desk.loop.Skip(300);
       Ms before = d.Now();
       SendLeg attempt = d.Request("7f3a");
       CHECK(attempt.oldest >= before - purged - 1);
@@ -208,7 +208,7 @@
   Discovery d;
   d.Begin();
   d.Follow();
-  d.desk.loop.skip(1200);  // the board says nothing for a while, and then what it has
+  d.desk.loop.Skip(1200);  // the board says nothing for a while, and then what it has
   Ms purged = std::floor(d.Now()) - 1100;
   d.Announce(PurgeNotice(d.last + 1, purged));
   Ms before = d.Now();
@@ -269,7 +269,7 @@
 
 TEST_CASE("rules that are turned over know purges and starts by when they were told, not by their stamps") {
   auto known = [](const std::string& notices, std::uint64_t rev) {
-    auto value = json::read("{\"notices\":[" + notices + "],\"rev\":" + std::to_string(rev) + "}");
+    auto value = json::Read("{\"notices\":[" + notices + "],\"rev\":" + std::to_string(rev) + "}");
     REQUIRE(value);
     return *value;
   };
@@ -277,30 +277,30 @@
     CAPTURE(skew);
     int warm = SentToWarm("s-new");
     loop::Loop loop;
-    generations::Generations rules(kit::sheet(), 1);
-    exchange::Exchange exchange(loop, kit::sheet(), [&](Ms now, const Event& event) { return rules.handle(now, event); });
+    generations::Generations rules(kit::Sheet(), 1);
+    exchange::Exchange exchange(loop, kit::Sheet(), [&](Ms now, const Event& event) { return rules.Handle(now, event); });
     Sent caches;
-    exchange.meet(caches);
-    exchange.listCame(true, machines({{"origin", {}}, {"s-0", {}}, {"s-1", {}}, {"s-2", {}}, {"s-3", {}}, {"s-4", {}}}));
-    board::Board board(loop, exchange, terms(), freeAddress());
+    exchange.Meet(caches);
+    exchange.ListCame(true, Machines({{"origin", {}}, {"s-0", {}}, {"s-1", {}}, {"s-2", {}}, {"s-3", {}}, {"s-4", {}}}));
+    board::Board board(loop, exchange, MakeTerms(), FreeAddress());
     REQUIRE(board.begin(known("", 1)));
     Ms purged = loop.now();
     std::string news = PurgeNotice(2, purged + skew) + "," + ServerNotice(3, "s-new", purged + skew);
-    REQUIRE(board.moveTo(freeAddress(), known(news, 3)));  // announced after the start
-    loop.skip(500);
+    REQUIRE(board.MoveTo(FreeAddress(), known(news, 3)));  // announced after the start
+    loop.Skip(500);
     std::vector<Action> out;
-    REQUIRE(rules.turn(loop.now(), kit::sheet(), out) != 0);
+    REQUIRE(rules.turn(loop.now(), kit::Sheet(), out) != 0);
     auto request = [&](const std::string& object) {
       static int asked = 0;
-      Ask ask = askFor("request-" + std::to_string(++asked));
+      Ask ask = AskFor("request-" + std::to_string(++asked));
       ask.object = object;
       ask.ttl = 4 * kSecond;
       Asked client;
       std::size_t before = caches.sent.size();
-      std::uint32_t number = exchange.pullCame(ask, client);
+      std::uint32_t number = exchange.OnRequest(ask, client);
       REQUIRE(caches.sent.size() > before);
       SendLeg attempt = caches.sent.back().how;
-      exchange.answerWhole({number, 0}, said(Ending::finished, Remark::hit));
+      exchange.AnswerWhole({number, 0}, Said(Ending::kFinished, Remark::kHit));
       return attempt;
     };
     SendLeg attempt = request("7f3a");
@@ -310,13 +310,13 @@
       std::uint32_t server = NumberOf("s-new");
       int count = 0;
       for (int i = 0; i < 400; ++i) {
-        loop.skip(1);
+        loop.Skip(1);
         count += request("object-" + std::to_string(i)).cache == server;
       }
       return count;
     };
     CHECK(sent() <= warm / 2);
-    loop.skip(kSlowStart + 2 * kSecond);
+    loop.Skip(kSlowStart + 2 * kSecond);
     CHECK(sent() >= warm * 8 / 10);
   }
 }
@@ -330,18 +330,18 @@
   late.Begin();
   late.Follow();
   late.Announce(ServerNotice(late.last + 1, "s-new", late.Now() - 4 * kSecond));  // it took four seconds to be listed
-  late.desk.loop.skip(kSlowStart - 4 * kSecond);
+  late.desk.loop.Skip(kSlowStart - 4 * kSecond);
   CHECK(SentTo(late, NumberOf("s-new")) >= warm * 8 / 10);
 }
 
 TEST_CASE("when the origin gave out a copy, by its clock, is told on and changes nothing else") {
   std::set<std::string> tags;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
-    auto answer = caches::readAnswer("9b1f HIT entity=t1,issued=" + Stamp(1.76e12 + skew) + ",remark=local 5", {});
+    auto answer = caches::ReadAnswer("9b1f HIT entity=t1,issued=" + Stamp(1.76e12 + skew) + ",remark=local 5", {});
     REQUIRE(answer);
-    CHECK(answer->word.ending == Ending::finished);
+    CHECK(answer->word.ending == Ending::kFinished);
     CHECK(answer->word.dated);
-    CHECK(answer->word.remark == Remark::hit);
+    CHECK(answer->word.remark == Remark::kHit);
     tags.insert(answer->word.tag);
   }
   CHECK(tags.size() == 1);
@@ -355,25 +355,25 @@
     terms.fronts = 2;
     Drift front(1, {{1, 0}, {2, 0}}, {}, terms, 1, 0, {});
     auto form = std::make_shared<const Form>(Form{{"sheet", {{"most_legs", "3"}}}});
-    front.handle(0, Active{*form});
-    front.handle(0, Owns{1});  // the owner's verdict needs no others
+    front.Handle(0, Active{*form});
+    front.Handle(0, Owns{1});  // the owner's verdict needs no others
     Ms given = 1.76e12;
-    front.handle(0, ApprovedFor{2, 10, digest(*form), given + skew + 5 * kSecond, given, form});
+    front.Handle(0, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond, given, form});
     Told lacks;
     lacks.version = 9, lacks.active = 1, lacks.approved = 1;
     std::optional<Ms> found;
-    for (Ms now = 100; now <= terms.termMost + 20 * kSecond && !found; now += 100) {
+    for (Ms now = 100; now <= terms.term_most + 20 * kSecond && !found; now += 100) {
       lacks.seq = static_cast<std::uint64_t>(now), lacks.changed = 1;
-      front.handle(now, Hears{2, lacks});
-      if (now == 2000) front.handle(now, ApprovedFor{2, 10, digest(*form), given + skew + 5 * kSecond, given - kHour, form});
-      front.handle(now, Tick{});
-      auto row = front.rows().find(2);
-      if (row->second.standing == drift::Standing::converging || row->second.standing == drift::Standing::unknown) continue;
+      front.Handle(now, Hears{2, lacks});
+      if (now == 2000) front.Handle(now, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond, given - kHour, form});
+      front.Handle(now, Tick{});
+      auto row = front.Rows().find(2);
+      if (row->second.standing == drift::Standing::kConverging || row->second.standing == drift::Standing::kUnknown) continue;
       found = now;
     }
     REQUIRE(found);
-    CHECK(*found >= terms.termLeast);
-    CHECK(*found <= terms.termMost + 10 * kSecond);
+    CHECK(*found >= terms.term_least);
+    CHECK(*found <= terms.term_most + 10 * kSecond);
   }
 }
 
@@ -403,18 +403,18 @@
       record::Entry entry;
       entry.offset = offset;
       entry.token = 1;
-      entry.stream = record::Stream::recalls;
+      entry.stream = record::Stream::kRecalls;
       entry.key = offset == 3 ? "group/2" : "group/1";
       entry.tombstone = offset == 2;
       entry.at = kWritten + skew;
       entries.push_back(entry);
     }
     REQUIRE(log.append(0, entries));
-    log.commit(3);
-    auto plan = log.worth(kWritten + terms.tombstoneTerm + 2 * kHour, 3, 1);
+    log.Commit(3);
+    auto plan = log.Worth(kWritten + terms.tombstone_term + 2 * kHour, 3, 1);
     REQUIRE(plan);
     CHECK(plan->forget == 2);
-    auto lagging = log.worth(kWritten + terms.tombstoneTerm + 2 * kHour, 1, 1);  // a subscriber has not passed it
+    auto lagging = log.Worth(kWritten + terms.tombstone_term + 2 * kHour, 1, 1);  // a subscriber has not passed it
     CHECK((!lagging || lagging->forget == 0));
   }
 }
@@ -433,29 +433,29 @@
     auto start = [&](Id id, Ms now, std::uint32_t incarnation) {
       fronts.erase(id);
       Drift& front = fronts.emplace(id, Drift(id, zones, {}, terms, id, now, {incarnation, 0})).first->second;
-      front.handle(now, Active{*form});
-      front.handle(now, Approved{10, Approval{"ann", "", 0, 0, *form}});
-      for (const auto& [other, zone] : zones) front.handle(now, ApprovedFor{other, 10, digest(*form), 0, 0, form});
+      front.Handle(now, Active{*form});
+      front.Handle(now, Approved{10, Approval{"ann", "", 0, 0, *form}});
+      for (const auto& [other, zone] : zones) front.Handle(now, ApprovedFor{other, 10, Digest(*form), 0, 0, form});
     };
     auto run = [&](Ms from, Ms to) {
       for (Ms now = from; now <= to; now += 100)
         for (const auto& [id, zone] : zones) {
           if (fronts.count(id) == 0) continue;
-          for (const drift::Action& action : fronts.at(id).handle(now, Tick{})) {
+          for (const drift::Action& action : fronts.at(id).Handle(now, Tick{})) {
             const auto* tell = std::get_if<Tell>(&action);
-            if (tell && fronts.count(tell->to)) fronts.at(tell->to).handle(now, Hears{id, tell->told});
+            if (tell && fronts.count(tell->to)) fronts.at(tell->to).Handle(now, Hears{id, tell->told});
           }
         }
     };
     for (const auto& [id, zone] : zones) start(id, 0, kStarted);
     run(100, 20000);
-    REQUIRE(fronts.at(2).rows().at(1).standing == drift::Standing::inStep);
+    REQUIRE(fronts.at(2).Rows().at(1).standing == drift::Standing::kInStep);
     fronts.erase(1);
     run(20100, 40000);
-    REQUIRE(fronts.at(2).rows().at(1).standing == drift::Standing::unknown);
+    REQUIRE(fronts.at(2).Rows().at(1).standing == drift::Standing::kUnknown);
     start(1, 40000, kStarted - static_cast<std::uint32_t>(back / kSecond));
     run(40100, 60000);
-    CHECK(fronts.at(2).rows().at(1).standing == drift::Standing::inStep);
-    CHECK(fronts.at(3).rows().at(1).standing == drift::Standing::inStep);
+    CHECK(fronts.at(2).Rows().at(1).standing == drift::Standing::kInStep);
+    CHECK(fronts.at(3).Rows().at(1).standing == drift::Standing::kInStep);
   }
 }
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -14,43 +14,43 @@
  public:
   void AllowDial() { held_ = kNone; }
   Ms now() override { return system_.now(); }
-  int wait(std::span<pollfd> watched, int ms) override {
+  int Wait(std::span<pollfd> watched, int ms) override {
     std::vector<pollfd> polled(watched.begin(), watched.end());
     for (pollfd& one : polled)
       if (one.fd == held_) one.fd = kIgnoredByPoll;
-    int count = system_.wait(polled, ms);
+    int count = system_.Wait(polled, ms);
     for (std::size_t i = 0; i < polled.size(); ++i) watched[i].revents = polled[i].revents;
     return count;
   }
-  int openStream() override { return system_.openStream(); }
-  int connect(int fd, const loop::Address& to) override {
+  int OpenStream() override { return system_.OpenStream(); }
+  int Connect(int fd, const loop::Address& to) override {
     if (!dialled_) held_ = fd;
     dialled_ = true;
-    return system_.connect(fd, to);
+    return system_.Connect(fd, to);
   }
-  int fault(int fd) override { return system_.fault(fd); }
-  int listen(const loop::Address& at) override { return system_.listen(at); }
-  int accept(int fd) override { return system_.accept(fd); }
+  int Fault(int fd) override { return system_.Fault(fd); }
+  int Listen(const loop::Address& at) override { return system_.Listen(at); }
+  int Accept(int fd) override { return system_.Accept(fd); }
   ssize_t receive(int fd, std::span<char> into) override { return system_.receive(fd, into); }
-  ssize_t send(int fd, std::span<const iovec> parts) override { return system_.send(fd, parts); }
-  void sayNoMore(int fd) override { system_.sayNoMore(fd); }
-  void close(int fd) override {
+  ssize_t Send(int fd, std::span<const iovec> parts) override { return system_.Send(fd, parts); }
+  void SayNoMore(int fd) override { system_.SayNoMore(fd); }
+  void Close(int fd) override {
     if (fd == held_) held_ = kNone;
-    system_.close(fd);
+    system_.Close(fd);
   }
-  void abort(int fd) override {
+  void Abort(int fd) override {
     if (fd == held_) held_ = kNone;
-    system_.abort(fd);
+    system_.Abort(fd);
   }
-  int openDatagrams(const loop::Address& at) override { return system_.openDatagrams(at); }
-  ssize_t sendTo(int fd, std::span<const char> bytes, const loop::Address& to) override { return system_.sendTo(fd, bytes, to); }
-  ssize_t receiveFrom(int fd, std::span<char> into, loop::Address& from) override { return system_.receiveFrom(fd, into, from); }
-  std::size_t descriptorLimit() override { return system_.descriptorLimit(); }
+  int OpenDatagrams(const loop::Address& at) override { return system_.OpenDatagrams(at); }
+  ssize_t SendTo(int fd, std::span<const char> bytes, const loop::Address& to) override { return system_.SendTo(fd, bytes, to); }
+  ssize_t ReceiveFrom(int fd, std::span<char> into, loop::Address& from) override { return system_.ReceiveFrom(fd, into, from); }
+  std::size_t DescriptorLimit() override { return system_.DescriptorLimit(); }
 
  private:
   static constexpr int kNone = -2;
   static constexpr int kIgnoredByPoll = -1;
-  loop::Ground& system_ = loop::system();
+  loop::Ground& system_ = loop::MakeSystem();
   bool dialled_ = false;
   int held_ = kNone;
 };
@@ -64,23 +64,23 @@
 /// Two requests open on one connection, and a second server beside the one that they went to.
 struct TwoOpen {
   FarListener listeners[2];
-  Road road{machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}})};
+  Road road{Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}})};
   Asked first;
   Asked second;
   Far server;
 
   TwoOpen() {
-    road.exchange.pullCame(askAs(1), first);
-    road.exchange.pullCame(askAs(2), second);
+    road.exchange.OnRequest(AskAs(1), first);
+    road.exchange.OnRequest(AskAs(2), second);
     server = Next();
-    until(road.loop, [&] { return server.hears(wantOf(1)) && server.hears(wantOf(2)); });
+    Until(road.loop, [&] { return server.Hears(WantOf(1)) && server.Hears(WantOf(2)); });
   }
   /// The next connection to come, at whichever server.
   Far Next() {
     Far next;
-    until(road.loop, [&] {
+    Until(road.loop, [&] {
       for (FarListener& listener : listeners) {
-        int accepted = next.fd ? -1 : ::accept4(listener.fd.get(), nullptr, nullptr, SOCK_NONBLOCK);
+        int accepted = next.fd ? -1 : ::accept4(listener.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
         if (accepted >= 0) next = Far(loop::Descriptor(accepted));
       }
       return static_cast<bool>(next.fd);
@@ -96,53 +96,53 @@
   FarListener listeners[2];
   LateDial ground;
   loop::Loop loop(ground);
-  auto list = machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}});
-  exchange::Exchange exchange(loop, sheetWith(false), 1);
-  caches::Caches caches(loop, exchange, terms(kConnectWithin), 8);
-  exchange.meet(caches);
-  exchange.listCame(true, list);
+  auto list = Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}});
+  exchange::Exchange exchange(loop, SheetWith(false), 1);
+  caches::Caches caches(loop, exchange, MakeTerms(kConnectWithin), 8);
+  exchange.Meet(caches);
+  exchange.ListCame(true, list);
   Asked client;
-  exchange.pullCame(askAs(1), client);
+  exchange.OnRequest(AskAs(1), client);
   FarListener* other = nullptr;
   Far dialled;  // up for the system, and not yet for the front
-  until(loop, [&] {
+  Until(loop, [&] {
     for (int i = 0; i < 2 && !other; ++i) {
-      int accepted = ::accept4(listeners[i].fd.get(), nullptr, nullptr, SOCK_NONBLOCK);
+      int accepted = ::accept4(listeners[i].fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
       if (accepted < 0) continue;
       dialled = Far(loop::Descriptor(accepted));
       other = &listeners[1 - i];
     }
     return other != nullptr;
   });
-  loop.skip(kConnectWithin + 1);
-  until(loop, [&] { return exchange.counters.neverRan == 1; });
+  loop.Skip(kConnectWithin + 1);
+  Until(loop, [&] { return exchange.counters.never_ran == 1; });
   ground.AllowDial();
-  Far server = other->next(loop);
-  until(loop, [&] { return server.hears(wantOf(1)); });
-  until(loop, [&] { return dialled.read(), dialled.over; });
+  Far server = other->Next(loop);
+  Until(loop, [&] { return server.Hears(WantOf(1)); });
+  Until(loop, [&] { return dialled.Read(), dialled.over; });
   CHECK(dialled.got.empty());
-  CHECK(server.got.find(wantOf(1), server.got.find(wantOf(1)) + 1) == std::string::npos);
-  server.say(hit(1));
-  until(loop, [&] { return !client.told.empty(); });
-  CHECK(client.is({"200 t"}));
+  CHECK(server.got.find(WantOf(1), server.got.find(WantOf(1)) + 1) == std::string::npos);
+  server.Send(Hit(1));
+  Until(loop, [&] { return !client.told.empty(); });
+  CHECK(client.Is({"200 t"}));
 }
 
 // The dial's event and its timeout in one turn, after a standstill: it came up in time, and what waited goes out, once.
 TEST_CASE("a dial that is up in the turn of its timeout is used") {
   constexpr Ms kConnectWithin = 400;
   FarListener listener;
-  Road road(machines({{"s-1", listener.at}}), sheetWith(false), terms(kConnectWithin));
+  Road road(Machines({{"s-1", listener.at}}), SheetWith(false), MakeTerms(kConnectWithin));
   Asked client;
-  road.exchange.pullCame(askAs(1), client);
-  road.loop.skip(kConnectWithin + 1);
-  road.turns();
-  Far server = listener.next(road.loop);
-  until(road.loop, [&] { return server.hears(wantOf(1)); });
-  CHECK(road.exchange.counters.neverRan == 0);
+  road.exchange.OnRequest(AskAs(1), client);
+  road.loop.Skip(kConnectWithin + 1);
+  road.Turns();
+  Far server = listener.Next(road.loop);
+  Until(road.loop, [&] { return server.Hears(WantOf(1)); });
+  CHECK(road.exchange.counters.never_ran == 0);
   CHECK(road.exchange.counters.legs == 1);
-  server.say(hit(1));
-  until(road.loop, [&] { return !client.told.empty(); });
-  CHECK(client.is({"200 t"}));
+  server.Send(Hit(1));
+  Until(road.loop, [&] { return !client.told.empty(); });
+  CHECK(client.Is({"200 t"}));
 }
 
 // Every byte shows that the connection carries, so no silence ends it. Its request's client is answered by its deadline, and who
@@ -160,36 +160,36 @@
     CAPTURE(c.answer.substr(0, 30));
     CAPTURE(c.second_comes);
     FarListener listener;
-    Road road(machines({{"s-1", listener.at}}));
+    Road road(Machines({{"s-1", listener.at}}));
     Asked first;
-    road.exchange.pullCame(askAs(1), first);
-    Far server = listener.next(road.loop);
-    until(road.loop, [&] { return server.hears(wantOf(1)); });
+    road.exchange.OnRequest(AskAs(1), first);
+    Far server = listener.Next(road.loop);
+    Until(road.loop, [&] { return server.Hears(WantOf(1)); });
     std::size_t sent = 60;  // into the body, or still in the line
-    server.say(c.answer.substr(0, sent));
+    server.Send(c.answer.substr(0, sent));
     auto trickle = [&] {
-      bool is_over = (server.read(), server.over);
-      if (!is_over && sent < c.answer.size()) server.say(c.answer.substr(sent++, 1));
-      road.loop.skip(kStep);
-      road.turns(2);
+      bool is_over = (server.Read(), server.over);
+      if (!is_over && sent < c.answer.size()) server.Send(c.answer.substr(sent++, 1));
+      road.loop.Skip(kStep);
+      road.Turns(2);
     };
     Ms passed = 0;
     for (; passed < c.second_comes; passed += kStep) trickle();
     Asked second;
-    road.exchange.pullCame(askAs(2), second);
+    road.exchange.OnRequest(AskAs(2), second);
     Far again;
     for (int i = 0; i < 20 && !again.fd; ++i) {
       trickle();
       passed += kStep;
-      int accepted = ::accept4(listener.fd.get(), nullptr, nullptr, SOCK_NONBLOCK);
+      int accepted = ::accept4(listener.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
       if (accepted >= 0) again = Far(loop::Descriptor(accepted));
     }
     REQUIRE(again.fd);
-    until(road.loop, [&] { return again.hears(wantOf(2)); });
-    again.say(hit(2));
-    until(road.loop, [&] { return !second.told.empty(); });
-    CHECK(second.is({"200 t"}));
-    CHECK_FALSE(server.hears(wantOf(2)));
+    Until(road.loop, [&] { return again.Hears(WantOf(2)); });
+    again.Send(Hit(2));
+    Until(road.loop, [&] { return !second.told.empty(); });
+    CHECK(second.Is({"200 t"}));
+    CHECK_FALSE(server.Hears(WantOf(2)));
     for (; passed <= kExpiry; passed += kStep) trickle();
     CHECK(first.told.size() == 1);
     CHECK(first.told[0].substr(0, 3) != "200");
@@ -201,19 +201,19 @@
 TEST_CASE("an answer under the id of another open request is taken once, and the other waits for its own") {
   for (bool own_answer_comes : {true, false}) {
     TwoOpen open;
-    open.server.say(AnswerTo(2, "two") + AnswerTo(2, "one"));
-    until(open.road.loop, [&] { return open.road.exchange.counters.lateAnswers == 1; });
-    CHECK(open.second.is({"200 t2"}));
+    open.server.Send(AnswerTo(2, "two") + AnswerTo(2, "one"));
+    Until(open.road.loop, [&] { return open.road.exchange.counters.late_answers == 1; });
+    CHECK(open.second.Is({"200 t2"}));
     CHECK(open.second.body == "two");
     CHECK(open.first.told.empty());
-    if (own_answer_comes) open.server.say(AnswerTo(1, "own"));
-    else open.road.loop.skip(60001);
-    until(open.road.loop, [&] { return !open.first.told.empty(); });
+    if (own_answer_comes) open.server.Send(AnswerTo(1, "own"));
+    else open.road.loop.Skip(60001);
+    Until(open.road.loop, [&] { return !open.first.told.empty(); });
     CHECK(open.first.told.size() == 1);
     if (own_answer_comes) CHECK(open.first.body == "own");
     else CHECK(open.first.told[0].substr(0, 3) == "503");
     CHECK(open.second.told.size() == 1);
-    CHECK(open.road.exchange.counters.badLines == 0);
+    CHECK(open.road.exchange.counters.bad_lines == 0);
   }
 }
 
@@ -221,16 +221,16 @@
   for (const std::string spare : {"\r\n", "spare\r\n", "spare", "two spare words\r\n"}) {
     CAPTURE(spare);
     TwoOpen open;
-    open.server.say(AnswerTo(1, "one") + spare);
-    until(open.road.loop, [&] { return !open.first.told.empty(); });
-    CHECK(open.first.is({"200 t1"}));
+    open.server.Send(AnswerTo(1, "one") + spare);
+    Until(open.road.loop, [&] { return !open.first.told.empty(); });
+    CHECK(open.first.Is({"200 t1"}));
     CHECK(open.first.body == "one");
     Far again = open.Next();  // the other request is asked again
-    until(open.road.loop, [&] { return again.hears(wantOf(2)); });
-    CHECK((open.server.read(), open.server.over));
-    again.say(AnswerTo(2, "two"));
-    until(open.road.loop, [&] { return !open.second.told.empty(); });
-    CHECK(open.second.is({"200 t2"}));
+    Until(open.road.loop, [&] { return again.Hears(WantOf(2)); });
+    CHECK((open.server.Read(), open.server.over));
+    again.Send(AnswerTo(2, "two"));
+    Until(open.road.loop, [&] { return !open.second.told.empty(); });
+    CHECK(open.second.Is({"200 t2"}));
     CHECK(open.second.body == "two");
   }
 }
@@ -239,22 +239,22 @@
   TwoOpen open;
   std::string answer = AnswerTo(1, "one");
   answer.insert(answer.size() - 2, "more");
-  open.server.say(answer);
+  open.server.Send(answer);
   Far again[2] = {open.Next(), open.Next()};  // the one whose answer it was moves on, the other is asked again
   bool asked[2] = {false, false};
-  until(open.road.loop, [&] {
+  Until(open.road.loop, [&] {
     for (int which : {1, 2})
-      for (Far& server : again) asked[which - 1] |= server.hears(wantOf(which));
+      for (Far& server : again) asked[which - 1] |= server.Hears(WantOf(which));
     return asked[0] && asked[1];
   });
   CHECK(open.first.told.empty());
-  CHECK(open.road.exchange.counters.badLines == 1);
+  CHECK(open.road.exchange.counters.bad_lines == 1);
   for (int which : {1, 2})
     for (Far& server : again)
-      if (server.hears(wantOf(which))) server.say(AnswerTo(which, which == 1 ? "one" : "two"));
-  until(open.road.loop, [&] { return !open.first.told.empty() && !open.second.told.empty(); });
-  CHECK(open.first.is({"200 t1"}));
+      if (server.Hears(WantOf(which))) server.Send(AnswerTo(which, which == 1 ? "one" : "two"));
+  Until(open.road.loop, [&] { return !open.first.told.empty() && !open.second.told.empty(); });
+  CHECK(open.first.Is({"200 t1"}));
   CHECK(open.first.body == "one");
-  CHECK(open.second.is({"200 t2"}));
+  CHECK(open.second.Is({"200 t2"}));
   CHECK(open.second.body == "two");
 }
