--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -86,96 +86,96 @@
   return [decode](Bytes bytes) -> std::optional<std::string> {
     auto value = decode(bytes);
     if (!value) return std::nullopt;
-    return encode(*value);
+    return Encode(*value);
   };
 }
 
 // ---- membership
 
 void AddMembership(std::vector<Golden>& all) {
-  for (int kind = 0; kind <= static_cast<int>(members::Kind::nack); ++kind) {
+  for (int kind = 0; kind <= static_cast<int>(members::Kind::kNack); ++kind) {
     members::Message m;
     m.kind = static_cast<members::Kind>(kind);
     m.from = 0x01020304;
     m.to = 7;
     m.seq = 0xfffffffe;
     m.target = 9;
-    m.news = {{3, 5, members::State::alive, 0}, {4, 6, members::State::suspect, 7}, {0xffffffff, 8, members::State::dead, 1}};
+    m.news = {{3, 5, members::State::kAlive, 0}, {4, 6, members::State::kSuspect, 7}, {0xffffffff, 8, members::State::kDead, 1}};
     m.notes = {{2, 11, 0x0123456789abcdefu}, {3, 0xffffffff, 0}};
-    all.push_back({std::string("members_") + members::word(m.kind), members::encode(m), Reencode(members::decode)});
+    all.push_back({std::string("members_") + members::ToString(m.kind), members::Encode(m), Reencode(members::Decode)});
   }
-  all.push_back({"members_view_request", members::viewRequest, [](Bytes bytes) -> std::optional<std::string> {
-                   if (!members::isViewRequest(bytes)) return std::nullopt;
-                   return members::viewRequest;
+  all.push_back({"members_view_request", members::kViewRequest, [](Bytes bytes) -> std::optional<std::string> {
+                   if (!members::IsViewRequest(bytes)) return std::nullopt;
+                   return members::kViewRequest;
                  }});
 }
 
 // ---- transport between replicas
 
 std::optional<std::string> ReencodeFrame(Bytes bytes) {
-  auto frame = peers::frame(bytes);
+  auto frame = peers::ReadFrame(bytes);
   if (!frame) return std::nullopt;
-  if (frame->kind == peers::Kind::piece) {
-    auto piece = peers::piece(frame->body);
+  if (frame->kind == peers::Kind::kPiece) {
+    auto piece = peers::ReadPiece(frame->body);
     if (!piece) return std::nullopt;
-    return peers::encode(frame->channel, frame->from, *piece);
+    return peers::Encode(frame->channel, frame->from, *piece);
   }
-  if (frame->kind == peers::Kind::had) {
-    auto had = peers::had(frame->body);
+  if (frame->kind == peers::Kind::kHad) {
+    auto had = peers::ReadHad(frame->body);
     if (!had) return std::nullopt;
-    return peers::encode(frame->channel, frame->from, *had);
+    return peers::Encode(frame->channel, frame->from, *had);
   }
-  return peers::encode(frame->channel, frame->from, frame->kind, frame->body);
+  return peers::Encode(frame->channel, frame->from, frame->kind, frame->body);
 }
 
 void AddTransport(std::vector<Golden>& all) {
   constexpr peers::Id kFrom = 0x0a0b0c0d;
   const std::string body = "a small message, whole";
-  for (std::size_t channel = 0; channel < peers::channels; ++channel) {
+  for (std::size_t channel = 0; channel < peers::kChannels; ++channel) {
     auto id = static_cast<peers::Channel>(channel);
-    all.push_back({std::string("peers_whole_") + peers::word(id), peers::encode(id, kFrom, peers::Kind::whole, body), ReencodeFrame});
+    all.push_back({std::string("peers_whole_") + peers::ToString(id), peers::Encode(id, kFrom, peers::Kind::kWhole, body), ReencodeFrame});
   }
   std::string large;
-  for (std::size_t i = 0; i < 2 * peers::pieceBytes + 100; ++i) large.push_back(static_cast<char>(i * 7));
+  for (std::size_t i = 0; i < 2 * peers::kPieceBytes + 100; ++i) large.push_back(static_cast<char>(i * 7));
   peers::Piece piece;
   piece.incarnation = 0x1122334455667788u;
   piece.message = 3;
   piece.size = static_cast<std::uint32_t>(large.size());
   piece.index = 2;
-  piece.digest = peers::digest(large);
-  piece.bytes = Bytes(large).subspan(2 * peers::pieceBytes);
-  all.push_back({"peers_piece", peers::encode(peers::Channel::record, kFrom, piece), ReencodeFrame});
+  piece.digest = peers::Digest(large);
+  piece.bytes = Bytes(large).subspan(2 * peers::kPieceBytes);
+  all.push_back({"peers_piece", peers::Encode(peers::Channel::kRecord, kFrom, piece), ReencodeFrame});
   peers::Had had;
   had.incarnation = 0x1122334455667788u;
   had.message = 3;
   had.life = {0x99aabbccddeeff00u, 4};
-  all.push_back({"peers_had_delivered", peers::encode(peers::Channel::record, kFrom, had), ReencodeFrame});
+  all.push_back({"peers_had_delivered", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
   had.pieces = {true, false, true, true, false, false, false, false, true, false, true};
-  all.push_back({"peers_had_partly", peers::encode(peers::Channel::record, kFrom, had), ReencodeFrame});
+  all.push_back({"peers_had_partly", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
 }
 
 // ---- shares of limits
 
 void AddQuota(std::vector<Golden>& all) {
-  all.push_back({"quota_poll", quota::encode(quota::Poll{5, 77}), Reencode(quota::decodePoll)});
+  all.push_back({"quota_poll", quota::Encode(quota::Poll{5, 77}), Reencode(quota::DecodePoll)});
   quota::Report report;
   report.token = 5;
   report.round = 77;
-  report.usingToken = 4;
-  report.usingRound = 76;
+  report.using_token = 4;
+  report.using_round = 76;
   report.bad = 2;
   report.epoch = 9;
   report.want = {120.5, 0.1};
   report.have = {100, 0};
   report.factor = {1, 0.6};
-  all.push_back({"quota_report", quota::encode(report), Reencode(quota::decodeReport)});
+  all.push_back({"quota_report", quota::Encode(report), Reencode(quota::DecodeReport)});
   quota::Grant grant;
   grant.token = 5;
   grant.round = 77;
   grant.epoch = 9;
   grant.share = {110.25, 0.5};
   grant.factor = {1, 0.6};
-  all.push_back({"quota_grant", quota::encode(grant), Reencode(quota::decodeGrant)});
+  all.push_back({"quota_grant", quota::Encode(grant), Reencode(quota::DecodeGrant)});
 }
 
 // ---- leases
@@ -198,11 +198,11 @@
   std::map<std::string, std::string> longest;
   std::deque<Packet> network;
   auto send = [&](owner::Id to, std::string bytes) {
-    auto frame = owner::frame(bytes);
+    auto frame = owner::ReadFrame(bytes);
     if (!frame) throw std::runtime_error("a datagram that its own reader refuses");
     static const char* const kKinds[] = {"group", "ask", "answer", "act", "did"};
     std::string name = std::string("owner_") + kKinds[static_cast<int>(frame->kind)];
-    if (frame->kind == owner::Kind::group) {
+    if (frame->kind == owner::Kind::kGroup) {
       bool consensus = frame->body[0] != 0;
       name += consensus ? "_raft_" + std::to_string(static_cast<int>(frame->body[1])) : "_hello";
     }
@@ -222,54 +222,54 @@
   }
   owner::Fence fence;
   for (owner::Ms now = 0; now <= kUntil; now += kTick) {
-    for (auto& [id, node] : nodes) node->tick(now);
+    for (auto& [id, node] : nodes) node->Tick(now);
     for (std::deque<Packet> due = std::exchange(network, {}); !due.empty(); due.pop_front()) {
       const Packet& packet = due.front();
       if (packet.to == kDeaf && now >= kDeafFrom && now < kDeafUntil) continue;
       if (packet.to != kExecutor) {
-        nodes.at(packet.to)->receive(now, packet.bytes);
+        nodes.at(packet.to)->Receive(now, packet.bytes);
         continue;
       }
-      auto frame = owner::frame(packet.bytes);
-      auto step = owner::decodeDo(frame->body);
+      auto frame = owner::ReadFrame(packet.bytes);
+      auto step = owner::DecodeDo(frame->body);
       if (!step) throw std::runtime_error("a step that its own reader refuses");
       owner::Did did;
       did.what = *step;
-      did.landing = fence.take(step->work, step->token, step->step);
-      did.highest = fence.highest(step->work);
-      send(frame->from, owner::encodeDid(kExecutor, did));
+      did.landing = fence.Take(step->work, step->token, step->step);
+      did.highest = fence.Highest(step->work);
+      send(frame->from, owner::EncodeDid(kExecutor, did));
     }
   }
   return longest;
 }
 
 std::optional<std::string> ReencodeStep(Bytes bytes) {
-  auto frame = owner::frame(bytes);
-  if (!frame || frame->kind != owner::Kind::act) return std::nullopt;
-  auto step = owner::decodeDo(frame->body);
+  auto frame = owner::ReadFrame(bytes);
+  if (!frame || frame->kind != owner::Kind::kAct) return std::nullopt;
+  auto step = owner::DecodeDo(frame->body);
   if (!step) return std::nullopt;
-  return owner::encodeDo(frame->from, *step);
+  return owner::EncodeDo(frame->from, *step);
 }
 
 void AddLeases(std::vector<Golden>& all) {
-  for (int deed = 0; deed <= static_cast<int>(owner::Deed::found); ++deed) {
+  for (int deed = 0; deed <= static_cast<int>(owner::Deed::kFound); ++deed) {
     owner::Command command;
     command.deed = static_cast<owner::Deed>(deed);
     command.front = 0x01020304;
     command.token = 0x1122334455667788u;
     command.step = 6;
     command.work = "sweep-1";
-    all.push_back({std::string("owner_command_") + owner::word(command.deed), owner::encode(command), Reencode(owner::decode)});
+    all.push_back({std::string("owner_command_") + owner::MakeWord(command.deed), owner::Encode(command), Reencode(owner::Decode)});
   }
   owner::Table table;
-  table.apply({owner::Deed::found, 1, 100, 0, ""});
-  table.apply({owner::Deed::take, 2, 0, 4, "sweep-1"});
-  table.apply({owner::Deed::take, 3, 0, 0, "record"});
-  table.apply({owner::Deed::record, 2, table.works().at("sweep-1").token, 1, "sweep-1"});
-  all.push_back({"owner_table_snapshot", table.snapshot(), [](Bytes bytes) -> std::optional<std::string> {
+  table.Apply({owner::Deed::kFound, 1, 100, 0, ""});
+  table.Apply({owner::Deed::kTake, 2, 0, 4, "sweep-1"});
+  table.Apply({owner::Deed::kTake, 3, 0, 0, "record"});
+  table.Apply({owner::Deed::kRecord, 2, table.Works().at("sweep-1").token, 1, "sweep-1"});
+  all.push_back({"owner_table_snapshot", table.Snapshot(), [](Bytes bytes) -> std::optional<std::string> {
                    owner::Table restored;
-                   if (!restored.restore(bytes)) return std::nullopt;
-                   return restored.snapshot();
+                   if (!restored.Restore(bytes)) return std::nullopt;
+                   return restored.Snapshot();
                  }});
   for (auto& [name, bytes] : LeaseDatagrams()) {
     all.push_back({name, bytes, name == "owner_act" ? ReencodeStep : std::function<std::optional<std::string>(Bytes)>()});
@@ -279,14 +279,14 @@
 // ---- the replicated log
 
 std::vector<record::Entry> LogEntries() {
-  return {{41, 7, record::Stream::recalls, "object/0123", false, std::string("a\0b", 3), 1.5e12},
-          {42, 7, record::Stream::rules, "fleet", false, "value", 1.5e12 + 0.25},
-          {45, 8, record::Stream::terms, "zone/north", true, "", 0}};
+  return {{41, 7, record::Stream::kRecalls, "object/0123", false, std::string("a\0b", 3), 1.5e12},
+          {42, 7, record::Stream::kRules, "fleet", false, "value", 1.5e12 + 0.25},
+          {45, 8, record::Stream::kTerms, "zone/north", true, "", 0}};
 }
 
 void AddLog(std::vector<Golden>& all) {
   auto add = [&](const char* name, const record::Message& m) {
-    all.push_back({std::string("record_") + name, record::encode(m), Reencode([](Bytes bytes) { return record::decode(bytes); })});
+    all.push_back({std::string("record_") + name, record::Encode(m), Reencode([](Bytes bytes) { return record::Decode(bytes); })});
   };
   add("seek", record::Seek{7, 3});
   record::Tail tail;
@@ -302,7 +302,7 @@
   tail.first = 2;
   tail.cleaned = 40;
   tail.forgotten = 12;
-  tail.lastToken = 6;
+  tail.last_token = 6;
   tail.seen = {{2, 44}, {3, 45}};
   tail.spoilt = true;
   tail.holes = {13, 17};
@@ -311,7 +311,7 @@
   append.token = 7;
   append.life = 5;
   append.after = 40;
-  append.afterToken = 6;
+  append.after_token = 6;
   append.committed = 39;
   append.anew = true;
   append.session = 8;
@@ -327,7 +327,7 @@
   record::Kept kept;
   kept.token = 7;
   kept.life = 5;
-  kept.upTo = 45;
+  kept.up_to = 45;
   kept.refused = true;
   kept.full = true;
   kept.unsought = true;
@@ -341,8 +341,8 @@
   add("fetch", record::Fetch{40, 45, {41, 42}});
   record::Fetched fetched;
   fetched.after = 40;
-  fetched.upTo = 45;
-  fetched.afterToken = 6;
+  fetched.up_to = 45;
+  fetched.after_token = 6;
   fetched.committed = 44;
   fetched.cleaned = 30;
   fetched.forgotten = 12;
@@ -351,20 +351,20 @@
   add("fetched", fetched);
 
   auto say = [&](const char* name, const record::Saying& s) {
-    all.push_back({std::string("record_") + name, record::encode(s), Reencode(record::decodeSaying)});
+    all.push_back({std::string("record_") + name, record::Encode(s), Reencode(record::DecodeSaying)});
   };
   say("want", record::Want{0x1234, 2, 9, 40, 5, 12});
   record::Piece piece;
   piece.number = 9;
   piece.after = 40;
-  piece.upTo = 45;
+  piece.up_to = 45;
   piece.committed = 45;
   piece.snapshot = 44;
   piece.forgotten = 12;
   piece.age = 250;
-  piece.startOver = false;
+  piece.start_over = false;
   piece.entries = LogEntries();
-  piece.digest = record::digest(piece);
+  piece.digest = record::Digest(piece);
   say("piece", piece);
   say("lease", record::Lease{{{0x1234, 40}, {0x1235, 45}}});
 }
@@ -380,9 +380,9 @@
   approval.by = "first";
   approval.second = "second";
   approval.replaces = 41;
-  approval.holdBy = 1.5e12;
+  approval.hold_by = 1.5e12;
   approval.form = SampleForm();
-  all.push_back({"drift_approval", drift::encode(approval), Reencode(drift::decodeApproval)});
+  all.push_back({"drift_approval", drift::Encode(approval), Reencode(drift::DecodeApproval)});
   drift::Told told;
   told.version = 42;
   told.active = 0x0102030405060708u;
@@ -396,21 +396,21 @@
   told.abandoned = 0.25;
   told.declined = 0.5;
   told.token = 7;
-  told.stoppedAt = 40;
+  told.stopped_at = 40;
   told.others = {{2, 91, 42, 1, 2, 85}, {3, 92, 41, 3, 4, 86}};
   drift::Told::Case drifted;
   drifted.who = 3;
-  drifted.standing = static_cast<std::uint8_t>(drift::Standing::drifted);
+  drifted.standing = static_cast<std::uint8_t>(drift::Standing::kDrifted);
   drifted.changed = 86;
   drifted.wanted = 42;
   drifted.span = 1;
   drifted.newest = {7, "\x05", "\x02"};
   drifted.before = {6, "\x01", ""};
-  drifted.fields = {{{"quota", "limit"}, "100", "120.5", drift::Breaks::rule}};
+  drifted.fields = {{{"quota", "limit"}, "100", "120.5", drift::Breaks::kRule}};
   told.cases = {drifted};
   told.asides = {{3, 7, 2, true}};
-  all.push_back({"drift_told", drift::encode(told), Reencode(drift::decodeTold)});
-  all.push_back({"drift_repair", drift::encode(drift::Repair{3, 7, 42, 86}), Reencode(drift::decodeRepair)});
+  all.push_back({"drift_told", drift::Encode(told), Reencode(drift::DecodeTold)});
+  all.push_back({"drift_repair", drift::Encode(drift::Repair{3, 7, 42, 86}), Reencode(drift::DecodeRepair)});
 }
 
 // ---- recovery
@@ -419,16 +419,16 @@
   recovery::Hello hello;
   hello.life = 1700000000123u;
   hello.up = 1234.5;
-  hello.phase = recovery::Phase::record;
-  hello.store = recovery::StoreSeen::State::holed;
+  hello.phase = recovery::Phase::kRecord;
+  hello.store = recovery::StoreSeen::State::kHoled;
   hello.floors = {7, 45, 1700000000000u, 0x0102030405060708u, 42};
   hello.committed = 44;
-  hello.groupLeads = true;
-  hello.groupMember = true;
+  hello.group_leads = true;
+  hello.group_member = true;
   hello.zone = 2;
   hello.carries = 0.35;
-  hello.ofYou = 1700000000001u;
-  all.push_back({"recovery_hello", recovery::encode(hello), Reencode([](Bytes bytes) { return recovery::decode(bytes); })});
+  hello.of_you = 1700000000001u;
+  all.push_back({"recovery_hello", recovery::Encode(hello), Reencode([](Bytes bytes) { return recovery::Decode(bytes); })});
 }
 
 // ---- what is stored
@@ -444,7 +444,7 @@
   ~ScratchFolder() { std::filesystem::remove_all(path_); }
   ScratchFolder(const ScratchFolder&) = delete;
   ScratchFolder& operator=(const ScratchFolder&) = delete;
-  std::string path() const { return path_; }
+  std::string Path() const { return path_; }
 
  private:
   std::string path_;
@@ -529,8 +529,8 @@
 /// The raw contents of a new folder after `write` has used it.
 std::string StoredBy(const std::function<void(const std::string& folder)>& write) {
   ScratchFolder folder;
-  write(folder.path());
-  return Pack(RawStore(folder.path()).Read());
+  write(folder.Path());
+  return Pack(RawStore(folder.Path()).Read());
 }
 
 void PutRaw(const std::string& folder, Bytes packed) { RawStore(folder).Write(Unpack(packed)); }
@@ -542,14 +542,14 @@
 
 std::optional<std::string> RestoreLog(Bytes packed) {
   ScratchFolder folder;
-  PutRaw(folder.path(), packed);
+  PutRaw(folder.Path(), packed);
   std::optional<record::Head> head;
   std::vector<record::Entry> entries;
   bool corrupted = false;
   {
-    store::RecordLmdb disk(folder.path(), 1 << 20);
+    store::RecordLmdb disk(folder.Path(), 1 << 20);
     head = disk.head();
-    disk.each([&](record::Offset, const record::Entry* entry) {
+    disk.Each([&](record::Offset, const record::Entry* entry) {
       if (entry) entries.push_back(*entry);
       else corrupted = true;
     });
@@ -560,25 +560,25 @@
 
 std::optional<std::string> RestoreFloors(Bytes packed) {
   ScratchFolder folder;
-  PutRaw(folder.path(), packed);
+  PutRaw(folder.Path(), packed);
   store::KeptFloors floors;
-  if (store::FloorStore(folder.path()).read(floors) != store::FloorStore::Found::good) return std::nullopt;
-  return StoredBy([&](const std::string& again) { store::FloorStore(again).write(floors); });
+  if (store::FloorStore(folder.Path()).Read(floors) != store::FloorStore::Found::kGood) return std::nullopt;
+  return StoredBy([&](const std::string& again) { store::FloorStore(again).Write(floors); });
 }
 
 void WriteGroup(const std::string& folder, const owner::StoredState& state) {
   store::LmdbStore disk(folder);
-  disk.found(state.founding);
-  disk.setTerm(state.term);
-  disk.setVote(state.vote);
-  disk.append(state.entries);
-  disk.take(*state.snapshot, state.entries.size());
+  disk.Found(state.founding);
+  disk.SetTerm(state.term);
+  disk.SetVote(state.vote);
+  disk.Append(state.entries);
+  disk.Take(*state.snapshot, state.entries.size());
 }
 
 std::optional<std::string> RestoreGroup(Bytes packed) {
   ScratchFolder folder;
-  PutRaw(folder.path(), packed);
-  owner::StoredState state = store::LmdbStore(folder.path()).load();
+  PutRaw(folder.Path(), packed);
+  owner::StoredState state = store::LmdbStore(folder.Path()).load();
   if (!state.snapshot) return std::nullopt;
   return StoredBy([&](const std::string& again) { WriteGroup(again, state); });
 }
@@ -601,10 +601,10 @@
   floors.token = 7;
   floors.offset = 45;
   floors.incarnation = 1700000000000u;
-  floors.rulesDigest = 0x0102030405060708u;
-  floors.rulesVersion = 42;
+  floors.rules_digest = 0x0102030405060708u;
+  floors.rules_version = 42;
   floors.witnessed = {{1, 1700000000001u}, {2, 1700000000002u}};
-  all.push_back({"stored_floors", StoredBy([&](const std::string& folder) { store::FloorStore(folder).write(floors); }), RestoreFloors});
+  all.push_back({"stored_floors", StoredBy([&](const std::string& folder) { store::FloorStore(folder).Write(floors); }), RestoreFloors});
   owner::StoredState group;
   group.founding = "founders";
   group.term = 5;
@@ -617,7 +617,7 @@
 // ---- comparison
 
 const std::vector<Golden>& AllGolden() {
-  static const std::vector<Golden> all = [] {
+  static const std::vector<Golden> kAll = [] {
     std::vector<Golden> made;
     AddMembership(made);
     AddTransport(made);
@@ -629,7 +629,7 @@
     AddStored(made);
     return made;
   }();
-  return all;
+  return kAll;
 }
 
 /// File names hold no spaces.
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace kit;
 
-static void jsonIsReadStrictly() {
+static void JsonIsReadStrictly() {
   std::string deep(40, '['), shallow = std::string(20, '[') + std::string(20, ']');
   struct Case {
     std::string text;
@@ -24,38 +24,38 @@
                         {"1 2", false},        {"\"\\ud83d\"", false},
                         {"\"\\x\"", false},    {"\"a\nb\"", false},
                         {"\"open", false},     {deep + std::string(40, ']'), false}})
-    assert(json::read(c.text).has_value() == c.good);
-  auto v = json::read("{\"s\":\"\\u00e9\\ud83d\\ude00\\/\",\"n\":-2.5e3,\"t\":true}");
+    assert(json::Read(c.text).has_value() == c.good);
+  auto v = json::Read("{\"s\":\"\\u00e9\\ud83d\\ude00\\/\",\"n\":-2.5e3,\"t\":true}");
   assert(v->word("s") == "\xc3\xa9\xf0\x9f\x98\x80/" && v->number("n") == -2500.0 && !v->number("t"));
 }
 
-static void settingsAreLaidOutAsOnTheWire() {
-  auto v = json::read(
+static void SettingsAreLaidOutAsOnTheWire() {
+  auto v = json::Read(
       "{\"zone\":1,\"azs\":[\"hub "
       "one\",\"e,1\"],\"tenants\":[],\"limits\":{\"connIdle\":30000.0,\"cancel\":true},"
       "\"classes\":[{\"aim\":200.0,\"name\":\"a\"},{\"aim\":100.0,\"name\":\"b\"}]}");
-  assert(sheet::dotted(*v) ==
+  assert(sheet::Dotted(*v) ==
          "zone=1\nazs=hub_one,e_1\ntenants=\nlimits.connIdle=30000.0\nlimits.cancel=true\nclasses.count=2\n"
          "classes.0.aim=200.0\nclasses.0.name=a\nclasses.1.aim=100.0\nclasses.1.name=b\n");
 }
 
-static const std::string put =
+static const std::string kPut =
     "PUT /ops/handover/7f3a?part=3 HTTP/1.1\r\nHost: s\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\n"
     "content-length: 5\r\n\r\nab\r\n\x01";
 
-static void requestsAreReadAtAnySplit() {
-  for (std::size_t cut = 0; cut < put.size(); ++cut) {
-    auto part = clients::readRequest(std::string_view(put).substr(0, cut), 100);
+static void RequestsAreReadAtAnySplit() {
+  for (std::size_t cut = 0; cut < kPut.size(); ++cut) {
+    auto part = clients::ReadRequest(std::string_view(kPut).substr(0, cut), 100);
     assert(part.fault == 0 && !part.whole);
   }
-  std::string bytes = "\r\n" + put + "GET";
-  auto all = clients::readRequest(bytes, 100);
-  assert(all.whole && all.request.size == put.size() + 2 && all.request.body == "ab\r\n\x01");
-  assert(all.request.path == "/ops/handover/7f3a" && all.request.query == "part=3" && all.request.keepAlive);
+  std::string bytes = "\r\n" + kPut + "GET";
+  auto all = clients::ReadRequest(bytes, 100);
+  assert(all.whole && all.request.size == kPut.size() + 2 && all.request.body == "ab\r\n\x01");
+  assert(all.request.path == "/ops/handover/7f3a" && all.request.query == "part=3" && all.request.keep_alive);
   assert(all.request.header("x-REQUEST-id") == "9b1f03aa5c7e2d41");
 }
 
-static void badRequestsGetTheirStatus() {
+static void BadRequestsGetTheirStatus() {
   struct Case {
     std::string bytes;
     int fault;
@@ -82,28 +82,28 @@
                         {get + "Expect: magic\r\n\r\n", 417},
                         {"PUT / HTTP/1.1\r\n\r\n", 411},
                         {get + "A: " + std::string(9000, 'x'), 431}})
-    assert(clients::readRequest(c.bytes, 100).fault == c.fault);
-  assert(!clients::readRequest("GET / HTTP/1.0\r\n\r\n", 100).request.keepAlive);
-  assert(!clients::readRequest(get + "Connection: x, Close\r\n\r\n", 100).request.keepAlive);
+    assert(clients::ReadRequest(c.bytes, 100).fault == c.fault);
+  assert(!clients::ReadRequest("GET / HTTP/1.0\r\n\r\n", 100).request.keep_alive);
+  assert(!clients::ReadRequest(get + "Connection: x, Close\r\n\r\n", 100).request.keep_alive);
 }
 
-static void wantsCarryAllThatTheDecisionsName() {
+static void WantsCarryAllThatTheDecisionsName() {
   exchange::Ask ask;
   ask.id = "9b1f03aa5c7e2d41", ask.offering = "video", ask.object = "7f3a", ask.part = "3";
   SendLeg how;
-  assert(caches::RequestLine(ask, how, "").withTimeLeft(1500.2) ==
+  assert(caches::RequestLine(ask, how, "").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501 0\r\n\r\n");
   ask.tag = "4be0", ask.body = "a\r\nb";
-  how.join = how.heldOnly = how.renew = true, how.rank = 2, how.oldest = 0.001;
+  how.join = how.held_only = how.renew = true, how.rank = 2, how.oldest = 0.001;
   // An age below a millisecond must not become 0, which would lift the cap after a purge.
-  assert(caches::RequestLine(ask, how, "s-2").withTimeLeft(1500.2) ==
+  assert(caches::RequestLine(ask, how, "s-2").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501,miss=s-2,prio=2,within=1,"
          "f=coalesce+shallow+freshen,mine=4be0 4\r\na\r\nb\r\n");
   ask.key = "k-17";  // as its client named it: repeats are known by it
-  assert(caches::RequestLine(ask, how, "s-2").withTimeLeft(1500.2).find(",mine=4be0,replay=k-17 4\r\n") != std::string::npos);
+  assert(caches::RequestLine(ask, how, "s-2").WithTimeLeft(1500.2).find(",mine=4be0,replay=k-17 4\r\n") != std::string::npos);
 }
 
-static void answersAreRead() {
+static void AnswersAreRead() {
   struct Case {
     const char* line;
     Ending ending;
@@ -111,36 +111,36 @@
     std::size_t length;
   };
   for (Case c :
-       {Case{"a HIT entity=x1,issued=17645,remark=local,delay=0.5 240000", Ending::finished, Remark::hit,
+       {Case{"a HIT entity=x1,issued=17645,remark=local,delay=0.5 240000", Ending::kFinished, Remark::kHit,
              240000},
-        {"a VALID entity=x1,issued=1,remark=pulled_far 0", Ending::finished, Remark::filledByOrigin, 0},
-        {"a NONE remark=not_there 0", Ending::miss, Remark::sourceLacks, 0},
-        {"a SHED remark=no_place 0", Ending::full, Remark::noFillPlace, 0},
-        {"a FAULT remark=far_fault 0", Ending::error, Remark::originFailed, 0},
-        {"a FAULT later=field,remark=cut_off 0", Ending::error, Remark::sourceLost, 0},
-        {"a LATE - 0", Ending::moot, Remark::none, 0}}) {
-    auto answer = caches::readAnswer(c.line, {});
+        {"a VALID entity=x1,issued=1,remark=pulled_far 0", Ending::kFinished, Remark::kFilledByOrigin, 0},
+        {"a NONE remark=not_there 0", Ending::kMiss, Remark::kSourceLacks, 0},
+        {"a SHED remark=no_place 0", Ending::kFull, Remark::kNoFillPlace, 0},
+        {"a FAULT remark=far_fault 0", Ending::kError, Remark::kOriginFailed, 0},
+        {"a FAULT later=field,remark=cut_off 0", Ending::kError, Remark::kSourceLost, 0},
+        {"a LATE - 0", Ending::kMoot, Remark::kNone, 0}}) {
+    auto answer = caches::ReadAnswer(c.line, {});
     assert(answer && answer->id == "a" && !answer->probe && answer->length == c.length);
     assert(answer->word.ending == c.ending && answer->word.remark == c.remark);
   }
-  auto valid = caches::readAnswer("a VALID entity=x1,delay=2.5 0", {});
+  auto valid = caches::ReadAnswer("a VALID entity=x1,delay=2.5 0", {});
   assert(valid->word.unchanged && valid->word.tag == "x1" && valid->word.waited == 2.5);
-  auto pong = caches::readAnswer("p PONG report=util:0.61;inflight:7;odd:1 0", {"inflight", "util"});
+  auto pong = caches::ReadAnswer("p PONG report=util:0.61;inflight:7;odd:1 0", {"inflight", "util"});
   assert(pong->probe && pong->well && pong->word.report[0] == 7 && pong->word.report[1] == 0.61f);
-  assert(!caches::readAnswer("p SICK - 0", {})->well);
+  assert(!caches::ReadAnswer("p SICK - 0", {})->well);
   for (const char* bad : {"", "a", "a HIT", "a HIT -", "a HIT - x", "a HIT - -1", "a HIT - 240001",
                           "a HUT - 0", " HIT - 0", "a HIT  0", "a HIT remark=magic 0", "a HIT delay=x 0",
                           "a HIT delay=-1 0", "a HIT =x 0", "a HIT entity=a\"b 0", "a HIT entity=a\tb 0",
                           "a HIT report=x 0", "a HIT - 0 0", "a HIT - 99999999999999999999"})
-    assert(!caches::readAnswer(bad, {}));
+    assert(!caches::ReadAnswer(bad, {}));
 }
 
-static const sheet::RoadTerms terms{{"video"}, {"hub", "e-1"}, {"box", "parent"}, {}, 400, 30000, 100};
+static const sheet::RoadTerms kTerms{{"video"}, {"hub", "e-1"}, {"box", "parent"}, {}, 400, 30000, 100};
 
-static void noticesAreRead() {
+static void NoticesAreRead() {
   auto read = [](const char* text) {
-    auto v = json::read(text);
-    return v ? board::readNotice(*v, terms) : std::nullopt;
+    auto v = json::Read(text);
+    return v ? board::ReadNotice(*v, kTerms) : std::nullopt;
   };
   auto list = read(
       "{\"rev\":41,\"pool\":{\"version\":7,\"full\":false,\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.9:"
@@ -150,11 +150,11 @@
   assert(list && list->rev == 41 && list->list && !list->whole && !list->purge && list->entries.size() == 1);
   const exchange::Listed& one = list->entries[0];
   assert(one.id == "s-1" && ntohs(one.at.sin_port) == 5050 && one.entry.zone == 1 && one.entry.kind == 1);
-  assert(one.entry.standing == Standing::draining && one.entry.weight == 4 && one.entry.startedAt == 17);
+  assert(one.entry.standing == Standing::kDraining && one.entry.weight == 4 && one.entry.started_at == 17);
   auto object = read("{\"rev\":42,\"flush\":{\"asset\":\"7f3a\",\"ms\":123}}");
-  assert(object && object->purge && !object->wholeGroup && object->object == "7f3a" && object->at == 123);
+  assert(object && object->purge && !object->whole_group && object->object == "7f3a" && object->at == 123);
   auto group = read("{\"rev\":43,\"flush\":{\"collection\":17,\"ms\":480}}");
-  assert(group && group->wholeGroup && group->group == 17);
+  assert(group && group->whole_group && group->group == 17);
   assert(read("{\"rev\":44,\"news\":1}"));  // of a kind to come
   for (const char* bad :
        {"{}", "{\"rev\":0}", "{\"rev\":1.5}", "{\"rev\":\"1\"}", "{\"rev\":1,\"pool\":{}}", "[1]",
@@ -178,28 +178,28 @@
   for (const char* bad : {"", "s,1", "s\\r1", "s\\n1", "s\\t1", "s\\u00001", "s\\u007f1"}) assert(!entry(bad, ""));
 }
 
-static void endsMeanWhatTheyProve() {
+static void EndsMeanWhatTheyProve() {
   using loop::Parting;
   struct Case {
     Parting how;
     Ending whole, part;
   };
-  for (Case c : {Case{Parting::refused, Ending::noConnection, Ending::noConnection},
-                 {Parting::neverUp, Ending::noConnection, Ending::noConnection},
-                 {Parting::noDescriptor, Ending::noConnection, Ending::noConnection},
-                 {Parting::closed, Ending::broken, Ending::noConnection},
-                 {Parting::reset, Ending::broken, Ending::noConnection},
-                 {Parting::malformed, Ending::broken, Ending::noConnection},
-                 {Parting::replaced, Ending::broken, Ending::noConnection}}) {
-    assert(exchange::endingOf(c.how, true) == c.whole);
-    assert(exchange::endingOf(c.how, false) == c.part);
+  for (Case c : {Case{Parting::kRefused, Ending::kNoConnection, Ending::kNoConnection},
+                 {Parting::kNeverUp, Ending::kNoConnection, Ending::kNoConnection},
+                 {Parting::kNoDescriptor, Ending::kNoConnection, Ending::kNoConnection},
+                 {Parting::kClosed, Ending::kBroken, Ending::kNoConnection},
+                 {Parting::kReset, Ending::kBroken, Ending::kNoConnection},
+                 {Parting::kMalformed, Ending::kBroken, Ending::kNoConnection},
+                 {Parting::kReplaced, Ending::kBroken, Ending::kNoConnection}}) {
+    assert(exchange::EndingOf(c.how, true) == c.whole);
+    assert(exchange::EndingOf(c.how, false) == c.part);
   }
 }
 
 // Bytes changed at random: the readers may say what they like, but stay in their bounds (sanitizers look on).
-static void junkIsBorne() {
+static void JunkIsBorne() {
   std::knuth_b chance(7);
-  const std::string samples[] = {put, "a HIT entity=x1,issued=17645,remark=local,report=a:1;b:2 24",
+  const std::string samples[] = {kPut, "a HIT entity=x1,issued=17645,remark=local,report=a:1;b:2 24",
                                  "{\"rev\":42,\"flush\":{\"asset\":\"7f\\u00e9\",\"ms\":1.5e2}}"};
   std::size_t read = 0;
   for (int i = 0; i < 30000; ++i) {
@@ -207,22 +207,22 @@
     for (int changes = 1 + i % 4; changes > 0; --changes)
       bytes[chance() % bytes.size()] = static_cast<char>(chance());
     bytes.resize(chance() % (bytes.size() + 1));
-    auto request = clients::readRequest(bytes, 100);
+    auto request = clients::ReadRequest(bytes, 100);
     assert(!request.whole || request.request.size <= bytes.size());
-    read += request.whole + caches::readAnswer(bytes, {"a"}).has_value();
-    if (auto v = json::read(bytes)) read += board::readNotice(*v, terms).has_value();
+    read += request.whole + caches::ReadAnswer(bytes, {"a"}).has_value();
+    if (auto v = json::Read(bytes)) read += board::ReadNotice(*v, kTerms).has_value();
   }
   assert(read > 0);
 }
 
 int main() {
-  jsonIsReadStrictly();
-  settingsAreLaidOutAsOnTheWire();
-  requestsAreReadAtAnySplit();
-  badRequestsGetTheirStatus();
-  wantsCarryAllThatTheDecisionsName();
-  answersAreRead();
-  noticesAreRead();
-  endsMeanWhatTheyProve();
-  junkIsBorne();
+  JsonIsReadStrictly();
+  SettingsAreLaidOutAsOnTheWire();
+  RequestsAreReadAtAnySplit();
+  BadRequestsGetTheirStatus();
+  WantsCarryAllThatTheDecisionsName();
+  AnswersAreRead();
+  NoticesAreRead();
+  EndsMeanWhatTheyProve();
+  JunkIsBorne();
 }
