--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -23,31 +23,41 @@
   Charter charter;
   Ways ways;
   std::unique_ptr<store::LastingFloors> lasting_floors;  // none where no folder is configured
-  store::KeptFloors current;  // what this process knows and wants kept
+  store::KeptFloors current;                             // what this process knows and wants kept
   std::unique_ptr<Record> record;
   std::unique_ptr<Rules> rules;
   std::unique_ptr<Recovering> recovering;
-  bool aside = false, serves = true;
+  bool aside = false;
+  bool serves = true;
   LetIn admitted;
   // A front whose drift can break a rule takes no pull at all: each is declined at once.
   void ApplyAdmission() {
-    if (serves) ways.exchange->Admit(admitted.by_offering, admitted.come_back);
-    else ways.exchange->Admit(std::vector<double>(charter.sheet.offerings.size(), 0.0), std::max(admitted.come_back, charter.rules.terms.repair_within));
+    if (serves)
+      ways.exchange->Admit(admitted.by_offering, admitted.come_back);
+    else
+      ways.exchange->Admit(std::vector<double>(charter.sheet.offerings.size(), 0.0),
+                           std::max(admitted.come_back, charter.rules.terms.repair_within));
   }
-  std::uint64_t said = 0;  // of what is behind: full answers and time-outs, as counted at the last look
+  std::uint64_t said =
+      0;  // of what is behind: full answers and time-outs, as counted at the last look
   struct Window {
     Ms at = 0;
-    std::uint64_t pulls = 0, abandoned = 0, declined = 0;
+    std::uint64_t pulls = 0;
+    std::uint64_t abandoned = 0;
+    std::uint64_t declined = 0;
     drift::Pulls share;
   } window;
   std::map<std::string, Recall> standing;  // recalls in force: as many as the record holds
 
   Inner(loop::Loop& l, const Charter& c, Ways w) : loop(l), charter(c), ways(std::move(w)) {}
 
-  std::uint32_t Self() const { return charter.peers.self; }
+  std::uint32_t Self() const {
+    return charter.peers.self;
+  }
   drift::Form active() const {
     StoreSheet sheet = ways.generations ? ways.generations->sheet() : charter.sheet;
-    return drift::ActiveForm(sheet, charter.terms, charter.fleet, charter.owner, DUNLINWICK_VERSION);
+    return drift::ActiveForm(sheet, charter.terms, charter.fleet, charter.owner,
+                             DUNLINWICK_VERSION);
   }
 
   recovery::StoreSeen CheckStore() {
@@ -56,59 +66,88 @@
     if (charter.recovery.store.empty()) {
       seen.state = State::kNone;
     } else {
-      // A store that can't be opened or read is a spoilt one: the front starts without it, trusts nothing of it, says so, and tries again.
+      // A store that can't be opened or read is a spoilt one: the front starts without it, trusts
+      // nothing of it, says so, and tries again.
       store::KeptFloors found;
-      auto open_disk = [folder = charter.recovery.store]() -> std::unique_ptr<store::FloorDisk> { return std::make_unique<store::FloorStore>(folder); };
-      auto say = [this](const std::string& line) { log::Say("%s at %.0f", line.c_str(), loop.now()); };
+      auto open_disk = [folder = charter.recovery.store]() -> std::unique_ptr<store::FloorDisk> {
+        return std::make_unique<store::FloorStore>(folder);
+      };
+      auto say = [this](const std::string& line) {
+        log::Say("%s at %.0f", line.c_str(), loop.now());
+      };
       lasting_floors = std::make_unique<store::LastingFloors>(open_disk, say);
       switch (lasting_floors->Start(loop.now(), Self(), found)) {
-        case store::FloorDisk::Found::kEmpty: seen.state = State::kEmpty; break;
-        case store::FloorDisk::Found::kSpoilt: seen.state = State::kSpoilt; break;
-        case store::FloorDisk::Found::kGood: seen.state = found.whose == Self() ? State::kGood : State::kForeign; break;
+        case store::FloorDisk::Found::kEmpty:
+          seen.state = State::kEmpty;
+          break;
+        case store::FloorDisk::Found::kSpoilt:
+          seen.state = State::kSpoilt;
+          break;
+        case store::FloorDisk::Found::kGood:
+          seen.state = found.whose == Self() ? State::kGood : State::kForeign;
+          break;
       }
       seen.whose = found.whose;
-      seen.floors = {found.token, found.offset, found.incarnation, found.rules_digest, found.rules_version};
+      seen.floors = {found.token, found.offset, found.incarnation, found.rules_digest,
+                     found.rules_version};
       seen.witnessed = found.witnessed;
-      if (seen.state == State::kGood) current = found;
+      if (seen.state == State::kGood)
+        current = found;
     }
     if (record && record->Keeps()) {
       record::Head head = record->head();
-      if (record->Spoilt() && (seen.state == State::kGood || seen.state == State::kNone || seen.state == State::kEmpty)) seen.state = State::kHoled;
-      seen.floors.token = std::max(seen.floors.token, head.promised), seen.floors.offset = std::max(seen.floors.offset, head.committed);
+      if (record->Spoilt() &&
+          (seen.state == State::kGood || seen.state == State::kNone || seen.state == State::kEmpty))
+        seen.state = State::kHoled;
+      seen.floors.token = std::max(seen.floors.token, head.promised);
+      seen.floors.offset = std::max(seen.floors.offset, head.committed);
     }
     current.whose = Self();
     current.incarnation = std::max(current.incarnation + 1, static_cast<std::uint64_t>(loop.now()));
     Keep();
     return seen;
   }
-  // Written before this front speaks, and as the floors rise; on a disk that fails the front serves on, and writes them once it can.
+  // Written before this front speaks, and as the floors rise; on a disk that fails the front serves
+  // on, and writes them once it can.
   void Keep() {
-    if (lasting_floors) lasting_floors->Keep(loop.now(), current);
+    if (lasting_floors)
+      lasting_floors->Keep(loop.now(), current);
   }
   void Raise() {
-    if (ways.owner) current.token = std::max(current.token, ways.owner->group().token);
-    if (record) current.token = std::max(current.token, record->head().promised), current.offset = std::max(current.offset, record->Committed());
-    if (rules && rules->enabled()) current.rules_digest = rules->Digest(), current.rules_version = rules->version();
+    if (ways.owner)
+      current.token = std::max(current.token, ways.owner->group().token);
+    if (record) {
+      current.token = std::max(current.token, record->head().promised);
+      current.offset = std::max(current.offset, record->Committed());
+    }
+    if (rules && rules->enabled()) {
+      current.rules_digest = rules->Digest();
+      current.rules_version = rules->version();
+    }
     for (const auto& [id, incarnation] : heard_of) {
       auto& seen = current.witnessed[id];
       seen = std::max(seen, incarnation);
     }
     Keep();
   }
-  // The incarnation of another front that this one is a witness of: only what lasts is told, where anything does.
+  // The incarnation of another front that this one is a witness of: only what lasts is told, where
+  // anything does.
   std::uint64_t Witnessed(std::uint32_t front) const {
     const store::KeptFloors& told = lasting_floors ? lasting_floors->Lasting() : current;
     auto at = told.witnessed.find(front);
     return at == told.witnessed.end() ? 0 : at->second;
   }
   std::string FloorsView() const {
-    if (!lasting_floors) return "\"none\"";
+    if (!lasting_floors)
+      return "\"none\"";
     return lasting_floors->IsKept() ? "\"kept\"" : "\"not kept\"";
   }
-  std::map<std::uint32_t, std::uint64_t> heard_of;  // incarnations that others told of themselves: one a front
+  std::map<std::uint32_t, std::uint64_t>
+      heard_of;  // incarnations that others told of themselves: one a front
 
   void Permit() {
-    if (ways.owner) ways.owner->Permit(!aside && (!recovering || recovering->MayOwn()));
+    if (ways.owner)
+      ways.owner->Permit(!aside && (!recovering || recovering->MayOwn()));
   }
 
   Recovering::Now now() {
@@ -116,13 +155,18 @@
     if (ways.owner) {
       Owner::Group g = ways.owner->group();
       n.group = {g.member, g.leader_known, g.founded, g.lost, g.token};
-      // Outside the group there is no log of it to be behind: a leader that answered this process is the present one, by its majority.
-      if (!g.in_group && recovering) n.group.token = recovering->floors().token;
+      // Outside the group there is no log of it to be behind: a leader that answered this process
+      // is the present one, by its majority.
+      if (!g.in_group && recovering)
+        n.group.token = recovering->floors().token;
     } else {
       n.group = {false, true, true, false, 0};  // no group is set up: none to wait for
     }
-    if (record) n.record = {record->Position(), record->Committed(), record->CaughtUp(), record->GoodAt(), true};
-    if (rules) n.rules = {rules->enabled(), rules->InStep(), rules->version(), rules->Digest()};
+    if (record)
+      n.record = {record->Position(), record->Committed(), record->CaughtUp(), record->GoodAt(),
+                  true};
+    if (rules)
+      n.rules = {rules->enabled(), rules->InStep(), rules->version(), rules->Digest()};
     const exchange::Counters& c = ways.exchange->counters;
     std::uint64_t bad = c.full + c.timed_out;
     n.crowded = bad > said;
@@ -135,14 +179,25 @@
   drift::Pulls pulls() {
     constexpr Ms kEach = 1000;
     const exchange::Counters& c = ways.exchange->counters;
-    // What it declines because it may not serve, or is still letting in, says nothing of the rules: counted, the repair that mends it
-    // would be taken for the harm (seen between processes: repairs stopped by the front that they had just mended).
-    if (!serves || !admitted.by_offering.empty()) window.at = loop.now() - kEach, window.pulls = c.pulls, window.abandoned = c.abandoned, window.declined = c.declined;
+    // What it declines because it may not serve, or is still letting in, says nothing of the rules:
+    // counted, the repair that mends it would be taken for the harm (seen between processes:
+    // repairs stopped by the front that they had just mended).
+    if (!serves || !admitted.by_offering.empty()) {
+      window.at = loop.now() - kEach;
+      window.pulls = c.pulls;
+      window.abandoned = c.abandoned;
+      window.declined = c.declined;
+    }
     if (loop.now() >= window.at + kEach) {
       double came = static_cast<double>(c.pulls - window.pulls);
-      window.share = came > 0 ? drift::Pulls{static_cast<double>(c.abandoned - window.abandoned) / came, static_cast<double>(c.declined - window.declined) / came}
-                              : drift::Pulls{};
-      window.at = loop.now(), window.pulls = c.pulls, window.abandoned = c.abandoned, window.declined = c.declined;
+      window.share = came > 0
+                         ? drift::Pulls{static_cast<double>(c.abandoned - window.abandoned) / came,
+                                        static_cast<double>(c.declined - window.declined) / came}
+                         : drift::Pulls{};
+      window.at = loop.now();
+      window.pulls = c.pulls;
+      window.abandoned = c.abandoned;
+      window.declined = c.declined;
     }
     return window.share;
   }
@@ -152,37 +207,57 @@
     if (!r.offering.empty()) {
       const auto& names = charter.terms.offerings;
       auto at = std::find(names.begin(), names.end(), r.offering);
-      if (at == names.end()) return;  // not one of this front's
+      if (at == names.end())
+        return;  // not one of this front's
       offering = static_cast<int>(at - names.begin());
     }
-    std::string key = !r.object.empty() ? "o" + r.object : offering >= 0 ? "f" + std::to_string(offering) : "g" + std::to_string(r.group);
-    if (r.lifted) standing.erase(key);
-    else standing[key] = r;
+    std::string key = !r.object.empty() ? "o" + r.object
+                      : offering >= 0   ? "f" + std::to_string(offering)
+                                        : "g" + std::to_string(r.group);
+    if (r.lifted)
+      standing.erase(key);
+    else
+      standing[key] = r;
     ways.exchange->RecallCame(r.object, r.group, offering, r.lifted, r.ago);
   }
 };
 
-Layer::Layer(loop::Loop& loop, const Charter& c, Ways ways) : inner_(std::make_unique<Inner>(loop, c, std::move(ways))) {
+Layer::Layer(loop::Loop& loop, const Charter& c, Ways ways)
+    : inner_(std::make_unique<Inner>(loop, c, std::move(ways))) {
   Inner& in = *inner_;
   std::map<peers::Id, int> zone_of;
   std::vector<peers::Id> fronts;
-  for (const auto& [id, at] : c.peers.at) fronts.push_back(id);
-  for (const FleetMember& m : c.fleet.members) zone_of[m.id] = m.zone;
-  for (peers::Id id : fronts) zone_of.try_emplace(id, 0);
-  auto owns = [&in]() -> std::pair<std::uint64_t, bool> { return in.ways.owner ? in.ways.owner->Holds(kTheWork) : std::pair<std::uint64_t, bool>{0, false}; };
+  for (const auto& [id, at] : c.peers.at)
+    fronts.push_back(id);
+  for (const FleetMember& m : c.fleet.members)
+    zone_of[m.id] = m.zone;
+  for (peers::Id id : fronts)
+    zone_of.try_emplace(id, 0);
+  auto owns = [&in]() -> std::pair<std::uint64_t, bool> {
+    return in.ways.owner ? in.ways.owner->Holds(kTheWork)
+                         : std::pair<std::uint64_t, bool>{0, false};
+  };
   if (c.rules.on) {
     Rules::Ways w;
-    w.send = [&in](peers::Id to, std::string m) { return in.ways.send(to, peers::Channel::kRules, std::move(m)); };
-    w.active = [&in] { return in.active(); };
+    w.send = [&in](peers::Id to, std::string m) {
+      return in.ways.send(to, peers::Channel::kRules, std::move(m));
+    };
+    w.active = [&in] {
+      return in.active();
+    };
     w.take_up = [&in](const drift::Form& form) -> std::string {
-      if (!in.ways.generations) return "this front turns no generation";
+      if (!in.ways.generations)
+        return "this front turns no generation";
       StoreSheet sheet = in.ways.generations->sheet();
       std::string why = TakeUp(form, in.active(), sheet);
-      if (why.empty()) in.ways.turn(sheet);
+      if (why.empty())
+        in.ways.turn(sheet);
       return why;
     };
     w.owns = owns;
-    w.pulls = [&in] { return in.pulls(); };
+    w.pulls = [&in] {
+      return in.pulls();
+    };
     w.aside = [&in](bool on) {
       in.aside = on;
       in.Permit();
@@ -193,15 +268,23 @@
     };
     RulesTerms terms = c.rules;
     terms.terms.fronts = fronts.size();
-    in.rules = std::make_unique<Rules>(loop, terms, in.Self(), Rules::Fronts{zone_of, c.fleet.zones.empty() ? std::vector<std::string>{"all"} : c.fleet.zones},
-                                       drift::ActiveClasses(), c.seed, std::move(w));
+    in.rules = std::make_unique<Rules>(
+        loop, terms, in.Self(),
+        Rules::Fronts{zone_of,
+                      c.fleet.zones.empty() ? std::vector<std::string>{"all"} : c.fleet.zones},
+        drift::ActiveClasses(), c.seed, std::move(w));
   }
   if (c.record.on) {
     Record::Ways w;
-    w.send = [&in](peers::Id to, std::string m) { return in.ways.send(to, peers::Channel::kRecord, std::move(m)); };
-    w.recall = [&in](const Recall& r) { in.recall(r); };
+    w.send = [&in](peers::Id to, std::string m) {
+      return in.ways.send(to, peers::Channel::kRecord, std::move(m));
+    };
+    w.recall = [&in](const Recall& r) {
+      in.recall(r);
+    };
     w.recalls_void = [&in] {
-      // What was told is told again from the beginning; what is not told again was lifted meanwhile.
+      // What was told is told again from the beginning; what is not told again was lifted
+      // meanwhile.
       auto before = std::move(in.standing);
       in.standing.clear();
       for (auto& [key, r] : before) {
@@ -209,43 +292,68 @@
         lifted.lifted = true;
         in.recall(lifted);
       }
-      if (in.rules) in.rules->StartOver();
+      if (in.rules)
+        in.rules->StartOver();
     };
     w.other = [&in](const record::Entry& e) {
-      if (e.stream == record::Stream::kRules && in.rules) in.rules->told(e.offset, e.key, e.tombstone, e.value);
+      if (e.stream == record::Stream::kRules && in.rules)
+        in.rules->told(e.offset, e.key, e.tombstone, e.value);
+    };
+    w.no_older = [&in](Ms than) {
+      in.ways.exchange->LimitAge(than);
     };
-    w.no_older = [&in](Ms than) { in.ways.exchange->LimitAge(than); };
-    w.refuses = [&in](record::Stream stream, const std::string& key, bool tombstone, const std::string& value) -> std::string {
-      if (stream != record::Stream::kRules) return "";
-      if (!in.rules) return "this front has no rules block";
+    w.refuses = [&in](record::Stream stream, const std::string& key, bool tombstone,
+                      const std::string& value) -> std::string {
+      if (stream != record::Stream::kRules)
+        return "";
+      if (!in.rules)
+        return "this front has no rules block";
       return tombstone ? "" : in.rules->Refuses(key, value);
     };
     w.owns = owns;
-    w.owner = [&in]() -> peers::Id { return in.ways.owner ? in.ways.owner->OwnerOf(kTheWork) : 0; };
+    w.owner = [&in]() -> peers::Id {
+      return in.ways.owner ? in.ways.owner->OwnerOf(kTheWork) : 0;
+    };
     in.record = std::make_unique<Record>(loop, c.record, in.Self(), c.seed, std::move(w));
   }
   if (c.recovery.on) {
     Recovering::Ways w;
-    w.send = [&in](peers::Id to, std::string m) { return in.ways.send(to, peers::Channel::kRecovery, std::move(m)); };
-    w.now = [&in] { return in.now(); };
+    w.send = [&in](peers::Id to, std::string m) {
+      return in.ways.send(to, peers::Channel::kRecovery, std::move(m));
+    };
+    w.now = [&in] {
+      return in.now();
+    };
     w.admit = [&in](std::vector<double> by_offering, Ms come_back) {
       in.admitted = {std::move(by_offering), come_back};
       in.ApplyAdmission();
     };
-    w.heard = [&in](peers::Id from, std::uint64_t incarnation) { in.heard_of[from] = std::max(in.heard_of[from], incarnation); };
-    w.seen = [&in](peers::Id of) { return in.Witnessed(of); };
+    w.heard = [&in](peers::Id from, std::uint64_t incarnation) {
+      in.heard_of[from] = std::max(in.heard_of[from], incarnation);
+    };
+    w.seen = [&in](peers::Id of) {
+      return in.Witnessed(of);
+    };
     RecoveryTerms terms = c.recovery;
     std::set<int> zones;
-    for (const auto& [id, zone] : zone_of) zones.insert(zone);
-    terms.terms.zones = static_cast<int>(std::max<std::size_t>(1, zones.size())), terms.terms.zone = zone_of[in.Self()];
-    terms.terms.crew = static_cast<int>(std::count_if(zone_of.begin(), zone_of.end(), [&](auto& one) { return one.second == zone_of[in.Self()]; }));
-    terms.terms.lease = c.owner.on ? c.owner.lease.lease : 0, terms.terms.margin = c.owner.lease.margin, terms.terms.drift = c.owner.lease.drift;
+    for (const auto& [id, zone] : zone_of)
+      zones.insert(zone);
+    terms.terms.zones = static_cast<int>(std::max<std::size_t>(1, zones.size()));
+    terms.terms.zone = zone_of[in.Self()];
+    terms.terms.crew =
+        static_cast<int>(std::count_if(zone_of.begin(), zone_of.end(), [&](auto& one) {
+          return one.second == zone_of[in.Self()];
+        }));
+    terms.terms.lease = c.owner.on ? c.owner.lease.lease : 0;
+    terms.terms.margin = c.owner.lease.margin;
+    terms.terms.drift = c.owner.lease.drift;
     for (const Offering& o : c.sheet.offerings) {
       terms.terms.payoff.push_back(o.payoff);
       terms.terms.certain.push_back(o.never_kept);
     }
     recovery::StoreSeen store = in.CheckStore();
-    in.recovering = std::make_unique<Recovering>(loop, terms, in.Self(), fronts, store, in.current.incarnation, std::move(w));
+    in.recovering = std::make_unique<Recovering>(loop, terms, in.Self(), fronts, store,
+                                                 in.current.incarnation, std::move(w));
     in.Permit();
   }
 }
@@ -254,20 +362,27 @@
 
 std::vector<Part*> Layer::parts() {
   std::vector<Part*> all;
-  for (Part* p : std::initializer_list<Part*>{inner_->recovering.get(), inner_->rules.get(), inner_->record.get()})
-    if (p) all.push_back(p);
+  for (Part* p : std::initializer_list<Part*>{inner_->recovering.get(), inner_->rules.get(),
+                                              inner_->record.get()})
+    if (p)
+      all.push_back(p);
   return all;
 }
 
 std::string Layer::status() const {
-  auto view = [](const Part* p) { return p ? p->view() : std::string("null"); };
-  std::string s = "{\"self\":" + std::to_string(inner_->Self()) + ",\"recovery\":" + view(inner_->recovering.get()) + ",\"floors\":" + inner_->FloorsView() + ",\"record\":" +
-                  view(inner_->record.get()) + ",\"rules\":" + view(inner_->rules.get()) + ",\"recalls\":" + std::to_string(inner_->standing.size()) +
-                  ",\"generations\":[";
+  auto view = [](const Part* p) {
+    return p ? p->view() : std::string("null");
+  };
+  std::string s =
+      "{\"self\":" + std::to_string(inner_->Self()) +
+      ",\"recovery\":" + view(inner_->recovering.get()) + ",\"floors\":" + inner_->FloorsView() +
+      ",\"record\":" + view(inner_->record.get()) + ",\"rules\":" + view(inner_->rules.get()) +
+      ",\"recalls\":" + std::to_string(inner_->standing.size()) + ",\"generations\":[";
   if (inner_->ways.generations) {
     bool first = true;
     for (const auto& row : inner_->ways.generations->alive()) {
-      s += std::string(first ? "" : ",") + "{\"number\":" + std::to_string(row.number) + ",\"pulls\":" + std::to_string(row.pulls) + "}";
+      s += std::string(first ? "" : ",") + "{\"number\":" + std::to_string(row.number) +
+           ",\"pulls\":" + std::to_string(row.pulls) + "}";
       first = false;
     }
   }
@@ -275,7 +390,8 @@
 }
 
 void Layer::Asked(std::span<const char> bytes, std::function<void(std::string)> reply) {
-  if (inner_->record) inner_->record->Asked(bytes, std::move(reply));
+  if (inner_->record)
+    inner_->record->Asked(bytes, std::move(reply));
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/layer.hpp
+++ b/src/front/layer.hpp
@@ -1,7 +1,8 @@
-// The fleet's layer in a front beyond members and owner: record, rules, recovery, made and wired together. It is all that knows of
-// several parts at once: the record's words reach the module (recalls) and the rules; the rules turn the module's generation;
-// recovery hears what the others say and tells what is let in and who may own.
-// A build without it (front/layer_none.cpp) refuses the blocks where the configuration is read.
+// The fleet's layer in a front beyond members and owner: record, rules, recovery, made and wired
+// together. It is all that knows of several parts at once: the record's words reach the module
+// (recalls) and the rules; the rules turn the module's generation; recovery hears what the others
+// say and tells what is let in and who may own. A build without it (front/layer_none.cpp) refuses
+// the blocks where the configuration is read.
 #pragma once
 #include <memory>
 #include <vector>
@@ -22,8 +23,9 @@
   struct Ways {
     std::function<bool(peers::Id to, peers::Channel channel, std::string message)> send;
     exchange::Exchange* exchange = nullptr;
-    generations::Generations* generations = nullptr;                   // null: the rules can't be turned while it serves
-    std::function<void(const StoreSheet&)> turn;                       // to a new generation, from the next event on
+    generations::Generations* generations =
+        nullptr;                                  // null: the rules can't be turned while it serves
+    std::function<void(const StoreSheet&)> turn;  // to a new generation, from the next event on
     Owner* owner = nullptr;
   };
   Layer(loop::Loop& loop, const Charter& charter, Ways ways);
--- a/src/front/layer_terms.hpp
+++ b/src/front/layer_terms.hpp
@@ -1,4 +1,5 @@
-// The blocks of the fleet's layer beyond members and owner: record, recovery, rules. All off where the configuration has none.
+// The blocks of the fleet's layer beyond members and owner: record, recovery, rules. All off where
+// the configuration has none.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,8 +11,9 @@
 
 namespace dunlinwick::front {
 
-// "record": {"keepers": [1, 2, 3], "store": "folder", "lag_ms": ..., "tombstone_term_ms": ..., "most_mb": ..., "stale_after_ms": ...}
-// Needs a peers block, and an owner block whose works have a standing one named "record".
+// "record": {"keepers": [1, 2, 3], "store": "folder", "lag_ms": ..., "tombstone_term_ms": ...,
+// "most_mb": ..., "stale_after_ms": ...} Needs a peers block, and an owner block whose works have a
+// standing one named "record".
 struct RecordTerms {
   bool on = false;
   std::vector<record::Id> keepers;
@@ -19,8 +21,8 @@
   record::LogTerms log;
   record::KeeperTerms keeper;
   record::SubscriberTerms subscriber;
-  // A front that was not shown as caught up for so long asks for no copy older than so long: the stated delay of a recall is
-  // this and the time from its acknowledgement to the keepers' answer.
+  // A front that was not shown as caught up for so long asks for no copy older than so long: the
+  // stated delay of a recall is this and the time from its acknowledgement to the keepers' answer.
   record::Ms stale_after = 10000;
 };
 
--- a/src/front/parts_none.cpp
+++ b/src/front/parts_none.cpp
@@ -1,22 +1,30 @@
-// A build without the fleet layer's heavier parts: their blocks are refused where the configuration is read, so nothing of them is
-// ever made.
+// A build without the fleet layer's heavier parts: their blocks are refused where the configuration
+// is read, so nothing of them is ever made.
 #include <stdexcept>
 
 #include "front/parts.hpp"
 
 namespace dunlinwick::front {
 
-bool partsBuilt() { return false; }
+bool partsBuilt() {
+  return false;
+}
 PeersTerms readPeers(const json::Value&) {
-  throw std::runtime_error("peers: this build has no peers' socket; build with -DDUNLINWICK_OWNER=ON");
+  throw std::runtime_error(
+      "peers: this build has no peers' socket; build with -DDUNLINWICK_OWNER=ON");
 }
 void readLayer(const json::Value& all, Charter&) {
   for (const char* block : {"record", "recovery", "rules"})
-    if (all.find(block)) throw std::runtime_error(std::string(block) + ": this build has no fleet layer; build with -DDUNLINWICK_OWNER=ON");
+    if (all.find(block))
+      throw std::runtime_error(std::string(block) +
+                               ": this build has no fleet layer; build with -DDUNLINWICK_OWNER=ON");
 }
-std::unique_ptr<Parts> makeParts(loop::Loop&, const Charter&, failover::Health&, Fleet::Steer, exchange::Exchange&, const Deciding&) {
+std::unique_ptr<Parts> makeParts(loop::Loop&, const Charter&, failover::Health&, Fleet::Steer,
+                                 exchange::Exchange&, const Deciding&) {
   return nullptr;
 }
-Deciding decidingFor(const Charter& c) { return {exchange::moduleFor(c.sheet, c.seed), nullptr, nullptr}; }
+Deciding decidingFor(const Charter& c) {
+  return {exchange::moduleFor(c.sheet, c.seed), nullptr, nullptr};
+}
 
 }  // namespace dunlinwick::front
--- a/src/front/rules.cpp
+++ b/src/front/rules.cpp
@@ -25,15 +25,24 @@
   drift::Version mine = 0;                   // the approval for this front
   Ms wake_at = 0;
 
-  Inner(loop::Loop& l, const RulesTerms& t, peers::Id s, Fronts f, drift::Classes classes, std::uint64_t seed, Ways w)
-      : loop(l), terms(t), self(s), fronts(std::move(f)), ways(std::move(w)),
-        drift(s, fronts.zone_of, std::move(classes), t.terms, seed, l.now(), {static_cast<std::uint32_t>(l.now() / 1000), 0}) {}
+  Inner(loop::Loop& l, const RulesTerms& t, peers::Id s, Fronts f, drift::Classes classes,
+        std::uint64_t seed, Ways w)
+      : loop(l),
+        terms(t),
+        self(s),
+        fronts(std::move(f)),
+        ways(std::move(w)),
+        drift(s, fronts.zone_of, std::move(classes), t.terms, seed, l.now(),
+              {static_cast<std::uint32_t>(l.now() / 1000), 0}) {}
 
   const Approved* ForFront(peers::Id id) const {
     auto zone = fronts.zone_of.find(id);
-    std::string zone_key = zone == fronts.zone_of.end() ? "" : "zone/" + fronts.zones[static_cast<std::size_t>(zone->second)];
+    std::string zone_key = zone == fronts.zone_of.end()
+                               ? ""
+                               : "zone/" + fronts.zones[static_cast<std::size_t>(zone->second)];
     for (const std::string& key : {"front/" + std::to_string(id), zone_key, std::string("fleet")})
-      if (auto at = approved.find(key); at != approved.end()) return &at->second;
+      if (auto at = approved.find(key); at != approved.end())
+        return &at->second;
     return nullptr;
   }
 
@@ -41,7 +50,8 @@
   Form active() const {
     Form all = ways.active();
     const Approved* a = ForFront(self);
-    if (!a) return all;
+    if (!a)
+      return all;
     for (auto& [name, section] : all)
       if (auto at = a->form->find(name); at != a->form->end())
         std::erase_if(section, [&](const auto& field) { return !at->second.count(field.first); });
@@ -51,10 +61,13 @@
   void TellAll() {
     const Approved* a = ForFront(self);
     mine = a ? a->version : 0;
-    Does(drift.Handle(loop.now(), drift::Approved{mine, a ? std::optional(a->approval) : std::nullopt}));
+    Does(drift.Handle(loop.now(),
+                      drift::Approved{mine, a ? std::optional(a->approval) : std::nullopt}));
     for (const auto& [id, zone] : fronts.zone_of)
       if (const Approved* one = ForFront(id))
-        Does(drift.Handle(loop.now(), drift::ApprovedFor{id, one->version, one->digest, one->approval.hold_by, loop.now(), one->form}));
+        Does(drift.Handle(loop.now(),
+                          drift::ApprovedFor{id, one->version, one->digest, one->approval.hold_by,
+                                             loop.now(), one->form}));
     Does(drift.Handle(loop.now(), drift::Active{active()}));
   }
 
@@ -64,26 +77,38 @@
       if (auto* tell = std::get_if<drift::Tell>(&a)) {
         ways.send(tell->to, drift::Encode(tell->told));
       } else if (auto* repair = std::get_if<drift::Repair>(&a)) {
-        log::Say("rules repair %u version %llu token %llu at %.0f", repair->front, static_cast<unsigned long long>(repair->version),
+        log::Say("rules repair %u version %llu token %llu at %.0f", repair->front,
+                 static_cast<unsigned long long>(repair->version),
                  static_cast<unsigned long long>(repair->token), now);
-        if (repair->front == self) Does(drift.RepairAsked(now, self, *repair));
-        else ways.send(repair->front, drift::Encode(*repair));
+        if (repair->front == self)
+          Does(drift.RepairAsked(now, self, *repair));
+        else
+          ways.send(repair->front, drift::Encode(*repair));
       } else if (auto* take = std::get_if<drift::TakeUp>(&a)) {
         std::string why = ways.take_up(take->form);
-        if (why.empty()) log::Say("rules taken up %llu at %.0f", static_cast<unsigned long long>(take->version), now);
-        else log::Say("rules can't take up %llu: %s at %.0f", static_cast<unsigned long long>(take->version), why.c_str(), now);
+        if (why.empty())
+          log::Say("rules taken up %llu at %.0f", static_cast<unsigned long long>(take->version),
+                   now);
+        else
+          log::Say("rules can't take up %llu: %s at %.0f",
+                   static_cast<unsigned long long>(take->version), why.c_str(), now);
         Does(drift.Handle(now, drift::Active{active()}));
       } else if (auto* found = std::get_if<drift::Found>(&a)) {
         std::string fields;
         for (const drift::Difference& d : found->fields)
-          fields += " " + d.field.section + "." + d.field.name + " " + d.active + " for " + d.approved;
-        log::Say("rules found %u %s%s since %.0f at %.0f", found->front, drift::ToString(found->standing), fields.c_str(), found->since, now);
+          fields +=
+              " " + d.field.section + "." + d.field.name + " " + d.active + " for " + d.approved;
+        log::Say("rules found %u %s%s since %.0f at %.0f", found->front,
+                 drift::ToString(found->standing), fields.c_str(), found->since, now);
       } else if (auto* may = std::get_if<drift::MayServe>(&a)) {
-        log::Say("rules: this front %s at %.0f", may->may ? "may serve" : "may not serve what can break a rule", now);
+        log::Say("rules: this front %s at %.0f",
+                 may->may ? "may serve" : "may not serve what can break a rule", now);
         ways.serves(may->may);
       } else if (auto* aside = std::get_if<drift::SetAside>(&a)) {
-        log::Say("rules %s %u: %s at %.0f", aside->on ? "set aside" : "takes back", aside->front, aside->why.c_str(), now);
-        if (aside->front == self) ways.aside(aside->on);
+        log::Say("rules %s %u: %s at %.0f", aside->on ? "set aside" : "takes back", aside->front,
+                 aside->why.c_str(), now);
+        if (aside->front == self)
+          ways.aside(aside->on);
       } else if (auto* stopped = std::get_if<drift::Stopped>(&a)) {
         log::Say("rules stopped: %s at %.0f", stopped->why.c_str(), now);
       }
@@ -91,24 +116,30 @@
   }
 };
 
-Rules::Rules(loop::Loop& loop, const RulesTerms& terms, peers::Id self, Fronts fronts, drift::Classes classes, std::uint64_t seed, Ways ways)
-    : inner_(std::make_unique<Inner>(loop, terms, self, std::move(fronts), std::move(classes), seed, std::move(ways))) {}
+Rules::Rules(loop::Loop& loop, const RulesTerms& terms, peers::Id self, Fronts fronts,
+             drift::Classes classes, std::uint64_t seed, Ways ways)
+    : inner_(std::make_unique<Inner>(loop, terms, self, std::move(fronts), std::move(classes), seed,
+                                     std::move(ways))) {}
 Rules::~Rules() = default;
 
 void Rules::Heard(peers::Id from, std::span<const char> message) {
   Ms now = inner_->loop.now();
-  if (auto told = drift::DecodeTold(message)) inner_->Does(inner_->drift.Handle(now, drift::Hears{from, *told}));
-  else if (auto repair = drift::DecodeRepair(message)) inner_->Does(inner_->drift.RepairAsked(now, from, *repair));
+  if (auto told = drift::DecodeTold(message))
+    inner_->Does(inner_->drift.Handle(now, drift::Hears{from, *told}));
+  else if (auto repair = drift::DecodeRepair(message))
+    inner_->Does(inner_->drift.RepairAsked(now, from, *repair));
 }
 
-void Rules::told(std::uint64_t offset, const std::string& key, bool tombstone, const std::string& value) {
+void Rules::told(std::uint64_t offset, const std::string& key, bool tombstone,
+                 const std::string& value) {
   Inner& in = *inner_;
   if (tombstone) {
     in.approved.erase(key);
   } else if (auto a = drift::DecodeApproval(value)) {
     auto form = std::make_shared<const Form>(a->form);
     std::uint64_t digest = drift::Digest(*form);
-    log::Say("rules approved %llu for %s by %s digest %016llx at %.0f", static_cast<unsigned long long>(offset), key.c_str(), a->by.c_str(),
+    log::Say("rules approved %llu for %s by %s digest %016llx at %.0f",
+             static_cast<unsigned long long>(offset), key.c_str(), a->by.c_str(),
              static_cast<unsigned long long>(digest), in.loop.now());
     in.approved[key] = {offset, std::move(*a), std::move(form), digest};
   }
@@ -122,13 +153,18 @@
 
 std::string Rules::Refuses(const std::string& key, const std::string& value) const {
   bool known = key == "fleet";
-  for (const std::string& z : inner_->fronts.zones) known |= key == "zone/" + z;
-  for (const auto& [id, zone] : inner_->fronts.zone_of) known |= key == "front/" + std::to_string(id);
-  if (!known) return "a key of fleet, zone/NAME or front/ID wanted, of this fleet";
+  for (const std::string& z : inner_->fronts.zones)
+    known |= key == "zone/" + z;
+  for (const auto& [id, zone] : inner_->fronts.zone_of)
+    known |= key == "front/" + std::to_string(id);
+  if (!known)
+    return "a key of fleet, zone/NAME or front/ID wanted, of this fleet";
   auto a = drift::DecodeApproval(value);
-  if (!a) return "it is no approval";
+  if (!a)
+    return "it is no approval";
   auto at = inner_->approved.find(key);
-  return drift::Refused(*a, at == inner_->approved.end() ? 0 : at->second.version, inner_->terms.wants_second);
+  return drift::Refused(*a, at == inner_->approved.end() ? 0 : at->second.version,
+                        inner_->terms.wants_second);
 }
 
 void Rules::Wake() {
@@ -142,14 +178,20 @@
   constexpr Ms kLongest = 200, kLeast = 20;
   in.wake_at = std::max(now + kLeast, std::min(in.drift.WakeAt(), now + kLongest));
 }
-Ms Rules::WakeAt() const { return inner_->wake_at; }
+Ms Rules::WakeAt() const {
+  return inner_->wake_at;
+}
 
-bool Rules::enabled() const { return inner_->mine != 0; }
+bool Rules::enabled() const {
+  return inner_->mine != 0;
+}
 bool Rules::InStep() const {
   const Inner::Approved* a = inner_->ForFront(inner_->self);
   return !a || drift::Differences(inner_->active(), *a->form, {}).empty();
 }
-drift::Version Rules::version() const { return inner_->mine; }
+drift::Version Rules::version() const {
+  return inner_->mine;
+}
 std::uint64_t Rules::Digest() const {
   const Inner::Approved* a = inner_->ForFront(inner_->self);
   return a ? a->digest : 0;
@@ -157,13 +199,19 @@
 
 std::string Rules::view() const {
   const Inner& in = *inner_;
-  std::string s = "{\"version\":" + std::to_string(in.mine) + ",\"in_step\":" + (InStep() ? "true" : "false") + ",\"may_serve\":" +
-                  (in.drift.may_serve() ? "true" : "false") + ",\"stopped\":" + (in.drift.stopped() ? "true" : "false") + ",\"fronts\":[";
+  std::string s = "{\"version\":" + std::to_string(in.mine) +
+                  ",\"in_step\":" + (InStep() ? "true" : "false") +
+                  ",\"may_serve\":" + (in.drift.may_serve() ? "true" : "false") +
+                  ",\"stopped\":" + (in.drift.stopped() ? "true" : "false") + ",\"fronts\":[";
   bool first = true;
   for (const auto& [id, row] : in.drift.Rows()) {
-    s += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) + ",\"standing\":\"" + drift::ToString(row.standing) + "\",\"since_ms\":" +
-         (row.since > 0 ? std::to_string(static_cast<long long>(in.loop.now() - row.since)) : "null") + ",\"version\":" + std::to_string(row.version) + ",\"aside\":" +
-         (row.aside ? "true" : "false") + ",\"fields\":" + std::to_string(row.fields.size()) + "}";
+    s += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) + ",\"standing\":\"" +
+         drift::ToString(row.standing) + "\",\"since_ms\":" +
+         (row.since > 0 ? std::to_string(static_cast<long long>(in.loop.now() - row.since))
+                        : "null") +
+         ",\"version\":" + std::to_string(row.version) +
+         ",\"aside\":" + (row.aside ? "true" : "false") +
+         ",\"fields\":" + std::to_string(row.fields.size()) + "}";
     first = false;
   }
   s += "],\"approved\":{";
--- a/src/front/turning.hpp
+++ b/src/front/turning.hpp
@@ -1,6 +1,7 @@
-// An approved form turned into the sheet of the module's next generation. Only what a generation can carry is taken up while a front
-// serves: sections offerings (by row), permits, cold, sheet. All else (the road, members, owner, the build) holds for the life of a
-// process, and is refused with its name.
+// An approved form turned into the sheet of the module's next generation. Only what a generation
+// can carry is taken up while a front serves: sections offerings (by row), permits, cold, sheet.
+// All else (the road, members, owner, the build) holds for the life of a process, and is refused
+// with its name.
 #pragma once
 #include <string>
 
@@ -9,8 +10,8 @@
 
 namespace dunlinwick::front {
 
-// "" and `sheet` changed, or the field and why it can't be taken up, with `sheet` as it was. Fields that stand as approved already
-// are passed over, whatever their section: `active` tells them.
+// "" and `sheet` changed, or the field and why it can't be taken up, with `sheet` as it was. Fields
+// that stand as approved already are passed over, whatever their section: `active` tells them.
 std::string TakeUp(const drift::Form& approved, const drift::Form& active, StoreSheet& sheet);
 
 }  // namespace dunlinwick::front
--- a/src/generations/generations.cpp
+++ b/src/generations/generations.cpp
@@ -5,37 +5,49 @@
 namespace dunlinwick::generations {
 
 namespace {
-// A router's wake-up carries its kind in the top byte and an id in the low half; between them there is room for whose it is.
+// A router's wake-up carries its kind in the top byte and an id in the low half; between them there
+// is room for whose it is.
 constexpr int kWhose = 32;
 constexpr std::uint64_t kWhoseMask = 0xffffffull << kWhose;
-std::uint64_t Marked(std::uint64_t handle, Number number) { return handle | (number << kWhose & kWhoseMask); }
+std::uint64_t Marked(std::uint64_t handle, Number number) {
+  return handle | (number << kWhose & kWhoseMask);
+}
 }  // namespace
 
-Generations::Generations(const StoreSheet& sheet, std::uint64_t seed) : seed_(seed), purge_kept_(2 * sheet.purge_done) {
+Generations::Generations(const StoreSheet& sheet, std::uint64_t seed)
+    : seed_(seed), purge_kept_(2 * sheet.purge_done) {
   lives_.push_back({++last_, sheet, std::make_unique<Router>(sheet, seed), 0});
 }
 
 Generations::Life* Generations::life(Number number) {
-  auto at = std::find_if(lives_.begin(), lives_.end(), [&](const Life& l) { return l.number == number; });
+  auto at =
+      std::find_if(lives_.begin(), lives_.end(), [&](const Life& l) { return l.number == number; });
   return at == lives_.end() ? nullptr : &*at;
 }
 
 void Generations::Tell(Life& l, Ms now, const Event& event, std::vector<Action>& out) {
   bool newest = l.number == last_;
   for (Action& a : l.router->Handle(now, event)) {
-    if (auto* wake = std::get_if<WakeMe>(&a)) wake->handle = Marked(wake->handle, l.number);
-    // One voice to machines, the log and the fleet. Harm: an older generation hears a probe's end only when the newest asks for one.
+    if (auto* wake = std::get_if<WakeMe>(&a))
+      wake->handle = Marked(wake->handle, l.number);
+    // One voice to machines, the log and the fleet. Harm: an older generation hears a probe's end
+    // only when the newest asks for one.
     bool common = std::holds_alternative<ProbeCache>(a) || std::holds_alternative<WriteLine>(a) ||
                   std::holds_alternative<TellHealth>(a) || std::holds_alternative<FollowList>(a);
-    if (common && !newest) continue;
+    if (common && !newest)
+      continue;
     auto pull = [&](std::uint32_t id, bool leg) {
       auto at = open_.find(id);
-      if (at == open_.end()) return;
+      if (at == open_.end())
+        return;
       leg ? void(++at->second.legs_out) : void(at->second.ended = true);
     };
-    if (auto* send = std::get_if<SendLeg>(&a)) pull(send->pull, true);
-    if (auto* no = std::get_if<DeclinePull>(&a)) pull(no->pull, false);
-    if (auto* gone = std::get_if<AbandonPull>(&a)) pull(gone->pull, false);
+    if (auto* send = std::get_if<SendLeg>(&a))
+      pull(send->pull, true);
+    if (auto* no = std::get_if<DeclinePull>(&a))
+      pull(no->pull, false);
+    if (auto* gone = std::get_if<AbandonPull>(&a))
+      pull(gone->pull, false);
     out.push_back(std::move(a));
   }
 }
@@ -43,35 +55,47 @@
 // A pull that is over leaves its generation, and one that has none left and is not the newest goes.
 void Generations::Settle(std::uint32_t pull) {
   auto at = open_.find(pull);
-  if (at == open_.end() || !at->second.ended || at->second.legs_out > 0) return;
-  if (Life* l = life(at->second.number)) --l->pulls;
+  if (at == open_.end() || !at->second.ended || at->second.legs_out > 0)
+    return;
+  if (Life* l = life(at->second.number))
+    --l->pulls;
   open_.erase(at);
   std::erase_if(lives_, [&](const Life& l) { return l.number != last_ && l.pulls == 0; });
 }
 
 // Board's purges run out; recalls stay until they are lifted.
 void Generations::Lapse(Ms now) {
-  std::erase_if(purges_, [&](const Bound& b) { return !b.purge.standing && b.at < now - purge_kept_; });
+  std::erase_if(purges_,
+                [&](const Bound& b) { return !b.purge.standing && b.at < now - purge_kept_; });
 }
 
 void Generations::note(Ms now, const Event& event) {
   if (auto* news = std::get_if<ListNews>(&event)) {
-    if (news->listing == Listing::kFailed) return;
-    if (news->listing != Listing::kChanges) list_.clear();
+    if (news->listing == Listing::kFailed)
+      return;
+    if (news->listing != Listing::kChanges)
+      list_.clear();
     listed_ |= news->listing != Listing::kChanges;
     for (const ListEntry& e : news->entries)
-      if (e.standing == Standing::kGone) list_.erase(e.cache);
-      else list_[e.cache] = e;
+      if (e.standing == Standing::kGone)
+        list_.erase(e.cache);
+      else
+        list_[e.cache] = e;
   }
   if (auto* purge = std::get_if<Purged>(&event)) {
     Lapse(now);
-    if (purge->standing) std::erase_if(purges_, [&](const Bound& b) {
-      const Purged& q = b.purge;
-      return q.standing && q.whole_group == purge->whole_group && q.object == purge->object && q.group == purge->group && q.offering == purge->offering;
-    });
-    if (!purge->lifted) purges_.push_back({now - purge->ago, *purge});
+    if (purge->standing)
+      std::erase_if(purges_, [&](const Bound& b) {
+        const Purged& q = b.purge;
+        return q.standing && q.whole_group == purge->whole_group && q.object == purge->object &&
+               q.group == purge->group && q.offering == purge->offering;
+      });
+    if (!purge->lifted)
+      purges_.push_back({now - purge->ago, *purge});
   }
-  if (std::holds_alternative<ZoneShares>(event) || std::holds_alternative<NoOlder>(event) || std::holds_alternative<LetIn>(event)) facts_.insert_or_assign(event.index(), event);
+  if (std::holds_alternative<ZoneShares>(event) || std::holds_alternative<NoOlder>(event) ||
+      std::holds_alternative<LetIn>(event))
+    facts_.insert_or_assign(event.index(), event);
 }
 
 std::vector<Action> Generations::Handle(Ms now, const Event& event) {
@@ -79,12 +103,15 @@
   note(now, event);
   auto of_pull = [&](std::uint32_t pull) {
     auto at = open_.find(pull);
-    if (at == open_.end()) return;
-    if (Life* l = life(at->second.number)) Tell(*l, now, event, out);
+    if (at == open_.end())
+      return;
+    if (Life* l = life(at->second.number))
+      Tell(*l, now, event, out);
     Settle(pull);
   };
   if (auto* came = std::get_if<PullCame>(&event)) {
-    if (open_.count(came->pull)) return out;
+    if (open_.count(came->pull))
+      return out;
     open_[came->pull] = {last_, 0, false};
     ++lives_.back().pulls;
     of_pull(came->pull);
@@ -97,46 +124,57 @@
     }
     of_pull(ended->pull);
   } else if (auto* left = std::get_if<ClientLeft>(&event)) {
-    if (auto at = open_.find(left->pull); at != open_.end()) at->second.ended = true;
+    if (auto at = open_.find(left->pull); at != open_.end())
+      at->second.ended = true;
     of_pull(left->pull);
   } else if (auto* woke = std::get_if<WakeUp>(&event)) {
     Number number = (woke->handle & kWhoseMask) >> kWhose;
-    auto who_is = std::find_if(lives_.begin(), lives_.end(), [&](const Life& l) { return (l.number & kWhoseMask >> kWhose) == number; });
-    if (who_is == lives_.end()) return out;
+    auto who_is = std::find_if(lives_.begin(), lives_.end(), [&](const Life& l) {
+      return (l.number & kWhoseMask >> kWhose) == number;
+    });
+    if (who_is == lives_.end())
+      return out;
     WakeUp inner{woke->handle & ~kWhoseMask};
     Tell(*who_is, now, inner, out);
     Settle(static_cast<std::uint32_t>(inner.handle));
   } else {
-    for (Life& l : lives_) Tell(l, now, event, out);
+    for (Life& l : lives_)
+      Tell(l, now, event, out);
   }
   return out;
 }
 
 Number Generations::turn(Ms now, const StoreSheet& sheet, std::vector<Action>& out) {
   Lapse(now);
-  if (lives_.size() >= kMostAlive || purges_.size() > kMostPurges) return 0;
-  if (sheet.offerings.size() != lives_.front().sheet.offerings.size()) return 0;
+  if (lives_.size() >= kMostAlive || purges_.size() > kMostPurges)
+    return 0;
+  if (sheet.offerings.size() != lives_.front().sheet.offerings.size())
+    return 0;
   ++last_;
   lives_.push_back({last_, sheet, std::make_unique<Router>(sheet, seed_ + last_), 0});
   purge_kept_ = std::max(purge_kept_, 2 * sheet.purge_done);
   Life& l = lives_.back();
   ListNews all;
   all.listing = Listing::kWhole;
-  for (const auto& [id, e] : list_) all.entries.push_back(e);
-  if (listed_) Tell(l, now, all, out);
+  for (const auto& [id, e] : list_)
+    all.entries.push_back(e);
+  if (listed_)
+    Tell(l, now, all, out);
   for (const Bound& b : purges_) {
     Purged p = b.purge;
     p.ago = now - b.at;
     Tell(l, now, p, out);
   }
-  for (const auto& [kind, fact] : facts_) Tell(l, now, fact, out);
+  for (const auto& [kind, fact] : facts_)
+    Tell(l, now, fact, out);
   std::erase_if(lives_, [&](const Life& one) { return one.number != last_ && one.pulls == 0; });
   return last_;
 }
 
 std::vector<Generations::Row> Generations::alive() const {
   std::vector<Row> rows;
-  for (const Life& l : lives_) rows.push_back({l.number, l.pulls});
+  for (const Life& l : lives_)
+    rows.push_back({l.number, l.pulls});
   return rows;
 }
 
--- a/src/json/json.hpp
+++ b/src/json/json.hpp
@@ -1,5 +1,6 @@
-// A value of JSON (RFC 8259), read strictly by RapidJSON's reader with a depth limit. Numbers keep their text. Of our own, and
-// not the library's document, since it is a plain value that is copied and kept (docs/notes/plumbing.md).
+// A value of JSON (RFC 8259), read strictly by RapidJSON's reader with a depth limit. Numbers keep
+// their text. Of our own, and not the library's document, since it is a plain value that is copied
+// and kept (docs/notes/plumbing.md).
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,7 +10,14 @@
 
 namespace dunlinwick::json {
 
-enum class Kind { kNull, kBoolean, kNumber, kString, kList, kObject };
+enum class Kind {
+  kNull,
+  kBoolean,
+  kNumber,
+  kString,
+  kList,
+  kObject
+};
 
 struct Member;
 
@@ -33,9 +41,10 @@
   Value value;
 };
 
-// Nothing where the text is not one JSON value whole: names twice in one object, more than 32 levels, a number beyond a
-// double's range, bad UTF-8, half a surrogate pair, a byte order mark, comments and anything behind the value are refused.
-// Takes time in proportion to the text (n log n in the names of one object), and never throws but for lack of memory.
+// Nothing where the text is not one JSON value whole: names twice in one object, more than 32
+// levels, a number beyond a double's range, bad UTF-8, half a surrogate pair, a byte order mark,
+// comments and anything behind the value are refused. Takes time in proportion to the text (n log n
+// in the names of one object), and never throws but for lack of memory.
 std::optional<Value> Read(std::string_view text);
 
 }  // namespace dunlinwick::json
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -1,9 +1,9 @@
 #include "log/log.hpp"
 
+#include <poll.h>
 #include <spdlog/details/null_mutex.h>
 #include <spdlog/logger.h>
 #include <spdlog/sinks/base_sink.h>
-#include <poll.h>
 #include <unistd.h>
 
 #include <algorithm>
@@ -19,7 +19,8 @@
 namespace dunlinwick::log {
 namespace {
 
-// A burst tells a start or a break whole; afterwards a reader's pace, so that junk can't fill a disk.
+// A burst tells a start or a break whole; afterwards a reader's pace, so that junk can't fill a
+// disk.
 constexpr double kBurst = 200, kPerMs = 0.01;
 
 thread_local Log* in_use = nullptr;
@@ -29,11 +30,14 @@
  public:
   void format(const spdlog::details::log_msg& record, spdlog::memory_buf_t& into) override {
     fmt::memory_buffer quoted;
-    fmt::format_to(fmt::appender(quoted), "{:?}", fmt::string_view(record.payload.data(), record.payload.size()));
+    fmt::format_to(fmt::appender(quoted), "{:?}",
+                   fmt::string_view(record.payload.data(), record.payload.size()));
     into.append(quoted.data() + 1, quoted.data() + quoted.size() - 1);
     into.push_back('\n');
   }
-  std::unique_ptr<spdlog::formatter> clone() const override { return std::make_unique<OneLine>(); }
+  std::unique_ptr<spdlog::formatter> clone() const override {
+    return std::make_unique<OneLine>();
+  }
 };
 
 class Handed final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
@@ -52,7 +56,8 @@
 
 std::shared_ptr<spdlog::logger> LoggerTo(spdlog::sink_ptr sink) {
   auto logger = std::make_shared<spdlog::logger>(std::string(), std::move(sink));
-  logger->set_error_handler([](const std::string&) {});  // the library's own would write lines past the limit
+  logger->set_error_handler(
+      [](const std::string&) {});  // the library's own would write lines past the limit
   return logger;
 }
 
@@ -62,10 +67,13 @@
 
  private:
   void sink_it_(const spdlog::details::log_msg& record) override {
-    if (lost_ > 0 && WriteToStandardError(std::to_string(lost_) + " lines left out: standard error took none\n")) lost_ = 0;
+    if (lost_ > 0 &&
+        WriteToStandardError(std::to_string(lost_) + " lines left out: standard error took none\n"))
+      lost_ = 0;
     spdlog::memory_buf_t line;
     formatter_->format(record, line);
-    if (lost_ > 0 || !WriteToStandardError(std::string_view(line.data(), line.size()))) ++lost_;
+    if (lost_ > 0 || !WriteToStandardError(std::string_view(line.data(), line.size())))
+      ++lost_;
   }
   void flush_() override {}
 
@@ -80,14 +88,22 @@
 }  // namespace
 
 Log::Log(Clock clock, Writer to)
-    : clock_(std::move(clock)), to_(LoggerTo(std::make_shared<Handed>(std::move(to)))), left_(kBurst), last_(clock_()) {}
+    : clock_(std::move(clock)),
+      to_(LoggerTo(std::make_shared<Handed>(std::move(to)))),
+      left_(kBurst),
+      last_(clock_()) {}
 
-Log::Log(Clock clock) : clock_(std::move(clock)), to_(LoggerTo(std::make_shared<StandardError>())), left_(kBurst), last_(clock_()) {}
+Log::Log(Clock clock)
+    : clock_(std::move(clock)),
+      to_(LoggerTo(std::make_shared<StandardError>())),
+      left_(kBurst),
+      last_(clock_()) {}
 
 void Log::Put(std::string_view line) {
   auto at = std::chrono::duration<double, std::milli>(last_);
-  to_->log(spdlog::log_clock::time_point(std::chrono::duration_cast<spdlog::log_clock::duration>(at)), {}, spdlog::level::info,
-           spdlog::string_view_t(line.data(), line.size()));
+  to_->log(
+      spdlog::log_clock::time_point(std::chrono::duration_cast<spdlog::log_clock::duration>(at)),
+      {}, spdlog::level::info, spdlog::string_view_t(line.data(), line.size()));
 }
 
 void Log::Say(std::string_view line) {
@@ -99,7 +115,8 @@
     return;
   }
   --left_;
-  if (unsaid_ > 0) Put(std::to_string(unsaid_).append(" lines left out"));
+  if (unsaid_ > 0)
+    Put(std::to_string(unsaid_).append(" lines left out"));
   unsaid_ = 0;
   Put(line.substr(0, kLongest));
 }
@@ -109,11 +126,16 @@
     // Writable, a pipe has room for PIPE_BUF bytes at least.
     pollfd standard_error{STDERR_FILENO, POLLOUT, 0};
     int ready = loop::MakeSystem().Wait({&standard_error, 1}, 0);
-    if (ready == -EINTR) continue;
-    if (ready != 1 || (standard_error.revents & POLLOUT) == 0) return false;
-    ssize_t written = ::write(STDERR_FILENO, text.data(), std::min<std::size_t>(text.size(), PIPE_BUF));
-    if (written < 0 && errno == EINTR) continue;
-    if (written <= 0) return false;
+    if (ready == -EINTR)
+      continue;
+    if (ready != 1 || (standard_error.revents & POLLOUT) == 0)
+      return false;
+    ssize_t written =
+        ::write(STDERR_FILENO, text.data(), std::min<std::size_t>(text.size(), PIPE_BUF));
+    if (written < 0 && errno == EINTR)
+      continue;
+    if (written <= 0)
+      return false;
     text.remove_prefix(static_cast<std::size_t>(written));
   }
   return true;
@@ -128,7 +150,11 @@
   (in_use ? *in_use : Standard()).Say(line);
 }
 
-Use::Use(Log& log) : before_(in_use) { in_use = &log; }
-Use::~Use() { in_use = before_; }
+Use::Use(Log& log) : before_(in_use) {
+  in_use = &log;
+}
+Use::~Use() {
+  in_use = before_;
+}
 
 }  // namespace dunlinwick::log
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -1,5 +1,6 @@
-// The interface of the decisions: what a front is told (events), what it may do (actions), and the sheet it
-// reads at start. Times are milliseconds with fractions, on a clock that only moves forward.
+// The interface of the decisions: what a front is told (events), what it may do (actions), and the
+// sheet it reads at start. Times are milliseconds with fractions, on a clock that only moves
+// forward.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -11,16 +12,30 @@
 
 namespace dunlinwick {
 
-enum class Effect { kRerunnable, kTicketed, kExclusive };
-enum class Span { kEverywhere, kZone, kCell };  // which caches drop the repeats of a ticketed pull
-enum class Weighing { kNone, kNominal, kRough, kLive };
+enum class Effect {
+  kRerunnable,
+  kTicketed,
+  kExclusive
+};
+enum class Span {
+  kEverywhere,
+  kZone,
+  kCell
+};  // which caches drop the repeats of a ticketed pull
+enum class Weighing {
+  kNone,
+  kNominal,
+  kRough,
+  kLive
+};
 
 struct Offering {
   Effect effect = Effect::kRerunnable;
   Span span = Span::kEverywhere;
   Ms memory = 0;  // how long the repeats of a ticketed pull are known
   Ms agreed = 0;
-  double agreed_stretch = 0;  // the agreed time grows by this multiple of the pull's own sending time
+  double agreed_stretch =
+      0;  // the agreed time grows by this multiple of the pull's own sending time
   Ms expiry = 0;
   double payoff = 1;
   bool streams = false;
@@ -30,12 +45,18 @@
 
 // What a front may do here.
 struct Permits {
-  bool probe = false, cancel = false, two_legs_at_once = false, join = false, direct = false;
+  bool probe = false;
+  bool cancel = false;
+  bool two_legs_at_once = false;
+  bool join = false;
+  bool direct = false;
 };
 
-// How a machine starts cold, and what all fronts together may send it in any window of the stated length.
+// How a machine starts cold, and what all fronts together may send it in any window of the stated
+// length.
 struct ColdTerms {
-  double from = 1, multiple = 0;  // of its capacity at start; of its present capacity
+  double from = 1;
+  double multiple = 0;  // of its capacity at start; of its present capacity
   Ms lasts = 0;
 };
 
@@ -45,7 +66,8 @@
   int zone = 0;
   int fronts = 1;  // in all zones
   int crew = 1;    // fronts serving this zone
-  int parent_kind = -1, origin_kind = -1;
+  int parent_kind = -1;
+  int origin_kind = -1;
   bool asks_for_list = false;  // list changes come only when asked for
   Weighing weighing = Weighing::kNone;
   Permits may;
@@ -55,23 +77,36 @@
   bool lateral = false;  // a cache may be filled from another of its zone
   double stream_kb_per_ms = 0;
   double link_kb_per_ms = 0;  // of this zone; 0: not told
-  int link_report = -1;     // place in the answers' reports of how full that link is; -1: not reported
-  bool remarks = true;     // answers tell what became of a fill; else at most whether they were hits
+  int link_report = -1;  // place in the answers' reports of how full that link is; -1: not reported
+  bool remarks = true;   // answers tell what became of a fill; else at most whether they were hits
   Ms purge_done = 0;
-  ColdTerms cold_store, cold_parent;
+  ColdTerms cold_store;
+  ColdTerms cold_parent;
   Ms cold_window = 0;
 };
 
 // ---- what happened
-enum class Listing { kChanges, kWhole, kRemembered, kFailed };
-enum class Standing { kDraining, kGone, kReady };
+enum class Listing {
+  kChanges,
+  kWhole,
+  kRemembered,
+  kFailed
+};
+enum class Standing {
+  kDraining,
+  kGone,
+  kReady
+};
 struct ListEntry {
   std::uint32_t cache = 0;
-  int zone = 0, kind = 0, cell = 0;
+  int zone = 0;
+  int kind = 0;
+  int cell = 0;
   Standing standing = Standing::kReady;
   double weight = 1;
   WallTime started_at;  // 0: long ago
-  /// When this front was first told of that start. None: the stamp is of this front's own clock, as on the bench.
+  /// When this front was first told of that start. None: the stamp is of this front's own clock, as
+  /// on the bench.
   std::optional<Notified> notified;
 };
 struct ListNews {
@@ -82,11 +117,22 @@
   std::uint32_t pull = 0;
   int offering = 0;
   std::uint64_t object = 0;
-  int part = 0, group = 0;
+  int part = 0;
+  int group = 0;
   Ms ttl = 0;
   double size_kb = 0;  // 0: not told
 };
-enum class Ending { kFinished, kError, kFull, kTimedOut, kNoConnection, kBroken, kCancelled, kMoot, kMiss };
+enum class Ending {
+  kFinished,
+  kError,
+  kFull,
+  kTimedOut,
+  kNoConnection,
+  kBroken,
+  kCancelled,
+  kMoot,
+  kMiss
+};
 enum class Remark {
   kNone,
   kHit,
@@ -101,19 +147,22 @@
   kOriginFailed
 };
 struct LegStarted {
-  std::uint32_t pull = 0, cache = 0;
+  std::uint32_t pull = 0;
+  std::uint32_t cache = 0;
   int leg = 0;
 };
 struct LegEnded {
-  std::uint32_t pull = 0, cache = 0;
+  std::uint32_t pull = 0;
+  std::uint32_t cache = 0;
   int leg = 0;
   Ending ending = Ending::kFinished;
   Ms took = 0;
   bool final = false;
   Remark remark = Remark::kNone;
-  Ms waited = 0;     // until the first byte of a fill came, or it failed
+  Ms waited = 0;      // until the first byte of a fill came, or it failed
   int fell_with = 0;  // legs told before it that ended with the same connection
-  bool ours = false;  // for want of something of this front's own, such as a descriptor: no sign of the machine
+  bool ours = false;  // for want of something of this front's own, such as a descriptor: no sign of
+                      // the machine
   std::vector<float> report;
 };
 struct ClientLeft {
@@ -133,11 +182,14 @@
   std::uint64_t object = 0;
   int group = 0;
   Ms ago = 0;
-  // A recall of the fleet's record binds until it is lifted, since no machine is told of it but by the ages asked for; of
-  // `offering`, where it is not below 0, whole. None comes on the bench's platform.
-  bool standing = false, lifted = false;
+  // A recall of the fleet's record binds until it is lifted, since no machine is told of it but by
+  // the ages asked for; of `offering`, where it is not below 0, whole. None comes on the bench's
+  // platform.
+  bool standing = false;
+  bool lifted = false;
   int offering = -1;
-  /// Where the notice says when, by another machine's clock, and not how long ago: in place of `ago`.
+  /// Where the notice says when, by another machine's clock, and not how long ago: in place of
+  /// `ago`.
   struct Stamped {
     WallTime stamp;
     Notified notified;
@@ -148,34 +200,41 @@
   std::uint32_t peer = 0;
   std::string text;
 };
-// The fleet's verdict as it stands: which share of this front's pulls goes to which zone's caches, by zone; all to
-// the own where it is empty, as at start. Comes only where a front has a fleet (src/failover/).
+// The fleet's verdict as it stands: which share of this front's pulls goes to which zone's caches,
+// by zone; all to the own where it is empty, as at start. Comes only where a front has a fleet
+// (src/failover/).
 struct ZoneShares {
   std::vector<double> shares;
 };
-// Copies older than so many ms may have been recalled without this front's having heard of it: none is to be given; 0: no
-// such limit, as at start. Comes only where a front follows the fleet's record (src/record/).
+// Copies older than so many ms may have been recalled without this front's having heard of it: none
+// is to be given; 0: no such limit, as at start. Comes only where a front follows the fleet's
+// record (src/record/).
 struct NoOlder {
   Ms than = 0;
 };
-// The share of new pulls that is let in, by offering; empty: all, as at start. Comes only while a fleet comes back from a loss
-// (src/recovery/).
+// The share of new pulls that is let in, by offering; empty: all, as at start. Comes only while a
+// fleet comes back from a loss (src/recovery/).
 struct LetIn {
   std::vector<double> by_offering;
   Ms come_back = 0;  // told to what is not
 };
-using Event = std::variant<ListNews, PullCame, LegStarted, LegEnded, ClientLeft, WakeUp, ProbeEnded, Purged,
-                           PeerSaid, ZoneShares, NoOlder, LetIn>;
+using Event = std::variant<ListNews, PullCame, LegStarted, LegEnded, ClientLeft, WakeUp, ProbeEnded,
+                           Purged, PeerSaid, ZoneShares, NoOlder, LetIn>;
 
 // ---- what is to be done
 struct SendLeg {
-  std::uint32_t pull = 0, cache = 0, source = 0;       // source == cache: no fill
-  bool join = false, renew = false, held_only = false;  // heldOnly: the source fetches nothing itself
+  std::uint32_t pull = 0;
+  std::uint32_t cache = 0;
+  std::uint32_t source = 0;  // source == cache: no fill
+  bool join = false;
+  bool renew = false;
+  bool held_only = false;  // heldOnly: the source fetches nothing itself
   int rank = 0;
   Ms oldest = 0;        // 0: as old as the offering allows
   Ms patience = 0;      // 0: till the client quits
   bool proven = false;  // only over a connection that has just shown that it carries
-  Ms not_after = 0;      // from then on it might take effect a second time: not begun any more, it ends as moot; 0: no limit
+  Ms not_after = 0;  // from then on it might take effect a second time: not begun any more, it ends
+                     // as moot; 0: no limit
 };
 struct CancelLeg {
   std::uint32_t pull = 0;
@@ -199,13 +258,14 @@
 struct WriteLine {
   std::string text;
 };
-// A machine was set aside or is back: what this front holds of it, for whoever sums it up for the fleet.
+// A machine was set aside or is back: what this front holds of it, for whoever sums it up for the
+// fleet.
 struct TellHealth {
   std::uint32_t cache = 0;
   bool aside = false;
 };
-using Action = std::variant<SendLeg, CancelLeg, DeclinePull, AbandonPull, WakeMe, ProbeCache, FollowList, WriteLine,
-                            TellHealth>;
+using Action = std::variant<SendLeg, CancelLeg, DeclinePull, AbandonPull, WakeMe, ProbeCache,
+                            FollowList, WriteLine, TellHealth>;
 
 class Router {
  public:
--- a/src/logic/choice.hpp
+++ b/src/logic/choice.hpp
@@ -1,4 +1,5 @@
-// Choice: which cache a pull's next leg goes to, how crowded it may be, and whether the pull gets a place.
+// Choice: which cache a pull's next leg goes to, how crowded it may be, and whether the pull gets a
+// place.
 #pragma once
 #include "logic/cold.hpp"
 #include "logic/health.hpp"
@@ -9,7 +10,9 @@
   const Load& load;
   Cold& cold;
   Health& health;
-  double mean_payoff = 1, mean_work = 100, place_price = 0;
+  double mean_payoff = 1;
+  double mean_work = 100;
+  double place_price = 0;
   std::vector<double> shares{};  // of pulls, by zone; empty: all stay in the own
 
   Machine* CacheFor(const Pull& p) {
@@ -26,25 +29,30 @@
     return at && load.level(*at) <= Bearable(p) ? at : nullptr;
   }
 
-  // Bounded load: the first in hash order that is at most a quarter over the mean level, or at one where most
-  // pulls are in time, since a move costs a fill; and that this pull can bear. Else the least level.
+  // Bounded load: the first in hash order that is at most a quarter over the mean level, or at one
+  // where most pulls are in time, since a move costs a fill; and that this pull can bear. Else the
+  // least level.
   Machine* FirstInBounds(const std::vector<Machine*>& open, const Pull& p) const {
     double held = 0, room = 0;
     Machine* least = nullptr;
     for (Machine* m : open) {
       held += load.Together(m->legs, load.Sharers(*m));
       room += load.Carries(m->room) * load.roster.Warmth(*m);
-      if (!least || load.level(*m) < load.level(*least)) least = m;
+      if (!least || load.level(*m) < load.level(*least))
+        least = m;
     }
     double most = std::min(std::max(1.75, 1.25 * (held + 1) / room), Bearable(p));
-    auto first = std::find_if(open.begin(), open.end(), [&](Machine* m) { return load.level(*m) <= most; });
+    auto first =
+        std::find_if(open.begin(), open.end(), [&](Machine* m) { return load.level(*m) <= most; });
     return first == open.end() ? least : *first;
   }
 
-  // How crowded a machine or link may be for this pull: stretched by about the level, it must be in time.
-  // A poor payoff for the work takes some off: in overload those go first that earn least for it.
+  // How crowded a machine or link may be for this pull: stretched by about the level, it must be in
+  // time. A poor payoff for the work takes some off: in overload those go first that earn least for
+  // it.
   double Bearable(const Pull& p) const {
-    constexpr double kMargin = 0.8;  // the level is an estimate, and rises while the pull is under way
+    constexpr double kMargin =
+        0.8;  // the level is an estimate, and rises while the pull is under way
     double stretch = kMargin * (p.agreed_at - now) / std::max(p.sending, 1.0);
     return std::clamp(stretch * std::clamp(std::pow(Worthiness(p), 0.2), 0.7, 1.3), 1.2, 5.0);
   }
@@ -52,21 +60,25 @@
     return (p.ware->payoff / std::max(p.sending, 1.0)) / (mean_payoff / std::max(mean_work, 1.0));
   }
 
-  // A fleet that comes back from a loss lets in what cold machines bear, all fronts together (src/recovery/);
-  // the rest is declined at once. Harm: a front that is told late declines what could be served.
+  // A fleet that comes back from a loss lets in what cold machines bear, all fronts together
+  // (src/recovery/); the rest is declined at once. Harm: a front that is told late declines what
+  // could be served.
   LetIn admitted{};
   bool LetsIn(const Pull& p) const {
     auto at = static_cast<std::size_t>(p.offering);
     return at >= admitted.by_offering.size() || Drawn() < admitted.by_offering[at];
   }
 
-  // Clients have so many places here, each taken until its answer; when all are, the next pull is turned away
-  // whatever it is worth. A price on places settles where nine in ten are taken, and swings with them; what
-  // earns less is declined. Guards against surges or slowness that fill them. Harm: costs some large objects.
+  // Clients have so many places here, each taken until its answer; when all are, the next pull is
+  // turned away whatever it is worth. A price on places settles where nine in ten are taken, and
+  // swings with them; what earns less is declined. Guards against surges or slowness that fill
+  // them. Harm: costs some large objects.
   bool CrowdsOut(const Pull& p) {
     mean_payoff += 0.01 * (p.ware->payoff - mean_payoff);  // about the last hundred pulls
-    mean_work += 0.01 * (p.sending - mean_work), cold.Meet(p.sending);
-    constexpr double kAim = 0.9, kStep = 0.002, kSwing = 4;  // settles in a second; hundreds swing by a tenth
+    mean_work += 0.01 * (p.sending - mean_work);
+    cold.Meet(p.sending);
+    constexpr double kAim = 0.9, kStep = 0.002,
+                     kSwing = 4;  // settles in a second; hundreds swing by a tenth
     double over = f.places > 0 ? static_cast<double>(pulls.size()) / f.places - kAim : -1;
     place_price = std::clamp(place_price + kStep * over, 0.0, 2.0);
     return Worthiness(p) < place_price + kSwing * over;
@@ -76,40 +88,58 @@
   bool MayGo(const Pull& p, const Machine& m) const {
     const Offering& o = *p.ware;
     for (const Leg& leg : p.legs) {
-      if (leg.never_ran) continue;
-      if (o.effect == Effect::kExclusive || (leg.out && !f.may.two_legs_at_once)) return false;
-      if (o.effect == Effect::kRerunnable) continue;
-      if (now - leg.sent_at >= o.memory) return false;
-      if (o.span == Span::kZone && m.zone != leg.at->zone) return false;
-      if (o.span == Span::kCell && m.cell != leg.at->cell) return false;
+      if (leg.never_ran)
+        continue;
+      if (o.effect == Effect::kExclusive || (leg.out && !f.may.two_legs_at_once))
+        return false;
+      if (o.effect == Effect::kRerunnable)
+        continue;
+      if (now - leg.sent_at >= o.memory)
+        return false;
+      if (o.span == Span::kZone && m.zone != leg.at->zone)
+        return false;
+      if (o.span == Span::kCell && m.cell != leg.at->cell)
+        return false;
     }
     return true;
   }
 
-  // Until when a further leg is known as a repeat of those before it, wherever it waits; 0: it repeats none.
+  // Until when a further leg is known as a repeat of those before it, wherever it waits; 0: it
+  // repeats none.
   Ms RepeatsKnownTill(const Pull& p) const {
-    if (p.ware->effect != Effect::kTicketed) return 0;
-    auto first = std::find_if(p.legs.begin(), p.legs.end(), [](const Leg& leg) { return !leg.never_ran; });
-    return first == p.legs.end() ? 0 : first->sent_at + p.ware->memory;  // in the order of their sending
+    if (p.ware->effect != Effect::kTicketed)
+      return 0;
+    auto first =
+        std::find_if(p.legs.begin(), p.legs.end(), [](const Leg& leg) { return !leg.never_ran; });
+    return first == p.legs.end()
+               ? 0
+               : first->sent_at + p.ware->memory;  // in the order of their sending
   }
 
-  // The fleet's verdict says which share of pulls goes to which zone: objects by hash, the same at all fronts
-  // of a zone. Guards against a zone whose caches are lost to all its fronts. Harm: misses abroad until kept
-  // there. A ticket known to one zone stays: a client's repeat, after the shares moved, would run twice.
-  // Without probes a cache that is due its trial gets it, else none would ever be back.
+  // The fleet's verdict says which share of pulls goes to which zone: objects by hash, the same at
+  // all fronts of a zone. Guards against a zone whose caches are lost to all its fronts. Harm:
+  // misses abroad until kept there. A ticket known to one zone stays: a client's repeat, after the
+  // shares moved, would run twice. Without probes a cache that is due its trial gets it, else none
+  // would ever be back.
   int ZoneFor(const Pull& p) const {
     const Offering& o = *p.ware;
-    if (shares.empty() || (o.effect == Effect::kTicketed && o.span != Span::kEverywhere)) return f.zone;
+    if (shares.empty() || (o.effect == Effect::kTicketed && o.span != Span::kEverywhere))
+      return f.zone;
     if (!f.may.probe && o.effect == Effect::kRerunnable && p.legs.empty())
       for (const Machine* m : load.roster.stores)
-        if (m->aside && health.Usable(*m)) return f.zone;
+        if (m->aside && health.Usable(*m))
+          return f.zone;
     double left = Fraction(Mixed(p.object ^ 0x5eedull));  // not the homes' hash
-    if ((left -= shares[static_cast<std::size_t>(f.zone)]) < 0) return f.zone;
+    if ((left -= shares[static_cast<std::size_t>(f.zone)]) < 0)
+      return f.zone;
     for (auto& [z, caches] : load.roster.away)
-      if (z < static_cast<int>(shares.size()) && (left -= shares[static_cast<std::size_t>(z)]) < 0) return z;
+      if (z < static_cast<int>(shares.size()) && (left -= shares[static_cast<std::size_t>(z)]) < 0)
+        return z;
     return f.zone;
   }
-  void Take(const ZoneShares& e) { shares = f.zone < std::ssize(e.shares) ? e.shares : decltype(shares){}; }
+  void Take(const ZoneShares& e) {
+    shares = f.zone < std::ssize(e.shares) ? e.shares : decltype(shares){};
+  }
 };
 
 }  // namespace dunlinwick::logic
--- a/src/logic/health.hpp
+++ b/src/logic/health.hpp
@@ -1,4 +1,5 @@
-// Health: which machines may be asked, which are set aside for what failed there, and how they come back.
+// Health: which machines may be asked, which are set aside for what failed there, and how they come
+// back.
 #pragma once
 #include "logic/load.hpp"
 
@@ -8,65 +9,100 @@
   const Load& load;
   int lines_left = 150;
 
-  void Say(const char* what, const Machine& m) { lines_left-- > 0 ? Act(WriteLine{LineOf(what, m)}) : void(); }
+  void Say(const char* what, const Machine& m) {
+    lines_left-- > 0 ? Act(WriteLine{LineOf(what, m)}) : void();
+  }
 
   bool Usable(const Machine& m) const {
-    if (m.standing != Standing::kReady) return false;
-    if (!m.aside) return now >= m.full_until;
-    // Coming back: a cache after probes; without probes, and as a source, by one trial leg at a time.
+    if (m.standing != Standing::kReady)
+      return false;
+    if (!m.aside)
+      return now >= m.full_until;
+    // Coming back: a cache after probes; without probes, and as a source, by one trial leg at a
+    // time.
     return (f.may.probe ? m.answers >= 2 : now >= m.aside_until) && !m.trial_out;
   }
 
-  // Three legs overdue and none answered that was sent as late. Guards against what swallows legs without an
-  // ending, and would hold fill places and clients. Harm: when all are slow, the first asked may be judged.
+  // Three legs overdue and none answered that was sent as late. Guards against what swallows legs
+  // without an ending, and would hold fill places and clients. Harm: when all are slow, the first
+  // asked may be judged.
   bool Silent(const Machine& m) const {
-    constexpr int kLimit = 3;                      // more than chance, few enough to tell within a second
-    constexpr Ms kGrace = kSecond / 3;              // longer than the pauses of a busy machine
-    if (now - m.last_good <= kGrace) return false;  // none sent later can be overdue
+    constexpr int kLimit = 3;           // more than chance, few enough to tell within a second
+    constexpr Ms kGrace = kSecond / 3;  // longer than the pauses of a busy machine
+    if (now - m.last_good <= kGrace)
+      return false;  // none sent later can be overdue
     double crowd = std::max(1.0, load.LinkLevel());
     auto overdue = [&](const Pull& p, const Leg& leg) {
       return leg.sent_at > m.last_good && now - leg.sent_at > 3 * p.sending * crowd + kGrace;
     };
     return pulls.LegsOut(&m, overdue) >= kLimit;
   }
-  bool Judge(Machine& m) { return !m.aside && Silent(m) ? Strike(m, kStrikesOut), false : Usable(m); }
+  bool Judge(Machine& m) {
+    return !m.aside && Silent(m) ? Strike(m, kStrikesOut), false : Usable(m);
+  }
 
-  // Guards against whatever makes a machine fail in a row: a crash the list has not told, a refused port, a
-  // break. What fell with one connection is one sign. Harm: one that only ran out of them rests for a moment.
+  // Guards against whatever makes a machine fail in a row: a crash the list has not told, a refused
+  // port, a break. What fell with one connection is one sign. Harm: one that only ran out of them
+  // rests for a moment.
   static constexpr int kStrikesOut = 2;  // one failure may be chance, two in a row are not
   void Strike(Machine& m, int by = 1) {
-    constexpr Ms kFirstPause = kSecond / 4, kLongestPause = 4 * kSecond;  // short beside the list's own delay
-    m.strikes += by, m.answers = 0, m.trial_out = false;
-    if (m.aside ? now < m.aside_until : m.strikes < kStrikesOut) return;
+    constexpr Ms kFirstPause = kSecond / 4,
+                 kLongestPause = 4 * kSecond;  // short beside the list's own delay
+    m.strikes += by;
+    m.answers = 0;
+    m.trial_out = false;
+    if (m.aside ? now < m.aside_until : m.strikes < kStrikesOut)
+      return;
     m.pause = m.aside ? std::min(2 * m.pause, kLongestPause) : kFirstPause;
-    if (!m.aside) Say("set aside", m), Act(TellHealth{m.cache, true});
-    m.aside = true, m.aside_until = now + m.pause;
-    if (f.may.probe) Act(WakeMe{m.aside_until, kWakeMachine << 56 | m.cache});
+    if (!m.aside) {
+      Say("set aside", m);
+      Act(TellHealth{m.cache, true});
+    }
+    m.aside = true;
+    m.aside_until = now + m.pause;
+    if (f.may.probe)
+      Act(WakeMe{m.aside_until, kWakeMachine << 56 | m.cache});
   }
 
   void Absolve(Machine& m) {
-    m.strikes = 0, m.may_be_new &= m.aside;
-    if (!m.aside || (f.may.probe && m.answers < 2)) return;  // with probes: back only after two answered
+    m.strikes = 0;
+    m.may_be_new &= m.aside;
+    if (!m.aside || (f.may.probe && m.answers < 2))
+      return;  // with probes: back only after two answered
     m.answers = 0;
-    // One that could not be reached may be a new process that the list has not told of: it is taken for cold.
-    if (m.may_be_new) m.slow_start_from = now;
+    // One that could not be reached may be a new process that the list has not told of: it is taken
+    // for cold.
+    if (m.may_be_new)
+      m.slow_start_from = now;
     m.aside = m.trial_out = m.may_be_new = false;
-    Say("is back", m), Act(TellHealth{m.cache, false});
+    Say("is back", m);
+    Act(TellHealth{m.cache, false});
   }
 
-  void Answered(Machine& m, Ms sent_at) { m.last_good = std::max(m.last_good, sent_at), Absolve(m); }
+  void Answered(Machine& m, Ms sent_at) {
+    m.last_good = std::max(m.last_good, sent_at);
+    Absolve(m);
+  }
 
   void Probed(const ProbeEnded& e) {
     Machine* m = load.roster.Known(e.cache);
-    if (!m || !m->aside) return;
-    if (!e.answered) return m->may_be_new = true, Strike(*m);
-    if (++m->answers < 2) return Act(WakeMe{now + kSecond / 10, kWakeMachine << 56 | e.cache});
-    if (m->IsCache()) Absolve(*m);
+    if (!m || !m->aside)
+      return;
+    if (!e.answered) {
+      m->may_be_new = true;
+      return Strike(*m);
+    }
+    if (++m->answers < 2)
+      return Act(WakeMe{now + kSecond / 10, kWakeMachine << 56 | e.cache});
+    if (m->IsCache())
+      Absolve(*m);
   }
   void Wake(const WakeUp& e) {
     Machine* m = load.roster.Known(static_cast<std::uint32_t>(e.handle));
-    if (!m || !m->aside) return;
-    m->standing == Standing::kReady ? Act(ProbeCache{m->cache}) : Act(WakeMe{now + kSecond, e.handle});
+    if (!m || !m->aside)
+      return;
+    m->standing == Standing::kReady ? Act(ProbeCache{m->cache})
+                                    : Act(WakeMe{now + kSecond, e.handle});
   }
 };
 
--- a/src/logic/memories.hpp
+++ b/src/logic/memories.hpp
@@ -1,28 +1,36 @@
-// Memories: what is learnt of objects and offerings: rates, omega, ranks (the design's ordinary path), sizes.
+// Memories: what is learnt of objects and offerings: rates, omega, ranks (the design's ordinary
+// path), sizes.
 #pragma once
 #include "logic/purges.hpp"
 
 namespace dunlinwick::logic {
 
 struct Memories : Part {
-  static constexpr Ms kCountAgeing = 30 * kSecond;  // long beside any idle window, short beside a fashion
+  static constexpr Ms kCountAgeing =
+      30 * kSecond;  // long beside any idle window, short beside a fashion
   static constexpr Ms kLongestOmega = 4 * kCountAgeing;
   const Purges& purges;
   std::vector<Ware> wares{};
   Remembered table{};
 
   void Start(const std::vector<Offering>& offerings) {
-    // A sending on the long side, which the first pulls seen replace; the design's few seconds for omega.
-    for (const Offering& o : offerings) wares.push_back({o, o.expiry / 16, 5 * kSecond});
+    // A sending on the long side, which the first pulls seen replace; the design's few seconds for
+    // omega.
+    for (const Offering& o : offerings)
+      wares.push_back({o, o.expiry / 16, 5 * kSecond});
   }
 
   Memory* Recall(std::uint64_t object, int part) {
     constexpr std::size_t kMost = 1 << 16;  // some minutes of a busy front's different parts
     std::uint64_t key = Mixed(object) + static_cast<std::uint64_t>(part);
-    if (Memory* found = table.Use(key, now)) return found;
+    if (Memory* found = table.Use(key, now))
+      return found;
     // Beyond the longest omega, and with its count aged away, it says nothing more.
-    auto old = [&](Ms used_at) { return table.all.size() >= kMost || used_at < now - kLongestOmega; };
-    while (table.Loose() && old(table.all.front().used_at)) table.DropOldest();
+    auto old = [&](Ms used_at) {
+      return table.all.size() >= kMost || used_at < now - kLongestOmega;
+    };
+    while (table.Loose() && old(table.all.front().used_at))
+      table.DropOldest();
     return table.Add(key, now);
   }
 
@@ -33,11 +41,14 @@
     ++m.pins;
     p.gap = m.last_pull > kLongAgo ? now - m.last_pull : 0;
     m.count = m.count * (m.last_pull > kLongAgo ? std::exp(-p.gap / kCountAgeing) : 0) + 1;
-    m.last_pull = now, p.last_at = m.last_at, p.sending = w.mean_sending;
+    m.last_pull = now;
+    p.last_at = m.last_at;
+    p.sending = w.mean_sending;
     if (p.size_kb > 0 && f.stream_kb_per_ms > 0) {
       p.sending = p.size_kb / f.stream_kb_per_ms;
-      // An object's parts come in a row and are of one size: a hundred pulls tell of six objects, and a mean
-      // that was low by half sent a cold cache twice its share. Harm: it follows a new mix in minutes.
+      // An object's parts come in a row and are of one size: a hundred pulls tell of six objects,
+      // and a mean that was low by half sent a cold cache twice its share. Harm: it follows a new
+      // mix in minutes.
       constexpr int kSteady = 500;  // some thirty objects
       w.sendings_seen = std::min(w.sendings_seen + 1, kSteady);
       w.mean_sending += (p.sending - w.mean_sending) / w.sendings_seen;
@@ -45,24 +56,33 @@
     p.rank = RankOf(p);
   }
 
-  // Omega settles where as many answers miss below it as hit above it: the gap below which most answers hit.
-  // Departure: nothing is learnt from a cache that started lately, from purged objects, or from another cache
-  // than the part's last; omega stays within the fresh time. Else a deploy's misses cut it at all fronts.
+  // Omega settles where as many answers miss below it as hit above it: the gap below which most
+  // answers hit. Departure: nothing is learnt from a cache that started lately, from purged
+  // objects, or from another cache than the part's last; omega stays within the fresh time. Else a
+  // deploy's misses cut it at all fronts.
   void LearnOmega(const Pull& p, const Leg& leg, bool hit) const {
-    constexpr double kStep = 0.02;  // fifty answers move it by e: seconds of traffic, not single surprises
+    constexpr double kStep =
+        0.02;  // fifty answers move it by e: seconds of traffic, not single surprises
     Ware& w = *p.ware;
-    if (leg.at != p.last_at || p.gap <= 0 || purges.at(p) > kLongAgo) return;
-    if (leg.at->slow_start_from > 0 && now - leg.at->slow_start_from < f.cold_store.lasts + p.gap) return;
-    if (hit && p.gap > w.omega) w.omega *= 1 + kStep;
-    if (!hit && p.gap < w.omega) w.omega *= 1 - kStep;
+    if (leg.at != p.last_at || p.gap <= 0 || purges.at(p) > kLongAgo)
+      return;
+    if (leg.at->slow_start_from > 0 && now - leg.at->slow_start_from < f.cold_store.lasts + p.gap)
+      return;
+    if (hit && p.gap > w.omega)
+      w.omega *= 1 + kStep;
+    if (!hit && p.gap < w.omega)
+      w.omega *= 1 - kStep;
     Ms most = w.fresh_for > 0 ? w.fresh_for : kLongestOmega;
     w.omega = std::clamp(w.omega, kSecond / 2, most);
   }
 
   int RankOf(const Pull& p) const {
-    double lambda = ((p.memory->count - 1) * f.crew + 1) / kCountAgeing;  // this pull tells of no others
+    double lambda =
+        ((p.memory->count - 1) * f.crew + 1) / kCountAgeing;  // this pull tells of no others
     double held = 1 - std::exp(-lambda * p.ware->omega);
-    return held > 2.0 / 3 ? 3 : held > 1.0 / 3 ? 2 : 1;  // three ranks, even thirds of the held chance
+    return held > 2.0 / 3   ? 3
+           : held > 1.0 / 3 ? 2
+                            : 1;  // three ranks, even thirds of the held chance
   }
 };
 
--- a/src/logic/purges.hpp
+++ b/src/logic/purges.hpp
@@ -5,32 +5,42 @@
 namespace dunlinwick::logic {
 
 struct Purges : Part {
-  const Ms kept = 2 * f.purge_done;  // twice: a fill may lay down an old copy late, and the cap costs nothing
+  const Ms kept =
+      2 * f.purge_done;  // twice: a fill may lay down an old copy late, and the cap costs nothing
   std::unordered_map<std::uint64_t, Ms> purged{};  // object or group: when; emptied after `kept`
-  // The fleet's recalls, of offerings too: emptied as they are lifted, and as many as its record holds.
+  // The fleet's recalls, of offerings too: emptied as they are lifted, and as many as its record
+  // holds.
   std::unordered_map<std::uint64_t, Ms> recalled{};
   Ms no_older = 0;
 
-  static std::uint64_t OfOffering(int offering) { return Mixed(~static_cast<std::uint64_t>(offering)); }
+  static std::uint64_t OfOffering(int offering) {
+    return Mixed(~static_cast<std::uint64_t>(offering));
+  }
 
   void Take(const Purged& e) {
     std::uint64_t key = e.offering >= 0 ? OfOffering(e.offering) : e.object;
-    if (e.whole_group) key = ~static_cast<std::uint64_t>(e.group);
-    if (e.lifted) return void(recalled.erase(key));
-    if (e.standing) return void(recalled[key] = now - e.ago);
+    if (e.whole_group)
+      key = ~static_cast<std::uint64_t>(e.group);
+    if (e.lifted)
+      return void(recalled.erase(key));
+    if (e.standing)
+      return void(recalled[key] = now - e.ago);
     Ms& known = purged.try_emplace(key, kLongAgo).first->second;
     known = std::max(known, PurgedAt(e));
     std::erase_if(purged, [&](auto& one) { return one.second < now - kept; });
   }
 
-  // When a purge was, on this front's clock. One that is told was announced after the last moment at which nothing was missing here;
-  // at a start those of the last `purgeDone` come. A stamp from before that, or ahead of the telling, is of a clock that disagrees, and
-  // the purge counts as when it was told. Guards against a purge that is dropped as done, or whose age admits older copies, after a
-  // step of either clock, and against one that refuses every copy until this clock has come up to its stamp. Harm: copies made
-  // between the purge and its telling are fetched once more.
+  // When a purge was, on this front's clock. One that is told was announced after the last moment
+  // at which nothing was missing here; at a start those of the last `purgeDone` come. A stamp from
+  // before that, or ahead of the telling, is of a clock that disagrees, and the purge counts as
+  // when it was told. Guards against a purge that is dropped as done, or whose age admits older
+  // copies, after a step of either clock, and against one that refuses every copy until this clock
+  // has come up to its stamp. Harm: copies made between the purge and its telling are fetched once
+  // more.
   Ms PurgedAt(const Purged& e) const {
     constexpr Ms kAnnouncingTakes = kSecond;
-    if (!e.stamped) return now - e.ago;
+    if (!e.stamped)
+      return now - e.ago;
     const Notified& told = e.stamped->notified;
     Ms earliest = told.up_to_date_at.value_or(told.at - f.purge_done) - kAnnouncingTakes;
     return OnOwnClock(e.stamped->stamp, earliest, told.at);
@@ -40,23 +50,28 @@
     Ms latest = kLongAgo;
     for (std::uint64_t key : {p.object, ~static_cast<std::uint64_t>(p.group)}) {
       auto found = purged.find(key);
-      if (found != purged.end() && found->second > now - kept) latest = std::max(latest, found->second);
+      if (found != purged.end() && found->second > now - kept)
+        latest = std::max(latest, found->second);
     }
     if (!recalled.empty())
-      for (std::uint64_t key : {p.object, ~static_cast<std::uint64_t>(p.group), OfOffering(p.offering)})
-        if (auto r = recalled.find(key); r != recalled.end()) latest = std::max(latest, r->second);
+      for (std::uint64_t key :
+           {p.object, ~static_cast<std::uint64_t>(p.group), OfOffering(p.offering)})
+        if (auto r = recalled.find(key); r != recalled.end())
+          latest = std::max(latest, r->second);
     return latest;
   }
 
-  // The age asked for, 0 where the offering's own limit will do. After a purge: at most the time since it,
-  // less one millisecond against rounding, and never 0, which would lift the cap. Where recalls may have been
-  // missed: none older than that. Guards against a front cut off from the record. Harm: kept copies are
-  // checked.
+  // The age asked for, 0 where the offering's own limit will do. After a purge: at most the time
+  // since it, less one millisecond against rounding, and never 0, which would lift the cap. Where
+  // recalls may have been missed: none older than that. Guards against a front cut off from the
+  // record. Harm: kept copies are checked.
   Ms Oldest(const Pull& p) const {
     Ms purge = at(p);
-    if (purge == kLongAgo && no_older <= 0) return 0;
+    if (purge == kLongAgo && no_older <= 0)
+      return 0;
     Ms since = purge == kLongAgo ? no_older : std::max(now - purge - 1, 0.001);
-    if (no_older > 0) since = std::min(since, no_older);
+    if (no_older > 0)
+      since = std::min(since, no_older);
     return p.ware->fresh_for > 0 ? std::min(since, p.ware->fresh_for) : since;
   }
 };
--- a/src/logic/sources.hpp
+++ b/src/logic/sources.hpp
@@ -1,4 +1,5 @@
-// Sources: where a miss is filled from, and what fills tell of their sources' pace and of the origin.
+// Sources: where a miss is filled from, and what fills tell of their sources' pace and of the
+// origin.
 #pragma once
 #include "logic/choice.hpp"
 
@@ -8,77 +9,99 @@
   const Purges& purges;
   Load& load;
   Choice& choice;
-  Ms originWait = 0, origin_calm = 0;  // until its first byte comes, lately and as usual
-  Ms fill_wait = 0;                    // of the usual fill until its first byte, where answers don't tell
+  Ms originWait = 0;
+  Ms origin_calm = 0;  // until its first byte comes, lately and as usual
+  Ms fill_wait = 0;    // of the usual fill until its first byte, where answers don't tell
 
-  // A cache of the location that finished the part within omega, when its home has moved; else the object's
-  // parent, moving on in hash order; else the origin. nullptr: no fill.
+  // A cache of the location that finished the part within omega, when its home has moved; else the
+  // object's parent, moving on in hash order; else the origin. nullptr: no fill.
   Machine* SourceFor(Pull& p, const Machine& at) const {
     Machine *origin = load.roster.origin, *last = p.last_at;
     auto open = [&](Machine* m) {
-      return choice.health.Judge(*m) && !p.HasFailed(m) && choice.cold.Affords(*m, choice.cold.WorkOf(p));
+      return choice.health.Judge(*m) && !p.HasFailed(m) &&
+             choice.cold.Affords(*m, choice.cold.WorkOf(p));
     };
-    if (p.ware->never_kept && origin && open(origin)) return origin;
-    if (f.lateral && !p.sibling_lacked && last && last != &at && last->IsCache() && last->zone == at.zone &&
-        p.gap < p.ware->omega && purges.at(p) == kLongAgo && open(last) && load.level(*last) < 1.5)
+    if (p.ware->never_kept && origin && open(origin))
+      return origin;
+    if (f.lateral && !p.sibling_lacked && last && last != &at && last->IsCache() &&
+        last->zone == at.zone && p.gap < p.ware->omega && purges.at(p) == kLongAgo && open(last) &&
+        load.level(*last) < 1.5)
       return last;
     std::vector<Machine*> able;
     auto add_able = [&](bool held) {
       for (Machine* m : load.roster.InOrder(load.roster.parents, p.object))
-        if (open(m) && InTime(p, *m, held)) able.push_back(m);
+        if (open(m) && InTime(p, *m, held))
+          able.push_back(m);
     };
     add_able(false);
     // None in time with what they fetch: one that is with what it holds is asked for that only.
     bool other = origin && open(origin) && InTime(p, *origin);
-    if ((p.held_only = able.empty() && !other)) add_able(true);
+    if ((p.held_only = able.empty() && !other))
+      add_able(true);
     std::stable_partition(able.begin(), able.end(), [&](const Machine* m) {
       return Fraction(Mixed(~p.object ^ Mixed(m->cache))) < ShareOf(*m);
     });
     Machine* best = able.empty() ? nullptr : choice.FirstInBounds(able, p);
-    if (best && load.level(*best) <= choice.Bearable(p)) return best;
+    if (best && load.level(*best) <= choice.Bearable(p))
+      return best;
     return other && (!best || load.level(*origin) < load.level(*best)) ? origin : best;
   }
 
-  // While the origin is slow beside its calm, only as large a share of misses leads to it; others ask a
-  // parent for what it holds, else are declined. Harm: a lasting change of pace is first taken for trouble.
+  // While the origin is slow beside its calm, only as large a share of misses leads to it; others
+  // ask a parent for what it holds, else are declined. Harm: a lasting change of pace is first
+  // taken for trouble.
   bool SparesOrigin(const Pull& p) const {
-    constexpr double kSlow = 3, kLook = 0.1;  // calm answers vary by less; a tenth shows when it is calm again
-    if (originWait <= kSlow * origin_calm) return false;
-    bool late = originWait + p.sending > p.agreed_at - now;  // what it sends comes too late to be worth it
+    constexpr double kSlow = 3,
+                     kLook = 0.1;  // calm answers vary by less; a tenth shows when it is calm again
+    if (originWait <= kSlow * origin_calm)
+      return false;
+    bool late =
+        originWait + p.sending > p.agreed_at - now;  // what it sends comes too late to be worth it
     return Drawn() > (late ? kLook : kSlow * origin_calm / originWait);
   }
   void LearnOrigin(Ms waited) {
-    if (origin_calm <= 0) origin_calm = originWait = waited;
+    if (origin_calm <= 0)
+      origin_calm = originWait = waited;
     originWait += 0.1 * (waited - originWait);
     origin_calm += (waited < origin_calm ? 0.1 : 0.003) * (waited - origin_calm);
   }
 
-  // The share of its objects that a source keeps: cut when a fill is stretched beyond the best source's, once
-  // for all legs then out, and grown by good ones. Guards against sources that many fronts crowd, whose legs
-  // no front can count. Harm: the same objects move on at all fronts, and are fetched anew there.
+  // The share of its objects that a source keeps: cut when a fill is stretched beyond the best
+  // source's, once for all legs then out, and grown by good ones. Guards against sources that many
+  // fronts crowd, whose legs no front can count. Harm: the same objects move on at all fronts, and
+  // are fetched anew there.
   double ShareOf(const Machine& m) const {
-    constexpr Ms kWhole = 50 * kSecond;  // forgiven at leisure where nothing is asked of it any more
+    constexpr Ms kWhole =
+        50 * kSecond;  // forgiven at leisure where nothing is asked of it any more
     return std::min(1.0, m.share + std::min(kWhole, now - m.share_at) / kWhole);
   }
   void Shift(Machine& from, const Leg& leg, double stretch) const {
-    constexpr double kLeast = 0.05, kCut = 0.7, kGrow = 0.02;  // about one fill in ten is then a stretched one
-    if (leg.sent_at < from.cut_at) return;
+    constexpr double kLeast = 0.05, kCut = 0.7,
+                     kGrow = 0.02;  // about one fill in ten is then a stretched one
+    if (leg.sent_at < from.cut_at)
+      return;
     bool crowded = stretch > 2;
-    from.share = crowded ? std::max(kLeast, kCut * ShareOf(from)) : std::min(1.0, ShareOf(from) + kGrow);
-    from.share_at = now, from.cut_at = crowded ? now : from.cut_at;
+    from.share =
+        crowded ? std::max(kLeast, kCut * ShareOf(from)) : std::min(1.0, ShareOf(from) + kGrow);
+    from.share_at = now;
+    from.cut_at = crowded ? now : from.cut_at;
   }
 
-  // Where answers don't tell what became of a fill, or how long it waited, its length stands in, beside its
-  // sending and the usual wait (half the fills wait longer): by the source's last fills, fading, or by a leg
-  // still out. Guards against slow sources, asked once in seconds at size. Harm: a busy second moves objects.
+  // Where answers don't tell what became of a fill, or how long it waited, its length stands in,
+  // beside its sending and the usual wait (half the fills wait longer): by the source's last fills,
+  // fading, or by a leg still out. Guards against slow sources, asked once in seconds at size.
+  // Harm: a busy second moves objects.
   double PaceOf(const Machine& m, bool held) const {
-    constexpr Ms kFade = 30 * kSecond;  // a front at size asks a source once in seconds; 15 s won less
+    constexpr Ms kFade =
+        30 * kSecond;  // a front at size asks a source once in seconds; 15 s won less
     Ms at = held ? m.held_at : m.pace_at;
     return 1 + ((held ? m.held_pace : m.pace) - 1) * std::exp((at - now) / kFade);
   }
   bool InTime(const Pull& p, const Machine& m, bool held = false) const {
-    constexpr double kSpare = 1.2;  // a pace is a mean of unlike fills; 1.0 and 1.3 won less on six draws
-    if (f.remarks) return true;
+    constexpr double kSpare =
+        1.2;  // a pace is a mean of unlike fills; 1.0 and 1.3 won less on six draws
+    if (f.remarks)
+      return true;
     double pace = PaceOf(m, held);
     for (auto& [id, other] : pulls)
       for (const Leg& leg : other.legs)
@@ -87,34 +110,44 @@
     return now + kSpare * (p.sending + fill_wait) * pace < p.agreed_at;
   }
 
-  // A fill is stretched by the link, which all share, and by its source. The best source's pace is laid to
-  // the link, what is worse to the source.
+  // A fill is stretched by the link, which all share, and by its source. The best source's pace is
+  // laid to the link, what is worse to the source.
   void LearnFill(const Leg& leg, Ms own, Ms took) {
     Machine& from = *leg.source;
-    if (own <= 0) return;
+    if (own <= 0)
+      return;
     if (leg.held && !f.remarks) {  // tells of what it holds only, and nothing of the link
       from.held_pace = PaceOf(from, true) + 0.5 * (std::max(1.0, took / own) - PaceOf(from, true));
       return void(from.held_at = now);
     }
-    if (!f.remarks) from.pace = PaceOf(from, false);
-    double step = f.remarks ? 0.1 : 0.8;  // the last ten fills; the last one or two where they are rare
-    from.pace += step * (std::max(1.0, took / own) - from.pace), from.pace_at = now;
+    if (!f.remarks)
+      from.pace = PaceOf(from, false);
+    double step =
+        f.remarks ? 0.1 : 0.8;  // the last ten fills; the last one or two where they are rare
+    from.pace += step * (std::max(1.0, took / own) - from.pace);
+    from.pace_at = now;
     double best = from.pace;
     for (const Machine* m : load.roster.parents)
-      if (now - m->pace_at < 5 * kSecond) best = std::min(best, m->pace);
+      if (now - m->pace_at < 5 * kSecond)
+        best = std::min(best, m->pace);
     Shift(from, leg, took / (best * own));
-    if (load.LinkKnown()) best = std::min(best, std::max(1.0, load.LinkLevel()));  // none beside a lone one
+    if (load.LinkKnown())
+      best = std::min(best, std::max(1.0, load.LinkLevel()));  // none beside a lone one
     load.Learn(from.room, load.Together(from.legs, f.fronts) + 1, own, took, best);
-    double grow = f.remarks ? 1.05 : 1.02;  // slower by lengths alone: one too large costs many late fills
+    double grow =
+        f.remarks ? 1.05 : 1.02;  // slower by lengths alone: one too large costs many late fills
     if (!load.link_told && from.pace <= 1.25 * best)
       load.Learn(load.link, load.Together(load.fills, f.crew) + 1, own, took, 1, grow);
   }
-  // One that came whole: where answers don't tell how long it waited, the usual wait is learnt and taken off.
+  // One that came whole: where answers don't tell how long it waited, the usual wait is learnt and
+  // taken off.
   void Filled(const Leg& leg, Ms own, Ms took, Ms waited) {
     Ms over = std::max(1.0, took - own);
-    if (f.remarks) return LearnFill(leg, own, took - waited);
+    if (f.remarks)
+      return LearnFill(leg, own, took - waited);
     fill_wait = fill_wait <= 0 ? over : fill_wait * (over > fill_wait ? 1.02 : 0.98);
-    if (own > fill_wait) LearnFill(leg, own + fill_wait, took);  // below, the wait outweighs it
+    if (own > fill_wait)
+      LearnFill(leg, own + fill_wait, took);  // below, the wait outweighs it
   }
 };
 
--- a/src/logic_state/records.hpp
+++ b/src/logic_state/records.hpp
@@ -1,4 +1,5 @@
-// What a front keeps in memory while it decides: plain records, no decisions. Only src/logic/ uses them.
+// What a front keeps in memory while it decides: plain records, no decisions. Only src/logic/ uses
+// them.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -9,87 +10,122 @@
 
 constexpr Ms kLongAgo = -1e15;
 
-enum class Role { kStore, kParent, kOrigin, kForeign };
+enum class Role {
+  kStore,
+  kParent,
+  kOrigin,
+  kForeign
+};
 
 // One offering's figures, with what has been learnt of it.
 struct Ware : Offering {
-  Ms mean_sending = 0, omega = 0;
+  Ms mean_sending = 0;
+  Ms omega = 0;
   int sendings_seen = 0;  // of this offering's pulls; counts up to where its mean is steady
 };
 
-// Transfers that a machine or link carries at full pace: what goes by its size, what it seems to do, and what
-// it has shown.
+// Transfers that a machine or link carries at full pace: what goes by its size, what it seems to
+// do, and what it has shown.
 struct Room {
-  double nominal = 0, fits = 0, proven = 0;
+  double nominal = 0;
+  double fits = 0;
+  double proven = 0;
   Ms learnt_at = 0;
 };
 
 // Legs of ours that are out, and on average over the last seconds.
 struct Tally {
-  double out = 0, mean = 0;
+  double out = 0;
+  double mean = 0;
   Ms at = kLongAgo;
 };
 
-// A machine of the list. One that is gone is forgotten with the first list news a minute after its last good
-// answer, when no pull points to it.
+// A machine of the list. One that is gone is forgotten with the first list news a minute after its
+// last good answer, when no pull points to it.
 struct Machine : ListEntry {
   Role role = Role::kForeign;
   Tally legs;  // of ours that are out there, or name it as their source
   Room room;
-  Ms slow_start_from = 0;  // on this front's clock; 0: started long ago
+  Ms slow_start_from = 0;                   // on this front's clock; 0: started long ago
   std::deque<std::pair<Ms, double>> spent;  // cold budget: emptied as the window passes
   Ms turn_until = kLongAgo;
   double turn = 1;  // drawn from 0 to 1, for a window of the budget
-  int strikes = 0, answers = 0;
-  bool aside = false, trial_out = false, may_be_new = false;
-  Ms aside_until = 0, pause = 0, full_until = 0;
+  int strikes = 0;
+  int answers = 0;
+  bool aside = false;
+  bool trial_out = false;
+  bool may_be_new = false;
+  Ms aside_until = 0;
+  Ms pause = 0;
+  Ms full_until = 0;
   Ms last_good = kLongAgo;  // when the latest leg was sent that it answered, or filled as a source
-  double pace = 1;        // how much its fills are stretched
-  double held_pace = 1;    // the same for what it held itself, where it was asked for no more
-  Ms pace_at = kLongAgo, held_at = kLongAgo;
+  double pace = 1;          // how much its fills are stretched
+  double held_pace = 1;     // the same for what it held itself, where it was asked for no more
+  Ms pace_at = kLongAgo;
+  Ms held_at = kLongAgo;
   double share = 1;  // of the objects at home there that are still asked of it
-  Ms share_at = kLongAgo, cut_at = kLongAgo;
-  bool IsCache() const { return role == Role::kStore || role == Role::kForeign; }
+  Ms share_at = kLongAgo;
+  Ms cut_at = kLongAgo;
+  bool IsCache() const {
+    return role == Role::kStore || role == Role::kForeign;
+  }
 };
 
-// What is known of one part of one object; the oldest is dropped when the table is full, or by its age.
+// What is known of one part of one object; the oldest is dropped when the table is full, or by its
+// age.
 struct Memory {
   std::uint64_t key = 0;
   Ms used_at = kLongAgo;
   Ms last_pull = kLongAgo;
-  double count = 0;           // pulls, ageing
+  double count = 0;            // pulls, ageing
   Machine* last_at = nullptr;  // the cache that finished it last
-  int pins = 0;               // pulls under way that point here
+  int pins = 0;                // pulls under way that point here
 };
 
 struct Leg {
   Machine* at = nullptr;
   Machine* source = nullptr;  // nullptr: no fill
   Ms sent_at = 0;
-  double load = 1, fill = 0;  // on the cache's own link and the location's, in transfers at full pace
-  bool out = true, never_ran = false, erred = false;
+  double load = 1;
+  double fill = 0;  // on the cache's own link and the location's, in transfers at full pace
+  bool out = true;
+  bool never_ran = false;
+  bool erred = false;
   bool held = false;  // the source was asked only for what it holds
 };
 
 struct Pull : PullCame {
   Ware* ware = nullptr;
-  Ms expires_at = 0, agreed_at = 0, sending = 0, gap = 0;
+  Ms expires_at = 0;
+  Ms agreed_at = 0;
+  Ms sending = 0;
+  Ms gap = 0;
   Memory* memory = nullptr;  // of the part
   Machine* last_at = nullptr;
   int rank = 1;
-  bool ended = false, streaming = false, sibling_lacked = false, known_miss = false, spared = false,
-       held_only = false;
+  bool ended = false;
+  bool streaming = false;
+  bool sibling_lacked = false;
+  bool known_miss = false;
+  bool spared = false;
+  bool held_only = false;
   std::vector<Leg> legs;
   std::vector<Machine*> failed;  // caches and sources that failed this pull
-  bool HasFailed(const Machine* m) const { return std::count(failed.begin(), failed.end(), m) > 0; }
+  bool HasFailed(const Machine* m) const {
+    return std::count(failed.begin(), failed.end(), m) > 0;
+  }
   bool LegOut() const {
     return std::any_of(legs.begin(), legs.end(), [](const Leg& l) { return l.out; });
   }
   bool PointsTo(const Machine* m) const {
-    auto there = [&](const Leg& l) { return l.at == m || l.source == m; };
+    auto there = [&](const Leg& l) {
+      return l.at == m || l.source == m;
+    };
     return last_at == m || HasFailed(m) || std::any_of(legs.begin(), legs.end(), there);
   }
-  Ms KnownSending() const { return ware->sendings_seen ? sending : 0; }  // 0: no size was ever told
+  Ms KnownSending() const {
+    return ware->sendings_seen ? sending : 0;
+  }  // 0: no size was ever told
 };
 
 }  // namespace dunlinwick::logic
--- a/src/logic_state/tables.hpp
+++ b/src/logic_state/tables.hpp
@@ -1,5 +1,5 @@
-// Tables of the module's records, and how they are found and sorted. No decisions: what a table holds, and when
-// something is dropped from it, is for src/logic/ to say.
+// Tables of the module's records, and how they are found and sorted. No decisions: what a table
+// holds, and when something is dropped from it, is for src/logic/ to say.
 #pragma once
 #include <cmath>
 #include <list>
@@ -12,14 +12,19 @@
 
 namespace dunlinwick::logic {
 
-inline std::uint64_t Mixed(std::uint64_t x) {  // splitmix64's finisher: the same at all fronts, whatever their seeds
+inline std::uint64_t Mixed(
+    std::uint64_t x) {  // splitmix64's finisher: the same at all fronts, whatever their seeds
   x += 0x9e3779b97f4a7c15ull;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
   return x ^ (x >> 31);
 }
-inline double Fraction(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1p-53; }  // from 0 to below 1
-inline double Inside(std::uint64_t hash) { return (static_cast<double>(hash >> 11) + 0.5) * 0x1p-53; }  // above 0 too
+inline double Fraction(std::uint64_t hash) {
+  return static_cast<double>(hash >> 11) * 0x1p-53;
+}  // from 0 to below 1
+inline double Inside(std::uint64_t hash) {
+  return (static_cast<double>(hash >> 11) + 0.5) * 0x1p-53;
+}  // above 0 too
 
 // Pulls under way by their number: one goes when it has ended and its last leg is in.
 struct Pulls : std::map<std::uint32_t, Pull> {
@@ -35,17 +40,20 @@
   int LegsOut(const Machine* m, Which which) const {
     int sum = 0;
     for (auto& [id, p] : *this)
-      for (const Leg& leg : p.legs) sum += leg.out && (leg.at == m || leg.source == m) && which(p, leg);
+      for (const Leg& leg : p.legs)
+        sum += leg.out && (leg.at == m || leg.source == m) && which(p, leg);
     return sum;
   }
   void Forget(Pull& p) {
-    if (!p.ended || p.LegOut()) return;
+    if (!p.ended || p.LegOut())
+      return;
     --p.memory->pins;
     erase(p.pull);
   }
 };
 
-// The list of machines, and the same by role without those that are gone, each group by its machines' numbers.
+// The list of machines, and the same by role without those that are gone, each group by its
+// machines' numbers.
 struct Machines {
   std::map<std::uint32_t, Machine> machines;
   std::vector<Machine*> stores, parents, origins;
@@ -55,13 +63,21 @@
     return at == machines.end() ? nullptr : &at->second;
   }
   void Regroup() {
-    stores.clear(), parents.clear(), origins.clear(), away.clear();
+    stores.clear();
+    parents.clear();
+    origins.clear();
+    away.clear();
     for (auto& [id, m] : machines) {
-      if (m.standing == Standing::kGone) continue;
-      if (m.role == Role::kStore) stores.push_back(&m);
-      if (m.role == Role::kParent) parents.push_back(&m);
-      if (m.role == Role::kOrigin) origins.push_back(&m);
-      if (m.role == Role::kForeign) away[m.zone].push_back(&m);
+      if (m.standing == Standing::kGone)
+        continue;
+      if (m.role == Role::kStore)
+        stores.push_back(&m);
+      if (m.role == Role::kParent)
+        parents.push_back(&m);
+      if (m.role == Role::kOrigin)
+        origins.push_back(&m);
+      if (m.role == Role::kForeign)
+        away[m.zone].push_back(&m);
     }
   }
 };
@@ -72,7 +88,8 @@
     return a.first != b.first ? a.first < b.first : a.second->cache < b.second->cache;
   });
   std::vector<Machine*> order;
-  for (auto& [score, m] : scored) order.push_back(m);
+  for (auto& [score, m] : scored)
+    order.push_back(m);
   return order;
 }
 
@@ -82,19 +99,24 @@
   std::unordered_map<std::uint64_t, std::list<Memory>::iterator> at;
   Memory* Use(std::uint64_t key, Ms now) {
     auto found = at.find(key);
-    if (found == at.end()) return nullptr;
+    if (found == at.end())
+      return nullptr;
     all.splice(all.end(), all, found->second);
-    return found->second->used_at = now, &*found->second;
+    found->second->used_at = now;
+    return &*found->second;
   }
   Memory* Add(std::uint64_t key, Ms now) {
     all.push_back({key, now});
     at[key] = std::prev(all.end());
     return &all.back();
   }
-  bool Loose() const { return !all.empty() && all.front().pins == 0; }  // no pull points to the oldest
+  bool Loose() const {
+    return !all.empty() && all.front().pins == 0;
+  }  // no pull points to the oldest
   void Unlink(const Machine* m) {
     for (Memory& x : all)
-      if (x.last_at == m) x.last_at = nullptr;
+      if (x.last_at == m)
+        x.last_at = nullptr;
   }
   void DropOldest() {
     at.erase(all.front().key);
--- a/src/logic_state/turn.hpp
+++ b/src/logic_state/turn.hpp
@@ -1,4 +1,5 @@
-// What the parts of the module share: the event under way, the settings' figures, and the pulls. No decisions.
+// What the parts of the module share: the event under way, the settings' figures, and the pulls. No
+// decisions.
 #pragma once
 #include <cmath>
 #include <random>
@@ -9,29 +10,64 @@
 
 constexpr Ms kSecond = 1000;
 
-enum Wake : std::uint64_t { kWakePull = 1, kWakeMachine = 2, kWakeList = 3 };  // the upper byte of a WakeMe's handle
+enum Wake : std::uint64_t {
+  kWakePull = 1,
+  kWakeMachine = 2,
+  kWakeList = 3
+};  // the upper byte of a WakeMe's handle
 
 // The sheet as the parts use it; what they make of it they derive themselves, at start.
 struct Figures {
-  int zone, crew, fronts, places, parent_kind, origin_kind, most_legs, link_report;
+  int zone;
+  int crew;
+  int fronts;
+  int places;
+  int parent_kind;
+  int origin_kind;
+  int most_legs;
+  int link_report;
   Permits may;
-  bool asks_for_list, lateral, remarks;
+  bool asks_for_list;
+  bool lateral;
+  bool remarks;
   Weighing weighing;
-  Ms retry_limit, purge_done, cold_window;
-  double stream_kb_per_ms, link_room;  // transfers that the link carries, 0: not told
-  ColdTerms cold_store, cold_parent;
+  Ms retry_limit;
+  Ms purge_done;
+  Ms cold_window;
+  double stream_kb_per_ms;
+  double link_room;  // transfers that the link carries, 0: not told
+  ColdTerms cold_store;
+  ColdTerms cold_parent;
   explicit Figures(const StoreSheet& s)
-      : zone(s.zone), crew(std::max(1, s.crew)), fronts(std::max(1, s.fronts)), places(s.places), parent_kind(s.parent_kind),
-        origin_kind(s.origin_kind), most_legs(s.most_legs), link_report(s.link_report), may(s.may), asks_for_list(s.asks_for_list),
-        lateral(s.lateral), remarks(s.remarks), weighing(s.weighing), retry_limit(s.longest_retry_after),
-        purge_done(s.purge_done), cold_window(s.cold_window), stream_kb_per_ms(s.stream_kb_per_ms),
-        link_room(s.link_kb_per_ms > 0 && s.stream_kb_per_ms > 0 ? s.link_kb_per_ms / s.stream_kb_per_ms : 0),
-        cold_store(s.cold_store), cold_parent(s.cold_parent) {}
+      : zone(s.zone),
+        crew(std::max(1, s.crew)),
+        fronts(std::max(1, s.fronts)),
+        places(s.places),
+        parent_kind(s.parent_kind),
+        origin_kind(s.origin_kind),
+        most_legs(s.most_legs),
+        link_report(s.link_report),
+        may(s.may),
+        asks_for_list(s.asks_for_list),
+        lateral(s.lateral),
+        remarks(s.remarks),
+        weighing(s.weighing),
+        retry_limit(s.longest_retry_after),
+        purge_done(s.purge_done),
+        cold_window(s.cold_window),
+        stream_kb_per_ms(s.stream_kb_per_ms),
+        link_room(s.link_kb_per_ms > 0 && s.stream_kb_per_ms > 0
+                      ? s.link_kb_per_ms / s.stream_kb_per_ms
+                      : 0),
+        cold_store(s.cold_store),
+        cold_parent(s.cold_parent) {}
 };
 
 inline Role RoleOf(const ListEntry& e, const Figures& f) {
-  if (e.kind == f.origin_kind) return Role::kOrigin;
-  if (e.kind == f.parent_kind) return Role::kParent;
+  if (e.kind == f.origin_kind)
+    return Role::kOrigin;
+  if (e.kind == f.parent_kind)
+    return Role::kParent;
   return e.zone == f.zone ? Role::kStore : Role::kForeign;
 }
 
@@ -53,7 +89,9 @@
   const Figures& f;
   Pulls& pulls;
   const Ms& now = turn.now;
-  void Act(Action a) const { turn.todo->push_back(std::move(a)); }
+  void Act(Action a) const {
+    turn.todo->push_back(std::move(a));
+  }
   double Drawn(double from = 0, double to = 1) const {
     return std::uniform_real_distribution<>(from, to)(turn.chance);
   }
--- a/src/loop/connection.cpp
+++ b/src/loop/connection.cpp
@@ -9,14 +9,16 @@
 namespace dunlinwick::loop {
 
 const char* ToString(Parting how) {
-  static const char* const kWords[] = {"refused", "never up",  "no descriptor", "closed",   "reset",
-                                      "silent",  "malformed", "stalled",       "replaced", "let go"};
+  static const char* const kWords[] = {"refused",  "never up", "no descriptor", "closed",
+                                       "reset",    "silent",   "malformed",     "stalled",
+                                       "replaced", "let go"};
   return kWords[static_cast<int>(how)];
 }
 
 std::optional<Address> ReadAddress(std::string_view text) {
   std::size_t colon = text.rfind(':');
-  if (colon == text.npos) return std::nullopt;
+  if (colon == text.npos)
+    return std::nullopt;
   std::string host(text.substr(0, colon));
   std::string_view port = text.substr(colon + 1);
   std::uint16_t number = 0;
@@ -24,15 +26,17 @@
   Address a{};
   a.sin_family = AF_INET;
   a.sin_port = htons(number);
-  if (fault != std::errc{} || end != port.data() + port.size() || number == 0) return std::nullopt;
-  if (::inet_pton(AF_INET, host.c_str(), &a.sin_addr) != 1) return std::nullopt;
+  if (fault != std::errc{} || end != port.data() + port.size() || number == 0)
+    return std::nullopt;
+  if (::inet_pton(AF_INET, host.c_str(), &a.sin_addr) != 1)
+    return std::nullopt;
   return a;
 }
 
 namespace {
 
-// Errors of connect(2) that this machine gives on its own: they tell nothing of the other side. ETIMEDOUT and EHOSTUNREACH are
-// the network's word on the other side.
+// Errors of connect(2) that this machine gives on its own: they tell nothing of the other side.
+// ETIMEDOUT and EHOSTUNREACH are the network's word on the other side.
 bool IsLocalShortage(int error) {
   switch (error) {
     case EADDRNOTAVAIL:  // no local port left
@@ -50,7 +54,9 @@
   }
 }
 
-bool IsOutOfBuffers(ssize_t result) { return result == -ENOBUFS || result == -ENOMEM; }
+bool IsOutOfBuffers(ssize_t result) {
+  return result == -ENOBUFS || result == -ENOMEM;
+}
 
 }  // namespace
 
@@ -59,7 +65,8 @@
   Rewatch();
 }
 
-Connection::Connection(Loop& loop, Owner& owner, const Address& to, Ms within) : loop_(loop), owner_(owner) {
+Connection::Connection(Loop& loop, Owner& owner, const Address& to, Ms within)
+    : loop_(loop), owner_(owner) {
   fd_ = Descriptor(loop.ground(), loop.ground().OpenStream());
   if (!fd_) {
     EndAs(Parting::kNoDescriptor);
@@ -67,16 +74,23 @@
   }
   limit_ = loop_.at(loop_.now() + within, [this] { Finish(Parting::kNeverUp); });
   int result = loop.ground().Connect(fd_.Get(), to);
-  if (result == 0) up_ = true;
-  else if (result == -ECONNREFUSED) EndAs(Parting::kRefused);
-  else if (IsLocalShortage(-result)) EndAs(Parting::kNoDescriptor);
+  if (result == 0)
+    up_ = true;
+  else if (result == -ECONNREFUSED)
+    EndAs(Parting::kRefused);
+  else if (IsLocalShortage(-result))
+    EndAs(Parting::kNoDescriptor);
   // Interrupted, it proceeds as one in progress does.
-  else if (result != -EINPROGRESS && result != -EINTR) EndAs(Parting::kNeverUp);
-  if (up_) loop_.Cancel(limit_);
+  else if (result != -EINPROGRESS && result != -EINTR)
+    EndAs(Parting::kNeverUp);
+  if (up_)
+    loop_.Cancel(limit_);
   Rewatch();
 }
 
-Connection::~Connection() { Close(); }
+Connection::~Connection() {
+  Close();
+}
 
 void Connection::Close() {
   loop_.Cancel(limit_);
@@ -88,23 +102,28 @@
 }
 
 void Connection::EndAs(Parting how) {
-  if (IsOver()) return;
+  if (IsOver())
+    return;
   loop_.Forget(fd_.Get());
   report_ = loop_.at(loop_.now(), [this, how] { Finish(how); });
 }
 
 void Connection::Finish(Parting how) {
-  if (over_) return;
+  if (over_)
+    return;
   Close();
   owner_.Ended(how);
 }
 
 void Connection::Rewatch() {
-  if (IsOver() || broken_ || buffer_wait_timer_ != 0) return;
+  if (IsOver() || broken_ || buffer_wait_timer_ != 0)
+    return;
   // POLLRDHUP shows a peer that left while nothing is read from it.
   short events = POLLRDHUP;
-  if (up_ && in.size() < most_) events |= POLLIN;
-  if (!up_ || !out_.empty()) events |= POLLOUT;
+  if (up_ && in.size() < most_)
+    events |= POLLIN;
+  if (!up_ || !out_.empty())
+    events |= POLLOUT;
   loop_.WatchDescriptor(fd_.Get(), *this, events, patient_ && out_.empty());
 }
 
@@ -132,8 +151,10 @@
   message.mark = ++marks_;
   out_.push_back(std::move(message));
   held_ = more && !waits;
-  if (held_) return marks_;
-  if (up_ && !IsOver() && !waits) Flush();
+  if (held_)
+    return marks_;
+  if (up_ && !IsOver() && !waits)
+    Flush();
   Rewatch();
   return marks_;
 }
@@ -153,16 +174,19 @@
 }
 
 void Connection::SayNoMore() {
-  if (!over_ && !shut_) loop_.ground().SayNoMore(fd_.Get());
+  if (!over_ && !shut_)
+    loop_.ground().SayNoMore(fd_.Get());
   shut_ = true;
 }
 
 // False: the first message has no bytes, and is not to be written.
 bool Connection::ComposeFirst() {
   Message& first = out_.front();
-  if (!first.compose) return true;
+  if (!first.compose)
+    return true;
   std::optional<std::string> bytes = first.compose();
-  if (bytes) first.bytes = std::move(*bytes);
+  if (bytes)
+    first.bytes = std::move(*bytes);
   return bytes.has_value();
 }
 
@@ -175,18 +199,25 @@
     iovec parts[16];
     int count = 0;
     for (Message& m : out_) {
-      if (m.compose && count > 0) break;  // its own moment is when everything before it is written
+      if (m.compose && count > 0)
+        break;  // its own moment is when everything before it is written
       std::size_t skip = count == 0 ? out_done_ : 0;
       parts[count++] = {m.bytes.data() + skip, m.bytes.size() - skip};
-      if (count == 16) break;
+      if (count == 16)
+        break;
     }
     ssize_t put = loop_.ground().Send(fd_.Get(), {parts, static_cast<std::size_t>(count)});
-    if (put == -EINTR) continue;
-    if (put == -EAGAIN || put == -EWOULDBLOCK) return;
-    if (IsOutOfBuffers(put)) return WaitForBuffers();
-    if (put < 0) return LastWords();
+    if (put == -EINTR)
+      continue;
+    if (put == -EAGAIN || put == -EWOULDBLOCK)
+      return;
+    if (IsOutOfBuffers(put))
+      return WaitForBuffers();
+    if (put < 0)
+      return LastWords();
     out_done_ += static_cast<std::size_t>(put);
-    if (put > 0) out_.front().compose = nullptr;
+    if (put > 0)
+      out_.front().compose = nullptr;
     while (!out_.empty() && !out_.front().compose && out_done_ >= out_.front().bytes.size()) {
       out_done_ -= out_.front().bytes.size();
       out_.pop_front();
@@ -194,8 +225,9 @@
   }
 }
 
-// Nothing can be written any more, but what the other side said before it broke off still lies in the system's buffers: it is
-// read in the next turn, then the end is reported. Harm without: an answer that had come counts as lost.
+// Nothing can be written any more, but what the other side said before it broke off still lies in
+// the system's buffers: it is read in the next turn, then the end is reported. Harm without: an
+// answer that had come counts as lost.
 void Connection::LastWords() {
   broken_ = true;
   peer_done_ = true;
@@ -205,12 +237,15 @@
     for (int i = 0; i < kMost && !IsOver() && in.size() < most_; ++i) {
       std::span<char> room = in.room(1 << 14);
       ssize_t got = loop_.ground().receive(fd_.Get(), room);
-      if (got == -EINTR) continue;
-      if (got <= 0) break;
+      if (got == -EINTR)
+        continue;
+      if (got <= 0)
+        break;
       in.Wrote(static_cast<std::size_t>(got));
       owner_.Came();
     }
-    if (!IsOver()) Finish(Parting::kReset);
+    if (!IsOver())
+      Finish(Parting::kReset);
   });
 }
 
@@ -235,7 +270,8 @@
 void Connection::WaitForBuffers() {
   // Short beside any deadline, long beside a turn of the loop.
   constexpr Ms kWait = 5;
-  if (IsOver() || buffer_wait_timer_ != 0) return;
+  if (IsOver() || buffer_wait_timer_ != 0)
+    return;
   loop_.Forget(fd_.Get());
   buffer_wait_timer_ = loop_.at(loop_.now() + kWait, [this] {
     buffer_wait_timer_ = 0;
@@ -246,23 +282,32 @@
 void Connection::Ready(short events) {
   if (!up_) {
     int fault = loop_.ground().Fault(fd_.Get());
-    if (fault == ECONNREFUSED) return Finish(Parting::kRefused);
-    if (fault != 0 || (events & (POLLERR | POLLHUP))) return Finish(Parting::kNeverUp);
-    if (!(events & POLLOUT)) return;
+    if (fault == ECONNREFUSED)
+      return Finish(Parting::kRefused);
+    if (fault != 0 || (events & (POLLERR | POLLHUP)))
+      return Finish(Parting::kNeverUp);
+    if (!(events & POLLOUT))
+      return;
     up_ = true;
     loop_.Cancel(limit_);
     Flush();
-    if (!IsOver() && out_.empty()) owner_.Drained();
+    if (!IsOver() && out_.empty())
+      owner_.Drained();
     return Rewatch();
   }
   peer_done_ |= (events & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   // Answers that came before a break are read first.
-  if ((events & POLLIN) && in.size() < most_) Fetch();
-  else if (events & (POLLERR | POLLHUP)) return Finish(Parting::kReset);
-  else if (events & POLLRDHUP) return Finish(Parting::kClosed);
-  if (IsOver() || broken_ || !(events & POLLOUT) || out_.empty()) return;
+  if ((events & POLLIN) && in.size() < most_)
+    Fetch();
+  else if (events & (POLLERR | POLLHUP))
+    return Finish(Parting::kReset);
+  else if (events & POLLRDHUP)
+    return Finish(Parting::kClosed);
+  if (IsOver() || broken_ || !(events & POLLOUT) || out_.empty())
+    return;
   Flush();
-  if (!IsOver() && out_.empty()) owner_.Drained();
+  if (!IsOver() && out_.empty())
+    owner_.Drained();
   Rewatch();
 }
 
--- a/src/loop/datagram_reader.cpp
+++ b/src/loop/datagram_reader.cpp
@@ -23,7 +23,9 @@
   loop_.Forget(socket_);
 }
 
-void DatagramReader::Watch() { loop_.WatchDescriptor(socket_, *this, POLLIN); }
+void DatagramReader::Watch() {
+  loop_.WatchDescriptor(socket_, *this, POLLIN);
+}
 
 void DatagramReader::Ready(short) {
   // So many that a burst is read, so few that the other sockets have their turn.
@@ -36,11 +38,14 @@
       WaitForBuffers();
       break;
     }
-    // What is left is read in the next turn: also after an interruption, or a word on a datagram sent earlier.
-    if (size < 0) break;
+    // What is left is read in the next turn: also after an interruption, or a word on a datagram
+    // sent earlier.
+    if (size < 0)
+      break;
     receive_({buffer.data(), static_cast<std::size_t>(size)}, from);
   }
-  if (after_turn_) after_turn_();
+  if (after_turn_)
+    after_turn_();
 }
 
 void DatagramReader::WaitForBuffers() {
--- a/src/loop/datagram_reader.hpp
+++ b/src/loop/datagram_reader.hpp
@@ -1,5 +1,6 @@
-// Reads one datagram socket for its owner, a bounded number of datagrams a turn of the loop. Runs on the loop's thread; the owner
-// keeps the socket open, and the loop alive, for as long as the reader lives.
+// Reads one datagram socket for its owner, a bounded number of datagrams a turn of the loop. Runs
+// on the loop's thread; the owner keeps the socket open, and the loop alive, for as long as the
+// reader lives.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,8 +15,10 @@
   /// Given each datagram. It may send, and must not destroy the reader.
   using Receive = std::function<void(std::span<const char> datagram, const Address& from)>;
 
-  /// `longest`: bytes of a datagram; more are cut off. `after_turn`, where given, is called after the last datagram of a turn.
-  DatagramReader(Loop& loop, int socket, std::size_t longest, Receive receive, std::function<void()> after_turn = nullptr);
+  /// `longest`: bytes of a datagram; more are cut off. `after_turn`, where given, is called after
+  /// the last datagram of a turn.
+  DatagramReader(Loop& loop, int socket, std::size_t longest, Receive receive,
+                 std::function<void()> after_turn = nullptr);
   ~DatagramReader();
   DatagramReader(const DatagramReader&) = delete;
   DatagramReader& operator=(const DatagramReader&) = delete;
--- a/src/loop/ground.hpp
+++ b/src/loop/ground.hpp
@@ -1,6 +1,7 @@
-// What a loop stands on: a clock, descriptors and the wait for them. The system's own (poll(2), TCP and UDP) is
-// one ground; the staged one (src/stage/) has a virtual clock and an in-memory network. Nothing above reads a
-// clock or touches a descriptor but through here, so that the same code serves on both.
+// What a loop stands on: a clock, descriptors and the wait for them. The system's own (poll(2), TCP
+// and UDP) is one ground; the staged one (src/stage/) has a virtual clock and an in-memory network.
+// Nothing above reads a clock or touches a descriptor but through here, so that the same code
+// serves on both.
 #pragma once
 #include <netinet/in.h>
 #include <poll.h>
@@ -19,11 +20,13 @@
 class Ground {
  public:
   virtual Ms now() = 0;  // Unix time in milliseconds as at the start; it never goes back
-  // As poll(2); waits no longer than `ms`. A staged ground does not wait: it notes what was asked for.
+  // As poll(2); waits no longer than `ms`. A staged ground does not wait: it notes what was asked
+  // for.
   virtual int Wait(std::span<pollfd> watched, int ms) = 0;
   virtual int OpenStream() = 0;
-  virtual int Connect(int fd, const Address& to) = 0;  // -EINPROGRESS: writable once it is up or failed
-  virtual int Fault(int fd) = 0;                       // why it failed (SO_ERROR), 0 if it did not
+  virtual int Connect(int fd,
+                      const Address& to) = 0;  // -EINPROGRESS: writable once it is up or failed
+  virtual int Fault(int fd) = 0;               // why it failed (SO_ERROR), 0 if it did not
   virtual int Listen(const Address& at) = 0;
   virtual int Accept(int fd) = 0;
   virtual ssize_t receive(int fd, std::span<char> into) = 0;  // 0: the other side says no more
@@ -49,21 +52,32 @@
   Descriptor() = default;
   explicit Descriptor(int fd) : Descriptor(MakeSystem(), fd) {}
   Descriptor(Ground& ground, int fd) : ground_(&ground), fd_(fd) {}
-  Descriptor(Descriptor&& other) noexcept : ground_(other.ground_), fd_(std::exchange(other.fd_, -1)) {}
+  Descriptor(Descriptor&& other) noexcept
+      : ground_(other.ground_), fd_(std::exchange(other.fd_, -1)) {}
   Descriptor& operator=(Descriptor&& other) noexcept {
     std::swap(ground_, other.ground_);
     std::swap(fd_, other.fd_);
     return *this;
   }
-  ~Descriptor() { Reset(); }
-  int Get() const { return fd_; }
-  explicit operator bool() const { return fd_ >= 0; }
+  ~Descriptor() {
+    Reset();
+  }
+  int Get() const {
+    return fd_;
+  }
+  explicit operator bool() const {
+    return fd_ >= 0;
+  }
   void Reset() {
-    if (fd_ >= 0) ground_->Close(std::exchange(fd_, -1));
+    if (fd_ >= 0)
+      ground_->Close(std::exchange(fd_, -1));
   }
-  int Release() { return std::exchange(fd_, -1); }  // the caller's from here on
+  int Release() {
+    return std::exchange(fd_, -1);
+  }  // the caller's from here on
   void Abort() {
-    if (fd_ >= 0) ground_->Abort(std::exchange(fd_, -1));
+    if (fd_ >= 0)
+      ground_->Abort(std::exchange(fd_, -1));
   }
 
  private:
--- a/src/loop/listener.cpp
+++ b/src/loop/listener.cpp
@@ -8,14 +8,17 @@
 namespace {
 
 // Everything else that accept(2) fails with concerns the one connection it was about to hand over.
-bool IsShortage(int error) { return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM; }
+bool IsShortage(int error) {
+  return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
+}
 
 }  // namespace
 
 Listener::Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> taken)
     : loop_(loop), taken_(std::move(taken)) {
   int fd = loop.ground().Listen(at);
-  if (fd < 0) throw std::system_error(-fd, std::generic_category(), "cannot listen");
+  if (fd < 0)
+    throw std::system_error(-fd, std::generic_category(), "cannot listen");
   fd_ = Descriptor(loop.ground(), fd);
   Resume();
 }
@@ -27,7 +30,8 @@
 
 void Listener::Resume() {
   paused_ = false;
-  if (fd_) loop_.WatchDescriptor(fd_.Get(), *this, POLLIN);
+  if (fd_)
+    loop_.WatchDescriptor(fd_.Get(), *this, POLLIN);
 }
 
 bool Listener::Drain() {
@@ -50,15 +54,18 @@
     taken_(Descriptor(loop_.ground(), fd));
     return true;
   }
-  if (fd == -EAGAIN || fd == -EWOULDBLOCK) return false;
+  if (fd == -EAGAIN || fd == -EWOULDBLOCK)
+    return false;
   if (IsShortage(-fd)) {
     ++short_of_descriptors;
     Rest();
     return false;
   }
-  // The next one may be well. Far more in a row than peers that give up in one moment are a fault that lasts.
+  // The next one may be well. Far more in a row than peers that give up in one moment are a fault
+  // that lasts.
   constexpr int kMostInRow = 64;
-  if (++failed_in_row_ < kMostInRow) return true;
+  if (++failed_in_row_ < kMostInRow)
+    return true;
   failed_in_row_ = 0;
   Rest();
   return false;
@@ -70,7 +77,8 @@
   loop_.Forget(fd_.Get());
   loop_.Cancel(again_);
   again_ = loop_.at(loop_.now() + kMoment, [this] {
-    if (!paused_) Resume();
+    if (!paused_)
+      Resume();
   });
 }
 
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -9,14 +9,17 @@
 
 void Loop::WatchDescriptor(int fd, Handler& handler, short events, bool patient) {
   std::size_t at = static_cast<std::size_t>(fd);
-  if (by_fd_.size() <= at) by_fd_.resize(at + 1);
-  if (by_fd_[at].handler != &handler) by_fd_[at] = {&handler, events, patient, ++last_};
+  if (by_fd_.size() <= at)
+    by_fd_.resize(at + 1);
+  if (by_fd_[at].handler != &handler)
+    by_fd_[at] = {&handler, events, patient, ++last_};
   by_fd_[at].events = events;
   by_fd_[at].patient = patient;
 }
 
 void Loop::Forget(int fd) {
-  if (fd >= 0 && static_cast<std::size_t>(fd) < by_fd_.size()) by_fd_[static_cast<std::size_t>(fd)] = {};
+  if (fd >= 0 && static_cast<std::size_t>(fd) < by_fd_.size())
+    by_fd_[static_cast<std::size_t>(fd)] = {};
 }
 
 std::uint64_t Loop::at(Ms when, std::function<void()> what) {
@@ -27,7 +30,8 @@
 }
 
 void Loop::RunTimers() {
-  // Only those due by now: one that is set anew for at once waits for the next turn, after the sockets.
+  // Only those due by now: one that is set anew for at once waits for the next turn, after the
+  // sockets.
   Ms due = now();
   std::uint64_t newest = last_;
   for (auto at = timers_.begin(); at != timers_.end() && at->first.first <= due;) {
@@ -50,7 +54,8 @@
   bool complete = true;
   for (std::size_t fd = 0; fd < by_fd_.size(); ++fd) {
     const Watch& watch = by_fd_[fd];
-    if (!watch.handler) continue;
+    if (!watch.handler)
+      continue;
     if (watch.patient && !all) {
       complete = false;
       continue;
@@ -68,38 +73,47 @@
 }
 
 void Loop::turn(Ms longest) {
-  // poll(2) costs by the descriptor. Most are of clients that wait for their answer, of whom only their
-  // leaving can show; looked at in every turn, they took a third of a busy front's time.
+  // poll(2) costs by the descriptor. Most are of clients that wait for their answer, of whom only
+  // their leaving can show; looked at in every turn, they took a third of a busy front's time.
   constexpr Ms kPatience = 5;
   Ms start = now();
   bool all = start - looked_at_all_ >= kPatience, left = false;
-  if (all) looked_at_all_ = start;
+  if (all)
+    looked_at_all_ = start;
   // Taken from the loop for the turn, in case a handler turns it again.
   std::vector<pollfd> polled = std::move(polled_);
   std::vector<std::uint64_t> since = std::move(since_);
   left = !Gather(all, polled, since);
-  if (!timers_.empty()) longest = std::min(longest, timers_.begin()->first.first - start);
-  if (left) longest = std::min(longest, looked_at_all_ + kPatience - start);
+  if (!timers_.empty())
+    longest = std::min(longest, timers_.begin()->first.first - start);
+  if (left)
+    longest = std::min(longest, looked_at_all_ + kPatience - start);
   int count = ground_.Wait(polled, static_cast<int>(std::ceil(std::max(0.0, longest))));
   if (count < 0 && count != -EINTR) {
-    // Without the rest a poll that keeps failing would spin. Waiting for time alone needs no memory for descriptors.
+    // Without the rest a poll that keeps failing would spin. Waiting for time alone needs no memory
+    // for descriptors.
     constexpr Ms kRestAfterFailure = 5;
     ground_.Wait({}, static_cast<int>(std::ceil(std::clamp(longest, 0.0, kRestAfterFailure))));
   }
-  // The process may have stood still in the wait, with the patient ones left out of it: all are looked at before anything is done.
+  // The process may have stood still in the wait, with the patient ones left out of it: all are
+  // looked at before anything is done.
   bool timer_is_due = !timers_.empty() && timers_.begin()->first.first <= now();
-  if (left && now() >= looked_at_all_ + kPatience && (count > 0 || timer_is_due)) count = LookAtAll(polled, since);
-  // The patient ones first: what shows there is a client that leaves, and whatever else came with it must not begin a thing for it
-  // any more. Harm without: after a standstill of this process, an attempt begun as long after its client left.
+  if (left && now() >= looked_at_all_ + kPatience && (count > 0 || timer_is_due))
+    count = LookAtAll(polled, since);
+  // The patient ones first: what shows there is a client that leaves, and whatever else came with
+  // it must not begin a thing for it any more. Harm without: after a standstill of this process, an
+  // attempt begun as long after its client left.
   for (bool patient : {true, false})
     for (std::size_t i = 0; count > 0 && i < polled.size(); ++i) {
       const Watch& w = by_fd_[static_cast<std::size_t>(polled[i].fd)];
-      if (polled[i].revents == 0 || !w.handler || w.since != since[i] || (patient && !w.patient)) continue;
+      if (polled[i].revents == 0 || !w.handler || w.since != since[i] || (patient && !w.patient))
+        continue;
       w.handler->Ready(std::exchange(polled[i].revents, 0));
     }
   RunTimers();
   buried_.clear();
-  polled_ = std::move(polled), since_ = std::move(since);
+  polled_ = std::move(polled);
+  since_ = std::move(since);
 }
 
 }  // namespace dunlinwick::loop
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -21,9 +21,15 @@
 class Loop {
  public:
   explicit Loop(Ground& ground = MakeSystem()) : ground_(ground) {}
-  Ground& ground() const { return ground_; }
-  Ms now() const { return ground_.now() + skipped_; }
-  void Skip(Ms by) { skipped_ += by; }  // for tests: so much time has passed
+  Ground& ground() const {
+    return ground_;
+  }
+  Ms now() const {
+    return ground_.now() + skipped_;
+  }
+  void Skip(Ms by) {
+    skipped_ += by;
+  }  // for tests: so much time has passed
 
   // Again: changes the events. A patient one is looked at every few milliseconds only.
   void WatchDescriptor(int fd, Handler& handler, short events, bool patient = false);
@@ -38,14 +44,21 @@
   }
 
   // Keeps what may still be on the call stack until the turn is over.
-  void Bury(std::shared_ptr<void> what) { buried_.push_back(std::move(what)); }
+  void Bury(std::shared_ptr<void> what) {
+    buried_.push_back(std::move(what));
+  }
 
   void turn(Ms longest);  // waits for events or timers, at most that long, and handles them
   void Run() {
-    while (!stopped_) turn(1000);
+    while (!stopped_)
+      turn(1000);
+  }
+  void Stop() {
+    stopped_ = true;
+  }
+  bool Stopped() const {
+    return stopped_;
   }
-  void Stop() { stopped_ = true; }
-  bool Stopped() const { return stopped_; }
 
  private:
   struct Watch {
@@ -55,20 +68,23 @@
     std::uint64_t since = 0;  // tells a descriptor from an earlier one of the same number
   };
   void RunTimers();
-  /// What is watched, as poll(2) takes it; the patient ones only where `all`. False: some were left out.
+  /// What is watched, as poll(2) takes it; the patient ones only where `all`. False: some were left
+  /// out.
   bool Gather(bool all, std::vector<pollfd>& polled, std::vector<std::uint64_t>& since) const;
   int LookAtAll(std::vector<pollfd>& polled, std::vector<std::uint64_t>& since);
 
   Ground& ground_;
-  Ms skipped_ = 0, looked_at_all_ = 0;
+  Ms skipped_ = 0;
+  Ms looked_at_all_ = 0;
   bool stopped_ = false;
   std::uint64_t last_ = 0;
   std::vector<Watch> by_fd_;
-  std::vector<pollfd> polled_;          // of the present turn, as its watches were then
+  std::vector<pollfd> polled_;  // of the present turn, as its watches were then
   std::vector<std::uint64_t> since_;
-  std::map<std::pair<Ms, std::uint64_t>, std::function<void()>> timers_;  // emptied as they fall due
-  std::map<std::uint64_t, Ms> timer_at_;                                   // the same
-  std::vector<std::shared_ptr<void>> buried_;                             // emptied every turn
+  std::map<std::pair<Ms, std::uint64_t>, std::function<void()>>
+      timers_;                                 // emptied as they fall due
+  std::map<std::uint64_t, Ms> timer_at_;       // the same
+  std::vector<std::shared_ptr<void>> buried_;  // emptied every turn
 };
 
 }  // namespace dunlinwick::loop
--- a/src/loop/system.cpp
+++ b/src/loop/system.cpp
@@ -28,20 +28,27 @@
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-const sockaddr* Plain(const Address& at) { return reinterpret_cast<const sockaddr*>(&at); }
+const sockaddr* Plain(const Address& at) {
+  return reinterpret_cast<const sockaddr*>(&at);
+}
 
 class System final : public Ground {
  public:
-  Ms now() override { return MakeMs<std::chrono::steady_clock>() + offset_; }
+  Ms now() override {
+    return MakeMs<std::chrono::steady_clock>() + offset_;
+  }
   int Wait(std::span<pollfd> watched, int ms) override {
     return OrError(::poll(watched.data(), watched.size(), ms));
   }
   int OpenStream() override {
     int fd = OrError(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    if (fd >= 0) SendAtOnce(fd);
+    if (fd >= 0)
+      SendAtOnce(fd);
     return fd;
   }
-  int Connect(int fd, const Address& to) override { return OrError(::connect(fd, Plain(to), sizeof to)); }
+  int Connect(int fd, const Address& to) override {
+    return OrError(::connect(fd, Plain(to), sizeof to));
+  }
   int Fault(int fd) override {
     int fault = 0;
     socklen_t size = sizeof fault;
@@ -51,7 +58,8 @@
   int Listen(const Address& at) override {
     Descriptor fd(*this, OrError(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
     int on = 1;
-    if (!fd) return fd.Get();
+    if (!fd)
+      return fd.Get();
     if (::setsockopt(fd.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
         ::bind(fd.Get(), Plain(at), sizeof at) != 0 || ::listen(fd.Get(), SOMAXCONN) != 0)
       return -errno;
@@ -59,7 +67,8 @@
   }
   int Accept(int fd) override {
     int got = OrError(::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (got >= 0) SendAtOnce(got);
+    if (got >= 0)
+      SendAtOnce(got);
     return got;
   }
   ssize_t receive(int fd, std::span<char> into) override {
@@ -71,8 +80,12 @@
     head.msg_iovlen = parts.size();
     return OrError(::sendmsg(fd, &head, MSG_NOSIGNAL));
   }
-  void SayNoMore(int fd) override { ::shutdown(fd, SHUT_WR); }
-  void Close(int fd) override { ::close(fd); }
+  void SayNoMore(int fd) override {
+    ::shutdown(fd, SHUT_WR);
+  }
+  void Close(int fd) override {
+    ::close(fd);
+  }
   void Abort(int fd) override {
     linger now{1, 0};
     ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -80,8 +93,10 @@
   }
   int OpenDatagrams(const Address& at) override {
     Descriptor fd(*this, OrError(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
-    if (!fd) return fd.Get();
-    if (::bind(fd.Get(), Plain(at), sizeof at) != 0) return -errno;
+    if (!fd)
+      return fd.Get();
+    if (::bind(fd.Get(), Plain(at), sizeof at) != 0)
+      return -errno;
     return fd.Release();
   }
   ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) override {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -11,13 +11,15 @@
   app.require_subcommand(1);
   app.failure_message(CLI::FailureMessage::help);  // a wrong command line gets its usage
   std::string file, listen;
-  CLI::App* serve = app.add_subcommand(
-      "serve",
-      "serve clients until SIGTERM; SIGHUP reads the configuration again, SIGUSR1 prints the counters");
+  CLI::App* serve = app.add_subcommand("serve",
+                                       "serve clients until SIGTERM; SIGHUP reads the "
+                                       "configuration again, SIGUSR1 prints the counters");
   CLI::App* check = app.add_subcommand("check", "read a configuration and say what it holds");
   CLI::App* version = app.add_subcommand("version", "print the version");
   for (CLI::App* one : {serve, check}) {
-    one->add_option("--config", file, "the configuration, a JSON file")->envname("NODE_CONFIG")->required();
+    one->add_option("--config", file, "the configuration, a JSON file")
+        ->envname("NODE_CONFIG")
+        ->required();
     one->add_option("--listen", listen, "where clients connect, in place of the configuration's")
         ->envname("NODE_LISTEN");
   }
@@ -27,7 +29,8 @@
       std::puts("dunlinwick " DUNLINWICK_VERSION);
       return 0;
     }
-    if (*serve) return front::Serve(file, listen);
+    if (*serve)
+      return front::Serve(file, listen);
     front::Charter charter = front::ReadCharter(file, listen);
     std::printf("%s: zone %s, %zu offerings, %d fronts, %zu events known\n", charter.name.c_str(),
                 charter.terms.zones.at(static_cast<std::size_t>(charter.sheet.zone)).c_str(),
--- a/src/members/wire.hpp
+++ b/src/members/wire.hpp
@@ -4,8 +4,8 @@
 //   news:  who u32 | incarnation u32 | state u8 | by u32      (13 bytes each, at most 32)
 //   notes: origin u32 | seq u32 | bits u64                     (16 bytes each, at most 32)
 //
-// A view request is the three bytes "DW?"; its answer is JSON text (src/front/fleet.cpp). Bytes from a peer never
-// throw: decode() answers nothing for anything that is not one message whole.
+// A view request is the three bytes "DW?"; its answer is JSON text (src/front/fleet.cpp). Bytes
+// from a peer never throw: decode() answers nothing for anything that is not one message whole.
 #pragma once
 #include <optional>
 #include <span>
@@ -15,7 +15,8 @@
 
 namespace dunlinwick::members {
 
-constexpr std::size_t kMostInMessage = 32;  // news, and notes, in one message; 949 bytes at most in all
+constexpr std::size_t kMostInMessage =
+    32;  // news, and notes, in one message; 949 bytes at most in all
 std::string Encode(const Message& m);
 std::optional<Message> Decode(std::span<const char> bytes);
 bool IsViewRequest(std::span<const char> bytes);
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -15,10 +15,12 @@
 
 using rapidjson::Value;
 
-// The names of the wire: a cache's x1 is how full its location's link is, a parent's what it has out.
+// The names of the wire: a cache's x1 is how full its location's link is, a parent's what it has
+// out.
 constexpr const char* kLinkReport = "x1";
 constexpr const char* kLinkReportMeans =
-    "a cache: transfers on its location's link over those that fit at full pace; a parent: fetches out";
+    "a cache: transfers on its location's link over those that fit at full pace; a parent: fetches "
+    "out";
 
 int LineOf(const std::string& text, std::size_t offset) {
   auto end = text.begin() + static_cast<std::ptrdiff_t>(std::min(offset, text.size()));
@@ -27,7 +29,8 @@
 
 std::string OneLine(std::string text) {
   for (char& c : text)
-    if (static_cast<unsigned char>(c) < ' ' || c == 0x7f) c = ' ';
+    if (static_cast<unsigned char>(c) < ' ' || c == 0x7f)
+      c = ' ';
   return text;
 }
 
@@ -78,10 +81,12 @@
   Value* group(const char* name) {  // of the settings, an object; made where it is missing
     auto at = settings_->FindMember(name);
     if (at == settings_->MemberEnd()) {
-      settings_->AddMember(rapidjson::StringRef(name), Value(rapidjson::kObjectType), root_.GetAllocator());
+      settings_->AddMember(rapidjson::StringRef(name), Value(rapidjson::kObjectType),
+                           root_.GetAllocator());
       at = settings_->FindMember(name);
     }
-    if (!at->value.IsObject()) Refuse(std::string(": settings.") + name, "must be an object");
+    if (!at->value.IsObject())
+      Refuse(std::string(": settings.") + name, "must be an object");
     return &at->value;
   }
 
@@ -97,33 +102,44 @@
     Value& to = *group(in);
     std::string field = std::string("settings.") + in + '.' + name;
     auto at = to.FindMember(name);
-    if (at != to.MemberEnd() && at->value == value) return;
-    std::string what =
-        (at == to.MemberEnd() ? "was not there" : "was " + Shown(at->value)) + ", is " + Shown(value);
+    if (at != to.MemberEnd() && at->value == value)
+      return;
+    std::string what = (at == to.MemberEnd() ? "was not there" : "was " + Shown(at->value)) +
+                       ", is " + Shown(value);
     done_.changed.push_back({field, OneLine(what + (why.empty() ? "" : "; " + why))});
-    if (at != to.MemberEnd()) at->value = std::move(value);
-    else to.AddMember(Value(name, root_.GetAllocator()), std::move(value), root_.GetAllocator());
+    if (at != to.MemberEnd())
+      at->value = std::move(value);
+    else
+      to.AddMember(Value(name, root_.GetAllocator()), std::move(value), root_.GetAllocator());
   }
   void Leave(const std::string& field, const std::string& what) {
     done_.left.push_back({field, OneLine(what)});
   }
 
-  Value word(const std::string& text) { return Value(text.c_str(), root_.GetAllocator()); }
+  Value word(const std::string& text) {
+    return Value(text.c_str(), root_.GetAllocator());
+  }
 
-  void SecondLegs() { Set("limits", "mayDuplicate", Value(false), "a pull never has two legs out at once"); }
+  void SecondLegs() {
+    Set("limits", "mayDuplicate", Value(false), "a pull never has two legs out at once");
+  }
 
-  void Remarks() { Set("familyInfo", "detail", word("hit"), "answers tell only whether they were hits"); }
+  void Remarks() {
+    Set("familyInfo", "detail", word("hit"), "answers tell only whether they were hits");
+  }
 
   // The new deployment does not tell links; what the old file told can't hold for other machines.
   void Links() {
     Value& info = *group("familyInfo");
     auto at = info.FindMember("pipeKbPerS");
-    if (at == info.MemberEnd()) return;
+    if (at == info.MemberEnd())
+      return;
     bool told = at->value.IsArray()
                     ? std::any_of(at->value.Begin(), at->value.End(),
                                   [](const Value& v) { return v.IsNumber() && v.GetDouble() > 0; })
                     : at->value.IsNumber() && at->value.GetDouble() > 0;
-    if (!told) return;
+    if (!told)
+      return;
     Leave("settings.familyInfo.pipeKbPerS",
           "links told (" + Shown(at->value) +
               ") are those of the old machines; the new ones are learnt from reports");
@@ -144,7 +160,8 @@
     Value& report = *group("report");
     auto at = report.FindMember("names");
     Value names(rapidjson::kArrayType);
-    if (at != report.MemberEnd() && at->value.IsArray()) names.CopyFrom(at->value, root_.GetAllocator());
+    if (at != report.MemberEnd() && at->value.IsArray())
+      names.CopyFrom(at->value, root_.GetAllocator());
     bool there = std::any_of(names.Begin(), names.End(), [](const Value& v) {
       return v.IsString() && std::string(v.GetString()) == kLinkReport;
     });
@@ -154,7 +171,8 @@
             "no place for x1 beside " + Shown(names) + ": the last of them is dropped");
       names.PopBack();
     }
-    if (!there) names.PushBack(word(kLinkReport), root_.GetAllocator());
+    if (!there)
+      names.PushBack(word(kLinkReport), root_.GetAllocator());
     Set("report", "names", std::move(names), "x1 is how full a cache's link is");
     Set("report", "via", word("answers"), "");
     Set("familyInfo", "reportX1", word(kLinkReportMeans), "");
@@ -170,7 +188,8 @@
     };
     for (const auto& ticket : target_.tickets) {
       const std::string& name = ticket.first;
-      if (std::none_of(classes.Begin(), classes.End(), [&](const Value& one) { return named(one) == name; }))
+      if (std::none_of(classes.Begin(), classes.End(),
+                       [&](const Value& one) { return named(one) == name; }))
         Refuse("", "no offering is called " + name + ", which was to be ticketed");
     }
     for (rapidjson::SizeType i = 0; i < classes.Size(); ++i) {
@@ -178,13 +197,14 @@
       std::string field = "settings.classes." + std::to_string(i), name = named(one);
       auto to = target_.tickets.find(name);
       auto how = one.FindMember("idempotency");
-      bool once =
-          how == one.MemberEnd() || (how->value.IsString() && std::string(how->value.GetString()) == "once");
+      bool once = how == one.MemberEnd() ||
+                  (how->value.IsString() && std::string(how->value.GetString()) == "once");
       if (to == target_.tickets.end()) {
         if (once)
-          Leave(field + ".idempotency",
-                name + " stays exclusive: for how long its repeats are dropped is not said; --ticketed " +
-                    name + "=MS makes it ticketed");
+          Leave(field + ".idempotency", name +
+                                            " stays exclusive: for how long its repeats are "
+                                            "dropped is not said; --ticketed " +
+                                            name + "=MS makes it ticketed");
         continue;
       }
       if (!(to->second > 0) || !std::isfinite(to->second))
@@ -193,10 +213,13 @@
         Refuse(": " + field, name + " is rerunnable: a ticket would only bind it");
       auto put = [&](const char* key, Value value) {
         auto at = one.FindMember(key);
-        if (at != one.MemberEnd() && at->value == value) return;
+        if (at != one.MemberEnd() && at->value == value)
+          return;
         done_.changed.push_back({field + '.' + key, "is " + Shown(value)});
-        if (at != one.MemberEnd()) at->value = std::move(value);
-        else one.AddMember(Value(key, root_.GetAllocator()), std::move(value), root_.GetAllocator());
+        if (at != one.MemberEnd())
+          at->value = std::move(value);
+        else
+          one.AddMember(Value(key, root_.GetAllocator()), std::move(value), root_.GetAllocator());
       };
       put("idempotency", word("by_key"));
       put("group", word("all"));
@@ -205,9 +228,12 @@
   }
 
   void Choices() {
-    if (target_.direct) Set("familyInfo", "direct", Value(*target_.direct), "");
-    if (target_.joins) Set("familyInfo", "canJoin", Value(*target_.joins), "");
-    if (target_.probes) Set("limits", "probing", Value(*target_.probes), "");
+    if (target_.direct)
+      Set("familyInfo", "direct", Value(*target_.direct), "");
+    if (target_.joins)
+      Set("familyInfo", "canJoin", Value(*target_.joins), "");
+    if (target_.probes)
+      Set("limits", "probing", Value(*target_.probes), "");
   }
 
   std::string named_;
@@ -221,7 +247,8 @@
 
 Outcome Migrated(const std::string& text, const std::string& named, const Target& target) {
   if (target.siblings != "none" && target.siblings != "location" && target.siblings != "any")
-    throw Refused("siblings is none of none, location, any: " + OneLine(target.siblings.substr(0, 40)));
+    throw Refused("siblings is none of none, location, any: " +
+                  OneLine(target.siblings.substr(0, 40)));
   return Move(text, named, target)();
 }
 
--- a/src/owner/group.hpp
+++ b/src/owner/group.hpp
@@ -1,16 +1,19 @@
-// The group of fronts that agrees on the table of works: consensus by Debian's libraft (Raft, without pre-vote: group_founding.cpp
-// says why), its I/O given by this class, so that the same code runs on a front's loop and on the stage. No clock, descriptor or
-// randomness of its own.
+// The group of fronts that agrees on the table of works: consensus by Debian's libraft (Raft,
+// without pre-vote: group_founding.cpp says why), its I/O given by this class, so that the same
+// code runs on a front's loop and on the stage. No clock, descriptor or randomness of its own.
 //
-// Founding. Raft must not forget a vote. A member whose store holds nothing either is of a group that has never been, or has
-// lost what it promised; it can't tell by itself. So it says hello until every configured member has said, in the same
-// incarnation, that it too begins and whom it saw beginning; then all found the group. Where one that belongs to a group does
-// not count its present incarnation among the founders, its state is lost: it takes no part any more, and says so. So a group
-// in memory bears the loss of a minority, for good; after a majority is lost it grants nothing.
-// Tokens of a group founded anew begin with the founding's clock (milliseconds << 20), above all before as long as clocks did not
-// step back by more than the time between; else the fences refuse them, which is told.
+// Founding. Raft must not forget a vote. A member whose store holds nothing either is of a group
+// that has never been, or has lost what it promised; it can't tell by itself. So it says hello
+// until every configured member has said, in the same incarnation, that it too begins and whom it
+// saw beginning; then all found the group. Where one that belongs to a group does not count its
+// present incarnation among the founders, its state is lost: it takes no part any more, and says
+// so. So a group in memory bears the loss of a minority, for good; after a majority is lost it
+// grants nothing. Tokens of a group founded anew begin with the founding's clock (milliseconds <<
+// 20), above all before as long as clocks did not step back by more than the time between; else the
+// fences refuse them, which is told.
 //
-// Bounds: 3 or 5 members; a snapshot each 256 entries, 32 kept; a message is 60,000 bytes at most; 256 proposals at once.
+// Bounds: 3 or 5 members; a snapshot each 256 entries, 32 kept; a message is 60,000 bytes at most;
+// 256 proposals at once.
 #pragma once
 #include <functional>
 #include <memory>
@@ -21,7 +24,8 @@
 namespace dunlinwick::owner {
 
 struct GroupTerms {
-  Ms election = 500, heartbeat = 100;  // Raft's; an election takes one to two of the first
+  Ms election = 500;
+  Ms heartbeat = 100;  // Raft's; an election takes one to two of the first
   Ms tick = 20;
 };
 
@@ -29,19 +33,25 @@
  public:
   using Send = std::function<void(Id to, std::string bytes)>;
   using Done = std::function<void(const Result&)>;
-  enum class Standing : std::uint8_t { kBegins, kMember, kLost, kFailed };
-  // `members`: all of the group, self among them. `incarnation`: of this process, newer at each start: best the clock in
-  // milliseconds. Throws std::runtime_error where the store can't be read.
-  Group(Id self, std::vector<Id> members, GroupTerms terms, Terms lease, Store& store, std::uint64_t incarnation, std::uint64_t seed,
-        Ms now, Send send);
+  enum class Standing : std::uint8_t {
+    kBegins,
+    kMember,
+    kLost,
+    kFailed
+  };
+  // `members`: all of the group, self among them. `incarnation`: of this process, newer at each
+  // start: best the clock in milliseconds. Throws std::runtime_error where the store can't be read.
+  Group(Id self, std::vector<Id> members, GroupTerms terms, Terms lease, Store& store,
+        std::uint64_t incarnation, std::uint64_t seed, Ms now, Send send);
   ~Group();
   Group(const Group&) = delete;
   Group& operator=(const Group&) = delete;
 
   void Tick(Ms now);  // every GroupTerms::tick or so
   void Receive(Ms now, Id from, std::span<const char> bytes);
-  // At the leader: `done` is called once, now or in a later call into the group, with the result once a majority has it; unsure where
-  // that can't be known, as when leadership was lost. False, and never called, elsewhere or with too many under way.
+  // At the leader: `done` is called once, now or in a later call into the group, with the result
+  // once a majority has it; unsure where that can't be known, as when leadership was lost. False,
+  // and never called, elsewhere or with too many under way.
   bool Propose(Ms now, const Command& command, Done done);
 
   Standing standing() const;
@@ -49,11 +59,13 @@
   Id Leader() const;  // 0: not known
   std::uint64_t Term() const;
   const Table& table() const;
-  Ms LeaseEnds(const std::string& work) const;  // at the leader: by when it has surely run out; 1e300 where nobody holds it
+  Ms LeaseEnds(const std::string& work)
+      const;  // at the leader: by when it has surely run out; 1e300 where nobody holds it
   std::string Why() const;  // of lost and failed
-  /// Whether it may have promised anything to the others: it is or was a member of a group that is founded.
+  /// Whether it may have promised anything to the others: it is or was a member of a group that is
+  /// founded.
   bool TookPart() const;
-  void BreakTokens();       // for a test that breaks it on purpose: tokens begin at 1 with each founding
+  void BreakTokens();  // for a test that breaks it on purpose: tokens begin at 1 with each founding
 
  private:
   struct Inner;
--- a/src/owner/group_io.cpp
+++ b/src/owner/group_io.cpp
@@ -1,4 +1,5 @@
-// What libraft asks of its I/O and of the state machine: the store, the group's clock and chance, the table.
+// What libraft asks of its I/O and of the state machine: the store, the group's clock and chance,
+// the table.
 #include <algorithm>
 #include <cstring>
 #include <new>
@@ -9,7 +10,8 @@
 
 void* Group::Inner::Copied(const std::string& bytes) {
   void* p = raft_malloc(std::max<std::size_t>(bytes.size(), 1));
-  if (!p) throw std::bad_alloc();
+  if (!p)
+    throw std::bad_alloc();
   std::memcpy(p, bytes.data(), bytes.size());
   return p;
 }
@@ -17,7 +19,10 @@
 std::string Group::Inner::Encoded(const raft_configuration& conf) {
   Writer w;
   w.number(conf.n, 1);
-  for (unsigned i = 0; i < conf.n; ++i) w.number(conf.servers[i].id, 8), w.number(static_cast<std::uint64_t>(conf.servers[i].role), 1);
+  for (unsigned i = 0; i < conf.n; ++i) {
+    w.number(conf.servers[i].id, 8);
+    w.number(static_cast<std::uint64_t>(conf.servers[i].role), 1);
+  }
   return std::move(w.bytes);
 }
 bool Group::Inner::Decoded(Reader& r, raft_configuration& conf) {
@@ -26,7 +31,8 @@
   for (std::uint64_t i = 0; i < n && !r.Bad(); ++i) {
     std::uint64_t id = r.number(8), role = r.number(1);
     if (r.Bad() || id == 0 || role > RAFT_SPARE ||
-        raft_configuration_add(&conf, id, AddressOf(static_cast<Id>(id)).c_str(), static_cast<int>(role)) != 0) {
+        raft_configuration_add(&conf, id, AddressOf(static_cast<Id>(id)).c_str(),
+                               static_cast<int>(role)) != 0) {
       raft_configuration_close(&conf);
       return false;
     }
@@ -35,26 +41,41 @@
 }
 
 void Group::Inner::FillIo() {
-  io.version = 2, io.impl = this, io.data = this;
-  io.init = [](raft_io*, raft_id, const char*) { return 0; };
+  io.version = 2;
+  io.impl = this;
+  io.data = this;
+  io.init = [](raft_io*, raft_id, const char*) {
+    return 0;
+  };
   io.close = [](raft_io* i, raft_io_close_cb cb) {
     Of(i).later.push_back([i, cb] { cb(i); });
   };
   io.load = load;
   io.start = [](raft_io* i, unsigned, raft_io_tick_cb tick, raft_io_recv_cb recv) {
-    Of(i).tick_cb = tick, Of(i).recv_cb = recv;
+    Of(i).tick_cb = tick;
+    Of(i).recv_cb = recv;
     return 0;
   };
   io.bootstrap = Bootstrap;
-  io.recover = [](raft_io*, const raft_configuration*) { return static_cast<int>(RAFT_INVALID); };
-  io.set_term = [](raft_io* i, raft_term term) { return Of(i).Kept([&] { Of(i).store.SetTerm(term); }); };
-  io.set_vote = [](raft_io* i, raft_id vote) { return Of(i).Kept([&] { Of(i).store.SetVote(vote); }); };
+  io.recover = [](raft_io*, const raft_configuration*) {
+    return static_cast<int>(RAFT_INVALID);
+  };
+  io.set_term = [](raft_io* i, raft_term term) {
+    return Of(i).Kept([&] { Of(i).store.SetTerm(term); });
+  };
+  io.set_vote = [](raft_io* i, raft_id vote) {
+    return Of(i).Kept([&] { Of(i).store.SetVote(vote); });
+  };
   io.send = SendMessage;
   io.append = Append;
-  io.truncate = [](raft_io* i, raft_index from) { return Of(i).Kept([&] { Of(i).store.Truncate(from); }); };
+  io.truncate = [](raft_io* i, raft_index from) {
+    return Of(i).Kept([&] { Of(i).store.Truncate(from); });
+  };
   io.snapshot_put = PutSnapshot;
   io.snapshot_get = GetSnapshot;
-  io.time = [](raft_io* i) { return static_cast<raft_time>(Of(i).now); };
+  io.time = [](raft_io* i) {
+    return static_cast<raft_time>(Of(i).now);
+  };
   io.random = [](raft_io* i, int min, int max) {
     return std::uniform_int_distribution<int>(min, std::max(min, max - 1))(Of(i).random);
   };
@@ -65,14 +86,17 @@
 }
 
 void Group::Inner::FillFsm() {
-  fsm.version = 1, fsm.data = this;
+  fsm.version = 1;
+  fsm.data = this;
   fsm.apply = [](raft_fsm* f, const raft_buffer* buf, void** result) {
     Inner& in = *static_cast<Inner*>(f->data);
     *result = nullptr;
     auto c = Decode({static_cast<const char*>(buf->base), buf->len});
-    if (!c) return static_cast<int>(RAFT_MALFORMED);
+    if (!c)
+      return static_cast<int>(RAFT_MALFORMED);
     Result r = in.table.Apply(*c);
-    if (in.Leads()) in.keeper.Applied(in.now, *c, r);
+    if (in.Leads())
+      in.keeper.Applied(in.now, *c, r);
     in.last_result = r;
     *result = &in.last_result;
     return 0;
@@ -81,31 +105,42 @@
     Inner& in = *static_cast<Inner*>(f->data);
     std::string bytes = in.table.Snapshot();
     *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    if (!*bufs) return static_cast<int>(RAFT_NOMEM);
+    if (!*bufs)
+      return static_cast<int>(RAFT_NOMEM);
     *n = 1;
     (*bufs)[0] = {Copied(bytes), bytes.size()};
     return 0;
   };
   fsm.restore = [](raft_fsm* f, raft_buffer* buf) {
     Inner& in = *static_cast<Inner*>(f->data);
-    if (!in.table.Restore({static_cast<const char*>(buf->base), buf->len})) return static_cast<int>(RAFT_CORRUPT);
+    if (!in.table.Restore({static_cast<const char*>(buf->base), buf->len}))
+      return static_cast<int>(RAFT_CORRUPT);
     raft_free(buf->base);
     return 0;
   };
 }
 
-int Group::Inner::load(raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first, raft_entry* entries[], size_t* n) {
+int Group::Inner::load(raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
+                       raft_index* first, raft_entry* entries[], size_t* n) {
   Inner& in = Of(i);
   StoredState s;
-  if (in.Kept([&] { s = in.store.load(); }) != 0) return RAFT_IOERR;
-  *term = s.term, *vote = s.vote, *snapshot = nullptr, *first = s.first, *entries = nullptr, *n = s.entries.size();
+  if (in.Kept([&] { s = in.store.load(); }) != 0)
+    return RAFT_IOERR;
+  *term = s.term;
+  *vote = s.vote;
+  *snapshot = nullptr;
+  *first = s.first;
+  *entries = nullptr;
+  *n = s.entries.size();
   if (s.snapshot) {
     auto* p = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
-    if (!p) return RAFT_NOMEM;
+    if (!p)
+      return RAFT_NOMEM;
     Fill(*s.snapshot, *p);
     *snapshot = p;
   }
-  if (*n == 0) return 0;
+  if (*n == 0)
+    return 0;
   FillEntries(s.entries, *entries);
   return *entries ? 0 : static_cast<int>(RAFT_NOMEM);
 }
@@ -113,21 +148,26 @@
 // One batch holds the bytes of all, as the library wants what it is given.
 void Group::Inner::FillEntries(const std::vector<LogEntry>& from, raft_entry*& into) {
   std::size_t bytes = 0;
-  for (const LogEntry& e : from) bytes += (e.bytes.size() + 7) / 8 * 8;
+  for (const LogEntry& e : from)
+    bytes += (e.bytes.size() + 7) / 8 * 8;
   into = static_cast<raft_entry*>(raft_calloc(from.size(), sizeof(raft_entry)));
   char* batch = static_cast<char*>(raft_malloc(std::max<std::size_t>(bytes, 8)));
   std::size_t at = 0;
   for (std::size_t i = 0; i < from.size(); ++i) {
     std::memcpy(batch + at, from[i].bytes.data(), from[i].bytes.size());
-    into[i].term = from[i].term, into[i].type = from[i].type;
-    into[i].buf = {batch + at, from[i].bytes.size()}, into[i].batch = batch;
+    into[i].term = from[i].term;
+    into[i].type = from[i].type;
+    into[i].buf = {batch + at, from[i].bytes.size()};
+    into[i].batch = batch;
     at += (from[i].bytes.size() + 7) / 8 * 8;
   }
 }
 
 void Group::Inner::Fill(const StoredSnapshot& from, raft_snapshot& into) {
   std::memset(&into, 0, sizeof into);
-  into.index = from.index, into.term = from.term, into.configuration_index = from.configuration_index;
+  into.index = from.index;
+  into.term = from.term;
+  into.configuration_index = from.configuration_index;
   Reader r(from.configuration);
   Decoded(r, into.configuration);
   into.bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
@@ -138,34 +178,45 @@
 int Group::Inner::Bootstrap(raft_io* i, const raft_configuration* conf) {
   Inner& in = Of(i);
   raft_buffer buf;
-  if (raft_configuration_encode(conf, &buf) != 0) return RAFT_NOMEM;
+  if (raft_configuration_encode(conf, &buf) != 0)
+    return RAFT_NOMEM;
   LogEntry e{1, RAFT_CHANGE, TextOf(buf)};
   raft_free(buf.base);
   return in.Kept([&] {
-    // A founding that a failed write or a kill left half done is gone on with: a term that was set stays.
-    if (in.store.load().term == 0) in.store.SetTerm(1);
+    // A founding that a failed write or a kill left half done is gone on with: a term that was set
+    // stays.
+    if (in.store.load().term == 0)
+      in.store.SetTerm(1);
     in.store.Append({e});
   });
 }
 
-int Group::Inner::Append(raft_io* i, raft_io_append* req, const raft_entry entries[], unsigned n, raft_io_append_cb cb) {
+int Group::Inner::Append(raft_io* i, raft_io_append* req, const raft_entry entries[], unsigned n,
+                         raft_io_append_cb cb) {
   Inner& in = Of(i);
   std::vector<LogEntry> all;
-  for (unsigned k = 0; k < n; ++k) all.push_back({entries[k].term, entries[k].type, TextOf(entries[k].buf)});
+  for (unsigned k = 0; k < n; ++k)
+    all.push_back({entries[k].term, entries[k].type, TextOf(entries[k].buf)});
   int fault = in.Kept([&] { in.store.Append(all); });
-  if (fault != 0) return fault;
+  if (fault != 0)
+    return fault;
   in.later.push_back([req, cb] { cb(req, 0); });
   return 0;
 }
 
-int Group::Inner::PutSnapshot(raft_io* i, unsigned keep, raft_io_snapshot_put* req, const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
+int Group::Inner::PutSnapshot(raft_io* i, unsigned keep, raft_io_snapshot_put* req,
+                              const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
   Inner& in = Of(i);
   StoredSnapshot one;
-  one.index = s->index, one.term = s->term, one.configuration_index = s->configuration_index;
+  one.index = s->index;
+  one.term = s->term;
+  one.configuration_index = s->configuration_index;
   one.configuration = Encoded(s->configuration);
-  for (unsigned k = 0; k < s->n_bufs; ++k) one.data += TextOf(s->bufs[k]);
+  for (unsigned k = 0; k < s->n_bufs; ++k)
+    one.data += TextOf(s->bufs[k]);
   int fault = in.Kept([&] { in.store.Take(one, keep); });
-  if (fault != 0) return fault;
+  if (fault != 0)
+    return fault;
   in.later.push_back([req, cb] { cb(req, 0); });
   return 0;
 }
@@ -174,7 +225,8 @@
   Inner& in = Of(i);
   in.later.push_back([&in, req, cb] {
     StoredState s;
-    if (in.Kept([&] { s = in.store.load(); }) != 0 || !s.snapshot) return cb(req, nullptr, RAFT_IOERR);
+    if (in.Kept([&] { s = in.store.load(); }) != 0 || !s.snapshot)
+      return cb(req, nullptr, RAFT_IOERR);
     auto* p = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
     Fill(*s.snapshot, *p);
     cb(req, p, 0);
--- a/src/owner/lease.hpp
+++ b/src/owner/lease.hpp
@@ -1,15 +1,18 @@
-// Who owns each piece of the fleet's work: the table that a small group of fronts agrees on, and the two clocks that a
-// lease stands on. Pure: commands and time in, results out. The same commands in the same order make the same table;
-// the order is consensus' part (src/owner/group.*).
+// Who owns each piece of the fleet's work: the table that a small group of fronts agrees on, and
+// the two clocks that a lease stands on. Pure: commands and time in, results out. The same commands
+// in the same order make the same table; the order is consensus' part (src/owner/group.*).
 //
 // What it promises, and what the schedules in tests/owner_test.cpp look at:
-// - A token is given once: it grows with every grant, over all works, and never falls (it is part of the table).
-// - A lease runs out by two clocks, neither of which is compared with the other. Its owner counts from when it *asked*
-//   and stops acting at lease * (1 - drift) - margin; the group's leader counts from when it *applied* the grant or
-//   renewal, or came to lead, and gives it to nobody else before lease * (1 + drift) + margin. What was asked is applied
-//   later, so the owner stops first, as long as no clock runs off by more than `drift`, or steps by more than `margin`
-//   within one lease. Past that bound the fence holds (src/owner/fence.hpp): clocks keep two from acting at once, the
-//   fence keeps what the late one does from landing.
+// - A token is given once: it grows with every grant, over all works, and never falls (it is part
+// of the table).
+// - A lease runs out by two clocks, neither of which is compared with the other. Its owner counts
+// from when it *asked*
+//   and stops acting at lease * (1 - drift) - margin; the group's leader counts from when it
+//   *applied* the grant or renewal, or came to lead, and gives it to nobody else before lease * (1
+//   + drift) + margin. What was asked is applied later, so the owner stops first, as long as no
+//   clock runs off by more than `drift`, or steps by more than `margin` within one lease. Past that
+//   bound the fence holds (src/owner/fence.hpp): clocks keep two from acting at once, the fence
+//   keeps what the late one does from landing.
 // Bounds: 64 works, names of 48 letters, digits and dashes at most; a command is 100 bytes at most.
 #pragma once
 #include <cstdint>
@@ -27,39 +30,61 @@
 constexpr std::size_t kMostWorks = 64, kLongestName = 48;
 
 struct Terms {
-  Ms lease = 3000, margin = 200;
+  Ms lease = 3000;
+  Ms margin = 200;
   double drift = 0.01;
   Ms renew_every = 800;  // the owner asks again this often; under a third of the lease
 };
 
 // found: the first command of a group, by its leader; its token is what all others are above.
-enum class Deed : std::uint8_t { kTake, kRenew, kRecord, kFinish, kAbandon, kRelease, kExpire, kFound };
+enum class Deed : std::uint8_t {
+  kTake,
+  kRenew,
+  kRecord,
+  kFinish,
+  kAbandon,
+  kRelease,
+  kExpire,
+  kFound
+};
 const char* MakeWord(Deed deed);
 
 struct Command {
   Deed deed = Deed::kTake;
-  Id front = 0;       // who asks
-  Token token = 0;    // that it holds; of expire: the one that has run out
-  // Of record: done up to and with it; of take: how many there are, where the work is new; of expire: the owner's words as
-  // they were counted when its lease had run out.
+  Id front = 0;     // who asks
+  Token token = 0;  // that it holds; of expire: the one that has run out
+  // Of record: done up to and with it; of take: how many there are, where the work is new; of
+  // expire: the owner's words as they were counted when its lease had run out.
   std::uint64_t step = 0;
   std::string work;
 };
 std::string Encode(const Command& command);
-std::optional<Command> Decode(std::span<const char> bytes);  // nothing for anything that is not one whole
+std::optional<Command> Decode(
+    std::span<const char> bytes);  // nothing for anything that is not one whole
 bool GoodName(const std::string& name);
 
 struct Work {
-  Id owner = 0;  // 0: nobody
-  Token token = 0;         // of the last grant
-  std::uint64_t done = 0, steps = 0;
-  bool finished = false, abandoned = false;
-  // The owner's words that were taken so far. An expiry that was proposed before the last of them is void: a renewal that was
-  // under way when the lease ran out keeps it (found by a schedule: five members, seed 100765).
+  Id owner = 0;     // 0: nobody
+  Token token = 0;  // of the last grant
+  std::uint64_t done = 0;
+  std::uint64_t steps = 0;
+  bool finished = false;
+  bool abandoned = false;
+  // The owner's words that were taken so far. An expiry that was proposed before the last of them
+  // is void: a renewal that was under way when the lease ran out keeps it (found by a schedule:
+  // five members, seed 100765).
   std::uint64_t heard = 0;
 };
 
-enum class Word : std::uint8_t { kYes, kHeld, kStale, kOver, kUnknownWork, kFull, kUnsure };
+enum class Word : std::uint8_t {
+  kYes,
+  kHeld,
+  kStale,
+  kOver,
+  kUnknownWork,
+  kFull,
+  kUnsure
+};
 const char* MakeWord(Word word);
 struct Result {
   Word word = Word::kYes;
@@ -71,34 +96,48 @@
 class Table {
  public:
   Result Apply(const Command& command);
-  const std::map<std::string, Work>& Works() const { return works_; }
-  Token LastToken() const { return last_token_; }
-  bool Fresh() const { return last_token_ == base_; }  // founded, or not even that, and nothing granted yet
+  const std::map<std::string, Work>& Works() const {
+    return works_;
+  }
+  Token LastToken() const {
+    return last_token_;
+  }
+  bool Fresh() const {
+    return last_token_ == base_;
+  }  // founded, or not even that, and nothing granted yet
   std::string Snapshot() const;
-  bool Restore(std::span<const char> bytes);  // false, and nothing changed, where they are not one snapshot whole
+  bool Restore(std::span<const char>
+                   bytes);  // false, and nothing changed, where they are not one snapshot whole
 
  private:
   std::map<std::string, Work> works_;
-  Token last_token_ = 0, base_ = 0;  // base_: that the group was founded with
+  Token last_token_ = 0;
+  Token base_ = 0;  // base_: that the group was founded with
 };
 
 // The leader's clock: which leases have run out for certain.
 class Keeper {
  public:
   explicit Keeper(Terms terms) : terms_(terms) {}
-  void Leads(Ms now, const Table& table);          // it has just come to lead: every lease may be as young as now
+  void Leads(Ms now,
+             const Table& table);  // it has just come to lead: every lease may be as young as now
   void Applied(Ms now, const Command& c, const Result& r);
   std::vector<Command> Due(Ms now, const Table& table) const;  // expirations to propose
-  // A group that has granted nothing yet may follow one whose stores were lost: its leases may still run. Guards against two
-  // owners after a founding anew; costs a lease at the first.
-  bool MayGrant(Ms now, const Table& table) const { return !table.Fresh() || now >= RunsOut(led_at_); }
-  Ms Ends(const std::string& work) const {         // by when its lease has surely run out; 1e300 where it is not known
+  // A group that has granted nothing yet may follow one whose stores were lost: its leases may
+  // still run. Guards against two owners after a founding anew; costs a lease at the first.
+  bool MayGrant(Ms now, const Table& table) const {
+    return !table.Fresh() || now >= RunsOut(led_at_);
+  }
+  Ms Ends(const std::string& work)
+      const {  // by when its lease has surely run out; 1e300 where it is not known
     auto at = seen_.find(work);
     return at == seen_.end() ? 1e300 : RunsOut(at->second);
   }
 
  private:
-  Ms RunsOut(Ms from) const { return from + terms_.lease * (1 + terms_.drift) + terms_.margin; }
+  Ms RunsOut(Ms from) const {
+    return from + terms_.lease * (1 + terms_.drift) + terms_.margin;
+  }
   Terms terms_;
   std::map<std::string, Ms> seen_;  // by work; at most as many as works
   Ms led_at_ = 0;
@@ -109,12 +148,26 @@
  public:
   explicit Holder(Terms terms) : terms_(terms) {}
   // A grant or renewal that was asked for at `askedAt`, by its own clock.
-  void Granted(Ms asked_at, const Result& r) { token_ = r.token, until_ = asked_at + terms_.lease * (1 - terms_.drift) - terms_.margin; }
-  void Lost() { token_ = 0, until_ = -1; }
-  bool Holds() const { return token_ != 0; }
-  bool MayAct(Ms now) const { return token_ != 0 && now < until_; }
-  Ms Until() const { return until_; }
-  Token token() const { return token_; }
+  void Granted(Ms asked_at, const Result& r) {
+    token_ = r.token;
+    until_ = asked_at + terms_.lease * (1 - terms_.drift) - terms_.margin;
+  }
+  void Lost() {
+    token_ = 0;
+    until_ = -1;
+  }
+  bool Holds() const {
+    return token_ != 0;
+  }
+  bool MayAct(Ms now) const {
+    return token_ != 0 && now < until_;
+  }
+  Ms Until() const {
+    return until_;
+  }
+  Token token() const {
+    return token_;
+  }
 
  private:
   Terms terms_;
--- a/src/owner/membership.cpp
+++ b/src/owner/membership.cpp
@@ -8,12 +8,16 @@
 Membership::Membership(Node& node, OpenStore open_store, Say say)
     : node_(node), open_store_(std::move(open_store)), say_(std::move(say)) {}
 
-Membership::~Membership() { node_.Leave(0); }
+Membership::~Membership() {
+  node_.Leave(0);
+}
 
 void Membership::Tick(Ms now) {
   Group* group = node_.group();
-  if (group && group->standing() == Group::Standing::kFailed) Close(now, group->Why());
-  if (!store_ && retry_.IsDue(now)) Open(now);
+  if (group && group->standing() == Group::Standing::kFailed)
+    Close(now, group->Why());
+  if (!store_ && retry_.IsDue(now))
+    Open(now);
 }
 
 void Membership::Open(Ms now) {
@@ -23,8 +27,10 @@
   } catch (const std::exception& fault) {
     return Close(now, fault.what());
   }
-  if (node_.group()->standing() == Group::Standing::kFailed) return Close(now, node_.group()->Why());
-  if (std::exchange(said_failure_, false)) say_("owner store used again");
+  if (node_.group()->standing() == Group::Standing::kFailed)
+    return Close(now, node_.group()->Why());
+  if (std::exchange(said_failure_, false))
+    say_("owner store used again");
 }
 
 void Membership::Close(Ms now, const std::string& reason) {
@@ -32,7 +38,8 @@
   node_.Leave(now);
   store_.reset();
   retry_.Failed(now);
-  if (!std::exchange(said_failure_, true)) say_("owner store not used, tried again: " + reason);
+  if (!std::exchange(said_failure_, true))
+    say_("owner store not used, tried again: " + reason);
 }
 
 }  // namespace dunlinwick::owner
--- a/src/owner/membership.hpp
+++ b/src/owner/membership.hpp
@@ -1,9 +1,9 @@
-/// A node's membership of the group on a store that may fail. A store that can't be opened, or a write that
-/// fails, ends the membership: this member votes and acknowledges no more, and the others go on without it as
-/// long as they are a majority. Its store is opened anew, by backoff, until it can be; the member comes back
-/// with what is on the disk, as after a restart of the process. The node's agent goes on meanwhile by the
-/// other members' answers: what it holds it holds as long as a majority keeps its renewals, and gives up
-/// before the lease's end otherwise.
+/// A node's membership of the group on a store that may fail. A store that can't be opened, or a
+/// write that fails, ends the membership: this member votes and acknowledges no more, and the
+/// others go on without it as long as they are a majority. Its store is opened anew, by backoff,
+/// until it can be; the member comes back with what is on the disk, as after a restart of the
+/// process. The node's agent goes on meanwhile by the other members' answers: what it holds it
+/// holds as long as a majority keeps its renewals, and gives up before the lease's end otherwise.
 #pragma once
 #include <functional>
 #include <memory>
@@ -28,9 +28,13 @@
   /// After each Node::tick, and once before the first.
   void Tick(Ms now);
   /// Whether the store is open and has not failed.
-  bool HasStore() const { return store_ != nullptr; }
+  bool HasStore() const {
+    return store_ != nullptr;
+  }
   /// Whether what is written outlives the process; false without a store.
-  bool Lasts() const { return store_ && store_->Lasts(); }
+  bool Lasts() const {
+    return store_ && store_->Lasts();
+  }
 
  private:
   void Open(Ms now);
--- a/src/owner/node.hpp
+++ b/src/owner/node.hpp
@@ -1,7 +1,9 @@
-// One front of the owner's fleet: its agent, its member of the group where it is one, and their datagrams. It runs on a
-// front's socket (src/front/owner.*) and on the stage (src/owner/stage.*) as it is.
+// One front of the owner's fleet: its agent, its member of the group where it is one, and their
+// datagrams. It runs on a front's socket (src/front/owner.*) and on the stage (src/owner/stage.*)
+// as it is.
 //
-// Datagram: "DO" 1 | kind u8 | from u32 | body. Bytes from outside never throw: what is not one message whole is dropped and counted.
+// Datagram: "DO" 1 | kind u8 | from u32 | body. Bytes from outside never throw: what is not one
+// message whole is dropped and counted.
 #pragma once
 #include <deque>
 #include <memory>
@@ -11,7 +13,13 @@
 
 namespace dunlinwick::owner {
 
-enum class Kind : std::uint8_t { kGroup, kAsk, kAnswer, kAct, kDid };
+enum class Kind : std::uint8_t {
+  kGroup,
+  kAsk,
+  kAnswer,
+  kAct,
+  kDid
+};
 std::string EncodeDid(Id from, const Did& d);
 std::string EncodeDo(Id from, const Do& d);
 struct Frame {
@@ -37,19 +45,31 @@
     std::function<void(const std::string& line)> say;
   };
   // `store`: of a member of the group; it outlives the node. `incarnation`: newer at each start.
-  Node(NodeTerms terms, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now, Ways ways);
-  /// Becomes a member of the group on `store`, which outlives the membership. Throws std::runtime_error where the store can't be read;
-  /// then it is no member. Not to be called from within a call of this node.
+  Node(NodeTerms terms, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now,
+       Ways ways);
+  /// Becomes a member of the group on `store`, which outlives the membership. Throws
+  /// std::runtime_error where the store can't be read; then it is no member. Not to be called from
+  /// within a call of this node.
   void Join(Store& store, Ms now);
-  /// Ends the membership; what was under way in the group is told as unsure. The agent keeps what it holds and asks the other members.
+  /// Ends the membership; what was under way in the group is told as unsure. The agent keeps what
+  /// it holds and asks the other members.
   void Leave(Ms now);
   void Tick(Ms now);
   void Receive(Ms now, std::span<const char> bytes);
-  Agent& agent() { return agent_; }
-  Group* group() { return group_.get(); }
-  const NodeTerms& terms() const { return terms_; }
-  std::uint64_t Refused() const { return refused_; }
-  // A group that grants to whoever asks, without asking its majority: for a test that breaks it on purpose.
+  Agent& agent() {
+    return agent_;
+  }
+  Group* group() {
+    return group_.get();
+  }
+  const NodeTerms& terms() const {
+    return terms_;
+  }
+  std::uint64_t Refused() const {
+    return refused_;
+  }
+  // A group that grants to whoever asks, without asking its majority: for a test that breaks it on
+  // purpose.
   bool grants_alone = false;
 
  private:
@@ -67,10 +87,12 @@
   std::uint64_t refused_ = 0;
   Group::Standing told_ = Group::Standing::kBegins;
   bool led_ = false;
-  // Questions under way here, so that one asked twice is put to the group once; emptied as they are answered.
+  // Questions under way here, so that one asked twice is put to the group once; emptied as they are
+  // answered.
   std::set<std::pair<Id, std::uint64_t>> under_way_;
-  // The last answers given as a leader: a question whose answer was lost gets the same one, not a second grant. Known by its
-  // words too: a number alone may be an earlier process's (found by a member that came back without its store).
+  // The last answers given as a leader: a question whose answer was lost gets the same one, not a
+  // second grant. Known by its words too: a number alone may be an earlier process's (found by a
+  // member that came back without its store).
   struct Given {
     Id from = 0;
     std::uint64_t number = 0;
--- a/src/owner/store.hpp
+++ b/src/owner/store.hpp
@@ -1,5 +1,6 @@
-// What a member of the group must not forget: its term, its vote, its log, its snapshot. Each call lasts before it returns, or
-// throws std::runtime_error, after which the member takes no further part.
+// What a member of the group must not forget: its term, its vote, its log, its snapshot. Each call
+// lasts before it returns, or throws std::runtime_error, after which the member takes no further
+// part.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -14,11 +15,15 @@
   std::string bytes;
 };
 struct StoredSnapshot {
-  std::uint64_t index = 0, term = 0, configuration_index = 0;
-  std::string configuration, data;
+  std::uint64_t index = 0;
+  std::uint64_t term = 0;
+  std::uint64_t configuration_index = 0;
+  std::string configuration;
+  std::string data;
 };
 struct StoredState {
-  std::uint64_t term = 0, vote = 0;
+  std::uint64_t term = 0;
+  std::uint64_t vote = 0;
   std::uint64_t first = 1;  // the index of the first entry
   std::vector<LogEntry> entries;
   std::optional<StoredSnapshot> snapshot;
@@ -42,26 +47,43 @@
 // In memory: gone with the process. On the stage it is kept or dropped as a disk would be.
 class MemoryStore final : public Store {
  public:
-  bool Lasts() const override { return false; }
-  StoredState load() override { return state_; }
-  void Found(const std::string& founding) override { state_.founding = founding; }
-  void SetTerm(std::uint64_t term) override { state_.term = term, state_.vote = 0; }
-  void SetVote(std::uint64_t vote) override { state_.vote = vote; }
+  bool Lasts() const override {
+    return false;
+  }
+  StoredState load() override {
+    return state_;
+  }
+  void Found(const std::string& founding) override {
+    state_.founding = founding;
+  }
+  void SetTerm(std::uint64_t term) override {
+    state_.term = term;
+    state_.vote = 0;
+  }
+  void SetVote(std::uint64_t vote) override {
+    state_.vote = vote;
+  }
   void Append(const std::vector<LogEntry>& entries) override {
     state_.entries.insert(state_.entries.end(), entries.begin(), entries.end());
   }
   void Truncate(std::uint64_t from) override {
-    if (from < state_.first) state_.entries.clear(), state_.first = from;
-    else if (from - state_.first < state_.entries.size()) state_.entries.resize(from - state_.first);
+    if (from < state_.first) {
+      state_.entries.clear();
+      state_.first = from;
+    } else if (from - state_.first < state_.entries.size())
+      state_.entries.resize(from - state_.first);
   }
   void Take(const StoredSnapshot& s, std::uint64_t trailing) override {
     std::uint64_t last = state_.first + state_.entries.size() - 1;
     // One that came from the leader may lie beyond the log: nothing of it is of use then.
     if (trailing == 0 || s.index > last) {
-      state_.entries.clear(), state_.first = s.index + 1;
+      state_.entries.clear();
+      state_.first = s.index + 1;
     } else if (s.index > trailing && s.index - trailing >= state_.first) {
       std::uint64_t keep = s.index - trailing + 1;
-      state_.entries.erase(state_.entries.begin(), state_.entries.begin() + static_cast<std::ptrdiff_t>(keep - state_.first));
+      state_.entries.erase(
+          state_.entries.begin(),
+          state_.entries.begin() + static_cast<std::ptrdiff_t>(keep - state_.first));
       state_.first = keep;
     }
     state_.snapshot = s;
--- a/src/record/replica.cpp
+++ b/src/record/replica.cpp
@@ -29,8 +29,10 @@
   life_ = std::max(life_ + 1, static_cast<std::uint64_t>(now));
   keeper_ = std::make_unique<Keeper>(self_, replicas_, terms_.keeper, *log_, life_);
   server_ = std::make_unique<Server>(*log_, terms_.subscriber, now);
-  if (keeper_->has_failed()) return Close(now, "record keeper failed: its disk refused a write");
-  if (std::exchange(said_failure_, false)) say_("record store used again");
+  if (keeper_->has_failed())
+    return Close(now, "record keeper failed: its disk refused a write");
+  if (std::exchange(said_failure_, false))
+    say_("record store used again");
 }
 
 void Replica::Close(Ms now, const std::string& line) {
@@ -46,37 +48,46 @@
 }
 
 void Replica::Receive(Ms now, Id from, const Message& message, const Send& send) {
-  if (!IsOpen()) return;
+  if (!IsOpen())
+    return;
   keeper_->Receive(now, from, message, send);
-  if (keeper_->has_failed()) return Close(now, "record keeper failed: its disk refused a write");
-  if (const auto* append = std::get_if<Append>(&message)) HeardWriter(now, from, *append);
+  if (keeper_->has_failed())
+    return Close(now, "record keeper failed: its disk refused a write");
+  if (const auto* append = std::get_if<Append>(&message))
+    HeardWriter(now, from, *append);
 }
 
 void Replica::HeardWriter(Ms now, Id from, const Append& append) {
   const Head& head = log_->head();
-  if (append.token < head.promised) return;
+  if (append.token < head.promised)
+    return;
   last_writer_ = from;
-  // One that could not take what the writer calls committed (no room, not brought up yet) must not pass for
-  // current: a subscriber would miss recalls that are acknowledged.
-  if (head.committed >= append.committed) current_at_ = now;
+  // One that could not take what the writer calls committed (no room, not brought up yet) must not
+  // pass for current: a subscriber would miss recalls that are acknowledged.
+  if (head.committed >= append.committed)
+    current_at_ = now;
 }
 
 void Replica::Tick(Ms now, const Send& send) {
   if (!IsOpen()) {
-    if (retry_.IsDue(now)) Open(now);
+    if (retry_.IsDue(now))
+      Open(now);
     return;
   }
   keeper_->Tick(now, send, now);
-  if (keeper_->has_failed()) Close(now, "record keeper failed: its disk refused a write");
+  if (keeper_->has_failed())
+    Close(now, "record keeper failed: its disk refused a write");
 }
 
 std::optional<Piece> Replica::Wants(Ms now, const Want& want) {
-  if (!IsOpen()) return std::nullopt;
+  if (!IsOpen())
+    return std::nullopt;
   return server_->Wants(now, want, static_cast<std::uint64_t>(now - current_at_));
 }
 
 Offset Replica::Committed() const {
-  if (!log_) return committed_before_;
+  if (!log_)
+    return committed_before_;
   return std::max(committed_before_, log_->head().committed);
 }
 
