--- a/src/record/replica.hpp
+++ b/src/record/replica.hpp
@@ -1,10 +1,11 @@
-/// A replica of the record over a disk that may fail: log, replication and the server of subscribers, opened
-/// and closed together. A store that can't be opened, or a write or sync that fails, closes them: this
-/// replica acknowledges nothing, promises nothing and serves no subscriber, so that writers count it as down
-/// and subscribers turn to another. The store is opened anew, by backoff, until it can be; what is on the
-/// disk is then read as at a start of the process, under another life, and proved by a writer. A disk without
-/// room (Full) closes nothing: the replica says so to the writer and serves what it has, but vouches for
-/// being current only as long as it holds all that the writer calls committed.
+/// A replica of the record over a disk that may fail: log, replication and the server of
+/// subscribers, opened and closed together. A store that can't be opened, or a write or sync that
+/// fails, closes them: this replica acknowledges nothing, promises nothing and serves no
+/// subscriber, so that writers count it as down and subscribers turn to another. The store is
+/// opened anew, by backoff, until it can be; what is on the disk is then read as at a start of the
+/// process, under another life, and proved by a writer. A disk without room (Full) closes nothing:
+/// the replica says so to the writer and serves what it has, but vouches for being current only as
+/// long as it holds all that the writer calls committed.
 #pragma once
 #include <functional>
 #include <memory>
@@ -29,10 +30,10 @@
   using OpenDisk = std::function<std::unique_ptr<Disk>()>;
   using Say = std::function<void(const std::string& line)>;
 
-  /// Tries to open the disk at once. `replicas`: all of the record, `self` among them. `newStore` identifies
-  /// a disk that is empty.
-  Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk open_disk, std::uint64_t new_store,
-          Ms now, Say say);
+  /// Tries to open the disk at once. `replicas`: all of the record, `self` among them. `newStore`
+  /// identifies a disk that is empty.
+  Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk open_disk,
+          std::uint64_t new_store, Ms now, Say say);
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
@@ -43,16 +44,26 @@
   /// The answer to a subscriber; nothing while closed.
   std::optional<Piece> Wants(Ms now, const Want& want);
 
-  bool IsOpen() const { return keeper_ != nullptr; }
+  bool IsOpen() const {
+    return keeper_ != nullptr;
+  }
   /// Of the store as it was read when it was opened last; empty before that.
-  const Head& HeadAtOpening() const { return head_at_opening_; }
+  const Head& HeadAtOpening() const {
+    return head_at_opening_;
+  }
   /// While open; nullptr else.
-  const Log* log() const { return log_.get(); }
-  const Server* server() const { return server_.get(); }
+  const Log* log() const {
+    return log_.get();
+  }
+  const Server* server() const {
+    return server_.get();
+  }
   /// The highest offset that this replica knew as committed, open or not.
   Offset Committed() const;
   /// Who appended here last; 0: nobody yet.
-  Id LastWriter() const { return last_writer_; }
+  Id LastWriter() const {
+    return last_writer_;
+  }
 
  private:
   void Open(Ms now);
--- a/src/record/wire.hpp
+++ b/src/record/wire.hpp
@@ -9,15 +9,22 @@
 namespace dunlinwick::record {
 
 inline void ToWire(const Entry& e, proto::record::Entry* w) {
-  w->set_offset(e.offset), w->set_token(e.token), w->set_stream(static_cast<std::uint32_t>(e.stream));
-  w->set_key(e.key), w->set_tombstone(e.tombstone), w->set_value(e.value), w->set_at(e.at);
+  w->set_offset(e.offset);
+  w->set_token(e.token);
+  w->set_stream(static_cast<std::uint32_t>(e.stream));
+  w->set_key(e.key);
+  w->set_tombstone(e.tombstone);
+  w->set_value(e.value);
+  w->set_at(e.at);
 }
 // Nothing where a bound of Entry does not hold.
 inline std::optional<Entry> FromWire(const proto::record::Entry& w) {
-  if (w.stream() >= kStreams || w.key().empty() || w.key().size() > kLongestKey || w.value().size() > kLongestValue ||
-      w.offset() == 0 || !std::isfinite(w.at()) || (w.tombstone() && !w.value().empty()))
+  if (w.stream() >= kStreams || w.key().empty() || w.key().size() > kLongestKey ||
+      w.value().size() > kLongestValue || w.offset() == 0 || !std::isfinite(w.at()) ||
+      (w.tombstone() && !w.value().empty()))
     return std::nullopt;
-  return Entry{w.offset(), w.token(), static_cast<Stream>(w.stream()), w.key(), w.tombstone(), w.value(), w.at()};
+  return Entry{w.offset(), w.token(), static_cast<Stream>(w.stream()), w.key(), w.tombstone(),
+               w.value(),  w.at()};
 }
 
 }  // namespace dunlinwick::record
--- a/src/rig/addresses.hpp
+++ b/src/rig/addresses.hpp
@@ -1,4 +1,5 @@
-// Where a fleet on loopback stands, for the files of the harness: addresses (src/rig/harness.hpp lists them), and as text.
+// Where a fleet on loopback stands, for the files of the harness: addresses (src/rig/harness.hpp
+// lists them), and as text.
 #pragma once
 #include <arpa/inet.h>
 
@@ -27,7 +28,8 @@
 
 inline std::string Joined(std::size_t n, const std::function<std::string(std::size_t)>& one) {
   std::string all;
-  for (std::size_t i = 0; i < n; ++i) all += (i ? "," : "") + one(i);
+  for (std::size_t i = 0; i < n; ++i)
+    all += (i ? "," : "") + one(i);
   return all;
 }
 
--- a/src/rig/clients.cpp
+++ b/src/rig/clients.cpp
@@ -19,7 +19,8 @@
   std::string got;
   std::uint64_t timer = 0;
 
-  Client(Harness& h, std::size_t p, const loop::Address& to, std::string request) : harness(h), pull(p) {
+  Client(Harness& h, std::size_t p, const loop::Address& to, std::string request)
+      : harness(h), pull(p) {
     connection = std::make_unique<loop::Connection>(h.loop_, *this, to, kPullTime);
     connection->Send(std::move(request));
     timer = h.loop_.at(h.loop_.now() + kPullTime + 600, [this] { Over(); });
@@ -35,14 +36,19 @@
   void Over() {
     PullSeen& p = harness.pulls_[pull];
     harness.loop_.Cancel(timer);
-    for (std::size_t at = got.find("HTTP/1.1 "); at != std::string::npos; at = got.find("HTTP/1.1 ", at + 1)) {
+    for (std::size_t at = got.find("HTTP/1.1 "); at != std::string::npos;
+         at = got.find("HTTP/1.1 ", at + 1)) {
       int status = std::atoi(got.c_str() + at + 9);
-      if (status < 200) continue;
-      if (p.answers++ == 0) p.status = status;
+      if (status < 200)
+        continue;
+      if (p.answers++ == 0)
+        p.status = status;
     }
-    if (p.answers > 0) p.answered_at = harness.loop_.now();
+    if (p.answers > 0)
+      p.answered_at = harness.loop_.now();
     std::size_t place = got.rfind(" at ");
-    if (place != std::string::npos && p.status == 200) p.place = got.substr(place + 4, got.find('\n', place) - place - 4);
+    if (place != std::string::npos && p.status == 200)
+      p.place = got.substr(place + 4, got.find('\n', place) - place - 4);
     p.ended = true;
     connection->Close();
     auto self = harness.clients_.extract(pull);
@@ -53,7 +59,8 @@
 void Harness::Ask(double pulls_per_s) {
   pulls_per_s_ = pulls_per_s;
   loop_.Cancel(asking_);
-  if (pulls_per_s > 0) NextPull();
+  if (pulls_per_s > 0)
+    NextPull();
 }
 
 void Harness::NextPull() {
@@ -61,26 +68,36 @@
   if (pulls_.size() < kMostPulls) {
     std::size_t number = pulls_.size();
     char id[32];
-    std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(seed_ << 40 | (number + 1)));
+    std::snprintf(id, sizeof id, "%016llx",
+                  static_cast<unsigned long long>(seed_ << 40 | (number + 1)));
     PullSeen p;
-    p.id = id, p.front = f, p.exclusive = number % 10 == 9, p.at = loop_.now(), p.ttl = kPullTime;
+    p.id = id;
+    p.front = f;
+    p.exclusive = number % 10 == 9;
+    p.at = loop_.now();
+    p.ttl = kPullTime;
     unsigned object = std::uniform_int_distribution<unsigned>(0, 499)(random_);
     char request[512];
     std::snprintf(request, sizeof request,
-                  "%s /ops/%s/%08x%s HTTP/1.1\r\nHost: front\r\nX-Request-Id: %s\r\nX-Timeout-Ms: %.0f\r\nX-Group: 1\r\n"
+                  "%s /ops/%s/%08x%s HTTP/1.1\r\nHost: front\r\nX-Request-Id: %s\r\nX-Timeout-Ms: "
+                  "%.0f\r\nX-Group: 1\r\n"
                   "X-Memory-Kb: 40\r\nConnection: close\r\n%s\r\n%s",
                   p.exclusive ? "PUT" : "GET", p.exclusive ? "order-handover" : "video-parts",
-                  p.exclusive ? static_cast<unsigned>(number) : object, p.exclusive ? "" : "?part=1", id, kPullTime,
+                  p.exclusive ? static_cast<unsigned>(number) : object,
+                  p.exclusive ? "" : "?part=1", id, kPullTime,
                   p.exclusive ? "Content-Length: 5\r\n" : "", p.exclusive ? "order" : "");
     pulls_.push_back(std::move(p));
-    clients_[number] = std::make_shared<Client>(*this, number, at(f, static_cast<std::uint16_t>(fleet_.port + 200)), request);
+    clients_[number] = std::make_shared<Client>(
+        *this, number, at(f, static_cast<std::uint16_t>(fleet_.port + 200)), request);
   }
-  asking_ = loop_.at(loop_.now() + 1000 / (pulls_per_s_ * static_cast<double>(pids_.size())), [this] { NextPull(); });
+  asking_ = loop_.at(loop_.now() + 1000 / (pulls_per_s_ * static_cast<double>(pids_.size())),
+                     [this] { NextPull(); });
 }
 
 void Harness::EndClients() {
   loop_.Cancel(asking_);
-  for (auto& [pull, client] : clients_) loop_.Cancel(client->timer);
+  for (auto& [pull, client] : clients_)
+    loop_.Cancel(client->timer);
   clients_.clear();
 }
 
--- a/src/rig/drift_judge.cpp
+++ b/src/rig/drift_judge.cpp
@@ -7,7 +7,8 @@
 using namespace drift;
 
 void DriftJudge::fault(const std::string& text) {
-  if (faults.size() < 20) faults.push_back(Number(sim_.now()) + " ms: " + text);
+  if (faults.size() < 20)
+    faults.push_back(Number(sim_.now()) + " ms: " + text);
 }
 
 // Fronts that are away are as so many datagrams lost.
@@ -18,96 +19,143 @@
   return FoundWithin(t) + LossAdds(t, loss);
 }
 
-void DriftJudge::Disturbed(Id front) { watch_[front].disturbed_at = sim_.now(); }
+void DriftJudge::Disturbed(Id front) {
+  watch_[front].disturbed_at = sim_.now();
+}
 
 void DriftJudge::step() {
   Ms now = sim_.now();
   drift::Terms t = sim_.Honest();
   std::size_t n = sim_.Ids().size(), here = 0;
-  for (Id id : sim_.Ids()) here += sim_.Reachable(id);
+  for (Id id : sim_.Ids())
+    here += sim_.Reachable(id);
   gone_most_ = std::max(gone_most_, 1 - static_cast<double>(here) / static_cast<double>(n));
-  if (here < n / 2 + 2) thin_at_ = now;  // no quorum, or hardly
+  if (here < n / 2 + 2)
+    thin_at_ = now;  // no quorum, or hardly
   for (Id x : sim_.Ids()) {
     Watch& w = watch_[x];
     std::size_t votes = 0;
-    for (Id y : sim_.Ids()) votes += sim_.at(y).aside(x);
-    if (votes * 2 > n) aside_since_.emplace(x, now);
-    else aside_since_.erase(x);
+    for (Id y : sim_.Ids())
+      votes += sim_.at(y).aside(x);
+    if (votes * 2 > n)
+      aside_since_.emplace(x, now);
+    else
+      aside_since_.erase(x);
     bool is = sim_.TruthBad(x);
     std::uint64_t what = Digest(sim_.memory(x)) ^ sim_.WantedVersion(x);
     if (!is) {
-      if (w.bad_since >= 0 && w.due && !w.done) ++ended;
-      w.bad_since = -1, w.due = false, kind_.erase(x);
+      if (w.bad_since >= 0 && w.due && !w.done)
+        ++ended;
+      w.bad_since = -1;
+      w.due = false;
+      kind_.erase(x);
       continue;
     }
     if (w.bad_since < 0 || w.what != what) {
-      if (w.bad_since >= 0 && w.due && !w.done) ++ended;
-      w.bad_since = now, w.what = what, w.due = w.done = w.first = w.named = false;
+      if (w.bad_since >= 0 && w.due && !w.done)
+        ++ended;
+      w.bad_since = now;
+      w.what = what;
+      w.due = w.done = w.first = w.named = false;
     }
-    if (now - w.bad_since >= (t.steady - 1) * t.round - 60) w.last_real_bad = now;
+    if (now - w.bad_since >= (t.steady - 1) * t.round - 60)
+      w.last_real_bad = now;
     if (!sim_.Reachable(x)) {
       w.disturbed_at = std::max(w.disturbed_at, now);
       continue;
     }
     auto k = kind_.find(x);
     Ms from = std::max({w.bad_since, sim_.TermEnds(x), w.disturbed_at, thin_at_});
-    Ms within = bound() + (k != kind_.end() && k->second == Standing::kUnapproved ? t.record_lag : 0);
-    if (now < from || w.done) continue;
-    if (!w.due) w.due = true, ++owed;
+    Ms within =
+        bound() + (k != kind_.end() && k->second == Standing::kUnapproved ? t.record_lag : 0);
+    if (now < from || w.done)
+      continue;
+    if (!w.due) {
+      w.due = true;
+      ++owed;
+    }
     std::size_t know = 0, should = 0;
     for (Id y : sim_.Ids()) {
       auto v = watch_.find(y);
       // Who was away is still coming back to the picture; who is astray goes by what only it holds.
-      if (!sim_.Reachable(y) || (v != watch_.end() && v->second.disturbed_at > from - SilentFor(t))) continue;
+      if (!sim_.Reachable(y) || (v != watch_.end() && v->second.disturbed_at > from - SilentFor(t)))
+        continue;
       ++should;
       auto r = sim_.at(y).Rows().find(x);
       bool says = r != sim_.at(y).Rows().end() && Bad(r->second.standing);
       know += says;
-      if (says && !w.first) w.first = true, first_after.push_back(now - from);
+      if (says && !w.first) {
+        w.first = true;
+        first_after.push_back(now - from);
+      }
       if (now - from >= within) {
         if (!says)
-          fault("front " + std::to_string(x) + " has deviated since " + Number(w.bad_since) + ", front " + std::to_string(y) + " says " +
-                ToString(r->second.standing) + " after " + Number(now - from) + " of " + Number(within) + " ms");
+          fault("front " + std::to_string(x) + " has deviated since " + Number(w.bad_since) +
+                ", front " + std::to_string(y) + " says " + ToString(r->second.standing) +
+                " after " + Number(now - from) + " of " + Number(within) + " ms");
         else if (strict_ && k != kind_.end() && k->second != r->second.standing)
-          fault("front " + std::to_string(x) + " is " + ToString(k->second) + ", front " + std::to_string(y) + " says " + ToString(r->second.standing));
+          fault("front " + std::to_string(x) + " is " + ToString(k->second) + ", front " +
+                std::to_string(y) + " says " + ToString(r->second.standing));
       }
     }
-    if (know == should && should != 0 && !w.named) w.named = true, found_after.push_back(now - from);
-    if (now - from >= within) w.done = true, ++met;
+    if (know == should && should != 0 && !w.named) {
+      w.named = true;
+      found_after.push_back(now - from);
+    }
+    if (now - from >= within) {
+      w.done = true;
+      ++met;
+    }
   }
 }
 
 void DriftJudge::RecordFinding(Id by, const Found& f) {
-  if (!Bad(f.standing)) return;
+  if (!Bad(f.standing))
+    return;
   const Watch& w = watch_[f.front];
   Ms now = sim_.now();
   // Away, its last word stands for silentFor.
-  Ms gone = sim_.Reachable(f.front) && now - w.disturbed_at > bound() ? 0 : SilentFor(sim_.Honest());
+  Ms gone =
+      sim_.Reachable(f.front) && now - w.disturbed_at > bound() ? 0 : SilentFor(sim_.Honest());
   if (now - w.last_real_bad > bound() + gone)
-    fault("front " + std::to_string(by) + " says " + ToString(f.standing) + " of front " + std::to_string(f.front) + ", which is as approved");
+    fault("front " + std::to_string(by) + " says " + ToString(f.standing) + " of front " +
+          std::to_string(f.front) + ", which is as approved");
 }
 
 void DriftJudge::TakesUp(Id front, Token token, Token heard) {
-  if (token < heard) fault("front " + std::to_string(front) + " takes up by token " + std::to_string(token) + ", having heard " + std::to_string(heard));
+  if (token < heard)
+    fault("front " + std::to_string(front) + " takes up by token " + std::to_string(token) +
+          ", having heard " + std::to_string(heard));
   drift::Terms t = sim_.Honest();
   std::size_t size = 0, at = 0, down = 0;
   for (Id id : sim_.Ids()) {
-    if (sim_.Zone(id) != sim_.Zone(front)) continue;
+    if (sim_.Zone(id) != sim_.Zone(front))
+      continue;
     ++size;
-    if (sim_.TakingUp(id)) ++at;
+    if (sim_.TakingUp(id))
+      ++at;
     // Not the owner's to know at once.
-    else if (id != front && sim_.DownSince(id) >= 0 && sim_.now() - sim_.DownSince(id) > SilentFor(t) + 2 * t.round + bound()) ++down;
+    else if (id != front && sim_.DownSince(id) >= 0 &&
+             sim_.now() - sim_.DownSince(id) > SilentFor(t) + 2 * t.round + bound())
+      ++down;
   }
-  if (at > static_cast<std::size_t>(t.at_once)) fault(std::to_string(at) + " fronts of zone " + std::to_string(sim_.Zone(front)) + " take up at once");
-  if (!sim_.RuleDiffers(front) && static_cast<double>(size - at - down) < t.least_serving * static_cast<double>(size))
-    fault("zone " + std::to_string(sim_.Zone(front)) + " is left with " + std::to_string(size - at - down) + " of " + std::to_string(size));
+  if (at > static_cast<std::size_t>(t.at_once))
+    fault(std::to_string(at) + " fronts of zone " + std::to_string(sim_.Zone(front)) +
+          " take up at once");
+  if (!sim_.RuleDiffers(front) &&
+      static_cast<double>(size - at - down) < t.least_serving * static_cast<double>(size))
+    fault("zone " + std::to_string(sim_.Zone(front)) + " is left with " +
+          std::to_string(size - at - down) + " of " + std::to_string(size));
 }
 
 void DriftJudge::Asks(Id by, const Repair& r) {
   ++asked;
   auto a = aside_since_.find(by);
-  if (sim_.at(by).aside(by) || (a != aside_since_.end() && sim_.Reachable(by) && sim_.now() - a->second > bound() && watch_[by].disturbed_at < a->second))
-    fault("front " + std::to_string(by) + " is set aside and asks front " + std::to_string(r.front) + " to take up");
+  if (sim_.at(by).aside(by) ||
+      (a != aside_since_.end() && sim_.Reachable(by) && sim_.now() - a->second > bound() &&
+       watch_[by].disturbed_at < a->second))
+    fault("front " + std::to_string(by) + " is set aside and asks front " +
+          std::to_string(r.front) + " to take up");
 }
 
 }  // namespace dunlinwick::rig
--- a/src/rig/drift_script.cpp
+++ b/src/rig/drift_script.cpp
@@ -12,33 +12,48 @@
 
 DriftRun PlayDrift(std::uint64_t seed, DriftFlaw flaw) {
   std::knuth_b random(static_cast<std::uint32_t>(seed * 7919 + 3));
-  auto up_to = [&](std::uint64_t n) { return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(random); };
+  auto up_to = [&](std::uint64_t n) {
+    return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(random);
+  };
   DriftSimTerms t;
   static const std::size_t kSizes[] = {5, 9, 12};
   static const double kLosses[] = {0, 0.1, 0.3};
-  t.fronts = kSizes[up_to(3)], t.zones = t.fronts == 5 ? 2 : 3;
-  t.loss = kLosses[up_to(3)], t.owners = up_to(3) != 0, t.flaw = flaw, t.via_bytes = seed % 8 == 0;
+  t.fronts = kSizes[up_to(3)];
+  t.zones = t.fronts == 5 ? 2 : 3;
+  t.loss = kLosses[up_to(3)];
+  t.owners = up_to(3) != 0;
+  t.flaw = flaw;
+  t.via_bytes = seed % 8 == 0;
   t.terms.term_most = 40000;
   DriftSim sim(t, seed);
   bool clocks = flaw == DriftFlaw::kConvergingForever || up_to(4) == 0;
   for (Id id : sim.Ids())
-    if (clocks && (flaw == DriftFlaw::kConvergingForever || up_to(3) == 0)) sim.SetClock(id, up_to(4) != 0 ? 0 : 1.7e12 - 3.6e6);  // 1970; set back an hour
+    if (clocks && (flaw == DriftFlaw::kConvergingForever || up_to(3) == 0))
+      sim.SetClock(id, up_to(4) != 0 ? 0 : 1.7e12 - 3.6e6);  // 1970; set back an hour
   int limit = 100;
   std::vector<Form> approved{DriftForm(limit)};
   sim.Approve("fleet", approved.back(), 5000);
   sim.RunUntil(25000);
-  auto any = [&] { return sim.Ids()[up_to(sim.Ids().size())]; };
+  auto any = [&] {
+    return sim.Ids()[up_to(sim.Ids().size())];
+  };
   // A majority whose record is right is what all this stands on.
-  auto few_astray = [&] { return sim.Astray() + 1 <= (sim.Ids().size() - 1) / 2; };
+  auto few_astray = [&] {
+    return sim.Astray() + 1 <= (sim.Ids().size() - 1) / 2;
+  };
   Id usual = any();
   for (int step = 0; step < 10; ++step) {
     Id x = any();
-    auto now = [&] { return sim.now(); };
+    auto now = [&] {
+      return sim.now();
+    };
     switch (up_to(12)) {
-      case 0: case 1: {  // a change by hand
+      case 0:
+      case 1: {  // a change by hand
         Form f = sim.Wanted(x);
         f["sheet"]["legs"] = std::to_string(3 + up_to(5));
-        if (up_to(3) == 0) f["offerings"]["memory"] = "30000";
+        if (up_to(3) == 0)
+          f["offerings"]["memory"] = "30000";
         sim.ByHand(x, f);
         break;
       }
@@ -61,18 +76,22 @@
         sim.Approve("fleet", approved.back(), 15000);
         break;
       case 5:
-        if (x != sim.owner() && few_astray()) sim.Claim(x, sim.WantedVersion(x) + 3, DriftForm(7));
+        if (x != sim.owner() && few_astray())
+          sim.Claim(x, sim.WantedVersion(x) + 3, DriftForm(7));
         break;
       case 6:
-        if (x != sim.owner() && few_astray()) sim.Fork(x, DriftForm(9));
+        if (x != sim.owner() && few_astray())
+          sim.Fork(x, DriftForm(9));
         break;
       case 7:
-        if (!sim.TruthBad(x) && sim.Up(x)) sim.Blip(x, 100 + 50.0 * static_cast<double>(up_to(7)));
+        if (!sim.TruthBad(x) && sim.Up(x))
+          sim.Blip(x, 100 + 50.0 * static_cast<double>(up_to(7)));
         break;
       case 8: {  // a minority cut off, one of it drifting meanwhile
         std::set<Id> side;
         std::size_t many = 1 + up_to((sim.Ids().size() - 1) / 2);
-        while (side.size() < many) side.insert(any());
+        while (side.size() < many)
+          side.insert(any());
         sim.Cut(side, true);
         sim.RunUntil(now() + 1000);
         Form f = sim.Wanted(*side.begin());
@@ -82,7 +101,8 @@
         sim.Cut(side, false);
         break;
       }
-      case 9: {  // an owner that stops without notice, and comes back late, while there is much to repair
+      case 9: {  // an owner that stops without notice, and comes back late, while there is much to
+                 // repair
         Id was = sim.owner();
         for (Id id : {any(), any(), any()})
           if (id != was) {
@@ -93,7 +113,8 @@
         sim.RunUntil(now() + 2000 + 1000.0 * static_cast<double>(up_to(9)));
         sim.OwnerDies();
         sim.RunUntil(now() + 4000 + 1000.0 * static_cast<double>(up_to(12)));
-        if (was != 0) sim.Pause(was, false);
+        if (was != 0)
+          sim.Pause(was, false);
         break;
       }
       case 10:
@@ -102,7 +123,8 @@
       case 11: {  // always the same one
         Form f = sim.Wanted(usual);
         f["sheet"]["legs"] = std::to_string(20 + up_to(100));
-        if (sim.Up(usual)) sim.ByHand(usual, f);
+        if (sim.Up(usual))
+          sim.ByHand(usual, f);
         break;
       }
     }
--- a/src/rig/drift_script.hpp
+++ b/src/rig/drift_script.hpp
@@ -1,4 +1,5 @@
-// One seeded run of faults for the drift rig: what tests, searches by hand and broken variants all play.
+// One seeded run of faults for the drift rig: what tests, searches by hand and broken variants all
+// play.
 #pragma once
 #include "rig/drift_judge.hpp"
 #include "rig/driftsim.hpp"
@@ -8,7 +9,10 @@
 struct DriftRun {
   std::vector<std::string> faults;
   std::vector<Ms> found_after;
-  std::uint64_t owed = 0, met = 0, ended = 0, repairs = 0;
+  std::uint64_t owed = 0;
+  std::uint64_t met = 0;
+  std::uint64_t ended = 0;
+  std::uint64_t repairs = 0;
   double loss = 0;
   std::size_t fronts = 0;
 };
--- a/src/rig/driftsim.cpp
+++ b/src/rig/driftsim.cpp
@@ -9,8 +9,9 @@
 using namespace drift;
 
 const char* ToString(DriftFlaw flaw) {
-  static const char* const kWords[] = {"none", "digest of the file", "whole zone at once", "one front alone", "no hysteresis", "stale owner not fenced",
-                                      "converging for ever"};
+  static const char* const kWords[] = {
+      "none",          "digest of the file",     "whole zone at once", "one front alone",
+      "no hysteresis", "stale owner not fenced", "converging for ever"};
   return kWords[static_cast<std::size_t>(flaw)];
 }
 
@@ -20,89 +21,135 @@
   std::unique_ptr<Drift> machine;
   std::uint64_t life = 0;
   std::uint32_t incarnation = 1;
-  Form memory, file;
-  bool paused = false, taking = false, astray = false;  // astray: what it takes for approved is not the record's
-  Ms down_since = -1, unix_at_zero = 1.7e12;
-  Token floor = 0, heard = 0, last_repair = 0;
+  Form memory;
+  Form file;
+  bool paused = false;
+  bool taking = false;
+  bool astray = false;  // astray: what it takes for approved is not the record's
+  Ms down_since = -1;
+  Ms unix_at_zero = 1.7e12;
+  Token floor = 0;
+  Token heard = 0;
+  Token last_repair = 0;
   Version told = 0;
   std::uint64_t memory_of = 0;
 };
 
-Classes DriftSim::classes() { return {{"offerings.effect", Breaks::kRule}, {"offerings.memory", Breaks::kRule}, {"build.*", Breaks::kNothing}}; }
+Classes DriftSim::classes() {
+  return {{"offerings.effect", Breaks::kRule},
+          {"offerings.memory", Breaks::kRule},
+          {"build.*", Breaks::kNothing}};
+}
 
 DriftSim::DriftSim(DriftSimTerms terms, std::uint64_t seed)
-    : t_(std::move(terms)), random_(static_cast<std::uint32_t>(seed * 2654435761u + 17)), judge_(std::make_unique<DriftJudge>(*this)) {
+    : t_(std::move(terms)),
+      random_(static_cast<std::uint32_t>(seed * 2654435761u + 17)),
+      judge_(std::make_unique<DriftJudge>(*this)) {
   t_.terms.fronts = t_.fronts;
   honest_ = t_.terms;
-  if (t_.flaw == DriftFlaw::kWholeZone) t_.terms.at_once = 1000, t_.terms.least_serving = 0;
-  if (t_.flaw == DriftFlaw::kOneFrontAlone) t_.terms.quorum = 1;
-  if (t_.flaw == DriftFlaw::kNoHysteresis) t_.terms.steady = 1;
-  if (t_.flaw == DriftFlaw::kConvergingForever) t_.terms.term_most = 1e15;
+  if (t_.flaw == DriftFlaw::kWholeZone) {
+    t_.terms.at_once = 1000;
+    t_.terms.least_serving = 0;
+  }
+  if (t_.flaw == DriftFlaw::kOneFrontAlone)
+    t_.terms.quorum = 1;
+  if (t_.flaw == DriftFlaw::kNoHysteresis)
+    t_.terms.steady = 1;
+  if (t_.flaw == DriftFlaw::kConvergingForever)
+    t_.terms.term_most = 1e15;
   for (std::size_t i = 0; i < t_.fronts; ++i) {
     Id id = static_cast<Id>(i + 1);
     ids_.push_back(id);
     auto f = std::make_unique<Front>();
-    f->id = id, f->zone = static_cast<int>(i) % t_.zones;
+    f->id = id;
+    f->zone = static_cast<int>(i) % t_.zones;
     fronts_[id] = std::move(f);
   }
 }
 DriftSim::~DriftSim() = default;
 
-Ms DriftSim::Chance(Ms least, Ms most) { return std::uniform_real_distribution<double>(least, most)(random_); }
-void DriftSim::Later(Ms in, std::function<void()> what) { queue_.push({now_ + in, ++order_, std::move(what)}); }
+Ms DriftSim::Chance(Ms least, Ms most) {
+  return std::uniform_real_distribution<double>(least, most)(random_);
+}
+void DriftSim::Later(Ms in, std::function<void()> what) {
+  queue_.push({now_ + in, ++order_, std::move(what)});
+}
 
 void DriftSim::Start(Id id) {
   Front& f = *fronts_.at(id);
   std::map<Id, int> zones;
-  for (const auto& [k, v] : fronts_) zones[k] = v->zone;
+  for (const auto& [k, v] : fronts_)
+    zones[k] = v->zone;
   ++f.life;
-  f.machine = std::make_unique<Drift>(id, zones, classes(), t_.terms, random_(), now_, Drift::Floors{f.incarnation++, f.floor});
-  f.told = 0, f.astray = false;
+  f.machine = std::make_unique<Drift>(id, zones, classes(), t_.terms, random_(), now_,
+                                      Drift::Floors{f.incarnation++, f.floor});
+  f.told = 0;
+  f.astray = false;
   event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
   Later(Chance(5, 300), [this, id] { TellRecord(id); });
   std::uint64_t life = f.life;
-  Later(Chance(0, 20), [this, id, life] { if (fronts_.at(id)->life == life) TickFront(id); });
+  Later(Chance(0, 20), [this, id, life] {
+    if (fronts_.at(id)->life == life)
+      TickFront(id);
+  });
 }
 
 void DriftSim::TickFront(Id id) {
   Front& f = *fronts_.at(id);
-  if (!f.paused && !f.taking) event(id, Tick{});
+  if (!f.paused && !f.taking)
+    event(id, Tick{});
   std::uint64_t life = f.life;
   Ms in = std::max(10.0, f.machine->WakeAt() - now_);
-  if (f.paused || f.taking) in = 20;
-  Later(in, [this, id, life] { if (fronts_.at(id)->life == life) TickFront(id); });
+  if (f.paused || f.taking)
+    in = 20;
+  Later(in, [this, id, life] {
+    if (fronts_.at(id)->life == life)
+      TickFront(id);
+  });
 }
 
 void DriftSim::RunUntil(Ms until) {
   if (now_ == 0 && order_ == 0) {
     for (Id id : ids_) {
-      if (fronts_.at(id)->memory.empty()) fronts_.at(id)->memory = fronts_.at(id)->file = Wanted(id);
+      if (fronts_.at(id)->memory.empty())
+        fronts_.at(id)->memory = fronts_.at(id)->file = Wanted(id);
       Start(id);
     }
-    if (t_.owners) Give(ids_[random_() % ids_.size()]);
+    if (t_.owners)
+      Give(ids_[random_() % ids_.size()]);
     auto judging = [this](auto self) -> void {
       judge_->step();
       Later(50, [this, self] { self(self); });
     };
     judging(judging);
-    // The record is asked again each second by whoever lacks something; another owner comes a lease after one was lost.
+    // The record is asked again each second by whoever lacks something; another owner comes a lease
+    // after one was lost.
     auto caring = [this](auto self, Ms lost_since) -> void {
       for (Id id : ids_) {
         Front& f = *fronts_.at(id);
-        if (f.told < offset_) Later(Chance(10, 400), [this, id] { TellRecord(id); });
+        if (f.told < offset_)
+          Later(Chance(10, 400), [this, id] { TellRecord(id); });
       }
       if (t_.owners && auto_owner) {
-        bool there = owner_ != 0 && !fronts_.at(owner_)->paused && side_.count(owner_) == 0 && !at(owner_).aside(owner_) && !fronts_.at(owner_)->astray;
-        if (there) lost_since = -1;
-        else if (lost_since < 0) lost_since = now_;
+        bool there = owner_ != 0 && !fronts_.at(owner_)->paused && side_.count(owner_) == 0 &&
+                     !at(owner_).aside(owner_) && !fronts_.at(owner_)->astray;
+        if (there)
+          lost_since = -1;
+        else if (lost_since < 0)
+          lost_since = now_;
         if (lost_since >= 0 && now_ - lost_since >= 3000) {
           std::vector<Id> can;
           for (Id id : ids_) {
             bool aside = false;
-            for (Id by : ids_) aside |= Reachable(by) && at(by).aside(id);
-            if (Reachable(id) && !aside && !fronts_.at(id)->astray) can.push_back(id);
+            for (Id by : ids_)
+              aside |= Reachable(by) && at(by).aside(id);
+            if (Reachable(id) && !aside && !fronts_.at(id)->astray)
+              can.push_back(id);
+          }
+          if (!can.empty()) {
+            Give(can[random_() % can.size()]);
+            lost_since = -1;
           }
-          if (!can.empty()) Give(can[random_() % can.size()]), lost_since = -1;
         }
       }
       Later(1000, [this, self, lost_since] { self(self, lost_since); });
@@ -127,29 +174,45 @@
   Front& f = *fronts_.at(from);
   f.floor = std::max(f.floor, f.machine->token());
   for (Action& a : actions) {
-    if (auto* t = std::get_if<Tell>(&a)) Deliver(from, t->to, std::move(t->told));
-    if (auto* r = std::get_if<Repair>(&a)) judge_->Asks(from, *r), DeliverRepair(from, r->front, *r);
-    if (auto* x = std::get_if<Found>(&a)) judge_->RecordFinding(from, *x);
+    if (auto* t = std::get_if<Tell>(&a))
+      Deliver(from, t->to, std::move(t->told));
+    if (auto* r = std::get_if<Repair>(&a)) {
+      judge_->Asks(from, *r);
+      DeliverRepair(from, r->front, *r);
+    }
+    if (auto* x = std::get_if<Found>(&a))
+      judge_->RecordFinding(from, *x);
     if (auto* u = std::get_if<TakeUp>(&a)) {
-      if (f.taking) continue;
-      f.taking = true, f.down_since = now_, ++take_ups_;
-      judge_->TakesUp(from, t_.flaw == DriftFlaw::kStaleNotFenced ? f.last_repair : u->token, f.heard);
+      if (f.taking)
+        continue;
+      f.taking = true;
+      f.down_since = now_;
+      ++take_ups_;
+      judge_->TakesUp(from, t_.flaw == DriftFlaw::kStaleNotFenced ? f.last_repair : u->token,
+                      f.heard);
       std::uint64_t life = f.life, of = f.memory_of;
       Later(Chance(300, 1500), [this, from, life, of, form = u->form] {
         Front& g = *fronts_.at(from);
-        if (g.life != life || !g.taking) return;
+        if (g.life != life || !g.taking)
+          return;
         g.taking = false;
-        if (!g.paused) g.down_since = -1;
-        if (g.memory_of == of) g.memory = g.file = form;  // else a hand was quicker
-        if (g.paused) return;
+        if (!g.paused)
+          g.down_since = -1;
+        if (g.memory_of == of)
+          g.memory = g.file = form;  // else a hand was quicker
+        if (g.paused)
+          return;
         event(from, Active{t_.flaw == DriftFlaw::kFileNotMemory ? g.file : g.memory});
-        if (on_take_up) on_take_up(from, g.memory);
+        if (on_take_up)
+          on_take_up(from, g.memory);
       });
     }
   }
 }
 
-bool DriftSim::Linked(Id a, Id b) const { return side_.count(a) == side_.count(b); }
+bool DriftSim::Linked(Id a, Id b) const {
+  return side_.count(a) == side_.count(b);
+}
 
 void DriftSim::Deliver(Id from, Id to, Told told) {
   ++datagrams_;
@@ -163,10 +226,12 @@
     }
     told = std::move(*back);
   }
-  if (Chance(0, 1) < t_.loss) return;
+  if (Chance(0, 1) < t_.loss)
+    return;
   Later(Chance(t_.delay_least, t_.delay_most), [this, from, to, told = std::move(told)] {
     Front& g = *fronts_.at(to);
-    if (!Linked(from, to) || g.paused || g.taking) return;
+    if (!Linked(from, to) || g.paused || g.taking)
+      return;
     g.heard = std::max(g.heard, told.token);
     event(to, Hears{from, told});
   });
@@ -174,21 +239,28 @@
 
 void DriftSim::DeliverRepair(Id from, Id to, Repair r) {
   ++datagrams_;
-  if (from != to && Chance(0, 1) < t_.loss) return;
-  Later(from == to ? 0 : Chance(0, 1) < t_.late ? Chance(2000, 8000) : Chance(t_.delay_least, t_.delay_most), [this, from, to, r] {
-    Front& g = *fronts_.at(to);
-    if (!Linked(from, to) || g.paused || g.taking) return;
-    Repair as = r;
-    g.last_repair = r.token;
-    if (t_.flaw == DriftFlaw::kStaleNotFenced) as.token = std::max(as.token, g.machine->token());
-    Carry(to, g.machine->RepairAsked(now_, from, as));
-    g.heard = std::max(g.heard, r.token);
-  });
+  if (from != to && Chance(0, 1) < t_.loss)
+    return;
+  Later(from == to               ? 0
+        : Chance(0, 1) < t_.late ? Chance(2000, 8000)
+                                 : Chance(t_.delay_least, t_.delay_most),
+        [this, from, to, r] {
+          Front& g = *fronts_.at(to);
+          if (!Linked(from, to) || g.paused || g.taking)
+            return;
+          Repair as = r;
+          g.last_repair = r.token;
+          if (t_.flaw == DriftFlaw::kStaleNotFenced)
+            as.token = std::max(as.token, g.machine->token());
+          Carry(to, g.machine->RepairAsked(now_, from, as));
+          g.heard = std::max(g.heard, r.token);
+        });
 }
 
 std::string DriftSim::KeyOf(Id id) const {
   for (const std::string& key : {"front/" + std::to_string(id), "zone/" + std::to_string(Zone(id))})
-    if (record_.count(key) != 0) return key;
+    if (record_.count(key) != 0)
+      return key;
   return "fleet";
 }
 
@@ -202,118 +274,173 @@
 }
 Ms DriftSim::TermEnds(Id id) const {
   auto it = record_.find(KeyOf(id));
-  if (it == record_.end()) return 0;
+  if (it == record_.end())
+    return 0;
   drift::Terms h = Honest();
-  bool wrong = std::any_of(ids_.begin(), ids_.end(), [&](Id x) { return fronts_.at(x)->unix_at_zero != 1.7e12; });
-  Ms term = wrong ? h.term_most : std::clamp(it->second.approval.hold_by - 1.7e12 - it->second.at, h.term_least, h.term_most);
+  bool wrong = std::any_of(ids_.begin(), ids_.end(),
+                           [&](Id x) { return fronts_.at(x)->unix_at_zero != 1.7e12; });
+  Ms term = wrong ? h.term_most
+                  : std::clamp(it->second.approval.hold_by - 1.7e12 - it->second.at, h.term_least,
+                               h.term_most);
   return it->second.at + term + t_.record_most + 1400;
 }
 
 Version DriftSim::Approve(const std::string& key, Form form, Ms hold_for) {
   offset_ += 10;
-  record_[key] = {offset_, {"ops", "", record_.count(key) != 0 ? record_[key].version : 0, 1.7e12 + now_ + hold_for, std::move(form)}, now_};
+  record_[key] = {offset_,
+                  {"ops", "", record_.count(key) != 0 ? record_[key].version : 0,
+                   1.7e12 + now_ + hold_for, std::move(form)},
+                  now_};
   if (order_ != 0)
-    for (Id id : ids_) Later(Chance(20, t_.record_most), [this, id] { TellRecord(id); });
+    for (Id id : ids_)
+      Later(Chance(20, t_.record_most), [this, id] { TellRecord(id); });
   return offset_;
 }
 
 void DriftSim::TellRecord(Id id) {
   Front& f = *fronts_.at(id);
-  if (f.paused || f.taking || side_.count(id) != 0 || f.told >= offset_) return;
+  if (f.paused || f.taking || side_.count(id) != 0 || f.told >= offset_)
+    return;
   f.told = offset_;
   auto own = record_.find(KeyOf(id));
   for (Id of : ids_) {
     auto it = record_.find(KeyOf(of));
-    if (it == record_.end()) continue;
-    event(id, ApprovedFor{of, it->second.version, Digest(it->second.approval.form), it->second.approval.hold_by, f.unix_at_zero + now_,
+    if (it == record_.end())
+      continue;
+    event(id, ApprovedFor{of, it->second.version, Digest(it->second.approval.form),
+                          it->second.approval.hold_by, f.unix_at_zero + now_,
                           std::make_shared<const Form>(it->second.approval.form)});
   }
   if (own != record_.end()) {
     event(id, Approved{own->second.version, own->second.approval});
-    if (f.astray) judge_->kind(id, Standing::kDrifted);  // its record is right again; its memory may not be
+    if (f.astray)
+      judge_->kind(id, Standing::kDrifted);  // its record is right again; its memory may not be
     f.astray = false;
   }
 }
 
 void DriftSim::ByHand(Id id, Form form, bool file) {
   Front& f = *fronts_.at(id);
-  f.memory = std::move(form), ++f.memory_of;
-  if (file) f.file = f.memory;
-  if (!f.paused && f.machine) event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
+  f.memory = std::move(form);
+  ++f.memory_of;
+  if (file)
+    f.file = f.memory;
+  if (!f.paused && f.machine)
+    event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
 }
 void DriftSim::Blip(Id id, Ms lasts) {
   Form was = memory(id), other = was;
   other["sheet"]["blip"] = "1";
   ByHand(id, other);
   std::uint64_t of = fronts_.at(id)->memory_of;
-  Later(lasts, [this, id, was, of] { if (fronts_.at(id)->memory_of == of) ByHand(id, was); });
+  Later(lasts, [this, id, was, of] {
+    if (fronts_.at(id)->memory_of == of)
+      ByHand(id, was);
+  });
 }
 void DriftSim::Claim(Id id, Version version, Form form) {
   Front& f = *fronts_.at(id);
-  f.astray = true, judge_->kind(id, Standing::kUnapproved);
+  f.astray = true;
+  judge_->kind(id, Standing::kUnapproved);
   event(id, Approved{version, Approval{"nobody", "", 0, 0, form}});
   ByHand(id, std::move(form), true);
 }
 void DriftSim::Fork(Id id, Form form) {
   Front& f = *fronts_.at(id);
-  if (f.astray) return;
-  f.astray = true, judge_->kind(id, Standing::kForked);
+  if (f.astray)
+    return;
+  f.astray = true;
+  judge_->kind(id, Standing::kForked);
   event(id, Approved{WantedVersion(id), Approval{"ops", "", 0, 0, form}});
   // What it has for the others is as wrong.
-  for (Id of : ids_) event(id, ApprovedFor{of, WantedVersion(of), Digest(form), 0, 0, std::make_shared<const Form>(form)});
+  for (Id of : ids_)
+    event(id, ApprovedFor{of, WantedVersion(of), Digest(form), 0, 0,
+                          std::make_shared<const Form>(form)});
   ByHand(id, std::move(form), true);
 }
 void DriftSim::Cut(const std::set<Id>& side, bool on) {
-  for (Id id : side) judge_->Disturbed(id);
+  for (Id id : side)
+    judge_->Disturbed(id);
   side_ = on ? side : std::set<Id>{};
 }
 void DriftSim::Pause(Id id, bool on) {
   Front& f = *fronts_.at(id);
   judge_->Disturbed(id);
   f.paused = on;
-  if (on && f.down_since < 0) f.down_since = now_;
-  if (!on && !f.taking) f.down_since = -1, event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
+  if (on && f.down_since < 0)
+    f.down_since = now_;
+  if (!on && !f.taking) {
+    f.down_since = -1;
+    event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
+  }
 }
 void DriftSim::Restart(Id id, bool keeps_form) {
   Front& f = *fronts_.at(id);
-  judge_->Disturbed(id), judge_->StrictKinds(false);
-  f.taking = f.paused = false, f.down_since = -1;
-  if (!keeps_form) f.memory = f.file;
-  if (owner_ == id) owner_ = 0;
+  judge_->Disturbed(id);
+  judge_->StrictKinds(false);
+  f.taking = f.paused = false;
+  f.down_since = -1;
+  if (!keeps_form)
+    f.memory = f.file;
+  if (owner_ == id)
+    owner_ = 0;
   ++f.memory_of;
   Start(id);
 }
-void DriftSim::SetClock(Id id, Ms unix_at_zero) { fronts_.at(id)->unix_at_zero = unix_at_zero; }
+void DriftSim::SetClock(Id id, Ms unix_at_zero) {
+  fronts_.at(id)->unix_at_zero = unix_at_zero;
+}
 void DriftSim::Give(Id id) {
-  if (owner_ != 0 && owner_ != id && Reachable(owner_)) event(owner_, Owns{0});
-  owner_ = id, ++token_;
+  if (owner_ != 0 && owner_ != id && Reachable(owner_))
+    event(owner_, Owns{0});
+  owner_ = id;
+  ++token_;
   fronts_.at(id)->heard = std::max(fronts_.at(id)->heard, token_);
   event(id, Owns{token_});
 }
 void DriftSim::OwnerDies() {
-  if (owner_ != 0) Pause(owner_, true);
+  if (owner_ != 0)
+    Pause(owner_, true);
+}
+void DriftSim::pulls(Id id, double a, double d) {
+  event(id, Pulls{a, d});
 }
-void DriftSim::pulls(Id id, double a, double d) { event(id, Pulls{a, d}); }
 
-int DriftSim::Zone(Id id) const { return fronts_.at(id)->zone; }
-const Drift& DriftSim::at(Id id) const { return *fronts_.at(id)->machine; }
-const Form& DriftSim::memory(Id id) const { return fronts_.at(id)->memory; }
-bool DriftSim::Up(Id id) const { return !fronts_.at(id)->paused && !fronts_.at(id)->taking; }
-bool DriftSim::Reachable(Id id) const { return Up(id) && side_.count(id) == 0; }
-bool DriftSim::TakingUp(Id id) const { return fronts_.at(id)->taking; }
-Ms DriftSim::DownSince(Id id) const { return fronts_.at(id)->down_since; }
+int DriftSim::Zone(Id id) const {
+  return fronts_.at(id)->zone;
+}
+const Drift& DriftSim::at(Id id) const {
+  return *fronts_.at(id)->machine;
+}
+const Form& DriftSim::memory(Id id) const {
+  return fronts_.at(id)->memory;
+}
+bool DriftSim::Up(Id id) const {
+  return !fronts_.at(id)->paused && !fronts_.at(id)->taking;
+}
+bool DriftSim::Reachable(Id id) const {
+  return Up(id) && side_.count(id) == 0;
+}
+bool DriftSim::TakingUp(Id id) const {
+  return fronts_.at(id)->taking;
+}
+Ms DriftSim::DownSince(Id id) const {
+  return fronts_.at(id)->down_since;
+}
 bool DriftSim::TruthBad(Id id) const {
   const Front& f = *fronts_.at(id);
   return f.astray || !Differences(f.memory, Wanted(id), {}).empty();
 }
 std::size_t DriftSim::Astray() const {
   std::size_t n = 0;
-  for (const auto& [id, f] : fronts_) n += f->astray;
+  for (const auto& [id, f] : fronts_)
+    n += f->astray;
   return n;
 }
 bool DriftSim::RuleDiffers(Id id) const {
   for (const Difference& d : Differences(memory(id), Wanted(id), classes()))
-    if (d.breaks == Breaks::kRule) return true;
+    if (d.breaks == Breaks::kRule)
+      return true;
   return false;
 }
 
--- a/src/rig/place.cpp
+++ b/src/rig/place.cpp
@@ -1,9 +1,10 @@
-// dunlinwick_place: a stand-in for whoever carries the fleet's work out (a cache, the head office, the ledger of changes). It
-// answers owners' actions through a fence and tells on standard output what landed, on standard error what was refused.
+// dunlinwick_place: a stand-in for whoever carries the fleet's work out (a cache, the head office,
+// the ledger of changes). It answers owners' actions through a fence and tells on standard output
+// what landed, on standard error what was refused.
 //
 //   dunlinwick_place --listen 127.0.0.180:7600 --id 1000 --front 1=127.0.0.100:8001 --front 2=...
-#include <CLI/CLI.hpp>
 #include <poll.h>
+#include <CLI/CLI.hpp>
 
 #include <cstdio>
 
@@ -29,15 +30,22 @@
     for (ssize_t got = 0; (got = loop.ground().ReceiveFrom(socket.Get(), buffer, from)) >= 0;) {
       auto f = owner::ReadFrame({buffer.data(), static_cast<std::size_t>(got)});
       auto d = f && f->kind == owner::Kind::kAct ? owner::DecodeDo(f->body) : std::nullopt;
-      if (!d) continue;
+      if (!d)
+        continue;
       owner::Did did{*d, fence.Take(d->work, d->token, d->step), 0};
       did.highest = fence.Highest(d->work);
       bool landed = did.landing == owner::Landing::kDone;
-      std::fprintf(landed || did.landing == owner::Landing::kDoneBefore ? stdout : stderr, "%s %s token %llu step %llu front %u highest %llu at %.0f: %s\n",
-                   landed ? "landed" : did.landing == owner::Landing::kDoneBefore ? "known" : "refused", d->work.c_str(),
-                   static_cast<unsigned long long>(d->token), static_cast<unsigned long long>(d->step), f->from,
-                   static_cast<unsigned long long>(did.highest), loop.now(), owner::MakeWord(did.landing));
-      if (auto at = fronts.find(f->from); at != fronts.end()) loop.ground().SendTo(socket.Get(), owner::EncodeDid(id, did), at->second);
+      std::fprintf(landed || did.landing == owner::Landing::kDoneBefore ? stdout : stderr,
+                   "%s %s token %llu step %llu front %u highest %llu at %.0f: %s\n",
+                   landed                                       ? "landed"
+                   : did.landing == owner::Landing::kDoneBefore ? "known"
+                                                                : "refused",
+                   d->work.c_str(), static_cast<unsigned long long>(d->token),
+                   static_cast<unsigned long long>(d->step), f->from,
+                   static_cast<unsigned long long>(did.highest), loop.now(),
+                   owner::MakeWord(did.landing));
+      if (auto at = fronts.find(f->from); at != fronts.end())
+        loop.ground().SendTo(socket.Get(), owner::EncodeDid(id, did), at->second);
     }
   }
 };
@@ -57,12 +65,18 @@
   loop::Loop loop;
   auto at = loop::ReadAddress(listen);
   int fd = at ? loop.ground().OpenDatagrams(*at) : -1;
-  if (fd < 0) return std::fprintf(stderr, "dunlinwick_place: %s cannot be had\n", listen.c_str()), 1;
+  if (fd < 0) {
+    std::fprintf(stderr, "dunlinwick_place: %s cannot be had\n", listen.c_str());
+    return 1;
+  }
   Place place(loop, fd, id);
   for (const std::string& one : fronts) {
     std::size_t eq = one.find('=');
     auto to = eq == one.npos ? std::nullopt : loop::ReadAddress(one.substr(eq + 1));
-    if (!to) return std::fprintf(stderr, "dunlinwick_place: --front %s: ID=ADDRESS wanted\n", one.c_str()), 1;
+    if (!to) {
+      std::fprintf(stderr, "dunlinwick_place: --front %s: ID=ADDRESS wanted\n", one.c_str());
+      return 1;
+    }
     place.fronts[static_cast<owner::Id>(std::strtoul(one.c_str(), nullptr, 10))] = *to;
   }
   loop.WatchDescriptor(place.socket.Get(), place, POLLIN);
--- a/src/rig/record_judge.hpp
+++ b/src/rig/record_judge.hpp
@@ -1,10 +1,13 @@
-// Judges the record from what was seen: acknowledgements, what keepers hold and answer, what subscribers were given. Pure; it
-// knows the wire's meaning and nothing of how keepers and writers decide. Each finding is one line; the first 20 are kept.
+// Judges the record from what was seen: acknowledgements, what keepers hold and answer, what
+// subscribers were given. Pure; it knows the wire's meaning and nothing of how keepers and writers
+// decide. Each finding is one line; the first 20 are kept.
 //
 // What it looks for:
 // - an acknowledged entry lost, changed, or in another order than the acknowledgements allow;
-// - an older value of a key after a newer one at a subscriber, a double, a resurrected key, a key missing in the end;
-// - an offset that two contents were given for, to anybody: acknowledged, committed at a keeper, given to a subscriber;
+// - an older value of a key after a newer one at a subscriber, a double, a resurrected key, a key
+// missing in the end;
+// - an offset that two contents were given for, to anybody: acknowledged, committed at a keeper,
+// given to a subscriber;
 // - a word of a stale writer or compactor that landed where a higher token was promised.
 #pragma once
 #include <map>
@@ -24,12 +27,17 @@
   using Id = record::Id;
   using Entry = record::Entry;
 
-  Offset PutBegins() const { return acknowledged_up_to_; }  // to be handed to acknowledged() with the outcome
+  Offset PutBegins() const {
+    return acknowledged_up_to_;
+  }  // to be handed to acknowledged() with the outcome
   void Acknowledged(Offset before, const std::vector<Entry>& batch);
   void CommittedAt(Id keeper, const Entry& e);
-  void Promised(Id keeper, Token token);      // as its disk has it
-  void Replaced(Id keeper, Token promised);   // its disk is another now: what it promised before is not known to it
-  // A word was taken: entries landed, or a plan that allows compaction up to `cleaned`, `forgotten`.
+  void Promised(Id keeper, Token token);  // as its disk has it
+  void Replaced(
+      Id keeper,
+      Token promised);  // its disk is another now: what it promised before is not known to it
+  // A word was taken: entries landed, or a plan that allows compaction up to `cleaned`,
+  // `forgotten`.
   void Landed(Id keeper, Token token);
   void MayClean(Id keeper, Token token, Offset cleaned, Offset forgotten);
   void Cleaned(Id keeper, Offset cleaned, Offset forgotten);
@@ -41,14 +49,21 @@
   void SubscriberInTheEnd(std::uint64_t subscriber, const std::vector<Entry>& keepers);
   void Find(const std::string& what);  // by the rig, e.g. that it does not come to rest
 
-  const std::vector<std::string>& Findings() const { return findings_; }
-  std::size_t AcknowledgedCount() const { return acknowledged_.size(); }
-  Offset AcknowledgedUpTo() const { return acknowledged_up_to_; }
+  const std::vector<std::string>& Findings() const {
+    return findings_;
+  }
+  std::size_t AcknowledgedCount() const {
+    return acknowledged_.size();
+  }
+  Offset AcknowledgedUpTo() const {
+    return acknowledged_up_to_;
+  }
 
  private:
   struct AtKeeper {
     Token promised = 0;
-    Offset may_clean = 0, may_forget = 0;
+    Offset may_clean = 0;
+    Offset may_forget = 0;
   };
   struct AtSubscriber {
     Offset last = 0;
--- a/src/rig/recordsim.cpp
+++ b/src/rig/recordsim.cpp
@@ -24,38 +24,58 @@
   std::unique_ptr<Server> server;
   std::unique_ptr<Writer> writer;
   Ms writer_since = 0;
-  std::map<std::uint64_t, std::pair<Offset, Ms>> leases;  // at its writer: by subscriber, position and when heard
+  std::map<std::uint64_t, std::pair<Offset, Ms>>
+      leases;  // at its writer: by subscriber, position and when heard
   bool up = false;
-  Ms paused_until = 0, start_at = 0, stops_at = 1e300, clock = 0, full_until = 0;
+  Ms paused_until = 0;
+  Ms start_at = 0;
+  Ms stops_at = 1e300;
+  Ms clock = 0;
+  Ms full_until = 0;
   std::vector<std::pair<Ms, MemoryDisk::Copy>> copies;
   // Damaged: until it has all that was acknowledged then, and is not doubted.
   bool damaged = false;
   Offset owes = 0;
-  std::uint64_t life = 0, calls = 0;
+  std::uint64_t life = 0;
+  std::uint64_t calls = 0;
   int swapped_with = -1;
-  Offset cleaned = 0, forgotten = 0, told = 0;
+  Offset cleaned = 0;
+  Offset forgotten = 0;
+  Offset told = 0;
 };
 struct Follower {
-  std::uint64_t id = 0, life = 0;
+  std::uint64_t id = 0;
+  std::uint64_t life = 0;
   std::unique_ptr<Subscriber> subscriber;
   Offset kept = 0;
-  Ms back_at = 0, away_at = 0;
+  Ms back_at = 0;
+  Ms away_at = 0;
 };
 struct Packet {
-  Id from, to;
+  Id from;
+  Id to;
   int channel;  // 0: keepers' message, 1: subscribers'
   std::string bytes;
 };
 
 class Sim {
  public:
-  Sim(std::uint64_t seed, const RecordTerms& terms) : terms_(terms), chance_(seed * 2654435761u + 17) {
-    log_terms_.most_bytes = 1 << 20, log_terms_.lag = 400, log_terms_.tombstone_term = 600, log_terms_.dead_share = 0.2, log_terms_.entries_a_step = 8;
-    log_terms_.breaks.tombstone_early = terms.tombstone_early, log_terms_.breaks.resumed_forgotten = terms.resumes_forgotten;
-    subscriber_terms_.lease = 1200, subscriber_terms_.piece_bytes = 400;
+  Sim(std::uint64_t seed, const RecordTerms& terms)
+      : terms_(terms), chance_(seed * 2654435761u + 17) {
+    log_terms_.most_bytes = 1 << 20;
+    log_terms_.lag = 400;
+    log_terms_.tombstone_term = 600;
+    log_terms_.dead_share = 0.2;
+    log_terms_.entries_a_step = 8;
+    log_terms_.breaks.tombstone_early = terms.tombstone_early;
+    log_terms_.breaks.resumed_forgotten = terms.resumes_forgotten;
+    subscriber_terms_.lease = 1200;
+    subscriber_terms_.piece_bytes = 400;
     subscriber_terms_.breaks.resumed_forgotten = terms.resumes_forgotten;
-    terms_.keeper.piece_bytes = 300, terms_.keeper.most_window = 4000;
-    for (std::size_t i = 0; i < terms.keepers; ++i) ids_.push_back(static_cast<Id>(i + 1));
+    terms_.keeper.piece_bytes = 300;
+    terms_.keeper.most_window = 4000;
+    for (std::size_t i = 0; i < terms.keepers; ++i)
+      ids_.push_back(static_cast<Id>(i + 1));
     fronts_.resize(terms.keepers);
     for (std::size_t i = 0; i < fronts_.size(); ++i) {
       Front& f = fronts_[i];
@@ -65,7 +85,8 @@
     }
     for (std::uint64_t s = 0; s < 3; ++s) {
       Follower f;
-      f.id = kSubscriberIds + s, f.back_at = Between(0, 6000);
+      f.id = kSubscriberIds + s;
+      f.back_at = Between(0, 6000);
       followers_.push_back(std::move(f));
     }
   }
@@ -73,17 +94,29 @@
   RecordRun Play() {
     next_owner_ = 300;
     next_fault_ = 1000;
-    while (now_ < terms_.faults) step(true);
+    while (now_ < terms_.faults)
+      step(true);
     // All is well again: no cuts, all up, one last owner.
-    cuts_.clear(), loss_ = false;
+    cuts_.clear();
+    loss_ = false;
     for (Front& f : fronts_) {
-      f.paused_until = 0, f.full_until = 0, f.disk->fate = nullptr;
-      if (f.writer) f.writer->Stop(), f.writer.reset();
+      f.paused_until = 0;
+      f.full_until = 0;
+      f.disk->fate = nullptr;
+      if (f.writer) {
+        f.writer->Stop();
+        f.writer.reset();
+      }
     }
-    for (Front& f : fronts_) Unswap(f);
+    for (Front& f : fronts_)
+      Unswap(f);
     for (Front& f : fronts_) {
-      if (f.up && f.keeper->has_failed()) Stop(f);
-      if (!f.up) f.start_at = 0, Start(f);
+      if (f.up && f.keeper->has_failed())
+        Stop(f);
+      if (!f.up) {
+        f.start_at = 0;
+        Start(f);
+      }
     }
     Ms end = now_ + terms_.settle;
     Own(fronts_[Pick(fronts_.size())]);
@@ -96,19 +129,24 @@
     if (!rest) {
       std::string s = "does not come to rest:";
       for (Front& f : fronts_) {
-        s += " [" + std::to_string(f.id) + (f.keeper->has_failed() ? " failed" : "") + " last " + std::to_string(f.log->Last()) + " committed " +
-             std::to_string(f.log->head().committed) + " promised " + std::to_string(f.log->head().promised) + " holes " +
+        s += " [" + std::to_string(f.id) + (f.keeper->has_failed() ? " failed" : "") + " last " +
+             std::to_string(f.log->Last()) + " committed " +
+             std::to_string(f.log->head().committed) + " promised " +
+             std::to_string(f.log->head().promised) + " holes " +
              std::to_string(f.log->Holes(100).size()) + (f.log->Whole() ? "" : " partial") + "]";
-        if (f.writer) s += std::string(" writer ") + ToString(f.writer->phase()) + " " + f.writer->state();
+        if (f.writer)
+          s += std::string(" writer ") + ToString(f.writer->phase()) + " " + f.writer->state();
       }
-      for (Follower& f : followers_) s += " (" + std::to_string(f.subscriber ? f.subscriber->Position() : 0) + ")";
+      for (Follower& f : followers_)
+        s += " (" + std::to_string(f.subscriber ? f.subscriber->Position() : 0) + ")";
       judge_.Find(s);
     }
     for (Front& f : fronts_) {
       auto entries = f.log->Read(0, f.log->head().committed, SIZE_MAX);
       judge_.InTheEnd(f.id, entries, f.log->head().committed, f.log->head().forgotten);
       if (rest && &f == &fronts_[0])
-        for (Follower& s : followers_) judge_.SubscriberInTheEnd(s.id, entries);
+        for (Follower& s : followers_)
+          judge_.SubscriberInTheEnd(s.id, entries);
     }
     out_.findings = judge_.Findings();
     out_.acknowledged = judge_.AcknowledgedCount();
@@ -116,17 +154,31 @@
   }
 
  private:
-  double Unit() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
-  bool Odds(double p) { return Unit() < p; }
-  double Between(double a, double b) { return a + (b - a) * Unit(); }
-  std::size_t Pick(std::size_t n) { return static_cast<std::size_t>(Unit() * static_cast<double>(n)) % n; }
-  Front* front(Id id) { return id >= 1 && id <= fronts_.size() ? &fronts_[id - 1] : nullptr; }
-  std::size_t Minority() const { return (fronts_.size() - 1) / 2; }
+  double Unit() {
+    return std::uniform_real_distribution<double>(0, 1)(chance_);
+  }
+  bool Odds(double p) {
+    return Unit() < p;
+  }
+  double Between(double a, double b) {
+    return a + (b - a) * Unit();
+  }
+  std::size_t Pick(std::size_t n) {
+    return static_cast<std::size_t>(Unit() * static_cast<double>(n)) % n;
+  }
+  Front* front(Id id) {
+    return id >= 1 && id <= fronts_.size() ? &fronts_[id - 1] : nullptr;
+  }
+  std::size_t Minority() const {
+    return (fronts_.size() - 1) / 2;
+  }
 
   void Post(Id from, Id to, int channel, std::string bytes) {
-    if (cuts_.count({from, to})) return;
+    if (cuts_.count({from, to}))
+      return;
     bool same = from == to;
-    if (!same && loss_ && Odds(0.04)) return;
+    if (!same && loss_ && Odds(0.04))
+      return;
     int n = !same && loss_ && Odds(0.03) ? 2 : 1;
     for (int i = 0; i < n; ++i) {
       Ms delay = same ? 0.01 : Between(1, 20) + (loss_ && Odds(0.02) ? Between(100, 1500) : 0);
@@ -134,13 +186,16 @@
     }
   }
   Send Sender(Id from) {
-    return [this, from](Id to, const Message& m) { Post(from, to, 0, Encode(m)); };
+    return [this, from](Id to, const Message& m) {
+      Post(from, to, 0, Encode(m));
+    };
   }
 
   // ---- a front's life
   bool Start(Front& f) {
     f.disk->fate = [this, &f](std::uint64_t) {
-      if (now_ < f.full_until) return MemoryDisk::Fate::kFull;
+      if (now_ < f.full_until)
+        return MemoryDisk::Fate::kFull;
       if (f.start_at == -1 && Odds(0.3)) {
         f.start_at = 0;
         return Odds(0.5) ? MemoryDisk::Fate::kFailsBefore : MemoryDisk::Fate::kFailsAfter;
@@ -158,95 +213,140 @@
     f.keeper = std::make_unique<Keeper>(f.id, ids_, terms_.keeper, *f.log, f.life);
     f.server = std::make_unique<Server>(*f.log, subscriber_terms_, now_);
     f.up = true;
-    f.cleaned = f.log->head().cleaned, f.forgotten = f.log->head().forgotten, f.told = 0;
+    f.cleaned = f.log->head().cleaned;
+    f.forgotten = f.log->head().forgotten;
+    f.told = 0;
     judge_.Replaced(f.id, f.log->head().promised);
     judge_.MayClean(f.id, ~Token{0}, f.cleaned, f.forgotten);
     return true;
   }
   void Stop(Front& f) {
     f.up = false;
-    f.writer.reset(), f.keeper.reset(), f.server.reset(), f.log.reset();  // what was under way is never told
+    f.writer.reset();
+    f.keeper.reset();
+    f.server.reset();
+    f.log.reset();  // what was under way is never told
   }
   void Own(Front& f) {
-    if (!f.up) return;
-    if (f.writer) f.writer->Stop();
+    if (!f.up)
+      return;
+    if (f.writer)
+      f.writer->Stop();
     f.writer = std::make_unique<Writer>(f.id, ids_, terms_.keeper, log_terms_, ++token_, now_);
-    f.writer_since = now_, f.leases.clear(), f.stops_at = 1e300;
-    ++out_.owners, was_founded_ = false;
+    f.writer_since = now_;
+    f.leases.clear();
+    f.stops_at = 1e300;
+    ++out_.owners;
+    was_founded_ = false;
     Trace(f, ("owner " + std::to_string(token_)).c_str());
   }
 
   // ---- what is watched
   void watch(Front& f) {
-    if (!f.log) return;
+    if (!f.log)
+      return;
     const Head& h = f.log->head();
     judge_.Promised(f.id, h.promised);
     if (h.cleaned != f.cleaned || h.forgotten != f.forgotten) {
       judge_.Cleaned(f.id, h.cleaned, h.forgotten);
-      if (h.cleaned > f.cleaned) ++out_.cleanings;
-      f.cleaned = h.cleaned, f.forgotten = h.forgotten;
+      if (h.cleaned > f.cleaned)
+        ++out_.cleanings;
+      f.cleaned = h.cleaned;
+      f.forgotten = h.forgotten;
+    }
+    if (h.committed < f.told) {
+      f.told = 0;
+      ++out_.anew;
     }
-    if (h.committed < f.told) f.told = 0, ++out_.anew;
     for (Offset o = f.told + 1; o <= h.committed; ++o)
-      if (const Entry* e = f.log->at(o)) judge_.CommittedAt(f.id, *e);
+      if (const Entry* e = f.log->at(o))
+        judge_.CommittedAt(f.id, *e);
     f.told = std::max(f.told, h.committed);
-    if (f.damaged && f.keeper && !f.keeper->has_failed() && h.committed >= f.owes && f.log->Whole() && f.log->Holes(1).empty() &&
-        !f.keeper->Doubted())
-      f.damaged = false, Trace(f, "mended");
+    if (f.damaged && f.keeper && !f.keeper->has_failed() && h.committed >= f.owes &&
+        f.log->Whole() && f.log->Holes(1).empty() && !f.keeper->Doubted()) {
+      f.damaged = false;
+      Trace(f, "mended");
+    }
   }
   void Deliver(const Packet& p) {
     if (p.to >= kSubscriberIds) {
       for (Follower& s : followers_)
         if (s.id == p.to && s.subscriber)
-          if (auto m = DecodeSaying(p.bytes); m && std::holds_alternative<Piece>(*m)) s.subscriber->Receive(now_, p.from, std::get<Piece>(*m), out(s));
+          if (auto m = DecodeSaying(p.bytes); m && std::holds_alternative<Piece>(*m))
+            s.subscriber->Receive(now_, p.from, std::get<Piece>(*m), out(s));
       return;
     }
     Front& f = *front(p.to);
-    if (!f.up) return;
+    if (!f.up)
+      return;
     if (now_ < f.paused_until) {
       net_.emplace(std::pair(f.paused_until + 0.001, ++number_), p);
       return;
     }
     if (p.channel == 1) {
       auto m = DecodeSaying(p.bytes);
-      if (!m || f.keeper->has_failed()) return;
+      if (!m || f.keeper->has_failed())
+        return;
       if (auto* w = std::get_if<Want>(&*m)) {
-        if (auto piece = f.server->Wants(now_, *w)) Post(f.id, p.from, 1, Encode(Saying{*piece}));
+        if (auto piece = f.server->Wants(now_, *w))
+          Post(f.id, p.from, 1, Encode(Saying{*piece}));
       } else if (auto* l = std::get_if<Lease>(&*m); l && f.writer) {
-        for (auto [who, at] : l->positions) f.leases[who] = {at, now_};
+        for (auto [who, at] : l->positions)
+          f.leases[who] = {at, now_};
       }
       return;
     }
     auto m = Decode(p.bytes);
-    if (!m) return judge_.Find("a message is not read back");
-    if (auto* fetched = std::get_if<Fetched>(&*m)) judge_.MayClean(f.id, ~Token{0}, fetched->cleaned, 0);  // a hole may be closed by it
+    if (!m)
+      return judge_.Find("a message is not read back");
+    if (auto* fetched = std::get_if<Fetched>(&*m))
+      judge_.MayClean(f.id, ~Token{0}, fetched->cleaned, 0);  // a hole may be closed by it
     auto* append = std::get_if<Append>(&*m);
-    if (std::getenv("RECORD_TRACE") && std::getenv("RECORD_TRACE")[0] - '0' == static_cast<int>(f.id) && append) {
-      std::printf("%8.0f  to %u append after %llu@%llu anew %d committed %llu cleaned %llu forgotten %llu:", now_, f.id, static_cast<unsigned long long>(append->after), static_cast<unsigned long long>(append->after_token), append->anew, static_cast<unsigned long long>(append->committed), static_cast<unsigned long long>(append->cleaned), static_cast<unsigned long long>(append->forgotten));
-      for (auto& e : append->entries) std::printf(" %llu", static_cast<unsigned long long>(e.offset));
+    if (std::getenv("RECORD_TRACE") &&
+        std::getenv("RECORD_TRACE")[0] - '0' == static_cast<int>(f.id) && append) {
+      std::printf(
+          "%8.0f  to %u append after %llu@%llu anew %d committed %llu cleaned %llu forgotten %llu:",
+          now_, f.id, static_cast<unsigned long long>(append->after),
+          static_cast<unsigned long long>(append->after_token), append->anew,
+          static_cast<unsigned long long>(append->committed),
+          static_cast<unsigned long long>(append->cleaned),
+          static_cast<unsigned long long>(append->forgotten));
+      for (auto& e : append->entries)
+        std::printf(" %llu", static_cast<unsigned long long>(e.offset));
       std::printf("\n");
     }
     // That a subscriber left behind starts over hides this from what it holds in the end.
     if (append && append->plan.up_to != 0 && append->plan.forget > passed_[append->plan.token])
-      judge_.Find("a plan forgets up to " + std::to_string(append->plan.forget) + ", and what lives was told to have passed " +
+      judge_.Find("a plan forgets up to " + std::to_string(append->plan.forget) +
+                  ", and what lives was told to have passed " +
                   std::to_string(passed_[append->plan.token]));
     std::uint64_t calls = f.disk->Calls();
     if (append && append->life == f.life) {
-      if (append->plan.up_to != 0) judge_.MayClean(f.id, append->token, append->plan.up_to, append->plan.forget);
+      if (append->plan.up_to != 0)
+        judge_.MayClean(f.id, append->token, append->plan.up_to, append->plan.forget);
       judge_.MayClean(f.id, append->token, append->cleaned, append->forgotten);
     }
     f.keeper->Receive(now_, p.from, *m, Sender(f.id));
-    if (append && f.disk->Calls() != calls) judge_.Landed(f.id, append->token);
+    if (append && f.disk->Calls() != calls)
+      judge_.Landed(f.id, append->token);
     watch(f);
-    if (!f.writer) return;
+    if (!f.writer)
+      return;
     Phase was = f.writer->phase();
     f.writer->Receive(now_, p.from, *m, Sender(f.id));
-    if (was != f.writer->phase()) Trace(f, (std::string(ToString(f.writer->phase())) + " " + std::to_string(f.writer->token())).c_str());
+    if (was != f.writer->phase())
+      Trace(f, (std::string(ToString(f.writer->phase())) + " " + std::to_string(f.writer->token()))
+                   .c_str());
   }
   Subscriber::Out out(Follower& s) {
-    return {[this, &s](Id keeper, const Want& w) { Post(static_cast<Id>(s.id), keeper, 1, Encode(Saying{w})); },
+    return {[this, &s](Id keeper, const Want& w) {
+              Post(static_cast<Id>(s.id), keeper, 1, Encode(Saying{w}));
+            },
             [this, &s](const Entry& e) { judge_.Given(s.id, e); },
-            [this, &s] { judge_.StartOver(s.id), ++out_.start_overs; }};
+            [this, &s] {
+              judge_.StartOver(s.id);
+              ++out_.start_overs;
+            }};
   }
 
   // ---- time goes on
@@ -262,75 +362,105 @@
     now_ = until;
     for (Front& f : fronts_) {
       if (!f.up) {
-        if (faults && f.swapped_with < 0 && now_ >= f.start_at) Start(f);
+        if (faults && f.swapped_with < 0 && now_ >= f.start_at)
+          Start(f);
         continue;
       }
-      if (now_ < f.paused_until) continue;
+      if (now_ < f.paused_until)
+        continue;
       if (f.keeper->has_failed()) {  // it is started anew after a while
         ++out_.kills;
-        Stop(f), f.start_at = now_ + Between(200, 2000);
+        Stop(f);
+        f.start_at = now_ + Between(200, 2000);
         continue;
       }
       Ms unix_now = f.clock + now_;
       f.keeper->Tick(now_, Sender(f.id), unix_now);
       watch(f);
-      if (f.writer && now_ >= f.stops_at) f.writer->Stop(), f.writer.reset();
+      if (f.writer && now_ >= f.stops_at) {
+        f.writer->Stop();
+        f.writer.reset();
+      }
       if (f.writer) {
         TellPassed(f);
         Phase was = f.writer->phase();
         f.writer->Tick(now_, Sender(f.id));
-        if (was != f.writer->phase()) Trace(f, ToString(f.writer->phase()));
-        if (f.writer->Founded() && f.writer->phase() == Phase::kServing && !was_founded_) ++out_.founded, was_founded_ = true;
+        if (was != f.writer->phase())
+          Trace(f, ToString(f.writer->phase()));
+        if (f.writer->Founded() && f.writer->phase() == Phase::kServing && !was_founded_) {
+          ++out_.founded;
+          was_founded_ = true;
+        }
       }
       if (static_cast<long>(now_) % 500 == 0)
         for (Front& g : fronts_)
-          if (g.writer) Post(f.id, g.id, 1, Encode(Saying{f.server->Living(now_)}));
-      if (f.writer && (faults || final_puts_ < 20)) Puts(f, faults);
+          if (g.writer)
+            Post(f.id, g.id, 1, Encode(Saying{f.server->Living(now_)}));
+      if (f.writer && (faults || final_puts_ < 20))
+        Puts(f, faults);
       if (Odds(0.01)) {
         f.copies.emplace_back(now_, f.disk->copy());
-        if (f.copies.size() > 4) f.copies.erase(f.copies.begin());
+        if (f.copies.size() > 4)
+          f.copies.erase(f.copies.begin());
       }
     }
     for (Follower& s : followers_) {
       if (!s.subscriber && (now_ >= s.back_at || !faults)) {
-        s.subscriber = std::make_unique<Subscriber>(s.id, ++s.life, ids_, subscriber_terms_, s.kept, chance_(), now_);
+        s.subscriber = std::make_unique<Subscriber>(s.id, ++s.life, ids_, subscriber_terms_, s.kept,
+                                                    chance_(), now_);
         s.away_at = now_ + Between(1000, 8000);
       }
-      if (!s.subscriber) continue;
+      if (!s.subscriber)
+        continue;
       s.subscriber->Tick(now_, out(s));
       if (faults && now_ >= s.away_at) {
         s.kept = s.subscriber->Position();
-        s.subscriber.reset(), s.back_at = now_ + (Odds(0.5) ? Between(100, 2000) : Between(4000, 9000));
+        s.subscriber.reset();
+        s.back_at = now_ + (Odds(0.5) ? Between(100, 2000) : Between(4000, 9000));
       }
     }
-    if (!faults) return;
+    if (!faults)
+      return;
     if (now_ >= next_owner_) {
       next_owner_ = now_ + (Odds(0.3) ? Between(50, 600) : Between(800, 5000));
       for (Front& f : fronts_)
-        if (f.writer && f.stops_at == 1e300) f.stops_at = now_ + (Odds(0.5) ? 0 : Between(0, 4000));
+        if (f.writer && f.stops_at == 1e300)
+          f.stops_at = now_ + (Odds(0.5) ? 0 : Between(0, 4000));
       Front& f = fronts_[Pick(fronts_.size())];
       Own(f);
     }
-    if (!terms_.calm && now_ >= next_fault_) next_fault_ = now_ + Between(50, 900), fault();
+    if (!terms_.calm && now_ >= next_fault_) {
+      next_fault_ = now_ + Between(50, 900);
+      fault();
+    }
   }
   void TellPassed(Front& f) {
-    if (now_ < f.writer_since + subscriber_terms_.lease) return;  // it may not have heard of all that live
+    if (now_ < f.writer_since + subscriber_terms_.lease)
+      return;  // it may not have heard of all that live
     Offset least = f.writer->Committed();
     for (auto i = f.leases.begin(); i != f.leases.end();) {
-      if (now_ > i->second.second + subscriber_terms_.lease) i = f.leases.erase(i);
-      else least = std::min(least, i->second.first), ++i;
+      if (now_ > i->second.second + subscriber_terms_.lease)
+        i = f.leases.erase(i);
+      else {
+        least = std::min(least, i->second.first);
+        ++i;
+      }
     }
     f.writer->Passed(now_, least);
     passed_[f.writer->token()] = std::max(passed_[f.writer->token()], least);
   }
   void Puts(Front& f, bool faults) {
-    if (!Odds(0.4) || f.writer->phase() != Phase::kServing) return;
+    if (!Odds(0.4) || f.writer->phase() != Phase::kServing)
+      return;
     std::vector<Writer::Put> batch;
     std::size_t n = Odds(0.15) ? 2 + Pick(4) : 1;
     for (std::size_t i = 0; i < n; ++i) {
       Writer::Put p;
-      p.stream = static_cast<Stream>(Pick(2)), p.key = "k" + std::to_string(Odds(0.6) ? Pick(8) : 8 + Pick(30)), p.tombstone = Odds(0.3);
-      if (!p.tombstone) p.value = std::to_string(++values_) + std::string(Pick(60), 'x');
+      p.stream = static_cast<Stream>(Pick(2));
+      p.key = "k" + std::to_string(Odds(0.6) ? Pick(8) : 8 + Pick(30));
+      p.tombstone = Odds(0.3);
+      if (!p.tombstone)
+        p.value = std::to_string(++values_) + std::string(Pick(60), 'x');
       batch.push_back(p);
     }
     Offset before = judge_.PutBegins();
@@ -340,44 +470,64 @@
         return;
       }
       std::vector<Entry> entries;
-      for (const auto& p : batch) entries.push_back({first++, 0, p.stream, p.key, p.tombstone, p.value, 0});
+      for (const auto& p : batch)
+        entries.push_back({first++, 0, p.stream, p.key, p.tombstone, p.value, 0});
       judge_.Acknowledged(before, entries);
     };
-    if (!f.writer->Write(now_, batch, done, Sender(f.id), f.clock + now_)) ++out_.refused;
-    else if (!faults) ++final_puts_;
+    if (!f.writer->Write(now_, batch, done, Sender(f.id), f.clock + now_))
+      ++out_.refused;
+    else if (!faults)
+      ++final_puts_;
   }
 
   void Trace(const Front& f, const char* what) {
-    if (!std::getenv("RECORD_TRACE")) return;
+    if (!std::getenv("RECORD_TRACE"))
+      return;
     auto c = f.disk->copy();
-    std::printf("%8.0f front %u %s: disk last %llu", now_, f.id, what, c.entries.empty() ? 0ull : static_cast<unsigned long long>(c.entries.rbegin()->first));
+    std::printf(
+        "%8.0f front %u %s: disk last %llu", now_, f.id, what,
+        c.entries.empty() ? 0ull : static_cast<unsigned long long>(c.entries.rbegin()->first));
     if (c.head) {
-      std::printf(" committed %llu promised %llu cleaned %llu forgotten %llu seen", static_cast<unsigned long long>(c.head->committed), static_cast<unsigned long long>(c.head->promised), static_cast<unsigned long long>(c.head->cleaned), static_cast<unsigned long long>(c.head->forgotten));
-      for (auto [who, at] : c.head->seen) std::printf(" %u:%llu", who, static_cast<unsigned long long>(at));
+      std::printf(" committed %llu promised %llu cleaned %llu forgotten %llu seen",
+                  static_cast<unsigned long long>(c.head->committed),
+                  static_cast<unsigned long long>(c.head->promised),
+                  static_cast<unsigned long long>(c.head->cleaned),
+                  static_cast<unsigned long long>(c.head->forgotten));
+      for (auto [who, at] : c.head->seen)
+        std::printf(" %u:%llu", who, static_cast<unsigned long long>(at));
     }
     std::printf(" acked %llu\n", static_cast<unsigned long long>(judge_.AcknowledgedUpTo()));
   }
-  void Damage(Front& f) { f.damaged = true, f.owes = judge_.AcknowledgedUpTo(), ++out_.damages; }
+  void Damage(Front& f) {
+    f.damaged = true;
+    f.owes = judge_.AcknowledgedUpTo();
+    ++out_.damages;
+  }
   bool MayDamage(const Front& f) const {
     std::size_t n = 1;
-    for (const Front& g : fronts_) n += g.damaged && &g != &f ? 1 : 0;
+    for (const Front& g : fronts_)
+      n += g.damaged && &g != &f ? 1 : 0;
     return n <= Minority();
   }
   // Found to be old for sure: every other keeper knows better.
   bool Witnessed(const Front& f, const MemoryDisk::Copy& copy) const {
     Offset last = copy.entries.empty() ? 0 : copy.entries.rbegin()->first;
     for (const Front& g : fronts_) {
-      if (&g == &f) continue;
+      if (&g == &f)
+        continue;
       auto h = g.disk->copy().head;
       bool more = false;
       if (h)
-        for (auto [who, upTo] : h->seen) more = more || (who == f.id && upTo > last);
-      if (!more) return false;
+        for (auto [who, upTo] : h->seen)
+          more = more || (who == f.id && upTo > last);
+      if (!more)
+        return false;
     }
     return true;
   }
   void Unswap(Front& f) {
-    if (f.swapped_with < 0) return;
+    if (f.swapped_with < 0)
+      return;
     Front& g = fronts_[static_cast<std::size_t>(f.swapped_with)];
     std::swap(f.disk, g.disk);
     f.swapped_with = g.swapped_with = -1;
@@ -385,72 +535,119 @@
   void fault() {
     Front& f = fronts_[Pick(fronts_.size())];
     switch (Pick(12)) {
-      case 0: f.paused_until = now_ + Between(100, 4000); break;
+      case 0:
+        f.paused_until = now_ + Between(100, 4000);
+        break;
       case 1:
       case 2:
-        if (f.up) ++out_.kills, Stop(f), f.start_at = now_ + (Odds(0.2) ? Between(3000, 9000) : Between(50, 3000));
+        if (f.up) {
+          ++out_.kills;
+          Stop(f);
+          f.start_at = now_ + (Odds(0.2) ? Between(3000, 9000) : Between(50, 3000));
+        }
         break;
       case 3:  // without its store
         if (f.up && MayDamage(f)) {
-          ++out_.kills, Stop(f), Damage(f);
-          Trace(f, "wiped"), f.disk->PutBack({}), f.copies.clear(), f.start_at = now_ + Between(50, 3000);
+          ++out_.kills;
+          Stop(f);
+          Damage(f);
+          Trace(f, "wiped");
+          f.disk->PutBack({});
+          f.copies.clear();
+          f.start_at = now_ + Between(50, 3000);
         }
         break;
       case 4:
         if (f.up && !f.copies.empty() && MayDamage(f)) {
           auto copy = f.copies[Pick(f.copies.size())].second;
-          if (!terms_.keeper.doubt_restarts && !Witnessed(f, copy)) break;
-          ++out_.kills, Stop(f), Damage(f);
-          Trace(f, "old"), f.disk->PutBack(copy), Trace(f, "to"), f.start_at = now_ + Between(50, 1000);
+          if (!terms_.keeper.doubt_restarts && !Witnessed(f, copy))
+            break;
+          ++out_.kills;
+          Stop(f);
+          Damage(f);
+          Trace(f, "old");
+          f.disk->PutBack(copy);
+          Trace(f, "to");
+          f.start_at = now_ + Between(50, 1000);
         }
         break;
       case 5: {
         Front& g = fronts_[Pick(fronts_.size())];
-        if (&f == &g || !f.up || !g.up) break;
-        ++out_.kills, Stop(f), Stop(g), std::swap(f.disk, g.disk);
-        if (Start(f) || Start(g)) judge_.Find("a swapped disk is taken");
-        f.swapped_with = static_cast<int>(g.id) - 1, g.swapped_with = static_cast<int>(f.id) - 1;
+        if (&f == &g || !f.up || !g.up)
+          break;
+        ++out_.kills;
+        Stop(f);
+        Stop(g);
+        std::swap(f.disk, g.disk);
+        if (Start(f) || Start(g))
+          judge_.Find("a swapped disk is taken");
+        f.swapped_with = static_cast<int>(g.id) - 1;
+        g.swapped_with = static_cast<int>(f.id) - 1;
         swap_ends_ = now_ + Between(100, 2000);
         break;
       }
       case 6:
         if (f.up && MayDamage(f) && f.log->size() > 0) {
           auto copy = f.disk->copy();
-          ++out_.kills, Stop(f), Damage(f);
+          ++out_.kills;
+          Stop(f);
+          Damage(f);
           auto i = copy.entries.begin();
           std::advance(i, static_cast<long>(Pick(copy.entries.size())));
           bool flips = Odds(0.8), loses = !flips && i->first <= copy.head->committed;
-          Trace(f, ((flips ? "flipped " : loses ? "loses " : "spared ") + std::to_string(i->first)).c_str());
-          if (flips) f.disk->Flip(i->first);
-          if (loses) f.disk->Lose(i->first);
+          Trace(f, ((flips   ? "flipped "
+                     : loses ? "loses "
+                             : "spared ") +
+                    std::to_string(i->first))
+                       .c_str());
+          if (flips)
+            f.disk->Flip(i->first);
+          if (loses)
+            f.disk->Lose(i->first);
           f.start_at = now_ + Between(50, 1000);
         }
         break;
-      case 7: f.full_until = now_ + Between(100, 3000); break;
-      case 8: f.start_at = f.up ? -1 : f.start_at; break;  // its disk fails one of the next calls
+      case 7:
+        f.full_until = now_ + Between(100, 3000);
+        break;
+      case 8:
+        f.start_at = f.up ? -1 : f.start_at;
+        break;  // its disk fails one of the next calls
       case 9:
         for (Id other : ids_)
           if (other != f.id && Odds(0.7)) {
-            if (Odds(0.7)) cuts_.insert({f.id, other});
-            if (Odds(0.7)) cuts_.insert({other, f.id});
+            if (Odds(0.7))
+              cuts_.insert({f.id, other});
+            if (Odds(0.7))
+              cuts_.insert({other, f.id});
           }
         break;
-      case 10: cuts_.clear(); break;
-      case 11: f.clock += Odds(0.3) ? -1.7e12 * Unit() : Between(-5000, 5000); break;
+      case 10:
+        cuts_.clear();
+        break;
+      case 11:
+        f.clock += Odds(0.3) ? -1.7e12 * Unit() : Between(-5000, 5000);
+        break;
     }
-    if (Odds(0.3)) cuts_.clear();
+    if (Odds(0.3))
+      cuts_.clear();
     if (now_ >= swap_ends_)
-      for (Front& g : fronts_) Unswap(g);
+      for (Front& g : fronts_)
+        Unswap(g);
   }
   bool AtRest() {
     Offset all = 0;
     for (Front& f : fronts_)
-      if (f.writer && f.writer->phase() == Phase::kServing) all = f.writer->Committed();
-    if (final_puts_ < 20 || all == 0) return false;
+      if (f.writer && f.writer->phase() == Phase::kServing)
+        all = f.writer->Committed();
+    if (final_puts_ < 20 || all == 0)
+      return false;
     for (Front& f : fronts_)
-      if (f.log->head().committed != all || !f.log->Holes(1).empty() || !f.log->Whole()) return false;
+      if (f.log->head().committed != all || !f.log->Holes(1).empty() || !f.log->Whole())
+        return false;
     for (Follower& s : followers_)
-      if (!s.subscriber || s.subscriber->Position() < all) return false;
+      if (!s.subscriber || s.subscriber->Position() < all)
+        return false;
     return true;
   }
 
@@ -465,21 +662,34 @@
   std::set<std::pair<Id, Id>> cuts_;
   RecordJudge judge_;
   RecordRun out_;
-  Ms now_ = 0, next_owner_ = 0, next_fault_ = 0, swap_ends_ = 0;
-  bool loss_ = true, last_ = false, was_founded_ = false;
-  std::uint64_t number_ = 0, stores_ = 0, lives_ = 0, values_ = 0, final_puts_ = 0;
+  Ms now_ = 0;
+  Ms next_owner_ = 0;
+  Ms next_fault_ = 0;
+  Ms swap_ends_ = 0;
+  bool loss_ = true;
+  bool last_ = false;
+  bool was_founded_ = false;
+  std::uint64_t number_ = 0;
+  std::uint64_t stores_ = 0;
+  std::uint64_t lives_ = 0;
+  std::uint64_t values_ = 0;
+  std::uint64_t final_puts_ = 0;
   Token token_ = 0;
-  std::map<Token, Offset> passed_;  // by owner's token: the most that its subscribers were told to have passed
+  std::map<Token, Offset>
+      passed_;  // by owner's token: the most that its subscribers were told to have passed
 };
 
 }  // namespace
 
 std::string RecordRun::Text() const {
-  std::string s = "acknowledged " + std::to_string(acknowledged) + ", unsure " + std::to_string(unsure) + ", refused " + std::to_string(refused) +
-                  ", owners " + std::to_string(owners) + ", kills " + std::to_string(kills) + ", damaged disks " + std::to_string(damages) +
-                  ", begun anew " + std::to_string(anew) + ", cleanings " + std::to_string(cleanings) + ", subscribers starting over " +
+  std::string s = "acknowledged " + std::to_string(acknowledged) + ", unsure " +
+                  std::to_string(unsure) + ", refused " + std::to_string(refused) + ", owners " +
+                  std::to_string(owners) + ", kills " + std::to_string(kills) + ", damaged disks " +
+                  std::to_string(damages) + ", begun anew " + std::to_string(anew) +
+                  ", cleanings " + std::to_string(cleanings) + ", subscribers starting over " +
                   std::to_string(start_overs);
-  for (const auto& f : findings) s += "\n  " + f;
+  for (const auto& f : findings)
+    s += "\n  " + f;
   return s;
 }
 
@@ -489,6 +699,8 @@
   t.keeper.doubt_restarts = seed % 2 == 1;
   return t;
 }
-RecordRun Run(std::uint64_t seed, const RecordTerms& terms) { return Sim(seed, terms).Play(); }
+RecordRun Run(std::uint64_t seed, const RecordTerms& terms) {
+  return Sim(seed, terms).Play();
+}
 
 }  // namespace dunlinwick::rig
--- a/src/rig/recordsim.hpp
+++ b/src/rig/recordsim.hpp
@@ -1,8 +1,10 @@
-// The record in virtual time: the keepers, writers and subscribers that a front runs, over disks in memory, with faults from one
-// seed: fronts paused and killed, disks put back to an older copy, emptied, swapped, flipped, full, failing; messages lost, late,
-// doubled, cut both ways or one; clocks at 1970 and stepping; two owners for a moment; subscribers that come late, leave, and come back.
-// The promise judged is that of keepers.hpp: so at most a minority of disks is damaged at a time, until brought up again; and
-// without `doubtRestarts` a disk comes back older only where every other keeper has witnessed more.
+// The record in virtual time: the keepers, writers and subscribers that a front runs, over disks in
+// memory, with faults from one seed: fronts paused and killed, disks put back to an older copy,
+// emptied, swapped, flipped, full, failing; messages lost, late, doubled, cut both ways or one;
+// clocks at 1970 and stepping; two owners for a moment; subscribers that come late, leave, and come
+// back. The promise judged is that of keepers.hpp: so at most a minority of disks is damaged at a
+// time, until brought up again; and without `doubtRestarts` a disk comes back older only where
+// every other keeper has witnessed more.
 #pragma once
 #include "record/keepers.hpp"
 #include "record/subscribers.hpp"
@@ -12,17 +14,29 @@
 
 struct RecordTerms {
   std::size_t keepers = 3;
-  record::Ms faults = 20000, settle = 60000;
-  bool calm = false;            // no faults but changes of owner
-  bool resumes_forgotten = false, tombstone_early = false;  // broken variants of the log and its server
-  record::KeeperTerms keeper;   // with its broken variants
+  record::Ms faults = 20000;
+  record::Ms settle = 60000;
+  bool calm = false;  // no faults but changes of owner
+  bool resumes_forgotten = false;
+  bool tombstone_early = false;  // broken variants of the log and its server
+  record::KeeperTerms keeper;    // with its broken variants
 };
 struct RecordRun {
   std::vector<std::string> findings;
-  std::size_t acknowledged = 0, unsure = 0, refused = 0, owners = 0, kills = 0, damages = 0, anew = 0, cleanings = 0, start_overs = 0, founded = 0;
+  std::size_t acknowledged = 0;
+  std::size_t unsure = 0;
+  std::size_t refused = 0;
+  std::size_t owners = 0;
+  std::size_t kills = 0;
+  std::size_t damages = 0;
+  std::size_t anew = 0;
+  std::size_t cleanings = 0;
+  std::size_t start_overs = 0;
+  std::size_t founded = 0;
   std::string Text() const;
 };
-// Everything from the seed; the same seed, the same run. What is drawn by it: 3 or 5 keepers, doubted restarts or not (unless given).
+// Everything from the seed; the same seed, the same run. What is drawn by it: 3 or 5 keepers,
+// doubted restarts or not (unless given).
 RecordTerms Drawn(std::uint64_t seed);
 RecordRun Run(std::uint64_t seed, const RecordTerms& terms);
 
--- a/src/rig/recoverysim.hpp
+++ b/src/rig/recoverysim.hpp
@@ -1,8 +1,9 @@
-// A fleet losing its power and coming back, emulated on a virtual clock: each front's very Recovery machine, and small models of
-// what it asks (the group's election and log, the record's positions, rules versions, a disk each with faults) and of what lies
-// behind (zone caches that warm with what is filled, cold parents whose capacity grows with their warmth as coldTerms in
-// src/logic.cpp has it, head office, a board that may be down). No sockets, no libraft. One seed is one schedule, replayed
-// exactly.
+// A fleet losing its power and coming back, emulated on a virtual clock: each front's very Recovery
+// machine, and small models of what it asks (the group's election and log, the record's positions,
+// rules versions, a disk each with faults) and of what lies behind (zone caches that warm with what
+// is filled, cold parents whose capacity grows with their warmth as coldTerms in src/logic.cpp has
+// it, head office, a board that may be down). No sockets, no libraft. One seed is one schedule,
+// replayed exactly.
 #pragma once
 #include <deque>
 #include <memory>
@@ -15,53 +16,92 @@
 using recovery::Id;
 using recovery::Ms;
 
-enum class Fault { kAll, kZone, kAllButOne, kStaggered, kAgain, kStores, kAllStores, kClocks, kBoard, kPartition, kAlone, kMixed };
+enum class Fault {
+  kAll,
+  kZone,
+  kAllButOne,
+  kStaggered,
+  kAgain,
+  kStores,
+  kAllStores,
+  kClocks,
+  kBoard,
+  kPartition,
+  kAlone,
+  kMixed
+};
 constexpr int kFaultKinds = 12;
 const char* ToString(Fault f);
 
-struct RecoveryBreaks {  // each a way to be wrong, for the judge to catch
+struct RecoveryBreaks {   // each a way to be wrong, for the judge to catch
   bool own_disk = false;  // own disk believed over the majority
-  bool lease = false;    // a lease from before believed after the loss
+  bool lease = false;     // a lease from before believed after the loss
   bool at_once = false;   // all pulls let in at once
-  bool skip = false;     // a front whose store is good skips phases
-  bool foreign = false;  // another's disk taken
-  bool untold = false;   // loss not told
+  bool skip = false;      // a front whose store is good skips phases
+  bool foreign = false;   // another's disk taken
+  bool untold = false;    // loss not told
 };
 struct RecoverySimTerms {
-  int fronts = 7, zones = 3, group = 3;
+  int fronts = 7;
+  int zones = 3;
+  int group = 3;
   recovery::Terms each;
-  Ms tick = 50, longest = 600000;
-  double parent_from = 0.3, usual_miss = 0.1, spare = 2;  // capacity at start; of pulls with warm caches; of usual fills when warm
+  Ms tick = 50;
+  Ms longest = 600000;
+  double parent_from = 0.3;
+  double usual_miss = 0.1;
+  double spare = 2;  // capacity at start; of pulls with warm caches; of usual fills when warm
   Ms parent_lasts = 30000;
-  double cache_holds = 1000;  // ms of a front's usual pulls, all filled, that warm its part of the zone's caches to 63%
-  bool bytes = true;         // hellos go through their bytes
+  double cache_holds = 1000;  // ms of a front's usual pulls, all filled, that warm its part of the
+                              // zone's caches to 63%
+  bool bytes = true;          // hellos go through their bytes
   RecoveryBreaks breaks;
 };
 RecoverySimTerms Usual(int fronts, int zones);
 
 // What the judge reads: what happened, by the rig's own knowledge.
 struct Seen {
-  enum class What { kPower, kEntered, kAdmit, kLoss, kSpoilt, kGrant, kCommitted, kLevel, kLost } what;
+  enum class What {
+    kPower,
+    kEntered,
+    kAdmit,
+    kLoss,
+    kSpoilt,
+    kGrant,
+    kCommitted,
+    kLevel,
+    kLost
+  } what;
   Ms at = 0;
   Id front = 0;
   recovery::Phase phase = recovery::Phase::kStore;
-  bool by_time = false, certain_only = false, current = false;  // current: its record was truly caught up in this life
-  bool bad = false;       // its disk is another's, old or flipped, and is still believed
-  std::uint64_t number = 0, floor = 0, ceiling = 0;  // token or offset; known to a majority's disks; highest ever true
-  Ms lease_over = 0;       // of a grant: when the last lease from before runs out
-  double value = 0;       // level of the parents
+  bool by_time = false;
+  bool certain_only = false;
+  bool current = false;  // current: its record was truly caught up in this life
+  bool bad = false;      // its disk is another's, old or flipped, and is still believed
+  std::uint64_t number = 0;
+  std::uint64_t floor = 0;
+  std::uint64_t ceiling = 0;  // token or offset; known to a majority's disks; highest ever true
+  Ms lease_over = 0;          // of a grant: when the last lease from before runs out
+  double value = 0;           // level of the parents
   std::string why = {};
 };
 struct RecoveryRun {
   std::vector<Seen> seen;
   std::vector<std::string> faults;
   recovery::Terms terms;
-  Ms faults_over = 0, end = 0;
-  bool all_whole = false, all_stores_lost = false, whole_loss = false;
+  Ms faults_over = 0;
+  Ms end = 0;
+  bool all_whole = false;
+  bool all_stores_lost = false;
+  bool whole_loss = false;
   // For the bench: from the (last) return of power on.
-  Ms first_safe = -1, first_kept = -1, goodput95 = -1;
+  Ms first_safe = -1;
+  Ms first_kept = -1;
+  Ms goodput95 = -1;
   double peak_parents = 0;  // level: what is asked of them over what they bear
-  double peak_office = 0, usual_office = 0;
+  double peak_office = 0;
+  double usual_office = 0;
 };
 
 class RecoverySim {
@@ -76,7 +116,8 @@
   struct Group;
   struct Flight {
     Ms at;
-    Id from, to;
+    Id from;
+    Id to;
     std::string bytes;
     recovery::Hello hello;
   };
@@ -89,8 +130,12 @@
   void FrontTurn(Front& f);
   void BehindTurn();
   bool reach(const Front& a, const Front& b) const;
-  double Unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  Ms Between(Ms a, Ms b) { return a + (b - a) * Unit(); }
+  double Unit() {
+    return std::uniform_real_distribution<double>(0, 1)(random_);
+  }
+  Ms Between(Ms a, Ms b) {
+    return a + (b - a) * Unit();
+  }
 
   RecoverySimTerms terms_;
   std::knuth_b random_;
@@ -99,13 +144,15 @@
   std::unique_ptr<Group> group_;
   std::deque<std::vector<Flight>> flights_;  // by tick
   std::vector<double> warm_;                 // by zone
-  std::vector<Ms> zone_since_;                // start of its caches
+  std::vector<Ms> zone_since_;               // start of its caches
   Ms parents_since_ = -1e9;
   double parents_warm_ = 1;
   std::deque<bool> crowded_;
   bool crowded_now_ = false;
-  Ms board_down_until_ = -1, power_back_ = -1;
-  std::uint64_t known_token_ = 0, known_offset_ = 0;  // by a majority's disks, when power went
+  Ms board_down_until_ = -1;
+  Ms power_back_ = -1;
+  std::uint64_t known_token_ = 0;
+  std::uint64_t known_offset_ = 0;  // by a majority's disks, when power went
   double worst_ = 0;
   RecoveryRun run_;
 };
--- a/src/rig/script.cpp
+++ b/src/rig/script.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr std::array<const char*, 10> kDeeds{"kill",  "restart",     "stop",          "resume", "cut",
-                                            "cut_out", "links", "caches_down", "caches_silent", "heal"};
+constexpr std::array<const char*, 10> kDeeds{"kill",          "restart", "stop",  "resume",
+                                             "cut",           "cut_out", "links", "caches_down",
+                                             "caches_silent", "heal"};
 
 const char* const kFleetRules = R"({
   "type": "object", "additionalProperties": false, "required": ["zones"],
@@ -70,7 +71,8 @@
   }
 })";
   std::string words;
-  for (const char* d : kDeeds) words += std::string(words.empty() ? "" : ", ") + "\"" + d + "\"";
+  for (const char* d : kDeeds)
+    words += std::string(words.empty() ? "" : ", ") + "\"" + d + "\"";
   return text.replace(text.find("DEEDS"), 5, words);
 }
 
@@ -80,12 +82,18 @@
   schema::Take(&in, name, into, times);
 }
 
-bool OfFronts(Deed d) { return d <= Deed::kCutOut; }
-bool OfCaches(Deed d) { return d == Deed::kCachesDown || d == Deed::kCachesSilent; }
+bool OfFronts(Deed d) {
+  return d <= Deed::kCutOut;
+}
+bool OfCaches(Deed d) {
+  return d == Deed::kCachesDown || d == Deed::kCachesSilent;
+}
 
 }  // namespace
 
-const char* ToString(Deed deed) { return kDeeds[static_cast<std::size_t>(deed)]; }
+const char* ToString(Deed deed) {
+  return kDeeds[static_cast<std::size_t>(deed)];
+}
 
 FleetFile ReadFleetFile(const std::string& path, int fronts) {
   return ReadFleetText(path, schema::ReadFile(path), fronts);
@@ -95,93 +103,148 @@
   schema::Sheet sheet(named, text, kFleetRules);
   const rapidjson::Value& root = sheet.Root();
   FleetFile f;
-  f.swim.period = 200, f.swim.probe_timeout = 60, f.verdict.hold_back = 1000;
+  f.swim.period = 200;
+  f.swim.probe_timeout = 60;
+  f.verdict.hold_back = 1000;
   for (const rapidjson::Value& z : Member(root, "zones")->GetArray()) {
     std::string name;
     Take(z, "name", name);
     if (std::find(f.zones.begin(), f.zones.end(), name) != f.zones.end())
-      sheet.Refuse("/zones/" + std::to_string(f.zones.size()) + "/name", "\"" + name + "\" is there twice");
+      sheet.Refuse("/zones/" + std::to_string(f.zones.size()) + "/name",
+                   "\"" + name + "\" is there twice");
     f.zones.push_back(name);
     Take(z, "region", f.regions.emplace_back());
   }
   f.fronts = static_cast<int>(f.zones.size()) * 2;
-  Take(root, "fronts", f.fronts), Take(root, "caches_per_zone", f.caches_per_zone), Take(root, "port", f.port);
-  Take(root, "period_ms", f.swim.period), Take(root, "probe_timeout_ms", f.swim.probe_timeout);
-  Take(root, "hold_back_ms", f.verdict.hold_back), Take(root, "lasting_ms", f.verdict.lasting);
-  Take(root, "quorum", f.verdict.quorum), Take(root, "steer", f.steer), Take(root, "peers", f.peers), Take(root, "layer", f.layer), Take(root, "pulls_per_s", f.pulls_per_s);
+  Take(root, "fronts", f.fronts);
+  Take(root, "caches_per_zone", f.caches_per_zone);
+  Take(root, "port", f.port);
+  Take(root, "period_ms", f.swim.period);
+  Take(root, "probe_timeout_ms", f.swim.probe_timeout);
+  Take(root, "hold_back_ms", f.verdict.hold_back);
+  Take(root, "lasting_ms", f.verdict.lasting);
+  Take(root, "quorum", f.verdict.quorum);
+  Take(root, "steer", f.steer);
+  Take(root, "peers", f.peers);
+  Take(root, "layer", f.layer);
+  Take(root, "pulls_per_s", f.pulls_per_s);
   if (const rapidjson::Value* each = Member(root, "front_zones")) {
-    if (fronts > 0) sheet.Refuse("/front_zones", "names each front's zone; another number of fronts does not go with it");
-    if (Member(root, "fronts")) sheet.Refuse("/fronts", "goes without front_zones, which names each front");
+    if (fronts > 0)
+      sheet.Refuse("/front_zones",
+                   "names each front's zone; another number of fronts does not go with it");
+    if (Member(root, "fronts"))
+      sheet.Refuse("/fronts", "goes without front_zones, which names each front");
     for (const rapidjson::Value& z : each->GetArray()) {
       auto at = std::find(f.zones.begin(), f.zones.end(), z.GetString());
       if (at == f.zones.end())
-        sheet.Refuse("/front_zones/" + std::to_string(f.zone_of.size()), "\"" + std::string(z.GetString()) + "\" is not among zones");
+        sheet.Refuse("/front_zones/" + std::to_string(f.zone_of.size()),
+                     "\"" + std::string(z.GetString()) + "\" is not among zones");
       f.zone_of.push_back(static_cast<int>(at - f.zones.begin()));
     }
     f.fronts = static_cast<int>(f.zone_of.size());
   }
-  if (fronts > 0) f.fronts = fronts;
+  if (fronts > 0)
+    f.fronts = fronts;
   if (f.zone_of.empty())
-    for (int i = 0; i < f.fronts; ++i) f.zone_of.push_back(i % static_cast<int>(f.zones.size()));
+    for (int i = 0; i < f.fronts; ++i)
+      f.zone_of.push_back(i % static_cast<int>(f.zones.size()));
   if (const rapidjson::Value* o = Member(root, "owner")) {
     f.owner.on = true;
-    Take(*o, "group", f.owner.group), Take(*o, "places", f.owner.places), Take(*o, "lasting", f.owner.lasting);
-    Take(*o, "lease_ms", f.owner.lease), Take(*o, "margin_ms", f.owner.margin), Take(*o, "renew_ms", f.owner.renew_every);
+    Take(*o, "group", f.owner.group);
+    Take(*o, "places", f.owner.places);
+    Take(*o, "lasting", f.owner.lasting);
+    Take(*o, "lease_ms", f.owner.lease);
+    Take(*o, "margin_ms", f.owner.margin);
+    Take(*o, "renew_ms", f.owner.renew_every);
     Take(*o, "election_ms", f.owner.election);
     for (const rapidjson::Value& w : Member(*o, "works")->GetArray()) {
       OwnerFile::Work one;
-      Take(w, "name", one.name), Take(w, "steps", one.steps), Take(w, "each_ms", one.each);
+      Take(w, "name", one.name);
+      Take(w, "steps", one.steps);
+      Take(w, "each_ms", one.each);
       f.owner.works.push_back(one);
     }
-    if (f.owner.group > f.fronts) sheet.Refuse("/owner/group", "is more than the fronts");
+    if (f.owner.group > f.fronts)
+      sheet.Refuse("/owner/group", "is more than the fronts");
   }
   if (f.layer) {
-    if (!f.owner.on) f.owner.on = true, f.owner.places = 0;
+    if (!f.owner.on) {
+      f.owner.on = true;
+      f.owner.places = 0;
+    }
     f.peers = true;
-    if (f.owner.group > f.fronts) sheet.Refuse("/layer", "wants three fronts at least: they keep the record");
+    if (f.owner.group > f.fronts)
+      sheet.Refuse("/layer", "wants three fronts at least: they keep the record");
   }
-  if (!(f.swim.probe_timeout < f.swim.period)) sheet.Refuse("/probe_timeout_ms", "must be shorter than period_ms");
-  if (f.verdict.quorum > f.fronts) sheet.Refuse("/quorum", "is more than the fronts");
+  if (!(f.swim.probe_timeout < f.swim.period))
+    sheet.Refuse("/probe_timeout_ms", "must be shorter than period_ms");
+  if (f.verdict.quorum > f.fronts)
+    sheet.Refuse("/quorum", "is more than the fronts");
   if (f.verdict.quorum > 0 && 2 * f.verdict.quorum <= f.fronts)
     sheet.Refuse("/quorum", "is half the fronts or fewer: both sides of a partition would decide");
-  if (f.caches_per_zone * static_cast<int>(f.zones.size()) > 62) sheet.Refuse("/caches_per_zone", "62 caches in all at most");
-  if (f.port > 64000) sheet.Refuse("/port", "64000 at most: the fleet takes some hundreds from there on");
+  if (f.caches_per_zone * static_cast<int>(f.zones.size()) > 62)
+    sheet.Refuse("/caches_per_zone", "62 caches in all at most");
+  if (f.port > 64000)
+    sheet.Refuse("/port", "64000 at most: the fleet takes some hundreds from there on");
   return f;
 }
 
-Script ReadFaults(const std::string& path) { return ReadFaultsText(path, schema::ReadFile(path)); }
+Script ReadFaults(const std::string& path) {
+  return ReadFaultsText(path, schema::ReadFile(path));
+}
 
 Script ReadFaultsText(const std::string& named, const std::string& text) {
   schema::Sheet sheet(named, text, FaultRules().c_str());
   const rapidjson::Value& root = sheet.Root();
   Script s;
   s.name = named;
-  Take(root, "name", s.name), Take(root, "about", s.about), Take(root, "length_s", s.length, 1000);
+  Take(root, "name", s.name);
+  Take(root, "about", s.about);
+  Take(root, "length_s", s.length, 1000);
   const rapidjson::Value& steps = *Member(root, "steps");
   for (rapidjson::SizeType i = 0; i < steps.Size(); ++i) {
     const rapidjson::Value& one = steps[i];
     std::string at = "/steps/" + std::to_string(i), what;
     Step t;
     Take(one, "do", what);
-    t.deed = static_cast<Deed>(std::find_if(kDeeds.begin(), kDeeds.end(), [&](const char* d) { return what == d; }) - kDeeds.begin());
-    Take(one, "at_s", t.at, 1000), Take(one, "for_s", t.lasts, 1000), Take(one, "zone", t.zone);
+    t.deed = static_cast<Deed>(
+        std::find_if(kDeeds.begin(), kDeeds.end(), [&](const char* d) { return what == d; }) -
+        kDeeds.begin());
+    Take(one, "at_s", t.at, 1000);
+    Take(one, "for_s", t.lasts, 1000);
+    Take(one, "zone", t.zone);
     if (const rapidjson::Value* who = Member(one, "fronts"))
-      for (const rapidjson::Value& f : who->GetArray()) t.fronts.push_back(f.GetUint());
-    Take(one, "delay_ms", t.delay), Take(one, "jitter_ms", t.jitter), Take(one, "loss", t.loss);
-    Take(one, "duplicate", t.duplicate), Take(one, "reorder", t.reorder), Take(one, "kb_per_s", t.kb_per_s);
+      for (const rapidjson::Value& f : who->GetArray())
+        t.fronts.push_back(f.GetUint());
+    Take(one, "delay_ms", t.delay);
+    Take(one, "jitter_ms", t.jitter);
+    Take(one, "loss", t.loss);
+    Take(one, "duplicate", t.duplicate);
+    Take(one, "reorder", t.reorder);
+    Take(one, "kb_per_s", t.kb_per_s);
     bool shapes = t.delay || t.jitter || t.loss || t.duplicate || t.reorder || t.kb_per_s;
-    if (OfFronts(t.deed) && t.fronts.empty()) sheet.Refuse(at, "\"" + what + "\" needs fronts");
-    if (!OfFronts(t.deed) && !t.fronts.empty()) sheet.Refuse(at + "/fronts", "does not go with \"" + what + "\"");
+    if (OfFronts(t.deed) && t.fronts.empty())
+      sheet.Refuse(at, "\"" + what + "\" needs fronts");
+    if (!OfFronts(t.deed) && !t.fronts.empty())
+      sheet.Refuse(at + "/fronts", "does not go with \"" + what + "\"");
     if (OfCaches(t.deed) == t.zone.empty())
-      sheet.Refuse(at, OfCaches(t.deed) ? "\"" + what + "\" needs a zone" : "a zone does not go with \"" + what + "\"");
+      sheet.Refuse(at, OfCaches(t.deed) ? "\"" + what + "\" needs a zone"
+                                        : "a zone does not go with \"" + what + "\"");
     if ((t.deed == Deed::kLinks) != shapes)
-      sheet.Refuse(at, shapes ? "delay, loss and their like go with \"links\"" : "\"links\" needs one of delay_ms, jitter_ms, loss, duplicate, reorder, kb_per_s");
-    if (t.lasts > 0 && (t.deed == Deed::kRestart || t.deed == Deed::kResume || t.deed == Deed::kHeal))
+      sheet.Refuse(
+          at,
+          shapes
+              ? "delay, loss and their like go with \"links\""
+              : "\"links\" needs one of delay_ms, jitter_ms, loss, duplicate, reorder, kb_per_s");
+    if (t.lasts > 0 &&
+        (t.deed == Deed::kRestart || t.deed == Deed::kResume || t.deed == Deed::kHeal))
       sheet.Refuse(at + "/for_s", "\"" + what + "\" has no end");
-    if (t.at >= s.length) sheet.Refuse(at + "/at_s", "is after the script's end");
+    if (t.at >= s.length)
+      sheet.Refuse(at + "/at_s", "is after the script's end");
     s.steps.push_back(t);
   }
-  std::stable_sort(s.steps.begin(), s.steps.end(), [](const Step& a, const Step& b) { return a.at < b.at; });
+  std::stable_sort(s.steps.begin(), s.steps.end(),
+                   [](const Step& a, const Step& b) { return a.at < b.at; });
   return s;
 }
 
@@ -189,8 +252,10 @@
   for (const Step& s : script.steps) {
     for (std::size_t f : s.fronts)
       if (f >= fleet.zone_of.size())
-        return std::string(ToString(s.deed)) + ": the fleet has no front " + std::to_string(f) + ", only 0 to " + std::to_string(fleet.zone_of.size() - 1);
-    if (!s.zone.empty() && std::find(fleet.zones.begin(), fleet.zones.end(), s.zone) == fleet.zones.end())
+        return std::string(ToString(s.deed)) + ": the fleet has no front " + std::to_string(f) +
+               ", only 0 to " + std::to_string(fleet.zone_of.size() - 1);
+    if (!s.zone.empty() &&
+        std::find(fleet.zones.begin(), fleet.zones.end(), s.zone) == fleet.zones.end())
       return std::string(ToString(s.deed)) + ": the fleet has no zone \"" + s.zone + "\"";
   }
   return "";
@@ -200,7 +265,8 @@
   std::vector<Cue> all;
   for (const Step& s : script.steps) {
     all.push_back({s.at, s, true});
-    if (s.lasts > 0) all.push_back({s.at + s.lasts, s, false});
+    if (s.lasts > 0)
+      all.push_back({s.at + s.lasts, s, false});
   }
   std::stable_sort(all.begin(), all.end(), [](const Cue& a, const Cue& b) { return a.at < b.at; });
   return all;
@@ -208,19 +274,24 @@
 
 void Play(const Cue& cue, Target& target, const FleetFile& fleet) {
   const Step& s = cue.step;
-  std::size_t zone = static_cast<std::size_t>(std::find(fleet.zones.begin(), fleet.zones.end(), s.zone) - fleet.zones.begin());
+  std::size_t zone = static_cast<std::size_t>(
+      std::find(fleet.zones.begin(), fleet.zones.end(), s.zone) - fleet.zones.begin());
   switch (s.deed) {
     case Deed::kKill:
-      for (std::size_t f : s.fronts) cue.on ? target.Kill(f) : target.Restart(f);
+      for (std::size_t f : s.fronts)
+        cue.on ? target.Kill(f) : target.Restart(f);
       break;
     case Deed::kRestart:
-      for (std::size_t f : s.fronts) target.Restart(f);
+      for (std::size_t f : s.fronts)
+        target.Restart(f);
       break;
     case Deed::kStop:
-      for (std::size_t f : s.fronts) cue.on ? target.Stop(f) : target.Resume(f);
+      for (std::size_t f : s.fronts)
+        cue.on ? target.Stop(f) : target.Resume(f);
       break;
     case Deed::kResume:
-      for (std::size_t f : s.fronts) target.Resume(f);
+      for (std::size_t f : s.fronts)
+        target.Resume(f);
       break;
     case Deed::kCut:
     case Deed::kCutOut:
@@ -241,8 +312,10 @@
 
 std::string Text(const Cue& cue) {
   std::string t = ToString(cue.step.deed);
-  for (std::size_t i = 0; i < cue.step.fronts.size(); ++i) t += (i ? "," : " ") + std::to_string(cue.step.fronts[i]);
-  if (!cue.step.zone.empty()) t += " " + cue.step.zone;
+  for (std::size_t i = 0; i < cue.step.fronts.size(); ++i)
+    t += (i ? "," : " ") + std::to_string(cue.step.fronts[i]);
+  if (!cue.step.zone.empty())
+    t += " " + cue.step.zone;
   return cue.on ? t : t + " ends";
 }
 
--- a/src/rig/seen.cpp
+++ b/src/rig/seen.cpp
@@ -1,4 +1,5 @@
-// What a harness sees of its processes: answers of the fronts, and the history that the checker judges, read from their logs.
+// What a harness sees of its processes: answers of the fronts, and the history that the checker
+// judges, read from their logs.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -10,7 +11,10 @@
 
 History Harness::history() {
   History h;
-  h.from = begun_, h.until = loop_.now(), h.cues = cues_, h.pulls = pulls_;
+  h.from = begun_;
+  h.until = loop_.now();
+  h.cues = cues_;
+  h.pulls = pulls_;
   auto bit = [&](const std::string& zone) {
     auto at = std::find(fleet_.zones.begin(), fleet_.zones.end(), zone);
     return at == fleet_.zones.end() ? 0 : std::uint64_t{1} << (at - fleet_.zones.begin());
@@ -21,9 +25,13 @@
       unsigned epoch = 0;
       char out[512];
       std::size_t at = line.rfind(" at ");
-      if (at == std::string::npos || std::sscanf(line.c_str(), "fleet verdict epoch %u out %511s", &epoch, out) != 2) continue;
+      if (at == std::string::npos ||
+          std::sscanf(line.c_str(), "fleet verdict epoch %u out %511s", &epoch, out) != 2)
+        continue;
       VerdictSeen v;
-      v.at = std::atof(line.c_str() + at + 4), v.front = i, v.epoch = epoch;
+      v.at = std::atof(line.c_str() + at + 4);
+      v.front = i;
+      v.epoch = epoch;
       std::string zones = out;
       for (std::size_t from = 0; from <= zones.size();) {
         std::size_t comma = std::min(zones.find(',', from), zones.size());
@@ -33,24 +41,30 @@
       h.verdicts.push_back(v);
     }
     if (Up(i))
-      if (auto v = view(i)) h.epochs_at_end.emplace_back(i, static_cast<std::uint32_t>(v->number("epoch").value_or(0)));
+      if (auto v = view(i))
+        h.epochs_at_end.emplace_back(i, static_cast<std::uint32_t>(v->number("epoch").value_or(0)));
   }
-  std::stable_sort(h.verdicts.begin(), h.verdicts.end(), [](const VerdictSeen& a, const VerdictSeen& b) { return a.at < b.at; });
+  std::stable_sort(h.verdicts.begin(), h.verdicts.end(),
+                   [](const VerdictSeen& a, const VerdictSeen& b) { return a.at < b.at; });
   std::set<std::string> exclusive;
   for (const PullSeen& p : pulls_)
-    if (p.exclusive) exclusive.insert(p.id);
+    if (p.exclusive)
+      exclusive.insert(p.id);
   std::vector<std::string> toys{"hub"};
-  for (const std::string& z : fleet_.zones) toys.push_back("zone-" + z);
+  for (const std::string& z : fleet_.zones)
+    toys.push_back("zone-" + z);
   for (const std::string& toy : toys) {
     std::ifstream log(programs_.folder + "/" + toy + ".out");
     for (std::string line; std::getline(log, line);)
-      if (line.starts_with("want ") && exclusive.count(line.substr(5, 16))) ++h.ran[line.substr(5, 16)];
+      if (line.starts_with("want ") && exclusive.count(line.substr(5, 16)))
+        ++h.ran[line.substr(5, 16)];
   }
   return h;
 }
 
-std::optional<json::Value> AskView(loop::Loop& loop, loop::Descriptor& asker, const loop::Address& front,
-                                   std::string* raw, const char* question) {
+std::optional<json::Value> AskView(loop::Loop& loop, loop::Descriptor& asker,
+                                   const loop::Address& front, std::string* raw,
+                                   const char* question) {
   loop.ground().SendTo(asker.Get(), std::string_view(question), front);
   constexpr double kWithin = 300;
   double end = loop.now() + kWithin;
@@ -58,10 +72,12 @@
   while (loop.now() < end) {
     loop::Address from{};
     ssize_t got = loop.ground().ReceiveFrom(asker.Get(), buffer, from);
-    if (got > 0 && from.sin_addr.s_addr == front.sin_addr.s_addr && from.sin_port == front.sin_port) {
+    if (got > 0 && from.sin_addr.s_addr == front.sin_addr.s_addr &&
+        from.sin_port == front.sin_port) {
       auto v = json::Read(std::string_view(buffer.data(), static_cast<std::size_t>(got)));
       if (v && v->kind == json::Kind::kObject) {
-        if (raw) raw->assign(buffer.data(), static_cast<std::size_t>(got));
+        if (raw)
+          raw->assign(buffer.data(), static_cast<std::size_t>(got));
         return v;
       }
     }
@@ -70,22 +86,33 @@
   return std::nullopt;
 }
 
-std::optional<json::Value> Harness::view(std::size_t i) { return AskView(loop_, asker_, at(i, fleet_.port)); }
+std::optional<json::Value> Harness::view(std::size_t i) {
+  return AskView(loop_, asker_, at(i, fleet_.port));
+}
 
-std::optional<json::Value> Harness::OwnerStatus(std::size_t i) { return AskView(loop_, asker_, OwnerAt(i), nullptr, "DO?"); }
+std::optional<json::Value> Harness::OwnerStatus(std::size_t i) {
+  return AskView(loop_, asker_, OwnerAt(i), nullptr, "DO?");
+}
 
-std::optional<json::Value> Harness::LayerStatus(std::size_t i) { return AskView(loop_, asker_, at(i, fleet_.port), nullptr, "DR?"); }
+std::optional<json::Value> Harness::LayerStatus(std::size_t i) {
+  return AskView(loop_, asker_, at(i, fleet_.port), nullptr, "DR?");
+}
 
-std::optional<std::string> Harness::operatorAsks(std::size_t i, const std::string& datagram, double within) {
+std::optional<std::string> Harness::operatorAsks(std::size_t i, const std::string& datagram,
+                                                 double within) {
   loop::Address to = at(i, fleet_.port);
   loop_.ground().SendTo(asker_.Get(), datagram, to);
   std::vector<char> buffer(65536);
   for (double end = loop_.now() + within; loop_.now() < end;) {
     loop::Address from{};
     ssize_t got = loop_.ground().ReceiveFrom(asker_.Get(), buffer, from);
-    bool view = got > 0 && buffer[0] == '{';  // of a status that was asked for before and comes late
-    if (got > 0 && !view && from.sin_addr.s_addr == to.sin_addr.s_addr && from.sin_port == to.sin_port) return std::string(buffer.data(), static_cast<std::size_t>(got));
-    if (got <= 0) loop_.turn(5);
+    bool view =
+        got > 0 && buffer[0] == '{';  // of a status that was asked for before and comes late
+    if (got > 0 && !view && from.sin_addr.s_addr == to.sin_addr.s_addr &&
+        from.sin_port == to.sin_port)
+      return std::string(buffer.data(), static_cast<std::size_t>(got));
+    if (got <= 0)
+      loop_.turn(5);
   }
   return std::nullopt;
 }
--- a/src/rig/staged.hpp
+++ b/src/rig/staged.hpp
@@ -1,5 +1,6 @@
-// A script of faults on the staged members (src/rig/sim.hpp) in place of processes: the same script, the same checker,
-// virtual time, one seed. There are no caches and no pulls there: lost caches are what the zone's fronts hold of them.
+// A script of faults on the staged members (src/rig/sim.hpp) in place of processes: the same
+// script, the same checker, virtual time, one seed. There are no caches and no pulls there: lost
+// caches are what the zone's fronts hold of them.
 #pragma once
 #include "rig/judge.hpp"
 #include "rig/sim.hpp"
--- a/src/rules/rules.cpp
+++ b/src/rules/rules.cpp
@@ -8,27 +8,33 @@
 namespace dunlinwick::rules {
 namespace {
 
-constexpr std::array<const char*, 15> kDeeds{"asked",  "answered", "left",       "leg_came",  "leg_ended",
-                                            "leg_dropped", "ran", "listed",     "purged",    "pushed_over",
-                                            "cold_push",   "front_up", "front_down", "parted", "unseen"};
+constexpr std::array<const char*, 15> kDeeds{"asked",      "answered",    "left",      "leg_came",
+                                             "leg_ended",  "leg_dropped", "ran",       "listed",
+                                             "purged",     "pushed_over", "cold_push", "front_up",
+                                             "front_down", "parted",      "unseen"};
 
-std::string Whole(Ms ms) { return std::to_string(static_cast<long long>(ms + 0.5)) + " ms"; }
+std::string Whole(Ms ms) {
+  return std::to_string(static_cast<long long>(ms + 0.5)) + " ms";
+}
 
 }  // namespace
 
-const char* ToString(Deed deed) { return kDeeds[static_cast<std::size_t>(deed)]; }
+const char* ToString(Deed deed) {
+  return kDeeds[static_cast<std::size_t>(deed)];
+}
 
 const char* ToString(Rule rule) {
-  static const char* const kWords[] = {"one final answer, in time", "no effect twice",     "drains kept",
-                                      "cold machines not pushed",  "purges kept", "refusals not held back",
-                                      "a front alone keeps its zone"};
+  static const char* const kWords[] = {
+      "one final answer, in time",   "no effect twice", "drains kept",
+      "cold machines not pushed",    "purges kept",     "refusals not held back",
+      "a front alone keeps its zone"};
   return kWords[static_cast<int>(rule)];
 }
 
 std::string Line(const Fact& f) {
   char numbers[160];
-  std::snprintf(numbers, sizeof numbers, "\t%d\t%d\t%d\t%.3f\t%.3f\t%d", f.offering, f.group, f.status,
-                f.number, f.limit, f.flag ? 1 : 0);
+  std::snprintf(numbers, sizeof numbers, "\t%d\t%d\t%d\t%.3f\t%.3f\t%d", f.offering, f.group,
+                f.status, f.number, f.limit, f.flag ? 1 : 0);
   char at[40];
   std::snprintf(at, sizeof at, "%.3f\t", f.at);
   std::string out = std::string(at) + ToString(f.deed);
@@ -42,10 +48,12 @@
   while (true) {
     std::size_t end = text.find('\t');
     parts.emplace_back(text.substr(0, end));
-    if (end == text.npos) break;
+    if (end == text.npos)
+      break;
     text.remove_prefix(end + 1);
   }
-  if (parts.size() != 14) return std::nullopt;
+  if (parts.size() != 14)
+    return std::nullopt;
   auto number = [](const std::string& t, auto& into) {
     auto [end, fault] = std::from_chars(t.data(), t.data() + t.size(), into);
     return fault == std::errc{} && end == t.data() + t.size();
@@ -62,7 +70,8 @@
   int at = 2;
   for (std::string* one : {&f.pull, &f.thing, &f.who, &f.other, &f.word, &f.tag}) {
     *one = parts[static_cast<std::size_t>(at++)];
-    if (*one == "-") one->clear();
+    if (*one == "-")
+      one->clear();
   }
   return f;
 }
@@ -71,7 +80,8 @@
 
 void Checker::breach(Rule rule, const Fact& f, const std::string& who, std::string what) {
   constexpr std::uint64_t kMost = 100;
-  if (++counts_[static_cast<int>(rule)] <= kMost) breaches_.push_back({rule, f.at, f.pull, who, std::move(what)});
+  if (++counts_[static_cast<int>(rule)] <= kMost)
+    breaches_.push_back({rule, f.at, f.pull, who, std::move(what)});
 }
 
 // What was owed by then and has not come; and what is forgotten.
@@ -81,12 +91,14 @@
     Ms due = due_.begin()->first;
     due_.erase(due_.begin());
     auto at = pulls_.find(id);
-    if (at == pulls_.end()) continue;
+    if (at == pulls_.end())
+      continue;
     Pull& p = at->second;
     Front& front = fronts_[p.front];
     if (!p.answered && !p.left && front.up && front.life == p.life && due > unheard_until_) {
       Fact f;
-      f.at = due, f.pull = id;
+      f.at = due;
+      f.pull = id;
       breach(Rule::kAnswer, f, p.front,
              "no final answer within the " + Whole(p.due - p.asked_at) + " of its client; " +
                  std::to_string(p.legs.size()) + " legs came to machines");
@@ -104,7 +116,10 @@
   switch (f.deed) {
     case Deed::kAsked: {
       Pull p;
-      p.thing = f.thing, p.front = f.who, p.offering = f.offering, p.group = f.group;
+      p.thing = f.thing;
+      p.front = f.who;
+      p.offering = f.offering;
+      p.group = f.group;
       p.asked_at = p.quiet_since = f.at;
       p.due = f.at + f.number;
       // Written towards a front that has died, before its client could know: nobody took it.
@@ -117,7 +132,8 @@
     case Deed::kAnswered:
       return Answered(f);
     case Deed::kLeft:
-      if (auto at = pulls_.find(f.pull); at != pulls_.end()) at->second.left = true;
+      if (auto at = pulls_.find(f.pull); at != pulls_.end())
+        at->second.left = true;
       return;
     case Deed::kLegCame:
       return LegCame(f);
@@ -127,7 +143,8 @@
     case Deed::kRan: {
       auto at = pulls_.find(f.pull);
       if (at == pulls_.end() ||
-          limits_.offerings[static_cast<std::size_t>(at->second.offering)].effect != Effect::kExclusive)
+          limits_.offerings[static_cast<std::size_t>(at->second.offering)].effect !=
+              Effect::kExclusive)
         return;
       auto [before, fresh] = effects_.insert({f.thing, f.pull});
       if (!fresh)
@@ -137,28 +154,33 @@
     }
     case Deed::kListed: {
       auto& leaving = fronts_[f.who].leaving;
-      if (f.word == "ready") leaving.erase(f.other);
-      else leaving.insert({f.other, f.at});  // the first word counts
+      if (f.word == "ready")
+        leaving.erase(f.other);
+      else
+        leaving.insert({f.other, f.at});  // the first word counts
       return;
     }
     case Deed::kPurged: {
       auto& purges = fronts_[f.who].purges;
       purges.push_back({f.flag, f.thing, f.group, f.number, f.at});
-      // No copy older than a purge is left once it is done everywhere and a pull that met it has ended.
-      while (purges.front().told < f.at - limits_.purge_done - 20000) purges.pop_front();
+      // No copy older than a purge is left once it is done everywhere and a pull that met it has
+      // ended.
+      while (purges.front().told < f.at - limits_.purge_done - 20000)
+        purges.pop_front();
       return;
     }
     case Deed::kPushedOver:
       return breach(Rule::kCold, f, f.who,
-                    "started cold and was sent " + Whole(f.number) + " of work in one window, where it bears " +
-                        Whole(f.limit));
+                    "started cold and was sent " + Whole(f.number) +
+                        " of work in one window, where it bears " + Whole(f.limit));
     case Deed::kColdPush:
       nearest_.cold_share = std::max(nearest_.cold_share, f.number);
       return;
     case Deed::kFrontUp: {
       Front& front = fronts_[f.who];
       front.up = true;
-      front.leaving.clear(), front.purges.clear();
+      front.leaving.clear();
+      front.purges.clear();
       return;
     }
     case Deed::kFrontDown: {
@@ -169,61 +191,74 @@
     }
     case Deed::kParted: {
       Front& front = fronts_[f.who];
-      front.parted_in = f.flag ? f.group : -1, front.parted_at = f.at;
+      front.parted_in = f.flag ? f.group : -1;
+      front.parted_at = f.at;
       return;
     }
     case Deed::kUnseen:
       unseen_until_ = std::max(unseen_until_, f.number);
-      if (f.flag) unheard_until_ = std::max(unheard_until_, f.number);
+      if (f.flag)
+        unheard_until_ = std::max(unheard_until_, f.number);
       return;
   }
 }
 
 void Checker::LegCame(const Fact& f) {
   auto at = pulls_.find(f.pull);
-  if (at == pulls_.end()) return breach(Rule::kAnswer, f, f.who, "a leg came for a pull that nobody asked for");
+  if (at == pulls_.end())
+    return breach(Rule::kAnswer, f, f.who, "a leg came for a pull that nobody asked for");
   Pull& p = at->second;
   const OfferingRule& o = limits_.offerings[static_cast<std::size_t>(p.offering)];
   Front& front = fronts_[p.front];
   // Drains: as the machine asked, and as the source of a fill.
   for (const std::string* machine : {&f.who, &f.other}) {
     auto told = front.leaving.find(*machine);
-    if (machine->empty() || told == front.leaving.end() || f.at < unseen_until_) continue;
+    if (machine->empty() || told == front.leaving.end() || f.at < unseen_until_)
+      continue;
     nearest_.drain_after = std::max(nearest_.drain_after, f.at - told->second);
     if (f.at > told->second + limits_.drain_grace + limits_.slack)
       breach(Rule::kDrain, f, p.front,
-             (machine == &f.who ? "a leg went to " : "a leg named as its source ") + *machine + " " +
-                 Whole(f.at - told->second) + " after the front was told that it leaves");
+             (machine == &f.who ? "a leg went to " : "a leg named as its source ") + *machine +
+                 " " + Whole(f.at - told->second) + " after the front was told that it leaves");
   }
-  // What the fleet had decided before the cut may be on its way still, and is taken back only after the hold.
+  // What the fleet had decided before the cut may be on its way still, and is taken back only after
+  // the hold.
   constexpr Ms kDecidedBefore = 2000;
   if (front.parted_in >= 0 && f.at > front.parted_at + kDecidedBefore) {
     auto place = limits_.places.find(f.who.substr(0, f.who.find('+')));
-    if (place != limits_.places.end() && place->second.first > 0 && place->second.first != front.parted_in)
-      breach(Rule::kNear, f, p.front, "cut off from its fleet since " + Whole(f.at - front.parted_at) + ", it sent a leg to " +
-                                         f.who + " of another zone");
+    if (place != limits_.places.end() && place->second.first > 0 &&
+        place->second.first != front.parted_in)
+      breach(Rule::kNear, f, p.front,
+             "cut off from its fleet since " + Whole(f.at - front.parted_at) +
+                 ", it sent a leg to " + f.who + " of another zone");
   }
-  bool unclear = std::any_of(p.legs.begin(), p.legs.end(), [](const Leg& l) { return l.fate != Fate::kNotRun; });
+  bool unclear = std::any_of(p.legs.begin(), p.legs.end(),
+                             [](const Leg& l) { return l.fate != Fate::kNotRun; });
   if (o.effect == Effect::kExclusive && unclear)
     breach(Rule::kEffect, f, p.front,
-           "an exclusive pull got a further leg, at " + f.who + ", though one at " + p.legs.front().machine +
-               " may have run");
+           "an exclusive pull got a further leg, at " + f.who + ", though one at " +
+               p.legs.front().machine + " may have run");
   if (o.effect == Effect::kExclusive && p.declined)
-    breach(Rule::kEffect, f, p.front, "an exclusive pull got a leg, at " + f.who + ", after it was declined");
+    breach(Rule::kEffect, f, p.front,
+           "an exclusive pull got a leg, at " + f.who + ", after it was declined");
   if (o.effect == Effect::kTicketed && unclear) {
     // A successor, cache-3+1, stands where cache-3 did.
-    auto place_of = [&](const std::string& machine) { return limits_.places[machine.substr(0, machine.find('+'))]; };
+    auto place_of = [&](const std::string& machine) {
+      return limits_.places[machine.substr(0, machine.find('+'))];
+    };
     auto place = place_of(f.who);
     for (const Leg& leg : p.legs) {
       auto other = place_of(leg.machine);
-      bool same = o.span == Span::kEverywhere || (o.span == Span::kZone ? place.first == other.first
-                                                                      : place == other);
+      bool same = o.span == Span::kEverywhere ||
+                  (o.span == Span::kZone ? place.first == other.first : place == other);
       if (leg.fate != Fate::kNotRun && !same)
         breach(Rule::kEffect, f, p.front,
                "a ticketed pull that may have run at " + leg.machine + " went to " + f.who +
                    ", outside the group that drops its repeats");
-      else if (leg.fate != Fate::kNotRun && o.memory > 0 && f.at > leg.came_at + o.memory + limits_.slack)
-        breach(Rule::kEffect, f, p.front, "a ticketed pull went out again after the time it is remembered");
+      else if (leg.fate != Fate::kNotRun && o.memory > 0 &&
+               f.at > leg.came_at + o.memory + limits_.slack)
+        breach(Rule::kEffect, f, p.front,
+               "a ticketed pull went out again after the time it is remembered");
     }
   }
   p.legs.push_back({f.who, f.other, f.at, Fate::kOut, {}, 0});
@@ -231,55 +266,67 @@
 
 void Checker::LegEnded(const Fact& f) {
   auto at = pulls_.find(f.pull);
-  if (at == pulls_.end()) return;
+  if (at == pulls_.end())
+    return;
   Pull& p = at->second;
   p.quiet_since = f.at;
   for (auto leg = p.legs.rbegin(); leg != p.legs.rend(); ++leg) {
-    if (leg->machine != f.who || leg->fate != Fate::kOut) continue;
-    bool never = f.deed == Deed::kLegEnded && (f.word == "none" || f.word == "shed" || f.word == "late");
+    if (leg->machine != f.who || leg->fate != Fate::kOut)
+      continue;
+    bool never =
+        f.deed == Deed::kLegEnded && (f.word == "none" || f.word == "shed" || f.word == "late");
     leg->fate = never ? Fate::kNotRun : Fate::kMayHaveRun;
-    leg->tag = f.tag, leg->issued = f.number;
+    leg->tag = f.tag;
+    leg->issued = f.number;
     return;
   }
 }
 
 void Checker::Answered(const Fact& f) {
   auto at = pulls_.find(f.pull);
-  if (at == pulls_.end()) return breach(Rule::kAnswer, f, f.who, "an answer came for a pull that has ended");
+  if (at == pulls_.end())
+    return breach(Rule::kAnswer, f, f.who, "an answer came for a pull that has ended");
   Pull& p = at->second;
   const OfferingRule& o = limits_.offerings[static_cast<std::size_t>(p.offering)];
-  if (p.answered) return breach(Rule::kAnswer, f, p.front, "a second answer came");
+  if (p.answered)
+    return breach(Rule::kAnswer, f, p.front, "a second answer came");
   p.answered = true;
   nearest_.answer_left = std::min(nearest_.answer_left, p.due - f.at);
   if (f.at > p.due + limits_.slack && f.at > unheard_until_)
-    breach(Rule::kAnswer, f, p.front, "the answer came " + Whole(f.at - p.due) + " after its client's time");
+    breach(Rule::kAnswer, f, p.front,
+           "the answer came " + Whole(f.at - p.due) + " after its client's time");
   bool served = f.status == 200 || f.status == 304;
   if (served) {
     const Leg* from = nullptr;
     for (const Leg& leg : p.legs)
-      if (!leg.tag.empty() && leg.tag == f.tag) from = &leg;
+      if (!leg.tag.empty() && leg.tag == f.tag)
+        from = &leg;
     if (!from || !f.flag) {
       breach(Rule::kAnswer, f, p.front, "served with something that no machine made for it");
       return;
     }
     for (const Purge& purge : fronts_[p.front].purges) {
-      if (from->issued >= purge.at || (purge.whole_group ? purge.group != p.group : purge.thing != p.thing))
+      if (from->issued >= purge.at ||
+          (purge.whole_group ? purge.group != p.group : purge.thing != p.thing))
         continue;
-      // Any leg that was answered by that tag could have been the one that was sent late; the first is taken.
+      // Any leg that was answered by that tag could have been the one that was sent late; the first
+      // is taken.
       Ms sent = from->came_at;
       for (const Leg& leg : p.legs)
-        if (leg.tag == f.tag) sent = std::min(sent, leg.came_at);
+        if (leg.tag == f.tag)
+          sent = std::min(sent, leg.came_at);
       nearest_.purge_after = std::max(nearest_.purge_after, sent - purge.told);
       if (sent > purge.told + limits_.purge_grace + limits_.slack)
         breach(Rule::kPurge, f, p.front,
-               "answered from a copy " + Whole(purge.at - from->issued) + " older than a purge of its " +
-                   (purge.whole_group ? "group" : "object") + "; the leg went out " + Whole(sent - purge.told) +
-                   " after the front was told");
+               "answered from a copy " + Whole(purge.at - from->issued) +
+                   " older than a purge of its " + (purge.whole_group ? "group" : "object") +
+                   "; the leg went out " + Whole(sent - purge.told) + " after the front was told");
     }
     return;
   }
   p.declined = f.status == 429 || f.status == 503;
-  if (!p.declined) return;
+  if (!p.declined)
+    return;
   bool out = false;
   for (const Leg& leg : p.legs) {
     out |= leg.fate == Fate::kOut;
@@ -288,13 +335,17 @@
              "an exclusive pull was declined though its leg at " + leg.machine + " may have run");
   }
   // Where machines have vanished, legs may be out that nobody sees.
-  if (out || f.at < unseen_until_) return;
+  if (out || f.at < unseen_until_)
+    return;
   Ms held = f.at - p.quiet_since;
   nearest_.held = std::max(nearest_.held, held);
   if (held > limits_.held_at_most)
-    breach(Rule::kHeld, f, p.front, "declined " + Whole(held) + " after it came or its last leg had ended");
+    breach(Rule::kHeld, f, p.front,
+           "declined " + Whole(held) + " after it came or its last leg had ended");
 }
 
-void Checker::Finish(Ms at) { Pass(at); }
+void Checker::Finish(Ms at) {
+  Pass(at);
+}
 
 }  // namespace dunlinwick::rules
--- a/src/sheet/sheet.cpp
+++ b/src/sheet/sheet.cpp
@@ -22,54 +22,71 @@
  public:
   explicit Facts(std::string_view text) {
     for (std::string_view line : Split(text, '\n')) {
-      if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
+      if (!line.empty() && line.back() == '\r')
+        line.remove_suffix(1);
       std::size_t eq = line.find('=');
-      if (eq != line.npos) by_key_[std::string(line.substr(0, eq))] = line.substr(eq + 1);
+      if (eq != line.npos)
+        by_key_[std::string(line.substr(0, eq))] = line.substr(eq + 1);
     }
   }
   std::string_view Need(const std::string& key) const {
     auto at = by_key_.find(key);
-    if (at == by_key_.end()) throw SheetFault("setting missing: " + key);
+    if (at == by_key_.end())
+      throw SheetFault("setting missing: " + key);
     return at->second;
   }
-  bool Has(const std::string& key) const { return by_key_.count(key) != 0; }
-  double number(const std::string& key) const { return ToNumber(key, Need(key)); }
-  double number(const std::string& key, double absent) const { return Has(key) ? number(key) : absent; }
+  bool Has(const std::string& key) const {
+    return by_key_.count(key) != 0;
+  }
+  double number(const std::string& key) const {
+    return ToNumber(key, Need(key));
+  }
+  double number(const std::string& key, double absent) const {
+    return Has(key) ? number(key) : absent;
+  }
   int Whole(const std::string& key, double low, double high) const {
     return ToWhole(key, number(key), low, high);
   }
-  bool Flag(const std::string& key, bool absent) const { return Has(key) ? ToFlag(key, Need(key)) : absent; }
+  bool Flag(const std::string& key, bool absent) const {
+    return Has(key) ? ToFlag(key, Need(key)) : absent;
+  }
   std::vector<double> Numbers(const std::string& key) const {
     std::vector<double> all;
     if (Has(key))
-      for (std::string_view v : Split(Need(key), ',')) all.push_back(ToNumber(key, v));
+      for (std::string_view v : Split(Need(key), ','))
+        all.push_back(ToNumber(key, v));
     return all;
   }
   std::vector<bool> Flags(const std::string& key) const {
     std::vector<bool> all;
     if (Has(key))
-      for (std::string_view v : Split(Need(key), ',')) all.push_back(ToFlag(key, v));
+      for (std::string_view v : Split(Need(key), ','))
+        all.push_back(ToFlag(key, v));
     return all;
   }
   std::vector<std::string> Words(const std::string& key) const {
     std::vector<std::string> all;
     if (Has(key))
-      for (std::string_view v : Split(Need(key), ',')) all.emplace_back(v);
+      for (std::string_view v : Split(Need(key), ','))
+        all.emplace_back(v);
     return all;
   }
   template <class T>
   T choice(const std::string& key, T absent,
            std::initializer_list<std::pair<std::string_view, T>> known) const {
-    if (!Has(key)) return absent;
+    if (!Has(key))
+      return absent;
     std::string all;
     for (auto& [word, value] : known) {
-      if (word == Need(key)) return value;
+      if (word == Need(key))
+        return value;
       all += (all.empty() ? "" : ", ") + std::string(word);
     }
     throw SheetFault("setting unreadable: " + key + " is none of " + all + ": " + Shown(Need(key)));
   }
   static int ToWhole(const std::string& key, double v, double low, double high) {
-    if (!(v >= low && v <= high)) throw SheetFault("setting unreadable: " + key + " is out of its range");
+    if (!(v >= low && v <= high))
+      throw SheetFault("setting unreadable: " + key + " is out of its range");
     return static_cast<int>(v);
   }
 
@@ -82,8 +99,10 @@
     return v;
   }
   static bool ToFlag(const std::string& key, std::string_view text) {
-    if (text == "true") return true;
-    if (text == "false") return false;
+    if (text == "true")
+      return true;
+    if (text == "false")
+      return false;
     throw SheetFault("setting unreadable: " + key + " is neither true nor false: " + Shown(text));
   }
   static std::string Shown(std::string_view text) {  // of one line, whatever it holds
@@ -105,11 +124,13 @@
     std::string at = "classes." + std::to_string(i) + ".";
     std::size_t n = static_cast<std::size_t>(i);
     Offering o;
-    o.effect = f.choice<Effect>(
-        at + "idempotency", Effect::kExclusive,
-        {{"repeatable", Effect::kRerunnable}, {"by_key", Effect::kTicketed}, {"once", Effect::kExclusive}});
-    o.span = f.choice<Span>(at + "group", Span::kCell,
-                            {{"all", Span::kEverywhere}, {"zone", Span::kZone}, {"cell", Span::kCell}});
+    o.effect = f.choice<Effect>(at + "idempotency", Effect::kExclusive,
+                                {{"repeatable", Effect::kRerunnable},
+                                 {"by_key", Effect::kTicketed},
+                                 {"once", Effect::kExclusive}});
+    o.span =
+        f.choice<Span>(at + "group", Span::kCell,
+                       {{"all", Span::kEverywhere}, {"zone", Span::kZone}, {"cell", Span::kCell}});
     o.memory = f.number(at + "memorySpan", 0);
     o.agreed = f.number(at + "aim");
     o.agreed_stretch = f.number(at + "aimStretch", 0);
@@ -123,8 +144,10 @@
   s.zone = f.Whole("zone", 0, 65535);
   s.fronts = f.Whole("balancers", 1, 65535);
   std::size_t zone = static_cast<std::size_t>(s.zone);
-  std::vector<double> crews = f.Numbers("familyInfo.crewByZone"), links = f.Numbers("familyInfo.pipeKbPerS");
-  s.crew = zone < crews.size() ? Facts::ToWhole("familyInfo.crewByZone", crews[zone], 0, 65535) : s.fronts;
+  std::vector<double> crews = f.Numbers("familyInfo.crewByZone"),
+                      links = f.Numbers("familyInfo.pipeKbPerS");
+  s.crew = zone < crews.size() ? Facts::ToWhole("familyInfo.crewByZone", crews[zone], 0, 65535)
+                               : s.fronts;
   s.link_kb_per_ms = zone < links.size() ? links[zone] / 1000 : 0;
   s.parent_kind = static_cast<int>(f.number("familyInfo.parentKind", -1));
   s.origin_kind = static_cast<int>(f.number("familyInfo.sourceKind", -1));
@@ -139,13 +162,15 @@
   s.may.two_legs_at_once = f.Flag("limits.mayDuplicate", false);
   s.may.join = f.Flag("familyInfo.canJoin", false);
   s.may.direct = f.Flag("familyInfo.direct", false);
-  s.longest_retry_after = f.Flag("limits.retryAfter", false) ? f.number("limits.maxRetryAfter", 0) : 0;
+  s.longest_retry_after =
+      f.Flag("limits.retryAfter", false) ? f.number("limits.maxRetryAfter", 0) : 0;
   s.most_legs = f.Whole("limits.maxAttempts", 1, 255);
   s.places = f.Has("limits.maxOpen") ? f.Whole("limits.maxOpen", 0, 1e9) : 0;
-  s.lateral =
-      f.choice<bool>("familyInfo.lateral", false, {{"none", false}, {"location", true}, {"any", true}});
+  s.lateral = f.choice<bool>("familyInfo.lateral", false,
+                             {{"none", false}, {"location", true}, {"any", true}});
   s.stream_kb_per_ms = f.number("familyInfo.streamKbPerS", 0) / 1000;
-  s.remarks = f.choice<bool>("familyInfo.detail", true, {{"all", true}, {"hit", false}, {"none", false}});
+  s.remarks =
+      f.choice<bool>("familyInfo.detail", true, {{"all", true}, {"hit", false}, {"none", false}});
   // A cache's x1 is how full its location's link is; the settings say so in words of their own.
   std::vector<std::string> reported = f.Words("report.names");
   bool in_answers =
@@ -169,7 +194,8 @@
   Facts f(text);
   RoadTerms t;
   int count = f.Whole("classes.count", 1, 255);
-  for (int i = 0; i < count; ++i) t.offerings.emplace_back(f.Need("classes." + std::to_string(i) + ".name"));
+  for (int i = 0; i < count; ++i)
+    t.offerings.emplace_back(f.Need("classes." + std::to_string(i) + ".name"));
   t.zones = f.Words("azs");
   t.kinds = f.Words("flavors");
   t.reported = f.Words("report.names");
@@ -183,24 +209,31 @@
 std::string PlainWord(std::string_view text) {
   std::string word(text);
   for (char& c : word)
-    if (c == ' ' || c == ',' || static_cast<unsigned char>(c) < ' ') c = '_';
+    if (c == ' ' || c == ',' || static_cast<unsigned char>(c) < ' ')
+      c = '_';
   return word;
 }
 
 static void Lay(const json::Value& v, const std::string& path, std::string& out) {
-  auto line = [&](const std::string& key, const std::string& value) { out += key + '=' + value + '\n'; };
-  auto simple = [](const json::Value& one) { return one.items.empty() && one.members.empty(); };
+  auto line = [&](const std::string& key, const std::string& value) {
+    out += key + '=' + value + '\n';
+  };
+  auto simple = [](const json::Value& one) {
+    return one.items.empty() && one.members.empty();
+  };
   if (v.kind == json::Kind::kObject) {
     for (auto& [name, member] : v.members)
       Lay(member, path.empty() ? PlainWord(name) : path + '.' + PlainWord(name), out);
   } else if (v.kind == json::Kind::kList) {
     if (std::all_of(v.items.begin(), v.items.end(), simple)) {
       std::string all;
-      for (const json::Value& one : v.items) (all += ',') += PlainWord(one.text);
+      for (const json::Value& one : v.items)
+        (all += ',') += PlainWord(one.text);
       return line(path, all.empty() ? all : all.substr(1));
     }
     line(path + ".count", std::to_string(v.items.size()));
-    for (std::size_t i = 0; i < v.items.size(); ++i) Lay(v.items[i], path + '.' + std::to_string(i), out);
+    for (std::size_t i = 0; i < v.items.size(); ++i)
+      Lay(v.items[i], path + '.' + std::to_string(i), out);
   } else {
     line(path, PlainWord(v.text));
   }
--- a/src/sheet/sheet.hpp
+++ b/src/sheet/sheet.hpp
@@ -1,5 +1,6 @@
-// Reads the settings into the sheet that the module is handed at start, and the terms of the road to it. The
-// text has one path=value a line, as the simulator's wire hands it out; a front's JSON is laid out likewise.
+// Reads the settings into the sheet that the module is handed at start, and the terms of the road
+// to it. The text has one path=value a line, as the simulator's wire hands it out; a front's JSON
+// is laid out likewise.
 #pragma once
 #include <stdexcept>
 #include <string>
@@ -16,13 +17,18 @@
 
 // What the network code goes by: names as they stand on the wire, and the limits of connections.
 struct RoadTerms {
-  std::vector<std::string> offerings, zones, kinds, reported;
-  Ms connect_within = 0, idle_for = 0;
+  std::vector<std::string> offerings;
+  std::vector<std::string> zones;
+  std::vector<std::string> kinds;
+  std::vector<std::string> reported;
+  Ms connect_within = 0;
+  Ms idle_for = 0;
   int legs_at_once = 1;  // on one connection
   bool may_probe = false;
 };
 
-// Unknown keys are skipped; a needed one that is missing or unreadable throws SheetFault, naming it.
+// Unknown keys are skipped; a needed one that is missing or unreadable throws SheetFault, naming
+// it.
 StoreSheet ReadSheet(std::string_view text);
 RoadTerms ReadRoadTerms(std::string_view text);
 
--- a/src/stage/stage.hpp
+++ b/src/stage/stage.hpp
@@ -1,9 +1,11 @@
-// The staged ground: a virtual clock and an in-memory network in place of poll(2) and the kernel. Processes are
-// loops on it; they run one after another, in the order of virtual time, and all that happens follows from one
-// seed. Time passes only between events: a process's work takes none, unless it is told to stand still.
+// The staged ground: a virtual clock and an in-memory network in place of poll(2) and the kernel.
+// Processes are loops on it; they run one after another, in the order of virtual time, and all that
+// happens follows from one seed. Time passes only between events: a process's work takes none,
+// unless it is told to stand still.
 //
-// What a stream promises here is what TCP promises: bytes whole and in order, or an end. What it does not promise
-// differs from run to run by the seed: how the bytes are cut up, and when they come.
+// What a stream promises here is what TCP promises: bytes whole and in order, or an end. What it
+// does not promise differs from run to run by the seed: how the bytes are cut up, and when they
+// come.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -33,7 +35,7 @@
 struct Way {
   Ms latency = 0.2;
   double jitter = 0.2;   // latency times one plus up to this much
-  double kb_per_ms = 0;    // 0: no limit worth counting; each stream has it for itself
+  double kb_per_ms = 0;  // 0: no limit worth counting; each stream has it for itself
   double lost = 0;       // share of what is sent; a stream sends it again after 200 ms
   double doubled = 0;    // share of datagrams that come twice
   double shuffled = 0;   // share of datagrams that come up to 20 latencies late
@@ -51,18 +53,32 @@
  public:
   Process(Net& net, std::uint32_t host, std::string name, std::size_t descriptors);
   ~Process();
-  const std::string& Name() const { return name_; }
-  std::uint32_t host() const { return host_; }
-  loop::Loop& loop() { return *loop_; }
-  log::Log& log() { return log_; }
-  bool alive() const { return alive_; }
+  const std::string& Name() const {
+    return name_;
+  }
+  std::uint32_t host() const {
+    return host_;
+  }
+  loop::Loop& loop() {
+    return *loop_;
+  }
+  log::Log& log() {
+    return log_;
+  }
+  bool alive() const {
+    return alive_;
+  }
   std::size_t OpenDescriptors() const;
   // Does something on the process's behalf, from outside its own turns, and lets it go on.
   void Act(const std::function<void()>& what);
-  /// Puts `environment`, which wraps this process, between the process and its loop. Call it before anything is on the loop;
-  /// `environment` must outlive the process. For tests in which system calls fail.
-  void UseEnvironment(loop::Ground& environment) { loop_ = std::make_unique<loop::Loop>(environment); }
-  // Between a process and its network: what it sends goes through here. For tests that break a front.
+  /// Puts `environment`, which wraps this process, between the process and its loop. Call it before
+  /// anything is on the loop; `environment` must outlive the process. For tests in which system
+  /// calls fail.
+  void UseEnvironment(loop::Ground& environment) {
+    loop_ = std::make_unique<loop::Loop>(environment);
+  }
+  // Between a process and its network: what it sends goes through here. For tests that break a
+  // front.
   std::function<std::string(std::string bytes)> tamper;
   void StandStill(Ms until);  // it runs nothing before then; what comes waits
 
@@ -81,12 +97,19 @@
   int OpenDatagrams(const Address& at) override;
   ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) override;
   ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) override;
-  std::size_t DescriptorLimit() override { return descriptors_; }
+  std::size_t DescriptorLimit() override {
+    return descriptors_;
+  }
   Address peer(int fd);  // the other side's host
 
  private:
   friend class Net;
-  enum class Kind { kNone, kStream, kListener, kDatagrams };
+  enum class Kind {
+    kNone,
+    kStream,
+    kListener,
+    kDatagrams
+  };
   struct Datagram {
     Address from;
     std::string bytes;
@@ -111,9 +134,12 @@
   std::string name_;
   std::size_t descriptors_;
   std::vector<Slot> slots_;
-  bool alive_ = true, running_ = false, quiet_ = false;
+  bool alive_ = true;
+  bool running_ = false;
+  bool quiet_ = false;
   int wish_ = 0;  // of the last wait
-  Ms due_ = -1, still_ = 0;
+  Ms due_ = -1;
+  Ms still_ = 0;
   std::uint64_t due_seq_ = 0;
   log::Log log_;
   std::unique_ptr<loop::Loop> loop_;
@@ -124,7 +150,9 @@
   // `start`: Unix milliseconds.
   explicit Net(std::uint64_t seed, Ms start = 1.7e12);
   ~Net();
-  Ms now() const { return now_; }
+  Ms now() const {
+    return now_;
+  }
   // Runs what is due up to then. Events at one time run in the order in which they were asked for.
   void RunUntil(Ms time);
   void at(Ms when, std::function<void()> what);
@@ -133,27 +161,48 @@
   void place(std::uint32_t host, int site);
   void Join(int from, int to, const Way& way);  // one direction
   Way& way(int from, int to);
-  void SetCut(std::uint32_t host, bool in, bool out);  // the host alone: nothing comes to it, or from it
-  void SetLag(std::uint32_t host, Ms late);            // all that comes and goes there takes longer
-  void SetApart(std::uint32_t from, std::uint32_t to, bool apart);  // datagrams from one host to another are lost
-  void SetChoppy(double share) { choppy_ = share; }  // of reads and writes that take a part only
+  void SetCut(std::uint32_t host, bool in,
+              bool out);                     // the host alone: nothing comes to it, or from it
+  void SetLag(std::uint32_t host, Ms late);  // all that comes and goes there takes longer
+  void SetApart(std::uint32_t from, std::uint32_t to,
+                bool apart);  // datagrams from one host to another are lost
+  void SetChoppy(double share) {
+    choppy_ = share;
+  }  // of reads and writes that take a part only
   int SiteOf(std::uint32_t host);
 
   // ---- processes. The reference holds for the net's life; a process that was ended is a shell.
   Process& Start(std::uint32_t host, std::string name, std::size_t descriptors = 1 << 16);
-  // Killed: its connections are reset. Vanished: nothing is said; the host answers nothing until a new process
-  // starts there, which resets what it does not know.
+  // Killed: its connections are reset. Vanished: nothing is said; the host answers nothing until a
+  // new process starts there, which resets what it does not know.
   void Kill(Process& process);
   void Vanish(Process& process);
 
-  void OnLog(std::function<void(const Process&, std::string_view)> to) { log_to_ = std::move(to); }
+  void OnLog(std::function<void(const Process&, std::string_view)> to) {
+    log_to_ = std::move(to);
+  }
   std::uint64_t Digest() const;  // of all that arrived anywhere so far, with its time
-  std::uint64_t Events() const { return ran_; }
-  std::size_t Pending() const { return queue_.size(); }
+  std::uint64_t Events() const {
+    return ran_;
+  }
+  std::size_t Pending() const {
+    return queue_.size();
+  }
 
  private:
   friend class Process;
-  enum class What { kCall, kRun, kBytes, kFin, kReset, kSyn, kUp, kRefused, kRoom, kDatagram };
+  enum class What {
+    kCall,
+    kRun,
+    kBytes,
+    kFin,
+    kReset,
+    kSyn,
+    kUp,
+    kRefused,
+    kRoom,
+    kDatagram
+  };
   struct Event {
     Ms at = 0;
     std::uint64_t seq = 0;
@@ -166,12 +215,15 @@
   };
   struct Host {
     int site = 0;
-    bool cut_in = false, cut_out = false, silent = false;
+    bool cut_in = false;
+    bool cut_out = false;
+    bool silent = false;
     Ms late = 0;
     std::map<std::uint16_t, std::pair<Process*, int>> listeners, receivers;  // emptied by close()
   };
   struct Parcel {
-    Address from{}, to{};
+    Address from{};
+    Address to{};
     std::string bytes;
   };
   static bool Later(const Event& a, const Event& b);
@@ -186,13 +238,15 @@
   std::size_t part(std::size_t n);
 
   Ms now_;
-  std::uint64_t seq_ = 0, ran_ = 0;
+  std::uint64_t seq_ = 0;
+  std::uint64_t ran_ = 0;
   std::minstd_rand dice_;
   double choppy_ = 0;
   std::vector<Event> queue_;  // a heap
   std::vector<std::function<void()>> calls_;
   std::vector<Parcel> parcels_;
-  std::vector<std::size_t> free_calls_, free_parcels_;
+  std::vector<std::size_t> free_calls_;
+  std::vector<std::size_t> free_parcels_;
   std::map<std::uint32_t, Host> hosts_;
   std::map<std::pair<int, int>, Way> ways_;
   std::set<std::pair<std::uint32_t, std::uint32_t>> apart_;
--- a/src/store/floors.cpp
+++ b/src/store/floors.cpp
@@ -14,7 +14,8 @@
   std::string folder;
   Environment environment;
   void Check(const char* what, int fault) const {
-    if (fault != 0) throw std::runtime_error(folder + ": " + what + ": " + FaultText(fault));
+    if (fault != 0)
+      throw std::runtime_error(folder + ": " + what + ": " + FaultText(fault));
   }
 };
 
@@ -35,30 +36,41 @@
   MDB_val key{sizeof name - 1, name}, value{};
   int fault = mdb_get(txn, in.environment.table(), &key, &value);
   std::string bytes;
-  if (fault == 0) bytes.assign(static_cast<const char*>(value.mv_data), value.mv_size);
+  if (fault == 0)
+    bytes.assign(static_cast<const char*>(value.mv_data), value.mv_size);
   mdb_txn_abort(txn);
-  if (fault == MDB_NOTFOUND) return Found::kEmpty;
+  if (fault == MDB_NOTFOUND)
+    return Found::kEmpty;
   in.Check("can't be read", fault);
   proto::floors::Floors f;
   std::uint64_t digest = 0;
-  if (bytes.size() < sizeof digest) return Found::kSpoilt;
+  if (bytes.size() < sizeof digest)
+    return Found::kSpoilt;
   std::memcpy(&digest, bytes.data(), sizeof digest);
   const char* body = bytes.data() + sizeof digest;
   std::size_t size = bytes.size() - sizeof digest;
-  if (XXH64(body, size, 0) != digest || !f.ParseFromArray(body, static_cast<int>(size))) return Found::kSpoilt;
-  into = {f.whose(), f.token(), f.offset(), f.incarnation(), f.rules_digest(), f.rules_version(), {}};
-  for (const auto& w : f.witnessed()) into.witnessed[w.front()] = w.incarnation();
+  if (XXH64(body, size, 0) != digest || !f.ParseFromArray(body, static_cast<int>(size)))
+    return Found::kSpoilt;
+  into = {f.whose(),        f.token(),         f.offset(), f.incarnation(),
+          f.rules_digest(), f.rules_version(), {}};
+  for (const auto& w : f.witnessed())
+    into.witnessed[w.front()] = w.incarnation();
   return Found::kGood;
 }
 
 void FloorStore::Write(const KeptFloors& k) {
   Inner& in = *inner_;
   proto::floors::Floors f;
-  f.set_whose(k.whose), f.set_token(k.token), f.set_offset(k.offset), f.set_incarnation(k.incarnation);
-  f.set_rules_digest(k.rules_digest), f.set_rules_version(k.rules_version);
+  f.set_whose(k.whose);
+  f.set_token(k.token);
+  f.set_offset(k.offset);
+  f.set_incarnation(k.incarnation);
+  f.set_rules_digest(k.rules_digest);
+  f.set_rules_version(k.rules_version);
   for (const auto& [id, incarnation] : k.witnessed) {
     auto* w = f.add_witnessed();
-    w->set_front(id), w->set_incarnation(incarnation);
+    w->set_front(id);
+    w->set_incarnation(incarnation);
   }
   std::string body = f.SerializeAsString();
   std::uint64_t digest = XXH64(body.data(), body.size(), 0);
@@ -70,7 +82,8 @@
   MDB_txn* txn = nullptr;
   in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, 0, &txn));
   int fault = mdb_put(txn, in.environment.table(), &key, &value, 0);
-  if (fault != 0) mdb_txn_abort(txn);
+  if (fault != 0)
+    mdb_txn_abort(txn);
   in.Check("can't be written", fault);
   in.Check("can't be kept", mdb_txn_commit(txn));
 }
--- a/src/store/floors.hpp
+++ b/src/store/floors.hpp
@@ -1,6 +1,7 @@
-// The floors that a front keeps through a crash (src/recovery/), in LMDB: one value, one transaction a write, on the disk when write()
-// returns. A value whose digest does not fit, or whose bytes can't be read, is told as such and never used.
-// Throws std::runtime_error with the path and the reason. Bound: 1 MB.
+// The floors that a front keeps through a crash (src/recovery/), in LMDB: one value, one
+// transaction a write, on the disk when write() returns. A value whose digest does not fit, or
+// whose bytes can't be read, is told as such and never used. Throws std::runtime_error with the
+// path and the reason. Bound: 1 MB.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,7 +13,11 @@
 
 struct KeptFloors {
   std::uint32_t whose = 0;
-  std::uint64_t token = 0, offset = 0, incarnation = 0, rules_digest = 0, rules_version = 0;
+  std::uint64_t token = 0;
+  std::uint64_t offset = 0;
+  std::uint64_t incarnation = 0;
+  std::uint64_t rules_digest = 0;
+  std::uint64_t rules_version = 0;
   std::map<std::uint32_t, std::uint64_t> witnessed;  // incarnations of other fronts; at most 1000
   bool operator==(const KeptFloors&) const = default;
 };
@@ -20,11 +25,16 @@
 /// Where floors last: a folder on machines, memory with planned faults in tests.
 class FloorDisk {
  public:
-  enum class Found { kEmpty, kGood, kSpoilt };
+  enum class Found {
+    kEmpty,
+    kGood,
+    kSpoilt
+  };
   virtual ~FloorDisk() = default;
   /// Reads what was written last. Throws std::runtime_error where it can't be read at all.
   virtual Found Read(KeptFloors& into) = 0;
-  /// Lasts when it returns, or throws std::runtime_error; then the floors of before or these may be on the disk.
+  /// Lasts when it returns, or throws std::runtime_error; then the floors of before or these may be
+  /// on the disk.
   virtual void Write(const KeptFloors& floors) = 0;
 };
 
--- a/src/store/lasting_floors.hpp
+++ b/src/store/lasting_floors.hpp
@@ -1,6 +1,6 @@
-/// Floors on a disk that may fail. What is asked to be kept is written at once; where that fails the disk is
-/// closed, opened anew by backoff, and written again as a whole. What has not been written does not last, and
-/// is not told as if it did.
+/// Floors on a disk that may fail. What is asked to be kept is written at once; where that fails
+/// the disk is closed, opened anew by backoff, and written again as a whole. What has not been
+/// written does not last, and is not told as if it did.
 #pragma once
 #include <functional>
 #include <memory>
@@ -20,16 +20,20 @@
   using Say = std::function<void(const std::string& line)>;
   LastingFloors(OpenDisk open_disk, Say say);
 
-  /// Opens the disk and reads what is there, once, at the start of front `self`. A disk that can't be opened
-  /// or read is `spoilt`: nothing of it is trusted in this process.
+  /// Opens the disk and reads what is there, once, at the start of front `self`. A disk that can't
+  /// be opened or read is `spoilt`: nothing of it is trusted in this process.
   FloorDisk::Found Start(Ms now, std::uint32_t self, KeptFloors& found);
-  /// Keeps `floors`, or tries to again where the time for it has come. Floors of the same front that the disk
-  /// holds since a start without it are never lowered.
+  /// Keeps `floors`, or tries to again where the time for it has come. Floors of the same front
+  /// that the disk holds since a start without it are never lowered.
   void Keep(Ms now, const KeptFloors& floors);
   /// What lasts: the floors of the last write that succeeded, or that were read.
-  const KeptFloors& Lasting() const { return lasting_; }
+  const KeptFloors& Lasting() const {
+    return lasting_;
+  }
   /// Whether the last write succeeded.
-  bool IsKept() const { return is_kept_; }
+  bool IsKept() const {
+    return is_kept_;
+  }
 
  private:
   void Open();
--- a/src/store/lmdb.cpp
+++ b/src/store/lmdb.cpp
@@ -19,22 +19,29 @@
 struct LmdbStore::Inner {
   std::string folder;
   Environment environment;
-  std::uint64_t first = 1, next = 1;  // of the log: its first entry, and the one after its last
+  std::uint64_t first = 1;
+  std::uint64_t next = 1;  // of the log: its first entry, and the one after its last
 
   [[noreturn]] void Fail(const std::string& what, int fault) const {
     throw std::runtime_error(folder + ": " + what + ": " + FaultText(fault));
   }
   void Check(const char* what, int fault) const {
-    if (fault != 0) Fail(what, fault);
+    if (fault != 0)
+      Fail(what, fault);
   }
   struct Txn {
     Inner& in;
     MDB_txn* txn = nullptr;
-    Txn(Inner& i, unsigned flags) : in(i) { in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, flags, &txn)); }
+    Txn(Inner& i, unsigned flags) : in(i) {
+      in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, flags, &txn));
+    }
     ~Txn() {
-      if (txn) mdb_txn_abort(txn);
+      if (txn)
+        mdb_txn_abort(txn);
+    }
+    static MDB_val Val(const std::string& s) {
+      return {s.size(), const_cast<char*>(s.data())};
     }
-    static MDB_val Val(const std::string& s) { return {s.size(), const_cast<char*>(s.data())}; }
     void Put(const std::string& key, const std::string& value) {
       MDB_val k = Val(key), v = Val(value);
       in.Check("can't be written", mdb_put(txn, in.environment.table(), &k, &v, 0));
@@ -42,17 +49,21 @@
     void Drop(const std::string& key) {
       MDB_val k = Val(key);
       int fault = mdb_del(txn, in.environment.table(), &k, nullptr);
-      if (fault != MDB_NOTFOUND) in.Check("can't be written", fault);
+      if (fault != MDB_NOTFOUND)
+        in.Check("can't be written", fault);
     }
     bool Get(const std::string& key, std::string& into) {
       MDB_val k = Val(key), v{};
       int fault = mdb_get(txn, in.environment.table(), &k, &v);
-      if (fault == MDB_NOTFOUND) return false;
+      if (fault == MDB_NOTFOUND)
+        return false;
       in.Check("can't be read", fault);
       into.assign(static_cast<const char*>(v.mv_data), v.mv_size);
       return true;
     }
-    void Commit() { in.Check("can't be kept", mdb_txn_commit(std::exchange(txn, nullptr))); }
+    void Commit() {
+      in.Check("can't be kept", mdb_txn_commit(std::exchange(txn, nullptr)));
+    }
   };
   // A transaction that fails leaves the bounds as they were, on the disk and here.
   void Write(const std::function<void(Txn&)>& change) {
@@ -73,16 +84,23 @@
     w.number(v, 8);
     return w.bytes;
   }
-  static std::string EntryKey(std::uint64_t index) { return "e" + number(index); }
+  static std::string EntryKey(std::uint64_t index) {
+    return "e" + number(index);
+  }
   std::uint64_t NumberOf(Txn& t, const char* key, std::uint64_t otherwise) {
     std::string v;
-    if (!t.Get(key, v)) return otherwise;
+    if (!t.Get(key, v))
+      return otherwise;
     Reader r(v);
     std::uint64_t n = r.number(8);
-    if (!r.Whole()) throw std::runtime_error(folder + ": " + key + " can't be read");
+    if (!r.Whole())
+      throw std::runtime_error(folder + ": " + key + " can't be read");
     return n;
   }
-  void bounds(Txn& t) { t.Put("first", number(first)), t.Put("next", number(next)); }
+  void bounds(Txn& t) {
+    t.Put("first", number(first));
+    t.Put("next", number(next));
+  }
 };
 
 LmdbStore::LmdbStore(const std::string& folder) : inner_(std::make_unique<Inner>()) {
@@ -91,8 +109,8 @@
   constexpr std::size_t kMapBytes = 16 << 20;
   OpenResult opened = in.environment.Open(folder, kMapBytes);
   in.Check(opened.step, opened.code);
-  // Written anew at each opening: what a sync that failed left in the system's cache may be read here, and is on the disk only once
-  // this transaction, which stands on it, is.
+  // Written anew at each opening: what a sync that failed left in the system's cache may be read
+  // here, and is on the disk only once this transaction, which stands on it, is.
   in.Write([&](Inner::Txn& t) {
     in.first = in.NumberOf(t, "first", 1);
     in.next = in.NumberOf(t, "next", in.first);
@@ -105,23 +123,35 @@
   Inner& in = *inner_;
   Inner::Txn t(in, MDB_RDONLY);
   StoredState s;
-  s.term = in.NumberOf(t, "term", 0), s.vote = in.NumberOf(t, "vote", 0), s.first = in.first;
+  s.term = in.NumberOf(t, "term", 0);
+  s.vote = in.NumberOf(t, "vote", 0);
+  s.first = in.first;
   t.Get("founding", s.founding);
   std::string bytes;
   for (std::uint64_t i = in.first; i < in.next; ++i) {
-    if (!t.Get(Inner::EntryKey(i), bytes)) throw std::runtime_error(in.folder + ": entry " + std::to_string(i) + " of the log is not there");
+    if (!t.Get(Inner::EntryKey(i), bytes))
+      throw std::runtime_error(in.folder + ": entry " + std::to_string(i) +
+                               " of the log is not there");
     Reader r(bytes);
     LogEntry e;
-    e.term = r.number(8), e.type = static_cast<unsigned short>(r.number(2)), e.bytes = r.Text(1 << 20);
-    if (!r.Whole()) throw std::runtime_error(in.folder + ": entry " + std::to_string(i) + " of the log can't be read");
+    e.term = r.number(8);
+    e.type = static_cast<unsigned short>(r.number(2));
+    e.bytes = r.Text(1 << 20);
+    if (!r.Whole())
+      throw std::runtime_error(in.folder + ": entry " + std::to_string(i) +
+                               " of the log can't be read");
     s.entries.push_back(std::move(e));
   }
   if (t.Get("snapshot", bytes)) {
     Reader r(bytes);
     StoredSnapshot one;
-    one.index = r.number(8), one.term = r.number(8), one.configuration_index = r.number(8);
-    one.configuration = r.Text(1 << 16), one.data = r.Text(1 << 20);
-    if (!r.Whole()) throw std::runtime_error(in.folder + ": the snapshot can't be read");
+    one.index = r.number(8);
+    one.term = r.number(8);
+    one.configuration_index = r.number(8);
+    one.configuration = r.Text(1 << 16);
+    one.data = r.Text(1 << 20);
+    if (!r.Whole())
+      throw std::runtime_error(in.folder + ": the snapshot can't be read");
     s.snapshot = std::move(one);
   }
   return s;
@@ -131,7 +161,10 @@
   inner_->Write([&](Inner::Txn& t) { t.Put("founding", founding); });
 }
 void LmdbStore::SetTerm(std::uint64_t term) {
-  inner_->Write([&](Inner::Txn& t) { t.Put("term", Inner::number(term)), t.Put("vote", Inner::number(0)); });
+  inner_->Write([&](Inner::Txn& t) {
+    t.Put("term", Inner::number(term));
+    t.Put("vote", Inner::number(0));
+  });
 }
 void LmdbStore::SetVote(std::uint64_t vote) {
   inner_->Write([&](Inner::Txn& t) { t.Put("vote", Inner::number(vote)); });
@@ -141,7 +174,9 @@
   in.Write([&](Inner::Txn& t) {
     for (const LogEntry& e : entries) {
       Writer w;
-      w.number(e.term, 8), w.number(e.type, 2), w.Text(e.bytes);
+      w.number(e.term, 8);
+      w.number(e.type, 2);
+      w.Text(e.bytes);
       t.Put(Inner::EntryKey(in.next++), w.bytes);
     }
     in.bounds(t);
@@ -150,8 +185,10 @@
 void LmdbStore::Truncate(std::uint64_t from) {
   Inner& in = *inner_;
   in.Write([&](Inner::Txn& t) {
-    for (std::uint64_t i = std::max(from, in.first); i < in.next; ++i) t.Drop(Inner::EntryKey(i));
-    if (from < in.first) in.first = from;
+    for (std::uint64_t i = std::max(from, in.first); i < in.next; ++i)
+      t.Drop(Inner::EntryKey(i));
+    if (from < in.first)
+      in.first = from;
     in.next = std::min(in.next, from);
     in.bounds(t);
   });
@@ -160,15 +197,22 @@
   Inner& in = *inner_;
   in.Write([&](Inner::Txn& t) {
     Writer w;
-    w.number(s.index, 8), w.number(s.term, 8), w.number(s.configuration_index, 8);
-    w.Text(s.configuration), w.Text(s.data);
+    w.number(s.index, 8);
+    w.number(s.term, 8);
+    w.number(s.configuration_index, 8);
+    w.Text(s.configuration);
+    w.Text(s.data);
     t.Put("snapshot", w.bytes);
     std::uint64_t first = in.first, next = in.next;
-    if (trailing == 0 || s.index >= in.next) first = next = s.index + 1;
-    else if (s.index > trailing && s.index - trailing >= in.first) first = s.index - trailing + 1;
+    if (trailing == 0 || s.index >= in.next)
+      first = next = s.index + 1;
+    else if (s.index > trailing && s.index - trailing >= in.first)
+      first = s.index - trailing + 1;
     for (std::uint64_t i = in.first; i < in.next; ++i)
-      if (i < first || i >= next) t.Drop(Inner::EntryKey(i));
-    in.first = first, in.next = next;
+      if (i < first || i >= next)
+        t.Drop(Inner::EntryKey(i));
+    in.first = first;
+    in.next = next;
     in.bounds(t);
   });
 }
--- a/src/store/lmdb.hpp
+++ b/src/store/lmdb.hpp
@@ -1,6 +1,7 @@
-// The owner's store on disk, by LMDB: each call is one transaction that is on the disk when it returns. A file that a crash
-// tore can't be: LMDB switches between two whole states. One process at a time. Throws std::runtime_error with the path and the
-// reason. Bound: 16 MB, of which a group of 64 works uses some kilobytes.
+// The owner's store on disk, by LMDB: each call is one transaction that is on the disk when it
+// returns. A file that a crash tore can't be: LMDB switches between two whole states. One process
+// at a time. Throws std::runtime_error with the path and the reason. Bound: 16 MB, of which a group
+// of 64 works uses some kilobytes.
 #pragma once
 #include <memory>
 
@@ -12,7 +13,9 @@
  public:
   explicit LmdbStore(const std::string& folder);  // made where it is not there
   ~LmdbStore() override;
-  bool Lasts() const override { return true; }
+  bool Lasts() const override {
+    return true;
+  }
   owner::StoredState load() override;
   void Found(const std::string& founding) override;
   void SetTerm(std::uint64_t term) override;
--- a/src/world/copies.cpp
+++ b/src/world/copies.cpp
@@ -6,17 +6,21 @@
 
 bool Model::Dropped(const Copy& copy, const Machine& m, Ms now) const {
   for (const Purge& p : purges_) {
-    if (copy.issued >= p.at || (p.whole_group ? copy.group != p.group : copy.object != p.object)) continue;
+    if (copy.issued >= p.at || (p.whole_group ? copy.group != p.group : copy.object != p.object))
+      continue;
     // Each machine is done with a purge at its own time, within what is stated.
-    Ms done = p.at + terms_.purge_done * Unit(Hashed(m.make.id, static_cast<std::uint64_t>(p.at * 16) + m.life));
-    if (now >= done) return true;
+    Ms done = p.at + terms_.purge_done *
+                         Unit(Hashed(m.make.id, static_cast<std::uint64_t>(p.at * 16) + m.life));
+    if (now >= done)
+      return true;
   }
   return false;
 }
 
 Model::Copy* Model::Holds(Machine& m, Key key, Ms now, Ms oldest) {
   auto at = m.copies.find(key);
-  if (at == m.copies.end()) return nullptr;
+  if (at == m.copies.end())
+    return nullptr;
   Copy& c = at->second;
   if (Dropped(c, m, now)) {
     m.order.erase({c.rank, c.used_at, key});
@@ -24,7 +28,8 @@
     m.copies.erase(at);
     return nullptr;
   }
-  if (oldest > 0 && now - c.issued > oldest) return nullptr;
+  if (oldest > 0 && now - c.issued > oldest)
+    return nullptr;
   return &c;
 }
 
@@ -37,12 +42,14 @@
   }
   while (m.kept_kb + copy.size_kb > m.make.keep_kb && !m.order.empty()) {
     auto [rank, used, which] = *m.order.begin();
-    if (rank > copy.rank) return;  // nothing goes for a copy of lower rank
+    if (rank > copy.rank)
+      return;  // nothing goes for a copy of lower rank
     m.kept_kb -= m.copies[which].size_kb;
     m.copies.erase(which);
     m.order.erase(m.order.begin());
   }
-  if (m.kept_kb + copy.size_kb > m.make.keep_kb) return;
+  if (m.kept_kb + copy.size_kb > m.make.keep_kb)
+    return;
   m.kept_kb += copy.size_kb;
   m.order.insert({copy.rank, copy.used_at, key});
   m.copies[key] = copy;
@@ -55,8 +62,10 @@
     for (auto& [id, m] : machines_) {
       std::vector<Key> old;
       for (auto& [rank, used, key] : m->order)
-        if (Dropped(m->copies[key], *m, now)) old.push_back(key);
-      for (Key key : old) Holds(*m, key, now, 0);
+        if (Dropped(m->copies[key], *m, now))
+          old.push_back(key);
+      for (Key key : old)
+        Holds(*m, key, now, 0);
     }
     Ms done = now - terms_.purge_done - 1;
     std::erase_if(purges_, [&](const Purge& p) { return p.at < done; });
--- a/src/world/model.hpp
+++ b/src/world/model.hpp
@@ -1,9 +1,11 @@
-// A model of what the fronts serve: store caches, area caches, the head office, each store's link. Pure: it is
-// told the time, asked for things, and calls back; no sockets, no clock, one seed. What it promises is taken from
-// the users' brief; where that names a range, a number is drawn from it once at the start (`Terms`).
+// A model of what the fronts serve: store caches, area caches, the head office, each store's link.
+// Pure: it is told the time, asked for things, and calls back; no sockets, no clock, one seed. What
+// it promises is taken from the users' brief; where that names a range, a number is drawn from it
+// once at the start (`Terms`).
 //
-// Work is counted in transfers: a machine of capacity c carries c answers at once at the pace at which one client
-// is sent one, its sending time each; more share it evenly. A fill runs at up to `fillPace` times that pace.
+// Work is counted in transfers: a machine of capacity c carries c answers at once at the pace at
+// which one client is sent one, its sending time each; more share it evenly. A fill runs at up to
+// `fillPace` times that pace.
 #pragma once
 #include <boost/random/mersenne_twister.hpp>
 #include <boost/random/uniform_real_distribution.hpp>
@@ -24,30 +26,45 @@
 
 double Between(Dice& dice, double low, double high);
 
-// The name of a popular thing, the same in every run; `store` -1: wanted everywhere. Other names beginning with f
-// are of things of odd size.
+// The name of a popular thing, the same in every run; `store` -1: wanted everywhere. Other names
+// beginning with f are of things of odd size.
 std::string ThingName(int offering, int store, std::size_t rank);
 std::string HexName(std::uint64_t number);
 
-enum class Effect { kRerunnable, kTicketed, kExclusive };
-enum class Grade { kStore, kArea, kOffice };
+enum class Effect {
+  kRerunnable,
+  kTicketed,
+  kExclusive
+};
+enum class Grade {
+  kStore,
+  kArea,
+  kOffice
+};
 
 struct OfferingTerms {
   std::string name;
   Effect effect = Effect::kRerunnable;
-  double share = 0;         // of the pulls
-  Ms sending = 0;           // mean, at full pace
-  double size_spread = 0;    // sigma of the sizes' logarithm
-  double size_scale = 1;     // so that what is asked for has the mean above, whatever sizes popular things drew
-  Ms agreed = 0, expiry = 0;
-  double agreed_stretch = 0, payoff = 1, late_worth = 0;
-  Ms fresh_for = 0;          // 0: until purged
+  double share = 0;        // of the pulls
+  Ms sending = 0;          // mean, at full pace
+  double size_spread = 0;  // sigma of the sizes' logarithm
+  double size_scale =
+      1;  // so that what is asked for has the mean above, whatever sizes popular things drew
+  Ms agreed = 0;
+  Ms expiry = 0;
+  double agreed_stretch = 0;
+  double payoff = 1;
+  double late_worth = 0;
+  Ms fresh_for = 0;  // 0: until purged
   bool never_kept = false;
-  Ms memory = 0;            // ticketed: how long its repeats are known
-  double least_parts = 1, most_parts = 1;
-  Ms least_gap = 0, most_gap = 0;  // between parts
-  double zipf = 1, local = 0;    // popularity; share of pulls for objects wanted at one store only
-  int objects = 0;               // that are popular at all
+  Ms memory = 0;  // ticketed: how long its repeats are known
+  double least_parts = 1;
+  double most_parts = 1;
+  Ms least_gap = 0;
+  Ms most_gap = 0;  // between parts
+  double zipf = 1;
+  double local = 0;  // popularity; share of pulls for objects wanted at one store only
+  int objects = 0;   // that are popular at all
 };
 
 // What holds for the whole run; ranges are drawn by whoever fills it.
@@ -62,32 +79,67 @@
   Ms fill_timeout = 2500;
   Ms purge_done = 6000;
   Ms cold_window = 1000;
-  double cold_store_from = 0.29, cold_store_multiple = 2, cold_area_from = 0.079, cold_area_multiple = 2;
-  Ms cold_store_lasts = 17000, cold_area_lasts = 22000;
+  double cold_store_from = 0.29;
+  double cold_store_multiple = 2;
+  double cold_area_from = 0.079;
+  double cold_area_multiple = 2;
+  Ms cold_store_lasts = 17000;
+  Ms cold_area_lasts = 22000;
   double error_rate = 0.0002;
-  Ms report_every = 500, report_late = 150;
+  Ms report_every = 500;
+  Ms report_late = 150;
 };
 
 struct Make {
   std::string id;
   Grade grade = Grade::kStore;
-  int store = -1;         // whose link its fills share; -1: none
-  double capacity = 6;    // transfers
-  int slots = 30, queue = 40, fills = 30;
+  int store = -1;       // whose link its fills share; -1: none
+  double capacity = 6;  // transfers
+  int slots = 30;
+  int queue = 40;
+  int fills = 30;
   double keep_kb = 1e6;
-  Ms way = 5;             // to it from a store, one way
-  Ms started_at = 0;       // 0: long ago, warm
+  Ms way = 5;         // to it from a store, one way
+  Ms started_at = 0;  // 0: long ago, warm
 };
 
 struct Wish {
-  std::string id, thing, source, mine;
-  int offering = 0, part = 0, rank = 0;
-  Ms most = 0, within = 0;
-  bool join = false, held_only = false, passing = false, renew = false;
+  std::string id;
+  std::string thing;
+  std::string source;
+  std::string mine;
+  int offering = 0;
+  int part = 0;
+  int rank = 0;
+  Ms most = 0;
+  Ms within = 0;
+  bool join = false;
+  bool held_only = false;
+  bool passing = false;
+  bool renew = false;
 };
 
-enum class Word { kHit, kValid, kNone, kShed, kFault, kLate };
-enum class Note { kNone, kLocal, kPulled, kPulledFar, kRode, kExpired, kTurnedAway, kCutOff, kNotThere, kNoPlace, kFarFault };
+enum class Word {
+  kHit,
+  kValid,
+  kNone,
+  kShed,
+  kFault,
+  kLate
+};
+enum class Note {
+  kNone,
+  kLocal,
+  kPulled,
+  kPulledFar,
+  kRode,
+  kExpired,
+  kTurnedAway,
+  kCutOff,
+  kNotThere,
+  kNoPlace,
+  kFarFault
+};
 
 struct Reply {
   Word word = Word::kFault;
@@ -99,7 +151,10 @@
 };
 
 struct Load {
-  double util = 0, inflight = 0, hits = 0, link = 0;
+  double util = 0;
+  double inflight = 0;
+  double hits = 0;
+  double link = 0;
 };
 
 // What the world does that the rules ask about.
@@ -119,19 +174,26 @@
   using At = std::function<void(Ms, std::function<void()>)>;
   using Answered = std::function<void(const Reply&)>;
   struct Bytes {
-    double office = 0, links = 0;  // KB that left the office; that came in over the stores' links
-    double asked = 0, wasted = 0;  // transfer-ms of work done for pulls, and for what nobody took
+    double office = 0;
+    double links = 0;  // KB that left the office; that came in over the stores' links
+    double asked = 0;
+    double wasted = 0;  // transfer-ms of work done for pulls, and for what nobody took
   };
 
   Model(Terms terms, std::uint64_t seed, Ms start, At at, Witness& witness);
   ~Model();
-  const Terms& terms() const { return terms_; }
+  const Terms& terms() const {
+    return terms_;
+  }
   Bytes bytes;
 
   void SetLink(int store, double capacity);  // transfers
   void Add(const Make& make);                // a new process: empty, cold if it started late
-  void Remove(Ms now, const std::string& machine);   // with all that it had open; nobody is called back
-  bool Has(const std::string& machine) const { return machines_.count(machine) != 0; }
+  void Remove(Ms now,
+              const std::string& machine);  // with all that it had open; nobody is called back
+  bool Has(const std::string& machine) const {
+    return machines_.count(machine) != 0;
+  }
 
   // Returns a ticket for giveUp(); `answered` is called later, once, unless the wish is given up.
   std::uint64_t Want(Ms now, const std::string& machine, Wish wish, Answered answered);
@@ -145,7 +207,9 @@
   // ---- troubles
   void Stall(Ms now, const std::string& machine, Ms until);      // does nothing till then
   void Slow(Ms now, const std::string& machine, double factor);  // of its pace; 1: as it should
-  void LateReports(Ms by) { reports_later_ = by; }
+  void LateReports(Ms by) {
+    reports_later_ = by;
+  }
 
   // ---- facts of a thing, which follow from its name
   double SizeKb(int offering, const std::string& thing) const;
@@ -157,8 +221,10 @@
   struct Work;
   struct Copy {
     double size_kb = 0;
-    Ms issued = 0, used_at = 0;
-    int rank = 0, group = 0;
+    Ms issued = 0;
+    Ms used_at = 0;
+    int rank = 0;
+    int group = 0;
     std::uint64_t object = 0;
   };
   struct Purge {
@@ -181,7 +247,8 @@
   void FromOffice(std::shared_ptr<Machine> office, std::shared_ptr<Work> work, Ms now);
   void Fetched(std::shared_ptr<Work> far, Ms now, Ms issued);
   static std::string TagOf(const Work& work);
-  void end(std::shared_ptr<Work> work, Ms now, Word word, Note note, Ms issued = 0, double size_kb = 0);
+  void end(std::shared_ptr<Work> work, Ms now, Word word, Note note, Ms issued = 0,
+           double size_kb = 0);
   void Leave(Machine& m, std::shared_ptr<Work> work, Ms now);
   void Book(Machine& m, double work, Ms now);
   void Later(Ms when, std::shared_ptr<Work> work, void (Model::*what)(std::shared_ptr<Work>, Ms));
--- a/src/world/wish.cpp
+++ b/src/world/wish.cpp
@@ -8,15 +8,18 @@
 
 namespace dunlinwick::world {
 
-void Model::Later(Ms when, std::shared_ptr<Work> work, void (Model::*what)(std::shared_ptr<Work>, Ms)) {
+void Model::Later(Ms when, std::shared_ptr<Work> work,
+                  void (Model::*what)(std::shared_ptr<Work>, Ms)) {
   at_(when, [this, when, work, what] {
-    if (!work->over) (this->*what)(work, when);
+    if (!work->over)
+      (this->*what)(work, when);
   });
 }
 
 std::uint64_t Model::Want(Ms now, const std::string& machine, Wish wish, Answered answered) {
   auto at = machines_.find(machine);
-  if (at == machines_.end()) return 0;
+  if (at == machines_.end())
+    return 0;
   auto work = std::make_shared<Work>();
   work->key = Hashed(wish.thing, static_cast<std::uint64_t>(wish.part) + 16);
   work->wish = std::move(wish);
@@ -30,17 +33,21 @@
   if (auto m = work->at.lock(); m && machines_.count(machine)) {  // a push may have ended it
     // Never answered from within the call.
     constexpr Ms kReading = 0.1;
-    if (m->stalled_until > now) Later(m->stalled_until, work, &Model::Take);
-    else Later(now + kReading, work, &Model::Take);
+    if (m->stalled_until > now)
+      Later(m->stalled_until, work, &Model::Take);
+    else
+      Later(now + kReading, work, &Model::Take);
   }
   return ticket;
 }
 
 void Model::Take(std::shared_ptr<Work> work, Ms now) {
   auto m = work->at.lock();
-  if (!m) return;
+  if (!m)
+    return;
   if (m->in_hand >= m->make.slots) {
-    if (static_cast<int>(m->waiting.size()) >= m->make.queue) return end(work, now, Word::kShed, Note::kNone);
+    if (static_cast<int>(m->waiting.size()) >= m->make.queue)
+      return end(work, now, Word::kShed, Note::kNone);
     m->waiting.push_back(work);
     return;
   }
@@ -52,11 +59,15 @@
   const OfferingTerms& o = terms_.offerings[static_cast<std::size_t>(work->wish.offering)];
   ++m->in_hand;
   work->begun = true;
-  if (now - work->came_at > work->wish.most) return end(work, now, Word::kLate, Note::kNone);
-  if (Between(dice_, 0, 1) < terms_.error_rate) return end(work, now, Word::kFault, Note::kNone);
+  if (now - work->came_at > work->wish.most)
+    return end(work, now, Word::kLate, Note::kNone);
+  if (Between(dice_, 0, 1) < terms_.error_rate)
+    return end(work, now, Word::kFault, Note::kNone);
   if (o.never_kept) {
-    if (m->make.grade == Grade::kOffice) return Arrive(work, now);
-    if (work->wish.source.empty()) return end(work, now, Word::kNone, Note::kNone);
+    if (m->make.grade == Grade::kOffice)
+      return Arrive(work, now);
+    if (work->wish.source.empty())
+      return end(work, now, Word::kNone, Note::kNone);
     return Fill(work, now);
   }
   work->size_kb = SizeKb(work->wish.offering, work->wish.thing);
@@ -67,7 +78,8 @@
       ++m->hits;
       m->order.erase({c->rank, c->used_at, work->key});
       c->used_at = now;
-      if (work->wish.rank > 0) c->rank = work->wish.rank;
+      if (work->wish.rank > 0)
+        c->rank = work->wish.rank;
       m->order.insert({c->rank, c->used_at, work->key});
       work->note = Note::kLocal;
       work->issued = c->issued;
@@ -76,7 +88,8 @@
     if (work->wish.source.empty() && m->make.grade == Grade::kStore)
       return end(work, now, Word::kNone, Note::kNone);
   }
-  if (m->make.grade == Grade::kStore) return Fill(work, now);
+  if (m->make.grade == Grade::kStore)
+    return Fill(work, now);
   work->fill_at = now;
   Arrive(work, now);  // asked directly: it is its own source
 }
@@ -86,7 +99,8 @@
   bool valid = !work->wish.mine.empty() && work->wish.mine == TagOf(*work);
   double takes = (valid ? 0.05 : 1) * size_kb / terms_.flow_kb_per_ms;
   work->jobs.push_back({work->at, -1, m->pipe->Add(now, takes, [this, work, size_kb](Ms then) {
-                          if (!work->over) end(work, then, Word::kHit, work->note, work->issued, size_kb);
+                          if (!work->over)
+                            end(work, then, Word::kHit, work->note, work->issued, size_kb);
                         })});
 }
 
@@ -97,52 +111,70 @@
   return text;
 }
 
-void Model::end(std::shared_ptr<Work> work, Ms now, Word word, Note note, Ms issued, double size_kb) {
-  if (work->over) return;
+void Model::end(std::shared_ptr<Work> work, Ms now, Word word, Note note, Ms issued,
+                double size_kb) {
+  if (work->over)
+    return;
   work->over = true;
   auto m = work->at.lock();
   work->issued = issued;
   Reply r;
-  r.word = word, r.note = note, r.delay = work->filling ? work->delay : 0;
+  r.word = word;
+  r.note = note;
+  r.delay = work->filling ? work->delay : 0;
   if (word == Word::kHit) {
-    r.tag = TagOf(*work), r.issued = std::floor(issued);
+    r.tag = TagOf(*work);
+    r.issued = std::floor(issued);
     bytes.asked += work->size_kb / terms_.flow_kb_per_ms;
     r.size_kb = size_kb;
-    if (work->wish.mine == r.tag) r.word = Word::kValid, r.size_kb = 0;
+    if (work->wish.mine == r.tag) {
+      r.word = Word::kValid;
+      r.size_kb = 0;
+    }
   }
   Answered answered = std::move(work->answered);
-  if (m) Leave(*m, work, now);
-  if (answered) answered(r);
+  if (m)
+    Leave(*m, work, now);
+  if (answered)
+    answered(r);
 }
 
 void Model::Leave(Machine& m, std::shared_ptr<Work> work, Ms now) {
   m.open.erase(work->ticket);
   for (auto& job : work->jobs)
-    if (job.link >= 0) links_[static_cast<std::size_t>(job.link)]->Remove(now, job.id);
-    else if (auto where = job.where.lock()) where->pipe->Remove(now, job.id);
+    if (job.link >= 0)
+      links_[static_cast<std::size_t>(job.link)]->Remove(now, job.id);
+    else if (auto where = job.where.lock())
+      where->pipe->Remove(now, job.id);
   work->jobs.clear();
-  if (work->filling && !work->passed) --m.fills;
+  if (work->filling && !work->passed)
+    --m.fills;
   if (!work->begun) {
     std::erase(m.waiting, work);
     return;
   }
-  if (work->passed) return;
+  if (work->passed)
+    return;
   --m.in_hand;
   while (m.in_hand < m.make.slots && !m.waiting.empty()) {
     auto next = m.waiting.front();
     m.waiting.pop_front();
-    if (next->over) continue;
+    if (next->over)
+      continue;
     Start(next, now);
   }
 }
 
 void Model::GiveUp(Ms now, const std::string& machine, std::uint64_t ticket) {
   auto at = machines_.find(machine);
-  if (at == machines_.end()) return;
+  if (at == machines_.end())
+    return;
   auto found = at->second->open.find(ticket);
-  if (found == at->second->open.end()) return;
+  if (found == at->second->open.end())
+    return;
   auto work = found->second;
-  if (work->over) return;
+  if (work->over)
+    return;
   work->over = true;
   bytes.wasted += std::min(now - work->came_at, work->size_kb / terms_.flow_kb_per_ms);
   Leave(*at->second, work, now);
