--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -1,6 +1,6 @@
-// The moment an attempt's first byte is written: the deadline its server is told is what the client has left then, and nothing is
-// begun for a client that has left, whatever the attempt waited for. On loopback sockets; the loop's clock is skipped, and the
-// figures are read on the wire.
+// The moment an attempt's first byte is written: the deadline its server is told is what the client
+// has left then, and nothing is begun for a client that has left, whatever the attempt waited for.
+// On loopback sockets; the loop's clock is skipped, and the figures are read on the wire.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -17,10 +17,12 @@
 
 const std::string kCheckAnswer = "call PONG - 0\r\n\r\n";
 
-/// The deadline in milliseconds that the request line of `which` names; -1 where there is no such line.
+/// The deadline in milliseconds that the request line of `which` names; -1 where there is no such
+/// line.
 long long ToldDeadline(const std::string& bytes, int which) {
   std::size_t line = bytes.find(WantOf(which));
-  if (line == std::string::npos) return -1;
+  if (line == std::string::npos)
+    return -1;
   std::size_t deadline = bytes.find(",max=", line);
   REQUIRE(deadline < bytes.find("\r\n", line));
   return std::stoll(bytes.substr(deadline + 5));
@@ -39,16 +41,22 @@
   Ms latest = 0;
 };
 
-/// What was told lies between the time left before and after the write, rounded up to whole milliseconds.
+/// What was told lies between the time left before and after the write, rounded up to whole
+/// milliseconds.
 void CheckTold(long long told, const Deadline& deadline, Ms before, Ms after) {
   CHECK(told >= 1);
   CHECK(static_cast<double>(told) <= std::ceil(deadline.latest - before));
   CHECK(static_cast<double>(told) >= std::floor(deadline.earliest - after));
 }
 
-/// Servers that are asked in turn by a router that forgets nothing and asks nobody whether the client is still there: the second
-/// attempt comes after the first one's failure, some time after it, or beside it.
-enum class Further { kRetry, kRetryAfterBackoff, kHedged };
+/// Servers that are asked in turn by a router that forgets nothing and asks nobody whether the
+/// client is still there: the second attempt comes after the first one's failure, some time after
+/// it, or beside it.
+enum class Further {
+  kRetry,
+  kRetryAfterBackoff,
+  kHedged
+};
 constexpr Ms kBackoff = 50;
 constexpr std::uint64_t kWakeUp = 1;
 
@@ -68,22 +76,32 @@
   }
   std::vector<Action> Decide(Ms now, const Event& event) {
     if (auto* list = std::get_if<ListNews>(&event))
-      for (const ListEntry& entry : list->entries) servers.push_back(entry.cache);
+      for (const ListEntry& entry : list->entries)
+        servers.push_back(entry.cache);
     if (auto* came = std::get_if<PullCame>(&event)) {
       pull = came->pull;
-      if (further != Further::kHedged) return {Attempt(0)};
+      if (further != Further::kHedged)
+        return {Attempt(0)};
       return {Attempt(0), WakeMe{now + kBackoff, kWakeUp}};
     }
     auto* ended = std::get_if<LegEnded>(&event);
-    if (ended && ended->leg == 0 && further == Further::kRetry) return {Attempt(1)};
-    if (ended && ended->leg == 0 && further == Further::kRetryAfterBackoff) return {WakeMe{now + kBackoff, kWakeUp}};
-    if (std::holds_alternative<WakeUp>(event)) return {Attempt(1)};
+    if (ended && ended->leg == 0 && further == Further::kRetry)
+      return {Attempt(1)};
+    if (ended && ended->leg == 0 && further == Further::kRetryAfterBackoff)
+      return {WakeMe{now + kBackoff, kWakeUp}};
+    if (std::holds_alternative<WakeUp>(event))
+      return {Attempt(1)};
     return {};
   }
 };
 
 /// What the further attempt waits for when its client leaves.
-enum class Pause { kBackoff, kDial, kQueue, kCheck };
+enum class Pause {
+  kBackoff,
+  kDial,
+  kQueue,
+  kCheck
+};
 
 struct TwoServers {
   FarListener first_listener;
@@ -100,14 +118,16 @@
   Deadline deadline;
 
   TwoServers(Further further, Pause pause, Ms expiry = 60000)
-      : exchange(loop, SheetWithExpiry(expiry), [s = script](Ms now, const Event& event) { return s->Decide(now, event); }),
+      : exchange(loop, SheetWithExpiry(expiry),
+                 [s = script](Ms now, const Event& event) { return s->Decide(now, event); }),
         caches(loop, exchange, MakeTerms(20000), 8),
         clients(loop, exchange, MakeTerms().offerings, {false, true}, front_address, 50) {
     script->further = further;
     script->proven = pause == Pause::kCheck;
     exchange.Meet(caches);
     exchange.ListCame(true, Machines({{"s-1", first_listener.at}, {"s-2", second_listener.at}}));
-    if (pause == Pause::kQueue) FillSecond();
+    if (pause == Pause::kQueue)
+      FillSecond();
     Ms before = loop.now();
     client = Far::To(front_address);
     client.Send(GetAs(1));
@@ -116,11 +136,15 @@
     deadline = {before + expiry, loop.now() + expiry};
   }
 
-  static std::string WantLine() { return "want 00000000000000f1 "; }
+  static std::string WantLine() {
+    return "want 00000000000000f1 ";
+  }
   void Turns(int count = 20) {
-    for (int i = 0; i < count; ++i) loop.turn(1);
+    for (int i = 0; i < count; ++i)
+      loop.turn(1);
   }
-  /// Until the second server, which reads nothing, takes no more; what it is asked for is not of any client.
+  /// Until the second server, which reads nothing, takes no more; what it is asked for is not of
+  /// any client.
   void FillSecond() {
     SendLeg how;
     how.cache = script->servers.at(1);
@@ -140,18 +164,24 @@
       first.Send("00000000000000f1 FAULT - 0\r\n\r\n");
       Until(loop, [&] { return exchange.counters.errors == 1; });
     }
-    if (pause == Pause::kBackoff) return;
-    if (script->further != Further::kRetry) loop.Skip(kBackoff + 1);
+    if (pause == Pause::kBackoff)
+      return;
+    if (script->further != Further::kRetry)
+      loop.Skip(kBackoff + 1);
     Until(loop, [&] { return exchange.counters.legs == 2; });
-    if (pause != Pause::kCheck) return;
+    if (pause != Pause::kCheck)
+      return;
     second = second_listener.Next(loop);
     Until(loop, [&] { return second.Hears("there call\r\n"); });
   }
   /// Lets what waits go.
   void Release(Pause pause) {
-    if (pause == Pause::kCheck) second.Send(kCheckAnswer);
-    if (pause == Pause::kDial) second = second_listener.Next(loop);
-    if (pause == Pause::kQueue) Drain();
+    if (pause == Pause::kCheck)
+      second.Send(kCheckAnswer);
+    if (pause == Pause::kDial)
+      second = second_listener.Next(loop);
+    if (pause == Pause::kQueue)
+      Drain();
     Turns();
   }
   void Drain() {
@@ -160,7 +190,8 @@
       std::size_t before = second.got.size();
       loop.turn(1);
       quiet_turns = second.Read(1 << 20).size() == before ? quiet_turns + 1 : 0;
-      if (second.got.size() > (1 << 21)) second.got.erase(0, second.got.size() - 4096);
+      if (second.got.size() > (1 << 21))
+        second.got.erase(0, second.got.size() - 4096);
     }
   }
 };
@@ -169,16 +200,21 @@
   Further further;
   Pause pause;
 };
-const std::vector<Crossing> kCrossings{
-    {Further::kRetry, Pause::kDial},      {Further::kRetry, Pause::kQueue},
-    {Further::kRetry, Pause::kCheck},     {Further::kRetryAfterBackoff, Pause::kBackoff},
-    {Further::kRetryAfterBackoff, Pause::kDial}, {Further::kHedged, Pause::kBackoff},
-    {Further::kHedged, Pause::kDial},     {Further::kHedged, Pause::kQueue},
-    {Further::kHedged, Pause::kCheck}};
+const std::vector<Crossing> kCrossings{{Further::kRetry, Pause::kDial},
+                                       {Further::kRetry, Pause::kQueue},
+                                       {Further::kRetry, Pause::kCheck},
+                                       {Further::kRetryAfterBackoff, Pause::kBackoff},
+                                       {Further::kRetryAfterBackoff, Pause::kDial},
+                                       {Further::kHedged, Pause::kBackoff},
+                                       {Further::kHedged, Pause::kDial},
+                                       {Further::kHedged, Pause::kQueue},
+                                       {Further::kHedged, Pause::kCheck}};
 
 }  // namespace
 
-TEST_CASE("the deadline told is what the client has left at the write, whatever the first attempt waited for") {
+TEST_CASE(
+    "the deadline told is what the client has left at the write, whatever the first attempt waited "
+    "for") {
   struct Case {
     Ms expiry;
     Ms waited;
@@ -214,7 +250,9 @@
   CheckTold(ToldDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
 }
 
-TEST_CASE("with a few milliseconds left the deadline told is never 0, and with nothing left nothing is written") {
+TEST_CASE(
+    "with a few milliseconds left the deadline told is never 0, and with nothing left nothing is "
+    "written") {
   constexpr Ms kExpiry = 5000;
   for (Wait wait : {kDial, kCheck})
     for (Ms left : {40.0, 3.0, 0.4, -1.0}) {
@@ -223,16 +261,22 @@
       Ms before = loop::MakeSystem().now();
       Waiting waiting(wait, SheetWithExpiry(kExpiry), {}, wait == kCheck ? kWrite : kVideo);
       Deadline deadline{before + kExpiry, waiting.r.loop.now() + kExpiry};
-      if (wait == kCheck) waiting.peer.Send(kCheckAnswer);  // read in the turn in which time is up
+      if (wait == kCheck)
+        waiting.peer.Send(kCheckAnswer);  // read in the turn in which time is up
       waiting.r.loop.Skip(deadline.latest - left - waiting.r.loop.now());
       Ms skipped = waiting.r.loop.now();
       waiting.r.Turns();
-      if (wait == kDial) waiting.peer = waiting.far.Next(waiting.r.loop);
+      if (wait == kDial)
+        waiting.peer = waiting.far.Next(waiting.r.loop);
       waiting.r.Turns();
       long long told = waiting.Began() ? ToldDeadline(waiting.peer.got, 1) : -1;
-      if (left < 0) CHECK(told == -1);
-      if (told != -1) CheckTold(told, deadline, skipped, waiting.r.loop.now());
-      Until(waiting.r.loop, [&] { return !waiting.client.told.empty(); });  // and its client is answered once its time is up
+      if (left < 0)
+        CHECK(told == -1);
+      if (told != -1)
+        CheckTold(told, deadline, skipped, waiting.r.loop.now());
+      Until(waiting.r.loop, [&] {
+        return !waiting.client.told.empty();
+      });  // and its client is answered once its time is up
       CHECK(waiting.client.told.size() == 1);
     }
 }
@@ -242,7 +286,13 @@
     Ms left;
     std::string told;
   };
-  for (const Case& c : {Case{0.0004, "1"}, {0.4, "1"}, {1, "1"}, {2.3, "3"}, {999.99, "1000"}, {5000, "5000"}, {5000.0002, "5000"}}) {
+  for (const Case& c : {Case{0.0004, "1"},
+                        {0.4, "1"},
+                        {1, "1"},
+                        {2.3, "3"},
+                        {999.99, "1000"},
+                        {5000, "5000"},
+                        {5000.0002, "5000"}}) {
     std::string bytes = caches::RequestLine(AskFor(), SendLeg{}, "").WithTimeLeft(c.left);
     CHECK(bytes == "want " + kId + " profile=video,thing=7f3a,nth=0,max=" + c.told + " 0\r\n\r\n");
   }
@@ -250,7 +300,8 @@
 
 TEST_CASE("a further attempt tells what the client has left at its own write") {
   for (const Crossing& crossing : kCrossings) {
-    if (crossing.pause == Pause::kBackoff) continue;
+    if (crossing.pause == Pause::kBackoff)
+      continue;
     CAPTURE(static_cast<int>(crossing.further));
     CAPTURE(static_cast<int>(crossing.pause));
     TwoServers servers(crossing.further, crossing.pause, 5000);
@@ -273,7 +324,8 @@
   exchange::Exchange exchange(loop, SheetWithExpiry(5000), [&script](Ms now, const Event& event) {
     std::vector<Action> actions = script.Decide(now, event);
     for (Action& action : actions)
-      if (auto* attempt = std::get_if<SendLeg>(&action)) attempt->patience = 1500;
+      if (auto* attempt = std::get_if<SendLeg>(&action))
+        attempt->patience = 1500;
     return actions;
   });
   caches::Caches caches(loop, exchange, MakeTerms(20000), 8);
@@ -290,7 +342,8 @@
   CheckTold(ToldDeadline(server.got, 1), timeout, skipped, loop.now());
 }
 
-// The client's close lies unread when what the attempt waited for comes: both are found in one turn, long after.
+// The client's close lies unread when what the attempt waited for comes: both are found in one
+// turn, long after.
 TEST_CASE("no further attempt begins for a client that closed, whatever it waits for") {
   for (const Crossing& crossing : kCrossings) {
     CAPTURE(static_cast<int>(crossing.further));
@@ -299,25 +352,32 @@
     servers.ReachPause(crossing.pause);
     std::size_t attempts = servers.exchange.counters.legs;
     servers.client.fd.Reset();
-    if (crossing.pause == Pause::kCheck) servers.second.Send(kCheckAnswer);
+    if (crossing.pause == Pause::kCheck)
+      servers.second.Send(kCheckAnswer);
     servers.loop.Skip(200);
     Until(servers.loop, [&] { return servers.exchange.counters.left == 1; });
-    if (crossing.pause == Pause::kQueue) servers.Drain();
+    if (crossing.pause == Pause::kQueue)
+      servers.Drain();
     servers.Turns();
-    if (!servers.second.fd) {  // a connection that was on its way may have come up, and carries nothing
+    if (!servers.second
+             .fd) {  // a connection that was on its way may have come up, and carries nothing
       int accepted = ::accept4(servers.second_listener.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
       CHECK((accepted < 0 || crossing.pause == Pause::kDial));
-      if (accepted >= 0) servers.second = Far(loop::Descriptor(accepted));
+      if (accepted >= 0)
+        servers.second = Far(loop::Descriptor(accepted));
     }
-    if (servers.second.fd) CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
+    if (servers.second.fd)
+      CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
     CHECK_FALSE(servers.second.got.find("never_mind") != std::string::npos);
     CHECK(servers.exchange.counters.never_ran == 0);
-    // A router that still asks for one in a backoff is told that it came to nothing; no other ever is.
+    // A router that still asks for one in a backoff is told that it came to nothing; no other ever
+    // is.
     CHECK(servers.exchange.counters.legs <= attempts + (crossing.pause == Pause::kBackoff ? 1 : 0));
   }
 }
 
-// Nothing waits: the connection is up and has just carried, so an attempt goes out within the call that chose it.
+// Nothing waits: the connection is up and has just carried, so an attempt goes out within the call
+// that chose it.
 TEST_CASE("on a connection that is up no further attempt begins for a client that closed") {
   for (Further further : {Further::kRetry, Further::kRetryAfterBackoff, Further::kHedged}) {
     CAPTURE(static_cast<int>(further));
@@ -331,10 +391,13 @@
     Until(servers.loop, [&] { return servers.second.Hears(kId); });
     servers.second.Send(kId + " HIT entity=t,issued=1,remark=local 0\r\n\r\n");
     servers.Turns();
-    if (further == Further::kRetry) servers.first.Send("00000000000000f1 FAULT - 0\r\n\r\n");
-    if (further == Further::kRetryAfterBackoff) servers.ReachPause(Pause::kBackoff);
+    if (further == Further::kRetry)
+      servers.first.Send("00000000000000f1 FAULT - 0\r\n\r\n");
+    if (further == Further::kRetryAfterBackoff)
+      servers.ReachPause(Pause::kBackoff);
     servers.client.fd.Reset();
-    servers.loop.Skip(200);  // the backoff ends, the client's close and the first server's answer are there: one turn
+    servers.loop.Skip(200);  // the backoff ends, the client's close and the first server's answer
+                             // are there: one turn
     Until(servers.loop, [&] { return servers.exchange.counters.left == 1; });
     servers.Turns();
     CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
--- a/tests/board_test.cpp
+++ b/tests/board_test.cpp
@@ -20,13 +20,16 @@
   return "{\"rev\":" + std::to_string(rev) + ",\"flush\":{\"collection\":3,\"ms\":1}}\n";
 }
 
-std::string Server(const std::string& name, const std::string& state = "in_service", const std::string& more = "") {
-  return "{\"id\":\"" + name + "\",\"addr\":\"127.0.0.9:5050\",\"zone\":\"e-1\",\"kind\":\"box\",\"state\":\"" + state + "\"" +
-         more + "}";
+std::string Server(const std::string& name, const std::string& state = "in_service",
+                   const std::string& more = "") {
+  return "{\"id\":\"" + name +
+         "\",\"addr\":\"127.0.0.9:5050\",\"zone\":\"e-1\",\"kind\":\"box\",\"state\":\"" + state +
+         "\"" + more + "}";
 }
 
 std::string Servers(std::uint64_t rev, const std::string& all, bool full = false) {
-  return "{\"rev\":" + std::to_string(rev) + ",\"pool\":{\"full\":" + (full ? "true" : "false") + ",\"servers\":[" + all + "]}}";
+  return "{\"rev\":" + std::to_string(rev) + ",\"pool\":{\"full\":" + (full ? "true" : "false") +
+         ",\"servers\":[" + all + "]}}";
 }
 
 json::Value Known(const std::string& notices, std::uint64_t rev) {
@@ -38,14 +41,19 @@
   std::vector<std::uint32_t> sent;
   std::map<std::string, ListEntry> listed;
   int calls = 0;
-  std::uint64_t Send(LegKey, const Ask&, const SendLeg& how, const std::vector<std::uint64_t>&) override {
-    return sent.push_back(how.cache), sent.size();
+  std::uint64_t Send(LegKey, const Ask&, const SendLeg& how,
+                     const std::vector<std::uint64_t>&) override {
+    sent.push_back(how.cache);
+    return sent.size();
   }
   void GiveUp(LegKey, const Ask&, std::uint32_t) override {}
-  bool TakeBack(LegKey, const Ask&, std::uint32_t) override { return false; }
+  bool TakeBack(LegKey, const Ask&, std::uint32_t) override {
+    return false;
+  }
   void Probe(std::uint32_t) override {}
   void list(const ListEntry& entry, const std::string& id, const loop::Address&) override {
-    listed[id] = entry, ++calls;
+    listed[id] = entry;
+    ++calls;
   }
   void Forget(std::uint32_t) override {}
 };
@@ -54,7 +62,10 @@
 struct Watch {
   std::vector<std::string> said;
   Desk d;
-  log::Log log{[this] { return d.loop.now(); }, [this](std::string_view line) { said.emplace_back(line); }};
+  log::Log log{[this] { return d.loop.now(); },
+               [this](std::string_view line) {
+                 said.emplace_back(line);
+               }};
   log::Use use{log};
   FarListener far;
   board::Board b{d.loop, d.exchange, MakeTerms(), far.at};
@@ -63,7 +74,8 @@
 
   explicit Watch(bool follows = true) {
     assert(b.begin(Known(Purge(1), 1)) && counters.purges == 1);
-    if (!follows) return;
+    if (!follows)
+      return;
     b.Follow();
     peer = Next(far);
   }
@@ -86,20 +98,26 @@
   void Pour(Far& f, std::string_view text) {
     while (!text.empty()) {
       ssize_t n = ::send(f.fd.Get(), text.data(), text.size(), MSG_NOSIGNAL);
-      if (n < 0 && errno != EAGAIN) return;  // the near side has ended it
-      if (n > 0) text.remove_prefix(static_cast<std::size_t>(n));
-      else d.loop.turn(1);
+      if (n < 0 && errno != EAGAIN)
+        return;  // the near side has ended it
+      if (n > 0)
+        text.remove_prefix(static_cast<std::size_t>(n));
+      else
+        d.loop.turn(1);
     }
   }
-  // A byte each tenth of a second, for so long; stops when the near side has ended it, and says when.
+  // A byte each tenth of a second, for so long; stops when the near side has ended it, and says
+  // when.
   int Drip(Far& f, int tenths) {
     for (int i = 0; i < tenths; ++i) {
       f.Send("x");
-      for (int turns = 0; turns < 3; ++turns) d.loop.turn(1);
+      for (int turns = 0; turns < 3; ++turns)
+        d.loop.turn(1);
       d.loop.Skip(100);
       d.loop.turn(1);
       f.Read();
-      if (f.over) return i;
+      if (f.over)
+        return i;
     }
     return tenths;
   }
@@ -109,8 +127,10 @@
   Desk d;
   FarListener far;
   board::Board b(d.loop, d.exchange, MakeTerms(), far.at);
-  assert(!b.begin(*json::Read("{\"notices\":[{}],\"rev\":1}")) && !b.begin(*json::Read("{\"rev\":1}")));
-  assert(b.begin(*json::Read("{\"notices\":[{\"rev\":1,\"flush\":{\"asset\":\"a\",\"ms\":1}}],\"rev\":1}")));
+  assert(!b.begin(*json::Read("{\"notices\":[{}],\"rev\":1}")) &&
+         !b.begin(*json::Read("{\"rev\":1}")));
+  assert(b.begin(
+      *json::Read("{\"notices\":[{\"rev\":1,\"flush\":{\"asset\":\"a\",\"ms\":1}}],\"rev\":1}")));
   b.Follow();
   auto notice = [](int rev) {
     return "{\"rev\":" + std::to_string(rev) + ",\"flush\":{\"collection\":3,\"ms\":1}}\n";
@@ -118,18 +138,20 @@
   auto& purges = d.exchange.counters.purges;
   std::uint64_t last = 1;
   // What makes the front ask anew: a gap, junk, a number beyond its own, a close, and silence.
-  for (const std::string& odd : {notice(9), std::string("junk\n"), std::string("99\n"), std::string("close"),
-                                 std::string("silence")}) {
+  for (const std::string& odd : {notice(9), std::string("junk\n"), std::string("99\n"),
+                                 std::string("close"), std::string("silence")}) {
     Far peer = far.Next(d.loop);
     Until(d.loop, [&] { return peer.Hears("watch " + std::to_string(last) + "\n"); });
     std::uint64_t seen = purges;
     peer.Send(notice(static_cast<int>(last)) + "1\n" +
-             notice(static_cast<int>(last) + 1));  // one was told before
+              notice(static_cast<int>(last) + 1));  // one was told before
     Until(d.loop, [&] { return b.Last() == last + 1; });
     assert(purges == seen + 1);
     ++last;
-    if (odd == "close") peer.fd.Reset();
-    else if (odd != "silence") peer.Send(odd);
+    if (odd == "close")
+      peer.fd.Reset();
+    else if (odd != "silence")
+      peer.Send(odd);
     std::uint64_t connections = d.exchange.counters.board_connections;
     Until(d.loop, [&] { return d.exchange.counters.board_connections > connections; });
     assert(purges == seen + 1 && b.Last() == last);
@@ -140,10 +162,12 @@
 
 void HalfALineDrippingInIsSilence() {
   Watch w;
-  for (std::uint64_t rev = 2; rev < 8; ++rev) {  // a line each second keeps it, also one in two pieces
+  for (std::uint64_t rev = 2; rev < 8;
+       ++rev) {  // a line each second keeps it, also one in two pieces
     std::string line = Purge(rev);
     w.peer.Send(line.substr(0, 9));
-    for (int turns = 0; turns < 3; ++turns) w.d.loop.turn(1);
+    for (int turns = 0; turns < 3; ++turns)
+      w.d.loop.turn(1);
     w.d.loop.Skip(800);
     w.peer.Send(line.substr(9));
     w.Passed(rev);
@@ -163,13 +187,15 @@
     std::size_t piece = (line.size() + 49) / 50;
     for (std::size_t at = 0; at < line.size() && !w.peer.over; at += piece) {
       w.peer.Send(line.substr(at, piece));
-      for (int turns = 0; turns < 3; ++turns) w.d.loop.turn(1);
+      for (int turns = 0; turns < 3; ++turns)
+        w.d.loop.turn(1);
       w.d.loop.Skip(100);
       w.d.loop.turn(1);
       w.peer.Read();
     }
     whole = !w.peer.over;
-    if (!whole) w.peer = w.Next(w.far);
+    if (!whole)
+      w.peer = w.Next(w.far);
   }
   w.Passed(2);
   // After a whole line silence is what it was before.
@@ -195,7 +221,8 @@
     line.replace(line.size() - 1, 1, end);
     for (std::size_t cut = 1; cut < line.size(); ++cut) {
       w.peer.Send(line.substr(0, cut));
-      for (int turns = 0; turns < 3; ++turns) w.d.loop.turn(1);
+      for (int turns = 0; turns < 3; ++turns)
+        w.d.loop.turn(1);
       assert(w.b.Last() == rev - 1);
       w.peer.Send(line.substr(cut));
       w.Passed(rev);
@@ -208,16 +235,19 @@
   for (char c : line) {  // each byte on its own
     assert(w.b.Last() == rev - 1);
     w.peer.Send({&c, 1});
-    for (int turns = 0; turns < 3; ++turns) w.d.loop.turn(1);
+    for (int turns = 0; turns < 3; ++turns)
+      w.d.loop.turn(1);
   }
   w.Passed(rev);
   assert(w.counters.board_connections == 1 && w.counters.bad_notices == 0);
 }
 
 void AGapInTheMiddleOfOneReadEndsIt() {
-  for (const std::string& odd : {Purge(5), std::string("junk\n"), std::string("\n"), std::string("9\n")}) {
+  for (const std::string& odd :
+       {Purge(5), std::string("junk\n"), std::string("\n"), std::string("9\n")}) {
     Watch w;
-    w.peer.Send(Purge(2) + Purge(3) + odd + Purge(4) + Purge(5));  // what stands behind it isn't read
+    w.peer.Send(Purge(2) + Purge(3) + odd + Purge(4) +
+                Purge(5));  // what stands behind it isn't read
     w.Passed(3);
     Far again = w.Next(w.far, 3);
     assert(w.counters.bad_notices == 1 && w.counters.board_connections == 2 && w.said.size() == 1);
@@ -235,7 +265,8 @@
       std::string line = Purge(2);
       line.insert(line.size() - 1, std::string(kBound + over - line.size(), ' '));
       assert(line.size() == kBound + over);
-      std::string first = before > 0 ? std::string(before, '0') + "\n" : std::string();  // another cut for the reads
+      std::string first = before > 0 ? std::string(before, '0') + "\n"
+                                     : std::string();  // another cut for the reads
       w.Pour(w.peer, first + line);
       if (over == 0) {
         w.Passed(2);
@@ -251,8 +282,10 @@
   for (bool resets : {false, true}) {
     Watch w;
     w.peer.Send(Purge(2) + Purge(3) + Purge(4).substr(0, 20));
-    if (resets) w.peer.Reset();
-    else w.peer.fd.Reset();
+    if (resets)
+      w.peer.Reset();
+    else
+      w.peer.fd.Reset();
     w.Passed(3);
     Far again = w.Next(w.far, 3);  // half a line was none, and comes again
     again.Send(Purge(4));
@@ -270,7 +303,10 @@
   assert(w.b.MoveTo(other.at, Known("", 1)));
   Far there = w.Next(other);
   assert(w.counters.board_connections == 2);
-  for (int i = 0; i < 8; ++i) w.d.loop.Skip(50), w.d.loop.turn(1);
+  for (int i = 0; i < 8; ++i) {
+    w.d.loop.Skip(50);
+    w.d.loop.turn(1);
+  }
   assert(w.counters.board_connections == 2);  // what waited is no second one
   there.Send(Purge(2));
   w.Passed(2);
@@ -285,10 +321,14 @@
     ::connect(fill.back().Get(), reinterpret_cast<const sockaddr*>(&hung.at), sizeof hung.at);
   }
   assert(w.b.MoveTo(hung.at, Known("", 1)));
-  for (int i = 0; i < 5; ++i) w.d.loop.turn(1);
+  for (int i = 0; i < 5; ++i)
+    w.d.loop.turn(1);
   assert(w.b.MoveTo(other.at, Known("", 1)));
   Far there = w.Next(other);
-  for (int i = 0; i < 5; ++i) w.d.loop.Skip(100), w.d.loop.turn(1);  // the old dial's time is over
+  for (int i = 0; i < 5; ++i) {
+    w.d.loop.Skip(100);
+    w.d.loop.turn(1);
+  }  // the old dial's time is over
   assert(w.counters.board_connections == 3 && w.said.empty());
   there.Send(Purge(2));
   w.Passed(2);
@@ -301,7 +341,10 @@
   Far there = w.Next(third);
   Far left = second.Next(w.d.loop);
   left.Send(Purge(2) + Purge(3));
-  Until(w.d.loop, [&] { return left.Read(), left.over; });
+  Until(w.d.loop, [&] {
+    left.Read();
+    return left.over;
+  });
   assert(w.b.Last() == 1);
   there.Send(Purge(2));
   w.Passed(2);
@@ -317,7 +360,8 @@
   Watch w;
   FarListener other;
   // 2 and 3 follow on; 5 does not, since 4 is lacking; 1 was passed on before.
-  assert(w.b.MoveTo(other.at, Known(Purge(1) + "," + Purge(2) + "," + Purge(3) + "," + Purge(5), 5)));
+  assert(
+      w.b.MoveTo(other.at, Known(Purge(1) + "," + Purge(2) + "," + Purge(3) + "," + Purge(5), 5)));
   assert(w.b.Last() == 3 && w.counters.purges == 3);
   Far there = w.Next(other, 3);
   there.Send(Purge(4) + Purge(5));
@@ -333,9 +377,10 @@
   Watch w;
   FarListener other;
   for (const std::string& bad :
-       {std::string("{}"), std::string("[]"), std::string("{\"rev\":2}"), std::string("{\"rev\":2,\"notices\":{}}"),
-        std::string("{\"notices\":[]}"), std::string("{\"rev\":-1,\"notices\":[]}"),
-        std::string("{\"rev\":1e300,\"notices\":[]}"), std::string("{\"rev\":\"2\",\"notices\":[]}"),
+       {std::string("{}"), std::string("[]"), std::string("{\"rev\":2}"),
+        std::string("{\"rev\":2,\"notices\":{}}"), std::string("{\"notices\":[]}"),
+        std::string("{\"rev\":-1,\"notices\":[]}"), std::string("{\"rev\":1e300,\"notices\":[]}"),
+        std::string("{\"rev\":\"2\",\"notices\":[]}"),
         "{\"rev\":3,\"notices\":[" + Purge(2) + ",{\"rev\":3,\"pool\":1}]}",
         // Beyond what is said to be the last: from which one would the board be asked?
         "{\"rev\":2,\"notices\":[" + Purge(2) + "," + Purge(3) + "]}"}) {
@@ -355,12 +400,14 @@
 // Runs in a turn after, or before, the board's connection.
 struct InTurn final : loop::Handler {
   loop::Loop& loop;
-  loop::Descriptor near, far;
+  loop::Descriptor near;
+  loop::Descriptor far;
   std::function<void()> what;
   explicit InTurn(loop::Loop& l) : loop(l) {
     int ends[2];
     assert(::pipe(ends) == 0);
-    near = loop::Descriptor(ends[0]), far = loop::Descriptor(ends[1]);
+    near = loop::Descriptor(ends[0]);
+    far = loop::Descriptor(ends[1]);
     loop.WatchDescriptor(near.Get(), *this, POLLIN);
   }
   void Arm(std::function<void()> w) {
@@ -375,18 +422,21 @@
 
 void MovedWithAnEventUnreadOrInTheEndingWrite() {
   for (bool before : {false, true})
-    for (const std::string& last :
-         {Purge(2), Purge(2).substr(0, 20), Purge(2) + "junk\n", Purge(2) + Purge(9), Purge(2) + "close"}) {
+    for (const std::string& last : {Purge(2), Purge(2).substr(0, 20), Purge(2) + "junk\n",
+                                    Purge(2) + Purge(9), Purge(2) + "close"}) {
       Watch w(false);
       FarListener other;
       std::optional<InTurn> hook;
-      if (before) hook.emplace(w.d.loop);  // descriptors are looked at in their order
+      if (before)
+        hook.emplace(w.d.loop);  // descriptors are looked at in their order
       w.b.Follow();
       w.peer = w.Next(w.far);
-      if (!before) hook.emplace(w.d.loop);
+      if (!before)
+        hook.emplace(w.d.loop);
       bool closes = last.ends_with("close");
       w.peer.Send(closes ? last.substr(0, last.size() - 5) : last);
-      if (closes) w.peer.fd.Reset();
+      if (closes)
+        w.peer.fd.Reset();
       bool moved = false;
       hook->Arm([&] {
         std::uint64_t had = w.b.Last();
@@ -398,7 +448,10 @@
       Far there = w.Next(other, had);
       there.Send(Purge(2) + Purge(3));  // once, whether the old one's was read or not
       w.Passed(3);
-      for (int i = 0; i < 5; ++i) w.d.loop.Skip(100), w.d.loop.turn(1);
+      for (int i = 0; i < 5; ++i) {
+        w.d.loop.Skip(100);
+        w.d.loop.turn(1);
+      }
       assert(w.counters.board_connections == 2);
     }
 }
@@ -409,14 +462,17 @@
   Watch w;
   Noted noted;
   w.d.exchange.Meet(noted);
-  w.peer.Send(Servers(2, Server("s-a") + "," + Server("s-b"), true) + "\n" + Servers(3, Server("s-a", "terminating")) + "\n");
+  w.peer.Send(Servers(2, Server("s-a") + "," + Server("s-b"), true) + "\n" +
+              Servers(3, Server("s-a", "terminating")) + "\n");
   Until(w.d.loop, [&] { return w.b.Last() == 3; });
   std::uint64_t lists = w.counters.list_news;
   w.peer.fd.Reset();
   Far again = w.Next(w.far, 3);
-  again.Send("0\n1\n" + Purge(1) + Servers(2, Server("s-a"), true) + "\n2\n" + Servers(3, Server("s-a")) + "\n" + Purge(4));
+  again.Send("0\n1\n" + Purge(1) + Servers(2, Server("s-a"), true) + "\n2\n" +
+             Servers(3, Server("s-a")) + "\n" + Purge(4));
   Until(w.d.loop, [&] { return w.b.Last() == 4; });
-  assert(w.counters.list_news == lists && w.counters.purges == 2 && w.counters.board_connections == 2);
+  assert(w.counters.list_news == lists && w.counters.purges == 2 &&
+         w.counters.board_connections == 2);
   assert(noted.calls == 3 && noted.listed["s-a"].standing == Standing::kDraining);
   std::vector<Asked> asked(20);
   for (int i = 0; i < 20; ++i) {
@@ -425,20 +481,26 @@
     w.d.exchange.OnRequest(ask, asked[static_cast<std::size_t>(i)]);
   }
   assert(!noted.sent.empty());
-  for (std::uint32_t cache : noted.sent) assert(cache == noted.listed["s-b"].cache);
+  for (std::uint32_t cache : noted.sent)
+    assert(cache == noted.listed["s-b"].cache);
 }
 
 // However its connections end, a board is not asked at full speed.
 void ABoardThatEndsEachConnectionIsAskedEverMoreSeldom() {
-  for (const char* word : {"", "0\n", "1\n", "1\njunk\n", "9\n", "{\"rev\":9}\n", "0\n1\n{\"rev\":1}\n\n"}) {
+  for (const char* word :
+       {"", "0\n", "1\n", "1\njunk\n", "9\n", "{\"rev\":9}\n", "0\n1\n{\"rev\":1}\n\n"}) {
     Watch w;
     Ms start = w.d.loop.now(), last = start;
     std::uint64_t before = w.counters.board_connections;
     std::size_t stalls = 0;  // of this machine: a connection may have stood for long
     for (int i = 0; i < 300; ++i) {
-      if (w.peer.fd) w.peer.Send(word), w.peer.fd.Reset();
+      if (w.peer.fd) {
+        w.peer.Send(word);
+        w.peer.fd.Reset();
+      }
       int got = ::accept4(w.far.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-      if (got >= 0) w.peer = Far(loop::Descriptor(got));
+      if (got >= 0)
+        w.peer = Far(loop::Descriptor(got));
       w.d.loop.turn(1);
       w.d.loop.Skip(10);
       stalls += w.d.loop.now() - last > 200;
@@ -463,10 +525,14 @@
   ::setrlimit(RLIMIT_NOFILE, &none);
   Ms start = w.d.loop.now();
   w.b.Follow();
-  for (int i = 0; i < 300; ++i) w.d.loop.turn(1), w.d.loop.Skip(10);
+  for (int i = 0; i < 300; ++i) {
+    w.d.loop.turn(1);
+    w.d.loop.Skip(10);
+  }
   double most = 7 + (w.d.loop.now() - start) / 500;
   ::setrlimit(RLIMIT_NOFILE, &before);
-  assert(w.counters.board_connections >= 3 && static_cast<double>(w.counters.board_connections) <= most);
+  assert(w.counters.board_connections >= 3 &&
+         static_cast<double>(w.counters.board_connections) <= most);
   assert(w.said.size() == 1 && w.said[0].find("no descriptor") != std::string::npos);
   Far peer = w.Next(w.far);
   peer.Send(Purge(2));
@@ -476,27 +542,72 @@
 // ---- bad lists
 
 void ABadLineEndsTheWatchAndNothingElse() {
-  auto entry = [](const std::string& more) { return Servers(2, Server("s-new") + "," + more, true); };
-  auto field = [&](const std::string& more) { return entry(Server("s-EVIL", "in_service", more)); };
-  auto flush = [](const std::string& what) { return "{\"rev\":2,\"flush\":{" + what + "}}"; };
+  auto entry = [](const std::string& more) {
+    return Servers(2, Server("s-new") + "," + more, true);
+  };
+  auto field = [&](const std::string& more) {
+    return entry(Server("s-EVIL", "in_service", more));
+  };
+  auto flush = [](const std::string& what) {
+    return "{\"rev\":2,\"flush\":{" + what + "}}";
+  };
   const std::vector<std::string> bad = {
-      "EVIL", "", "{\"rev\":2", "{\"rev\":2} EVIL", "{\"rev\":NaN}", "{\"rev\":Infinity}", "{\"rev\":1e999}",
-      "{\"rev\":1e300}", "{\"rev\":-1}", "{\"rev\":1.5}", "{\"rev\":\"2\"}", "{\"rev\":2,\"rev\":2}", "{}", "[2]", "\"2\"", "-1",
-      "1e0", "18446744073709551616", std::string(40, '[') + std::string(40, ']'), std::string(100000, '['),
-      "{\"rev\":2,\"EVIL\":" + std::string(500, '[') + std::string(500, ']') + "}", std::string("\xef\xbb\xbf{\"rev\":2}"),
-      std::string("{\"rev\":2}\0EVIL", 14), "\x1b[31mEVIL\xff\xfe", "{\"rev\":2,\"EVIL\":\"\xff\"}",
-      "{\"rev\":2,\"pool\":{}}", "{\"rev\":2,\"pool\":[]}",
-      "{\"rev\":2,\"pool\":{\"servers\":{}}}", entry("7"), entry("{}"), entry("null"),
-      entry(Server("")), entry(Server("s EVIL")), entry(Server("s,EVIL")), entry(Server("s\\r\\nEVIL")),
-      entry(Server("s\\u0000EVIL")), entry(Server("s\\tEVIL")), entry(Server("s-EVIL", "EVIL")),
+      "EVIL",
+      "",
+      "{\"rev\":2",
+      "{\"rev\":2} EVIL",
+      "{\"rev\":NaN}",
+      "{\"rev\":Infinity}",
+      "{\"rev\":1e999}",
+      "{\"rev\":1e300}",
+      "{\"rev\":-1}",
+      "{\"rev\":1.5}",
+      "{\"rev\":\"2\"}",
+      "{\"rev\":2,\"rev\":2}",
+      "{}",
+      "[2]",
+      "\"2\"",
+      "-1",
+      "1e0",
+      "18446744073709551616",
+      std::string(40, '[') + std::string(40, ']'),
+      std::string(100000, '['),
+      "{\"rev\":2,\"EVIL\":" + std::string(500, '[') + std::string(500, ']') + "}",
+      std::string("\xef\xbb\xbf{\"rev\":2}"),
+      std::string("{\"rev\":2}\0EVIL", 14),
+      "\x1b[31mEVIL\xff\xfe",
+      "{\"rev\":2,\"EVIL\":\"\xff\"}",
+      "{\"rev\":2,\"pool\":{}}",
+      "{\"rev\":2,\"pool\":[]}",
+      "{\"rev\":2,\"pool\":{\"servers\":{}}}",
+      entry("7"),
+      entry("{}"),
+      entry("null"),
+      entry(Server("")),
+      entry(Server("s EVIL")),
+      entry(Server("s,EVIL")),
+      entry(Server("s\\r\\nEVIL")),
+      entry(Server("s\\u0000EVIL")),
+      entry(Server("s\\tEVIL")),
+      entry(Server("s-EVIL", "EVIL")),
       entry("{\"id\":\"s-EVIL\",\"addr\":\"127.0.0.1\",\"state\":\"in_service\"}"),
       entry("{\"id\":\"s-EVIL\",\"addr\":\"127.0.0.1:0\",\"state\":\"in_service\"}"),
       entry("{\"id\":\"s-EVIL\",\"addr\":\"127.0.0.1:65536\",\"state\":\"in_service\"}"),
-      entry("{\"id\":\"s-EVIL\",\"addr\":\"EVIL:80\",\"state\":\"in_service\"}"), field(",\"weight\":1e300"),
-      field(",\"weight\":-1e300"), field(",\"weight\":1e999"), field(",\"started_ms\":1e300"), field(",\"started_ms\":-1e300"),
-      flush(""), flush("\"asset\":\"EVIL\""), flush("\"asset\":\"EVIL\",\"ms\":\"1\""), flush("\"ms\":1"),
-      flush("\"collection\":-1,\"ms\":1"), flush("\"collection\":65536,\"ms\":1"), flush("\"collection\":1e300,\"ms\":1"),
-      flush("\"asset\":\"EVIL\",\"collection\":1e300,\"ms\":1"), flush("\"asset\":\"EVIL\",\"ms\":1e300"),
+      entry("{\"id\":\"s-EVIL\",\"addr\":\"EVIL:80\",\"state\":\"in_service\"}"),
+      field(",\"weight\":1e300"),
+      field(",\"weight\":-1e300"),
+      field(",\"weight\":1e999"),
+      field(",\"started_ms\":1e300"),
+      field(",\"started_ms\":-1e300"),
+      flush(""),
+      flush("\"asset\":\"EVIL\""),
+      flush("\"asset\":\"EVIL\",\"ms\":\"1\""),
+      flush("\"ms\":1"),
+      flush("\"collection\":-1,\"ms\":1"),
+      flush("\"collection\":65536,\"ms\":1"),
+      flush("\"collection\":1e300,\"ms\":1"),
+      flush("\"asset\":\"EVIL\",\"collection\":1e300,\"ms\":1"),
+      flush("\"asset\":\"EVIL\",\"ms\":1e300"),
       flush("\"collection\":1,\"ms\":-1e300")};
   for (const std::string& line : bad) {
     Watch w;
@@ -507,7 +618,8 @@
     Far again = w.Next(w.far);
     assert(w.counters.bad_notices == 1 && w.counters.board_connections == 2);
     assert(w.said == std::vector<std::string>{"notice board: connection malformed after event 1"});
-    assert(w.b.Last() == 1 && w.counters.purges == 1 && w.counters.list_news == lists && noted.calls == 0);
+    assert(w.b.Last() == 1 && w.counters.purges == 1 && w.counters.list_news == lists &&
+           noted.calls == 0);
     Asked asked;
     w.d.exchange.OnRequest(AskFor(), asked);  // what stood still serves
     assert(noted.sent.size() == 1);
@@ -521,13 +633,20 @@
   Watch w;
   Noted noted;
   w.d.exchange.Meet(noted);
-  w.peer.Send(Servers(2, "{\"id\":\"s-bare\",\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\"}," +
-                            Server("s-light", "in_service", ",\"weight\":-4,\"cell\":-1e300") + "," +
-                            Server("s-nil", "in_service", ",\"weight\":0,\"cell\":1e300,\"started_ms\":-1") + "," +
-                            Server("s-words", "in_service", ",\"weight\":\"x\",\"cell\":[],\"EVIL\":{\"EVIL\":null}") + "," +
-                            Server("s-twice") + "," + Server("s-twice", "terminating"), true) + "\n" + Servers(3, "") + "\n");
+  w.peer.Send(
+      Servers(2,
+              "{\"id\":\"s-bare\",\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\"}," +
+                  Server("s-light", "in_service", ",\"weight\":-4,\"cell\":-1e300") + "," +
+                  Server("s-nil", "in_service", ",\"weight\":0,\"cell\":1e300,\"started_ms\":-1") +
+                  "," +
+                  Server("s-words", "in_service",
+                         ",\"weight\":\"x\",\"cell\":[],\"EVIL\":{\"EVIL\":null}") +
+                  "," + Server("s-twice") + "," + Server("s-twice", "terminating"),
+              true) +
+      "\n" + Servers(3, "") + "\n");
   Until(w.d.loop, [&] { return w.b.Last() == 3; });
-  assert(w.counters.bad_notices == 0 && w.said.empty() && noted.calls == 6 && noted.listed.size() == 5);
+  assert(w.counters.bad_notices == 0 && w.said.empty() && noted.calls == 6 &&
+         noted.listed.size() == 5);
   assert(noted.listed["s-twice"].standing == Standing::kDraining);  // the last word counts
   std::vector<Asked> asked(40);
   for (int i = 0; i < 40; ++i) {
@@ -536,7 +655,8 @@
     w.d.exchange.OnRequest(ask, asked[static_cast<std::size_t>(i)]);
   }
   assert(!noted.sent.empty());
-  for (std::uint32_t cache : noted.sent) assert(cache != noted.listed["s-twice"].cache);
+  for (std::uint32_t cache : noted.sent)
+    assert(cache != noted.listed["s-twice"].cache);
   w.d.loop.Skip(100);
   w.d.loop.turn(0);
 }
@@ -546,7 +666,8 @@
   Watch w;
   std::string all;
   for (int i = 0; i < 100000; ++i) {
-    if (i > 0) all += ',';
+    if (i > 0)
+      all += ',';
     all += Server("s-" + std::to_string(i));
   }
   std::uint64_t lists = w.counters.list_news;
@@ -564,28 +685,33 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"the board is followed without gap or repeat", TheBoardIsFollowedWithoutGapOrRepeat},
-                 {"half a line dripping in is silence", HalfALineDrippingInIsSilence},
-                 {"a long first line comes through in the end", ALongFirstLineComesThroughInTheEnd},
-                 {"no line is waited for longer than news takes to bind", NoLineIsWaitedForLongerThanNewsTakesToBind},
-                 {"an event split at any byte counts once", AnEventSplitAtAnyByteCountsOnce},
-                 {"a gap in the middle of one read ends it", AGapInTheMiddleOfOneReadEndsIt},
-                 {"a line has its bound, however it is cut", ALineHasItsBoundHoweverItIsCut},
-                 {"the last event before a close counts", TheLastEventBeforeACloseCounts},
-                 {"moved while it waits to ask again", MovedWhileItWaitsToAskAgain},
-                 {"moved while it is being dialled", MovedWhileItIsBeingDialled},
-                 {"moved twice in a row, and to where it is", MovedTwiceInARowAndToWhereItIs},
-                 {"moved with events that lack some", MovedWithEventsThatLackSome},
-                 {"moved with events that can't be read changes nothing", MovedWithEventsThatCannotBeReadChangesNothing},
-                 {"moved with an event unread, or in the write that ends it", MovedWithAnEventUnreadOrInTheEndingWrite},
-                 {"a board behind ours repeats nothing", ABoardBehindOursRepeatsNothing},
-                 {"a board that ends each connection is asked ever more seldom",
-                  ABoardThatEndsEachConnectionIsAskedEverMoreSeldom},
-                 {"no descriptor for the board is no spin", NoDescriptorForTheBoardIsNoSpin},
-                 {"a bad line ends the watch and nothing else", ABadLineEndsTheWatchAndNothingElse},
-                 {"odd entries are borne", OddEntriesAreBorne},
-                 {"a list beyond the bound ends the watch", AListBeyondTheBoundEndsTheWatch}}) {
-    if (only && std::string_view(c.name).find(only) == std::string_view::npos) continue;
+  for (Case c :
+       {Case{"the board is followed without gap or repeat", TheBoardIsFollowedWithoutGapOrRepeat},
+        {"half a line dripping in is silence", HalfALineDrippingInIsSilence},
+        {"a long first line comes through in the end", ALongFirstLineComesThroughInTheEnd},
+        {"no line is waited for longer than news takes to bind",
+         NoLineIsWaitedForLongerThanNewsTakesToBind},
+        {"an event split at any byte counts once", AnEventSplitAtAnyByteCountsOnce},
+        {"a gap in the middle of one read ends it", AGapInTheMiddleOfOneReadEndsIt},
+        {"a line has its bound, however it is cut", ALineHasItsBoundHoweverItIsCut},
+        {"the last event before a close counts", TheLastEventBeforeACloseCounts},
+        {"moved while it waits to ask again", MovedWhileItWaitsToAskAgain},
+        {"moved while it is being dialled", MovedWhileItIsBeingDialled},
+        {"moved twice in a row, and to where it is", MovedTwiceInARowAndToWhereItIs},
+        {"moved with events that lack some", MovedWithEventsThatLackSome},
+        {"moved with events that can't be read changes nothing",
+         MovedWithEventsThatCannotBeReadChangesNothing},
+        {"moved with an event unread, or in the write that ends it",
+         MovedWithAnEventUnreadOrInTheEndingWrite},
+        {"a board behind ours repeats nothing", ABoardBehindOursRepeatsNothing},
+        {"a board that ends each connection is asked ever more seldom",
+         ABoardThatEndsEachConnectionIsAskedEverMoreSeldom},
+        {"no descriptor for the board is no spin", NoDescriptorForTheBoardIsNoSpin},
+        {"a bad line ends the watch and nothing else", ABadLineEndsTheWatchAndNothingElse},
+        {"odd entries are borne", OddEntriesAreBorne},
+        {"a list beyond the bound ends the watch", AListBeyondTheBoundEndsTheWatch}}) {
+    if (only && std::string_view(c.name).find(only) == std::string_view::npos)
+      continue;
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/caches_test.cpp
+++ b/tests/caches_test.cpp
@@ -24,14 +24,19 @@
 
 struct Find final : exchange::CacheSide {  // the number under which the exchange knows it
   std::uint32_t number = 0;
-  std::uint64_t Send(LegKey, const Ask&, const SendLeg& how, const std::vector<std::uint64_t>&) override {
+  std::uint64_t Send(LegKey, const Ask&, const SendLeg& how,
+                     const std::vector<std::uint64_t>&) override {
     number = how.cache;
     return 1;
   }
   void GiveUp(LegKey, const Ask&, std::uint32_t) override {}
-  bool TakeBack(LegKey, const Ask&, std::uint32_t) override { return false; }
+  bool TakeBack(LegKey, const Ask&, std::uint32_t) override {
+    return false;
+  }
   void Probe(std::uint32_t) override {}
-  void list(const ListEntry& e, const std::string&, const loop::Address&) override { number = e.cache; }
+  void list(const ListEntry& e, const std::string&, const loop::Address&) override {
+    number = e.cache;
+  }
   void Forget(std::uint32_t) override {}
   std::uint32_t NumberIn(Road& r, const std::vector<exchange::Listed>& list) {
     r.exchange.Meet(*this);
@@ -53,9 +58,11 @@
   Until(r.loop, [&] { return peer.Hears("want 00000000000000aa "); });
   assert(peer.got.find("want " + kId + " profile=video,thing=7f3a,nth=0,max=") == 0);
   std::string body(3000, 'b');
-  body[7] = '\r', body[8] = '\n';
+  body[7] = '\r';
+  body[8] = '\n';
   std::string all =
-      "00000000000000ff HIT - 3\r\nold\r\n00000000000000aa HIT entity=t2,issued=1,remark=local 3000\r\n" +
+      "00000000000000ff HIT - 3\r\nold\r\n00000000000000aa HIT entity=t2,issued=1,remark=local "
+      "3000\r\n" +
       body + "\r\n" + kId + " VALID entity=t1,issued=1,remark=local 0\r\n\r\n";
   for (char c : all) {
     peer.Send(std::string_view(&c, 1));
@@ -73,12 +80,14 @@
   Find find;
   std::uint32_t cache = find.NumberIn(r, Machines({{"s-1", far.at}}));
   SendLeg how;
-  how.cache = how.source = cache, how.patience = 60000;
+  how.cache = how.source = cache;
+  how.patience = 60000;
   std::uint64_t first = r.caches.Send({1, 0}, AskFor(), how, {});
   std::uint64_t second = r.caches.Send({1, 1}, AskFor(), how, {});  // while the first is out
   assert(first != second);
   r.caches.GiveUp({1, 0}, AskFor(), cache);
-  assert(r.caches.Send({1, 2}, AskFor(), how, {first, second}) > second);  // its answer may be on the way
+  assert(r.caches.Send({1, 2}, AskFor(), how, {first, second}) >
+         second);  // its answer may be on the way
   Far one = far.Next(r.loop), two = far.Next(r.loop), three = far.Next(r.loop);
   Until(r.loop, [&] { return two.Hears("want ") && three.Hears("want "); });
   // Given up before it was up: it never left, and there is nothing to call off.
@@ -88,12 +97,21 @@
 }
 
 void EndsOfConnectionsEndTheirLegs() {
-  enum Way { kRefused, kNeverUp, kClosed, kReset, kMalformed, kImpossible, kReplaced };
+  enum Way {
+    kRefused,
+    kNeverUp,
+    kClosed,
+    kReset,
+    kMalformed,
+    kImpossible,
+    kReplaced
+  };
   for (Way way : {kRefused, kNeverUp, kClosed, kReset, kMalformed, kImpossible, kReplaced}) {
     FarListener far(way == kNeverUp ? 0 : 16), silent;
     loop::Address at = way == kRefused ? FreeAddress() : far.at;
     std::vector<Far> fill;  // takes the backlog, so that nobody else comes up
-    if (way == kNeverUp) fill.push_back(Far::To(far.at));
+    if (way == kNeverUp)
+      fill.push_back(Far::To(far.at));
     Road r(Machines({{"s-1", at}}), MakeTerms(way == kNeverUp ? 60 : 1000));
     r.exchange.OnRequest(AskFor(), r.client);
     auto& n = r.exchange.counters;
@@ -102,10 +120,14 @@
       peer = far.Next(r.loop);
       Until(r.loop, [&] { return peer.Hears("want "); });
     }
-    if (way == kClosed) peer.fd.Reset();
-    if (way == kReset) peer.Reset();
-    if (way == kMalformed) peer.Send("what is this\r\n");
-    if (way == kImpossible) peer.Send(kId + " HIT - 240001\r\n");
+    if (way == kClosed)
+      peer.fd.Reset();
+    if (way == kReset)
+      peer.Reset();
+    if (way == kMalformed)
+      peer.Send("what is this\r\n");
+    if (way == kImpossible)
+      peer.Send(kId + " HIT - 240001\r\n");
     if (way == kReplaced) {
       auto list = Machines({{"s-1", silent.at}});
       list[0].entry.started_at = 17;
@@ -119,9 +141,10 @@
   }
 }
 
-// What stops short ends its connection soon, though it stays open and the pulls have minutes: the one whose
-// answer it was moves on to another cache, one that only fell with it is asked there again, and the machine
-// stays in use. Before a line is whole, too. The copy of an answer is nobody's.
+// What stops short ends its connection soon, though it stays open and the pulls have minutes: the
+// one whose answer it was moves on to another cache, one that only fell with it is asked there
+// again, and the machine stays in use. Before a line is whole, too. The copy of an answer is
+// nobody's.
 void WhatStopsShortHoldsUpNobody() {
   for (const char* part : {" HIT entity=t,issued=1,remark=local 9\r\nhalf", " HIT entity=t,iss"}) {
     FarListener one, other;
@@ -145,12 +168,14 @@
     assert(r.exchange.counters.stalled == 1 && (peer.Read(), peer.over));
     const std::string answer = "00000000000000a1 HIT entity=t,issued=1,remark=local 2\r\nok\r\n";
     again.Send(answer + answer);
-    Until(r.loop, [&] { return !clients[1].told.empty() && r.exchange.counters.late_answers == 1; });
+    Until(r.loop,
+          [&] { return !clients[1].told.empty() && r.exchange.counters.late_answers == 1; });
   }
 }
 
-// A connection that carries nothing more, though it stays open: called, it does not answer, and what is open
-// on it is asked again on another, minutes before its time is up. One that answers the call is waited for.
+// A connection that carries nothing more, though it stays open: called, it does not answer, and
+// what is open on it is asked again on another, minutes before its time is up. One that answers the
+// call is waited for.
 void ConnectionsThatCarryNothingEnd() {
   for (bool carries : {false, true}) {
     FarListener far;
@@ -172,13 +197,14 @@
       Far again = far.Next(r.loop);
       Until(r.loop, [&] { return again.Hears("want 00000000000000a1 "); });
     }
-    assert(r.exchange.counters.silent == (carries ? 0u : 1u) && (peer.Read(), peer.over) == !carries);
+    assert(r.exchange.counters.silent == (carries ? 0u : 1u) &&
+           (peer.Read(), peer.over) == !carries);
   }
 }
 
-// What may run once waits until its connection has shown that it carries: one that breaks under the call, as
-// idle or new ones may, has taken nothing with it, and the next one is tried, a few times. Given up while it
-// waits, it never left.
+// What may run once waits until its connection has shown that it carries: one that breaks under the
+// call, as idle or new ones may, has taken nothing with it, and the next one is tried, a few times.
+// Given up while it waits, it never left.
 void ExclusiveLegsGoWhereItCarries() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
@@ -186,7 +212,8 @@
   SendLeg how;
   Find find;
   how.cache = how.source = find.NumberIn(r, Machines({{"s-1", far.at}}));
-  how.patience = 60000, how.proven = true;
+  how.patience = 60000;
+  how.proven = true;
   for (int broken : {0, 2}) {
     r.caches.Send(key, AskFor(), how, {});
     for (int i = 0; i < broken; ++i) {
@@ -200,7 +227,8 @@
     peer.Send("call PONG - 0\r\n\r\n");
     Until(r.loop, [&] { return peer.Hears("want " + kId); });
     peer.Reset();
-    for (int i = 0; i < 20; ++i) r.loop.turn(1);
+    for (int i = 0; i < 20; ++i)
+      r.loop.turn(1);
   }
   assert(r.exchange.counters.cache_connections == 4);
   r.caches.Send(key, AskFor(), how, {});
@@ -208,7 +236,8 @@
   Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
   r.caches.GiveUp(key, AskFor(), how.cache);
   peer.Send("call PONG - 0\r\n\r\n");
-  for (int i = 0; i < 20; ++i) r.loop.turn(1);
+  for (int i = 0; i < 20; ++i)
+    r.loop.turn(1);
   assert(!peer.Hears("want") && !peer.Hears("never_mind"));
 }
 
@@ -219,7 +248,8 @@
   std::vector<Asked> clients(20);
   for (std::size_t i = 0; i < 20; ++i) {
     r.exchange.OnRequest(AskFor("00000000000000" + std::to_string(10 + i)), clients[i]);
-    if (r.exchange.counters.legs <= 8) assert(r.exchange.counters.cache_connections == 1);
+    if (r.exchange.counters.legs <= 8)
+      assert(r.exchange.counters.cache_connections == 1);
   }
   assert(r.exchange.counters.cache_connections == 2 && r.exchange.counters.legs > 16);
   assert(r.exchange.counters.never_ran == 0);
@@ -241,8 +271,8 @@
   Until(r.loop, [&] { return r.exchange.counters.finished == 1; });
 }
 
-// A connection that the peer may be about to close as idle is not used again: a request crossing the close
-// would count as one that may have run.
+// A connection that the peer may be about to close as idle is not used again: a request crossing
+// the close would count as one that may have run.
 void IdleConnectionsAreLeftInTime() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}), MakeTerms(400, 50));
@@ -273,17 +303,23 @@
       Until(r.loop, [&] { return !client.told.empty(); });
     }
     Far peer = far.Next(r.loop);
-    Until(r.loop, [&] { return peer.Hears("busy ") && peer.got.find("\r\n") != std::string::npos; });
+    Until(r.loop,
+          [&] { return peer.Hears("busy ") && peer.got.find("\r\n") != std::string::npos; });
     std::string tag = peer.got.substr(5, peer.got.find("\r\n") - 5), say = word;
-    if (say == "close") peer.fd.Reset();
-    else if (!say.empty()) peer.Send(tag + ' ' + say + " report=util:0.5 0\r\n\r\n");
+    if (say == "close")
+      peer.fd.Reset();
+    else if (!say.empty())
+      peer.Send(tag + ' ' + say + " report=util:0.5 0\r\n\r\n");
     std::uint64_t before = n.probes;
-    Until(r.loop, [&] { return n.probes_answered + n.probes > before; });  // the next one follows from its end
+    Until(r.loop, [&] {
+      return n.probes_answered + n.probes > before;
+    });  // the next one follows from its end
     assert((n.probes_answered > 0) == (say == "PONG"));
   }
 }
 
-// A new machine at the address of one that is still listed: what is meant for the old one does not reach it.
+// A new machine at the address of one that is still listed: what is meant for the old one does not
+// reach it.
 void NothingReachesAnotherUnderAnOldId() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
@@ -297,7 +333,10 @@
   fresh[0].entry.standing = Standing::kReady;
   fresh[0].entry.weight = 1e-9;  // nobody's home
   r.exchange.ListCame(false, fresh);
-  Until(r.loop, [&] { return old.Read(), old.over; });
+  Until(r.loop, [&] {
+    old.Read();
+    return old.over;
+  });
   std::uint64_t before = r.exchange.counters.never_ran;
   Asked other;
   r.exchange.OnRequest(AskFor("00000000000000aa"), other);
@@ -311,7 +350,8 @@
   Road r(Machines({{"s-1", far.at}}), one, 2);
   std::vector<Asked> clients(3);
   for (int i = 0; i < 3; ++i)
-    r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)), clients[static_cast<std::size_t>(i)]);
+    r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)),
+                         clients[static_cast<std::size_t>(i)]);
   assert(r.exchange.counters.cache_connections == 2 && r.exchange.counters.never_ran == 1);
   assert(clients[2].told.size() == 1 && clients[1].told.empty());
 }
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -27,7 +27,10 @@
   }
   // Turns on until all have gone that a stop lets go.
   void leave() {
-    Until(d.loop, [&] { return clients.Leave(), clients.empty(); });
+    Until(d.loop, [&] {
+      clients.Leave();
+      return clients.empty();
+    });
   }
   LegKey leg(std::size_t which) {
     Until(d.loop, [&] { return d.caches.sent.size() > which; });
@@ -52,10 +55,12 @@
   }
   ~Meanwhile() {
     loop.Forget(ends[0]);
-    ::close(ends[0]), ::close(ends[1]);
+    ::close(ends[0]);
+    ::close(ends[1]);
   }
   void Ready(short) override {
-    if (what) std::exchange(what, nullptr)();
+    if (what)
+      std::exchange(what, nullptr)();
   }
 };
 
@@ -65,7 +70,8 @@
   return one.revents & POLLERR;
 }
 
-// A client that takes slowly: when all its answer has left the front, most of it lies in the system's buffers.
+// A client that takes slowly: when all its answer has left the front, most of it lies in the
+// system's buffers.
 struct Slow {
   Far far{loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0))};
   std::string body = std::string(200000, 'x');
@@ -76,9 +82,12 @@
     ::fcntl(far.fd.Get(), F_SETFL, O_NONBLOCK);
     far.Send(GetAs(1));
     c.Finish(c.leg(0), Said(Ending::kFinished), body);
-    for (int i = 0; i < 3; ++i) c.d.loop.turn(0);
+    for (int i = 0; i < 3; ++i)
+      c.d.loop.turn(0);
+  }
+  bool HasAll() {
+    return far.Read(1000).ends_with("\r\n\r\n" + body);
   }
-  bool HasAll() { return far.Read(1000).ends_with("\r\n\r\n" + body); }
 };
 
 void ClientsAreAnswered() {
@@ -90,7 +99,8 @@
   }
   c.Finish(c.leg(0), Said(Ending::kFinished), "a\r\n\r\nb");
   c.Hear(f, "\r\n\r\na\r\n\r\nb");
-  assert(f.Hears("HTTP/1.1 200 OK\r\n") && f.Hears("ETag: \"t1\"\r\n") && f.Hears("Content-Length: 6\r\n"));
+  assert(f.Hears("HTTP/1.1 200 OK\r\n") && f.Hears("ETag: \"t1\"\r\n") &&
+         f.Hears("Content-Length: 6\r\n"));
   f.got.clear();
   f.Send(Get("If-None-Match: \"t1\"\r\n"));  // the connection is kept
   exchange::Word valid = Said(Ending::kFinished);
@@ -100,11 +110,15 @@
   f.got.clear();
   std::string body(48000, 'p');
   f.Send("PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
-        "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nConnection: close\r\nContent-Length: 48000\r\n\r\n" +
-        body);
+         "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nConnection: close\r\nContent-Length: "
+         "48000\r\n\r\n" +
+         body);
   c.d.exchange.LegLost(c.leg(2), loop::Parting::kReset, true);
   c.Hear(f, "HTTP/1.1 502 ");
-  Until(c.d.loop, [&] { return f.Read(), f.over; });
+  Until(c.d.loop, [&] {
+    f.Read();
+    return f.over;
+  });
 }
 
 void BigAnswersWaitForSlowClients() {
@@ -113,11 +127,15 @@
   int small = 1 << 15;
   ::setsockopt(f.fd.Get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   std::string body(exchange::kMostBytes, 'x');
-  for (std::size_t i = 0; i < body.size(); ++i) body[i] = static_cast<char>(i * 7);
+  for (std::size_t i = 0; i < body.size(); ++i)
+    body[i] = static_cast<char>(i * 7);
   f.Send(Get() + Get());  // the second waits until the first is out
   c.Finish(c.leg(0), Said(Ending::kFinished), body);
   Until(c.d.loop, [&] { return f.Read(1000).size() > 100000; });
-  Until(c.d.loop, [&] { return f.Read(), c.d.caches.sent.size() == 2; });
+  Until(c.d.loop, [&] {
+    f.Read();
+    return c.d.caches.sent.size() == 2;
+  });
   c.Finish(c.leg(1), Said(Ending::kFinished), "end");
   c.Hear(f, "\r\n\r\nend");
   assert(f.got.find(body) != std::string::npos);
@@ -125,7 +143,8 @@
 
 void BadRequestsAreRefusedAlone() {
   struct Case {
-    std::string request, status;
+    std::string request;
+    std::string status;
   };
   Counter c;
   Far good = c.Come();
@@ -160,42 +179,58 @@
         {Get("Idempotency-Key: " + std::string(129, 'k') + "\r\n"), "400"},
         {Get("Idempotency-Key: a\r\nIdempotency-Key: b\r\n"), "400"},
         {Get("Content-Length: 1\r\n") + "x", "400"},
-        {"PUT /ops/write/7f3a HTTP/1.1\r\nContent-Length: 48001\r\n\r\n" + std::string(48001, 'x'), "413"},
+        {"PUT /ops/write/7f3a HTTP/1.1\r\nContent-Length: 48001\r\n\r\n" + std::string(48001, 'x'),
+         "413"},
         {head + "A: " + std::string(9000, 'x'), "431"}}) {
     Far f = c.Come();
     f.Send(one.request);
     c.Hear(f, "HTTP/1.1 " + one.status);
     assert(f.Hears("Connection: close\r\n"));
-    Until(c.d.loop, [&] { return f.Read(), f.over; });
+    Until(c.d.loop, [&] {
+      f.Read();
+      return f.over;
+    });
   }
   assert(c.d.exchange.counters.bad_requests == 28 && c.d.caches.sent.size() == 1);
   c.Finish(key, Said(Ending::kFinished), "still here");
   c.Hear(good, "still here");
 }
 
-// Who says nothing, or half a request, is told so by a word or a close in 3 s, and others notice nothing; an
-// idle client that has been served keeps its connection.
+// Who says nothing, or half a request, is told so by a word or a close in 3 s, and others notice
+// nothing; an idle client that has been served keeps its connection.
 void WhoSaysNothingGoes() {
   Counter c;
   Far served = c.Come(), silent = c.Come(), half = c.Come();
   served.Send("GET /alive HTTP/1.1\r\n\r\n");
   c.Hear(served, "HTTP/1.1 200");
   half.Send("GET /alive HTTP/1.1\r\nA: ");
-  for (int i = 0; i < 3; ++i) c.d.loop.turn(1);
+  for (int i = 0; i < 3; ++i)
+    c.d.loop.turn(1);
   c.d.loop.Skip(2600);
   c.Hear(half, "HTTP/1.1 408");
-  Until(c.d.loop, [&] { return silent.Read(), silent.over; });
+  Until(c.d.loop, [&] {
+    silent.Read();
+    return silent.over;
+  });
   assert(silent.got.empty() && !(served.Read(), served.over));
 }
 
-// How a client leaves. The end of its way out alone counts as a leave too: what follows a half-close is never an answer.
-enum class Leave { kClose, kReset, kHalfClose };
+// How a client leaves. The end of its way out alone counts as a leave too: what follows a
+// half-close is never an answer.
+enum class Leave {
+  kClose,
+  kReset,
+  kHalfClose
+};
 constexpr Leave kLeaves[] = {Leave::kClose, Leave::kReset, Leave::kHalfClose};
 
 void LeaveBy(Far& f, Leave how) {
-  if (how == Leave::kClose) f.fd.Reset();
-  if (how == Leave::kReset) f.Reset();
-  if (how == Leave::kHalfClose) ::shutdown(f.fd.Get(), SHUT_WR);
+  if (how == Leave::kClose)
+    f.fd.Reset();
+  if (how == Leave::kReset)
+    f.Reset();
+  if (how == Leave::kHalfClose)
+    ::shutdown(f.fd.Get(), SHUT_WR);
 }
 
 void WhoClosesIsOwedNothing() {
@@ -211,10 +246,12 @@
   }
 }
 
-// The close was there before the request was looked at: nothing is owed, and an attempt would begin after its client left.
+// The close was there before the request was looked at: nothing is owed, and an attempt would begin
+// after its client left.
 void ARequestThatCameWithItsCloseIsNotSentOn() {
   std::string big = "PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
-                    "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nContent-Length: 48000\r\n\r\n" + std::string(48000, 'p');
+                    "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nContent-Length: 48000\r\n\r\n" +
+                    std::string(48000, 'p');
   for (const std::string& request : {Get(), big, GetAs(1) + GetAs(2)})
     for (bool accepted : {false, true})
       for (Leave how : kLeaves) {
@@ -222,12 +259,14 @@
         Far f = accepted ? c.Come() : Far::To(c.at);
         f.Send(request);
         LeaveBy(f, how);
-        Until(c.d.loop, [&] { return c.d.exchange.counters.client_connections == 1 && c.clients.empty(); });
+        Until(c.d.loop,
+              [&] { return c.d.exchange.counters.client_connections == 1 && c.clients.empty(); });
         assert(c.d.caches.sent.empty());
       }
 }
 
-// Its client goes as the first is answered, in one turn: the next poll shows that, and the second is not sent on.
+// Its client goes as the first is answered, in one turn: the next poll shows that, and the second
+// is not sent on.
 void ASecondRequestIsNotSentOnWhenItsClientHasLeft() {
   for (Leave how : kLeaves) {
     Counter c;
@@ -243,7 +282,8 @@
   }
 }
 
-// It comes behind the open one after the front has begun to wait for that alone, and the close with it.
+// It comes behind the open one after the front has begun to wait for that alone, and the close with
+// it.
 void ARequestBehindAnOpenOneIsNotSentOnAfterItsClose() {
   for (Leave how : kLeaves) {
     Counter c;
@@ -260,8 +300,8 @@
   }
 }
 
-// A request on a resting connection comes after the poll of the turn that would end it: it is read before the close, and served.
-// A close would be a reset, and take the last answer with it.
+// A request on a resting connection comes after the poll of the turn that would end it: it is read
+// before the close, and served. A close would be a reset, and take the last answer with it.
 void ARequestThatComesBeforeTheSweepsCloseIsServed() {
   Counter c;
   Slow slow(c);
@@ -269,11 +309,13 @@
   Meanwhile now(c.d.loop, [&] { slow.far.Send(GetAs(2)); });
   c.Finish(c.leg(1), Said(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
-  assert(!IsReset(slow.far) && slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos);
+  assert(!IsReset(slow.far) &&
+         slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos);
   assert(c.d.caches.sent.size() == 2 && !slow.far.over);
 }
 
-// It comes after the shutdown: the answer before it arrives whole, without a reset, and it is not sent on.
+// It comes after the shutdown: the answer before it arrives whole, without a reset, and it is not
+// sent on.
 void ARequestThatCrossesTheSweepTakesNoAnswerWithIt() {
   Counter c;
   Slow slow(c);
@@ -281,13 +323,17 @@
   c.d.loop.turn(0);  // the sweep is due
   slow.far.Send(GetAs(2));
   Until(c.d.loop, [&] { return slow.HasAll(); });
-  Until(c.d.loop, [&] { return slow.far.Read(), slow.far.over; });
+  Until(c.d.loop, [&] {
+    slow.far.Read();
+    return slow.far.over;
+  });
   assert(!IsReset(slow.far) && c.d.caches.sent.size() == 1);
   slow.far.fd.Reset();
   Until(c.d.loop, [&] { return c.clients.empty(); });
 }
 
-// The same where room is made for a newcomer. Here the request was there first: it is read, and its client has no longer rested.
+// The same where room is made for a newcomer. Here the request was there first: it is read, and its
+// client has no longer rested.
 void ARequestThatComesAsRoomIsMadeIsServed() {
   Counter c(1);
   Slow slow(c);
@@ -309,12 +355,15 @@
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
     c.Finish(c.leg(i), Said(Ending::kFinished), "ok");
-    for (int turns = 0; turns < 5; ++turns) c.d.loop.turn(0);
+    for (int turns = 0; turns < 5; ++turns)
+      c.d.loop.turn(0);
   }
-  for (Far& f : all) c.Hear(f, "\r\n\r\nok");
+  for (Far& f : all)
+    c.Hear(f, "\r\n\r\nok");
 }
 
-// Refused ones that never close: they keep no live client out, and the longest goes where they become too many.
+// Refused ones that never close: they keep no live client out, and the longest goes where they
+// become too many.
 void WhoLingersTakesNoPlace() {
   Counter c(3);
   std::vector<Far> bad, good;
@@ -327,20 +376,30 @@
     good.push_back(Far::To(c.at));
     good.back().Send(GetAs(i));
   }
-  for (int turns = 0; turns < 50; ++turns) c.d.loop.turn(0);
+  for (int turns = 0; turns < 50; ++turns)
+    c.d.loop.turn(0);
   assert(c.d.caches.sent.size() == 3);
   bad[0].Send("x");
   Until(c.d.loop, [&] { return IsReset(bad[0]); });  // closed outright
   c.d.loop.Skip(2000);
-  for (Far& f : bad) Until(c.d.loop, [&] { return f.Read(), f.over; });
+  for (Far& f : bad)
+    Until(c.d.loop, [&] {
+      f.Read();
+      return f.over;
+    });
 }
 
-// Each bad client gets a status or a close, one line of the log with none of its bytes, and is counted; an open request of another
-// client notices nothing.
+// Each bad client gets a status or a close, one line of the log with none of its bytes, and is
+// counted; an open request of another client notices nothing.
 void BadClientsEndAlone() {
-  enum { kStays, kCloses, kResets };
+  enum {
+    kStays,
+    kCloses,
+    kResets
+  };
   struct Case {
-    std::string bytes, status;  // none: it is gone before one could come
+    std::string bytes;
+    std::string status;  // none: it is gone before one could come
     int then;
     std::uint64_t bad;
     std::size_t most;  // of its requests that may be sent on
@@ -350,16 +409,19 @@
     std::string one = Get("Odd: zebra\r\n");
     many += one.replace(one.find(kId), kId.size(), "0000000000000" + std::to_string(i));
   }
-  std::string both = "PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nzebra";
-  for (const Case& one : {Case{"GET /ops/zebra", "", kCloses, 1, 0},
-                          {"GET /ops/zebra", "", kResets, 1, 0},
-                          {"PUT /ops/write/7f3a HTTP/1.1\r\nContent-Length: 100\r\n\r\nzebra", "", kCloses, 1, 0},
-                          {many, "", kCloses, 0, 1},
-                          {many, "", kResets, 0, 1},
-                          {both, "400", kStays, 1, 0},
-                          {Get("Odd: zebra\r\n"), "409", kStays, 1, 0},  // the id of the open one
-                          {"GET /alive HTTP/1.1\r\nzebra: " + std::string(60000, 'z'), "431", kStays, 1, 0},
-                          {std::string(1, 0) + "zebra\n\x1b[31m", "400", kStays, 1, 0}}) {
+  std::string both =
+      "PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: "
+      "chunked\r\n\r\nzebra";
+  for (const Case& one :
+       {Case{"GET /ops/zebra", "", kCloses, 1, 0},
+        {"GET /ops/zebra", "", kResets, 1, 0},
+        {"PUT /ops/write/7f3a HTTP/1.1\r\nContent-Length: 100\r\n\r\nzebra", "", kCloses, 1, 0},
+        {many, "", kCloses, 0, 1},
+        {many, "", kResets, 0, 1},
+        {both, "400", kStays, 1, 0},
+        {Get("Odd: zebra\r\n"), "409", kStays, 1, 0},  // the id of the open one
+        {"GET /alive HTTP/1.1\r\nzebra: " + std::string(60000, 'z'), "431", kStays, 1, 0},
+        {std::string(1, 0) + "zebra\n\x1b[31m", "400", kStays, 1, 0}}) {
     std::vector<std::string> lines;
     log::Log to([] { return 0.0; }, [&](std::string_view line) { lines.emplace_back(line); });
     log::Use use(to);
@@ -368,12 +430,18 @@
     good.Send(Get());
     LegKey key = c.leg(0);
     f.Send(one.bytes);
-    if (one.then != kStays || one.bytes.size() > 10000) c.d.loop.turn(1);
-    if (one.then == kCloses) f.fd.Reset();
-    if (one.then == kResets) f.Reset();
+    if (one.then != kStays || one.bytes.size() > 10000)
+      c.d.loop.turn(1);
+    if (one.then == kCloses)
+      f.fd.Reset();
+    if (one.then == kResets)
+      f.Reset();
     if (one.then == kStays) {
       c.Hear(f, "HTTP/1.1 " + one.status);
-      Until(c.d.loop, [&] { return f.Read(), f.over; });
+      Until(c.d.loop, [&] {
+        f.Read();
+        return f.over;
+      });
       c.d.loop.Skip(2000);  // though it never closes
     }
     c.Finish(key, Said(Ending::kFinished), "still here");
@@ -382,7 +450,8 @@
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.exchange.counters.bad_requests == one.bad && lines.size() == one.bad);
     assert(c.d.caches.sent.size() <= 1 + one.most);
-    for (const std::string& line : lines) assert(line.find("zebra") == line.npos);
+    for (const std::string& line : lines)
+      assert(line.find("zebra") == line.npos);
   }
 }
 
@@ -402,7 +471,11 @@
 // ---- a stop
 
 void TheBacklogIsAnsweredInAStop() {
-  enum { kWaiting, kPaused, kResting };
+  enum {
+    kWaiting,
+    kPaused,
+    kResting
+  };
   for (int listener : {kWaiting, kPaused, kResting}) {
     Counter c(listener == kPaused ? 1 : 50);
     std::vector<Far> before, waits;
@@ -411,7 +484,8 @@
       before.back().Send(GetAs(i));
       c.leg(static_cast<std::size_t>(i));
     }
-    for (int i = 2; i < 5; ++i) waits.push_back(Far::To(c.at));
+    for (int i = 2; i < 5; ++i)
+      waits.push_back(Far::To(c.at));
     if (listener == kResting) {
       rlimit full{}, none{};
       ::getrlimit(RLIMIT_NOFILE, &full);
@@ -421,14 +495,22 @@
       c.d.loop.turn(0);
       ::setrlimit(RLIMIT_NOFILE, &full);
     }
-    for (int i = 2; i < 5; ++i) waits[static_cast<std::size_t>(i - 2)].Send(GetAs(i));
+    for (int i = 2; i < 5; ++i)
+      waits[static_cast<std::size_t>(i - 2)].Send(GetAs(i));
     std::size_t all = before.size() + waits.size();
-    Until(c.d.loop, [&] { return c.clients.Leave(), c.d.caches.sent.size() == all; });
-    for (std::size_t i = 0; i < all; ++i) c.Finish(c.leg(i), Said(Ending::kFinished), "ok");
+    Until(c.d.loop, [&] {
+      c.clients.Leave();
+      return c.d.caches.sent.size() == all;
+    });
+    for (std::size_t i = 0; i < all; ++i)
+      c.Finish(c.leg(i), Said(Ending::kFinished), "ok");
     for (Far& f : waits) {
       c.Hear(f, "\r\n\r\nok");
       assert(f.Hears("Connection: close\r\n"));
-      Until(c.d.loop, [&] { return f.Read(), f.over; });
+      Until(c.d.loop, [&] {
+        f.Read();
+        return f.over;
+      });
     }
     c.leave();
   }
@@ -438,29 +520,39 @@
 void ARequestThatCrossesTheStopIsAnswered() {
   Counter c;
   Far f = c.Come();
-  for (int i = 0; i < 3; ++i) c.d.loop.turn(0);
+  for (int i = 0; i < 3; ++i)
+    c.d.loop.turn(0);
   f.Send(GetAs(1));
-  Until(c.d.loop, [&] { return c.clients.Leave(), c.d.caches.sent.size() == 1; });
+  Until(c.d.loop, [&] {
+    c.clients.Leave();
+    return c.d.caches.sent.size() == 1;
+  });
   c.Finish(c.leg(0), Said(Ending::kFinished), "ok");
   c.Hear(f, "\r\n\r\nok");
   assert(f.Hears("Connection: close\r\n"));
   c.leave();
 }
 
-// It comes after the poll of the turn that would shut the connection: it is read before that, and served.
+// It comes after the poll of the turn that would shut the connection: it is read before that, and
+// served.
 void ARequestThatComesBeforeTheShutdownInAStopIsServed() {
   Counter c;
   Slow slow(c);
   c.clients.Leave();
-  for (int i = 0; i < 3; ++i) c.d.loop.turn(0);
+  for (int i = 0; i < 3; ++i)
+    c.d.loop.turn(0);
   Meanwhile now(c.d.loop, [&] {
     slow.far.Send(GetAs(2));
     c.clients.Leave();
   });
   c.Finish(c.leg(1), Said(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
-  assert(slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos && slow.far.Hears("Connection: close\r\n"));
-  Until(c.d.loop, [&] { return slow.far.Read(), slow.far.over; });
+  assert(slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos &&
+         slow.far.Hears("Connection: close\r\n"));
+  Until(c.d.loop, [&] {
+    slow.far.Read();
+    return slow.far.over;
+  });
   assert(!IsReset(slow.far));
   c.leave();  // though it never closes
 }
@@ -470,36 +562,47 @@
   Counter c;
   Slow slow(c);
   c.clients.Leave();
-  for (int i = 0; i < 3; ++i) c.d.loop.turn(0);
+  for (int i = 0; i < 3; ++i)
+    c.d.loop.turn(0);
   Meanwhile now(c.d.loop, [&] {
     c.clients.Leave();
     slow.far.Send(GetAs(2));
   });
   Until(c.d.loop, [&] { return slow.HasAll(); });
-  Until(c.d.loop, [&] { return slow.far.Read(), slow.far.over; });
+  Until(c.d.loop, [&] {
+    slow.far.Read();
+    return slow.far.over;
+  });
   assert(!IsReset(slow.far) && c.d.caches.sent.size() == 1);
   c.leave();  // though it never closes
 }
 
-// Whole requests that were read behind an open one when the stop comes: each has its answer, and the last one announces the close.
+// Whole requests that were read behind an open one when the stop comes: each has its answer, and
+// the last one announces the close.
 void PipelinedRequestsAreAnsweredInAStop() {
   Counter c;
   Far f = c.Come();
   f.Send(GetAs(1) + GetAs(2) + GetAs(3) + GetAs(4).substr(0, 60));
   c.leg(0);
   for (std::size_t i = 0; i < 3; ++i) {
-    for (int turns = 0; turns < 3; ++turns) c.clients.Leave(), c.d.loop.turn(0);
+    for (int turns = 0; turns < 3; ++turns) {
+      c.clients.Leave();
+      c.d.loop.turn(0);
+    }
     c.Finish(c.leg(i), Said(Ending::kFinished), "body" + std::to_string(i));
     c.Hear(f, "\r\n\r\nbody" + std::to_string(i));
     assert(f.Hears("Connection: close\r\n") == (i == 2));
   }
-  Until(c.d.loop, [&] { return f.Read(), f.over; });
+  Until(c.d.loop, [&] {
+    f.Read();
+    return f.over;
+  });
   c.leave();
   assert(c.d.caches.sent.size() == 3);
 }
 
-// Each whole request that was read has an answer, also behind one that is refused for what it asks; behind one whose end can't be
-// told nothing is a request.
+// Each whole request that was read has an answer, also behind one that is refused for what it asks;
+// behind one whose end can't be told nothing is a request.
 void WhatLiesBehindARefusedRequestIsAnswered() {
   Counter c;
   Far f = c.Come();
@@ -510,11 +613,15 @@
   c.Hear(f, "\r\n\r\nok");
   f.Send(Get("", "/odd"));
   c.Hear(f, "Connection: close\r\n\r\n");
-  Until(c.d.loop, [&] { return f.Read(), f.over; });
+  Until(c.d.loop, [&] {
+    f.Read();
+    return f.over;
+  });
   assert(c.d.exchange.counters.bad_requests == 2);
 }
 
-// All places are taken and a newcomer's request is on its way as another one comes: the newcomer is spared for a moment.
+// All places are taken and a newcomer's request is on its way as another one comes: the newcomer is
+// spared for a moment.
 void ANewcomersRequestOnItsWayIsAwaited() {
   Counter c(2);
   Far busy = c.Come(), served = c.Come();
@@ -523,8 +630,12 @@
   served.Send("GET /alive HTTP/1.1\r\n\r\n");
   c.Hear(served, "HTTP/1.1 200");
   Far newcomer = c.Come(), next = c.Come();
-  Until(c.d.loop, [&] { return served.Read(), served.over; });
-  for (int turns = 0; turns < 5; ++turns) c.d.loop.turn(0);
+  Until(c.d.loop, [&] {
+    served.Read();
+    return served.over;
+  });
+  for (int turns = 0; turns < 5; ++turns)
+    c.d.loop.turn(0);
   newcomer.Send(GetAs(1));
   c.Finish(c.leg(1), Said(Ending::kFinished), "ok");
   c.Hear(newcomer, "\r\n\r\nok");
@@ -541,16 +652,23 @@
   Far silent = c.Come(), next = c.Come();
   next.Send(GetAs(1));
   c.leg(1);
-  Until(c.d.loop, [&] { return silent.Read(), silent.over; });
+  Until(c.d.loop, [&] {
+    silent.Read();
+    return silent.over;
+  });
   assert(silent.got.empty());
 }
 
-// Its connection has carried no request: it is closed outright, so that what crosses the close stays unread and takes no place.
+// Its connection has carried no request: it is closed outright, so that what crosses the close
+// stays unread and takes no place.
 void WhoNeverSpokeDoesNotLinger() {
   Counter c;
   Far silent = c.Come();
   c.d.loop.Skip(2600);
-  Until(c.d.loop, [&] { return silent.Read(), silent.over; });
+  Until(c.d.loop, [&] {
+    silent.Read();
+    return silent.over;
+  });
   assert(c.clients.empty());
 }
 
@@ -558,17 +676,24 @@
   Counter c;
   Far f = c.Come();
   f.Send(Get().substr(0, 40));
-  for (int i = 0; i < 3; ++i) c.d.loop.turn(0);
-  Until(c.d.loop, [&] { return c.clients.Leave(), f.Hears("\r\n\r\n"); });
+  for (int i = 0; i < 3; ++i)
+    c.d.loop.turn(0);
+  Until(c.d.loop, [&] {
+    c.clients.Leave();
+    return f.Hears("\r\n\r\n");
+  });
   assert(f.Hears("HTTP/1.1 503 ") && f.Hears("Connection: close\r\n"));
   f.Send(Get().substr(40));
-  Until(c.d.loop, [&] { return f.Read(), f.over; });
+  Until(c.d.loop, [&] {
+    f.Read();
+    return f.over;
+  });
   c.leave();
   assert(c.d.caches.sent.empty() && c.d.exchange.counters.bad_requests == 0);
 }
 
-// Answers go out to a client that takes nothing until the system's buffers are full. In a stop that is waited for no longer than
-// anybody wants the answer; no exit waits for a dead client.
+// Answers go out to a client that takes nothing until the system's buffers are full. In a stop that
+// is waited for no longer than anybody wants the answer; no exit waits for a dead client.
 void WhoTakesNothingHoldsNoStopUp() {
   Counter c;
   Far f(loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0)));
@@ -580,7 +705,8 @@
   request.replace(request.find("60000"), 5, "2500");
   std::string body(exchange::kMostBytes, 'x');
   auto sent_on = [&](std::size_t which) {
-    for (int i = 0; i < 50 && c.d.caches.sent.size() <= which; ++i) c.d.loop.turn(1);
+    for (int i = 0; i < 50 && c.d.caches.sent.size() <= which; ++i)
+      c.d.loop.turn(1);
     return c.d.caches.sent.size() > which;
   };
   std::size_t which = 0;
@@ -588,10 +714,16 @@
     assert(which < 200);
     c.Finish(c.leg(which), Said(Ending::kFinished), body);
   }
-  for (int i = 0; i < 3; ++i) c.clients.Leave(), c.d.loop.turn(0);
+  for (int i = 0; i < 3; ++i) {
+    c.clients.Leave();
+    c.d.loop.turn(0);
+  }
   assert(!c.clients.empty());
   c.d.loop.Skip(3100);
-  for (int i = 0; i < 3; ++i) c.clients.Leave(), c.d.loop.turn(0);
+  for (int i = 0; i < 3; ++i) {
+    c.clients.Leave();
+    c.d.loop.turn(0);
+  }
   assert(c.clients.empty());
 }
 
@@ -605,7 +737,10 @@
   c.d.exchange.AnswerBegun(key, Said(Ending::kFinished), 10);
   c.d.exchange.AnswerBytes(key, "half");
   c.d.exchange.LegLost(key, loop::Parting::kReset, true);
-  Until(c.d.loop, [&] { return f.Read(), f.over; });
+  Until(c.d.loop, [&] {
+    f.Read();
+    return f.over;
+  });
   assert(f.Hears("Content-Length: 10\r\n") && f.got.ends_with("\r\n\r\nhalf"));
 }
 
@@ -615,7 +750,10 @@
   one.Send(GetAs(1));
   c.leg(0);
   Far three = c.Come(), four = c.Come();  // two has been idle longest
-  Until(c.d.loop, [&] { return two.Read(), two.over; });
+  Until(c.d.loop, [&] {
+    two.Read();
+    return two.over;
+  });
   four.Send(GetAs(2));
   c.leg(1);
   assert(!(one.Read(), one.over));
@@ -626,7 +764,8 @@
   five.Send(GetAs(4));
   c.leg(3);
   six.Send(GetAs(5));
-  for (int i = 0; i < 20; ++i) c.d.loop.turn(1);
+  for (int i = 0; i < 20; ++i)
+    c.d.loop.turn(1);
   assert(c.d.caches.sent.size() == 4);
   c.Finish(c.leg(0), Said(Ending::kFinished));
   c.leg(4);
@@ -656,37 +795,45 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"clients are answered", ClientsAreAnswered},
-                 {"big answers wait for slow clients", BigAnswersWaitForSlowClients},
-                 {"bad requests are refused alone", BadRequestsAreRefusedAlone},
-                 {"who says nothing goes", WhoSaysNothingGoes},
-                 {"who closes is owed nothing", WhoClosesIsOwedNothing},
-                 {"a request that came with its close is not sent on", ARequestThatCameWithItsCloseIsNotSentOn},
-                 {"a second request is not sent on when its client has left", ASecondRequestIsNotSentOnWhenItsClientHasLeft},
-                 {"a request behind an open one is not sent on after its close", ARequestBehindAnOpenOneIsNotSentOnAfterItsClose},
-                 {"a request that comes before the sweep's close is served", ARequestThatComesBeforeTheSweepsCloseIsServed},
-                 {"a request that crosses the sweep takes no answer with it", ARequestThatCrossesTheSweepTakesNoAnswerWithIt},
-                 {"a request that comes as room is made is served", ARequestThatComesAsRoomIsMadeIsServed},
-                 {"who comes with a request is not put out unread", WhoComesWithARequestIsNotPutOutUnread},
-                 {"who lingers takes no place", WhoLingersTakesNoPlace},
-                 {"bad clients end alone", BadClientsEndAlone},
-                 {"an endless header is bounded", AnEndlessHeaderIsBounded},
-                 {"the backlog is answered in a stop", TheBacklogIsAnsweredInAStop},
-                 {"a request that crosses the stop is answered", ARequestThatCrossesTheStopIsAnswered},
-                 {"a request that comes before the shutdown in a stop is served", ARequestThatComesBeforeTheShutdownInAStopIsServed},
-                 {"a request that crosses the shutdown in a stop takes no answer with it",
-                  ARequestThatCrossesTheShutdownInAStopTakesNoAnswerWithIt},
-                 {"pipelined requests are answered in a stop", PipelinedRequestsAreAnsweredInAStop},
-                 {"what lies behind a refused request is answered", WhatLiesBehindARefusedRequestIsAnswered},
-                 {"a newcomer's request on its way is awaited", ANewcomersRequestOnItsWayIsAwaited},
-                 {"a silent newcomer makes room in the end", ASilentNewcomerMakesRoomInTheEnd},
-                 {"who never spoke does not linger", WhoNeverSpokeDoesNotLinger},
-                 {"half a request is refused in a stop", HalfARequestIsRefusedInAStop},
-                 {"who takes nothing holds no stop up", WhoTakesNothingHoldsNoStopUp},
-                 {"a broken stream can be told", ABrokenStreamCanBeTold},
-                 {"idle clients make room", IdleClientsMakeRoom},
-                 {"no descriptors is no spin", NoDescriptorsIsNoSpin}}) {
-    if (count > 1 && std::string_view(words[1]) != c.name) continue;
+  for (Case c :
+       {Case{"clients are answered", ClientsAreAnswered},
+        {"big answers wait for slow clients", BigAnswersWaitForSlowClients},
+        {"bad requests are refused alone", BadRequestsAreRefusedAlone},
+        {"who says nothing goes", WhoSaysNothingGoes},
+        {"who closes is owed nothing", WhoClosesIsOwedNothing},
+        {"a request that came with its close is not sent on",
+         ARequestThatCameWithItsCloseIsNotSentOn},
+        {"a second request is not sent on when its client has left",
+         ASecondRequestIsNotSentOnWhenItsClientHasLeft},
+        {"a request behind an open one is not sent on after its close",
+         ARequestBehindAnOpenOneIsNotSentOnAfterItsClose},
+        {"a request that comes before the sweep's close is served",
+         ARequestThatComesBeforeTheSweepsCloseIsServed},
+        {"a request that crosses the sweep takes no answer with it",
+         ARequestThatCrossesTheSweepTakesNoAnswerWithIt},
+        {"a request that comes as room is made is served", ARequestThatComesAsRoomIsMadeIsServed},
+        {"who comes with a request is not put out unread", WhoComesWithARequestIsNotPutOutUnread},
+        {"who lingers takes no place", WhoLingersTakesNoPlace},
+        {"bad clients end alone", BadClientsEndAlone},
+        {"an endless header is bounded", AnEndlessHeaderIsBounded},
+        {"the backlog is answered in a stop", TheBacklogIsAnsweredInAStop},
+        {"a request that crosses the stop is answered", ARequestThatCrossesTheStopIsAnswered},
+        {"a request that comes before the shutdown in a stop is served",
+         ARequestThatComesBeforeTheShutdownInAStopIsServed},
+        {"a request that crosses the shutdown in a stop takes no answer with it",
+         ARequestThatCrossesTheShutdownInAStopTakesNoAnswerWithIt},
+        {"pipelined requests are answered in a stop", PipelinedRequestsAreAnsweredInAStop},
+        {"what lies behind a refused request is answered", WhatLiesBehindARefusedRequestIsAnswered},
+        {"a newcomer's request on its way is awaited", ANewcomersRequestOnItsWayIsAwaited},
+        {"a silent newcomer makes room in the end", ASilentNewcomerMakesRoomInTheEnd},
+        {"who never spoke does not linger", WhoNeverSpokeDoesNotLinger},
+        {"half a request is refused in a stop", HalfARequestIsRefusedInAStop},
+        {"who takes nothing holds no stop up", WhoTakesNothingHoldsNoStopUp},
+        {"a broken stream can be told", ABrokenStreamCanBeTold},
+        {"idle clients make room", IdleClientsMakeRoom},
+        {"no descriptors is no spin", NoDescriptorsIsNoSpin}}) {
+    if (count > 1 && std::string_view(words[1]) != c.name)
+      continue;
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/connection_test.cpp
+++ b/tests/connection_test.cpp
@@ -11,10 +11,13 @@
   struct Owner final : loop::Connection::Owner {
     std::optional<loop::Parting> how;
     void Came() override {}
-    void Ended(loop::Parting p) override { how = p; }
+    void Ended(loop::Parting p) override {
+      how = p;
+    }
   } owner;
   loop::Connection c(loop, owner, far.at, 1000);
-  std::uint64_t first = c.Send("small"), second = c.Send(std::string(32 << 20, 'x')), third = c.Send("last");
+  std::uint64_t first = c.Send("small"), second = c.Send(std::string(32 << 20, 'x')),
+                third = c.Send("last");
   Far peer = far.Next(loop);
   Until(loop, [&] { return !c.Unsent(first); });
   loop.turn(1);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,5 +1,6 @@
-// Crossings on the caches' side: an event that falls between the choice of an attempt and its writing, or between two lines of
-// what a cache says. On loopback sockets, beside a far side that says each byte when it is told to.
+// Crossings on the caches' side: an event that falls between the choice of an attempt and its
+// writing, or between two lines of what a cache says. On loopback sockets, beside a far side that
+// says each byte when it is told to.
 #include <algorithm>
 
 #include "clients/clients.hpp"
@@ -9,9 +10,8 @@
 
 namespace {
 
-
-// The client has left: what has not left this process never does, whether or not the settings allow cancelling, whatever it waits
-// for; what comes after it goes on.
+// The client has left: what has not left this process never does, whether or not the settings allow
+// cancelling, whatever it waits for; what comes after it goes on.
 void WhoLeftIsNotAskedFor() {
   for (Wait how : {kDial, kQueue, kCheck})
     for (bool cancel : {true, false}) {
@@ -32,23 +32,28 @@
     }
 }
 
-// The deadline passes while the loop stands still: in its next turn the connection is up before any timer is looked at.
+// The deadline passes while the loop stands still: in its next turn the connection is up before any
+// timer is looked at.
 void OverdueAttemptsDoNotGo() {
   for (Wait how : {kDial, kCheck}) {
     Waiting w(how, SheetWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
-    if (how == kCheck) w.peer.Send("call PONG - 0\r\n\r\n");
+    if (how == kCheck)
+      w.peer.Send("call PONG - 0\r\n\r\n");
     w.r.loop.Skip(61000);
     w.r.Turns();
-    if (how == kDial) w.peer = w.far.Next(w.r.loop);
+    if (how == kDial)
+      w.peer = w.far.Next(w.r.loop);
     w.r.Turns();
     assert(!w.Began() && w.client.told.size() == 1);
   }
 }
 
-// A repeat that its window no longer covers when the connection is up is not begun; its client is told at once.
+// A repeat that its window no longer covers when the connection is up is not begun; its client is
+// told at once.
 void RepeatsStayWithinTheirWindow() {
   StoreSheet s = SheetWith(true, Effect::kTicketed);
-  s.offerings[kWrite].memory = 500, s.offerings[kWrite].expiry = 60000;
+  s.offerings[kWrite].memory = 500;
+  s.offerings[kWrite].expiry = 60000;
   for (bool late : {false, true}) {
     FarListener one, other;
     Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}), s);
@@ -59,7 +64,10 @@
     Until(r.loop, [&] {
       for (FarListener* l : {&one, &other}) {
         int got = ::accept4(l->fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-        if (got >= 0) first = Far(loop::Descriptor(got)), home = l;
+        if (got >= 0) {
+          first = Far(loop::Descriptor(got));
+          home = l;
+        }
       }
       return home != nullptr;
     });
@@ -69,34 +77,55 @@
     Until(r.loop, [&] { return r.exchange.counters.errors == 1; });
     // The repeat is on its way to a connection that is not up yet: no turn has passed since.
     assert(r.exchange.counters.legs == 2 && client.told.empty());
-    if (late) r.loop.Skip(501);
+    if (late)
+      r.loop.Skip(501);
     r.Turns();
     Far second = next->Next(r.loop);
-    if (!late) Until(r.loop, [&] { return second.Hears(WantOf(1)); });
-    if (late) Until(r.loop, [&] { return client.told.size() == 1; });
+    if (!late)
+      Until(r.loop, [&] { return second.Hears(WantOf(1)); });
+    if (late)
+      Until(r.loop, [&] { return client.told.size() == 1; });
     assert(second.Hears(WantOf(1)) == !late);
   }
 }
 
-// Told between the choice and the writing: a drain of the cache or of the source, a purge of the object or its group.
+// Told between the choice and the writing: a drain of the cache or of the source, a purge of the
+// object or its group.
 void NewsBindsWhatStillWaits() {
-  enum News { kDrained, kSourceDrained, kPurged, kGroupPurged, kRecalled, kNoOlder };
+  enum News {
+    kDrained,
+    kSourceDrained,
+    kPurged,
+    kGroupPurged,
+    kRecalled,
+    kNoOlder
+  };
   for (News news : {kDrained, kSourceDrained, kPurged, kGroupPurged, kRecalled, kNoOlder}) {
     std::vector<exchange::Listed> parents = Machines({{"p-1", {}}, {"p-2", {}}});
-    for (auto& one : parents) one.entry.kind = kParentKind, one.entry.zone = 0, one.entry.weight = 30;
+    for (auto& one : parents) {
+      one.entry.kind = kParentKind;
+      one.entry.zone = 0;
+      one.entry.weight = 30;
+    }
     Waiting w(kDial, SheetWith(false), parents);
     assert(w.r.exchange.counters.legs == 1);
     auto s1 = Machines({{"s-1", w.far.at}});
     s1[0].entry.standing = Standing::kDraining;
-    if (news == kDrained) w.r.exchange.ListCame(false, s1);
+    if (news == kDrained)
+      w.r.exchange.ListCame(false, s1);
     if (news == kSourceDrained) {
-      parents[0].entry.standing = Standing::kDraining, parents[1].entry.standing = Standing::kDraining;
+      parents[0].entry.standing = Standing::kDraining;
+      parents[1].entry.standing = Standing::kDraining;
       w.r.exchange.ListCame(false, parents);
     }
-    if (news == kPurged) w.r.exchange.PurgeCame(false, "7f3a", 0, w.r.loop.now());
-    if (news == kGroupPurged) w.r.exchange.PurgeCame(true, "", 0, w.r.loop.now());
-    if (news == kRecalled) w.r.exchange.RecallCame("", 0, kVideo, false, 0);
-    if (news == kNoOlder) w.r.exchange.LimitAge(5);
+    if (news == kPurged)
+      w.r.exchange.PurgeCame(false, "7f3a", 0, w.r.loop.now());
+    if (news == kGroupPurged)
+      w.r.exchange.PurgeCame(true, "", 0, w.r.loop.now());
+    if (news == kRecalled)
+      w.r.exchange.RecallCame("", 0, kVideo, false, 0);
+    if (news == kNoOlder)
+      w.r.exchange.LimitAge(5);
     w.LetGo();
     if (news == kDrained) {
       assert(!w.Began() && w.client.told.size() == 1);
@@ -104,23 +133,29 @@
     }
     Until(w.r.loop, [&] { return w.peer.Hears("\r\n\r\n"); });
     std::string line = w.peer.got.substr(0, w.peer.got.find("\r\n"));
-    if (news == kSourceDrained) assert(line.find("miss=p-") == line.npos);
-    else assert(line.find(",within=") != line.npos);
+    if (news == kSourceDrained)
+      assert(line.find("miss=p-") == line.npos);
+    else
+      assert(line.find(",within=") != line.npos);
     assert(w.peer.got.find(WantOf(1), 10) == w.peer.got.npos);  // once
   }
 }
 
-// A purge of something else leaves what waits alone, and what has gone out is never sent a second time for it.
+// A purge of something else leaves what waits alone, and what has gone out is never sent a second
+// time for it.
 void NewsOfOthersChangesNothing() {
   for (bool gone : {false, true}) {
     Waiting w(kDial, SheetWith(false));
-    if (gone) w.LetGo();
+    if (gone)
+      w.LetGo();
     w.r.exchange.PurgeCame(false, gone ? "7f3a" : "0000", 9, w.r.loop.now());
     w.r.exchange.PurgeCame(true, "", gone ? 0 : 9, w.r.loop.now());
-    if (!gone) w.LetGo();
+    if (!gone)
+      w.LetGo();
     Until(w.r.loop, [&] { return w.Began(); });
     w.r.Turns();
-    assert(w.peer.Read().find(WantOf(1), 10) == std::string::npos && w.r.exchange.counters.legs == 1);
+    assert(w.peer.Read().find(WantOf(1), 10) == std::string::npos &&
+           w.r.exchange.counters.legs == 1);
   }
 }
 
@@ -131,15 +166,20 @@
     auto fresh = Machines({{"s-2", w.far.at}});
     fresh[0].entry.weight = 1e-9;
     w.r.exchange.ListCame(false, fresh);
-    if (how == kCheck) w.peer.Send("call PONG - 0\r\n\r\n");
+    if (how == kCheck)
+      w.peer.Send("call PONG - 0\r\n\r\n");
     w.r.Turns();
     Far old = how == kCheck ? std::move(w.peer) : w.far.Next(w.r.loop);
-    Until(w.r.loop, [&] { return old.Read(), old.over; });
+    Until(w.r.loop, [&] {
+      old.Read();
+      return old.over;
+    });
     assert(old.got.find("want ") == std::string::npos);
   }
 }
 
-// The answer to the check and the peer's close in one write: what may run once goes over another connection.
+// The answer to the check and the peer's close in one write: what may run once goes over another
+// connection.
 void ACheckAnsweredWithACloseCarriesNothing() {
   Waiting w(kCheck, SheetWith(true, Effect::kExclusive), {}, kWrite);
   w.peer.Send("call PONG - 0\r\n\r\n");
@@ -153,14 +193,16 @@
   assert(w.client.Is({"200 t"}) && w.r.exchange.counters.broken == 0);
 }
 
-// Exclusive: a byte may have gone out, so there is no second attempt: reset under the request, after the first byte of its answer,
-// in the middle of it; and an answer that comes late or twice is nobody's.
+// Exclusive: a byte may have gone out, so there is no second attempt: reset under the request,
+// after the first byte of its answer, in the middle of it; and an answer that comes late or twice
+// is nobody's.
 void WhatMayRunOnceRunsOnce() {
   for (const char* said : {"", "0", "00000000000000a1 HIT - 2\r\no"}) {
     Waiting w(kCheck, SheetWith(true, Effect::kExclusive), {}, kWrite);
     w.peer.Send("call PONG - 0\r\n\r\n");
     Until(w.r.loop, [&] { return w.Began(); });
-    if (*said) w.peer.Send(said);
+    if (*said)
+      w.peer.Send(said);
     w.peer.Reset();
     Until(w.r.loop, [&] { return !w.client.told.empty(); });
     assert(w.client.Is({"502"}) && w.r.exchange.counters.legs == 1);
@@ -170,8 +212,9 @@
   }
 }
 
-// An attempt that waited was moved, with its connection's number: an earlier answer to its request may still come there, so the
-// next attempt of the request goes elsewhere, and the duplicate is nobody's.
+// An attempt that waited was moved, with its connection's number: an earlier answer to its request
+// may still come there, so the next attempt of the request goes elsewhere, and the duplicate is
+// nobody's.
 void MovedAttemptsAreKeptApart() {
   StoreSheet s = SheetWith(true, Effect::kExclusive);
   s.may.direct = false;
@@ -192,7 +235,8 @@
   assert(w.r.exchange.counters.misses == 1);
 }
 
-// The answer had come when the connection broke under the next request: it is read before the break is told.
+// The answer had come when the connection broke under the next request: it is read before the break
+// is told.
 void AnswersBeforeABreakAreRead() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
@@ -239,18 +283,21 @@
   clients::Clients clients(r.loop, r.exchange, MakeTerms().offerings, {false, true}, at, 50);
   Far client = Far::To(at);
   client.Send("PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
-             "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nIdempotency-Key: 5c.k-17\r\nContent-Length: 1\r\n\r\nx");
+              "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nIdempotency-Key: "
+              "5c.k-17\r\nContent-Length: 1\r\n\r\nx");
   Far peer;
   Until(r.loop, [&] {
     for (FarListener* l : {&one, &other})
-      if (int got = ::accept4(l->fd.Get(), nullptr, nullptr, SOCK_NONBLOCK); got >= 0) peer = Far(loop::Descriptor(got));
+      if (int got = ::accept4(l->fd.Get(), nullptr, nullptr, SOCK_NONBLOCK); got >= 0)
+        peer = Far(loop::Descriptor(got));
     return static_cast<bool>(peer.fd);
   });
   Until(r.loop, [&] { return peer.Hears("\r\nx\r\n"); });
   assert(peer.got.find(",replay=5c.k-17 1\r\nx\r\n") != std::string::npos);
 }
 
-// Deadline, leaving and answer in one turn, in each order: one final answer at most, one end of the attempt, nothing sent after.
+// Deadline, leaving and answer in one turn, in each order: one final answer at most, one end of the
+// attempt, nothing sent after.
 void OneTurnInEachOrder() {
   std::vector<int> order{0, 1, 2, 3};  // the deadline; the client leaves; the answer; its duplicate
   do {
@@ -266,19 +313,30 @@
         bool left = false;
         for (int what : order) {
           std::size_t told = client.told.size();
-          if (what == 0) d.loop.Skip(200), d.loop.turn(0);
-          if (what == 1) d.exchange.OnClientLeft(request), left = true;
-          if (what >= 2) d.exchange.AnswerBegun(key, Said(Ending::kFinished), 0), d.exchange.AnswerWhole(key, Said(Ending::kFinished));
+          if (what == 0) {
+            d.loop.Skip(200);
+            d.loop.turn(0);
+          }
+          if (what == 1) {
+            d.exchange.OnClientLeft(request);
+            left = true;
+          }
+          if (what >= 2) {
+            d.exchange.AnswerBegun(key, Said(Ending::kFinished), 0);
+            d.exchange.AnswerWhole(key, Said(Ending::kFinished));
+          }
           assert(client.told.size() <= 1 && (!left || client.told.size() == told));
         }
-        assert(client.told.size() == (order[0] == 1 ? 0u : 1u) && d.caches.sent.size() == 1 && d.exchange.OpenPulls() == 0);
+        assert(client.told.size() == (order[0] == 1 ? 0u : 1u) && d.caches.sent.size() == 1 &&
+               d.exchange.OpenPulls() == 0);
         auto& n = d.exchange.counters;
         assert(n.legs_finished + n.timed_out + n.cancelled + n.moot == 1);
       }
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// The cache's refusal and the client's close in one turn, the cache's descriptor the lower: no further attempt begins.
+// The cache's refusal and the client's close in one turn, the cache's descriptor the lower: no
+// further attempt begins.
 void WhoLeavesIsHeardFirst() {
   FarListener one, other;
   Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}), SheetWith(false));
@@ -296,8 +354,12 @@
       FarListener* all[] = {&one, &other};
       for (int k = 0; k < 2; ++k) {
         int got = peer[k].fd ? -1 : ::accept4(all[k]->fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-        if (got >= 0) peer[k] = Far(loop::Descriptor(got));
-        if (peer[k].fd && peer[k].Hears(a.id)) peer[k].Send(a.id + " HIT entity=t,issued=1,remark=local 0\r\n\r\n"), peer[k].got.clear();
+        if (got >= 0)
+          peer[k] = Far(loop::Descriptor(got));
+        if (peer[k].fd && peer[k].Hears(a.id)) {
+          peer[k].Send(a.id + " HIT entity=t,issued=1,remark=local 0\r\n\r\n");
+          peer[k].got.clear();
+        }
       }
       return !answered.told.empty();
     });
@@ -308,7 +370,8 @@
   Far* home = nullptr;
   Until(r.loop, [&] {
     for (Far& one : peer)
-      if (one.Hears("want " + kId)) home = &one;
+      if (one.Hears("want " + kId))
+        home = &one;
     return home != nullptr;
   });
   auto attempts = r.exchange.counters.legs;
@@ -319,10 +382,14 @@
   assert(r.exchange.counters.legs == attempts && r.exchange.counters.left == 1);
 }
 
-// A ground of two descriptors and a clock that goes on by a millisecond a wait: 1 is always readable, 2 ends at a set time.
+// A ground of two descriptors and a clock that goes on by a millisecond a wait: 1 is always
+// readable, 2 ends at a set time.
 struct Bare final : loop::Ground {
-  Ms clock = 1000, ends_at = 1e18;
-  Ms now() override { return clock; }
+  Ms clock = 1000;
+  Ms ends_at = 1e18;
+  Ms now() override {
+    return clock;
+  }
   int Wait(std::span<pollfd> watched, int) override {
     clock += 1;
     int count = 0;
@@ -332,30 +399,54 @@
     }
     return count;
   }
-  int OpenStream() override { return -1; }
-  int Connect(int, const loop::Address&) override { return -1; }
-  int Fault(int) override { return 0; }
-  int Listen(const loop::Address&) override { return -1; }
-  int Accept(int) override { return -1; }
-  ssize_t receive(int, std::span<char>) override { return -1; }
-  ssize_t Send(int, std::span<const iovec>) override { return -1; }
+  int OpenStream() override {
+    return -1;
+  }
+  int Connect(int, const loop::Address&) override {
+    return -1;
+  }
+  int Fault(int) override {
+    return 0;
+  }
+  int Listen(const loop::Address&) override {
+    return -1;
+  }
+  int Accept(int) override {
+    return -1;
+  }
+  ssize_t receive(int, std::span<char>) override {
+    return -1;
+  }
+  ssize_t Send(int, std::span<const iovec>) override {
+    return -1;
+  }
   void SayNoMore(int) override {}
   void Close(int) override {}
   void Abort(int) override {}
-  int OpenDatagrams(const loop::Address&) override { return -1; }
-  ssize_t SendTo(int, std::span<const char>, const loop::Address&) override { return -1; }
-  ssize_t ReceiveFrom(int, std::span<char>, loop::Address&) override { return -1; }
-  std::size_t DescriptorLimit() override { return 64; }
+  int OpenDatagrams(const loop::Address&) override {
+    return -1;
+  }
+  ssize_t SendTo(int, std::span<const char>, const loop::Address&) override {
+    return -1;
+  }
+  ssize_t ReceiveFrom(int, std::span<char>, loop::Address&) override {
+    return -1;
+  }
+  std::size_t DescriptorLimit() override {
+    return 64;
+  }
 };
 
-// A connection that is looked at patiently: its close is seen within some milliseconds, however busy the others are, and before
-// what the others bring in that turn. In virtual time.
+// A connection that is looked at patiently: its close is seen within some milliseconds, however
+// busy the others are, and before what the others bring in that turn. In virtual time.
 void APatientCloseIsSeenSoonAndFirst() {
   struct Note final : loop::Handler {
     std::vector<int>& order;
     int which;
     Note(std::vector<int>& o, int w) : order(o), which(w) {}
-    void Ready(short) override { order.push_back(which); }
+    void Ready(short) override {
+      order.push_back(which);
+    }
   };
   for (int phase = 0; phase < 10; ++phase) {
     Bare ground;
@@ -364,7 +455,8 @@
     Note busy(order, 1), resting(order, 2);
     loop.WatchDescriptor(1, busy, POLLIN);
     loop.WatchDescriptor(2, resting, POLLRDHUP, true);
-    for (int i = 0; i < 20; ++i) loop.turn(1000);
+    for (int i = 0; i < 20; ++i)
+      loop.turn(1000);
     assert(std::count(order.begin(), order.end(), 1) == 20);
     ground.ends_at = ground.clock + phase;
     while (std::count(order.begin(), order.end(), 2) == 0) {
@@ -384,22 +476,24 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"who left is not asked for", WhoLeftIsNotAskedFor},
-                 {"overdue attempts do not go", OverdueAttemptsDoNotGo},
-                 {"repeats stay within their window", RepeatsStayWithinTheirWindow},
-                 {"news binds what still waits", NewsBindsWhatStillWaits},
-                 {"news of others changes nothing", NewsOfOthersChangesNothing},
-                 {"nothing waiting reaches a replacement", NothingWaitingReachesAReplacement},
-                 {"a check answered with a close carries nothing", ACheckAnsweredWithACloseCarriesNothing},
-                 {"what may run once runs once", WhatMayRunOnceRunsOnce},
-                 {"moved attempts are kept apart", MovedAttemptsAreKeptApart},
-                 {"answers before a break are read", AnswersBeforeABreakAreRead},
-                 {"want of descriptors is no sign of the cache", WantOfDescriptorsIsNoSignOfTheCache},
-                 {"keys go on with each attempt", KeysGoOnWithEachAttempt},
-                 {"one turn in each order", OneTurnInEachOrder},
-                 {"who leaves is heard first", WhoLeavesIsHeardFirst},
-                 {"a patient close is seen soon and first", APatientCloseIsSeenSoonAndFirst}}) {
-    if (argc > 1 && std::string(c.name).find(argv[1]) == std::string::npos) continue;
+  for (Case c :
+       {Case{"who left is not asked for", WhoLeftIsNotAskedFor},
+        {"overdue attempts do not go", OverdueAttemptsDoNotGo},
+        {"repeats stay within their window", RepeatsStayWithinTheirWindow},
+        {"news binds what still waits", NewsBindsWhatStillWaits},
+        {"news of others changes nothing", NewsOfOthersChangesNothing},
+        {"nothing waiting reaches a replacement", NothingWaitingReachesAReplacement},
+        {"a check answered with a close carries nothing", ACheckAnsweredWithACloseCarriesNothing},
+        {"what may run once runs once", WhatMayRunOnceRunsOnce},
+        {"moved attempts are kept apart", MovedAttemptsAreKeptApart},
+        {"answers before a break are read", AnswersBeforeABreakAreRead},
+        {"want of descriptors is no sign of the cache", WantOfDescriptorsIsNoSignOfTheCache},
+        {"keys go on with each attempt", KeysGoOnWithEachAttempt},
+        {"one turn in each order", OneTurnInEachOrder},
+        {"who leaves is heard first", WhoLeavesIsHeardFirst},
+        {"a patient close is seen soon and first", APatientCloseIsSeenSoonAndFirst}}) {
+    if (argc > 1 && std::string(c.name).find(argv[1]) == std::string::npos)
+      continue;
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/datagram_failures_test.cpp
+++ b/tests/datagram_failures_test.cpp
@@ -1,6 +1,6 @@
-// The sockets between fronts while their system calls fail: two of them on the simulated network, one on an
-// environment whose calls fail by a plan, each call at every ordinal, then for a while. What its channel
-// promises arrives once; no spin, nothing open.
+// The sockets between fronts while their system calls fail: two of them on the simulated network,
+// one on an environment whose calls fail by a plan, each call at every ordinal, then for a while.
+// What its channel promises arrives once; no spin, nothing open.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -27,16 +27,23 @@
 
 struct NotingPart final : front::Part {
   std::vector<std::string> received;
-  peers::Channel channel() const override { return peers::Channel::kRecord; }
+  peers::Channel channel() const override {
+    return peers::Channel::kRecord;
+  }
   void Heard(peers::Id, std::span<const char> message) override {
     received.emplace_back(message.data(), message.size());
   }
   void Wake() override {}
-  Ms WakeAt() const override { return 1e300; }
-  std::string view() const override { return "{}"; }
+  Ms WakeAt() const override {
+    return 1e300;
+  }
+  std::string view() const override {
+    return "{}";
+  }
 };
 
-/// Two fronts' sockets, the first on a failing environment. Each sends the other a message of many datagrams.
+/// Two fronts' sockets, the first on a failing environment. Each sends the other a message of many
+/// datagrams.
 class PeersScenario {
  public:
   explicit PeersScenario(FailingEnvironment::Plan plan = nullptr) {
@@ -49,7 +56,9 @@
       });
     }
   }
-  ~PeersScenario() { TakeDown(); }
+  ~PeersScenario() {
+    TakeDown();
+  }
 
   void Exchange() {
     for (std::size_t i = 0; i < 2; ++i)
@@ -59,7 +68,8 @@
   void CheckInvariants() {
     for (const NotingPart& part : parts) {
       CHECK(part.received.size() == 1);
-      if (!part.received.empty()) CHECK(part.received.front() == message);
+      if (!part.received.empty())
+        CHECK(part.received.front() == message);
     }
     CHECK(environment.MostIdleWaits() < kMostIdleWaits);
     TakeDown();
@@ -78,17 +88,21 @@
   NotingPart parts[2];
 
  private:
-  static peers::Id IdOf(std::size_t index) { return static_cast<peers::Id>(index + 1); }
+  static peers::Id IdOf(std::size_t index) {
+    return static_cast<peers::Id>(index + 1);
+  }
   static front::PeersTerms Terms(std::size_t index) {
     front::PeersTerms terms;
     terms.on = true;
     terms.self = IdOf(index);
     terms.listen = stage::AddressOf(kHosts[index], kPort);
-    for (std::size_t i = 0; i < 2; ++i) terms.at[IdOf(i)] = stage::AddressOf(kHosts[i], kPort);
+    for (std::size_t i = 0; i < 2; ++i)
+      terms.at[IdOf(i)] = stage::AddressOf(kHosts[i], kPort);
     return terms;
   }
   void TakeDown() {
-    for (std::size_t i = 0; i < 2; ++i) processes_[i]->Act([&] { sockets_[i].reset(); });
+    for (std::size_t i = 0; i < 2; ++i)
+      processes_[i]->Act([&] { sockets_[i].reset(); });
   }
 
   std::unique_ptr<front::Peers> sockets_[2];
@@ -108,7 +122,8 @@
     }
   }
   ~FleetScenario() {
-    for (std::size_t i = 0; i < 2; ++i) processes_[i]->Act([&] { fleets_[i].reset(); });
+    for (std::size_t i = 0; i < 2; ++i)
+      processes_[i]->Act([&] { fleets_[i].reset(); });
   }
 
   stage::Net net{1};
@@ -142,11 +157,12 @@
 
 /// Calls of one kind fail with one error for so long from the start.
 FailingEnvironment::Plan FailFor(const stage::Net& net, Call failing, int error, Ms lasting) {
-  return
-      [&net, failing, error, ends = net.now() + lasting](Call call, std::size_t) -> std::optional<Failure> {
-        if (call == failing && net.now() < ends) return Failure{error};
-        return std::nullopt;
-      };
+  return [&net, failing, error, ends = net.now() + lasting](Call call,
+                                                            std::size_t) -> std::optional<Failure> {
+    if (call == failing && net.now() < ends)
+      return Failure{error};
+    return std::nullopt;
+  };
 }
 
 TEST_CASE("every call on the peers' socket fails once at every ordinal") {
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -1,4 +1,5 @@
-// The clients' side at its limits, on the staged ground: time is virtual there, and every wake-up is counted.
+// The clients' side at its limits, on the staged ground: time is virtual there, and every wake-up
+// is counted.
 #include "clients/clients.hpp"
 #include "sides.hpp"
 #include "stage/stage.hpp"
@@ -17,7 +18,9 @@
     got += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Ended(loop::Parting) override { over = true; }
+  void Ended(loop::Parting) override {
+    over = true;
+  }
 };
 
 struct Tier {
@@ -29,17 +32,21 @@
   std::vector<std::unique_ptr<Peer>> all;
 
   Tier(std::size_t descriptors, std::size_t most)
-      : peers(net.Start(0x0a000001, "clients")), front(net.Start(0x0a000002, "front", descriptors)) {
+      : peers(net.Start(0x0a000001, "clients")),
+        front(net.Start(0x0a000002, "front", descriptors)) {
     front.Act([&] {
       exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::Sheet(), 1);
       exchange->Meet(caches);
       exchange->ListCame(true, Machines({{"origin", {}}, {"s-0", {}}}));
-      clients = std::make_unique<clients::Clients>(front.loop(), *exchange, MakeTerms().offerings, std::vector<bool>{false, true},
-                                                   kThere, most);
+      clients = std::make_unique<clients::Clients>(front.loop(), *exchange, MakeTerms().offerings,
+                                                   std::vector<bool>{false, true}, kThere, most);
     });
   }
   ~Tier() {
-    front.Act([&] { clients.reset(), exchange.reset(); });
+    front.Act([&] {
+      clients.reset();
+      exchange.reset();
+    });
     peers.Act([&] { all.clear(); });
   }
   void Come(const std::string& request) {
@@ -57,22 +64,27 @@
   }
 };
 
-// The process is out of descriptors long before the places are: no wake-up but for the listener's rests and the sweep, and who
-// rests longest makes room, so that all are served.
+// The process is out of descriptors long before the places are: no wake-up but for the listener's
+// rests and the sweep, and who rests longest makes room, so that all are served.
 void OutOfDescriptorsAllAreServedWithoutSpinning() {
   Tier t(8, 50);  // three for the system, one listens: four clients
-  for (int i = 0; i < 10; ++i) t.Come("GET /alive HTTP/1.1\r\n\r\n");
+  for (int i = 0; i < 10; ++i)
+    t.Come("GET /alive HTTP/1.1\r\n\r\n");
   std::uint64_t events = t.EventsIn(6000);
   std::printf("  %llu events\n", static_cast<unsigned long long>(events));
   assert(events < 600);
-  for (auto& p : t.all) assert(p->got.starts_with("HTTP/1.1 200"));
+  for (auto& p : t.all)
+    assert(p->got.starts_with("HTTP/1.1 200"));
 }
 
-// All places are taken by open requests, others wait in the backlog: the listener is left alone, and only the look at who still
-// waits, every 5 ms, wakes the front.
+// All places are taken by open requests, others wait in the backlog: the listener is left alone,
+// and only the look at who still waits, every 5 ms, wakes the front.
 void AllPlacesTakenIsNoSpin() {
   Tier t(100, 2);
-  for (int i = 0; i < 8; ++i) t.Come(GetAs(i)), t.EventsIn(10);
+  for (int i = 0; i < 8; ++i) {
+    t.Come(GetAs(i));
+    t.EventsIn(10);
+  }
   std::uint64_t events = t.EventsIn(3000);
   std::printf("  %llu events\n", static_cast<unsigned long long>(events));
   assert(t.caches.sent.size() == 3 && events < 900);
@@ -85,9 +97,11 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"out of descriptors, all are served without spinning", OutOfDescriptorsAllAreServedWithoutSpinning},
+  for (Case c : {Case{"out of descriptors, all are served without spinning",
+                      OutOfDescriptorsAllAreServedWithoutSpinning},
                  {"all places taken is no spin", AllPlacesTakenIsNoSpin}}) {
-    if (count > 1 && std::string_view(words[1]) != c.name) continue;
+    if (count > 1 && std::string_view(words[1]) != c.name)
+      continue;
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -33,14 +33,16 @@
   }
 }
 
-// An exclusive pull whose leg was written whole and broke may have run: it is abandoned. Not written whole,
-// or never up: it goes out again.
+// An exclusive pull whose leg was written whole and broke may have run: it is abandoned. Not
+// written whole, or never up: it goes out again.
 void ExclusivePullsGoByWhatIsProven() {
   for (bool whole : {false, true}) {
     Desk d;
     Asked client;
     Ask a = AskFor();
-    a.offering = "write", a.offering_at = 1, a.body = "x";
+    a.offering = "write";
+    a.offering_at = 1;
+    a.body = "x";
     d.exchange.OnRequest(a, client);
     d.exchange.LegLost(d.caches.sent[0].key, loop::Parting::kReset, whole);
     assert(client.Is(whole ? std::vector<std::string>{"502"} : std::vector<std::string>{}) == true);
@@ -49,11 +51,15 @@
 }
 
 // A cache that calls the client's copy the one, where the client has told of none, is in error.
-// Nor is an object passed on without the tag and the age that belong to it; a write's answer has neither.
+// Nor is an object passed on without the tag and the age that belong to it; a write's answer has
+// neither.
 void NoCopyIsConfirmedThatNobodyHas() {
   struct Case {
     const char *held, *tag;
-    bool dated, valid, writes, fits;
+    bool dated;
+    bool valid;
+    bool writes;
+    bool fits;
   };
   for (const Case& c : {Case{"", "t1", true, true, false, false},
                         {"t1", "t1", true, true, false, true},
@@ -65,10 +71,15 @@
     Asked client;
     Ask a = AskFor();
     a.tag = c.held;
-    if (c.writes) a.offering = "write", a.offering_at = 1;
+    if (c.writes) {
+      a.offering = "write";
+      a.offering_at = 1;
+    }
     d.exchange.OnRequest(a, client);
     exchange::Word word = Said(Ending::kFinished);
-    word.unchanged = c.valid, word.tag = c.tag, word.dated = c.dated;
+    word.unchanged = c.valid;
+    word.tag = c.tag;
+    word.dated = c.dated;
     d.exchange.AnswerWhole(d.caches.sent[0].key, word);
     assert(client.told.size() == (c.fits ? 1u : 0u) && d.caches.sent.size() == (c.fits ? 1u : 2u));
   }
@@ -91,7 +102,8 @@
   a.ttl = 30;
   d.exchange.OnRequest(a, client);
   Until(d.loop, [&] { return !client.told.empty(); });
-  assert(client.told[0].substr(0, 3) == "503" && d.caches.given_up.size() == 1 && d.exchange.OpenPulls() == 0);
+  assert(client.told[0].substr(0, 3) == "503" && d.caches.given_up.size() == 1 &&
+         d.exchange.OpenPulls() == 0);
 }
 
 void StreamsArePassedOnAsTheyCome() {
@@ -105,23 +117,28 @@
     d.exchange.AnswerBegun(key, Said(Ending::kFinished), 4);
     d.exchange.AnswerBytes(key, "ab");
     assert(client.Is({"begun t1"}) && client.body == "ab");
-    if (end == 0) d.exchange.AnswerWhole(key, Said(Ending::kFinished));
-    if (end == 1) d.exchange.LegLost(key, loop::Parting::kReset, true);
-    if (end == 2) d.exchange.OnClientLeft(pull);
+    if (end == 0)
+      d.exchange.AnswerWhole(key, Said(Ending::kFinished));
+    if (end == 1)
+      d.exchange.LegLost(key, loop::Parting::kReset, true);
+    if (end == 2)
+      d.exchange.OnClientLeft(pull);
     assert(client.told.size() == (end == 2 ? 1u : 2u) && d.exchange.OpenPulls() == 0);
     assert(end == 2 || client.told[1] == (end == 0 ? "completed" : "broke"));
     assert(d.caches.given_up.size() == (end == 2 ? 1u : 0u));
   }
 }
 
-// A machine keeps its number while it is listed; some minutes after it has left, told so or lacking from a
-// whole list, nothing of it is kept.
+// A machine keeps its number while it is listed; some minutes after it has left, told so or lacking
+// from a whole list, nothing of it is kept.
 void MachinesThatLeftAreForgotten() {
   for (bool told : {true, false}) {
     Desk d(kit::Sheet(), 2);
     auto two = Machines({{"s-0", {}}, {"s-1", {}}});
-    if (told) two[1].entry.standing = Standing::kGone;
-    else two.pop_back();
+    if (told)
+      two[1].entry.standing = Standing::kGone;
+    else
+      two.pop_back();
     d.exchange.ListCame(!told, two);
     d.loop.Skip(100000);
     two.resize(1);
@@ -129,26 +146,32 @@
     assert(d.caches.forgotten.empty());
     d.loop.Skip(100000);
     d.exchange.ListCame(false, two);
-    assert(d.caches.forgotten.size() == (told ? 1u : 2u));  // the origin was not on the second list either
+    assert(d.caches.forgotten.size() ==
+           (told ? 1u : 2u));  // the origin was not on the second list either
   }
 }
 
-// The numbers as they are to come out at all replicas: the id's hash, and past those that are taken, looked for one by one.
+// The numbers as they are to come out at all replicas: the id's hash, and past those that are
+// taken, looked for one by one.
 struct NumberedInTurn {
   std::map<std::string, std::uint32_t> numbers;
   static std::uint32_t HashOf(std::string_view name) {
     std::uint64_t h = 0xcbf29ce484222325ull;
-    for (char c : name) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
+    for (char c : name)
+      h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
     return static_cast<std::uint32_t>(h ^ h >> 32);
   }
   bool Taken(std::uint32_t number) const {
-    return std::any_of(numbers.begin(), numbers.end(), [&](auto& one) { return one.second == number; });
+    return std::any_of(numbers.begin(), numbers.end(),
+                       [&](auto& one) { return one.second == number; });
   }
   std::uint32_t Add(const std::string& name) {
     auto known = numbers.find(name);
-    if (known != numbers.end()) return known->second;
+    if (known != numbers.end())
+      return known->second;
     std::uint32_t number = HashOf(name);
-    while (number == 0 || Taken(number)) ++number;
+    while (number == 0 || Taken(number))
+      ++number;
     return numbers[name] = number;
   }
 };
@@ -160,16 +183,19 @@
   for (int i = 0; found.size() < pairs; ++i) {
     std::string name = "node-" + std::to_string(i);
     auto [first, isNew] = by_hash.emplace(NumberedInTurn::HashOf(name), name);
-    if (!isNew) found.emplace_back(first->second, name);
+    if (!isNew)
+      found.emplace_back(first->second, name);
   }
   return found;
 }
 
 void ListAll(Desk& d, const std::vector<std::string>& names, Standing standing = Standing::kReady) {
   std::vector<std::pair<std::string, loop::Address>> all;
-  for (const std::string& name : names) all.push_back({name, {}});
+  for (const std::string& name : names)
+    all.push_back({name, {}});
   auto entries = Machines(all);
-  for (exchange::Listed& one : entries) one.entry.standing = standing;
+  for (exchange::Listed& one : entries)
+    one.entry.standing = standing;
   d.exchange.ListCame(false, entries);
 }
 
@@ -182,14 +208,18 @@
     names.push_back("s-" + std::to_string(names.size()));
     names.push_back(second);
   }
-  for (int i = 0; i < 500; ++i) names.push_back("e-" + std::to_string(i));
+  for (int i = 0; i < 500; ++i)
+    names.push_back("e-" + std::to_string(i));
   for (bool backwards : {false, true}) {
-    if (backwards) std::reverse(names.begin(), names.end());
+    if (backwards)
+      std::reverse(names.begin(), names.end());
     Desk d;
     NumberedInTurn expected;
-    for (auto& [name, number] : d.caches.numbers) expected.Add(name);
+    for (auto& [name, number] : d.caches.numbers)
+      expected.Add(name);
     assert(d.caches.numbers == expected.numbers);
-    for (const std::string& name : names) expected.Add(name);
+    for (const std::string& name : names)
+      expected.Add(name);
     ListAll(d, names);
     ListAll(d, names);  // once more: nothing changes
     assert(d.caches.numbers == expected.numbers);
@@ -198,7 +228,8 @@
   }
 }
 
-// The number of a server that left long ago is free for another one; that of a server that is listed stays taken.
+// The number of a server that left long ago is free for another one; that of a server that is
+// listed stays taken.
 void NumbersOfThoseLongGoneAreFree() {
   constexpr Ms kLongAfter = 200000;
   auto [first, second] = CollidingIds(1).front();
@@ -211,7 +242,8 @@
   ListAll(d, {second});  // it is back before it is forgotten
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});
-  assert(d.caches.forgotten == std::vector<std::uint32_t>{number} && d.caches.numbers[second] == number + 1);
+  assert(d.caches.forgotten == std::vector<std::uint32_t>{number} &&
+         d.caches.numbers[second] == number + 1);
   ListAll(d, {second}, Standing::kGone);
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});  // forgotten and new in one
--- a/tests/exposition_test.cpp
+++ b/tests/exposition_test.cpp
@@ -1,4 +1,5 @@
-// The counters as Prometheus reads them: every one told once, with its type and help, and its exact number.
+// The counters as Prometheus reads them: every one told once, with its type and help, and its exact
+// number.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -15,7 +16,8 @@
   exchange::Counters c;
   constexpr std::size_t kMany = sizeof c / sizeof(exchange::Counters::Count);
   exchange::Counters::Count numbers[kMany];
-  for (std::size_t i = 0; i < kMany; ++i) numbers[i] = 9007199254740000u + i;  // whole in a double, and each another's
+  for (std::size_t i = 0; i < kMany; ++i)
+    numbers[i] = 9007199254740000u + i;  // whole in a double, and each another's
   std::memcpy(&c, numbers, sizeof c);
   std::istringstream text(front::Exposition(c));
   std::map<std::string, double> told;
@@ -27,7 +29,8 @@
     if (first == "#") {
       words >> second >> name;
       CHECK((second == "HELP" ? helped : typed).insert(name).second);
-      if (second == "TYPE") CHECK(line.ends_with(" counter"));
+      if (second == "TYPE")
+        CHECK(line.ends_with(" counter"));
       continue;
     }
     double value = 0;
@@ -38,7 +41,8 @@
   }
   CHECK(told.size() == kMany);
   std::set<double> values;
-  for (auto& [name, value] : told) values.insert(value);
+  for (auto& [name, value] : told)
+    values.insert(value);
   CHECK(values.size() == kMany);
   CHECK(*values.begin() == static_cast<double>(numbers[0]));
   CHECK(*values.rbegin() == static_cast<double>(numbers[kMany - 1]));
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -12,26 +12,46 @@
 
 namespace {
 
-bool Good(std::string_view text) { return json::Read(text).has_value(); }
-std::string InQuotes(std::string_view inside) { return std::string("\"").append(inside).append("\""); }
-std::string AsName(std::string_view inside) { return std::string("{").append(InQuotes(inside)).append(":1}"); }
+bool Good(std::string_view text) {
+  return json::Read(text).has_value();
+}
+std::string InQuotes(std::string_view inside) {
+  return std::string("\"").append(inside).append("\"");
+}
+std::string AsName(std::string_view inside) {
+  return std::string("{").append(InQuotes(inside)).append(":1}");
+}
 
 // Writes by the library what a Value holds.
 void Write(const Value& v, rapidjson::Writer<rapidjson::StringBuffer>& w) {
-  auto size = [](std::size_t n) { return static_cast<rapidjson::SizeType>(n); };
+  auto size = [](std::size_t n) {
+    return static_cast<rapidjson::SizeType>(n);
+  };
   switch (v.kind) {
-    case Kind::kNull: w.Null(); break;
-    case Kind::kBoolean: w.Bool(v.text == "true"); break;
-    case Kind::kNumber: w.RawValue(v.text.data(), v.text.size(), rapidjson::kNumberType); break;
-    case Kind::kString: w.String(v.text.data(), size(v.text.size())); break;
+    case Kind::kNull:
+      w.Null();
+      break;
+    case Kind::kBoolean:
+      w.Bool(v.text == "true");
+      break;
+    case Kind::kNumber:
+      w.RawValue(v.text.data(), v.text.size(), rapidjson::kNumberType);
+      break;
+    case Kind::kString:
+      w.String(v.text.data(), size(v.text.size()));
+      break;
     case Kind::kList:
       w.StartArray();
-      for (const Value& one : v.items) Write(one, w);
+      for (const Value& one : v.items)
+        Write(one, w);
       w.EndArray();
       break;
     case Kind::kObject:
       w.StartObject();
-      for (auto& [name, one] : v.members) w.Key(name.data(), size(name.size())), Write(one, w);
+      for (auto& [name, one] : v.members) {
+        w.Key(name.data(), size(name.size()));
+        Write(one, w);
+      }
       w.EndObject();
   }
 }
@@ -43,32 +63,45 @@
 }
 
 bool Same(const Value& a, const Value& b) {
-  if (a.kind != b.kind || a.text != b.text) return false;
-  if (a.items.size() != b.items.size() || a.members.size() != b.members.size()) return false;
+  if (a.kind != b.kind || a.text != b.text)
+    return false;
+  if (a.items.size() != b.items.size() || a.members.size() != b.members.size())
+    return false;
   for (std::size_t i = 0; i < a.items.size(); ++i)
-    if (!Same(a.items[i], b.items[i])) return false;
+    if (!Same(a.items[i], b.items[i]))
+      return false;
   for (std::size_t i = 0; i < a.members.size(); ++i)
-    if (a.members[i].name != b.members[i].name || !Same(a.members[i].value, b.members[i].value)) return false;
+    if (a.members[i].name != b.members[i].name || !Same(a.members[i].value, b.members[i].value))
+      return false;
   return true;
 }
 
 Value Drawn(int depth) {
   Value v;
   v.kind = static_cast<Kind>(*rc::gen::inRange(0, depth > 0 ? 6 : 4));
-  auto word = [] { return *rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127)); };
-  if (v.kind == Kind::kBoolean) v.text = *rc::gen::arbitrary<bool>() ? "true" : "false";
-  auto one_of = [](auto... words) { return *rc::gen::element<std::string>(words...); };
+  auto word = [] {
+    return *rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127));
+  };
+  if (v.kind == Kind::kBoolean)
+    v.text = *rc::gen::arbitrary<bool>() ? "true" : "false";
+  auto one_of = [](auto... words) {
+    return *rc::gen::element<std::string>(words...);
+  };
   if (v.kind == Kind::kNumber)
-    v.text = std::to_string(*rc::gen::arbitrary<long long>()) + one_of("", ".5", "e-3", "E+7", ".250e2");
-  if (v.kind == Kind::kString) v.text = word() + one_of("", "\xc3\xa9", "\xf0\x9f\x98\x80", "\xef\xbf\xbf");
+    v.text =
+        std::to_string(*rc::gen::arbitrary<long long>()) + one_of("", ".5", "e-3", "E+7", ".250e2");
+  if (v.kind == Kind::kString)
+    v.text = word() + one_of("", "\xc3\xa9", "\xf0\x9f\x98\x80", "\xef\xbf\xbf");
   int n = *rc::gen::inRange(0, 5);
-  for (int i = 0; i < n && v.kind == Kind::kList; ++i) v.items.push_back(Drawn(depth - 1));
+  for (int i = 0; i < n && v.kind == Kind::kList; ++i)
+    v.items.push_back(Drawn(depth - 1));
   for (int i = 0; i < n && v.kind == Kind::kObject; ++i)
     v.members.push_back({word() + std::to_string(i) + "#", Drawn(depth - 1)});
   if (v.kind == Kind::kObject) {  // a drawn name may end like another's number
     auto& m = v.members;
     for (std::size_t i = 0; i < m.size(); ++i)
-      for (std::size_t j = i + 1; j < m.size(); ++j) RC_PRE(m[i].name != m[j].name);
+      for (std::size_t j = i + 1; j < m.size(); ++j)
+        RC_PRE(m[i].name != m[j].name);
   }
   return v;
 }
@@ -87,9 +120,11 @@
 TEST_CASE("the depth has a bound, of lists and objects alike") {
   auto nested = [](std::size_t n, std::string open, std::string core, std::string close) {
     std::string all;
-    for (std::size_t i = 0; i < n; ++i) all += open;
+    for (std::size_t i = 0; i < n; ++i)
+      all += open;
     all += core;
-    for (std::size_t i = 0; i < n; ++i) all += close;
+    for (std::size_t i = 0; i < n; ++i)
+      all += close;
     return all;
   };
   CHECK(Good(nested(32, "[", "1", "]")));
@@ -103,22 +138,26 @@
 }
 
 TEST_CASE("numbers are as the RFC has them, keep their text, and fit a double") {
-  for (const char* text : {"0", "-0", "10", "-2.5e3", "1E+2", "0.1", "123456789012345678901234567890", "1e308", "2.5e-300"}) {
+  for (const char* text : {"0", "-0", "10", "-2.5e3", "1E+2", "0.1",
+                           "123456789012345678901234567890", "1e308", "2.5e-300"}) {
     auto v = json::Read(text);
     REQUIRE_MESSAGE(v.has_value(), text);
     CHECK(v->text == text);
     CHECK(v->kind == Kind::kNumber);
     CHECK(v->AsNumber() == std::stod(text));
   }
-  for (const char* text : {"-", "00", "01", "-01", "1.", ".5", "1e", "1e+", "+1", "1e999", "-1e999", "1e-999", "NaN", "Infinity",
-                           "-Infinity", "0x10", "1_000", "[01]", "[1.]", "1e99999999999"})
+  for (const char* text :
+       {"-",         "00",   "01",    "-01",    "1.",     ".5",           "1e",
+        "1e+",       "+1",   "1e999", "-1e999", "1e-999", "NaN",          "Infinity",
+        "-Infinity", "0x10", "1_000", "[01]",   "[1.]",   "1e99999999999"})
     CHECK_MESSAGE(!Good(text), text);
 }
 
 TEST_CASE("text is UTF-8, whole characters, and nothing stands behind the value") {
   using namespace std::string_literals;
-  for (const std::string& inside : {"\x80"s, "\xff"s, "\xc3"s, "\xc0\x80"s, "\xe2\x82"s,
-                                    "\xed\xa0\x80"s, "\xf4\x90\x80\x80"s, "\xf8\x88\x80\x80\x80"s}) {
+  for (const std::string& inside :
+       {"\x80"s, "\xff"s, "\xc3"s, "\xc0\x80"s, "\xe2\x82"s, "\xed\xa0\x80"s, "\xf4\x90\x80\x80"s,
+        "\xf8\x88\x80\x80\x80"s}) {
     CHECK(!Good(InQuotes(inside)));
     CHECK(!Good(AsName(inside)));
   }
@@ -129,16 +168,19 @@
   }
   CHECK(json::Read(R"("\u0000")")->text == "\0"s);
   CHECK(json::Read("\"\\ud7ff\xed\x9f\xbf\"")->text == "\xed\x9f\xbf\xed\x9f\xbf");
-  for (const std::string& text : {"{}\0"s, "{}\0x"s, "1\0"s, "\0"s, "\0{}"s, "[1\0]"s, "\"a\0b\""s, "{} x"s, "{}{}"s,
-                                  "{},"s, "\xef\xbb\xbf{}"s, "// c\n{}"s, "{}/**/"s, "[1,]"s, "{\"a\":1,}"s, "{a:1}"s,
-                                  "['a']"s, "\f{}"s, "\"a\tb\""s, "\"a\x1f\""s})
+  for (const std::string& text :
+       {"{}\0"s,           "{}\0x"s,    "1\0"s,    "\0"s,       "\0{}"s,
+        "[1\0]"s,          "\"a\0b\""s, "{} x"s,   "{}{}"s,     "{},"s,
+        "\xef\xbb\xbf{}"s, "// c\n{}"s, "{}/**/"s, "[1,]"s,     "{\"a\":1,}"s,
+        "{a:1}"s,          "['a']"s,    "\f{}"s,   "\"a\tb\""s, "\"a\x1f\""s})
     CHECK(!Good(text));
   CHECK(Good(" \t\r\n{} \t\r\n"));
 }
 
 TEST_CASE("many names in one object cost no square of their number") {
   std::string text = "{";
-  for (int i = 0; i < 60000; ++i) text += "\"" + std::to_string(i) + "\":0,";
+  for (int i = 0; i < 60000; ++i)
+    text += "\"" + std::to_string(i) + "\":0,";
   CHECK(json::Read(text + "\"x\":0}")->members.size() == 60001);
   CHECK(!Good(text.append("\"30000\":0}")));
 }
@@ -152,14 +194,16 @@
     RC_ASSERT(Same(v, *back));
     // And no beginning of it is taken for a whole, but for a number's.
     if (v.kind != Kind::kNumber)
-      for (std::size_t cut = 0; cut < text.size(); ++cut) RC_ASSERT(!Good(std::string_view(text).substr(0, cut)));
+      for (std::size_t cut = 0; cut < text.size(); ++cut)
+        RC_ASSERT(!Good(std::string_view(text).substr(0, cut)));
   }));
 }
 
 TEST_CASE("no bytes break the reader, and what it takes it takes again") {
   CHECK(rc::check("any bytes", [] {
-    std::string bytes = *rc::gen::container<std::string>(rc::gen::weightedOneOf<char>(
-        {{3, rc::gen::elementOf(std::string("{}[]\",:\\ue01-.tfn "))}, {1, rc::gen::arbitrary<char>()}}));
+    std::string bytes = *rc::gen::container<std::string>(
+        rc::gen::weightedOneOf<char>({{3, rc::gen::elementOf(std::string("{}[]\",:\\ue01-.tfn "))},
+                                      {1, rc::gen::arbitrary<char>()}}));
     if (auto v = json::Read(bytes)) {
       auto again = json::Read(Written(*v));
       RC_ASSERT(again.has_value());
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -1,5 +1,6 @@
-// The verdict by caches' health, the files of fleets and faults, staged runs by script, and the checker across processes: good
-// histories pass, and each broken one is caught by the promise it breaks.
+// The verdict by caches' health, the files of fleets and faults, staged runs by script, and the
+// checker across processes: good histories pass, and each broken one is caught by the promise it
+// breaks.
 #include <cassert>
 #include <cstdio>
 #include <functional>
@@ -18,10 +19,13 @@
 // Fronts 0, 1 in zone 0, 2, 3 in zone 1 (one region), 4 in zone 2 (another).
 failover::Verdicts Verdicts(failover::Id self) {
   failover::Terms t;
-  t.hold_back = 1000, t.lasting = 300;
-  return failover::Verdicts(self, {{0, {0, 0}}, {1, {0, 0}}, {2, {1, 0}}, {3, {1, 0}}, {4, {2, 1}}}, {0, 0, 1}, t);
+  t.hold_back = 1000;
+  t.lasting = 300;
+  return failover::Verdicts(self, {{0, {0, 0}}, {1, {0, 0}}, {2, {1, 0}}, {3, {1, 0}}, {4, {2, 1}}},
+                            {0, 0, 1}, t);
 }
-std::vector<Peer> Peers(failover::Id self, std::map<failover::Id, double> health, std::vector<failover::Id> dead = {}) {
+std::vector<Peer> Peers(failover::Id self, std::map<failover::Id, double> health,
+                        std::vector<failover::Id> dead = {}) {
   std::vector<Peer> all;
   for (failover::Id id = 0; id < 5; ++id)
     if (id != self && !std::count(dead.begin(), dead.end(), id)) {
@@ -34,40 +38,54 @@
 
 void HealthIsHeldInCommon() {
   bool changed = false;
-  auto near = [](double a, double b) { return a > b - 1e-9 && a < b + 1e-9; };
+  auto near = [](double a, double b) {
+    return a > b - 1e-9 && a < b + 1e-9;
+  };
   failover::Verdicts v = Verdicts(0);
   // One of two fronts of the zone in trouble of its own: the upper of the two counts.
-  for (Ms t = 0; t < 3000; t += 100) v.Look(t, 0, Peers(0, {}), changed), assert(!changed);
+  for (Ms t = 0; t < 3000; t += 100) {
+    v.Look(t, 0, Peers(0, {}), changed);
+    assert(!changed);
+  }
   // Both: down once it has lasted, to the next zone of the region, not before.
   v.Look(3000, 0, Peers(0, {{1, 0}}), changed);
   assert(!changed);
   v.Look(3299, 0, Peers(0, {{1, 0}}), changed);
   assert(!changed);
   v.Look(3300, 0, Peers(0, {{1, 0}}), changed);
-  assert(changed && v.verdict().out == 1 && near(v.verdict().shares[1], 1) && near(v.verdict().shares[0], 0));
+  assert(changed && v.verdict().out == 1 && near(v.verdict().shares[1], 1) &&
+         near(v.verdict().shares[0], 0));
   // Back in quarters, a hold apart: with 1.4 times its health at home.
   double shares[] = {0.35, 0.7, 1, 1};
   for (int q = 0; q < 4; ++q) {
     Ms from = 4000 + 1000 * q;
-    for (Ms t = from; t < from + 1000; t += 50) v.Look(t, 1, Peers(0, {}), changed), assert(!changed || t == from);
+    for (Ms t = from; t < from + 1000; t += 50) {
+      v.Look(t, 1, Peers(0, {}), changed);
+      assert(!changed || t == from);
+    }
     v.Look(from + 1000, 1, Peers(0, {}), changed);
     assert(changed && v.verdict().health[0] == q + 1 && near(v.verdict().shares[0], shares[q]));
     assert(near(v.verdict().shares[0] + v.verdict().shares[1] + v.verdict().shares[2], 1));
   }
   // Half of the caches: seven tenths stay.
-  v.Look(9000, 0.5, Peers(0, {{1, 0.5}}), changed), v.Look(9300, 0.5, Peers(0, {{1, 0.5}}), changed);
-  assert(changed && near(v.verdict().shares[0], 0.7) && near(v.verdict().shares[1], 0.3) && v.verdict().out == 0);
+  v.Look(9000, 0.5, Peers(0, {{1, 0.5}}), changed);
+  v.Look(9300, 0.5, Peers(0, {{1, 0.5}}), changed);
+  assert(changed && near(v.verdict().shares[0], 0.7) && near(v.verdict().shares[1], 0.3) &&
+         v.verdict().out == 0);
   // A front alone, or with one other, makes no verdict: its zone stays whatever it sees.
   failover::Verdicts alone = Verdicts(0);
   for (Ms t = 0; t < 5000; t += 100) {
     alone.Look(t, 0, Peers(0, {{1, 0}}, {2, 3, 4}), changed);
     assert(!changed && near(alone.verdict().shares[0], 1));
   }
-  // Fronts of a zone dead to a quorum, but one that is heard says that its caches serve: the zone stays.
+  // Fronts of a zone dead to a quorum, but one that is heard says that its caches serve: the zone
+  // stays.
   failover::Verdicts far = Verdicts(4);
   auto against = [&](bool one_lives) {
-    std::vector<Peer> all = Peers(4, {}, one_lives ? std::vector<failover::Id>{} : std::vector<failover::Id>{2, 3});
-    for (Peer& p : all) p.said.out = 1u << 1;
+    std::vector<Peer> all =
+        Peers(4, {}, one_lives ? std::vector<failover::Id>{} : std::vector<failover::Id>{2, 3});
+    for (Peer& p : all)
+      p.said.out = 1u << 1;
     return all;
   };
   far.Look(0, 1, against(true), changed);
@@ -77,7 +95,8 @@
   // Most of the fleet's caches lost: panic, all zones alike.
   failover::Verdicts panic = Verdicts(0);
   std::map<failover::Id, double> none{{1, 0}, {2, 0}, {3, 0}};
-  panic.Look(0, 0, Peers(0, none), changed), panic.Look(300, 0, Peers(0, none), changed);
+  panic.Look(0, 0, Peers(0, none), changed);
+  panic.Look(300, 0, Peers(0, none), changed);
   assert(changed && panic.verdict().panic && near(panic.verdict().shares[2], 1.0 / 3));
 }
 
@@ -98,14 +117,20 @@
   assert(h.Share() < 0);
   auto entry = [](std::uint32_t id, int zone, int kind, double weight) {
     ListEntry e;
-    e.cache = id, e.zone = zone, e.kind = kind, e.weight = weight;
+    e.cache = id;
+    e.zone = zone;
+    e.kind = kind;
+    e.weight = weight;
     return e;
   };
   h.Take(ListNews{Listing::kWhole, {entry(9, 0, 7, 50)}});
   assert(h.Share() < 0);  // no cache of its zone yet: no opinion
-  h.Take(ListNews{Listing::kWhole, {entry(1, 1, 0, 30), entry(2, 1, 0, 10), entry(3, 2, 0, 90), entry(4, 1, 7, 90)}});
+  h.Take(
+      ListNews{Listing::kWhole,
+               {entry(1, 1, 0, 30), entry(2, 1, 0, 10), entry(3, 2, 0, 90), entry(4, 1, 7, 90)}});
   assert(h.Share() == 1);
-  h.Take(TellHealth{2, true}), h.Take(TellHealth{3, true});
+  h.Take(TellHealth{2, true});
+  h.Take(TellHealth{3, true});
   assert(h.Share() == 0.75);
   ListEntry drains = entry(1, 1, 0, 30);
   drains.standing = Standing::kDraining;
@@ -115,7 +140,8 @@
   assert(h.Share() == 1);
 }
 
-const char* const kFleetText = R"({"zones": [{"name": "a", "region": "n"}, {"name": "b", "region": "n"}, {"name": "c", "region": "s"}],
+const char* const kFleetText =
+    R"({"zones": [{"name": "a", "region": "n"}, {"name": "b", "region": "n"}, {"name": "c", "region": "s"}],
   "fronts": 9, "pulls_per_s": 1, "lasting_ms": 300})";
 
 void FilesAreRefusedWithLineAndReason() {
@@ -124,34 +150,66 @@
       read();
     } catch (const schema::Refused& fault) {
       std::string said = fault.what();
-      if (said.find(why) == said.npos) std::fprintf(stderr, "said: %s\nwanted: %s\n", said.c_str(), why);
+      if (said.find(why) == said.npos)
+        std::fprintf(stderr, "said: %s\nwanted: %s\n", said.c_str(), why);
       assert(said.find(why) != said.npos && said.starts_with("file:"));
       return;
     }
     std::fprintf(stderr, "not refused: %s\n", why);
     assert(false);
   };
-  auto fleet_file = [](const char* text, int fronts = 0) { return [text, fronts] { ReadFleetText("file", text, fronts); }; };
+  auto fleet_file = [](const char* text, int fronts = 0) {
+    return [text, fronts] {
+      ReadFleetText("file", text, fronts);
+    };
+  };
   refused(fleet_file("{}"), "zones");
-  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}, {"name": "a", "region": "n"}]})"), "there twice");
-  refused(fleet_file("{\"zones\": [{\"name\": \"a\", \"region\": \"n\"}],\n \"fronts\": 1}"), "file:2: /fronts");
-  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "fronts": 4, "quorum": 2})"), "both sides of a partition");
-  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "front_zones": ["a", "x"]})"), "not among zones");
-  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "front_zones": ["a", "a"]})", 3), "another number");
-  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "probe_timeout_ms": 500})"), "shorter than period_ms");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}, {"name": "a", "region": "n"}]})"),
+          "there twice");
+  refused(fleet_file("{\"zones\": [{\"name\": \"a\", \"region\": \"n\"}],\n \"fronts\": 1}"),
+          "file:2: /fronts");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "fronts": 4, "quorum": 2})"),
+          "both sides of a partition");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "front_zones": ["a", "x"]})"),
+          "not among zones");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "front_zones": ["a", "a"]})", 3),
+          "another number");
+  refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "probe_timeout_ms": 500})"),
+          "shorter than period_ms");
   refused(fleet_file(R"({"zones": [{"name": "a", "region": "n"}], "fronst": 5})"), "fronst");
-  auto faults = [](const char* text) { return [text] { ReadFaultsText("file", text); }; };
-  refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "kil", "fronts": [1]}]})"), "/steps/0/do");
-  refused(faults("{\"length_s\": 5, \"steps\": [\n {\"at_s\": 1, \"do\": \"kill\"}]}"), "file:2: /steps/0: \"kill\" needs fronts");
-  refused(faults(R"({"length_s": 5, "steps": [{"at_s": 6, "do": "heal"}]})"), "after the script's end");
+  auto faults = [](const char* text) {
+    return [text] {
+      ReadFaultsText("file", text);
+    };
+  };
+  refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "kil", "fronts": [1]}]})"),
+          "/steps/0/do");
+  refused(faults("{\"length_s\": 5, \"steps\": [\n {\"at_s\": 1, \"do\": \"kill\"}]}"),
+          "file:2: /steps/0: \"kill\" needs fronts");
+  refused(faults(R"({"length_s": 5, "steps": [{"at_s": 6, "do": "heal"}]})"),
+          "after the script's end");
   refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "links"}]})"), "needs one of");
-  refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "cut", "fronts": [1], "loss": 0.5}]})"), "go with \"links\"");
-  refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "caches_down"}]})"), "needs a zone");
-  refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "restart", "fronts": [1], "for_s": 2}]})"), "has no end");
+  refused(
+      faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "cut", "fronts": [1], "loss": 0.5}]})"),
+      "go with \"links\"");
+  refused(faults(R"({"length_s": 5, "steps": [{"at_s": 1, "do": "caches_down"}]})"),
+          "needs a zone");
+  refused(
+      faults(
+          R"({"length_s": 5, "steps": [{"at_s": 1, "do": "restart", "fronts": [1], "for_s": 2}]})"),
+      "has no end");
   FleetFile f = ReadFleetText("file", kFleetText);
   assert(f.fronts == 9 && f.zone_of[5] == 2);
-  assert(Unfit(ReadFaultsText("file", R"({"length_s": 5, "steps": [{"at_s": 1, "do": "kill", "fronts": [9]}]})"), f).find("no front 9") != std::string::npos);
-  assert(!Unfit(ReadFaultsText("file", R"({"length_s": 5, "steps": [{"at_s": 1, "do": "caches_down", "zone": "x"}]})"), f).empty());
+  assert(
+      Unfit(ReadFaultsText(
+                "file", R"({"length_s": 5, "steps": [{"at_s": 1, "do": "kill", "fronts": [9]}]})"),
+            f)
+          .find("no front 9") != std::string::npos);
+  assert(!Unfit(ReadFaultsText(
+                    "file",
+                    R"({"length_s": 5, "steps": [{"at_s": 1, "do": "caches_down", "zone": "x"}]})"),
+                f)
+              .empty());
 }
 
 // Scripts on the staged members, by the checker; the same seed the same history.
@@ -170,26 +228,35 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
       History h = PlayStaged(f, s, seed);
       auto broken = CheckHistory(f, h);
-      for (const Broken& b : broken) std::fprintf(stderr, "seed %llu: %s at %.1f s: %s\n%s\n", static_cast<unsigned long long>(seed), b.promise.c_str(), b.at / 1000, b.what.c_str(), text);
+      for (const Broken& b : broken)
+        std::fprintf(stderr, "seed %llu: %s at %.1f s: %s\n%s\n",
+                     static_cast<unsigned long long>(seed), b.promise.c_str(), b.at / 1000,
+                     b.what.c_str(), text);
       assert(broken.empty());
       verdicts_seen += h.verdicts.size();
       if (seed == 1) {
         History again = PlayStaged(f, s, seed);
         assert(again.verdicts.size() == h.verdicts.size());
         for (std::size_t i = 0; i < h.verdicts.size(); ++i)
-          assert(again.verdicts[i].at == h.verdicts[i].at && again.verdicts[i].out == h.verdicts[i].out && again.verdicts[i].epoch == h.verdicts[i].epoch);
+          assert(again.verdicts[i].at == h.verdicts[i].at &&
+                 again.verdicts[i].out == h.verdicts[i].out &&
+                 again.verdicts[i].epoch == h.verdicts[i].epoch);
       }
     }
   }
   assert(verdicts_seen > 20);  // they were not all idle
-  std::printf("staged: %zu verdicts in %llu runs, all promises kept\n", verdicts_seen, static_cast<unsigned long long>(6 * seeds));
+  std::printf("staged: %zu verdicts in %llu runs, all promises kept\n", verdicts_seen,
+              static_cast<unsigned long long>(6 * seeds));
 }
 
-// A fleet whose quorum is one, as a front broken on purpose: the checker, which goes by a majority, catches it on the same stage.
+// A fleet whose quorum is one, as a front broken on purpose: the checker, which goes by a majority,
+// catches it on the same stage.
 void ALoneDeciderIsCaught() {
   FleetFile f = ReadFleetText("file", kFleetText), broken = f;
   broken.verdict.quorum = 1;
-  Script s = ReadFaultsText("file", R"({"length_s": 40, "steps": [{"at_s": 2, "do": "cut", "fronts": [0], "for_s": 30}]})");
+  Script s = ReadFaultsText(
+      "file",
+      R"({"length_s": 40, "steps": [{"at_s": 2, "do": "cut", "fronts": [0], "for_s": 30}]})");
   assert(CheckHistory(f, PlayStaged(f, s, 1)).empty());
   auto found = CheckHistory(f, PlayStaged(broken, s, 1));
   assert(!found.empty() && found[0].promise == "alone");
@@ -197,11 +264,21 @@
 
 void EachBrokenHistoryIsCaught() {
   FleetFile f = ReadFleetText("file", kFleetText);
-  Script s = ReadFaultsText("file", R"({"length_s": 60, "steps": [{"at_s": 2, "do": "kill", "fronts": [2, 5, 8], "for_s": 30}]})");
+  Script s = ReadFaultsText(
+      "file",
+      R"({"length_s": 60, "steps": [{"at_s": 2, "do": "kill", "fronts": [2, 5, 8], "for_s": 30}]})");
   History good = PlayStaged(f, s, 3);
   auto pull = [&](Ms at) {
     PullSeen p;
-    p.id = "p", p.front = 1, p.at = at, p.ttl = 1500, p.answers = 1, p.status = 200, p.answered_at = at + 20, p.ended = true, p.place = "b";
+    p.id = "p";
+    p.front = 1;
+    p.at = at;
+    p.ttl = 1500;
+    p.answers = 1;
+    p.status = 200;
+    p.answered_at = at + 20;
+    p.ended = true;
+    p.place = "b";
     return p;
   };
   good.pulls = {pull(4000)};
@@ -211,38 +288,73 @@
     const char* promise;
     std::function<void(History&)> harm;
   };
-  auto first_out = [](History& h) { return std::find_if(h.verdicts.begin(), h.verdicts.end(), [](const VerdictSeen& v) { return v.out == 4; }); };
-  for (const Case& c : {
-           Case{"left", [&](History& h) { std::erase_if(h.verdicts, [](const VerdictSeen& v) { return v.front == 3; }); }},
-           Case{"epochs", [&](History& h) { auto v = first_out(h); h.verdicts.push_back({h.until - 100, v->front, 0, v->epoch}); }},
-           Case{"flapping", [&](History& h) {
-                  auto v = *first_out(h);
-                  h.verdicts.insert(first_out(h) + 1, {v.at + 50, v.front, 0, v.epoch + 1});
-                  for (VerdictSeen& other : h.verdicts)
-                    if (other.front == v.front && other.at > v.at + 50) other.epoch += 100;
-                }},
-           Case{"agreement", [&](History& h) { h.verdicts.push_back({h.until - 100, 4, 1, 1000}); }},
-           Case{"agreement", [&](History& h) { h.epochs_at_end[0].second += 1; }},
-           Case{"alone", [&](History& h) {
-                  Step cut;
-                  cut.deed = Deed::kCut, cut.fronts = {0};
-                  h.cues.push_back({h.until - 9000, Cue{0, cut, true}});
-                  h.verdicts.push_back({h.until - 4000, 0, 1, 1000});
-                }},
-           Case{"answers", [&](History& h) { h.pulls[0].answers = 2; }},
-           Case{"answers", [&](History& h) { h.pulls[0].answers = 0; }},
-           Case{"answers", [&](History& h) { h.pulls[0].answered_at += 3000; }},
-           Case{"effects", [&](History& h) { h.ran["x"] = 2; }}}) {
+  auto first_out = [](History& h) {
+    return std::find_if(h.verdicts.begin(), h.verdicts.end(),
+                        [](const VerdictSeen& v) { return v.out == 4; });
+  };
+  for (const Case& c :
+       {Case{"left",
+             [&](History& h) {
+               std::erase_if(h.verdicts, [](const VerdictSeen& v) { return v.front == 3; });
+             }},
+        Case{"epochs",
+             [&](History& h) {
+               auto v = first_out(h);
+               h.verdicts.push_back({h.until - 100, v->front, 0, v->epoch});
+             }},
+        Case{"flapping",
+             [&](History& h) {
+               auto v = *first_out(h);
+               h.verdicts.insert(first_out(h) + 1, {v.at + 50, v.front, 0, v.epoch + 1});
+               for (VerdictSeen& other : h.verdicts)
+                 if (other.front == v.front && other.at > v.at + 50)
+                   other.epoch += 100;
+             }},
+        Case{"agreement",
+             [&](History& h) {
+               h.verdicts.push_back({h.until - 100, 4, 1, 1000});
+             }},
+        Case{"agreement",
+             [&](History& h) {
+               h.epochs_at_end[0].second += 1;
+             }},
+        Case{"alone",
+             [&](History& h) {
+               Step cut;
+               cut.deed = Deed::kCut;
+               cut.fronts = {0};
+               h.cues.push_back({h.until - 9000, Cue{0, cut, true}});
+               h.verdicts.push_back({h.until - 4000, 0, 1, 1000});
+             }},
+        Case{"answers",
+             [&](History& h) {
+               h.pulls[0].answers = 2;
+             }},
+        Case{"answers",
+             [&](History& h) {
+               h.pulls[0].answers = 0;
+             }},
+        Case{"answers",
+             [&](History& h) {
+               h.pulls[0].answered_at += 3000;
+             }},
+        Case{"effects", [&](History& h) {
+               h.ran["x"] = 2;
+             }}}) {
     History h = good;
     c.harm(h);
     auto found = CheckHistory(f, h);
-    bool caught = std::any_of(found.begin(), found.end(), [&](const Broken& b) { return b.promise == c.promise; });
-    if (!caught) std::fprintf(stderr, "missed: %s\n", c.promise);
+    bool caught = std::any_of(found.begin(), found.end(),
+                              [&](const Broken& b) { return b.promise == c.promise; });
+    if (!caught)
+      std::fprintf(stderr, "missed: %s\n", c.promise);
     assert(caught);
   }
   // What a killed front owes is not held against it.
   History h = good;
-  h.pulls[0].front = 2, h.pulls[0].at = good.cues[0].at - 100, h.pulls[0].answers = 0;
+  h.pulls[0].front = 2;
+  h.pulls[0].at = good.cues[0].at - 100;
+  h.pulls[0].answers = 0;
   assert(CheckHistory(f, h).empty());
 }
 
--- a/tests/keepers_explore.cpp
+++ b/tests/keepers_explore.cpp
@@ -25,11 +25,14 @@
   KeeperState keepers[3];
   std::vector<MemoryDisk::Copy> old;  // of keeper 1, as it was after each change
   std::optional<Writer> writers[2];
-  int puts_left[2] = {0, 0}, ticks_left[2] = {0, 0};
-  bool crash_left = false, old_left = false;
+  int puts_left[2] = {0, 0};
+  int ticks_left[2] = {0, 0};
+  bool crash_left = false;
+  bool old_left = false;
   int rolled = -1;
   std::set<std::string> net;  // from, to, bytes: each may come once more at any time, or never
-  std::map<Offset, std::string> acknowledged, committed;
+  std::map<Offset, std::string> acknowledged;
+  std::map<Offset, std::string> committed;
 };
 
 const std::vector<Id> kIds{1, 2, 3};
@@ -38,16 +41,22 @@
  public:
   explicit Explorer(const ExploreTerms& t) : terms_(t) {
     keeper_.again = keeper_.heartbeat = 0;
-    keeper_.doubt_restarts = t.doubt, keeper_.break_rewrite = t.rewrite_all, keeper_.break_majority = t.first_majority;
+    keeper_.doubt_restarts = t.doubt;
+    keeper_.break_rewrite = t.rewrite_all;
+    keeper_.break_majority = t.first_majority;
   }
   Explored Play() {
     State s;
     for (int i = 0; i < 2; ++i) {
-      // The second is granted while the first may still believe itself owner: both may act at any time.
-      s.writers[i].emplace(static_cast<Id>(i + 1), kIds, keeper_, LogTerms{}, static_cast<Token>(i + 1), 0);
-      s.puts_left[i] = (terms_.puts + 1 - i) / 2, s.ticks_left[i] = terms_.ticks + 1;
+      // The second is granted while the first may still believe itself owner: both may act at any
+      // time.
+      s.writers[i].emplace(static_cast<Id>(i + 1), kIds, keeper_, LogTerms{},
+                           static_cast<Token>(i + 1), 0);
+      s.puts_left[i] = (terms_.puts + 1 - i) / 2;
+      s.ticks_left[i] = terms_.ticks + 1;
     }
-    s.crash_left = terms_.crash, s.old_left = terms_.old_copy;
+    s.crash_left = terms_.crash;
+    s.old_left = terms_.old_copy;
     for (Id id : kIds) {  // each has been started once
       MemoryDisk d;
       Log log(id, {}, d, id);
@@ -59,10 +68,16 @@
         out_.whole = false;
         break;
       }
-      // Depth first, so that a bound that is met still leaves whole stories told; every eighth from the other end.
+      // Depth first, so that a bound that is met still leaves whole stories told; every eighth from
+      // the other end.
       std::shared_ptr<State> now;
-      if (++turn_ % 8 == 0) now = queue_.front(), queue_.pop_front();
-      else now = queue_.back(), queue_.pop_back();
+      if (++turn_ % 8 == 0) {
+        now = queue_.front();
+        queue_.pop_front();
+      } else {
+        now = queue_.back();
+        queue_.pop_back();
+      }
       Expand(*now);
     }
     out_.states = seen_.size();
@@ -70,11 +85,17 @@
   }
 
  private:
-  static std::string Packet(Id from, Id to, const Message& m) { return std::string{static_cast<char>(from), static_cast<char>(to)} + Encode(m); }
+  static std::string Packet(Id from, Id to, const Message& m) {
+    return std::string{static_cast<char>(from), static_cast<char>(to)} + Encode(m);
+  }
   Send Sender(State& s, Id from) {
-    return [&s, from](Id to, const Message& m) { s.net.insert(Packet(from, to, m)); };
+    return [&s, from](Id to, const Message& m) {
+      s.net.insert(Packet(from, to, m));
+    };
+  }
+  static std::string Text(const Entry& e) {
+    return e.key + "=" + e.value;
   }
-  static std::string Text(const Entry& e) { return e.key + "=" + e.value; }
 
   // The keeper over its disk as it is: `how` acts on it, and its state is taken apart again.
   template <class How>
@@ -86,7 +107,9 @@
     Keeper keeper(static_cast<Id>(i + 1), kIds, keeper_, log, k.life);
     keeper.SetDoubted(k.doubted);
     std::uint64_t start = d.Calls() + 1;
-    d.fate = [&, start](std::uint64_t n) { return n == start ? fate : MemoryDisk::Fate::kWell; };
+    d.fate = [&, start](std::uint64_t n) {
+      return n == start ? fate : MemoryDisk::Fate::kWell;
+    };
     how(keeper);
     auto starts = k.disk.head ? k.disk.head->starts : 0;
     bool failed = keeper.has_failed();
@@ -94,11 +117,14 @@
     auto before = k.disk.entries.size();
     k.disk = d.copy();
     k.disk.head->starts = starts;
-    if (failed) Restart(s, i);
-    if (i == 0 && s.old_left && before != k.disk.entries.size()) s.old.push_back(k.disk);
+    if (failed)
+      Restart(s, i);
+    if (i == 0 && s.old_left && before != k.disk.entries.size())
+      s.old.push_back(k.disk);
   }
   void Restart(State& s, int i) {
-    ++s.keepers[i].life, s.keepers[i].doubted = true;
+    ++s.keepers[i].life;
+    s.keepers[i].doubted = true;
     s.keepers[i].disk.head->starts++;
   }
 
@@ -111,15 +137,18 @@
       if (s.crash_left) {
         for (auto fate : {MemoryDisk::Fate::kFailsBefore, MemoryDisk::Fate::kFailsAfter}) {
           State c = Copy(s);
-          c.net.erase(p), c.crash_left = false;
+          c.net.erase(p);
+          c.crash_left = false;
           auto lives = c.keepers[p[1] - 1].life;
           Deliver(c, p, fate);
-          if (c.keepers[p[1] - 1].life != lives) Push(std::move(c));
+          if (c.keepers[p[1] - 1].life != lives)
+            Push(std::move(c));
         }
       }
     }
     for (int i = 0; i < 2; ++i) {
-      if (s.writers[i]->phase() == Phase::kFenced) continue;
+      if (s.writers[i]->phase() == Phase::kFenced)
+        continue;
       if (s.ticks_left[i] > 0) {
         State n = Copy(s);
         --n.ticks_left[i];
@@ -131,18 +160,28 @@
         --n.puts_left[i];
         std::string value = std::to_string(i) + "." + std::to_string(n.puts_left[i]);
         auto done = [value](Writer::Outcome o, Offset at) {
-          if (o == Writer::Outcome::kAcknowledged) now_->acknowledged[at] = "k=" + value;
+          if (o == Writer::Outcome::kAcknowledged)
+            now_->acknowledged[at] = "k=" + value;
         };
-        Act(n, [&] { n.writers[i]->Write(0, {{Stream::kRules, "k", false, value}}, done, Sender(n, static_cast<Id>(i + 1))); });
+        Act(n, [&] {
+          n.writers[i]->Write(0, {{Stream::kRules, "k", false, value}}, done,
+                              Sender(n, static_cast<Id>(i + 1)));
+        });
         Push(std::move(n));
       }
     }
     if (s.old_left)
       for (std::size_t o = 0; o <= s.old.size(); ++o) {
         State n = Copy(s);
-        n.old_left = false, n.rolled = 0;
-        if (o == s.old.size()) n.keepers[0].disk.entries.clear(), n.keepers[0].disk.head = Head{}, n.keepers[0].disk.head->store = 9, n.keepers[0].disk.head->keeper = 1;
-        else n.keepers[0].disk = s.old[o];
+        n.old_left = false;
+        n.rolled = 0;
+        if (o == s.old.size()) {
+          n.keepers[0].disk.entries.clear();
+          n.keepers[0].disk.head = Head{};
+          n.keepers[0].disk.head->store = 9;
+          n.keepers[0].disk.head->keeper = 1;
+        } else
+          n.keepers[0].disk = s.old[o];
         n.old.clear();
         Restart(n, 0);
         Push(std::move(n));
@@ -150,7 +189,8 @@
   }
   State Copy(const State& s) {
     State n = s;
-    for (int i = 0; i < 2; ++i) n.writers[i].emplace(s.writers[i]->copy());
+    for (int i = 0; i < 2; ++i)
+      n.writers[i].emplace(s.writers[i]->copy());
     return n;
   }
   template <class How>
@@ -162,54 +202,88 @@
   void Deliver(State& s, const std::string& p, MemoryDisk::Fate fate) {
     Id from = static_cast<Id>(p[0]), to = static_cast<Id>(p[1]);
     auto m = Decode({p.data() + 2, p.size() - 2});
-    if (!m) return void(out_.found = "a message is not read back");
+    if (!m)
+      return void(out_.found = "a message is not read back");
     Act(s, [&] {
-      WithKeeper(s, static_cast<int>(to) - 1, [&](Keeper& k) { k.Receive(0, from, *m, Sender(s, to)); }, fate);
-      if (to <= 2) s.writers[to - 1]->Receive(0, from, *m, Sender(s, to));
+      WithKeeper(
+          s, static_cast<int>(to) - 1, [&](Keeper& k) { k.Receive(0, from, *m, Sender(s, to)); },
+          fate);
+      if (to <= 2)
+        s.writers[to - 1]->Receive(0, from, *m, Sender(s, to));
     });
   }
 
   void Push(State&& s) {
-    // No two contents committed at an offset; what is acknowledged is at a majority but for the disk that was put back, and stays.
+    // No two contents committed at an offset; what is acknowledged is at a majority but for the
+    // disk that was put back, and stays.
     for (int i = 0; i < 3; ++i)
       for (const auto& [o, e] : s.keepers[i].disk.entries)
         if (o <= s.keepers[i].disk.head->committed) {
           auto c = s.committed.emplace(o, Text(e.first)).first;
-          if (c->second != Text(e.first)) return void(out_.found = "offset " + std::to_string(o) + ": " + c->second + " and " + Text(e.first) + " are committed");
+          if (c->second != Text(e.first))
+            return void(out_.found = "offset " + std::to_string(o) + ": " + c->second + " and " +
+                                     Text(e.first) + " are committed");
         }
     for (const auto& [o, what] : s.acknowledged) {
       int n = 0;
       for (int i = 0; i < 3; ++i) {
         auto e = s.keepers[i].disk.entries.find(o);
-        if (e != s.keepers[i].disk.entries.end() && Text(e->second.first) == what) ++n;
+        if (e != s.keepers[i].disk.entries.end() && Text(e->second.first) == what)
+          ++n;
       }
-      if (n < (s.rolled >= 0 ? 1 : 2)) return void(out_.found = "acknowledged " + what + " at " + std::to_string(o) + " is at " + std::to_string(n));
+      if (n < (s.rolled >= 0 ? 1 : 2))
+        return void(out_.found = "acknowledged " + what + " at " + std::to_string(o) + " is at " +
+                                 std::to_string(n));
       auto c = s.committed.find(o);
-      if (c != s.committed.end() && c->second != what) return void(out_.found = "acknowledged " + what + ", committed " + c->second);
+      if (c != s.committed.end() && c->second != what)
+        return void(out_.found = "acknowledged " + what + ", committed " + c->second);
     }
-    // To a fenced writer and by its token nothing more happens but refusals: its answers are not kept under way.
+    // To a fenced writer and by its token nothing more happens but refusals: its answers are not
+    // kept under way.
     for (auto p = s.net.begin(); p != s.net.end();) {
       Id to = static_cast<Id>((*p)[1]);
       auto m = Decode({p->data() + 2, p->size() - 2});
-      bool answer = m && (std::holds_alternative<Tail>(*m) || std::holds_alternative<Kept>(*m) || std::holds_alternative<Fetched>(*m));
-      if (answer && (to > 2 || s.writers[to - 1]->phase() == Phase::kFenced)) p = s.net.erase(p);
-      else ++p;
+      bool answer = m && (std::holds_alternative<Tail>(*m) || std::holds_alternative<Kept>(*m) ||
+                          std::holds_alternative<Fetched>(*m));
+      if (answer && (to > 2 || s.writers[to - 1]->phase() == Phase::kFenced))
+        p = s.net.erase(p);
+      else
+        ++p;
     }
     std::string print;
     for (const KeeperState& k : s.keepers) {
-      auto add = [&](std::uint64_t v) { print += std::to_string(v) + ' '; };
-      add(k.life), add(k.doubted), add(k.disk.head->promised), add(k.disk.head->committed), add(k.disk.head->cleaned);
-      for (auto [who, o] : k.disk.head->seen) add(who), add(o);
-      for (const auto& [o, e] : k.disk.entries) add(o), add(Digest(e.first));
+      auto add = [&](std::uint64_t v) {
+        print += std::to_string(v) + ' ';
+      };
+      add(k.life);
+      add(k.doubted);
+      add(k.disk.head->promised);
+      add(k.disk.head->committed);
+      add(k.disk.head->cleaned);
+      for (auto [who, o] : k.disk.head->seen) {
+        add(who);
+        add(o);
+      }
+      for (const auto& [o, e] : k.disk.entries) {
+        add(o);
+        add(Digest(e.first));
+      }
       print += '|';
     }
-    for (int i = 0; i < 2; ++i) print += s.writers[i]->state() + '|' + std::to_string(s.puts_left[i]) + ' ' + std::to_string(s.ticks_left[i]) + '|';
-    for (const std::string& p : s.net) print += p;
-    for (const auto& [o, what] : s.acknowledged) print += std::to_string(o) + what;
-    print += std::to_string(s.crash_left) + std::to_string(s.old_left) + std::to_string(s.old.size());
+    for (int i = 0; i < 2; ++i)
+      print += s.writers[i]->state() + '|' + std::to_string(s.puts_left[i]) + ' ' +
+               std::to_string(s.ticks_left[i]) + '|';
+    for (const std::string& p : s.net)
+      print += p;
+    for (const auto& [o, what] : s.acknowledged)
+      print += std::to_string(o) + what;
+    print +=
+        std::to_string(s.crash_left) + std::to_string(s.old_left) + std::to_string(s.old.size());
     XXH128_hash_t h = XXH3_128bits(print.data(), print.size());
-    if (!seen_.insert({h.high64, h.low64}).second) return;
-    if (!s.acknowledged.empty()) ++out_.acknowledged;
+    if (!seen_.insert({h.high64, h.low64}).second)
+      return;
+    if (!s.acknowledged.empty())
+      ++out_.acknowledged;
     queue_.push_back(std::make_shared<State>(std::move(s)));
   }
 
@@ -225,4 +299,6 @@
 
 }  // namespace
 
-Explored Explore(const ExploreTerms& terms) { return Explorer(terms).Play(); }
+Explored Explore(const ExploreTerms& terms) {
+  return Explorer(terms).Play();
+}
--- a/tests/keepers_test.cpp
+++ b/tests/keepers_test.cpp
@@ -1,5 +1,6 @@
-// The record's replication: exploration on small bounds; seeded schedules of faults; variants broken on purpose, each of which is
-// to be caught; messages. `keepers_test N [first]`: N seeds by hand. `keepers_test explore N`: exploration up to N states a part.
+// The record's replication: exploration on small bounds; seeded schedules of faults; variants
+// broken on purpose, each of which is to be caught; messages. `keepers_test N [first]`: N seeds by
+// hand. `keepers_test explore N`: exploration up to N states a part.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
 
@@ -28,33 +29,44 @@
   ExploreTerms terms;
 };
 std::vector<Part> Parts(std::size_t most) {
-  ExploreTerms plain{.puts = 2, .most = most}, again = plain, crash = plain, old = plain, doubted = plain;
-  again.puts = 3, again.ticks = 1;
+  ExploreTerms plain{.puts = 2, .most = most}, again = plain, crash = plain, old = plain,
+                                               doubted = plain;
+  again.puts = 3;
+  again.ticks = 1;
   crash.crash = true;
   doubted.old_copy = doubted.doubt = true;
-  old.crash = old.old_copy = old.doubt = true, old.ticks = 1;
-  return {{"two writers", plain}, {"and retransmission", again}, {"a crash", crash}, {"an old disk, restarts doubted", doubted}, {"an old disk and a crash", old}};
+  old.crash = old.old_copy = old.doubt = true;
+  old.ticks = 1;
+  return {{"two writers", plain},
+          {"and retransmission", again},
+          {"a crash", crash},
+          {"an old disk, restarts doubted", doubted},
+          {"an old disk and a crash", old}};
 }
 bool ExploreAll(std::size_t most) {
   bool well = true;
   for (const Part& p : Parts(most)) {
     Explored e = Explore(p.terms);
-    std::printf("explored, %s: %zu states%s, something acknowledged in %zu%s%s\n", p.name, e.states, e.whole ? ", all" : " (bounded)", e.acknowledged,
-                e.found.empty() ? "" : ": ", e.found.c_str());
+    std::printf("explored, %s: %zu states%s, something acknowledged in %zu%s%s\n", p.name, e.states,
+                e.whole ? ", all" : " (bounded)", e.acknowledged, e.found.empty() ? "" : ": ",
+                e.found.c_str());
     well = well && e.found.empty() && e.acknowledged > 0;
   }
   return well;
 }
 
-std::string Caught(const char* name, std::size_t most, const std::function<void(rig::RecordTerms&)>& breaks) {
+std::string Caught(const char* name, std::size_t most,
+                   const std::function<void(rig::RecordTerms&)>& breaks) {
   for (std::uint64_t seed = 1; seed <= most; ++seed) {
     auto t = rig::Drawn(seed);
     breaks(t);
-    if (!rig::Run(seed, rig::Drawn(seed)).findings.empty()) continue;  // what fails unbroken shows nothing of the break
+    if (!rig::Run(seed, rig::Drawn(seed)).findings.empty())
+      continue;  // what fails unbroken shows nothing of the break
     auto r = rig::Run(seed, t);
     for (const std::string& f : r.findings)
       if (f.rfind("does not come", 0) != 0) {
-        std::printf("broken, %s: seed %llu: %s\n", name, static_cast<unsigned long long>(seed), f.substr(0, 150).c_str());
+        std::printf("broken, %s: seed %llu: %s\n", name, static_cast<unsigned long long>(seed),
+                    f.substr(0, 150).c_str());
         return f;
       }
   }
@@ -63,7 +75,9 @@
 
 }  // namespace
 
-TEST_CASE("small bounds, explored") { CHECK(ExploreAll(kMostStates)); }
+TEST_CASE("small bounds, explored") {
+  CHECK(ExploreAll(kMostStates));
+}
 
 TEST_CASE("the exploration sees what is broken") {
   ExploreTerms t{.puts = 2, .most = 400000};
@@ -71,7 +85,8 @@
   CHECK(Explore(t).found != "");
 }
 
-// Under sanitizers fewer are played, and the broken variants, which ask nothing of memory, in the Release build alone.
+// Under sanitizers fewer are played, and the broken variants, which ask nothing of memory, in the
+// Release build alone.
 std::uint64_t SeedsToPlay() {
   const char* said = std::getenv("DUNLINWICK_SEEDS");
   return said ? std::strtoull(said, nullptr, 10) : 400;
@@ -83,12 +98,20 @@
     auto r = rig::Run(seed, rig::Drawn(seed));
     INFO("seed " << seed << ": " << r.Text());
     CHECK(r.findings.empty());
-    acknowledged += r.acknowledged, cleanings += r.cleanings, anew += r.anew, damages += r.damages, start_overs += r.start_overs, kills += r.kills;
+    acknowledged += r.acknowledged;
+    cleanings += r.cleanings;
+    anew += r.anew;
+    damages += r.damages;
+    start_overs += r.start_overs;
+    kills += r.kills;
   }
-  std::printf("400 seeds: acknowledged %zu, cleanings %zu, keepers begun anew %zu, damaged disks %zu, kills %zu, subscribers starting over %zu\n",
-              acknowledged, cleanings, anew, damages, kills, start_overs);
+  std::printf(
+      "400 seeds: acknowledged %zu, cleanings %zu, keepers begun anew %zu, damaged disks %zu, "
+      "kills %zu, subscribers starting over %zu\n",
+      acknowledged, cleanings, anew, damages, kills, start_overs);
   CHECK(acknowledged > 0);
-  if (SeedsToPlay() < 400) return;
+  if (SeedsToPlay() < 400)
+    return;
   // The schedules reach what they are for.
   CHECK(acknowledged > 10000);
   CHECK(cleanings > 1000);
@@ -98,28 +121,74 @@
 }
 
 TEST_CASE("broken variants are caught") {
-  if (SeedsToPlay() < 400) return;
+  if (SeedsToPlay() < 400)
+    return;
   CHECK(Caught("offset reused", 60, [](auto& t) { t.keeper.break_reuse = true; }) != "");
   CHECK(Caught("own disk believed", 200, [](auto& t) { t.keeper.break_own_disk = true; }) != "");
-  CHECK(Caught("stale compactor not fenced", 400, [](auto& t) { t.keeper.break_fence = true; }) != "");
-  CHECK(Caught("acknowledged before a majority", 200, [](auto& t) { t.keeper.break_majority = true; }) != "");
+  CHECK(Caught("stale compactor not fenced", 400, [](auto& t) { t.keeper.break_fence = true; }) !=
+        "");
+  CHECK(Caught("acknowledged before a majority", 200,
+               [](auto& t) { t.keeper.break_majority = true; }) != "");
   CHECK(Caught("tail by length", 1500, [](auto& t) { t.keeper.break_longest = true; }) != "");
   CHECK(Caught("tombstone dropped early", 1500, [](auto& t) { t.tombstone_early = true; }) != "");
-  CHECK(Caught("rejoin after long absence resumed", 1500, [](auto& t) { t.resumes_forgotten = true; }) != "");
+  CHECK(Caught("rejoin after long absence resumed", 1500,
+               [](auto& t) { t.resumes_forgotten = true; }) != "");
   CHECK(Caught("all written anew", 1500, [](auto& t) { t.keeper.break_rewrite = true; }) != "");
 }
 
 TEST_CASE("messages are read back, and nothing else is") {
-  Tail t{.token = 7, .store = 9, .starts = 3, .round = 2, .life = 1ull << 63, .doubted = true, .unproved = true, .last = 12, .committed = 11,
-         .first = 2, .cleaned = 5, .forgotten = 4, .last_token = 6, .seen = {{0, 1}, {2, 8}}, .spoilt = true, .holes = {3, 4}};
+  Tail t{.token = 7,
+         .store = 9,
+         .starts = 3,
+         .round = 2,
+         .life = 1ull << 63,
+         .doubted = true,
+         .unproved = true,
+         .last = 12,
+         .committed = 11,
+         .first = 2,
+         .cleaned = 5,
+         .forgotten = 4,
+         .last_token = 6,
+         .seen = {{0, 1}, {2, 8}},
+         .spoilt = true,
+         .holes = {3, 4}};
   Append a;
-  a.token = 4, a.life = 8, a.after = 3, a.after_token = 2, a.committed = 3, a.anew = true, a.session = 5, a.proves = true, a.spoilt = true;
-  a.cleaned = 2, a.forgotten = 1, a.passed = 3, a.held = {{1, 3}}, a.plan = {4, 2, 1};
-  a.entries = {{4, 2, Stream::kTerms, std::string("k\0y", 3), false, std::string(60000, 'v'), 1.5}, {5, 2, Stream::kRules, "x", true, "", 0}};
+  a.token = 4;
+  a.life = 8;
+  a.after = 3;
+  a.after_token = 2;
+  a.committed = 3;
+  a.anew = true;
+  a.session = 5;
+  a.proves = true;
+  a.spoilt = true;
+  a.cleaned = 2;
+  a.forgotten = 1;
+  a.passed = 3;
+  a.held = {{1, 3}};
+  a.plan = {4, 2, 1};
+  a.entries = {{4, 2, Stream::kTerms, std::string("k\0y", 3), false, std::string(60000, 'v'), 1.5},
+               {5, 2, Stream::kRules, "x", true, "", 0}};
   Kept k;
-  k.token = 4, k.life = 8, k.up_to = 5, k.refused = k.full = k.unsought = k.partial = true, k.last = 9, k.hint = 2, k.holes = {1}, k.plan = {1, 2, 1};
-  Fetched f{.after = 1, .up_to = 5, .after_token = 2, .committed = 6, .cleaned = 4, .forgotten = 3, .entries = a.entries, .only = {}};
-  for (const Message& m : {Message{Seek{3, 4}}, Message{t}, Message{a}, Message{k}, Message{Fetch{1, 2, {3}}}, Message{f}}) {
+  k.token = 4;
+  k.life = 8;
+  k.up_to = 5;
+  k.refused = k.full = k.unsought = k.partial = true;
+  k.last = 9;
+  k.hint = 2;
+  k.holes = {1};
+  k.plan = {1, 2, 1};
+  Fetched f{.after = 1,
+            .up_to = 5,
+            .after_token = 2,
+            .committed = 6,
+            .cleaned = 4,
+            .forgotten = 3,
+            .entries = a.entries,
+            .only = {}};
+  for (const Message& m : {Message{Seek{3, 4}}, Message{t}, Message{a}, Message{k},
+                           Message{Fetch{1, 2, {3}}}, Message{f}}) {
     std::string bytes = Encode(m);
     auto back = Decode(bytes);
     REQUIRE(back);
@@ -130,7 +199,8 @@
   CHECK(!Decode(Encode(Message{a})));
   a.entries[0].key = std::string(201, 'k');
   CHECK(!Decode(Encode(Message{a})));
-  a.entries[0].key = "k", a.entries[0].offset = 3;
+  a.entries[0].key = "k";
+  a.entries[0].offset = 3;
   CHECK(!Decode(Encode(Message{a})));
   a.entries[0].offset = 6;
   CHECK(!Decode(Encode(Message{a})));
@@ -139,19 +209,24 @@
   std::string whole = Encode(Message{t});
   for (int i = 0; i < 20000; ++i) {  // garbled: read as something in bounds, or not at all
     std::string bad = whole;
-    for (int n = 0; n < 3; ++n) bad[chance() % bad.size()] = static_cast<char>(chance());
-    if (auto m = Decode(bad)) CHECK(Decode(Encode(*m)));
+    for (int n = 0; n < 3; ++n)
+      bad[chance() % bad.size()] = static_cast<char>(chance());
+    if (auto m = Decode(bad))
+      CHECK(Decode(Encode(*m)));
   }
 }
 
 int main(int count, char** words) {
-  if (count > 2 && std::strcmp(words[1], "explore") == 0) return ExploreAll(std::strtoull(words[2], nullptr, 10)) ? 0 : 1;
+  if (count > 2 && std::strcmp(words[1], "explore") == 0)
+    return ExploreAll(std::strtoull(words[2], nullptr, 10)) ? 0 : 1;
   if (count > 1 && std::atoi(words[1]) > 0) {
     int bad = 0;
-    std::uint64_t n = std::strtoull(words[1], nullptr, 10), first = count > 2 ? std::strtoull(words[2], nullptr, 10) : 1;
+    std::uint64_t n = std::strtoull(words[1], nullptr, 10),
+                  first = count > 2 ? std::strtoull(words[2], nullptr, 10) : 1;
     for (std::uint64_t seed = first; seed < first + n; ++seed) {
       auto r = rig::Run(seed, rig::Drawn(seed));
-      if (n == 1 || !r.findings.empty()) std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), r.Text().c_str());
+      if (n == 1 || !r.findings.empty())
+        std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), r.Text().c_str());
       bad += r.findings.empty() ? 0 : 1;
     }
     std::printf("%llu seeds, %d with findings\n", static_cast<unsigned long long>(n), bad);
--- a/tests/kit.hpp
+++ b/tests/kit.hpp
@@ -1,5 +1,5 @@
-// Helpers of the tests: a small store, a front that is told things and asked what it did, and the far side of
-// connections.
+// Helpers of the tests: a small store, a front that is told things and asked what it did, and the
+// far side of connections.
 #pragma once
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -21,24 +21,42 @@
 inline StoreSheet Sheet() {
   StoreSheet s;
   Offering video, write;
-  video.agreed = 500, video.agreed_stretch = 2, video.expiry = 5000, video.payoff = 2;
-  write.effect = Effect::kExclusive, write.agreed = 700, write.expiry = 3000, write.payoff = 3;
+  video.agreed = 500;
+  video.agreed_stretch = 2;
+  video.expiry = 5000;
+  video.payoff = 2;
+  write.effect = Effect::kExclusive;
+  write.agreed = 700;
+  write.expiry = 3000;
+  write.payoff = 3;
   write.never_kept = true;
   s.offerings = {video, write};
-  s.zone = 1, s.fronts = 2, s.crew = 1;
-  s.parent_kind = kParentKind, s.origin_kind = kOriginKind;
+  s.zone = 1;
+  s.fronts = 2;
+  s.crew = 1;
+  s.parent_kind = kParentKind;
+  s.origin_kind = kOriginKind;
   s.weighing = Weighing::kNominal;
   s.may = {true, true, true, false, true};
-  s.most_legs = 8, s.lateral = true;
-  s.stream_kb_per_ms = 10, s.link_kb_per_ms = 150, s.purge_done = 6000;
-  s.cold_store = {0.3, 2, 15000}, s.cold_parent = {0.1, 2, 20000}, s.cold_window = 1000;
+  s.most_legs = 8;
+  s.lateral = true;
+  s.stream_kb_per_ms = 10;
+  s.link_kb_per_ms = 150;
+  s.purge_done = 6000;
+  s.cold_store = {0.3, 2, 15000};
+  s.cold_parent = {0.1, 2, 20000};
+  s.cold_window = 1000;
   return s;
 }
 
-inline ListEntry MakeEntry(std::uint32_t id, int kind, int zone, Standing standing = Standing::kReady,
-                       Ms started_at = 0) {
+inline ListEntry MakeEntry(std::uint32_t id, int kind, int zone,
+                           Standing standing = Standing::kReady, Ms started_at = 0) {
   ListEntry e;
-  e.cache = id, e.kind = kind, e.zone = zone, e.standing = standing, e.started_at = started_at;
+  e.cache = id;
+  e.kind = kind;
+  e.zone = zone;
+  e.standing = standing;
+  e.started_at = started_at;
   e.weight = kind == kStoreKind ? 6 : 30;
   return e;
 }
@@ -46,8 +64,10 @@
 // Caches 11 to 14, parents 21 and 22, origin 31.
 inline ListNews List() {
   ListNews news{Listing::kWhole, {}};
-  for (std::uint32_t id : {11, 12, 13, 14}) news.entries.push_back(MakeEntry(id, kStoreKind, 1));
-  for (std::uint32_t id : {21, 22}) news.entries.push_back(MakeEntry(id, kParentKind, 0));
+  for (std::uint32_t id : {11, 12, 13, 14})
+    news.entries.push_back(MakeEntry(id, kStoreKind, 1));
+  for (std::uint32_t id : {21, 22})
+    news.entries.push_back(MakeEntry(id, kParentKind, 0));
   news.entries.push_back(MakeEntry(31, kOriginKind, 0));
   return news;
 }
@@ -58,36 +78,59 @@
   std::uint32_t last_pull = 0;
   std::vector<Action> did;  // by the last event
 
-  explicit Front(StoreSheet s = Sheet(), std::uint64_t seed = 1, ListNews news = List()) : router(s, seed) {
+  explicit Front(StoreSheet s = Sheet(), std::uint64_t seed = 1, ListNews news = List())
+      : router(s, seed) {
     Tell(news);
   }
-  void Tell(const Event& e) { did = router.Handle(now, e); }
+  void Tell(const Event& e) {
+    did = router.Handle(now, e);
+  }
   template <class A>
   std::vector<A> all() const {
     std::vector<A> found;
     for (const Action& a : did)
-      if (auto* one = std::get_if<A>(&a)) found.push_back(*one);
+      if (auto* one = std::get_if<A>(&a))
+        found.push_back(*one);
     return found;
   }
   // The leg that a new pull leads to; cache 0 when it leads to none.
-  SendLeg Pull(std::uint64_t object, int offering = 0, double size_kb = 1000, Ms ttl = 4000, int part = 0) {
+  SendLeg Pull(std::uint64_t object, int offering = 0, double size_kb = 1000, Ms ttl = 4000,
+               int part = 0) {
     PullCame p;
-    p.pull = ++last_pull, p.offering = offering, p.object = object, p.ttl = ttl, p.size_kb = size_kb,
+    p.pull = ++last_pull;
+    p.offering = offering;
+    p.object = object;
+    p.ttl = ttl;
+    p.size_kb = size_kb;
     p.part = part;
     p.group = 7;
     Tell(p);
     return leg();
   }
-  SendLeg leg() const { return all<SendLeg>().empty() ? SendLeg{} : all<SendLeg>().front(); }
-  bool Declined() const { return !all<DeclinePull>().empty(); }
-  bool Abandoned() const { return !all<AbandonPull>().empty(); }
-  void end(const SendLeg& a, Ending ending, Remark remark = Remark::kNone, int leg = 0, Ms took = 105) {
+  SendLeg leg() const {
+    return all<SendLeg>().empty() ? SendLeg{} : all<SendLeg>().front();
+  }
+  bool Declined() const {
+    return !all<DeclinePull>().empty();
+  }
+  bool Abandoned() const {
+    return !all<AbandonPull>().empty();
+  }
+  void end(const SendLeg& a, Ending ending, Remark remark = Remark::kNone, int leg = 0,
+           Ms took = 105) {
     LegEnded e;
-    e.pull = a.pull, e.cache = a.cache, e.leg = leg, e.ending = ending, e.remark = remark, e.took = took;
+    e.pull = a.pull;
+    e.cache = a.cache;
+    e.leg = leg;
+    e.ending = ending;
+    e.remark = remark;
+    e.took = took;
     e.final = ending == Ending::kFinished;
     Tell(e);
   }
-  void Finish(const SendLeg& a, Remark remark = Remark::kHit) { end(a, Ending::kFinished, remark); }
+  void Finish(const SendLeg& a, Remark remark = Remark::kHit) {
+    end(a, Ending::kFinished, remark);
+  }
 };
 
 // ---- sockets
@@ -97,7 +140,8 @@
 void Until(loop::Loop& loop, Condition holds) {
   Ms end = loop.now() + 20000;
   bool held = holds();
-  for (; !held && loop.now() < end; held = holds()) loop.turn(1);
+  for (; !held && loop.now() < end; held = holds())
+    loop.turn(1);
   assert(held);
 }
 
@@ -115,16 +159,20 @@
     return f;
   }
   void Send(std::string_view text) {
-    assert(::send(fd.Get(), text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
+    assert(::send(fd.Get(), text.data(), text.size(), MSG_NOSIGNAL) ==
+           static_cast<ssize_t>(text.size()));
   }
   const std::string& Read(std::size_t most = 1 << 16) {
     std::string chunk(most, 0);
     ssize_t n = ::recv(fd.Get(), chunk.data(), chunk.size(), 0);
-    if (n > 0) got.append(chunk, 0, static_cast<std::size_t>(n));
+    if (n > 0)
+      got.append(chunk, 0, static_cast<std::size_t>(n));
     over |= n == 0 || (n < 0 && errno != EAGAIN);
     return got;
   }
-  bool Hears(std::string_view text) { return Read().find(text) != std::string::npos; }
+  bool Hears(std::string_view text) {
+    return Read().find(text) != std::string::npos;
+  }
   void Reset() {  // ends with a reset, not a close
     linger now{1, 0};
     ::setsockopt(fd.Get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -155,7 +203,9 @@
     Until(loop, [&] { return (got = ::accept4(fd.Get(), nullptr, nullptr, SOCK_NONBLOCK)) >= 0; });
     return Far(loop::Descriptor(got));
   }
-  std::string Text() const { return kit::Text(at); }
+  std::string Text() const {
+    return kit::Text(at);
+  }
 };
 
 // An address of loopback at which nobody listens just now, of a host that no other process uses.
