--- a/tests/large_objects_test.cpp
+++ b/tests/large_objects_test.cpp
@@ -1,5 +1,5 @@
-// What of a class's largest objects is answered beside the whole class (crossing 8): one Router before a model of
-// caches, parents and a link, in virtual time and by seeds that stay.
+// What of a class's largest objects is answered beside the whole class (crossing 8): one Router
+// before a model of caches, parents and a link, in virtual time and by seeds that stay.
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
@@ -12,38 +12,51 @@
 
 namespace {
 
-constexpr Ms kTick = 3, kLasts = 60000, kLeadIn = 5000, kLongest = 30000;  // the lead-in is played and not counted
+constexpr Ms kTick = 3, kLasts = 60000, kLeadIn = 5000,
+             kLongest = 30000;  // the lead-in is played and not counted
 constexpr double kCacheRoom = 6, kSourceRoom = 30, kCaches = 4;
 
 // A class: its share of the offered work, and the mean sending time of its requests.
 struct Class {
-  double work, payoff;
-  Ms agreed, mean;
+  double work;
+  double payoff;
+  Ms agreed;
+  Ms mean;
 };
-constexpr Class kClasses[] = {{0.6, 2, 500, 100}, {0.3, 1, 300, 40}, {0.1, 4, 1000, 800}};  // the last is thin: under 400
+constexpr Class kClasses[] = {
+    {0.6, 2, 500, 100}, {0.3, 1, 300, 40}, {0.1, 4, 1000, 800}};  // the last is thin: under 400
 
 struct Play {
-  double sigma;   // of the sizes' logarithm
-  double load;    // of what the caches carry
-  double link;    // transfers that the link carries; a fifth of the requests is filled through it
-  int places;     // 0: not told, and no limit
+  double sigma;  // of the sizes' logarithm
+  double load;   // of what the caches carry
+  double link;   // transfers that the link carries; a fifth of the requests is filled through it
+  int places;    // 0: not told, and no limit
   std::uint64_t seed;
 };
 
 struct Request {
   std::size_t offering;
-  Ms at, sending, agreed_at, leaves_at;
+  Ms at;
+  Ms sending;
+  Ms agreed_at;
+  Ms leaves_at;
   bool kept;  // caches hold it
   int attempts = 0;
-  bool open = true, answered = false, in_time = false;
+  bool open = true;
+  bool answered = false;
+  bool in_time = false;
 };
 
 // An attempt that is being sent, at the least pace of the machines and the link that it takes.
 struct Transfer {
-  std::uint32_t request, cache, source;
+  std::uint32_t request;
+  std::uint32_t cache;
+  std::uint32_t source;
   int leg;
-  Ms began, left;
-  bool fills, called = false;
+  Ms began;
+  Ms left;
+  bool fills;
+  bool called = false;
 };
 
 struct Site {
@@ -54,17 +67,24 @@
   std::vector<Transfer> transfers{};
   std::multimap<Ms, Event> due{};
   std::map<std::uint32_t, int> held{};  // transfers, by machine
-  int held_by_link = 0, open = 0;
-  std::size_t turned_away = 0, declined = 0;
+  int held_by_link = 0;
+  int open = 0;
+  std::size_t turned_away = 0;
+  std::size_t declined = 0;
 
   explicit Site(const Play& p) : play(p), chance(p.seed) {
     sheet.offerings.clear();
     for (const Class& c : kClasses) {
       Offering o;
-      o.agreed = c.agreed, o.agreed_stretch = 2, o.expiry = kLongest, o.payoff = c.payoff;
+      o.agreed = c.agreed;
+      o.agreed_stretch = 2;
+      o.expiry = kLongest;
+      o.payoff = c.payoff;
       sheet.offerings.push_back(o);
     }
-    sheet.fronts = sheet.crew = 1, sheet.places = p.places, sheet.link_kb_per_ms = 10 * p.link;
+    sheet.fronts = sheet.crew = 1;
+    sheet.places = p.places;
+    sheet.link_kb_per_ms = 10 * p.link;
     std::normal_distribution<> normal;
     std::uniform_real_distribution<> uniform;
     for (std::size_t i = 0; i < std::size(kClasses); ++i) {
@@ -74,8 +94,11 @@
       double sum = 0;
       for (Ms at = gap(chance); at < kLasts + kLeadIn; at += gap(chance)) {
         double size = std::exp(p.sigma * normal(chance) - p.sigma * p.sigma / 2);
-        size = std::clamp(size, 0.02, 8.0);  // a larger one would not be sent before its client leaves
-        requests.push_back({i, 1e6 + at, c.mean * size, 0, 1e6 + at + kLongest, uniform(chance) >= 0.2}), sum += size;
+        size =
+            std::clamp(size, 0.02, 8.0);  // a larger one would not be sent before its client leaves
+        requests.push_back(
+            {i, 1e6 + at, c.mean * size, 0, 1e6 + at + kLongest, uniform(chance) >= 0.2});
+        sum += size;
       }
       for (std::size_t k = first; k < requests.size(); ++k) {  // bounded sizes, and the same mean
         Request& r = requests[k];
@@ -83,11 +106,13 @@
         r.agreed_at = r.at + std::min(c.agreed + 2 * r.sending, kLongest);
       }
     }
-    std::sort(requests.begin(), requests.end(), [](const Request& a, const Request& b) { return a.at < b.at; });
+    std::sort(requests.begin(), requests.end(),
+              [](const Request& a, const Request& b) { return a.at < b.at; });
     Front f(sheet, p.seed);
     std::size_t next = 0;
     for (f.now = 1e6; f.now < 1e6 + kLasts + kLeadIn + 10000; f.now += kTick) {
-      for (; next < requests.size() && requests[next].at <= f.now; ++next) Come(f, static_cast<std::uint32_t>(next));
+      for (; next < requests.size() && requests[next].at <= f.now; ++next)
+        Come(f, static_cast<std::uint32_t>(next));
       while (!due.empty() && due.begin()->first <= f.now) {
         Event e = due.begin()->second;
         due.erase(due.begin());
@@ -100,42 +125,63 @@
   void Come(Front& f, std::uint32_t i) {
     Request& r = requests[i];
     if (play.places > 0 && open >= play.places) {
-      r.open = false, ++turned_away;
+      r.open = false;
+      ++turned_away;
       return;
     }
     ++open;
     PullCame e;
-    e.pull = i + 1, e.offering = static_cast<int>(r.offering), e.object = i + 1, e.group = 7;
-    e.ttl = r.leaves_at - r.at, e.size_kb = 10 * r.sending;
+    e.pull = i + 1;
+    e.offering = static_cast<int>(r.offering);
+    e.object = i + 1;
+    e.group = 7;
+    e.ttl = r.leaves_at - r.at;
+    e.size_kb = 10 * r.sending;
     due.emplace(r.leaves_at, ClientLeft{i + 1});
     Hear(f, e);
   }
 
   void Close(Request& r) {
-    if (std::exchange(r.open, false)) --open;
+    if (std::exchange(r.open, false))
+      --open;
   }
 
   void Hear(Front& f, const Event& e) {
     if (auto* left = std::get_if<ClientLeft>(&e)) {
-      if (!requests[left->pull - 1].open) return;
+      if (!requests[left->pull - 1].open)
+        return;
       Close(requests[left->pull - 1]);
     }
     f.Tell(e);
     for (const Action& a : std::vector<Action>(f.did)) {
-      if (auto* w = std::get_if<WakeMe>(&a)) due.emplace(w->at, WakeUp{w->handle});
-      if (auto* p = std::get_if<ProbeCache>(&a)) due.emplace(f.now + kTick, ProbeEnded{p->cache, true, 1, {}});
-      if (auto* d = std::get_if<DeclinePull>(&a)) declined += requests[d->pull - 1].open, Close(requests[d->pull - 1]);
-      if (auto* d = std::get_if<AbandonPull>(&a)) Close(requests[d->pull - 1]);
-      if (auto* s = std::get_if<SendLeg>(&a)) Send(f, *s);
+      if (auto* w = std::get_if<WakeMe>(&a))
+        due.emplace(w->at, WakeUp{w->handle});
+      if (auto* p = std::get_if<ProbeCache>(&a))
+        due.emplace(f.now + kTick, ProbeEnded{p->cache, true, 1, {}});
+      if (auto* d = std::get_if<DeclinePull>(&a)) {
+        declined += requests[d->pull - 1].open;
+        Close(requests[d->pull - 1]);
+      }
+      if (auto* d = std::get_if<AbandonPull>(&a))
+        Close(requests[d->pull - 1]);
+      if (auto* s = std::get_if<SendLeg>(&a))
+        Send(f, *s);
       if (auto* c = std::get_if<CancelLeg>(&a))
-        for (Transfer& t : transfers) t.called |= t.request == c->pull && t.leg == c->leg;
+        for (Transfer& t : transfers)
+          t.called |= t.request == c->pull && t.leg == c->leg;
     }
   }
 
   void end(const Transfer& t, Ms at, Ending ending, Remark remark) {
     LegEnded e;
-    e.pull = t.request, e.cache = t.cache, e.leg = t.leg, e.ending = ending, e.remark = remark;
-    e.took = at - t.began, e.waited = t.fills ? 10 : 0, e.final = ending == Ending::kFinished;
+    e.pull = t.request;
+    e.cache = t.cache;
+    e.leg = t.leg;
+    e.ending = ending;
+    e.remark = remark;
+    e.took = at - t.began;
+    e.waited = t.fills ? 10 : 0;
+    e.final = ending == Ending::kFinished;
     due.emplace(at, e);
   }
 
@@ -143,48 +189,71 @@
     Request& r = requests[s.pull - 1];
     Transfer t{s.pull, s.cache, s.source, r.attempts++, f.now, r.sending, !r.kept};
     bool fillable = s.source != s.cache && !s.held_only;
-    if (t.fills && !fillable) return end(t, f.now + 5, Ending::kMiss, Remark::kNone);
-    if (held[t.cache] >= 5 * kCacheRoom) return end(t, f.now + 3, Ending::kFull, Remark::kNone);
+    if (t.fills && !fillable)
+      return end(t, f.now + 5, Ending::kMiss, Remark::kNone);
+    if (held[t.cache] >= 5 * kCacheRoom)
+      return end(t, f.now + 3, Ending::kFull, Remark::kNone);
     ++held[t.cache];
-    if (t.fills) ++held[t.source], ++held_by_link;
+    if (t.fills) {
+      ++held[t.source];
+      ++held_by_link;
+    }
     transfers.push_back(t);
   }
 
   // One tick of all transfers: machines and the link share what they carry evenly.
   void Move(Front& f) {
-    auto pace = [&](std::uint32_t id, double room) { return std::min(1.0, room / held[id]); };
+    auto pace = [&](std::uint32_t id, double room) {
+      return std::min(1.0, room / held[id]);
+    };
     double link_pace = std::min(1.0, play.link / std::max(held_by_link, 1));
     std::vector<Transfer> over;
     for (Transfer& t : transfers) {
       double at = pace(t.cache, t.cache < 20 ? kCacheRoom : kSourceRoom);
-      if (t.fills) at = std::min({at, link_pace, pace(t.source, kSourceRoom)});
+      if (t.fills)
+        at = std::min({at, link_pace, pace(t.source, kSourceRoom)});
       t.left -= kTick * at;
-      if (t.left <= 0 || t.called) over.push_back(t);
+      if (t.left <= 0 || t.called)
+        over.push_back(t);
     }
     std::erase_if(transfers, [](const Transfer& t) { return t.left <= 0 || t.called; });
     for (const Transfer& t : over) {
       --held[t.cache];
-      if (t.fills) --held[t.source], --held_by_link;
+      if (t.fills) {
+        --held[t.source];
+        --held_by_link;
+      }
       Request& r = requests[t.request - 1];
-      if (t.left <= 0 && r.open) r.answered = true, r.in_time = f.now + 5 <= r.agreed_at, Close(r);
+      if (t.left <= 0 && r.open) {
+        r.answered = true;
+        r.in_time = f.now + 5 <= r.agreed_at;
+        Close(r);
+      }
       end(t, f.now + 5, t.left <= 0 ? Ending::kFinished : Ending::kCancelled,
-          t.left > 0 ? Remark::kNone : t.fills ? Remark::kFilled : Remark::kHit);
+          t.left > 0 ? Remark::kNone
+          : t.fills  ? Remark::kFilled
+                     : Remark::kHit);
     }
   }
 
-  // The answered share of a class, of its largest tenth (a quarter when under 400), and of the next fifth.
+  // The answered share of a class, of its largest tenth (a quarter when under 400), and of the next
+  // fifth.
   struct Shares {
-    double all, largest, next;
+    double all;
+    double largest;
+    double next;
     std::size_t count;
   };
   Shares shares(std::size_t offering) const {
     std::vector<const Request*> of;
     for (const Request& r : requests)
-      if (r.offering == offering && r.at >= 1e6 + kLeadIn) of.push_back(&r);
+      if (r.offering == offering && r.at >= 1e6 + kLeadIn)
+        of.push_back(&r);
     std::sort(of.begin(), of.end(), [](auto* a, auto* b) { return a->sending > b->sending; });
     auto share = [&](std::size_t from, std::size_t to) {
       auto answered = std::count_if(of.begin() + static_cast<std::ptrdiff_t>(from),
-                                    of.begin() + static_cast<std::ptrdiff_t>(to), [](auto* r) { return r->answered; });
+                                    of.begin() + static_cast<std::ptrdiff_t>(to),
+                                    [](auto* r) { return r->answered; });
       return static_cast<double>(answered) / static_cast<double>(to - from);
     };
     std::size_t n = of.size(), top = n < 400 ? n / 4 : n / 10;
@@ -194,8 +263,10 @@
   double Worth() const {
     double won = 0, offered = 0;
     for (const Request& r : requests)
-      if (r.at >= 1e6 + kLeadIn)
-        offered += kClasses[r.offering].payoff, won += r.in_time ? kClasses[r.offering].payoff : 0;
+      if (r.at >= 1e6 + kLeadIn) {
+        offered += kClasses[r.offering].payoff;
+        won += r.in_time ? kClasses[r.offering].payoff : 0;
+      }
     return won / offered;
   }
 };
@@ -217,21 +288,25 @@
             Site site({sigma, load, link, places, seed});
             double bound = quiet ? 2.0 / 3 : 0.5, worth = site.Worth();
             auto day = load < 1 ? 0 : load < 1.2 ? 1 : 2;
-            worths[day] += worth, ++counts[day];
+            worths[day] += worth;
+            ++counts[day];
             for (std::size_t i = 0; i < std::size(kClasses); ++i) {
               auto s = site.shares(i);
               bool wrong = s.largest < bound * s.all || s.next < bound * s.all;
               broken += wrong;
               if (wrong || told)
-                std::printf("%s load %.1f sigma %.1f link %2.0f places %2d seed %d class %zu (%zu requests): answered %.3f, "
-                            "of the largest %.3f (%.2f), of the next fifth %.3f (%.2f); worth %.3f away %zu declined %zu\n",
-                            wrong ? "STARVED" : "fine", load, sigma, link, places, static_cast<int>(seed), i, s.count,
-                            s.all, s.largest, s.largest / s.all, s.next, s.next / s.all, worth, site.turned_away,
-                            site.declined);
+                std::printf(
+                    "%s load %.1f sigma %.1f link %2.0f places %2d seed %d class %zu (%zu "
+                    "requests): answered %.3f, "
+                    "of the largest %.3f (%.2f), of the next fifth %.3f (%.2f); worth %.3f away "
+                    "%zu declined %zu\n",
+                    wrong ? "STARVED" : "fine", load, sigma, link, places, static_cast<int>(seed),
+                    i, s.count, s.all, s.largest, s.largest / s.all, s.next, s.next / s.all, worth,
+                    site.turned_away, site.declined);
             }
           }
-  std::printf("worth in time, by load: %.4f %.4f %.4f\n", worths[0] / counts[0], worths[1] / counts[1],
-              worths[2] / counts[2]);
+  std::printf("worth in time, by load: %.4f %.4f %.4f\n", worths[0] / counts[0],
+              worths[1] / counts[1], worths[2] / counts[2]);
   return broken;
 }
 
@@ -240,6 +315,7 @@
 int main() {
   std::puts("large objects are answered");
   int broken = LargeObjectsAreAnswered();
-  std::printf("%d broken\n", broken), std::fflush(stdout);
+  std::printf("%d broken\n", broken);
+  std::fflush(stdout);
   assert(broken == 0);
 }
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,8 +1,8 @@
 // The log: its limit, whose it is, and that no bytes from a peer make a line of their own.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
-#include <rapidcheck.h>
 #include <fcntl.h>
+#include <rapidcheck.h>
 #include <unistd.h>
 
 #include <cstdlib>
@@ -19,9 +19,13 @@
 struct Kept {
   double now = 1e12;
   std::vector<std::string> lines;
-  log::Log log{[this] { return now; }, [this](std::string_view line) { lines.emplace_back(line); }};
+  log::Log log{[this] { return now; },
+               [this](std::string_view line) {
+                 lines.emplace_back(line);
+               }};
   std::string Of(std::string_view line) {
-    lines.clear(), now += 1000;
+    lines.clear();
+    now += 1000;
     log.Say(line);
     REQUIRE(lines.size() == 1);
     return lines[0];
@@ -31,11 +35,15 @@
 // What a terminal or a reader of lines may take for an end, or for an order.
 bool Plain(std::string_view line) {
   for (char c : line)
-    if (static_cast<unsigned char>(c) < ' ' || c == 127) return false;
+    if (static_cast<unsigned char>(c) < ' ' || c == 127)
+      return false;
   for (std::string_view bad : {"\xe2\x80\xa8", "\xe2\x80\xa9"})  // line and paragraph separators
-    if (line.find(bad) != line.npos) return false;
-  for (std::size_t at = line.find('\xc2'); at != line.npos; at = line.find('\xc2', at + 1))  // C1 controls, NEL among them
-    if (at + 1 < line.size() && static_cast<unsigned char>(line[at + 1]) < 0xa0) return false;
+    if (line.find(bad) != line.npos)
+      return false;
+  for (std::size_t at = line.find('\xc2'); at != line.npos;
+       at = line.find('\xc2', at + 1))  // C1 controls, NEL among them
+    if (at + 1 < line.size() && static_cast<unsigned char>(line[at + 1]) < 0xa0)
+      return false;
   return true;
 }
 
@@ -48,8 +56,11 @@
       continue;
     }
     char c = line[++i];
-    if (c == 'x') all += static_cast<char>(std::stoi(std::string(line.substr(i + 1, 2)), nullptr, 16)), i += 2;
-    else all += c == 'n' ? '\n' : c == 'r' ? '\r' : c == 't' ? '\t' : c;
+    if (c == 'x') {
+      all += static_cast<char>(std::stoi(std::string(line.substr(i + 1, 2)), nullptr, 16));
+      i += 2;
+    } else
+      all += c == 'n' ? '\n' : c == 'r' ? '\r' : c == 't' ? '\t' : c;
   }
   return all;
 }
@@ -57,14 +68,16 @@
 // Bytes as a hostile peer picks them.
 rc::Gen<std::string> Hostile() {
   return rc::gen::container<std::string>(rc::gen::weightedOneOf<char>(
-      {{2, rc::gen::elementOf("\n\r\t\v\f\x1b\x7f\\\"x0an\xc2\x85\x9b\xe2\x80\xa8\xa9\xff"s)}, {1, rc::gen::arbitrary<char>()}}));
+      {{2, rc::gen::elementOf("\n\r\t\v\f\x1b\x7f\\\"x0an\xc2\x85\x9b\xe2\x80\xa8\xa9\xff"s)},
+       {1, rc::gen::arbitrary<char>()}}));
 }
 
 }  // namespace
 
 TEST_CASE("a plain line stays as it is") {
   Kept k;
-  CHECK(k.Of("cache-1: silent; its connection ends, 3 open") == "cache-1: silent; its connection ends, 3 open");
+  CHECK(k.Of("cache-1: silent; its connection ends, 3 open") ==
+        "cache-1: silent; its connection ends, 3 open");
   CHECK(k.Of("caf\xc3\xa9 serves") == "caf\xc3\xa9 serves");
   CHECK(k.Of("") == "");
 }
@@ -108,7 +121,8 @@
 
 TEST_CASE("200 at once, then 10 a second; what is left out is told") {
   Kept k;
-  for (int i = 0; i < 250; ++i) k.log.Say("x");
+  for (int i = 0; i < 250; ++i)
+    k.log.Say("x");
   CHECK(k.lines.size() == 200);
   k.now += 99;
   k.log.Say("y");
@@ -120,7 +134,8 @@
   CHECK(k.lines[201] == "z");
   k.now += 1e9;
   k.lines.clear();
-  for (int i = 0; i < 250; ++i) k.log.Say("x");
+  for (int i = 0; i < 250; ++i)
+    k.log.Say("x");
   CHECK(k.lines.size() == 200);
 }
 
@@ -144,7 +159,8 @@
   log::Say("a%sb", "\nforged");
   log::Say("%s", "second");
   ::dup2(before, 2);
-  ::close(before), ::close(ends[1]);
+  ::close(before);
+  ::close(ends[1]);
   char buffer[4096];
   ssize_t got = ::read(ends[0], buffer, sizeof buffer);
   CHECK(std::string(buffer, static_cast<std::size_t>(got)) == "a\\nforgedb\n");
@@ -179,7 +195,8 @@
   std::string Read() {
     std::string all(1 << 20, 0);
     std::size_t size = 0;
-    for (ssize_t got = 0; (got = ::read(from_, all.data() + size, all.size() - size)) > 0;) size += static_cast<std::size_t>(got);
+    for (ssize_t got = 0; (got = ::read(from_, all.data() + size, all.size() - size)) > 0;)
+      size += static_cast<std::size_t>(got);
     all.resize(size);
     return all;
   }
@@ -227,5 +244,6 @@
   ssize_t got = ::read(ends[0], buffer, sizeof buffer);
   ::close(ends[0]);
   REQUIRE(got > 0);
-  CHECK(std::string(buffer, static_cast<std::size_t>(got)) == "1 lines left out: standard error took none\nafter\n");
+  CHECK(std::string(buffer, static_cast<std::size_t>(got)) ==
+        "1 lines left out: standard error took none\nafter\n");
 }
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -8,14 +8,17 @@
   Front f;
   SendLeg a = f.Pull(1);
   assert(a.cache != 0 && !a.proven);
-  f.now += 4000 - 3;  // nothing came: the answer goes out before the client leaves, and the leg is called off
+  f.now +=
+      4000 -
+      3;  // nothing came: the answer goes out before the client leaves, and the leg is called off
   f.Tell(WakeUp{std::uint64_t{1} << 56 | a.pull});
   assert(f.Declined() && f.all<CancelLeg>().size() == 1);
   f.end(a, Ending::kCancelled);
   assert(f.did.empty());
   f.Tell(WakeUp{std::uint64_t{1} << 56 | a.pull});
   assert(f.did.empty());
-  f.end(a, Ending::kFinished);  // news of a pull already ended, of unknown legs and caches, and stale timers
+  f.end(a, Ending::kFinished);  // news of a pull already ended, of unknown legs and caches, and
+                                // stale timers
   f.Tell(ClientLeft{a.pull});
   f.Tell(ProbeEnded{99, true, 1, {}});
   f.Tell(WakeUp{~std::uint64_t{0}});
@@ -56,16 +59,20 @@
   for (Span span : {Span::kEverywhere, Span::kCell}) {
     for (Ms later : {10.0, 9000.0}) {
       StoreSheet s = Sheet();
-      s.offerings[0].effect = Effect::kTicketed, s.offerings[0].span = span, s.offerings[0].memory = 5000;
+      s.offerings[0].effect = Effect::kTicketed;
+      s.offerings[0].span = span;
+      s.offerings[0].memory = 5000;
       ListNews news = List();
-      for (ListEntry& e : news.entries) e.cell = static_cast<int>(e.cache);
+      for (ListEntry& e : news.entries)
+        e.cell = static_cast<int>(e.cache);
       Front f(s, 1, news);
       SendLeg a = f.Pull(1, 0, 1000, 20000);
       f.now += later;
       f.end(a, Ending::kError);
       bool may = span == Span::kEverywhere && later < 5000;
       assert((f.leg().cache != 0) == may);
-      if (!may) assert(f.Declined() == (span == Span::kEverywhere));
+      if (!may)
+        assert(f.Declined() == (span == Span::kEverywhere));
     }
   }
 }
@@ -73,8 +80,11 @@
 static void DrainsKept() {
   for (Standing standing : {Standing::kDraining, Standing::kGone}) {
     Front f;
-    ListNews news{Listing::kChanges, {MakeEntry(11, kStoreKind, 1, standing), MakeEntry(21, kParentKind, 0, standing)}};
-    for (std::uint64_t o = 1; o <= 40; ++o) f.Finish(f.Pull(o), Remark::kFilled);
+    ListNews news{
+        Listing::kChanges,
+        {MakeEntry(11, kStoreKind, 1, standing), MakeEntry(21, kParentKind, 0, standing)}};
+    for (std::uint64_t o = 1; o <= 40; ++o)
+      f.Finish(f.Pull(o), Remark::kFilled);
     f.Tell(news);
     for (std::uint64_t o = 1; o <= 40; ++o) {
       SendLeg a = f.Pull(o);
@@ -84,10 +94,15 @@
   }
 }
 
-// Work sent to a cold cache, and fills asked of a cold parent, in any window, against this front's share.
-// Likewise at a cache that could not be reached and answers again: it may be new, whatever the list says.
+// Work sent to a cold cache, and fills asked of a cold parent, in any window, against this front's
+// share. Likewise at a cache that could not be reached and answers again: it may be new, whatever
+// the list says.
 static void ColdMachinesSpared() {
-  enum class Cold { kCache, kParent, kSilentlyNew };
+  enum class Cold {
+    kCache,
+    kParent,
+    kSilentlyNew
+  };
   for (Cold how : {Cold::kCache, Cold::kParent, Cold::kSilentlyNew}) {
     Front f;
     bool parent = how == Cold::kParent;
@@ -95,36 +110,41 @@
     if (how == Cold::kSilentlyNew) {
       f.end({1, cold}, Ending::kBroken);
       f.end(f.Pull(1), Ending::kNoConnection);
-      for (int i = 0; i < 2; ++i) f.Tell(ProbeEnded{cold, true, 1, {}});
+      for (int i = 0; i < 2; ++i)
+        f.Tell(ProbeEnded{cold, true, 1, {}});
     } else {
-      f.Tell(
-          ListNews{Listing::kChanges,
-                   {MakeEntry(cold, parent ? kParentKind : kStoreKind, parent ? 0 : 1, Standing::kReady, f.now)}});
+      f.Tell(ListNews{Listing::kChanges,
+                      {MakeEntry(cold, parent ? kParentKind : kStoreKind, parent ? 0 : 1,
+                                 Standing::kReady, f.now)}});
     }
     double sent = 0, share = parent ? 0.5 : 1, weight = parent ? 30 : 6, from = parent ? 0.1 : 0.3;
     for (std::uint64_t o = 1; o <= 400; ++o) {
       f.now += 1;
       SendLeg a = f.Pull(o);
-      if (a.cache == cold || a.source == cold) sent += 100;
-      if (a.cache) f.Finish(a);
+      if (a.cache == cold || a.source == cold)
+        sent += 100;
+      if (a.cache)
+        f.Finish(a);
     }
     assert(sent > 0 && sent <= share * 2 * weight * (from + 0.03) * 1000);
   }
 }
 
-// Found by a drill: parts of one small object in a row halved what the front took for its offering's mean,
-// and a cold cache was sent twice its share.
+// Found by a drill: parts of one small object in a row halved what the front took for its
+// offering's mean, and a cold cache was sent twice its share.
 static void ARowOfSmallPartsMovesNoColdBudget() {
   Front f;
   for (std::uint64_t o = 1; o <= 400; ++o) {
     f.now += 20;
     SendLeg a = f.Pull(o, 0, 2500);
-    if (a.cache) f.Finish(a);
+    if (a.cache)
+      f.Finish(a);
   }
   for (int part = 0; part < 100; ++part) {  // six small objects, part after part
     f.now += 20;
     SendLeg a = f.Pull(1000 + static_cast<std::uint64_t>(part / 17), 0, 100, 4000, part % 17);
-    if (a.cache) f.Finish(a);
+    if (a.cache)
+      f.Finish(a);
   }
   std::uint32_t cold = f.Pull(2000).cache;
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(cold, kStoreKind, 1, Standing::kReady, f.now)}});
@@ -133,10 +153,11 @@
     f.now += 1;
     SendLeg a = f.Pull(o, 0, 2500);
     legs += a.cache == cold;
-    if (a.cache) f.Finish(a);
+    if (a.cache)
+      f.Finish(a);
   }
-  // What it bears in a window, in legs of the true mean (250 ms less the small ones' fifth): under it all the
-  // same.
+  // What it bears in a window, in legs of the true mean (250 ms less the small ones' fifth): under
+  // it all the same.
   double bears = 2 * 6 * (0.3 + 0.02) * 1000 / 210;
   assert(legs > 0 && legs <= 0.65 * bears);
 }
@@ -145,7 +166,10 @@
   Front f;
   struct Case {
     bool group;
-    Ms ago, later, least, most;
+    Ms ago;
+    Ms later;
+    Ms least;
+    Ms most;
   };
   for (Case c : {Case{false, 100, 50, 1, 150},
                  {true, 100, 50, 1, 150},
@@ -153,7 +177,10 @@
                  {true, 300, 20000, 0, 0}}) {
     f.now += 60000;
     Purged p;
-    p.whole_group = c.group, p.object = c.group ? 0 : 5, p.group = 7, p.ago = c.ago;
+    p.whole_group = c.group;
+    p.object = c.group ? 0 : 5;
+    p.group = 7;
+    p.ago = c.ago;
     f.Tell(p);
     f.now += c.later;
     SendLeg a = f.Pull(5);
@@ -169,24 +196,32 @@
   for (std::uint64_t o = 1; o <= 200; ++o) {
     SendLeg a = f.Pull(o), b = g.Pull(o);
     assert(a.cache == b.cache && a.source == b.source);
-    used.insert(a.cache), parents.insert(a.source), before.push_back(a);
-    f.Finish(a), g.Finish(b);
+    used.insert(a.cache);
+    parents.insert(a.source);
+    before.push_back(a);
+    f.Finish(a);
+    g.Finish(b);
   }
   assert(used.size() == 4 && parents.size() == 2);
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1, Standing::kGone)}});
   for (std::uint64_t o = 1; o <= 200; ++o) {
     SendLeg a = f.Pull(o);
-    assert(a.cache == before[o - 1].cache || before[o - 1].cache == 12);  // only its own objects move
+    assert(a.cache == before[o - 1].cache ||
+           before[o - 1].cache == 12);  // only its own objects move
     f.Finish(a);
   }
 }
 
-// A part finished elsewhere within omega is filled from there, and from the parent when the sibling lacks it.
+// A part finished elsewhere within omega is filled from there, and from the parent when the sibling
+// lacks it.
 static void MovedHomesFillFromSiblings() {
   Front f;
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1, Standing::kDraining)}});
   std::vector<SendLeg> first;
-  for (std::uint64_t o = 1; o <= 40; ++o) first.push_back(f.Pull(o)), f.Finish(first.back(), Remark::kFilled);
+  for (std::uint64_t o = 1; o <= 40; ++o) {
+    first.push_back(f.Pull(o));
+    f.Finish(first.back(), Remark::kFilled);
+  }
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1)}});
   bool moved = false;
   for (std::uint64_t o = 1; o <= 40; ++o) {
@@ -218,10 +253,12 @@
   assert(ranks[1] > 0 && ranks[3] > 0 && f.Pull(1).rank == 3 && f.Pull(2).rank == 1);
 }
 
-// One pull where many fronts serve a location does not rank an object high: it may be wanted only once.
+// One pull where many fronts serve a location does not rank an object high: it may be wanted only
+// once.
 static void SinglePullsRankLowAtSize() {
   StoreSheet s = Sheet();
-  s.crew = 12, s.fronts = 200;
+  s.crew = 12;
+  s.fronts = 200;
   Front f(s);
   SendLeg a = f.Pull(1);
   f.Finish(a);
@@ -235,7 +272,8 @@
     Front f;
     ListNews news = List();
     if (cold)
-      for (ListEntry& e : news.entries) e.started_at = f.now - 10000;
+      for (ListEntry& e : news.entries)
+        e.started_at = f.now - 10000;
     f.Tell(news);
     for (int round = 0; round < 30; ++round)
       for (std::uint64_t o = 1; o <= 5; ++o) {
@@ -253,14 +291,15 @@
   }
 }
 
-// Legs that fell with one connection are one sign: the cache stays in use, the legs that only fell with it
-// are asked there again, and a cache whose answers can't be read is not taken for a new process when it is
-// back.
+// Legs that fell with one connection are one sign: the cache stays in use, the legs that only fell
+// with it are asked there again, and a cache whose answers can't be read is not taken for a new
+// process when it is back.
 static void OneBreakIsOneSign() {
   Front f;
   SendLeg a = f.Pull(1), b = f.Pull(1);
   LegEnded e;
-  e.ending = Ending::kBroken, e.cache = a.cache;
+  e.ending = Ending::kBroken;
+  e.cache = a.cache;
   for (e.pull = a.pull; e.pull <= b.pull; ++e.pull, ++e.fell_with) {
     f.Tell(e);
     assert((f.leg().cache == a.cache) == (e.fell_with > 0));
@@ -268,7 +307,8 @@
   assert(f.Pull(1).cache == a.cache);
   f.end({f.last_pull, a.cache}, Ending::kBroken);  // a second connection: set aside
   assert(f.Pull(1).cache != a.cache);
-  for (int i = 0; i < 2; ++i) f.Tell(ProbeEnded{a.cache, true, 1, {}});
+  for (int i = 0; i < 2; ++i)
+    f.Tell(ProbeEnded{a.cache, true, 1, {}});
   for (int i = 0; i < 20; ++i) {  // more than a cold one would be sent
     SendLeg again = f.Pull(1, 0, 2000);
     assert(again.cache == a.cache);
@@ -276,8 +316,8 @@
   }
 }
 
-// A pull that two machines call an error is at fault itself: it goes no further, and they stay in use. Where
-// another answers it, the one that erred is struck.
+// A pull that two machines call an error is at fault itself: it goes no further, and they stay in
+// use. Where another answers it, the one that erred is struck.
 static void BadPullsStrikeNobody() {
   Front f;
   std::uint32_t home = f.Pull(1).cache;
@@ -298,14 +338,15 @@
   assert(f.Pull(1).cache != home);
 }
 
-// What is gone for long is forgotten, so that new ids all day fill no table: listed again it is a new
-// machine. Not while a pull points to it.
+// What is gone for long is forgotten, so that new ids all day fill no table: listed again it is a
+// new machine. Not while a pull points to it.
 static void MachinesThatLeftAreForgotten() {
   for (bool pointed_at : {false, true}) {
     Front f;
     SendLeg held = f.Pull(1);
     std::uint32_t bad = held.cache;
-    if (!pointed_at) f.Finish(held);
+    if (!pointed_at)
+      f.Finish(held);
     for (int i = 0; i < 2; ++i) {
       f.end(f.Pull(1), Ending::kError);
       f.end(f.leg(), Ending::kFinished, Remark::kHit, 1);
@@ -346,15 +387,17 @@
     }
     SendLeg trial = f.Pull(object);
     assert(trial.cache == bad);
-    if (!probes) assert(f.Pull(object).cache != bad);  // one trial at a time
+    if (!probes)
+      assert(f.Pull(object).cache != bad);  // one trial at a time
     f.end(trial, Ending::kFinished, Remark::kHit);
     SendLeg back = f.Pull(object);
     assert(back.cache == bad);
   }
 }
 
-// When fills crowd the link a pull first looks; a miss is filled while its agreed time can be met, else
-// declined. Where the link's size is not told that is earlier, since crowded sources can't be told apart.
+// When fills crowd the link a pull first looks; a miss is filled while its agreed time can be met,
+// else declined. Where the link's size is not told that is earlier, since crowded sources can't be
+// told apart.
 static void CrowdedLinkLooksFirst() {
   int filled[2] = {};
   for (int told : {0, 1}) {
@@ -365,7 +408,8 @@
     for (std::uint64_t o = 1; o <= 200; ++o) {
       SendLeg a = f.Pull(o, 0, 2000);
       assert(o > 1 || a.cache != a.source);
-      if (a.cache == 0 || a.cache != a.source) continue;
+      if (a.cache == 0 || a.cache != a.source)
+        continue;
       ++looks;
       f.end(a, Ending::kMiss);
       f.leg().cache ? ++filled[told] : ++declines;
@@ -375,7 +419,8 @@
   assert(filled[0] > 0 && filled[0] < filled[1]);
 }
 
-// A level of the link that lasts lets fewer known misses through than the same level in its first moment.
+// A level of the link that lasts lets fewer known misses through than the same level in its first
+// moment.
 static void LastingLevelsDeclineEarlier() {
   int filled[2] = {};
   for (int lasting : {0, 1}) {
@@ -385,20 +430,25 @@
     std::uint64_t object = 0;
     auto fill = [&] {  // a pull, and after a look the fill
       SendLeg a = f.Pull(++object, 0, 2000, 20000);
-      if (a.cache == 0 || a.cache != a.source) return a;
+      if (a.cache == 0 || a.cache != a.source)
+        return a;
       f.end(a, Ending::kMiss);
       return f.leg();
     };
     std::vector<SendLeg> out;
-    for (int i = 0; i < 14; ++i) out.push_back(fill());
-    for (std::size_t i = 0; lasting && i < 200; ++i) {  // ten seconds with as many out, none of them overdue
+    for (int i = 0; i < 14; ++i)
+      out.push_back(fill());
+    for (std::size_t i = 0; lasting && i < 200;
+         ++i) {  // ten seconds with as many out, none of them overdue
       f.now += 50;
-      if (out[i].cache) f.end(out[i], Ending::kFinished, Remark::kFilled, i < 8 ? 0 : 1);
+      if (out[i].cache)
+        f.end(out[i], Ending::kFinished, Remark::kFilled, i < 8 ? 0 : 1);
       out.push_back(out[i].cache ? fill() : SendLeg{});
     }
     for (std::size_t i = out.size() - 14; i < out.size(); ++i)
       filled[lasting] += out[i].cache != 0;  // still out
-    for (int i = 0; i < 100; ++i) filled[lasting] += fill().cache != 0;
+    for (int i = 0; i < 100; ++i)
+      filled[lasting] += fill().cache != 0;
   }
   assert(filled[0] > 0 && filled[1] <= filled[0] / 2);
 }
@@ -407,7 +457,8 @@
 static void FullFillPlacesAreNoFault() {
   Front f;
   SendLeg a = f.Pull(1);
-  for (int i = 0; i < 3; ++i) f.end(f.Pull(1), Ending::kFull, Remark::kNoFillPlace);
+  for (int i = 0; i < 3; ++i)
+    f.end(f.Pull(1), Ending::kFull, Remark::kNoFillPlace);
   assert(f.Pull(1).cache == a.cache);
 }
 
@@ -422,7 +473,8 @@
   assert(f.Pull(1).cache != slow);
 }
 
-// A parent whose fills are stretched, or never end, is passed over: its objects move on to the other.
+// A parent whose fills are stretched, or never end, is passed over: its objects move on to the
+// other.
 static void BadParentsArePassedOver() {
   for (bool swallows : {false, true}) {
     Front f;
@@ -433,7 +485,8 @@
     for (std::uint64_t o = 1; o <= 200; ++o) {
       f.now += 40;
       SendLeg a = f.Pull(o, 0, 300);
-      if (o > 100) late += a.source == bad;
+      if (o > 100)
+        late += a.source == bad;
       if (a.source != bad || !swallows)
         f.end(a, Ending::kFinished, Remark::kFilled, 0, a.source == bad ? 600 : 35);
     }
@@ -453,8 +506,8 @@
   assert(legs == 3 && f.Declined());  // two parents and the origin
 }
 
-// Once fills by way of the origin come late, most misses ask a parent only for what it holds, and are
-// declined if it lacks that; when they come early again, all may lead to the origin.
+// Once fills by way of the origin come late, most misses ask a parent only for what it holds, and
+// are declined if it lacks that; when they come early again, all may lead to the origin.
 static void SlowOriginsAreSpared() {
   Front f;
   int spared = 0;
@@ -465,8 +518,12 @@
       SendLeg a = f.Pull(o);
       spared += a.held_only;
       LegEnded e;
-      e.pull = a.pull, e.cache = a.cache, e.took = 105 + waited, e.waited = waited;
-      e.ending = a.held_only ? Ending::kMiss : Ending::kFinished, e.final = !a.held_only;
+      e.pull = a.pull;
+      e.cache = a.cache;
+      e.took = 105 + waited;
+      e.waited = waited;
+      e.ending = a.held_only ? Ending::kMiss : Ending::kFinished;
+      e.final = !a.held_only;
       e.remark = a.held_only ? Remark::kSourceLacks : Remark::kFilledByOrigin;
       f.Tell(e);
       assert(f.Declined() == a.held_only && f.leg().cache == 0);
@@ -476,22 +533,25 @@
   assert(spared == 0);
   round(1000, 1500);
   assert(spared > 50 && spared < 100);
-  for (std::uint64_t from : {2000u, 3000u, 4000u, 5000u}) round(from, 60);
+  for (std::uint64_t from : {2000u, 3000u, 4000u, 5000u})
+    round(from, 60);
   assert(spared == 0);
 }
 
-// When a location has lost most of its caches, what the rest can't take is declined at once: every fill is
-// kept.
+// When a location has lost most of its caches, what the rest can't take is declined at once: every
+// fill is kept.
 static void LostLocationsDecline() {
   Front f;
   ListNews news{Listing::kChanges, {}};
-  for (std::uint32_t id : {11, 12, 13}) news.entries.push_back(MakeEntry(id, kStoreKind, 1, Standing::kGone));
+  for (std::uint32_t id : {11, 12, 13})
+    news.entries.push_back(MakeEntry(id, kStoreKind, 1, Standing::kGone));
   f.Tell(news);
   int legs = 0, declined = 0;
   for (std::uint64_t o = 1; o <= 100; ++o) {
     SendLeg a = f.Pull(o, 0, 300);
     assert(a.cache == 0 || a.cache == 14);
-    legs += a.cache != 0, declined += f.Declined();
+    legs += a.cache != 0;
+    declined += f.Declined();
   }
   assert(legs > 0 && declined > 0 && legs + declined == 100);
 }
@@ -501,30 +561,39 @@
   StoreSheet s = Sheet();
   s.fronts = 200;
   Front f(s), alone;
-  for (std::uint64_t o = 1; o <= 5; ++o) assert(f.Pull(o, 0, 300).source == alone.Pull(o, 0, 300).source);
+  for (std::uint64_t o = 1; o <= 5; ++o)
+    assert(f.Pull(o, 0, 300).source == alone.Pull(o, 0, 300).source);
 }
 
 // A parent whose fills come stretched keeps a share of its objects, the same at all fronts.
 static void CrowdedParentsKeepAShare() {
   StoreSheet s = Sheet();
-  s.weighing = Weighing::kNone, s.fronts = 200;
+  s.weighing = Weighing::kNone;
+  s.fronts = 200;
   Front f(s, 1), g(s, 99);
   std::map<std::uint64_t, std::uint32_t> home;
   int kept = 0, moved = 0, apart = 0;
   for (int round = 0; round < 3; ++round)
     for (std::uint64_t o = 1; o <= 100; ++o) {
-      f.now += 200, g.now += 200;
+      f.now += 200;
+      g.now += 200;
       SendLeg a = f.Pull(o, 0, 600), b = g.Pull(o, 0, 600);
-      if (round == 0) home[o] = a.source;
-      if (round == 2 && home[o] == 21) a.source == 21 ? ++kept : ++moved, apart += a.source != b.source;
-      f.end(a, Ending::kFinished, Remark::kFilled, 0, a.source == 21 && kept + moved < 30 ? 300 : 65);
-      g.end(b, Ending::kFinished, Remark::kFilled, 0, b.source == 21 && kept + moved < 30 ? 300 : 65);
+      if (round == 0)
+        home[o] = a.source;
+      if (round == 2 && home[o] == 21) {
+        a.source == 21 ? ++kept : ++moved;
+        apart += a.source != b.source;
+      }
+      f.end(a, Ending::kFinished, Remark::kFilled, 0,
+            a.source == 21 && kept + moved < 30 ? 300 : 65);
+      g.end(b, Ending::kFinished, Remark::kFilled, 0,
+            b.source == 21 && kept + moved < 30 ? 300 : 65);
     }
   assert(kept > 0 && moved > 0 && apart < 10);
 }
 
-// With so many fronts that one's share of a cold parent is less than a leg, all together send it some, and
-// stay within the rule in every window.
+// With so many fronts that one's share of a cold parent is less than a leg, all together send it
+// some, and stay within the rule in every window.
 static void SharesBelowALegAddUp() {
   StoreSheet s = Sheet();
   s.fronts = 200;
@@ -533,27 +602,31 @@
     fronts.push_back(std::make_unique<Front>(s, seed));
     ListNews news = List();
     for (ListEntry& e : news.entries)
-      if (e.kind == kParentKind) e.started_at = 1e6;
+      if (e.kind == kParentKind)
+        e.started_at = 1e6;
     fronts.back()->Tell(news);
   }
-  double sent = 0, limit = 2 * 60 * (0.1 + 0.9 * 2 / 20) * 1000;  // both parents, in the second window
+  double sent = 0,
+         limit = 2 * 60 * (0.1 + 0.9 * 2 / 20) * 1000;  // both parents, in the second window
   for (std::uint64_t o = 1; o <= 20; ++o)
     for (auto& f : fronts) {
       f->now += 100;
       SendLeg a = f->Pull(o, 0, 1000);
-      if (o > 10 && (a.source == 21 || a.source == 22)) sent += 100;
+      if (o > 10 && (a.source == 21 || a.source == 22))
+        sent += 100;
       f->Finish(a, Remark::kFilled);
     }
   assert(sent > 0.1 * limit && sent <= limit);
 }
 
-// Hundreds of machines that start at one moment, a list that empties, a location with nothing ready: each
-// pull gets a leg or its one final answer at once.
+// Hundreds of machines that start at one moment, a list that empties, a location with nothing
+// ready: each pull gets a leg or its one final answer at once.
 static void OddListsAreBorne() {
   Front f;
   ListNews many{Listing::kWhole, {}}, draining = many;
   for (std::uint32_t id = 100; id < 500; ++id) {
-    many.entries.push_back(MakeEntry(id, id % 20 ? kStoreKind : kParentKind, id % 3, Standing::kReady, f.now));
+    many.entries.push_back(
+        MakeEntry(id, id % 20 ? kStoreKind : kParentKind, id % 3, Standing::kReady, f.now));
     draining.entries.push_back(MakeEntry(id, kStoreKind, id % 3, Standing::kDraining, f.now));
   }
   std::uint64_t object = 0;
@@ -563,16 +636,22 @@
       f.now += 1;
       SendLeg a = f.Pull(++object, i % 7 == 0);
       assert((a.cache != 0) + f.Declined() == 1 && f.did.size() < 5);
-      if (a.cache) f.end(a, Ending::kFinished, Remark::kFilled, 0, 200);
+      if (a.cache)
+        f.end(a, Ending::kFinished, Remark::kFilled, 0, 200);
     }
   }
 }
 
-// Without parents, probes, reports, weights, direct routes or a told link; the list only when asked for.
+// Without parents, probes, reports, weights, direct routes or a told link; the list only when asked
+// for.
 static void WorksWithoutTheExtras() {
   StoreSheet s = Sheet();
-  s.parent_kind = -1, s.may = {}, s.weighing = Weighing::kNone, s.lateral = false;
-  s.link_kb_per_ms = 0, s.asks_for_list = true;
+  s.parent_kind = -1;
+  s.may = {};
+  s.weighing = Weighing::kNone;
+  s.lateral = false;
+  s.link_kb_per_ms = 0;
+  s.asks_for_list = true;
   ListNews news = List();
   Front f(s, 1, {Listing::kRemembered, {news.entries[0], news.entries[1], news.entries[6]}});
   assert(f.all<FollowList>().size() == 1);
@@ -587,23 +666,30 @@
   assert(f.all<WakeMe>().size() == 1);
 }
 
-// Clients have ever so many places here: when nearly all are taken, what earns least for its time is declined
-// at once, and the rest still goes; where places are not told or free, nothing is.
+// Clients have ever so many places here: when nearly all are taken, what earns least for its time
+// is declined at once, and the rest still goes; where places are not told or free, nothing is.
 static void FullPlacesDeclineWhatEarnsLeast() {
   struct Case {
-    int places, open;
+    int places;
+    int open;
     double size_kb;
     bool declined;
   };
-  for (Case c :
-       {Case{0, 100, 4000, false}, {200, 100, 4000, false}, {100, 99, 4000, true}, {100, 99, 500, false}}) {
+  for (Case c : {Case{0, 100, 4000, false},
+                 {200, 100, 4000, false},
+                 {100, 99, 4000, true},
+                 {100, 99, 500, false}}) {
     StoreSheet s = Sheet();
-    s.places = c.places, s.link_kb_per_ms = 1e6;
+    s.places = c.places;
+    s.link_kb_per_ms = 1e6;
     ListNews many{Listing::kWhole, {}};
-    for (std::uint32_t id = 11; id < 60; ++id) many.entries.push_back(MakeEntry(id, kStoreKind, 1));
-    for (std::uint32_t id = 61; id < 80; ++id) many.entries.push_back(MakeEntry(id, kParentKind, 0));
+    for (std::uint32_t id = 11; id < 60; ++id)
+      many.entries.push_back(MakeEntry(id, kStoreKind, 1));
+    for (std::uint32_t id = 61; id < 80; ++id)
+      many.entries.push_back(MakeEntry(id, kParentKind, 0));
     Front f(s, 1, many);
-    for (int i = 0; i < c.open; ++i) f.Pull(1000 + static_cast<std::uint64_t>(i));
+    for (int i = 0; i < c.open; ++i)
+      f.Pull(1000 + static_cast<std::uint64_t>(i));
     SendLeg leg = f.Pull(7, 0, c.size_kb);
     assert(f.Declined() == c.declined && (leg.cache == 0) == c.declined);
   }
@@ -612,19 +698,29 @@
 // A sheet of the shape in which answers tell only hits, and caches report how full their link is.
 static StoreSheet PlainSheet() {
   StoreSheet s = Sheet();
-  s.remarks = false, s.link_kb_per_ms = 0, s.link_report = 1;
+  s.remarks = false;
+  s.link_kb_per_ms = 0;
+  s.link_report = 1;
   return s;
 }
 
-static void Send(Front& f, const SendLeg& a, Ending ending, Remark remark, int leg, Ms took, float level) {
+static void Send(Front& f, const SendLeg& a, Ending ending, Remark remark, int leg, Ms took,
+                 float level) {
   LegEnded e;
-  e.pull = a.pull, e.cache = a.cache, e.leg = leg, e.ending = ending, e.remark = remark, e.took = took;
-  e.final = ending == Ending::kFinished, e.report = {7, level};
+  e.pull = a.pull;
+  e.cache = a.cache;
+  e.leg = leg;
+  e.ending = ending;
+  e.remark = remark;
+  e.took = took;
+  e.final = ending == Ending::kFinished;
+  e.report = {7, level};
   f.Tell(e);
 }
 
-// Found on a quiet day: the link was half full as reported, and held for crowded by what fills waited for
-// their first byte. The level reported is believed, and forgotten where nothing is heard any more.
+// Found on a quiet day: the link was half full as reported, and held for crowded by what fills
+// waited for their first byte. The level reported is believed, and forgotten where nothing is heard
+// any more.
 static void ReportedLinkLevelsAreBelieved() {
   for (float level : {0.3f, 30.0f}) {
     Front f(PlainSheet());
@@ -632,8 +728,10 @@
     for (std::uint64_t o = 1; o <= 100; ++o) {
       f.now += 300;
       SendLeg a = f.Pull(o);
-      if (o > 50) looks += a.cache == a.source;
-      Send(f, a, Ending::kFinished, Remark::kFilled, 0, 105 + 170, level);  // half as long again in waiting
+      if (o > 50)
+        looks += a.cache == a.source;
+      Send(f, a, Ending::kFinished, Remark::kFilled, 0, 105 + 170,
+           level);  // half as long again in waiting
     }
     assert(level < 1 ? looks == 0 : looks == 50);
     f.now += 60000;
@@ -642,8 +740,8 @@
   }
 }
 
-// Where only hits are told: a refusal or an error that comes from behind the cache is its source's, a quick
-// one of a fill has found no place; the cache keeps its pulls.
+// Where only hits are told: a refusal or an error that comes from behind the cache is its source's,
+// a quick one of a fill has found no place; the cache keeps its pulls.
 static void WhatFailsBehindACacheIsTheSources() {
   StoreSheet s = PlainSheet();
   s.may.probe = false;           // sources set aside come back by trial legs
@@ -671,8 +769,9 @@
   assert(f.Pull(1).cache == first.cache);
 }
 
-// Found at full size: a front asks a source once in seconds, and four slow ones in five took most fills. One
-// slow fill, or one still out, turns this front's fills away for a while; then it asks again.
+// Found at full size: a front asks a source once in seconds, and four slow ones in five took most
+// fills. One slow fill, or one still out, turns this front's fills away for a while; then it asks
+// again.
 static void OneSlowFillTellsOfItsSource() {
   for (bool ends : {true, false}) {
     Front f(PlainSheet());
@@ -683,28 +782,32 @@
     }
     SendLeg slow = f.Pull(100);
     f.now += 3000;
-    if (ends) Send(f, slow, Ending::kFinished, Remark::kFilled, 0, 3000, 0.2f);
+    if (ends)
+      Send(f, slow, Ending::kFinished, Remark::kFilled, 0, 3000, 0.2f);
     int asked = 0;
     for (std::uint64_t o = 200; o < 240; ++o) {
       f.now += 20;
       SendLeg a = f.Pull(o);
       asked += a.source == slow.source;
-      if (a.cache) Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
+      if (a.cache)
+        Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
     }
     assert(asked == 0);
-    if (!ends) Send(f, slow, Ending::kFinished, Remark::kFilled, 0, 3800, 0.2f);
+    if (!ends)
+      Send(f, slow, Ending::kFinished, Remark::kFilled, 0, 3800, 0.2f);
     f.now += 120000;
     for (std::uint64_t o = 300; o < 340; ++o) {
       SendLeg a = f.Pull(o);
       asked += a.source == slow.source;
-      if (a.cache) Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
+      if (a.cache)
+        Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
     }
     assert(asked > 0);
   }
 }
 
-// While all sources come late with what they fetch, one is asked for what it holds; if it lacks that, the
-// pull is declined at once, with a time to come back.
+// While all sources come late with what they fetch, one is asked for what it holds; if it lacks
+// that, the pull is declined at once, with a time to come back.
 static void LateSourcesAreAskedForWhatTheyHold() {
   StoreSheet s = PlainSheet();
   s.longest_retry_after = 500;
@@ -712,9 +815,12 @@
   for (std::uint64_t o = 1; o <= 40; ++o) {
     f.now += 200;
     SendLeg a = f.Pull(o);
-    if (!a.cache) continue;
-    if (a.held_only || a.cache == a.source) Send(f, a, Ending::kMiss, Remark::kNone, 0, 20, 0.2f);
-    else Send(f, a, Ending::kFinished, Remark::kFilled, 0, o < 5 ? 150 : 2500, 0.2f);
+    if (!a.cache)
+      continue;
+    if (a.held_only || a.cache == a.source)
+      Send(f, a, Ending::kMiss, Remark::kNone, 0, 20, 0.2f);
+    else
+      Send(f, a, Ending::kFinished, Remark::kFilled, 0, o < 5 ? 150 : 2500, 0.2f);
   }
   SendLeg a = f.Pull(1000);
   assert(a.held_only && (a.source == 21 || a.source == 22));
@@ -725,17 +831,20 @@
   assert(f.did.empty());
 }
 
-// A ticketed pull that is never kept runs at the origin by way of its home cache, whatever the link's level,
-// and is not looked for first; a repeat goes there as long as the origin drops it.
+// A ticketed pull that is never kept runs at the origin by way of its home cache, whatever the
+// link's level, and is not looked for first; a repeat goes there as long as the origin drops it.
 static void TicketsRunAtTheOriginThroughACache() {
   StoreSheet s = PlainSheet();
   s.may.direct = false;
-  s.offerings[1].effect = Effect::kTicketed, s.offerings[1].memory = 6000;
+  s.offerings[1].effect = Effect::kTicketed;
+  s.offerings[1].memory = 6000;
   Front f(s);
   for (std::uint64_t o = 1; o <= 20; ++o) {
     f.now += 300;
     SendLeg a = f.Pull(o);
-    if (a.cache) Send(f, a, a.cache == a.source ? Ending::kMiss : Ending::kFinished, Remark::kNone, 0, 150, 9.0f);
+    if (a.cache)
+      Send(f, a, a.cache == a.source ? Ending::kMiss : Ending::kFinished, Remark::kNone, 0, 150,
+           9.0f);
   }
   SendLeg a = f.Pull(500, 1, 100);
   assert(a.cache >= 11 && a.cache <= 14 && a.source == 31);
@@ -743,36 +852,50 @@
   assert(f.leg().cache && f.leg().source == 31);
 }
 
-// Found on reading: what a parent is asked for only if it holds it tells of that parent too, where waits are
-// told.
+// Found on reading: what a parent is asked for only if it holds it tells of that parent too, where
+// waits are told.
 static void HeldFillsTellOfCrowdedParents() {
   Front f;
   auto end = [&](const SendLeg& a, Remark remark, Ms took, Ms waited) {
     LegEnded e;
-    e.pull = a.pull, e.cache = a.cache, e.ending = Ending::kFinished, e.remark = remark, e.final = true;
-    e.took = took, e.waited = waited;
+    e.pull = a.pull;
+    e.cache = a.cache;
+    e.ending = Ending::kFinished;
+    e.remark = remark;
+    e.final = true;
+    e.took = took;
+    e.waited = waited;
     f.Tell(e);
   };
   int held = 0, crowded = 0;
   for (std::uint64_t o = 1; o <= 600; ++o) {
     f.now += 40;
     SendLeg a = f.Pull(o, 0, 300);
-    if (!a.cache) continue;
+    if (!a.cache)
+      continue;
     bool bad = a.source == 21;
-    if (a.held_only) end(a, Remark::kFilled, bad ? 600 : 35, 0);
-    else end(a, Remark::kFilledByOrigin, 35 + (o < 100 ? 60 : 1500), o < 100 ? 60 : 1500);
-    if (o > 400) held += a.held_only, crowded += a.held_only && bad;
+    if (a.held_only)
+      end(a, Remark::kFilled, bad ? 600 : 35, 0);
+    else
+      end(a, Remark::kFilledByOrigin, 35 + (o < 100 ? 60 : 1500), o < 100 ? 60 : 1500);
+    if (o > 400) {
+      held += a.held_only;
+      crowded += a.held_only && bad;
+    }
   }
   assert(held > 80 && crowded < held / 4);
 }
 
-// By the fleet's verdict a share of the objects goes to another zone's caches: none without it, all with the whole
-// share, the same ones each time; a ticket known to one zone stays; what is set aside or back is told.
+// By the fleet's verdict a share of the objects goes to another zone's caches: none without it, all
+// with the whole share, the same ones each time; a ticket known to one zone stays; what is set
+// aside or back is told.
 static void SharesFollowTheVerdict() {
   StoreSheet s = Sheet();
   s.lateral = true;
   s.offerings.push_back(s.offerings[0]);
-  s.offerings[2].effect = Effect::kTicketed, s.offerings[2].span = Span::kZone, s.offerings[2].memory = 5000;
+  s.offerings[2].effect = Effect::kTicketed;
+  s.offerings[2].span = Span::kZone;
+  s.offerings[2].memory = 5000;
   ListNews news = List();
   int own = s.zone, other = own + 1;
   for (std::uint32_t id : {41u, 42u}) {
@@ -786,15 +909,18 @@
       f.now += 100;
       SendLeg a = f.Pull(o, offering);
       assert(a.cache != 0);
-      assert((a.source != 41 && a.source != 42) || a.source == a.cache);  // no fill from another zone's cache
-      if (a.cache == 41 || a.cache == 42) went.push_back(o);
+      assert((a.source != 41 && a.source != 42) ||
+             a.source == a.cache);  // no fill from another zone's cache
+      if (a.cache == 41 || a.cache == 42)
+        went.push_back(o);
       f.Finish(a, Remark::kFilled);
     }
     return went;
   };
   auto tell_shares = [&](double mine) {
     std::vector<double> shares(static_cast<std::size_t>(other) + 1);
-    shares[static_cast<std::size_t>(own)] = mine, shares[static_cast<std::size_t>(other)] = 1 - mine;
+    shares[static_cast<std::size_t>(own)] = mine;
+    shares[static_cast<std::size_t>(other)] = 1 - mine;
     f.Tell(ZoneShares{shares});
     assert(f.did.empty());
   };
@@ -804,7 +930,8 @@
   assert(half.size() > 70 && half.size() < 130 && half == abroad(0));
   tell_shares(0.25);
   auto most = abroad(0);
-  assert(most.size() > half.size() && std::includes(most.begin(), most.end(), half.begin(), half.end()));
+  assert(most.size() > half.size() &&
+         std::includes(most.begin(), most.end(), half.begin(), half.end()));
   tell_shares(0);
   assert(abroad(0).size() == 200 && abroad(2).empty());
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(41, kStoreKind, other, Standing::kDraining)}});
@@ -813,23 +940,30 @@
     assert(a.cache != 41);
     f.Finish(a, Remark::kHit);
   }
-  for (std::uint32_t id : {41u, 42u}) f.Tell(ListNews{Listing::kChanges, {MakeEntry(id, kStoreKind, other, Standing::kGone)}});
-  SendLeg home = f.Pull(900);  // nobody abroad any more: the own zone's caches, whatever the verdict
+  for (std::uint32_t id : {41u, 42u})
+    f.Tell(ListNews{Listing::kChanges, {MakeEntry(id, kStoreKind, other, Standing::kGone)}});
+  SendLeg home =
+      f.Pull(900);  // nobody abroad any more: the own zone's caches, whatever the verdict
   assert(home.cache != 0 && home.cache != 41 && home.cache != 42);
   f.Finish(home);
   f.Tell(ZoneShares{});
   assert(abroad(0).empty());
-  // Two failures in a row set a cache aside, which is told; two answered probes bring it back, and that is told too.
+  // Two failures in a row set a cache aside, which is told; two answered probes bring it back, and
+  // that is told too.
   SendLeg a = f.Pull(901);
   f.end(a, Ending::kBroken);
   for (std::uint64_t o = 902; f.all<TellHealth>().empty() && o < 1000; ++o) {
     SendLeg b = f.Pull(o);
-    if (b.cache == a.cache) f.end(b, Ending::kBroken);
-    else f.Finish(b, Remark::kHit);
+    if (b.cache == a.cache)
+      f.end(b, Ending::kBroken);
+    else
+      f.Finish(b, Remark::kHit);
   }
-  assert(f.all<TellHealth>().size() == 1 && f.all<TellHealth>()[0].cache == a.cache && f.all<TellHealth>()[0].aside);
+  assert(f.all<TellHealth>().size() == 1 && f.all<TellHealth>()[0].cache == a.cache &&
+         f.all<TellHealth>()[0].aside);
   f.now += 300;
-  for (int i = 0; i < 2; ++i) f.Tell(ProbeEnded{a.cache, true, 1, {}});
+  for (int i = 0; i < 2; ++i)
+    f.Tell(ProbeEnded{a.cache, true, 1, {}});
   assert(f.all<TellHealth>().size() == 1 && !f.all<TellHealth>()[0].aside);
 }
 
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -1,33 +1,40 @@
-// Membership, the verdict in common and their wire: single steps, an exhaustive check of how news is merged, and
-// seeded runs of many members on the staged network with the letter's faults.
+// Membership, the verdict in common and their wire: single steps, an exhaustive check of how news
+// is merged, and seeded runs of many members on the staged network with the letter's faults.
 #include <algorithm>
 #include <cassert>
 #include <cstdio>
-#include <cstring>
 #include <cstdlib>
+#include <cstring>
 #include <functional>
 
-#include "rig/sim.hpp"
 #include "members/wire.hpp"
+#include "rig/sim.hpp"
 
 using namespace dunlinwick;
-using members::State;
 using fleet::Ms;
+using members::State;
 
 namespace {
 
 void Wire() {
   members::Message m;
-  m.kind = members::Kind::kAskPing, m.from = 3, m.to = 9, m.seq = 77, m.target = 4;
+  m.kind = members::Kind::kAskPing;
+  m.from = 3;
+  m.to = 9;
+  m.seq = 77;
+  m.target = 4;
   m.news = {{4, 12, State::kSuspect, 3}, {3, 100, State::kAlive, 3}};
   m.notes = {{3, 5, 0xfeedface12345678}};
   std::string bytes = members::Encode(m);
   auto back = members::Decode(bytes);
-  assert(back && back->kind == m.kind && back->from == 3 && back->to == 9 && back->seq == 77 && back->target == 4);
-  assert(back->news.size() == 2 && back->news[0].state == State::kSuspect && back->news[0].incarnation == 12);
+  assert(back && back->kind == m.kind && back->from == 3 && back->to == 9 && back->seq == 77 &&
+         back->target == 4);
+  assert(back->news.size() == 2 && back->news[0].state == State::kSuspect &&
+         back->news[0].incarnation == 12);
   assert(back->notes.size() == 1 && back->notes[0].bits == 0xfeedface12345678);
   // Whatever a peer sends: short, long, a wrong kind or state, counts past the bound. None throws.
-  for (std::size_t cut = 0; cut < bytes.size(); ++cut) assert(!members::Decode({bytes.data(), cut}));
+  for (std::size_t cut = 0; cut < bytes.size(); ++cut)
+    assert(!members::Decode({bytes.data(), cut}));
   std::string longer = bytes + "x";
   assert(!members::Decode(longer));
   std::string kind = bytes;
@@ -39,23 +46,27 @@
   std::string many = bytes;
   many[20] = 33;
   assert(!members::Decode(many));
-  assert(members::IsViewRequest(std::string_view(members::kViewRequest)) && !members::IsViewRequest(bytes));
+  assert(members::IsViewRequest(std::string_view(members::kViewRequest)) &&
+         !members::IsViewRequest(bytes));
 }
 
-// A model check of the merge: for every order in which one member hears the same pieces of news about another
-// (all incarnations 0..2, all states), it ends in the same state. So members that hear the same, in any order,
-// agree (SWIM's convergence rests on it).
+// A model check of the merge: for every order in which one member hears the same pieces of news
+// about another (all incarnations 0..2, all states), it ends in the same state. So members that
+// hear the same, in any order, agree (SWIM's convergence rests on it).
 void MergeIsOrderFree() {
   std::vector<members::News> all;
   for (std::uint32_t inc = 0; inc < 3; ++inc)
-    for (State s : {State::kAlive, State::kSuspect, State::kDead}) all.push_back({1, inc, s, 2});
+    for (State s : {State::kAlive, State::kSuspect, State::kDead})
+      all.push_back({1, inc, s, 2});
   std::size_t checked = 0;
   // Every subset of up to four pieces, in every order.
   for (unsigned mask = 1; mask < (1u << all.size()); ++mask) {
-    if (__builtin_popcount(mask) > 4) continue;
+    if (__builtin_popcount(mask) > 4)
+      continue;
     std::vector<int> picked;
     for (std::size_t i = 0; i < all.size(); ++i)
-      if (mask >> i & 1) picked.push_back(static_cast<int>(i));
+      if (mask >> i & 1)
+        picked.push_back(static_cast<int>(i));
     std::sort(picked.begin(), picked.end());
     bool first = true;
     State end{};
@@ -65,12 +76,20 @@
       std::vector<members::Message> out;
       for (int i : picked) {
         members::Message m;
-        m.kind = members::Kind::kAck, m.from = 2, m.to = 0, m.seq = 999, m.target = 2;
+        m.kind = members::Kind::kAck;
+        m.from = 2;
+        m.to = 0;
+        m.seq = 999;
+        m.target = 2;
         m.news = {all[static_cast<std::size_t>(i)]};
         s.Receive(0, m, out);
       }
       const members::Member& one = s.Members().at(1);
-      if (first) end = one.state, end_inc = one.incarnation, first = false;
+      if (first) {
+        end = one.state;
+        end_inc = one.incarnation;
+        first = false;
+      }
       assert(one.state == end && one.incarnation == end_inc);
       ++checked;
     } while (std::next_permutation(picked.begin(), picked.end()));
@@ -78,11 +97,16 @@
   std::printf("merge: %zu orders of news checked\n", checked);
 }
 
-// A member that hears it is suspected or dead refutes with a higher incarnation, and the others take that.
+// A member that hears it is suspected or dead refutes with a higher incarnation, and the others
+// take that.
 void Refutes() {
   members::Swim s(0, {1}, 5, {}, 1, 0);
   members::Message m;
-  m.kind = members::Kind::kPing, m.from = 1, m.to = 0, m.seq = 1, m.target = 0;
+  m.kind = members::Kind::kPing;
+  m.from = 1;
+  m.to = 0;
+  m.seq = 1;
+  m.target = 0;
   m.news = {{0, 5, State::kDead, 1}};
   std::vector<members::Message> out;
   s.Receive(0, m, out);
@@ -90,16 +114,19 @@
   assert(out.size() == 1 && out[0].kind == members::Kind::kAck && out[0].news[0].incarnation == 6);
   members::Swim other(1, {0}, 1, {}, 2, 0);
   std::vector<members::Message> none;
-  other.Receive(0, members::Message{members::Kind::kAck, 0, 1, 9, 0, {{0, 4, State::kDead, 1}}, {}}, none);
+  other.Receive(0, members::Message{members::Kind::kAck, 0, 1, 9, 0, {{0, 4, State::kDead, 1}}, {}},
+                none);
   assert(other.Members().at(0).state == State::kDead);
   other.Receive(0, out[0], none);
   assert(other.Members().at(0).state == State::kAlive && other.Members().at(0).incarnation == 6);
   // News of an id that is not configured is passed over, and so is a message from one.
-  other.Receive(0, members::Message{members::Kind::kPing, 7, 1, 1, 1, {{7, 1, State::kAlive, 7}}, {}}, none);
+  other.Receive(
+      0, members::Message{members::Kind::kPing, 7, 1, 1, 1, {{7, 1, State::kAlive, 7}}, {}}, none);
   assert(other.Members().count(7) == 0 && none.empty());
 }
 
-// Three zones in two regions: zone 0 (fronts 0, 1), zone 1 (2, 3), zone 2 (4), region of zone 2 apart.
+// Three zones in two regions: zone 0 (fronts 0, 1), zone 1 (2, 3), zone 2 (4), region of zone 2
+// apart.
 fleet::SimTerms Five(std::uint64_t seed) {
   fleet::SimTerms t;
   t.places = {{0, 0}, {0, 0}, {1, 0}, {1, 0}, {2, 1}};
@@ -111,7 +138,8 @@
 bool Until(fleet::Sim& sim, Ms within, const std::function<bool()>& holds) {
   Ms end = sim.now() + within;
   while (sim.now() < end) {
-    if (holds()) return true;
+    if (holds())
+      return true;
     sim.RunUntil(sim.now() + 100);
   }
   return holds();
@@ -122,12 +150,14 @@
   sim.RunUntil(30000);
   for (members::Id a = 0; a < 5; ++a)
     for (members::Id b = 0; b < 5; ++b)
-      if (a != b) assert(sim.swim(a).Members().at(b).state == State::kAlive);
+      if (a != b)
+        assert(sim.swim(a).Members().at(b).state == State::kAlive);
   assert(sim.AllJudge(0) && sim.judged().empty());
   assert(sim.verdicts(0).verdict().shares[0] == 1.0);
 }
 
-// A killed front: all others take it for dead; its zone (it alone) is left by all together, at one epoch.
+// A killed front: all others take it for dead; its zone (it alone) is left by all together, at one
+// epoch.
 void Killed(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
@@ -136,13 +166,15 @@
   assert(Until(sim, 5000, [&] { return sim.AllJudge(1u << 2); }));
   const failover::Verdict& v = sim.verdicts(0).verdict();
   assert(v.shares[0] == 1.0 && !v.panic);
-  // Back under the same id, as a new process: taken again, and the zone comes back after the hysteresis.
+  // Back under the same id, as a new process: taken again, and the zone comes back after the
+  // hysteresis.
   sim.Restart(4);
   assert(Until(sim, 30000, [&] { return sim.AllSee(4, State::kAlive) && sim.AllJudge(0); }));
   assert(sim.swim(0).Members().at(4).incarnation >= 1000);
   for (members::Id id = 0; id < 5; ++id) {
-    int changes = static_cast<int>(std::count_if(sim.judged().begin(), sim.judged().end(),
-                                                 [&](const fleet::Judged& j) { return j.by == id; }));
+    int changes =
+        static_cast<int>(std::count_if(sim.judged().begin(), sim.judged().end(),
+                                       [&](const fleet::Judged& j) { return j.by == id; }));
     assert(changes <= 2);  // out and back, never flapping
   }
 }
@@ -161,31 +193,36 @@
   assert(sim.AllJudge(0));  // zone 0 kept its other front: it never went out
 }
 
-// One front cut off alone: it holds all other zones out, but alone it is no quorum and keeps its own zone. The
-// others take it for dead; its zone still has front 0, so nobody leaves it.
+// One front cut off alone: it holds all other zones out, but alone it is no quorum and keeps its
+// own zone. The others take it for dead; its zone still has front 0, so nobody leaves it.
 void Alone(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
   sim.CutAround({1});
-  // Alone, its probes fail and Lifeguard slows it down up to nine times: it takes longer to give up on all.
-  assert(Until(sim, 120000, [&] { return sim.swim(1).alive() == 1 && sim.AllSee(1, State::kDead); }));
+  // Alone, its probes fail and Lifeguard slows it down up to nine times: it takes longer to give up
+  // on all.
+  assert(
+      Until(sim, 120000, [&] { return sim.swim(1).alive() == 1 && sim.AllSee(1, State::kDead); }));
   assert(sim.verdicts(1).verdict().out == 0 && sim.verdicts(1).verdict().shares[0] == 1.0);
   assert(sim.verdicts(0).verdict().out == 0);
   sim.HealAll();
   assert(Until(sim, 30000, [&] {
     for (members::Id a = 0; a < 5; ++a)
-      if (!sim.AllSee(a, State::kAlive)) return false;
+      if (!sim.AllSee(a, State::kAlive))
+        return false;
     return sim.AllJudge(0);
   }));
 }
 
-// A minority (zone 1, fronts 2 and 3) cut off: it keeps its zone; the majority leaves zone 1 together.
+// A minority (zone 1, fronts 2 and 3) cut off: it keeps its zone; the majority leaves zone 1
+// together.
 void Minority(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
   sim.CutAround({2, 3});
   sim.RunUntil(sim.now() + 30000);
-  for (members::Id id : {0u, 1u, 4u}) assert(sim.verdicts(id).verdict().out == 1u << 1);
+  for (members::Id id : {0u, 1u, 4u})
+    assert(sim.verdicts(id).verdict().out == 1u << 1);
   for (members::Id id : {2u, 3u}) {
     assert(sim.verdicts(id).verdict().out == 0);
     assert(sim.verdicts(id).verdict().shares[1] == 1.0);
@@ -194,7 +231,8 @@
   assert(Until(sim, 30000, [&] { return sim.AllJudge(0); }));
 }
 
-// A one-way cut: front 4 hears all but is heard by none. It can't answer, so the others take it for dead.
+// A one-way cut: front 4 hears all but is heard by none. It can't answer, so the others take it for
+// dead.
 void OneWay(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
@@ -207,12 +245,18 @@
 // Loss, delay and duplication on every link: after they end, all members agree again on all alive.
 void Lossy(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
-  sim.Everywhere([](fleet::Link& l) { l.loss = 0.3, l.delay = 20, l.jitter = 40, l.duplicate = 0.05; });
+  sim.Everywhere([](fleet::Link& l) {
+    l.loss = 0.3;
+    l.delay = 20;
+    l.jitter = 40;
+    l.duplicate = 0.05;
+  });
   sim.RunUntil(60000);
   sim.Everywhere([](fleet::Link& l) { l = fleet::Link{}; });
   assert(Until(sim, 60000, [&] {
     for (members::Id a = 0; a < 5; ++a)
-      if (!sim.AllSee(a, State::kAlive)) return false;
+      if (!sim.AllSee(a, State::kAlive))
+        return false;
     return sim.AllJudge(0);
   }));
 }
@@ -227,7 +271,8 @@
     sim.RunUntil(20000);
     std::string trace;
     for (const fleet::Seen& s : sim.seen())
-      trace += std::to_string(s.at) + members::ToString(s.state) + std::to_string(s.by) + std::to_string(s.about);
+      trace += std::to_string(s.at) + members::ToString(s.state) + std::to_string(s.by) +
+               std::to_string(s.about);
     return trace + std::to_string(sim.Messages());
   };
   assert(run() == run());
@@ -241,7 +286,13 @@
   MergeIsOrderFree();
   Refutes();
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    Calm(seed), Killed(seed), Paused(seed), Alone(seed), Minority(seed), OneWay(seed), Lossy(seed);
+    Calm(seed);
+    Killed(seed);
+    Paused(seed);
+    Alone(seed);
+    Minority(seed);
+    OneWay(seed);
+    Lossy(seed);
   }
   Replays();
   std::puts("members_test: all passed");
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -1,5 +1,6 @@
-// The move of a configuration to the new shape: what is made of it, what the command does to files, and a
-// front that serves by it on loopback. Arguments: an old configuration, dunlinctl, dunlinwick.
+// The move of a configuration to the new shape: what is made of it, what the command does to files,
+// and a front that serves by it on loopback. Arguments: an old configuration, dunlinctl,
+// dunlinwick.
 #include "migrate/migrate.hpp"
 
 #include <sys/wait.h>
@@ -38,16 +39,21 @@
   return text.replace(text.find(from), from.size(), to);
 }
 bool Names(const std::vector<migrate::Note>& notes, const std::string& field) {
-  return std::any_of(notes.begin(), notes.end(), [&](const migrate::Note& n) { return n.field == field; });
+  return std::any_of(notes.begin(), notes.end(),
+                     [&](const migrate::Note& n) { return n.field == field; });
+}
+StoreSheet SheetOf(const std::string& text) {
+  return front::ReadCharterText(text, "new", "").sheet;
 }
-StoreSheet SheetOf(const std::string& text) { return front::ReadCharterText(text, "new", "").sheet; }
 
 void TheNewShapeIsWhatTheModuleReads() {
   StoreSheet old = SheetOf(example);
-  assert(old.remarks && old.link_report < 0 && old.link_kb_per_ms > 0 && old.may.two_legs_at_once && old.lateral);
+  assert(old.remarks && old.link_report < 0 && old.link_kb_per_ms > 0 && old.may.two_legs_at_once &&
+         old.lateral);
   migrate::Outcome done = migrate::Migrated(example, "f", {});
   StoreSheet s = SheetOf(done.text);
-  assert(!s.remarks && s.link_report == 2 && s.link_kb_per_ms == 0 && !s.may.two_legs_at_once && !s.lateral);
+  assert(!s.remarks && s.link_report == 2 && s.link_kb_per_ms == 0 && !s.may.two_legs_at_once &&
+         !s.lateral);
   for (const char* field :
        {"settings.limits.mayDuplicate", "settings.familyInfo.detail", "settings.familyInfo.lateral",
         "settings.familyInfo.pipeKbPerS", "settings.report.names", "settings.report.via"})
@@ -73,18 +79,23 @@
 
 void ChoicesAreTheOperators() {
   Target target;
-  target.siblings = "any", target.direct = false, target.joins = true, target.probes = false;
+  target.siblings = "any";
+  target.direct = false;
+  target.joins = true;
+  target.probes = false;
   StoreSheet s = SheetOf(migrate::Migrated(example, "f", target).text);
   assert(s.lateral && !s.may.direct && s.may.join && !s.may.probe);
   // Four values are the most in a report.
   migrate::Outcome full = migrate::Migrated(
-      With(example, "[\"load_share\", \"concurrent\"]", "[\"depth\",\"tps\",\"x0\",\"err_ps\"]"), "f", {});
+      With(example, "[\"load_share\", \"concurrent\"]", "[\"depth\",\"tps\",\"x0\",\"err_ps\"]"),
+      "f", {});
   assert(Names(full.left, "settings.report.names") && SheetOf(full.text).link_report == 3);
 }
 
 void BadInputIsRefusedWithPlaceAndReason() {
   struct Case {
-    std::string text, said;
+    std::string text;
+    std::string said;
   };
   Target none;
   for (const Case& c :
@@ -96,7 +107,8 @@
              "classes.0.idempotency is none of repeatable, by_key, once: twice"},
         Case{With(example, "\"mayDuplicate\": true", "\"mayDuplicate\": \"yes\""),
              "limits.mayDuplicate is neither true nor false: yes"},
-        Case{With(example, "\"maxAttempts\": 4", "\"maxAttempts\": 0"), "limits.maxAttempts is out of"},
+        Case{With(example, "\"maxAttempts\": 4", "\"maxAttempts\": 0"),
+             "limits.maxAttempts is out of"},
         Case{With(example, "\"purgeDone\": 6000", "\"purgeDone\": 6000, \"detail\": \"so\\nso\""),
              "familyInfo.detail is none of all, hit, none: so_so"}}) {
     std::string said;
@@ -124,28 +136,34 @@
 
 struct Said {
   int code;
-  std::string out, err;
+  std::string out;
+  std::string err;
 };
 Said Run(const std::string& arguments) {
   fs::path out = folder / "out.txt", err = folder / "err.txt";
-  int status = std::system(
-      ("'" + ctl + "' config migrate " + arguments + " >'" + out.string() + "' 2>'" + err.string() + "'")
-          .c_str());
+  int status = std::system(("'" + ctl + "' config migrate " + arguments + " >'" + out.string() +
+                            "' 2>'" + err.string() + "'")
+                               .c_str());
   assert(WIFEXITED(status));
   Said said{WEXITSTATUS(status), Read(out), Read(err)};
-  fs::remove(out), fs::remove(err);
+  fs::remove(out);
+  fs::remove(err);
   return said;
 }
-std::string Quoted(const fs::path& path) { return std::string("'").append(path.string()).append("'"); }
+std::string Quoted(const fs::path& path) {
+  return std::string("'").append(path.string()).append("'");
+}
 std::size_t Files() {
-  return static_cast<std::size_t>(std::distance(fs::directory_iterator(folder), fs::directory_iterator()));
+  return static_cast<std::size_t>(
+      std::distance(fs::directory_iterator(folder), fs::directory_iterator()));
 }
 
 void TheCommandTouchesNothingButItsOutput() {
   fs::path old = folder / "old.json", fresh = folder / "new.json", twin = folder / "twin.json";
   Write(old, example);
   Said dry = Run(Quoted(old) + " --dry-run");
-  assert(dry.code == 3 && dry.out.find("left behind settings.classes.1.idempotency") != dry.out.npos &&
+  assert(dry.code == 3 &&
+         dry.out.find("left behind settings.classes.1.idempotency") != dry.out.npos &&
          Files() == 1);
   Said done = Run(Quoted(old) + " --out " + Quoted(fresh));
   assert(done.code == 3 && Read(old) == example && Files() == 2);
@@ -155,30 +173,33 @@
   std::string before = Read(fresh);
   for (const fs::path& taken : {old, twin, fresh}) {
     Said said = Run(Quoted(old) + " --out " + Quoted(taken));
-    assert(said.code == 2 && std::count(said.err.begin(), said.err.end(), '\n') == 1 && said.out.empty());
+    assert(said.code == 2 && std::count(said.err.begin(), said.err.end(), '\n') == 1 &&
+           said.out.empty());
   }
   assert(Read(old) == example && Read(fresh) == before && Files() == 3);
   Said again = Run(Quoted(fresh) + " --ticketed order-handover=6000 --dry-run --json");
-  assert(again.code == 0 && again.out.find("\"written\": null") != again.out.npos && json::Read(again.out));
+  assert(again.code == 0 && again.out.find("\"written\": null") != again.out.npos &&
+         json::Read(again.out));
   // Bad input: one line, 2, nothing written.
   fs::path bad = folder / "bad.json", none = folder / "none.json";
   Write(bad, "{\n  \"name\": 1,,\n}");
   for (const std::string& arguments :
-       {Quoted(bad) + " --dry-run", Quoted(none) + " --dry-run", Quoted(old), Quoted(folder) + " --dry-run",
-        Quoted(old) + " --dry-run --ticketed order-handover=soon",
+       {Quoted(bad) + " --dry-run", Quoted(none) + " --dry-run", Quoted(old),
+        Quoted(folder) + " --dry-run", Quoted(old) + " --dry-run --ticketed order-handover=soon",
         Quoted(old) + " --dry-run --ticketed x=6000",
         Quoted(old) + " --out '" + (folder / "no/such/place.json").string() + "'"}) {
     Said said = Run(arguments);
     assert(said.code == 2 && std::count(said.err.begin(), said.err.end(), '\n') == 1);
   }
-  assert(Run(Quoted(bad) + " --dry-run").err.find("bad.json:2: ") != std::string::npos && Files() == 4);
+  assert(Run(Quoted(bad) + " --dry-run").err.find("bad.json:2: ") != std::string::npos &&
+         Files() == 4);
   assert(Run("--help").out.find("exit: 0 all carried over, 3 something") != std::string::npos);
 }
 
 // ---- a front that serves by it, among stand-ins on loopback
 
-// A refusal that comes from behind the cache is its source's where answers tell only hits: the pull is asked
-// of the same cache again, with another source. By the old shape the next cache is asked.
+// A refusal that comes from behind the cache is its source's where answers tell only hits: the pull
+// is asked of the same cache again, with another source. By the old shape the next cache is asked.
 void AFrontServesByBothShapes() {
   for (bool moved : {false, true}) {
     loop::Loop loop;
@@ -192,7 +213,8 @@
       text = With(text, from, to);
     fs::path file = folder / "front.json";
     Write(file, text);
-    assert(std::system(("'" + node + "' check --config " + Quoted(file) + " >/dev/null").c_str()) == 0);
+    assert(std::system(("'" + node + "' check --config " + Quoted(file) + " >/dev/null").c_str()) ==
+           0);
     pid_t child = ::fork();
     assert(child >= 0);
     if (child == 0) {
@@ -202,21 +224,26 @@
     Far watch = board.Next(loop);
     Far client = Far::To(at);
     client.Send(
-        "GET /ops/video-parts/7f3a HTTP/1.1\r\nX-Request-Id: 00000000000000a1\r\nX-Timeout-Ms: 60000\r\n"
+        "GET /ops/video-parts/7f3a HTTP/1.1\r\nX-Request-Id: 00000000000000a1\r\nX-Timeout-Ms: "
+        "60000\r\n"
         "X-Group: 1\r\n\r\n");
     // Whichever cache is the home gets the pull; the other hears nothing of it yet.
     std::vector<std::pair<int, Far>> heard;
     std::vector<FarListener*> stores{&one, &two};
     auto take = [&] {
       for (int i = 0; i < 2; ++i) {
-        int got = ::accept4(stores[static_cast<std::size_t>(i)]->fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-        if (got >= 0) heard.emplace_back(i, Far(loop::Descriptor(got)));
+        int got = ::accept4(stores[static_cast<std::size_t>(i)]->fd.Get(), nullptr, nullptr,
+                            SOCK_NONBLOCK);
+        if (got >= 0)
+          heard.emplace_back(i, Far(loop::Descriptor(got)));
       }
     };
-    auto wanted = [&](std::size_t n) -> std::pair<int, Far>* {  // the nth connection that carries the pull
+    auto wanted =
+        [&](std::size_t n) -> std::pair<int, Far>* {  // the nth connection that carries the pull
       take();
       for (auto& one : heard)
-        if (one.second.Hears("want 00000000000000a1") && n-- == 0) return &one;
+        if (one.second.Hears("want 00000000000000a1") && n-- == 0)
+          return &one;
       return nullptr;
     };
     Until(loop, [&] { return wanted(0) != nullptr; });
@@ -227,7 +254,8 @@
     Until(loop, [&] { return wanted(1) != nullptr; });
     assert((wanted(1)->first == home) == moved);
     assert(!moved || wanted(1)->second.got.find("miss=origin") != std::string::npos);
-    wanted(1)->second.Send("00000000000000a1 HIT entity=t,issued=1,remark=local,report=x1:0.4 2\r\nok\r\n");
+    wanted(1)->second.Send(
+        "00000000000000a1 HIT entity=t,issued=1,remark=local,report=x1:0.4 2\r\nok\r\n");
     Until(loop, [&] { return client.Hears("\r\n\r\nok"); });
     ::kill(child, SIGTERM);
     int status = -1;
@@ -241,7 +269,9 @@
 
 int main(int argc, char** argv) {
   assert(argc == 4);
-  example = Read(argv[1]), ctl = argv[2], node = argv[3];
+  example = Read(argv[1]);
+  ctl = argv[2];
+  node = argv[3];
   std::string name = (fs::temp_directory_path() / "migrate-XXXXXX").string();
   assert(::mkdtemp(name.data()));
   folder = name;
@@ -249,12 +279,13 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"the new shape is what the module reads", TheNewShapeIsWhatTheModuleReads},
-                 {"what is moved needs no further move", WhatIsMovedNeedsNoFurtherMove},
-                 {"choices are the operators'", ChoicesAreTheOperators},
-                 {"bad input is refused with place and reason", BadInputIsRefusedWithPlaceAndReason},
-                 {"a front serves by both shapes", AFrontServesByBothShapes},
-                 {"the command touches nothing but its output", TheCommandTouchesNothingButItsOutput}}) {
+  for (Case c :
+       {Case{"the new shape is what the module reads", TheNewShapeIsWhatTheModuleReads},
+        {"what is moved needs no further move", WhatIsMovedNeedsNoFurtherMove},
+        {"choices are the operators'", ChoicesAreTheOperators},
+        {"bad input is refused with place and reason", BadInputIsRefusedWithPlaceAndReason},
+        {"a front serves by both shapes", AFrontServesByBothShapes},
+        {"the command touches nothing but its output", TheCommandTouchesNothingButItsOutput}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/mutants.cpp
+++ b/tests/mutants.cpp
@@ -19,12 +19,15 @@
   Decider around(Decider module, const StoreSheet& sheet) override {
     sheet_ = sheet;
     return [this, module = std::move(module)](Ms now, const Event& event) {
-      if (auto* p = std::get_if<PullCame>(&event)) note(now, *p);
+      if (auto* p = std::get_if<PullCame>(&event))
+        note(now, *p);
       Event told = event;
       Actions actions;
-      if (Tell(now, told)) actions = module(now, told);
+      if (Tell(now, told))
+        actions = module(now, told);
       for (const Action& a : actions)
-        if (auto* s = std::get_if<SendLeg>(&a)) pulls_[s->pull].legs.push_back(*s);
+        if (auto* s = std::get_if<SendLeg>(&a))
+          pulls_[s->pull].legs.push_back(*s);
       Act(now, event, actions);
       return actions;
     };
@@ -36,11 +39,16 @@
     Ms at = 0;
     std::vector<SendLeg> legs;
   };
-  virtual bool Tell(Ms, Event&) { return true; }               // false: the module is not told
-  virtual void Act(Ms, const Event&, Actions&) {}              // after the module's own
-  Effect effect(std::uint32_t pull) { return sheet_.offerings[static_cast<std::size_t>(pulls_[pull].came.offering)].effect; }
+  virtual bool Tell(Ms, Event&) {
+    return true;
+  }                                                // false: the module is not told
+  virtual void Act(Ms, const Event&, Actions&) {}  // after the module's own
+  Effect effect(std::uint32_t pull) {
+    return sheet_.offerings[static_cast<std::size_t>(pulls_[pull].came.offering)].effect;
+  }
   static bool Unclear(const LegEnded& e) {
-    return e.ending == Ending::kBroken || e.ending == Ending::kTimedOut || e.ending == Ending::kError;
+    return e.ending == Ending::kBroken || e.ending == Ending::kTimedOut ||
+           e.ending == Ending::kError;
   }
 
   StoreSheet sheet_;
@@ -49,7 +57,8 @@
  private:
   void note(Ms now, const PullCame& p) {
     pulls_[p.pull] = {p, now, {}};
-    if (pulls_.size() > 1000) pulls_.erase(pulls_.begin());
+    if (pulls_.size() > 1000)
+      pulls_.erase(pulls_.begin());
   }
 };
 
@@ -68,10 +77,13 @@
 };
 class AnswersTwice : public Break {
   std::string Sent(std::string bytes) override {
-    if (!bytes.starts_with("HTTP/1.1 503")) return bytes;
+    if (!bytes.starts_with("HTTP/1.1 503"))
+      return bytes;
     return ++count_ % 10 == 0 ? bytes + bytes : bytes;
   }
-  bool Sends() const override { return true; }
+  bool Sends() const override {
+    return true;
+  }
   int count_ = 0;
 };
 class AnswersTooLate : public Around {  // a refusal is kept until its client's time is over
@@ -84,11 +96,15 @@
         continue;
       }
       held_[d->pull] = *d;
-      now_.push_back(WakeMe{pulls_[d->pull].at + pulls_[d->pull].came.ttl + 65, 1ull << 62 | d->pull});
+      now_.push_back(
+          WakeMe{pulls_[d->pull].at + pulls_[d->pull].came.ttl + 65, 1ull << 62 | d->pull});
     }
     if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1) {
       auto at = held_.find(static_cast<std::uint32_t>(w->handle));
-      if (at != held_.end()) now_.push_back(at->second), held_.erase(at);
+      if (at != held_.end()) {
+        now_.push_back(at->second);
+        held_.erase(at);
+      }
     }
     (void)now;
     a = std::move(now_);
@@ -109,11 +125,14 @@
         continue;
       }
       held_[d->pull] = *d;
-      out.push_back(WakeMe{pulls_[d->pull].at + 0.8 * pulls_[d->pull].came.ttl, 1ull << 62 | d->pull});
+      out.push_back(
+          WakeMe{pulls_[d->pull].at + 0.8 * pulls_[d->pull].came.ttl, 1ull << 62 | d->pull});
     }
     if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1)
-      if (auto at = held_.find(static_cast<std::uint32_t>(w->handle)); at != held_.end())
-        out.push_back(at->second), held_.erase(at);
+      if (auto at = held_.find(static_cast<std::uint32_t>(w->handle)); at != held_.end()) {
+        out.push_back(at->second);
+        held_.erase(at);
+      }
     a = std::move(out);
   }
   bool Tell(Ms, Event& e) override {
@@ -135,8 +154,10 @@
       out.push_back(WakeMe{now + 1000, 1ull << 62 | d->pull});
     }
     if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1)
-      if (auto at = held_.find(static_cast<std::uint32_t>(w->handle)); at != held_.end())
-        out.push_back(at->second), held_.erase(at);
+      if (auto at = held_.find(static_cast<std::uint32_t>(w->handle)); at != held_.end()) {
+        out.push_back(at->second);
+        held_.erase(at);
+      }
     a = std::move(out);
   }
   bool Tell(Ms, Event& e) override {
@@ -147,21 +168,27 @@
 };
 class MakesUpBytes : public Break {
   std::string Sent(std::string bytes) override {
-    if (bytes.starts_with("HTTP/1.1 200") && bytes.size() > 300 && ++count_ % 50 == 0) bytes.back() ^= 1;
+    if (bytes.starts_with("HTTP/1.1 200") && bytes.size() > 300 && ++count_ % 50 == 0)
+      bytes.back() ^= 1;
     return bytes;
   }
-  bool Sends() const override { return true; }
+  bool Sends() const override {
+    return true;
+  }
   int count_ = 0;
 };
 class RepeatsExclusive : public Around {  // after an end that leaves unclear whether it ran
   void Act(Ms, const Event& event, Actions& a) override {
     auto* e = std::get_if<LegEnded>(&event);
-    if (!e || e->final || !Unclear(*e) || !pulls_.count(e->pull) || effect(e->pull) != Effect::kExclusive) return;
+    if (!e || e->final || !Unclear(*e) || !pulls_.count(e->pull) ||
+        effect(e->pull) != Effect::kExclusive)
+      return;
     std::erase_if(a, [&](const Action& one) {
       auto* b = std::get_if<AbandonPull>(&one);
       return b && b->pull == e->pull;
     });
-    if (pulls_[e->pull].legs.empty()) return;
+    if (pulls_[e->pull].legs.empty())
+      return;
     SendLeg again = pulls_[e->pull].legs.back();
     pulls_[e->pull].legs.push_back(again);
     a.push_back(again);
@@ -177,7 +204,8 @@
 class DoublesExclusive : public Around {  // two legs at once, for speed
   void Act(Ms, const Event& event, Actions& a) override {
     auto* p = std::get_if<PullCame>(&event);
-    if (!p || effect(p->pull) != Effect::kExclusive) return;
+    if (!p || effect(p->pull) != Effect::kExclusive)
+      return;
     for (std::size_t i = 0; i < a.size(); ++i)
       if (auto* s = std::get_if<SendLeg>(&a[i])) {
         SendLeg again = *s;
@@ -190,10 +218,12 @@
   void Act(Ms, const Event& event, Actions& a) override {
     if (auto* p = std::get_if<PullCame>(&event); p && effect(p->pull) == Effect::kTicketed) {
       for (const Action& one : a)
-        if (auto* s = std::get_if<SendLeg>(&one); s && s->source != s->cache) parent_ = s->source;
+        if (auto* s = std::get_if<SendLeg>(&one); s && s->source != s->cache)
+          parent_ = s->source;
     }
     auto* e = std::get_if<LegEnded>(&event);
-    if (!e || e->final || !Unclear(*e) || !pulls_.count(e->pull) || effect(e->pull) != Effect::kTicketed || parent_ == 0)
+    if (!e || e->final || !Unclear(*e) || !pulls_.count(e->pull) ||
+        effect(e->pull) != Effect::kTicketed || parent_ == 0)
       return;
     std::erase_if(a, [&](const Action& one) {
       auto* s = std::get_if<SendLeg>(&one);
@@ -201,7 +231,9 @@
       return (s && s->pull == e->pull) || (b && b->pull == e->pull);
     });
     SendLeg again;
-    again.pull = e->pull, again.cache = again.source = parent_, again.rank = 1;
+    again.pull = e->pull;
+    again.cache = again.source = parent_;
+    again.rank = 1;
     a.push_back(again);
   }
   std::uint32_t parent_ = 0;
@@ -210,7 +242,8 @@
   bool Tell(Ms, Event& e) override {
     if (auto* n = std::get_if<ListNews>(&e))
       for (ListEntry& one : n->entries)
-        if (one.standing == Standing::kDraining && one.kind == 0) one.standing = Standing::kReady;
+        if (one.standing == Standing::kDraining && one.kind == 0)
+          one.standing = Standing::kReady;
     return true;
   }
 };
@@ -218,7 +251,8 @@
   bool Tell(Ms, Event& e) override {
     if (auto* n = std::get_if<ListNews>(&e))
       for (ListEntry& one : n->entries)
-        if (one.standing == Standing::kDraining && one.kind == sheet_.parent_kind) one.standing = Standing::kReady;
+        if (one.standing == Standing::kDraining && one.kind == sheet_.parent_kind)
+          one.standing = Standing::kReady;
     return true;
   }
 };
@@ -251,24 +285,29 @@
 class AsksNoAge : public Around {
   void Act(Ms, const Event&, Actions& a) override {
     for (Action& one : a)
-      if (auto* s = std::get_if<SendLeg>(&one)) s->oldest = 0;
+      if (auto* s = std::get_if<SendLeg>(&one))
+        s->oldest = 0;
   }
 };
 
 class GoesFar : public Around {  // half its pulls go to another zone, whatever its fleet says
   bool Tell(Ms, Event& e) override {
-    if (auto* told = std::get_if<ZoneShares>(&e)) told->shares = shares_;
+    if (auto* told = std::get_if<ZoneShares>(&e))
+      told->shares = shares_;
     return true;
   }
   Decider around(Decider module, const StoreSheet& sheet) override {
     shares_.assign(4, 0);  // the hub and three stores
-    for (std::size_t z : {static_cast<std::size_t>(sheet.zone), static_cast<std::size_t>(sheet.zone == 1 ? 2 : 1)}) shares_[z] = 0.5;
+    for (std::size_t z :
+         {static_cast<std::size_t>(sheet.zone), static_cast<std::size_t>(sheet.zone == 1 ? 2 : 1)})
+      shares_[z] = 0.5;
     module(0, ZoneShares{shares_});
     return Around::around(std::move(module), sheet);
   }
   std::vector<double> shares_;
 };
-class GoesByItsOwnView : public Around {  // a cache that it sets aside sends it to another zone, without asking its fleet
+class GoesByItsOwnView : public Around {  // a cache that it sets aside sends it to another zone,
+                                          // without asking its fleet
   void Act(Ms now, const Event&, Actions& a) override {
     for (const Action& one : a)
       if (auto* told = std::get_if<TellHealth>(&one); told && told->aside) {
@@ -286,7 +325,9 @@
 
 template <class T>
 drill::Breaker Made() {
-  return [] { return std::unique_ptr<Break>(std::make_unique<T>()); };
+  return [] {
+    return std::unique_ptr<Break>(std::make_unique<T>());
+  };
 }
 
 const char* const kCrowd = R"({"length_s": 14, "troubles": [
@@ -299,11 +340,14 @@
 const char* const kDrains = R"({"length_s": 20, "troubles": [
   {"what": "drain", "whom": "cache", "count": 3, "at_s": 4, "for_s": 6},
   {"what": "drain", "whom": "area", "at_s": 5, "for_s": 6}]})";
-const char* const kColdCaches = R"({"length_s": 25, "load": {"pulls_per_s": 240, "of_capacity": 1.3}, "troubles": [
+const char* const kColdCaches =
+    R"({"length_s": 25, "load": {"pulls_per_s": 240, "of_capacity": 1.3}, "troubles": [
   {"what": "restart", "whom": "cache", "count": 0, "at_s": 4, "for_s": 1}]})";
-const char* const kColdAreas = R"({"length_s": 30, "load": {"pulls_per_s": 240, "of_capacity": 0.9}, "troubles": [
+const char* const kColdAreas =
+    R"({"length_s": 30, "load": {"pulls_per_s": 240, "of_capacity": 0.9}, "troubles": [
   {"what": "restart", "whom": "area", "count": 1, "at_s": 4, "for_s": 2}]})";
-const char* const kAlone = R"({"length_s": 20, "fleet": {"fronts": 6, "in_common": true}, "troubles": [
+const char* const kAlone =
+    R"({"length_s": 20, "fleet": {"fronts": 6, "in_common": true}, "troubles": [
   {"what": "apart", "whom": "front-1", "at_s": 2, "for_s": 16},
   {"what": "kill", "whom": "cache", "count": 6, "at_s": 6}]})";
 const char* const kPurges = R"({"length_s": 30, "troubles": [
@@ -314,35 +358,46 @@
 
 const std::vector<Mutant>& All() {
   static const std::vector<Mutant> kList{
-      {"loses-refusals", "what is declined or abandoned is never told", Rule::kAnswer, Made<LosesRefusals>(), kCrowd},
-      {"forgets-to-wake", "neither a pull nor a leg is ended by its time", Rule::kAnswer, Made<ForgetsToWake>(),
+      {"loses-refusals", "what is declined or abandoned is never told", Rule::kAnswer,
+       Made<LosesRefusals>(), kCrowd},
+      {"forgets-to-wake", "neither a pull nor a leg is ended by its time", Rule::kAnswer,
+       Made<ForgetsToWake>(),
        R"({"length_s": 20, "troubles": [{"what": "swallowed", "whom": "cache", "count": 0, "at_s": 2, "for_s": 15, "share": 0.05},
           {"what": "swallowed", "whom": "office", "at_s": 2, "for_s": 15, "share": 0.3}]})"},
-      {"answers-twice", "one refusal in ten is written twice", Rule::kAnswer, Made<AnswersTwice>(), kCrowd},
-      {"answers-too-late", "a refusal comes after its client's time", Rule::kAnswer, Made<AnswersTooLate>(), kCrowd},
-      {"makes-up-bytes", "one answer in fifty has a byte changed", Rule::kAnswer, Made<MakesUpBytes>(),
-       R"({"length_s": 8})"},
+      {"answers-twice", "one refusal in ten is written twice", Rule::kAnswer, Made<AnswersTwice>(),
+       kCrowd},
+      {"answers-too-late", "a refusal comes after its client's time", Rule::kAnswer,
+       Made<AnswersTooLate>(), kCrowd},
+      {"makes-up-bytes", "one answer in fifty has a byte changed", Rule::kAnswer,
+       Made<MakesUpBytes>(), R"({"length_s": 8})"},
       {"repeats-exclusive", "an exclusive pull goes out again after an unclear end", Rule::kEffect,
        Made<RepeatsExclusive>(), kBrokenLegs},
-      {"declines-what-may-have-run", "an exclusive pull with an unclear end is declined", Rule::kEffect,
-       Made<DeclinesWhatMayHaveRun>(), kBrokenLegs},
-      {"doubles-exclusive", "an exclusive pull gets two legs at once", Rule::kEffect, Made<DoublesExclusive>(),
-       R"({"length_s": 8})"},
-      {"leaves-the-group", "a ticketed pull with an unclear end goes to another group", Rule::kEffect,
-       Made<LeavesTheGroup>(), kBrokenTickets},
-      {"ignores-drains", "legs go on to a cache that drains", Rule::kDrain, Made<IgnoresDrains>(), kDrains},
+      {"declines-what-may-have-run", "an exclusive pull with an unclear end is declined",
+       Rule::kEffect, Made<DeclinesWhatMayHaveRun>(), kBrokenLegs},
+      {"doubles-exclusive", "an exclusive pull gets two legs at once", Rule::kEffect,
+       Made<DoublesExclusive>(), R"({"length_s": 8})"},
+      {"leaves-the-group", "a ticketed pull with an unclear end goes to another group",
+       Rule::kEffect, Made<LeavesTheGroup>(), kBrokenTickets},
+      {"ignores-drains", "legs go on to a cache that drains", Rule::kDrain, Made<IgnoresDrains>(),
+       kDrains},
       {"fills-from-drained", "an area cache that drains is still named as a source", Rule::kDrain,
        Made<FillsFromDrained>(), kDrains},
       {"takes-cold-for-warm", "a cache that has just started gets its full share", Rule::kCold,
        Made<TakesColdForWarm>(), kColdCaches},
-      {"takes-cold-area-for-warm", "an area cache that has just started gets all its fills", Rule::kCold,
-       Made<TakesColdAreaForWarm>(), kColdAreas},
-      {"forgets-purges", "purges of objects are not passed on", Rule::kPurge, Made<ForgetsPurges>(), kPurges},
-      {"forgets-group-purges", "purges of groups are not passed on", Rule::kPurge, Made<ForgetsGroupPurges>(), kPurges},
-      {"asks-no-age", "no leg says how old a copy may be", Rule::kPurge, Made<AsksNoAge>(), kPurges},
-      {"holds-refusals", "a refusal is held until near its client's time", Rule::kHeld, Made<HoldsRefusals>(), kCrowd},
-      {"goes-far", "half the pulls go to another zone, whatever the fleet says", Rule::kNear, Made<GoesFar>(), kAlone},
-      {"goes-by-its-own-view", "a front leaves its zone by what it alone sees", Rule::kNear, Made<GoesByItsOwnView>(), kAlone},
+      {"takes-cold-area-for-warm", "an area cache that has just started gets all its fills",
+       Rule::kCold, Made<TakesColdAreaForWarm>(), kColdAreas},
+      {"forgets-purges", "purges of objects are not passed on", Rule::kPurge, Made<ForgetsPurges>(),
+       kPurges},
+      {"forgets-group-purges", "purges of groups are not passed on", Rule::kPurge,
+       Made<ForgetsGroupPurges>(), kPurges},
+      {"asks-no-age", "no leg says how old a copy may be", Rule::kPurge, Made<AsksNoAge>(),
+       kPurges},
+      {"holds-refusals", "a refusal is held until near its client's time", Rule::kHeld,
+       Made<HoldsRefusals>(), kCrowd},
+      {"goes-far", "half the pulls go to another zone, whatever the fleet says", Rule::kNear,
+       Made<GoesFar>(), kAlone},
+      {"goes-by-its-own-view", "a front leaves its zone by what it alone sees", Rule::kNear,
+       Made<GoesByItsOwnView>(), kAlone},
       {"holds-a-while", "a refusal is held for a second", Rule::kHeld, Made<HoldsAWhile>(), kCrowd},
   };
   return kList;
@@ -356,12 +411,14 @@
     options.seed = seed;
     options.breaker = m.breaker;
     drill::Outcome o = drill::Play(script, options);
-    if (o.Kept()) continue;
+    if (o.Kept())
+      continue;
     v.caught = true;
     v.seed = seed;
     for (const rules::Breach& b : o.breaches)
       if (b.rule == m.breaks) {
-        v.by_its_rule = true, v.first = b;
+        v.by_its_rule = true;
+        v.first = b;
         break;
       }
     options.breaker = nullptr;
--- a/tests/mutants.hpp
+++ b/tests/mutants.hpp
@@ -1,5 +1,6 @@
-// Fronts broken on purpose, each at one seam: around the module, or between the process and its network. The
-// checker must find every one by the rule it breaks, in a drill that the unbroken front passes.
+// Fronts broken on purpose, each at one seam: around the module, or between the process and its
+// network. The checker must find every one by the rule it breaks, in a drill that the unbroken
+// front passes.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,7 +10,8 @@
 namespace dunlinwick::mutants {
 
 struct Mutant {
-  std::string name, what;
+  std::string name;
+  std::string what;
   rules::Rule breaks;
   drill::Breaker breaker;
   std::string drill;  // JSON, as a script's file
@@ -18,7 +20,9 @@
 const std::vector<Mutant>& All();
 
 struct Verdict {
-  bool caught = false, by_its_rule = false, unbroken_kept = false;
+  bool caught = false;
+  bool by_its_rule = false;
+  bool unbroken_kept = false;
   std::uint64_t seed = 0;  // with which it was caught
   rules::Breach first;     // of its rule, where that was found
 };
--- a/tests/owner_fleet_test.cpp
+++ b/tests/owner_fleet_test.cpp
@@ -1,8 +1,10 @@
-// Ownership by five processes of the front, three of them the group, with two stand-ins that carry work out behind fences and a fault
-// relay on every link: an owner paused past its lease, an owner cut from the group that still reaches the places, the leader
-// killed in a handover, a member that comes back without its store, one-way cuts and links slow near the lease. The checker of
-// histories judges each part. Times are printed as figures, never asserted. Arguments: the programs, and a part; then `peers` for one socket
-// a front, or, with the part `rolling`, the front's program of another version.
+// Ownership by five processes of the front, three of them the group, with two stand-ins that carry
+// work out behind fences and a fault relay on every link: an owner paused past its lease, an owner
+// cut from the group that still reaches the places, the leader killed in a handover, a member that
+// comes back without its store, one-way cuts and links slow near the lease. The checker of
+// histories judges each part. Times are printed as figures, never asserted. Arguments: the
+// programs, and a part; then `peers` for one socket a front, or, with the part `rolling`, the
+// front's program of another version.
 #include <unistd.h>
 
 #include <cassert>
@@ -30,13 +32,20 @@
   std::uint64_t steps;
 
   Scene(const char* what, char** programs, std::uint64_t n) : name(what), steps(n) {
-    folder = (std::filesystem::temp_directory_path() / ("owner-test-" + std::to_string(::getpid()) + what)).string();
+    folder = (std::filesystem::temp_directory_path() /
+              ("owner-test-" + std::to_string(::getpid()) + what))
+                 .string();
     std::filesystem::create_directories(folder);
     int port = 10000 + (::getpid() % 50) * 1000;  // two runs at once do not meet
-    fleet::FleetFile f = fleet::ReadFleetText("test", R"({"zones": [{"name": "a", "region": "north"}], "fronts": 5, "pulls_per_s": 0, "port": )" +
-        std::to_string(port) + (on_peers ? ", \"peers\": true" : "") + R"(, "owner": {"works": [{"name": "sweep", "steps": )" + std::to_string(steps) + R"(, "each_ms": 40}, {"name": "push", "steps": )" +
-        std::to_string(steps) + R"(, "each_ms": 40}]}})");
-    h = std::make_unique<fleet::Harness>(loop, f, fleet::Programs{programs[1], programs[2], programs[3], folder}, 7);
+    fleet::FleetFile f = fleet::ReadFleetText(
+        "test",
+        R"({"zones": [{"name": "a", "region": "north"}], "fronts": 5, "pulls_per_s": 0, "port": )" +
+            std::to_string(port) + (on_peers ? ", \"peers\": true" : "") +
+            R"(, "owner": {"works": [{"name": "sweep", "steps": )" + std::to_string(steps) +
+            R"(, "each_ms": 40}, {"name": "push", "steps": )" + std::to_string(steps) +
+            R"(, "each_ms": 40}]}})");
+    h = std::make_unique<fleet::Harness>(
+        loop, f, fleet::Programs{programs[1], programs[2], programs[3], folder}, 7);
     Until("founded, and both works owned", [&] { return Owns("sweep") >= 0 && Owns("push") >= 0; });
   }
   ~Scene() {
@@ -54,11 +63,19 @@
         Happened one;
         char work[64];
         unsigned long long token = 0, step = 0;
-        one.front = static_cast<owner::Id>(i + 1), one.life = life;
-        if (std::sscanf(line.c_str(), "owner of %63s token %llu from step %llu", work, &token, &step) == 3) one.what = Happened::What::kGranted;
-        else if (std::sscanf(line.c_str(), "owner finished %63s token %llu", work, &token) == 2) one.what = Happened::What::kFinished;
-        else continue;
-        one.work = work, one.token = token, one.step = step, one.at = std::atof(line.c_str() + line.rfind(" at ") + 4);
+        one.front = static_cast<owner::Id>(i + 1);
+        one.life = life;
+        if (std::sscanf(line.c_str(), "owner of %63s token %llu from step %llu", work, &token,
+                        &step) == 3)
+          one.what = Happened::What::kGranted;
+        else if (std::sscanf(line.c_str(), "owner finished %63s token %llu", work, &token) == 2)
+          one.what = Happened::What::kFinished;
+        else
+          continue;
+        one.work = work;
+        one.token = token;
+        one.step = step;
+        one.at = std::atof(line.c_str() + line.rfind(" at ") + 4);
         all.push_back(one);
       }
     }
@@ -67,45 +84,63 @@
         std::ifstream log(folder + "/place-" + std::to_string(p) + ending);
         for (std::string line; std::getline(log, line);) {
           Happened one;
-          one.what = Happened::What::kLanded, one.place = static_cast<owner::Id>(1000 + p);
+          one.what = Happened::What::kLanded;
+          one.place = static_cast<owner::Id>(1000 + p);
           char how[16], work[64];
           unsigned long long token = 0, step = 0, highest = 0;
           unsigned front = 0;
-          if (std::sscanf(line.c_str(), "%15s %63s token %llu step %llu front %u highest %llu at %lf", how, work, &token, &step, &front, &highest, &one.at) != 7) continue;
-          one.work = work, one.token = token, one.step = step, one.front = front;
-          one.landing = std::string(how) == "landed" ? owner::Landing::kDone : std::string(how) == "known" ? owner::Landing::kDoneBefore : owner::Landing::kStaleToken;
+          if (std::sscanf(line.c_str(),
+                          "%15s %63s token %llu step %llu front %u highest %llu at %lf", how, work,
+                          &token, &step, &front, &highest, &one.at) != 7)
+            continue;
+          one.work = work;
+          one.token = token;
+          one.step = step;
+          one.front = front;
+          one.landing = std::string(how) == "landed"  ? owner::Landing::kDone
+                        : std::string(how) == "known" ? owner::Landing::kDoneBefore
+                                                      : owner::Landing::kStaleToken;
           all.push_back(one);
         }
       }
-    std::stable_sort(all.begin(), all.end(), [](const Happened& a, const Happened& b) { return a.at < b.at; });
+    std::stable_sort(all.begin(), all.end(),
+                     [](const Happened& a, const Happened& b) { return a.at < b.at; });
     return all;
   }
 
   // The front that says it holds a work, -1 where none does.
   int Owns(const std::string& work) {
     for (std::size_t i = 0; i < h->size(); ++i) {
-      if (!h->Up(i)) continue;
+      if (!h->Up(i))
+        continue;
       auto v = h->OwnerStatus(i);
-      if (!v) continue;
+      if (!v)
+        continue;
       for (const json::Value& held : v->Find("holds")->items)
-        if (held.word("work") == work && held.number("acts_for_ms").value_or(-1) > 0) return static_cast<int>(i);
+        if (held.word("work") == work && held.number("acts_for_ms").value_or(-1) > 0)
+          return static_cast<int>(i);
     }
     return -1;
   }
   int Leader() {
     for (std::size_t i = 0; i < 3; ++i)
       if (h->Up(i))
-        if (auto v = h->OwnerStatus(i); v && v->Find("leads") && v->Find("leads")->text == "true") return static_cast<int>(i);
+        if (auto v = h->OwnerStatus(i); v && v->Find("leads") && v->Find("leads")->text == "true")
+          return static_cast<int>(i);
     return -1;
   }
   bool Over() {
     for (std::size_t i = 0; i < 3; ++i) {
-      if (!h->Up(i)) continue;
+      if (!h->Up(i))
+        continue;
       auto v = h->OwnerStatus(i);
-      if (!v || !v->Find("works")) continue;
+      if (!v || !v->Find("works"))
+        continue;
       int finished = 0;
-      for (const json::Value& w : v->Find("works")->items) finished += w.word("state") == "finished";
-      if (finished == 2) return true;
+      for (const json::Value& w : v->Find("works")->items)
+        finished += w.word("state") == "finished";
+      if (finished == 2)
+        return true;
     }
     return false;
   }
@@ -117,11 +152,13 @@
     double begun = loop.now();
     while (!holds()) {
       if (loop.now() - begun > 60000)
-        for (std::size_t i = 0; i < h->size(); ++i) std::fprintf(stderr, "front %zu:\n%s\n", i, log(i).c_str());
+        for (std::size_t i = 0; i < h->size(); ++i)
+          std::fprintf(stderr, "front %zu:\n%s\n", i, log(i).c_str());
       assert(loop.now() - begun < 60000 && "the owner's fleet did not come to it in time");
       h->Wait(50);
     }
-    if (figure) std::printf("%-7s %-60s %6.0f ms\n", name, what, loop.now() - begun);
+    if (figure)
+      std::printf("%-7s %-60s %6.0f ms\n", name, what, loop.now() - begun);
   }
   // The end of a part: both works are finished, and no promise was broken.
   void Judged() {
@@ -130,13 +167,20 @@
     auto all = history();
     std::vector<owner::Begun> works{{"sweep", steps, {1000, 1001}}, {"push", steps, {1001}}};
     auto broken = owner::CheckHistory(all, works, true, true);
-    for (const owner::Breach& b : broken) std::fprintf(stderr, "broken: %s: %s\n", b.promise.c_str(), b.what.c_str());
+    for (const owner::Breach& b : broken)
+      std::fprintf(stderr, "broken: %s: %s\n", b.promise.c_str(), b.what.c_str());
     assert(broken.empty());
-    auto landed = std::count_if(all.begin(), all.end(), [](const Happened& one) { return one.what == Happened::What::kLanded && one.landing == owner::Landing::kDone; });
-    auto grants = std::count_if(all.begin(), all.end(), [](const Happened& one) { return one.what == Happened::What::kGranted; });
+    auto landed = std::count_if(all.begin(), all.end(), [](const Happened& one) {
+      return one.what == Happened::What::kLanded && one.landing == owner::Landing::kDone;
+    });
+    auto grants = std::count_if(all.begin(), all.end(), [](const Happened& one) {
+      return one.what == Happened::What::kGranted;
+    });
     assert(landed == static_cast<long>(3 * steps));
-    std::printf("%-7s %ld steps landed under %ld grants, each once; handovers", name, static_cast<long>(landed), static_cast<long>(grants));
-    for (Ms t : owner::Handovers(all)) std::printf(" %.0f", t);
+    std::printf("%-7s %ld steps landed under %ld grants, each once; handovers", name,
+                static_cast<long>(landed), static_cast<long>(grants));
+    for (Ms t : owner::Handovers(all))
+      std::printf(" %.0f", t);
     std::puts(" ms");
   }
 };
@@ -149,7 +193,8 @@
   s.Until("SIGSTOP of the owner: another owns it", [&] { return s.Owns("sweep") >= 0; });
   s.h->Wait(500);
   s.h->Resume(was);  // it must do nothing that lands: the checker looks for it
-  s.Until("SIGCONT: it says that it lost it", [&] { return s.log(was).find("owner lost sweep") != std::string::npos; });
+  s.Until("SIGCONT: it says that it lost it",
+          [&] { return s.log(was).find("owner lost sweep") != std::string::npos; });
   s.Judged();
 }
 
@@ -159,7 +204,8 @@
   for (std::size_t i = 0; i < s.h->size(); ++i) {
     s.h->Runs(i, to);
     s.h->Restart(i);
-    s.Until(("front " + std::to_string(i) + " by the other version: both works are owned or over").c_str(),
+    s.Until(("front " + std::to_string(i) + " by the other version: both works are owned or over")
+                .c_str(),
             [&] { return s.Over() || (s.Owns("sweep") >= 0 && s.Owns("push") >= 0); });
     s.h->Wait(500);
   }
@@ -170,15 +216,18 @@
   Scene s("cut", programs, 250);
   auto was = static_cast<std::size_t>(s.Owns("sweep"));
   s.h->CutOwner({was}, false, true);
-  s.Until("cut from the group, not the places: it stops by itself", [&] { return s.log(was).find("owner lost sweep") != std::string::npos; });
+  s.Until("cut from the group, not the places: it stops by itself",
+          [&] { return s.log(was).find("owner lost sweep") != std::string::npos; });
   s.Until("another owns it", [&] { return s.Owns("sweep") >= 0; });
   s.h->CutOwner({was}, false, false);
   int holds = -1;
-  s.Until("push is owned", [&] { return (holds = s.Owns("push")) >= 0; }, false);
+  s.Until(
+      "push is owned", [&] { return (holds = s.Owns("push")) >= 0; }, false);
   auto now = static_cast<std::size_t>(holds);
   std::size_t before = s.log(now).size();
   s.h->CutOwner({now}, true, true);  // it hears, and is not heard
-  s.Until("one-way cut: it stops by itself", [&] { return s.log(now).find("owner lost push", before) != std::string::npos; });
+  s.Until("one-way cut: it stops by itself",
+          [&] { return s.log(now).find("owner lost push", before) != std::string::npos; });
   s.h->CutOwner({now}, true, false);
   s.Judged();
 }
@@ -189,11 +238,14 @@
   assert(was >= 0 && leads >= 0);
   s.h->Kill(static_cast<std::size_t>(was));
   s.h->Wait(1000);
-  if (leads == was) leads = s.Leader();
-  if (leads >= 0 && s.h->Up(static_cast<std::size_t>(leads))) s.h->Kill(static_cast<std::size_t>(leads));  // in the midst of the handover
+  if (leads == was)
+    leads = s.Leader();
+  if (leads >= 0 && s.h->Up(static_cast<std::size_t>(leads)))
+    s.h->Kill(static_cast<std::size_t>(leads));  // in the midst of the handover
   // Of the group at least one is down: it comes back with its store, and two of three go on.
   s.h->Wait(1000);
-  if (leads >= 0) s.h->Restart(static_cast<std::size_t>(leads));
+  if (leads >= 0)
+    s.h->Restart(static_cast<std::size_t>(leads));
   s.Until("owner and leader killed: another owns it", [&] { return s.Owns("sweep") >= 0; });
   s.h->Restart(static_cast<std::size_t>(was));
   s.Judged();
@@ -206,7 +258,10 @@
   s.h->Kill(who);
   s.h->LoseStore(who);
   s.h->Restart(who);
-  s.Until("a member without its store says that it is lost", [&] { return s.log(who).find("owner group: lost: the group began without this process") != std::string::npos; });
+  s.Until("a member without its store says that it is lost", [&] {
+    return s.log(who).find("owner group: lost: the group began without this process") !=
+           std::string::npos;
+  });
   auto v = s.h->OwnerStatus(who);
   assert(v && v->word("group") == "lost");
   s.Judged();  // the other two go on, and the lost one still does work: it asks them
@@ -215,7 +270,10 @@
 void Slow(char** programs) {
   Scene s("slow", programs, 120);
   fleet::Fault f;
-  f.delay = 200, f.jitter = 900, f.loss = 0.05, f.duplicate = 0.05;
+  f.delay = 200;
+  f.jitter = 900;
+  f.loss = 0.05;
+  f.duplicate = 0.05;
   s.h->OwnerRelay().Everywhere(f);
   s.h->Wait(8000);  // delays up to half the lease and more
   s.h->OwnerRelay().Everywhere({});
@@ -229,11 +287,17 @@
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::string part = argc >= 5 ? argv[4] : "", more = argc == 6 ? argv[5] : "";
   on_peers = more == "peers";
-  if (part == "rolling") Rolling(argv, more);
-  if (part.empty() || part == "paused") Paused(argv);
-  if (part.empty() || part == "cut") Cut(argv);
-  if (part.empty() || part == "leader") Leader(argv);
-  if (part.empty() || part == "lost") Lost(argv);
-  if (part.empty() || part == "slow") Slow(argv);
+  if (part == "rolling")
+    Rolling(argv, more);
+  if (part.empty() || part == "paused")
+    Paused(argv);
+  if (part.empty() || part == "cut")
+    Cut(argv);
+  if (part.empty() || part == "leader")
+    Leader(argv);
+  if (part.empty() || part == "lost")
+    Lost(argv);
+  if (part.empty() || part == "slow")
+    Slow(argv);
   std::puts("owner_fleet_test: all passed");
 }
--- a/tests/owner_storage_test.cpp
+++ b/tests/owner_storage_test.cpp
@@ -1,6 +1,6 @@
-// The owners' group on disks that fail: three nodes in virtual time over stores that fail, by plan, at every
-// call in turn, or end with the process there; then the front's owner part on a real folder that can't be
-// opened.
+// The owners' group on disks that fail: three nodes in virtual time over stores that fail, by plan,
+// at every call in turn, or end with the process there; then the front's owner part on a real
+// folder that can't be opened.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -26,17 +26,19 @@
 constexpr const char* kWork = "record";
 constexpr owner::Id kGroupSize = 3;
 
-// Three members, all of which try for one standing work. A message takes a millisecond; every node ticks each
-// 20 ms.
+// Three members, all of which try for one standing work. A message takes a millisecond; every node
+// ticks each 20 ms.
 class Cluster {
  public:
   std::map<owner::Id, StoreDisk> disks;
 
   Cluster() {
-    for (owner::Id id = 1; id <= kGroupSize; ++id) disks[id];
+    for (owner::Id id = 1; id <= kGroupSize; ++id)
+      disks[id];
   }
   ~Cluster() {
-    for (auto& [id, process] : processes_) Stop(id);
+    for (auto& [id, process] : processes_)
+      Stop(id);
   }
   void Start(owner::Id id) {
     Process& process = processes_[id];
@@ -51,9 +53,11 @@
     ways.send = [this, id](owner::Id to, std::string bytes) {
       wire_.push_back({now_ + 1, id, to, std::move(bytes)});
     };
-    ways.say = [this](const std::string& line) { NoteGrant(line); };
-    process.node =
-        std::make_unique<owner::Node>(terms, nullptr, static_cast<std::uint64_t>(now_), id, now_, ways);
+    ways.say = [this](const std::string& line) {
+      NoteGrant(line);
+    };
+    process.node = std::make_unique<owner::Node>(terms, nullptr, static_cast<std::uint64_t>(now_),
+                                                 id, now_, ways);
     auto open_store = [this, id]() -> std::unique_ptr<owner::Store> {
       return std::make_unique<tests::FailingStore>(disks[id]);
     };
@@ -66,40 +70,54 @@
     processes_[id].node.reset();
   }
   void StartAll() {
-    for (owner::Id id = 1; id <= kGroupSize; ++id) Start(id);
+    for (owner::Id id = 1; id <= kGroupSize; ++id)
+      Start(id);
   }
   void Run(Ms until, const std::function<bool()>& holds = {}) {
     constexpr Ms kTick = 20;
     while (now_ < until && !(holds && holds())) {
       now_ += 1;
       Deliver();
-      if (std::fmod(now_, kTick) == 0) TickAll();
+      if (std::fmod(now_, kTick) == 0)
+        TickAll();
       Look();
     }
   }
-  Ms now() const { return now_; }
-  bool Runs(owner::Id id) { return processes_[id].node != nullptr; }
-  owner::Node& Node(owner::Id id) { return *processes_[id].node; }
-  bool HasStore(owner::Id id) { return processes_[id].membership->HasStore(); }
+  Ms now() const {
+    return now_;
+  }
+  bool Runs(owner::Id id) {
+    return processes_[id].node != nullptr;
+  }
+  owner::Node& Node(owner::Id id) {
+    return *processes_[id].node;
+  }
+  bool HasStore(owner::Id id) {
+    return processes_[id].membership->HasStore();
+  }
   // Who may act under the work just now; 0: nobody.
   owner::Id holder() {
     for (auto& [id, process] : processes_)
-      if (process.node && ActsAt(*process.node)) return id;
+      if (process.node && ActsAt(*process.node))
+        return id;
     return 0;
   }
   bool IsWhole() {
     std::set<std::string> tables;
     for (owner::Id id = 1; id <= kGroupSize; ++id) {
-      if (!Runs(id)) return false;
+      if (!Runs(id))
+        return false;
       Group* group = Node(id).group();
-      if (!group || group->standing() != Group::Standing::kMember) return false;
+      if (!group || group->standing() != Group::Standing::kMember)
+        return false;
       tables.insert(group->table().Snapshot());
     }
     return tables.size() == 1 && holder() != 0;
   }
   std::size_t VotesChanged() const {
     std::size_t sum = 0;
-    for (const auto& [id, disk] : disks) sum += disk.votes_changed;
+    for (const auto& [id, disk] : disks)
+      sum += disk.votes_changed;
     return sum;
   }
   std::size_t two_acted = 0;
@@ -119,33 +137,40 @@
   };
   bool ActsAt(owner::Node& node) {
     for (const auto& held : node.agent().held())
-      if (now_ < held.until) return true;
+      if (now_ < held.until)
+        return true;
     return false;
   }
   void NoteGrant(const std::string& line) {
     unsigned long long token = 0;
-    if (std::sscanf(line.c_str(), "owner of record token %llu", &token) != 1) return;
-    if (token <= highest_token_) ++tokens_repeated;
+    if (std::sscanf(line.c_str(), "owner of record token %llu", &token) != 1)
+      return;
+    if (token <= highest_token_)
+      ++tokens_repeated;
     highest_token_ = std::max<std::uint64_t>(highest_token_, token);
   }
   void Deliver() {
     while (!wire_.empty() && wire_.front().at <= now_) {
       Message message = std::move(wire_.front());
       wire_.pop_front();
-      if (Runs(message.to)) Node(message.to).Receive(now_, message.bytes);
+      if (Runs(message.to))
+        Node(message.to).Receive(now_, message.bytes);
     }
   }
   void TickAll() {
     for (auto& [id, process] : processes_) {
-      if (!process.node) continue;
+      if (!process.node)
+        continue;
       process.node->Tick(now_);
       process.membership->Tick(now_);
     }
   }
   void Look() {
     int acting = 0;
-    for (auto& [id, process] : processes_) acting += process.node && ActsAt(*process.node);
-    if (acting > 1) ++two_acted;
+    for (auto& [id, process] : processes_)
+      acting += process.node && ActsAt(*process.node);
+    if (acting > 1)
+      ++two_acted;
   }
 
   std::map<owner::Id, Process> processes_;
@@ -170,7 +195,8 @@
 
 }  // namespace
 
-TEST_CASE("a member whose disk fails at any call for a while takes part again once there is space") {
+TEST_CASE(
+    "a member whose disk fails at any call for a while takes part again once there is space") {
   std::uint64_t calls = CallsOfAQuietRun();
   REQUIRE(calls >= 8);
   std::size_t failures = 0;
@@ -180,7 +206,8 @@
       Cluster cluster;
       Ms fails_until = -1;
       cluster.disks[1].fate = [&](std::uint64_t number) {
-        if (number == call) fails_until = cluster.now() + kFailingFor;
+        if (number == call)
+          fails_until = cluster.now() + kFailingFor;
         bool fails = cluster.now() < fails_until;
         failures += fails;
         return fails ? fate : Fate::kWorks;
@@ -217,12 +244,13 @@
       cluster.Run(cluster.now() + 300);
       cluster.Start(1);
       cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-      // A founder that is killed before its own disk has the founding can't show that it promised nothing: it
-      // is lost, and says so.
+      // A founder that is killed before its own disk has the founding can't show that it promised
+      // nothing: it is lost, and says so.
       Group* group = cluster.Node(1).group();
       bool is_lost = group && group->standing() == Group::Standing::kLost;
       CHECK((cluster.IsWhole() || is_lost));
-      if (is_lost) CHECK(cluster.disks[1].calls <= 4);
+      if (is_lost)
+        CHECK(cluster.disks[1].calls <= 4);
       CHECK(cluster.holder() != 0);
       CHECK(cluster.VotesChanged() == 0);
       CHECK(cluster.two_acted == 0);
@@ -231,13 +259,15 @@
 }
 
 TEST_CASE(
-    "all members killed between the founding and the log's first entry found the group at their next start") {
+    "all members killed between the founding and the log's first entry found the group at their "
+    "next start") {
   Cluster cluster;
   std::set<owner::Id> founded;
   for (owner::Id id = 1; id <= kGroupSize; ++id)
     cluster.disks[id].fate = [&, id](std::uint64_t) {
       // All that follows the founding fails until the kill.
-      if (!cluster.disks[id].kept.load().founding.empty()) founded.insert(id);
+      if (!cluster.disks[id].kept.load().founding.empty())
+        founded.insert(id);
       return founded.count(id) != 0 ? Fate::kFailsBefore : Fate::kWorks;
     };
   cluster.StartAll();
@@ -254,7 +284,8 @@
 }
 
 TEST_CASE(
-    "a lease holder that no majority can write for gives up in time, and the work is owned again once there "
+    "a lease holder that no majority can write for gives up in time, and the work is owned again "
+    "once there "
     "is space") {
   Cluster cluster;
   cluster.StartAll();
@@ -263,11 +294,14 @@
   owner::Id holder = cluster.holder();
   bool full = true;
   for (owner::Id id = 1; id <= kGroupSize; ++id)
-    cluster.disks[id].fate = [&](std::uint64_t) { return full ? Fate::kFailsBefore : Fate::kWorks; };
+    cluster.disks[id].fate = [&](std::uint64_t) {
+      return full ? Fate::kFailsBefore : Fate::kWorks;
+    };
   cluster.Run(cluster.now() + kLeaseTime);
   CHECK(cluster.holder() == 0);
   CHECK(cluster.Node(holder).agent().held().empty());
-  for (owner::Id id = 1; id <= kGroupSize; ++id) CHECK_FALSE(cluster.HasStore(id));
+  for (owner::Id id = 1; id <= kGroupSize; ++id)
+    CHECK_FALSE(cluster.HasStore(id));
   full = false;
   cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
   CHECK(cluster.IsWhole());
@@ -283,7 +317,8 @@
   REQUIRE(cluster.IsWhole());
   bool failed = false;
   cluster.disks[1].fate = [&](std::uint64_t) {
-    if (failed) return Fate::kWorks;
+    if (failed)
+      return Fate::kWorks;
     failed = true;
     return Fate::kFailsBefore;
   };
@@ -315,7 +350,9 @@
     parts.clear();
     std::filesystem::remove_all(folder);
   }
-  std::string Store(owner::Id id) const { return folder + "/" + std::to_string(id); }
+  std::string Store(owner::Id id) const {
+    return folder + "/" + std::to_string(id);
+  }
   loop::Address at(owner::Id id) const {
     return *loop::ReadAddress("127.0.0." + std::to_string(40 + id) + ":" + std::to_string(port));
   }
@@ -326,7 +363,8 @@
     terms.listen = at(id);
     terms.store = Store(id);
     terms.group = {1, 2, 3};
-    for (owner::Id other = 1; other <= kGroupSize; ++other) terms.at[other] = at(other);
+    for (owner::Id other = 1; other <= kGroupSize; ++other)
+      terms.at[other] = at(other);
     front::OwnerTerms::Work standing;
     standing.name = kWork;
     standing.standing = true;
@@ -340,7 +378,8 @@
   }
   bool Until(const std::function<bool()>& holds) {
     constexpr Ms kAtMost = 30000;
-    for (Ms end = loop.now() + kAtMost; loop.now() < end && !holds();) loop.turn(20);
+    for (Ms end = loop.now() + kAtMost; loop.now() < end && !holds();)
+      loop.turn(20);
     return holds();
   }
   bool Shows(owner::Id id, const std::string& text) {
@@ -348,16 +387,20 @@
   }
   bool IsOwned() {
     for (auto& [id, part] : parts)
-      if (part->Holds(kWork).second) return true;
+      if (part->Holds(kWork).second)
+        return true;
     return false;
   }
 };
 
 }  // namespace
 
-TEST_CASE("a front whose owner's store can't be opened starts without it, says so, and uses it once it can") {
+TEST_CASE(
+    "a front whose owner's store can't be opened starts without it, says so, and uses it once it "
+    "can") {
   Fronts fronts;
-  for (owner::Id id = 1; id <= kGroupSize; ++id) fronts.Start(id);
+  for (owner::Id id = 1; id <= kGroupSize; ++id)
+    fronts.Start(id);
   REQUIRE(fronts.Until([&] { return fronts.IsOwned(); }));
   fronts.parts.erase(1);
   std::string aside = fronts.folder + "/aside";
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,6 +1,7 @@
-// The channels between fronts on a seeded virtual network: loss, doubles, disorder and delays; large messages beside probes;
-// restarts in the midst of one; other versions, every cut and garbled bytes; bounds. Each property is a function of what is broken
-// on purpose, and each broken variant must fail at the property that it breaks.
+// The channels between fronts on a seeded virtual network: loss, doubles, disorder and delays;
+// large messages beside probes; restarts in the midst of one; other versions, every cut and garbled
+// bytes; bounds. Each property is a function of what is broken on purpose, and each broken variant
+// must fail at the property that it breaks.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -21,13 +22,16 @@
 std::string Noise(std::knuth_b& r, std::size_t n) {
   std::string s(n, 0);
   for (std::size_t i = 0; i < n; i += 3)
-    for (std::size_t k = i, v = r(); k < std::min(n, i + 3); ++k, v >>= 8) s[k] = static_cast<char>(v);
+    for (std::size_t k = i, v = r(); k < std::min(n, i + 3); ++k, v >>= 8)
+      s[k] = static_cast<char>(v);
   return s;
 }
 
 struct Weather {
-  double loss = 0, doubles = 0;
-  Ms delay = 1, jitter = 0;
+  double loss = 0;
+  double doubles = 0;
+  Ms delay = 1;
+  Ms jitter = 0;
 };
 
 // Fronts and what is on its way between them.
@@ -37,11 +41,14 @@
     std::uint64_t order;
     Id to;
     std::string bytes;
-    bool operator<(const Flying& o) const { return std::pair(at, order) > std::pair(o.at, o.order); }
+    bool operator<(const Flying& o) const {
+      return std::pair(at, order) > std::pair(o.at, o.order);
+    }
   };
   struct Came {
     Ms at;
-    Id from, to;
+    Id from;
+    Id to;
     Channel channel;
     std::string message;
   };
@@ -57,18 +64,24 @@
   std::function<void(Id from, Id to, std::string&)> on_wire;  // sees, and may change, what is sent
   std::size_t most_held = 0;
 
-  explicit Net(std::uint64_t seed, Peers::Breaks b = {}) : random(static_cast<unsigned>(seed * 7919 + 1)), breaks(b) {}
+  explicit Net(std::uint64_t seed, Peers::Breaks b = {})
+      : random(static_cast<unsigned>(seed * 7919 + 1)), breaks(b) {}
   Peers& Start(Id id, std::uint32_t incarnation) {
     fronts[id] = std::make_unique<Peers>(
         id, terms, incarnation, now,
         [this, id](Id to, std::string d) {
-          if (on_wire) on_wire(id, to, d);
+          if (on_wire)
+            on_wire(id, to, d);
           std::uniform_real_distribution<double> unit(0, 1);
-          if (unit(random) < weather.loss) return;
+          if (unit(random) < weather.loss)
+            return;
           int copies = 1 + (unit(random) < weather.doubles);
-          for (int i = 0; i < copies; ++i) air.push({now + weather.delay + weather.jitter * unit(random), ++order, to, d});
+          for (int i = 0; i < copies; ++i)
+            air.push({now + weather.delay + weather.jitter * unit(random), ++order, to, d});
         },
-        [this, id](Id from, Channel c, std::span<const char> m) { came.push_back({now, from, id, c, std::string(m.data(), m.size())}); });
+        [this, id](Id from, Channel c, std::span<const char> m) {
+          came.push_back({now, from, id, c, std::string(m.data(), m.size())});
+        });
     fronts[id]->breaks = breaks;
     return *fronts[id];
   }
@@ -81,36 +94,45 @@
         Flying f = air.top();
         air.pop();
         now = std::max(now, f.at);
-        if (auto to = fronts.find(f.to); to != fronts.end()) to->second->Receive(now, f.bytes);
+        if (auto to = fronts.find(f.to); to != fronts.end())
+          to->second->Receive(now, f.bytes);
       }
       now = std::min(tick, end);
       if (now == tick)
         for (auto& [id, p] : fronts) {
-          if (p->WakeAt() <= now) p->Tick(now);
+          if (p->WakeAt() <= now)
+            p->Tick(now);
           most_held = std::max(most_held, p->Held());
         }
     }
   }
   std::size_t Delivered(Id to, const std::string& message) const {
-    return static_cast<std::size_t>(std::count_if(came.begin(), came.end(), [&](const Came& c) { return c.to == to && c.message == message; }));
+    return static_cast<std::size_t>(std::count_if(came.begin(), came.end(), [&](const Came& c) {
+      return c.to == to && c.message == message;
+    }));
   }
 };
 
-// Three fronts in bad weather: what is delivered was sent, just so; each large message is delivered once.
+// Three fronts in bad weather: what is delivered was sent, just so; each large message is delivered
+// once.
 bool AllArrives(std::uint64_t seed, Peers::Breaks b, std::uint64_t* large = nullptr) {
   Net net(seed, b);
   net.weather = {0.3, 0.1, 5, 60};
-  for (Id id : {1u, 2u, 3u}) net.Start(id, 100 + id);
+  for (Id id : {1u, 2u, 3u})
+    net.Start(id, 100 + id);
   std::set<std::string> small;
   std::vector<std::pair<Id, std::string>> big;
   for (int i = 0; i < 40; ++i) {
     net.Until(net.now + 37);
     Id from = 1 + net.random() % 3, to = 1 + (from + net.random() % 2) % 3;
     if (i % 3 == 0) {
-      constexpr Channel kLarge[] = {Channel::kOwner, Channel::kRecovery, Channel::kRules, Channel::kRecord};
+      constexpr Channel kLarge[] = {Channel::kOwner, Channel::kRecovery, Channel::kRules,
+                                    Channel::kRecord};
       Channel c = kLarge[net.random() % 4];
-      std::string m = Noise(net.random, 1201 + net.random() % (c == Channel::kRecord ? 90000 : 9000));
-      if (net.fronts[from]->Send(net.now, to, c, m)) big.emplace_back(to, m);
+      std::string m =
+          Noise(net.random, 1201 + net.random() % (c == Channel::kRecord ? 90000 : 9000));
+      if (net.fronts[from]->Send(net.now, to, c, m))
+        big.emplace_back(to, m);
     } else {
       std::string m = Noise(net.random, 12 + net.random() % 1189);
       small.insert(m);
@@ -119,19 +141,27 @@
   }
   net.Until(net.now + 30000);
   for (const auto& [to, m] : big)
-    if (net.Delivered(to, m) != 1) return false;
+    if (net.Delivered(to, m) != 1)
+      return false;
   for (const Net::Came& c : net.came)
-    if (!small.count(c.message) && std::none_of(big.begin(), big.end(), [&](auto& o) { return o.second == c.message; })) return false;
+    if (!small.count(c.message) &&
+        std::none_of(big.begin(), big.end(), [&](auto& o) { return o.second == c.message; }))
+      return false;
   for (auto& [id, p] : net.fronts)
-    if (p->Held() != 0 || p->WakeAt() < 1e299) return false;  // nothing is left behind
-  if (large) *large += big.size();
+    if (p->Held() != 0 || p->WakeAt() < 1e299)
+      return false;  // nothing is left behind
+  if (large)
+    *large += big.size();
   return net.came.size() > 20;
 }
 
-// A 4 MB message goes while probes do: the calls of tick() after which a probe had not gone yet. And how long the message took.
+// A 4 MB message goes while probes do: the calls of tick() after which a probe had not gone yet.
+// And how long the message took.
 struct Beside {
-  int most_ticks = 0, probes = 0;
-  Ms took = -1, worst = 0;
+  int most_ticks = 0;
+  int probes = 0;
+  Ms took = -1;
+  Ms worst = 0;
   double piece_bytes_per_s = 0;
 };
 Beside ProbesBesideBulk(std::uint64_t seed, Peers::Breaks b, double loss) {
@@ -143,27 +173,35 @@
   Beside r;
   net.on_wire = [&](Id, Id, std::string& d) {
     auto f = ReadFrame(d);
-    if (!f || f->channel != Channel::kMembers) return;
+    if (!f || f->channel != Channel::kMembers)
+      return;
     std::string m(f->body.data(), f->body.size());
     auto at = waits.find(m);
-    if (at == waits.end()) return;
+    if (at == waits.end())
+      return;
     r.most_ticks = std::max(r.most_ticks, at->second);
     waits.erase(at);
   };
   std::string bulk = Noise(net.random, 4 << 20);
   Ms begun = net.now;
-  if (!one.Send(net.now, 2, Channel::kRecord, bulk)) return r;
+  if (!one.Send(net.now, 2, Channel::kRecord, bulk))
+    return r;
   for (int i = 0; i < 3000 && r.took < 0; ++i) {
     net.Until(net.now + 7);
     std::string probe = "probe " + std::to_string(i);
-    waits[probe] = 0, ++r.probes;
+    waits[probe] = 0;
+    ++r.probes;
     one.Send(net.now, 2, Channel::kMembers, probe);
-    for (auto& [m, ticks] : waits) ++ticks;  // had it not gone in the call, it waits for a tick at least
-    if (net.Delivered(2, bulk) > 0) r.took = net.now - begun;
+    for (auto& [m, ticks] : waits)
+      ++ticks;  // had it not gone in the call, it waits for a tick at least
+    if (net.Delivered(2, bulk) > 0)
+      r.took = net.now - begun;
   }
-  for (auto& [m, ticks] : waits) r.most_ticks = std::max(r.most_ticks, ticks);
+  for (auto& [m, ticks] : waits)
+    r.most_ticks = std::max(r.most_ticks, ticks);
   for (const Net::Came& c : net.came)
-    if (c.message == bulk) r.took = c.at - begun;
+    if (c.message == bulk)
+      r.took = c.at - begun;
   return r;
 }
 
@@ -176,18 +214,23 @@
   net.on_wire = [&](Id from, Id, std::string& d) {
     auto f = ReadFrame(d);
     auto p = f && f->kind == Kind::kPiece ? ReadPiece(f->body) : std::nullopt;
-    if (from != 1 || !p || p->index != 2 || changed > 0) return;
+    if (from != 1 || !p || p->index != 2 || changed > 0)
+      return;
     std::string bytes(p->bytes.data(), p->bytes.size());
-    bytes[7] = static_cast<char>(bytes[7] ^ 1), p->bytes = bytes;
-    d = Encode(f->channel, f->from, *p), ++changed;
+    bytes[7] = static_cast<char>(bytes[7] ^ 1);
+    p->bytes = bytes;
+    d = Encode(f->channel, f->from, *p);
+    ++changed;
   };
   std::string m = Noise(net.random, 20000);
   one.Send(net.now, 2, Channel::kRules, m);
   net.Until(net.now + 5000);
-  return changed == 1 && net.came.size() == 1 && net.Delivered(2, m) == 1;  // refused once, then had whole
+  return changed == 1 && net.came.size() == 1 &&
+         net.Delivered(2, m) == 1;  // refused once, then had whole
 }
 
-// What a version 2 would send, with marks of its own behind the first eight bytes or like ours: nothing of it is delivered.
+// What a version 2 would send, with marks of its own behind the first eight bytes or like ours:
+// nothing of it is delivered.
 bool VersionsApart(Peers::Breaks b) {
   Net net(4, b);
   Peers& two = net.Start(2, 11);
@@ -201,51 +244,73 @@
       two.Receive(net.now, d);
     }
   }
-  return net.came.empty() && two.counters(Channel::kRules).other_version == 9 && two.Others().at(1) == 255;
+  return net.came.empty() && two.counters(Channel::kRules).other_version == 9 &&
+         two.Others().at(1) == 255;
 }
 
 // Every cut and 20,000 garbled datagrams of all kinds: counted, nothing delivered.
 bool JunkIsDropped(Peers::Breaks b) {
   Net net(5, b);
   Peers& two = net.Start(2, 11);
-  std::vector<std::string> good{Encode(Channel::kMembers, 1, Kind::kWhole, Noise(net.random, 300)),
-                                Encode(Channel::kRecord, 1, Piece{10, 1, 3000, 1, 77, Noise(net.random, kPieceBytes)}),
-                                Encode(Channel::kRecord, 1, Had{11, 1, {5, 5}, std::vector<bool>(40, true)}),
-                                Encode(Channel::kRules, 1, Piece{10, 1, 1201, 1, 77, Noise(net.random, 1201 - kPieceBytes)})};
+  std::vector<std::string> good{
+      Encode(Channel::kMembers, 1, Kind::kWhole, Noise(net.random, 300)),
+      Encode(Channel::kRecord, 1, Piece{10, 1, 3000, 1, 77, Noise(net.random, kPieceBytes)}),
+      Encode(Channel::kRecord, 1, Had{11, 1, {5, 5}, std::vector<bool>(40, true)}),
+      Encode(Channel::kRules, 1, Piece{10, 1, 1201, 1, 77, Noise(net.random, 1201 - kPieceBytes)})};
   std::uint64_t given = 0;
   for (const std::string& d : good)
-    for (std::size_t cut = 0; cut < d.size(); ++cut) two.Receive(net.now, {d.data(), cut}), ++given;
+    for (std::size_t cut = 0; cut < d.size(); ++cut) {
+      two.Receive(net.now, {d.data(), cut});
+      ++given;
+    }
   for (int i = 0; i < 20000; ++i) {
     std::string d = good[net.random() % good.size()];
     int flips = 1 + static_cast<int>(net.random() % 8);
-    for (int k = 0; k < flips; ++k) d[net.random() % d.size()] ^= static_cast<char>(1 + net.random() % 255);
-    if (net.random() % 4 == 0) d += Noise(net.random, net.random() % 40);
-    if (std::find(good.begin(), good.end(), d) != good.end()) continue;
-    two.Receive(net.now, d), ++given;
+    for (int k = 0; k < flips; ++k)
+      d[net.random() % d.size()] ^= static_cast<char>(1 + net.random() % 255);
+    if (net.random() % 4 == 0)
+      d += Noise(net.random, net.random() % 40);
+    if (std::find(good.begin(), good.end(), d) != good.end())
+      continue;
+    two.Receive(net.now, d);
+    ++given;
+  }
+  for (int i = 0; i < 2000; ++i) {
+    two.Receive(net.now, Noise(net.random, net.random() % 1500));
+    ++given;
   }
-  for (int i = 0; i < 2000; ++i) two.Receive(net.now, Noise(net.random, net.random() % 1500)), ++given;
   std::uint64_t counted = two.Junk();
-  for (std::size_t c = 0; c < kChannels; ++c) counted += two.counters(static_cast<Channel>(c)).junk + two.counters(static_cast<Channel>(c)).other_version;
+  for (std::size_t c = 0; c < kChannels; ++c)
+    counted += two.counters(static_cast<Channel>(c)).junk +
+               two.counters(static_cast<Channel>(c)).other_version;
   return net.came.empty() && counted == given && two.Held() == 0 && two.Others().size() <= 64;
 }
 
-// The sender, then (on every other seed) the receiver, starts again in the midst of a large message; the sender had sent others before. And a sender whose
-// new life has the old one's numbers. No message is a mixture, and what the living sent arrives.
+// The sender, then (on every other seed) the receiver, starts again in the midst of a large
+// message; the sender had sent others before. And a sender whose new life has the old one's
+// numbers. No message is a mixture, and what the living sent arrives.
 bool RestartsAreTold(std::uint64_t seed, Peers::Breaks b) {
   Net net(seed, b);
   net.weather = {0.1, 0.05, 3, 30};
-  net.Start(1, 10), net.Start(2, 11);
-  for (int i = 0; i < 5; ++i) net.fronts[1]->Send(net.now, 2, Channel::kRecord, Noise(net.random, 5000));
+  net.Start(1, 10);
+  net.Start(2, 11);
+  for (int i = 0; i < 5; ++i)
+    net.fronts[1]->Send(net.now, 2, Channel::kRecord, Noise(net.random, 5000));
   net.Until(net.now + 3000);
-  if (net.came.size() != 5) return false;
-  std::string first = Noise(net.random, 900000), second = Noise(net.random, 900000), third = Noise(net.random, 900000);
+  if (net.came.size() != 5)
+    return false;
+  std::string first = Noise(net.random, 900000), second = Noise(net.random, 900000),
+              third = Noise(net.random, 900000);
   net.fronts[1]->Send(net.now, 2, Channel::kRecord, first);
   net.Until(net.now + 100 + static_cast<double>(net.random() % 200));
-  net.Start(1, 12).Send(net.now, 2, Channel::kRecord, second);  // what of the first is on its way still comes
+  net.Start(1, 12).Send(net.now, 2, Channel::kRecord,
+                        second);  // what of the first is on its way still comes
   net.Until(net.now + 100 + static_cast<double>(net.random() % 200));
-  if (seed % 2 == 0) net.Start(2, 13);  // the other half of the seeds: the sender alone
+  if (seed % 2 == 0)
+    net.Start(2, 13);  // the other half of the seeds: the sender alone
   net.Until(net.now + 8000);
-  if (net.Delivered(2, first) != 0 || net.Delivered(2, second) != 1 || net.came.size() != 6) return false;
+  if (net.Delivered(2, first) != 0 || net.Delivered(2, second) != 1 || net.came.size() != 6)
+    return false;
   net.fronts[1]->Send(net.now, 2, Channel::kRecord, third);
   net.Until(net.now + 8000);
   return net.Delivered(2, third) == 1 && net.came.size() == 7;
@@ -254,23 +319,29 @@
 }  // namespace
 
 TEST_CASE("bytes: what is written is read, and nothing else is") {
-  CHECK(rc::check("pieces and bitmaps come back as they went", [](std::uint64_t incarnation, std::uint64_t life, const std::vector<bool>& bits, std::uint64_t dig) {
-    Had h{incarnation, 9, {life, 8}, bits};
-    std::string kept = Encode(Channel::kRules, 7, h);
-    auto f = ReadFrame(kept);
-    RC_ASSERT(f && f->kind == Kind::kHad && f->from == 7u && f->channel == Channel::kRules);
-    auto back = ReadHad(f->body);
-    RC_ASSERT(back && back->pieces == bits && back->life == h.life && back->incarnation == incarnation && back->message == 9u);
-    std::string bytes(kPieceBytes, 'x');
-    kept = Encode(Channel::kRecord, 7, Piece{incarnation, 3, 5000, 2, dig, bytes});
-    f = ReadFrame(kept);
-    auto p = f ? ReadPiece(f->body) : std::nullopt;
-    RC_ASSERT(p && p->digest == dig && p->index == 2u && p->size == 5000u && std::string(p->bytes.data(), p->bytes.size()) == bytes);
-  }));
-  CHECK(rc::check("whatever bytes: no throw, and only a right check passes", [](const std::string& any) {
-    RC_ASSERT(!ReadFrame("DP" + any) || any.size() >= kHeader - 2);
-    ReadPiece(any), ReadHad(any), ReadHead(any);
-  }));
+  CHECK(rc::check("pieces and bitmaps come back as they went",
+                  [](std::uint64_t incarnation, std::uint64_t life, const std::vector<bool>& bits,
+                     std::uint64_t dig) {
+                    Had h{incarnation, 9, {life, 8}, bits};
+                    std::string kept = Encode(Channel::kRules, 7, h);
+                    auto f = ReadFrame(kept);
+                    RC_ASSERT(f && f->kind == Kind::kHad && f->from == 7u &&
+                              f->channel == Channel::kRules);
+                    auto back = ReadHad(f->body);
+                    RC_ASSERT(back && back->pieces == bits && back->life == h.life &&
+                              back->incarnation == incarnation && back->message == 9u);
+                    std::string bytes(kPieceBytes, 'x');
+                    kept = Encode(Channel::kRecord, 7, Piece{incarnation, 3, 5000, 2, dig, bytes});
+                    f = ReadFrame(kept);
+                    auto p = f ? ReadPiece(f->body) : std::nullopt;
+                    RC_ASSERT(p && p->digest == dig && p->index == 2u && p->size == 5000u &&
+                              std::string(p->bytes.data(), p->bytes.size()) == bytes);
+                  }));
+  CHECK(rc::check("whatever bytes: no throw, and only a right check passes",
+                  [](const std::string& any) {
+                    RC_ASSERT(!ReadFrame("DP" + any) || any.size() >= kHeader - 2);
+                    ReadPiece(any), ReadHad(any), ReadHead(any);
+                  }));
 }
 
 TEST_CASE("loss of 30%, doubles, disorder, delays: large ones once and whole, on 300 seeds") {
@@ -288,7 +359,8 @@
 TEST_CASE("4 MB beside probes: none waits for a tick") {
   for (double loss : {0.0, 0.01, 0.3}) {
     Beside r = ProbesBesideBulk(1, {}, loss);
-    MESSAGE("loss ", loss, ": ", r.probes, " probes, ", r.most_ticks, " ticks waited at most; 4 MB in ", r.took, " ms");
+    MESSAGE("loss ", loss, ": ", r.probes, " probes, ", r.most_ticks,
+            " ticks waited at most; 4 MB in ", r.took, " ms");
     CHECK(r.most_ticks == 0);
     CHECK(r.probes > 100);
     CHECK(r.took > 1500);  // by its budget of 2 MB/s
@@ -306,9 +378,12 @@
     net.terms.budgets[static_cast<std::size_t>(Channel::kQuota)] = {20000, 5000};
     Peers& one = net.Start(1, 10);
     std::vector<std::pair<Ms, std::size_t>> sent;
-    net.on_wire = [&](Id, Id, std::string& d) { sent.emplace_back(net.now, d.size()); };
+    net.on_wire = [&](Id, Id, std::string& d) {
+      sent.emplace_back(net.now, d.size());
+    };
     for (int i = 0; i < 200; ++i) {
-      one.Send(net.now, 2 + net.random() % 3, Channel::kQuota, Noise(net.random, net.random() % 900));
+      one.Send(net.now, 2 + net.random() % 3, Channel::kQuota,
+               Noise(net.random, net.random() % 900));
       net.Until(net.now + static_cast<double>(net.random() % 30));
     }
     for (std::size_t a = 0; a < sent.size(); ++a) {
@@ -330,7 +405,9 @@
   CHECK(VersionsApart({}));
   CHECK(JunkIsDropped({}));
   Peers::Breaks digest, version, check;
-  digest.no_digest = true, version.no_version = true, check.no_check = true;
+  digest.no_digest = true;
+  version.no_version = true;
+  check.no_check = true;
   CHECK_FALSE(NeverWrongBytes(digest));
   CHECK_FALSE(VersionsApart(version));
   CHECK_FALSE(JunkIsDropped(check));
@@ -344,13 +421,15 @@
   Peers::Breaks b;
   b.old_life = true;
   bool caught = false;
-  for (std::uint64_t seed = 1; seed <= 10; ++seed) caught |= !RestartsAreTold(seed, b);
+  for (std::uint64_t seed = 1; seed <= 10; ++seed)
+    caught |= !RestartsAreTold(seed, b);
   CHECK(caught);
 }
 
 TEST_CASE("a new life with the old one's incarnation and numbers is no mixture") {
   Net net(8);
-  net.Start(1, 10), net.Start(2, 11);
+  net.Start(1, 10);
+  net.Start(2, 11);
   std::string first = Noise(net.random, 300000), second = Noise(net.random, 300000);
   net.fronts[1]->Send(net.now, 2, Channel::kRecord, first);
   net.Until(net.now + 60);
@@ -363,15 +442,18 @@
 TEST_CASE("memory: queues, half-received messages and peers are bounded") {
   Net net(6);
   Peers& one = net.Start(1, 10);
-  // To a peer that never answers: large ones up to mostMessage, small ones up to mostQueued, then the oldest go.
+  // To a peer that never answers: large ones up to mostMessage, small ones up to mostQueued, then
+  // the oldest go.
   int taken = 0;
-  for (int i = 0; i < 20; ++i) taken += one.Send(net.now, 2, Channel::kRecord, Noise(net.random, 1 << 20));
+  for (int i = 0; i < 20; ++i)
+    taken += one.Send(net.now, 2, Channel::kRecord, Noise(net.random, 1 << 20));
   CHECK(taken == 4);
   CHECK_FALSE(one.Send(net.now, 3, Channel::kRecord, std::string((4 << 20) + 1, 'x')));
   CHECK_FALSE(one.Send(net.now, 3, Channel::kMembers, std::string(1201, 'x')));
   CHECK_FALSE(one.Send(net.now, 0, Channel::kMembers, "x"));
   CHECK_FALSE(one.Send(net.now, 1, Channel::kMembers, "x"));
-  for (int i = 0; i < 3000; ++i) one.Send(net.now, 2, Channel::kQuota, std::string(1000, 'x'));
+  for (int i = 0; i < 3000; ++i)
+    one.Send(net.now, 2, Channel::kQuota, std::string(1000, 'x'));
   CHECK(one.counters(Channel::kQuota).dropped > 1000);
   CHECK(one.Held() <= (4u << 20) + (1u << 20));
   net.Until(net.now + 60000);  // all is given up
@@ -380,13 +462,15 @@
   // Half messages from ever more peers: in all mostHeld, of mostPeers peers.
   for (Id from = 2; from < 1002; ++from)
     for (std::size_t c = 0; c < kChannels; ++c)
-      one.Receive(net.now, Encode(static_cast<Channel>(c), from, Piece{1, 1, 4 << 20, 0, 9, std::string(kPieceBytes, 'x')}));
+      one.Receive(net.now, Encode(static_cast<Channel>(c), from,
+                                  Piece{1, 1, 4 << 20, 0, 9, std::string(kPieceBytes, 'x')}));
   CHECK(one.Held() <= 16u << 20);
   CHECK(one.counters(Channel::kRecord).dropped > 800);
   CHECK(one.counters(Channel::kMembers).junk == 1000);  // that one takes no pieces
   net.Until(net.now + 11000);
   CHECK(one.Held() == 0);
-  // 20 peers at once to one, each 1 MB: what does not fit is refused, sent again, and comes in time.
+  // 20 peers at once to one, each 1 MB: what does not fit is refused, sent again, and comes in
+  // time.
   Net many(7);
   many.Start(1, 10);
   std::vector<std::string> all;
@@ -395,6 +479,7 @@
     many.Start(id, 10).Send(many.now, 1, Channel::kRecord, all.back());
   }
   many.Until(many.now + 20000);
-  for (const std::string& m : all) CHECK(many.Delivered(1, m) == 1);
+  for (const std::string& m : all)
+    CHECK(many.Delivered(1, m) == 1);
   CHECK(many.most_held <= 16u << 20);
 }
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,6 +1,7 @@
-// Shares of fleet-wide limits: what a front and the allocator do step by step; their bytes; and seeded runs of many fronts with
-// drifting clocks under partitions of one front, a minority and half, the allocator lost, slow and lossy links, restarts without
-// memory, and bursts. At every step of every run the sum of what fronts may spend stays within the limit; what they did spend is
+// Shares of fleet-wide limits: what a front and the allocator do step by step; their bytes; and
+// seeded runs of many fronts with drifting clocks under partitions of one front, a minority and
+// half, the allocator lost, slow and lossy links, restarts without memory, and bursts. At every
+// step of every run the sum of what fronts may spend stays within the limit; what they did spend is
 // held against the stated bound over every window; a fixed split limit / fronts runs side by side.
 #include <cassert>
 #include <cmath>
@@ -21,11 +22,19 @@
 
 void BytesAreWholeOrRefused() {
   Report r;
-  r.token = 5, r.round = 7, r.using_token = 5, r.using_round = 6, r.bad = 3, r.epoch = 2;
-  r.want = {1, 2.5}, r.have = {3, 4}, r.factor = {1, 0.5};
+  r.token = 5;
+  r.round = 7;
+  r.using_token = 5;
+  r.using_round = 6;
+  r.bad = 3;
+  r.epoch = 2;
+  r.want = {1, 2.5};
+  r.have = {3, 4};
+  r.factor = {1, 0.5};
   Grant g{5, 7, 2, {1.5, 2}, {1, 0.6}};
   std::string all[] = {Encode(Poll{5, 7}), Encode(r), Encode(g)};
-  assert(DecodePoll(all[0])->round == 7 && DecodeReport(all[1])->want[1] == 2.5 && DecodeGrant(all[2])->share[0] == 1.5);
+  assert(DecodePoll(all[0])->round == 7 && DecodeReport(all[1])->want[1] == 2.5 &&
+         DecodeGrant(all[2])->share[0] == 1.5);
   for (const std::string& one : all)
     for (std::size_t cut = 0; cut < one.size(); ++cut) {
       std::span<const char> part(one.data(), cut);
@@ -35,7 +44,8 @@
   assert(!DecodeReport(Encode(r)));
   r.want[0] = -1;
   assert(!DecodeReport(Encode(r)));
-  g.share.assign(kMostLimits + 1, 1), g.factor = g.share;
+  g.share.assign(kMostLimits + 1, 1);
+  g.factor = g.share;
   assert(!DecodeGrant(Encode(g)));
 }
 
@@ -46,7 +56,8 @@
   assert(std::abs(s.Share(0, 0) - 0.5) < kSlack);  // the floor of a tenth
   auto r = s.Polled(1000, {7, 1});
   assert(r && r->have[0] == s.Share(1000, 0));
-  assert(!s.Granted(1010, Grant{6, 1, 0, {40}, {1}}));  // of another allocator than the one polled by
+  assert(
+      !s.Granted(1010, Grant{6, 1, 0, {40}, {1}}));  // of another allocator than the one polled by
   assert(!s.Granted(1010, Grant{7, 2, 0, {40}, {1}}));  // answers no report
   assert(s.Granted(1010, Grant{7, 1, 0, {40}, {1}}) && s.Share(1010, 0) == 40);
   assert(!s.Granted(1011, Grant{7, 1, 0, {50}, {1}}));  // a second copy
@@ -54,43 +65,60 @@
   Ms end = 1000 + t.lease * (1 - t.drift) - t.margin;
   assert(s.Share(end - 1, 0) == 40 && s.Share(end, 0) == 10 && s.Fallen(end));
   Shares small(limits, t, 10, 0);
-  small.Polled(1000, {7, 1}), small.Granted(1010, Grant{7, 1, 0, {3}, {1}});
+  small.Polled(1000, {7, 1});
+  small.Granted(1010, Grant{7, 1, 0, {3}, {1}});
   assert(small.Share(end, 0) == 3);  // it had less than the safe share, and keeps to it
   // Its bucket: no more than the share's burst is saved up, and no more than the rate spent.
   Shares b(limits, t, 10, 0);
-  b.Polled(0, {7, 1}), b.Granted(1, Grant{7, 1, 0, {40}, {1}});
+  b.Polled(0, {7, 1});
+  b.Granted(1, Grant{7, 1, 0, {40}, {1}});
   int had = 0;
-  for (int i = 0; i < 100; ++i) had += b.Take(2000, 0);
+  for (int i = 0; i < 100; ++i)
+    had += b.Take(2000, 0);
   assert(had == 20);
 }
 
 void TheAllocatorGivesOnlyWhatIsFree() {
   std::vector<Limit> limits{{"office", 100, 0.5, 0.05}};
   Terms t;
-  auto report = [](Token token, std::uint64_t round, Token using_token, std::uint64_t using_round, double want, double have) {
+  auto report = [](Token token, std::uint64_t round, Token using_token, std::uint64_t using_round,
+                   double want, double have) {
     Report r;
-    r.token = token, r.round = round, r.using_token = using_token, r.using_round = using_round, r.want = {want}, r.have = {have}, r.factor = {1};
+    r.token = token;
+    r.round = round;
+    r.using_token = using_token;
+    r.using_round = using_round;
+    r.want = {want};
+    r.have = {have};
+    r.factor = {1};
     return r;
   };
   Allocator a(limits, t, {1, 2, 3, 4}, 9, 0);
   Poll p = a.TakePoll(0);
-  // Fronts 1 and 2 are heard; what 3 and 4 hold of an earlier allocator is not known: nothing is raised.
-  a.Heard(1, 1, report(9, p.round, 8, 4, 90, 60)), a.Heard(1, 2, report(9, p.round, 8, 4, 5, 20));
+  // Fronts 1 and 2 are heard; what 3 and 4 hold of an earlier allocator is not known: nothing is
+  // raised.
+  a.Heard(1, 1, report(9, p.round, 8, 4, 90, 60));
+  a.Heard(1, 2, report(9, p.round, 8, 4, 5, 20));
   auto g = a.Allocate(2);
   assert(g.size() == 2 && g[0].second.share[0] <= 60 && g[1].second.share[0] <= 20);
-  // All grants of the old one have run out: 3 and 4 hold the safe share at most, and the rest goes by demand.
+  // All grants of the old one have run out: 3 and 4 hold the safe share at most, and the rest goes
+  // by demand.
   Ms later = t.lease * 2;
   double last = 0;
   for (int round = 0; round < 4; ++round) {
     p = a.TakePoll(later + 300 * round);
-    double had1 = round == 0 ? 25 : g[0].second.share[0], had2 = round == 0 ? 20 : g[1].second.share[0];
-    a.Heard(later + 300 * round, 1, report(9, p.round, round ? 9 : 8, round ? p.round - 1 : 4, 90, had1));
-    a.Heard(later + 300 * round, 2, report(9, p.round, round ? 9 : 8, round ? p.round - 1 : 4, 5, had2));
+    double had1 = round == 0 ? 25 : g[0].second.share[0],
+           had2 = round == 0 ? 20 : g[1].second.share[0];
+    a.Heard(later + 300 * round, 1,
+            report(9, p.round, round ? 9 : 8, round ? p.round - 1 : 4, 90, had1));
+    a.Heard(later + 300 * round, 2,
+            report(9, p.round, round ? 9 : 8, round ? p.round - 1 : 4, 5, had2));
     g = a.Allocate(later + 300 * round + 50);
     assert(a.Booked(later + 300 * round + 50, 0) <= 100 + kSlack);
     last = g[0].second.share[0];
   }
-  assert(last > 35 && last <= 50 + kSlack);  // 100 less the safe shares of two that are away, less what 2 wants
+  assert(last > 35 &&
+         last <= 50 + kSlack);  // 100 less the safe shares of two that are away, less what 2 wants
 }
 
 void VerdictsAreInCommon() {
@@ -102,7 +130,12 @@
     Poll p = a.TakePoll(now);
     for (Id id = 1; id <= 5; ++id) {
       Report r;
-      r.token = 9, r.round = p.round, r.want = {50}, r.have = {1}, r.factor = {1}, r.bad = static_cast<int>(id) <= bad;
+      r.token = 9;
+      r.round = p.round;
+      r.want = {50};
+      r.have = {1};
+      r.factor = {1};
+      r.bad = static_cast<int>(id) <= bad;
       a.Heard(now, id, r);
     }
     auto g = a.Allocate(now + 10);
@@ -113,22 +146,32 @@
   assert(a.Factor(0) == 1 && a.Epoch() == 0);  // one front's trouble is its own
   auto g = round(2);
   assert(std::abs(a.Factor(0) - t.cut) < kSlack && a.Epoch() == 1 && g.size() == 5);
-  for (auto& [id, one] : g) assert(one.factor[0] == a.Factor(0) && one.epoch == 1);  // the same at all
+  for (auto& [id, one] : g)
+    assert(one.factor[0] == a.Factor(0) && one.epoch == 1);  // the same at all
   round(5);
   assert(a.Epoch() == 1);  // not again before the rest
-  for (int i = 0; i < 6; ++i) round(5);
+  for (int i = 0; i < 6; ++i)
+    round(5);
   assert(a.Epoch() >= 2 && a.Factor(0) < t.cut);
-  for (int i = 0; i < 200 && a.Factor(0) < 1; ++i) round(0);
+  for (int i = 0; i < 200 && a.Factor(0) < 1; ++i)
+    round(0);
   assert(a.Factor(0) == 1);
-  for (int i = 0; i < 200; ++i) round(5);
+  for (int i = 0; i < 200; ++i)
+    round(5);
   assert(a.Factor(0) >= t.least - kSlack);
 }
 
 // ---- seeded runs
 
 struct Run {
-  double excess = 0, over_bound = 0;  // worst: of the sum of shares over the limit; of spending over the stated bound
-  double used = 0, used_fixed = 0, calm_used = 0, calm_fixed = 0, calm_asked = 0;  // pulls let through
+  double excess = 0;
+  double over_bound =
+      0;  // worst: of the sum of shares over the limit; of spending over the stated bound
+  double used = 0;
+  double used_fixed = 0;
+  double calm_used = 0;
+  double calm_fixed = 0;
+  double calm_asked = 0;  // pulls let through
   double oldest = 0;
   int allocators = 0;
 };
@@ -137,78 +180,114 @@
   struct Front {
     std::unique_ptr<Shares> shares;
     std::unique_ptr<Shares> fixed;  // the split limit / fronts, side by side
-    bool up = true, paused = false;
-    double rate = 0, offset = 0, want = 0, due = 0;
-    Ms clock(Ms t) const { return t * (1 + rate) + offset; }
+    bool up = true;
+    bool paused = false;
+    double rate = 0;
+    double offset = 0;
+    double want = 0;
+    double due = 0;
+    Ms clock(Ms t) const {
+      return t * (1 + rate) + offset;
+    }
   };
   struct Flight {
     Ms at;
     std::uint64_t order;
-    Id from, to;
+    Id from;
+    Id to;
     std::string bytes;
-    bool operator>(const Flight& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator>(const Flight& o) const {
+      return at != o.at ? at > o.at : order > o.order;
+    }
   };
   std::vector<Limit> limits{{"office", 300, 0.5, 0.05}};
-  Terms terms, allocator_terms;  // alike, but where a test breaks one on purpose
+  Terms terms;
+  Terms allocator_terms;  // alike, but where a test breaks one on purpose
   std::knuth_b random;
   std::vector<Front> fronts;
   std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights;
   std::vector<std::vector<int>> cuts;
-  Ms now = 0, extra = 0;
+  Ms now = 0;
+  Ms extra = 0;
   double loss = 0;
-  std::uint64_t order = 0, token = 100;
+  std::uint64_t order = 0;
+  std::uint64_t token = 100;
   int at = -1;  // who allocates
   std::unique_ptr<Allocator> allocator;
-  Ms poll_at = 0, allocate_at = 1e300, owns_until = 0, lost_at = -1;
+  Ms poll_at = 0;
+  Ms allocate_at = 1e300;
+  Ms owns_until = 0;
+  Ms lost_at = -1;
   Run run;
   std::vector<std::pair<Ms, double>> spent;  // in the last windows
   bool calm = false;
 
   Sim(std::size_t n, std::uint64_t seed, Terms fronts_ = {}, Terms allocators = {})
-      : terms(fronts_), allocator_terms(allocators), random(static_cast<unsigned>(seed * 2654435761u + 3)), cuts(n, std::vector<int>(n)) {
+      : terms(fronts_),
+        allocator_terms(allocators),
+        random(static_cast<unsigned>(seed * 2654435761u + 3)),
+        cuts(n, std::vector<int>(n)) {
     for (std::size_t i = 0; i < n; ++i) {
       Front f;
-      f.rate = (2 * Unit() - 1) * terms.drift * 0.95, f.offset = 1e6 * Unit();
+      f.rate = (2 * Unit() - 1) * terms.drift * 0.95;
+      f.offset = 1e6 * Unit();
       fronts.push_back(std::move(f));
     }
-    for (std::size_t i = 0; i < n; ++i) Start(i);
+    for (std::size_t i = 0; i < n; ++i)
+      Start(i);
     Appoint();
   }
-  double Unit() { return std::uniform_real_distribution<double>(0, 1)(random); }
+  double Unit() {
+    return std::uniform_real_distribution<double>(0, 1)(random);
+  }
   void Start(std::size_t i) {
     Front& f = fronts[i];
     f.shares = std::make_unique<Shares>(limits, terms, fronts.size(), f.clock(now));
     std::vector<Limit> split = limits;
     split[0].floor = 1;
     f.fixed = std::make_unique<Shares>(split, terms, fronts.size(), f.clock(now));
-    f.up = true, f.paused = false;
+    f.up = true;
+    f.paused = false;
   }
-  // The owner's lease, as src/owner/ gives it: the next may begin only when the last has surely stopped. It needs a majority in reach.
+  // The owner's lease, as src/owner/ gives it: the next may begin only when the last has surely
+  // stopped. It needs a majority in reach.
   void Appoint() {
     std::vector<std::size_t> can;
     for (std::size_t i = 0; i < fronts.size(); ++i) {
       std::size_t met = 0;
-      for (std::size_t j = 0; j < fronts.size(); ++j) met += i == j || (Up(j) && !cuts[i][j] && !cuts[j][i]);
-      if (Up(i) && 2 * met > fronts.size()) can.push_back(i);
+      for (std::size_t j = 0; j < fronts.size(); ++j)
+        met += i == j || (Up(j) && !cuts[i][j] && !cuts[j][i]);
+      if (Up(i) && 2 * met > fronts.size())
+        can.push_back(i);
     }
-    if (can.empty()) return;
+    if (can.empty())
+      return;
     at = static_cast<int>(can[static_cast<std::size_t>(Unit() * static_cast<double>(can.size()))]);
     std::vector<Id> ids;
-    for (std::size_t i = 0; i < fronts.size(); ++i) ids.push_back(static_cast<Id>(i));
-    allocator = std::make_unique<Allocator>(limits, allocator_terms, ids, ++token, fronts[static_cast<std::size_t>(at)].clock(now));
-    poll_at = now, allocate_at = 1e300, lost_at = -1;
+    for (std::size_t i = 0; i < fronts.size(); ++i)
+      ids.push_back(static_cast<Id>(i));
+    allocator = std::make_unique<Allocator>(limits, allocator_terms, ids, ++token,
+                                            fronts[static_cast<std::size_t>(at)].clock(now));
+    poll_at = now;
+    allocate_at = 1e300;
+    lost_at = -1;
     ++run.allocators;
   }
-  bool Up(std::size_t i) const { return fronts[i].up && !fronts[i].paused; }
+  bool Up(std::size_t i) const {
+    return fronts[i].up && !fronts[i].paused;
+  }
   bool Quorate(std::size_t i) const {
     std::size_t met = 0;
-    for (std::size_t j = 0; j < fronts.size(); ++j) met += i == j || (Up(j) && !cuts[i][j] && !cuts[j][i]);
+    for (std::size_t j = 0; j < fronts.size(); ++j)
+      met += i == j || (Up(j) && !cuts[i][j] && !cuts[j][i]);
     return Up(i) && 2 * met > fronts.size();
   }
   void Send(Id from, Id to, std::string bytes) {
-    if (cuts[from][to] || Unit() < loss) return;
+    if (cuts[from][to] || Unit() < loss)
+      return;
     flights.push({now + 0.5 + Unit() + extra * Unit(), order++, from, to, bytes});
-    if (Unit() < 0.03) flights.push({now + 0.5 + (extra + 50) * Unit(), order++, from, to, std::move(bytes)});
+    if (Unit() < 0.03)
+      flights.push({now + 0.5 + (extra + 50) * Unit(), order++, from, to, std::move(bytes)});
   }
   void Step() {
     constexpr Ms kEach = 5;
@@ -216,23 +295,31 @@
     while (!flights.empty() && flights.top().at <= now) {
       Flight one = flights.top();
       flights.pop();
-      if (!Up(one.to)) continue;
+      if (!Up(one.to))
+        continue;
       Front& f = fronts[one.to];
       if (auto p = DecodePoll(one.bytes)) {
-        if (auto r = f.shares->Polled(f.clock(now), *p)) Send(one.to, one.from, Encode(*r));
+        if (auto r = f.shares->Polled(f.clock(now), *p))
+          Send(one.to, one.from, Encode(*r));
       } else if (auto g = DecodeGrant(one.bytes)) {
         f.shares->Granted(f.clock(now), *g);
-      } else if (auto r = DecodeReport(one.bytes); r && at == static_cast<int>(one.to) && allocator) {
+      } else if (auto r = DecodeReport(one.bytes);
+                 r && at == static_cast<int>(one.to) && allocator) {
         allocator->Heard(f.clock(now), one.from, *r);
       }
     }
-    // The allocator acts while its lease is renewed; half a lease without a majority and it stops, and after another
-    // the next may begin.
+    // The allocator acts while its lease is renewed; half a lease without a majority and it stops,
+    // and after another the next may begin.
     if (at >= 0) {
       auto a = static_cast<std::size_t>(at);
-      if (Quorate(a)) owns_until = now + terms.lease;
-      if (now >= owns_until && lost_at < 0) lost_at = now;
-      if (now >= owns_until) at = -1, allocator.reset();
+      if (Quorate(a))
+        owns_until = now + terms.lease;
+      if (now >= owns_until && lost_at < 0)
+        lost_at = now;
+      if (now >= owns_until) {
+        at = -1;
+        allocator.reset();
+      }
     } else if (now >= lost_at + terms.lease / 2) {
       Appoint();
     }
@@ -241,63 +328,89 @@
       Ms clock = f.clock(now);
       if (now >= poll_at) {
         Poll p = allocator->TakePoll(clock);
-        poll_at = now + terms.every, allocate_at = now + terms.every / 2;
+        poll_at = now + terms.every;
+        allocate_at = now + terms.every / 2;
         for (std::size_t i = 0; i < fronts.size(); ++i)
-          if (static_cast<int>(i) != at) Send(static_cast<Id>(at), static_cast<Id>(i), Encode(p));
-        if (auto r = f.shares->Polled(clock, p)) allocator->Heard(clock, static_cast<Id>(at), *r);
+          if (static_cast<int>(i) != at)
+            Send(static_cast<Id>(at), static_cast<Id>(i), Encode(p));
+        if (auto r = f.shares->Polled(clock, p))
+          allocator->Heard(clock, static_cast<Id>(at), *r);
       }
       if (now >= allocate_at) {
         allocate_at = 1e300;
         for (auto& [id, g] : allocator->Allocate(clock)) {
-          if (static_cast<int>(id) == at) f.shares->Granted(clock, g);
-          else Send(static_cast<Id>(at), id, Encode(g));
+          if (static_cast<int>(id) == at)
+            f.shares->Granted(clock, g);
+          else
+            Send(static_cast<Id>(at), id, Encode(g));
         }
       }
     }
     double sum = 0, got = 0;
     for (Front& f : fronts) {
-      if (!f.up) continue;
+      if (!f.up)
+        continue;
       Ms clock = f.clock(now);
       sum += f.shares->Share(clock, 0);  // one that is paused may spend it the moment it goes on
-      if (!f.shares->Fallen(clock)) run.oldest = std::max(run.oldest, f.shares->Age(clock));
-      if (f.paused) continue;
+      if (!f.shares->Fallen(clock))
+        run.oldest = std::max(run.oldest, f.shares->Age(clock));
+      if (f.paused)
+        continue;
       for (f.due += f.want * kEach / 1000; f.due >= 1; f.due -= 1) {
-        f.shares->Wanted(clock, 0), f.fixed->Wanted(clock, 0);
+        f.shares->Wanted(clock, 0);
+        f.fixed->Wanted(clock, 0);
         bool has = f.shares->Take(clock, 0), fixed = f.fixed->Take(clock, 0);
-        got += has, run.used += has, run.used_fixed += fixed;
-        if (calm) run.calm_asked += 1, run.calm_used += has, run.calm_fixed += fixed;
+        got += has;
+        run.used += has;
+        run.used_fixed += fixed;
+        if (calm) {
+          run.calm_asked += 1;
+          run.calm_used += has;
+          run.calm_fixed += fixed;
+        }
       }
     }
     run.excess = std::max(run.excess, sum - limits[0].per_s);
     spent.emplace_back(now, got);
     // Over the windows of 0.5, 1 and 3 s that end now.
-    while (!spent.empty() && spent.front().first < now - 3000) spent.erase(spent.begin());
+    while (!spent.empty() && spent.front().first < now - 3000)
+      spent.erase(spent.begin());
     for (double w : {0.5, 1.0, 3.0}) {
       double all = 0;
-      for (auto it = spent.rbegin(); it != spent.rend() && it->first > now - w * 1000; ++it) all += it->second;
+      for (auto it = spent.rbegin(); it != spent.rend() && it->first > now - w * 1000; ++it)
+        all += it->second;
       // One pull a front may be under way between two steps.
-      run.over_bound = std::max(run.over_bound, all - SpentAtMost(limits[0], w) * (1 + terms.drift) - static_cast<double>(fronts.size()));
+      run.over_bound =
+          std::max(run.over_bound, all - SpentAtMost(limits[0], w) * (1 + terms.drift) -
+                                       static_cast<double>(fronts.size()));
     }
   }
   void Until(Ms t) {
-    while (now < t) Step();
+    while (now < t)
+      Step();
   }
   void Cut(std::vector<std::size_t> group, bool on) {
     for (std::size_t a : group)
       for (std::size_t b = 0; b < fronts.size(); ++b)
-        if (!std::count(group.begin(), group.end(), b)) cuts[a][b] += on ? 1 : -1, cuts[b][a] += on ? 1 : -1;
+        if (!std::count(group.begin(), group.end(), b)) {
+          cuts[a][b] += on ? 1 : -1;
+          cuts[b][a] += on ? 1 : -1;
+        }
   }
 };
 
 Run Faulty(std::uint64_t seed, Terms fronts = {}, Terms allocators = {}) {
   Sim s(9, seed, fronts, allocators);
-  for (auto& f : s.fronts) f.want = 120 * s.Unit();  // 540 on average, where 300 are allowed
+  for (auto& f : s.fronts)
+    f.want = 120 * s.Unit();  // 540 on average, where 300 are allowed
   s.Until(6000);
   std::vector<std::pair<Ms, std::function<void()>>> undo;
   auto until = [&](Ms t) {
     while (true) {
-      auto next = std::min_element(undo.begin(), undo.end(), [](auto& a, auto& b) { return a.first < b.first; });
-      if (next == undo.end() || next->first > t) break;
+      auto next = std::min_element(undo.begin(), undo.end(),
+                                   [](auto& a, auto& b) { return a.first < b.first; });
+      if (next == undo.end() || next->first > t)
+        break;
       s.Until(next->first);
       auto what = next->second;
       undo.erase(next);
@@ -309,35 +422,56 @@
     until(s.now + 300 + 2500 * s.Unit());
     Ms lasts = 500 + 8000 * s.Unit();
     std::size_t who = static_cast<std::size_t>(s.Unit() * 9);
-    if (s.at >= 0 && s.Unit() < 0.4) who = static_cast<std::size_t>(s.at);
+    if (s.at >= 0 && s.Unit() < 0.4)
+      who = static_cast<std::size_t>(s.at);
     switch (static_cast<int>(s.Unit() * 8)) {
-      case 0: s.Cut({who}, true), undo.emplace_back(s.now + lasts, [&s, who] { s.Cut({who}, false); }); break;
+      case 0:
+        s.Cut({who}, true);
+        undo.emplace_back(s.now + lasts, [&s, who] { s.Cut({who}, false); });
+        break;
       case 1: {
         std::vector<std::size_t> group{who, (who + 1) % 9, (who + 2) % 9};
-        s.Cut(group, true), undo.emplace_back(s.now + lasts, [&s, group] { s.Cut(group, false); });
+        s.Cut(group, true);
+        undo.emplace_back(s.now + lasts, [&s, group] { s.Cut(group, false); });
         break;
       }
       case 2: {
         std::vector<std::size_t> half{0, 2, 4, 6};
-        s.Cut(half, true), undo.emplace_back(s.now + lasts, [&s, half] { s.Cut(half, false); });
+        s.Cut(half, true);
+        undo.emplace_back(s.now + lasts, [&s, half] { s.Cut(half, false); });
         break;
       }
       case 3:
-        if (s.Up(who)) s.fronts[who].paused = true, undo.emplace_back(s.now + lasts, [&s, who] { s.fronts[who].paused = false; });
+        if (s.Up(who)) {
+          s.fronts[who].paused = true;
+          undo.emplace_back(s.now + lasts, [&s, who] { s.fronts[who].paused = false; });
+        }
         break;
       case 4:
         s.fronts[who].up = false;
-        if (s.at == static_cast<int>(who)) s.at = -1, s.lost_at = s.now + s.terms.lease;
+        if (s.at == static_cast<int>(who)) {
+          s.at = -1;
+          s.lost_at = s.now + s.terms.lease;
+        }
         undo.emplace_back(s.now + lasts, [&s, who] { s.Start(who); });
         break;
-      case 5: s.extra = 2500 * s.Unit(), undo.emplace_back(s.now + lasts, [&s] { s.extra = 0; }); break;
-      case 6: s.loss = 0.4 * s.Unit(), undo.emplace_back(s.now + lasts, [&s] { s.loss = 0; }); break;
+      case 5:
+        s.extra = 2500 * s.Unit();
+        undo.emplace_back(s.now + lasts, [&s] { s.extra = 0; });
+        break;
+      case 6:
+        s.loss = 0.4 * s.Unit();
+        undo.emplace_back(s.now + lasts, [&s] { s.loss = 0; });
+        break;
       case 7: {  // a burst in one zone
         std::vector<double> was;
-        for (auto& f : s.fronts) was.push_back(f.want);
-        for (std::size_t k = 0; k < 3; ++k) s.fronts[(who + k) % 9].want = 300 * s.Unit();
+        for (auto& f : s.fronts)
+          was.push_back(f.want);
+        for (std::size_t k = 0; k < 3; ++k)
+          s.fronts[(who + k) % 9].want = 300 * s.Unit();
         undo.emplace_back(s.now + lasts, [&s, was] {
-          for (std::size_t k = 0; k < 9; ++k) s.fronts[k].want = was[k];
+          for (std::size_t k = 0; k < 9; ++k)
+            s.fronts[k].want = was[k];
         });
         break;
       }
@@ -350,51 +484,65 @@
 // Calm, but for demand that is uneven: one zone of three asks for nearly all.
 Run Uneven(std::uint64_t seed) {
   Sim s(9, seed);
-  for (std::size_t i = 0; i < 9; ++i) s.fronts[i].want = i % 3 == 0 ? 150 : 3;
+  for (std::size_t i = 0; i < 9; ++i)
+    s.fronts[i].want = i % 3 == 0 ? 150 : 3;
   s.Until(10000);
   s.calm = true;
   s.Until(30000);
   return s.run;
 }
 
-// From the heal of a cut until every front has at least nine tenths of what it had before it. `lost`: the allocator is among those
-// cut off, so that another has taken over meanwhile.
+// From the heal of a cut until every front has at least nine tenths of what it had before it.
+// `lost`: the allocator is among those cut off, so that another has taken over meanwhile.
 Ms FairAgainAfter(std::uint64_t seed, bool lost) {
   Sim s(9, seed);
-  for (std::size_t i = 0; i < 9; ++i) s.fronts[i].want = i % 3 == 0 ? 150 : 3;
+  for (std::size_t i = 0; i < 9; ++i)
+    s.fronts[i].want = i % 3 == 0 ? 150 : 3;
   s.Until(9000);
   std::vector<std::size_t> group;
   for (std::size_t i = 0; group.size() < 3; ++i)
-    if (static_cast<int>(i) != s.at) group.push_back(i);
-  if (lost) group[0] = static_cast<std::size_t>(s.at);
+    if (static_cast<int>(i) != s.at)
+      group.push_back(i);
+  if (lost)
+    group[0] = static_cast<std::size_t>(s.at);
   std::vector<double> before;
-  for (auto& f : s.fronts) before.push_back(f.shares->Share(f.clock(s.now), 0));
+  for (auto& f : s.fronts)
+    before.push_back(f.shares->Share(f.clock(s.now), 0));
   s.Cut(group, true);
   s.Until(s.now + 8000);
   s.Cut(group, false);
   Ms healed = s.now;
-  // What those that ask for little hold beyond it is spread evenly and moves: only what is asked for must be back.
+  // What those that ask for little hold beyond it is spread evenly and moves: only what is asked
+  // for must be back.
   auto fair = [&] {
     for (std::size_t i = 0; i < 9; ++i)
-      if (s.fronts[i].shares->Share(s.fronts[i].clock(s.now), 0) < 0.9 * std::min(before[i], s.fronts[i].want)) return false;
+      if (s.fronts[i].shares->Share(s.fronts[i].clock(s.now), 0) <
+          0.9 * std::min(before[i], s.fronts[i].want))
+        return false;
     return true;
   };
-  while (!fair() && s.now < healed + 60000) s.Step();
+  while (!fair() && s.now < healed + 60000)
+    s.Step();
   assert(s.run.excess <= kSlack);
   return s.now - healed;
 }
 
-// From the round in which two fronts first say that the head office is crowded until all that are heard know the same verdict.
+// From the round in which two fronts first say that the head office is crowded until all that are
+// heard know the same verdict.
 Ms VerdictAfter(std::uint64_t seed) {
   Sim s(9, seed);
-  for (auto& f : s.fronts) f.want = 30;
+  for (auto& f : s.fronts)
+    f.want = 30;
   s.Until(9000 + 37.0 * static_cast<double>(seed));
   Ms from = s.now;
-  s.fronts[2].shares->Bad(0, true), s.fronts[7].shares->Bad(0, true);
+  s.fronts[2].shares->Bad(0, true);
+  s.fronts[7].shares->Bad(0, true);
   auto known = [&] {
-    return std::all_of(s.fronts.begin(), s.fronts.end(), [](auto& f) { return f.shares->Epoch() == 1 && f.shares->Factor(0) < 1; });
+    return std::all_of(s.fronts.begin(), s.fronts.end(),
+                       [](auto& f) { return f.shares->Epoch() == 1 && f.shares->Factor(0) < 1; });
   };
-  while (!known() && s.now < from + 60000) s.Step();
+  while (!known() && s.now < from + 60000)
+    s.Step();
   return s.now - from;
 }
 
@@ -410,40 +558,62 @@
   double used = 0, fixed = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Run r = Faulty(seed);
-    if (r.excess > kSlack || r.over_bound > 0) std::fprintf(stderr, "seed %llu: shares over the limit by %.4f, spending over the bound by %.2f\n", static_cast<unsigned long long>(seed), r.excess, r.over_bound);
+    if (r.excess > kSlack || r.over_bound > 0)
+      std::fprintf(stderr,
+                   "seed %llu: shares over the limit by %.4f, spending over the bound by %.2f\n",
+                   static_cast<unsigned long long>(seed), r.excess, r.over_bound);
     assert(r.excess <= kSlack && r.over_bound <= 0);
-    worst.oldest = std::max(worst.oldest, r.oldest), worst.allocators += r.allocators;
-    used += r.used, fixed += r.used_fixed;
+    worst.oldest = std::max(worst.oldest, r.oldest);
+    worst.allocators += r.allocators;
+    used += r.used;
+    fixed += r.used_fixed;
   }
   assert(worst.oldest <= ShareAgeAtMost(Terms{}) + kSlack);
-  // The runs see what is broken: an allocator that books a grant for a moment only, one whose bookings leave out what clocks may
-  // run off, and fronts that keep their shares past the lease.
+  // The runs see what is broken: an allocator that books a grant for a moment only, one whose
+  // bookings leave out what clocks may run off, and fronts that keep their shares past the lease.
   Terms brief, no_drift, wide, keeps;
-  brief.lease = 300, no_drift.margin = 0, no_drift.drift = 0, wide.drift = 0.05, wide.margin = 0, keeps.lease = 9000;
+  brief.lease = 300;
+  no_drift.margin = 0;
+  no_drift.drift = 0;
+  wide.drift = 0.05;
+  wide.margin = 0;
+  keeps.lease = 9000;
   no_drift.lease = 2200;
   struct Broken {
     const char* name;
-    Terms fronts, allocators;
+    Terms fronts;
+    Terms allocators;
   };
-  for (const Broken& b : {Broken{"books for a moment", {}, brief}, Broken{"books for less than the lease", wide, no_drift}, Broken{"keeps past the lease", keeps, {}}}) {
+  for (const Broken& b : {Broken{"books for a moment", {}, brief},
+                          Broken{"books for less than the lease", wide, no_drift},
+                          Broken{"keeps past the lease", keeps, {}}}) {
     bool caught = false;
-    for (std::uint64_t seed = 1; seed <= 40 && !caught; ++seed) caught = Faulty(seed, b.fronts, b.allocators).excess > 1;
-    if (!caught) std::fprintf(stderr, "missed: %s\n", b.name);
+    for (std::uint64_t seed = 1; seed <= 40 && !caught; ++seed)
+      caught = Faulty(seed, b.fronts, b.allocators).excess > 1;
+    if (!caught)
+      std::fprintf(stderr, "missed: %s\n", b.name);
     assert(caught);
   }
   Run calm = Uneven(1);
   double share = calm.calm_used / (300 * 20), split = calm.calm_fixed / (300 * 20);
-  std::printf("%llu faulty runs, %d allocators: shares never over the limit, oldest share %.0f ms; let through %.0f, by a fixed split %.0f\n",
-              static_cast<unsigned long long>(seeds), worst.allocators, worst.oldest, used, fixed);
-  std::printf("uneven demand over the limit: %.1f%% of the limit used, by a fixed split %.1f%%\n", 100 * share, 100 * split);
+  std::printf(
+      "%llu faulty runs, %d allocators: shares never over the limit, oldest share %.0f ms; let "
+      "through %.0f, by a fixed split %.0f\n",
+      static_cast<unsigned long long>(seeds), worst.allocators, worst.oldest, used, fixed);
+  std::printf("uneven demand over the limit: %.1f%% of the limit used, by a fixed split %.1f%%\n",
+              100 * share, 100 * split);
   assert(share > split);
   Ms fair_most = 0, fair_lost = 0, verdict_most = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    fair_most = std::max(fair_most, FairAgainAfter(seed, false)), fair_lost = std::max(fair_lost, FairAgainAfter(seed, true));
+    fair_most = std::max(fair_most, FairAgainAfter(seed, false));
+    fair_lost = std::max(fair_lost, FairAgainAfter(seed, true));
     verdict_most = std::max(verdict_most, VerdictAfter(seed));
   }
-  std::printf("fair again after a heal: %.0f ms at most, with the allocator cut off %.0f (bound %.0f); a verdict known to all: %.0f (bound %.0f)\n", fair_most,
-              fair_lost, FairWithin(Terms{}), verdict_most, VerdictWithin(Terms{}));
-  assert(fair_most <= FairWithin(Terms{}) && fair_lost <= FairWithin(Terms{}) && verdict_most <= VerdictWithin(Terms{}));
+  std::printf(
+      "fair again after a heal: %.0f ms at most, with the allocator cut off %.0f (bound %.0f); a "
+      "verdict known to all: %.0f (bound %.0f)\n",
+      fair_most, fair_lost, FairWithin(Terms{}), verdict_most, VerdictWithin(Terms{}));
+  assert(fair_most <= FairWithin(Terms{}) && fair_lost <= FairWithin(Terms{}) &&
+         verdict_most <= VerdictWithin(Terms{}));
   std::puts("quota_test: all passed");
 }
--- a/tests/record_storage_test.cpp
+++ b/tests/record_storage_test.cpp
@@ -1,5 +1,5 @@
-// The record's replicas on disks that fail: three in virtual time under one writer, with a disk that fails,
-// by plan, at every call in turn, has no room, or ends with the process there.
+// The record's replicas on disks that fail: three in virtual time under one writer, with a disk
+// that fails, by plan, at every call in turn, has no room, or ends with the process there.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -19,8 +19,8 @@
 constexpr Id kWriterId = 9;  // a front that is no replica itself
 constexpr Ms kFailingFor = 3000;
 constexpr Ms kSettleTime = 60000;
-// Opening and the promise to the first writer: a record whose disks are all empty is founded by all replicas,
-// so until then one that fails holds it up; after that the others go on.
+// Opening and the promise to the first writer: a record whose disks are all empty is founded by all
+// replicas, so until then one that fails holds it up; after that the others go on.
 constexpr std::uint64_t kFoundingCalls = 2;
 
 class Cluster {
@@ -32,18 +32,24 @@
   std::vector<std::string> lines;
 
   Cluster() {
-    for (Id id = 1; id <= kReplicas; ++id) disks[id];
+    for (Id id = 1; id <= kReplicas; ++id)
+      disks[id];
   }
   void Start(Id id) {
     auto open_disk = [this, id]() -> std::unique_ptr<Disk> {
       return std::make_unique<OpenedDisk>(disks[id], open[id]);
     };
-    auto say = [this](const std::string& line) { lines.push_back(line); };
+    auto say = [this](const std::string& line) {
+      lines.push_back(line);
+    };
     replicas_[id] = std::make_unique<Replica>(id, Ids(), ReplicaTerms{}, open_disk, id, now_, say);
   }
-  void Stop(Id id) { replicas_[id].reset(); }
+  void Stop(Id id) {
+    replicas_[id].reset();
+  }
   void StartAll() {
-    for (Id id = 1; id <= kReplicas; ++id) Start(id);
+    for (Id id = 1; id <= kReplicas; ++id)
+      Start(id);
     writer_ = std::make_unique<Writer>(kWriterId, Ids(), KeeperTerms{}, LogTerms{}, 1000, now_);
   }
   // One write is given each 100 ms while the writer serves.
@@ -53,35 +59,52 @@
     while (now_ < until && !(holds && holds())) {
       now_ += 1;
       Deliver();
-      if (std::fmod(now_, kTick) == 0) TickAll();
-      if (std::fmod(now_, kWriteEach) == 0) Write();
-      for (auto& [id, count] : open) twice_open += count > 1;
+      if (std::fmod(now_, kTick) == 0)
+        TickAll();
+      if (std::fmod(now_, kWriteEach) == 0)
+        Write();
+      for (auto& [id, count] : open)
+        twice_open += count > 1;
     }
   }
-  Ms now() const { return now_; }
-  Writer& writer() { return *writer_; }
-  Replica& replica(Id id) { return *replicas_[id]; }
-  bool IsServing() const { return writer_->phase() == Phase::kServing && writer_->Committed() > 0; }
+  Ms now() const {
+    return now_;
+  }
+  Writer& writer() {
+    return *writer_;
+  }
+  Replica& replica(Id id) {
+    return *replicas_[id];
+  }
+  bool IsServing() const {
+    return writer_->phase() == Phase::kServing && writer_->Committed() > 0;
+  }
   // All hold the same up to what the writer has committed.
   bool IsWhole() {
-    if (!IsServing()) return false;
+    if (!IsServing())
+      return false;
     for (Id id = 1; id <= kReplicas; ++id) {
-      if (!replicas_[id] || !replicas_[id]->IsOpen()) return false;
+      if (!replicas_[id] || !replicas_[id]->IsOpen())
+        return false;
       const Log& log = *replicas_[id]->log();
-      if (log.Last() + 1 < writer_->Committed() || !log.Holes(1).empty() || !log.Whole()) return false;
-      if (log.head().committed + 1 < writer_->Committed()) return false;
+      if (log.Last() + 1 < writer_->Committed() || !log.Holes(1).empty() || !log.Whole())
+        return false;
+      if (log.head().committed + 1 < writer_->Committed())
+        return false;
     }
     return true;
   }
   // How many of the acknowledged are on fewer disks now than a majority.
   std::size_t Owed() {
     std::size_t missing = 0;
-    for (const auto& [offset, copies] : acknowledged) missing += CopiesOf(offset) < kMajority;
+    for (const auto& [offset, copies] : acknowledged)
+      missing += CopiesOf(offset) < kMajority;
     return missing;
   }
   std::size_t AcknowledgedTooEarly() const {
     std::size_t early = 0;
-    for (const auto& [offset, copies] : acknowledged) early += copies < kMajority;
+    for (const auto& [offset, copies] : acknowledged)
+      early += copies < kMajority;
     return early;
   }
 
@@ -93,20 +116,26 @@
     Id to = 0;
     Message message;
   };
-  static std::vector<Id> Ids() { return {1, 2, 3}; }
+  static std::vector<Id> Ids() {
+    return {1, 2, 3};
+  }
   Send SendFrom(Id from) {
-    return [this, from](Id to, const Message& message) { wire_.push_back({now_ + 1, from, to, message}); };
+    return [this, from](Id to, const Message& message) {
+      wire_.push_back({now_ + 1, from, to, message});
+    };
   }
   std::size_t CopiesOf(Offset offset) {
     std::size_t copies = 0;
-    for (auto& [id, disk] : disks) copies += disk.Has(offset);
+    for (auto& [id, disk] : disks)
+      copies += disk.Has(offset);
     return copies;
   }
   void Deliver() {
     while (!wire_.empty() && wire_.front().at <= now_) {
       Sent sent = std::move(wire_.front());
       wire_.pop_front();
-      if (sent.to == kWriterId) writer_->Receive(now_, sent.from, sent.message, SendFrom(kWriterId));
+      if (sent.to == kWriterId)
+        writer_->Receive(now_, sent.from, sent.message, SendFrom(kWriterId));
       else if (replicas_[sent.to])
         replicas_[sent.to]->Receive(now_, sent.from, sent.message, SendFrom(sent.to));
     }
@@ -114,14 +143,17 @@
   void TickAll() {
     writer_->Tick(now_, SendFrom(kWriterId));
     for (auto& [id, replica] : replicas_)
-      if (replica) replica->Tick(now_, SendFrom(id));
+      if (replica)
+        replica->Tick(now_, SendFrom(id));
   }
   void Write() {
-    if (writer_->phase() != Phase::kServing) return;
+    if (writer_->phase() != Phase::kServing)
+      return;
     Writer::Put put;
     put.key = "object/" + std::to_string(++written_);
     auto done = [this](Writer::Outcome outcome, Offset first) {
-      if (outcome == Writer::Outcome::kAcknowledged) acknowledged[first] = CopiesOf(first);
+      if (outcome == Writer::Outcome::kAcknowledged)
+        acknowledged[first] = CopiesOf(first);
     };
     writer_->Write(now_, {put}, done, SendFrom(kWriterId));
   }
@@ -145,7 +177,8 @@
 }  // namespace
 
 TEST_CASE(
-    "a replica whose disk fails at any call for a while owes nothing it acknowledged and comes back by "
+    "a replica whose disk fails at any call for a while owes nothing it acknowledged and comes "
+    "back by "
     "itself") {
   std::uint64_t calls = CallsOfAQuietRun();
   REQUIRE(calls >= 10);
@@ -156,7 +189,8 @@
       Cluster cluster;
       Ms fails_until = -1;
       cluster.disks[1].fate = [&](std::uint64_t number) {
-        if (number == call) fails_until = cluster.now() + kFailingFor;
+        if (number == call)
+          fails_until = cluster.now() + kFailingFor;
         return cluster.now() < fails_until ? fate : Fate::kWell;
       };
       cluster.StartAll();
@@ -175,7 +209,9 @@
     }
 }
 
-TEST_CASE("a replica killed within any call, whether the write landed or not, owes nothing it acknowledged") {
+TEST_CASE(
+    "a replica killed within any call, whether the write landed or not, owes nothing it "
+    "acknowledged") {
   std::uint64_t calls = CallsOfAQuietRun();
   for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
     for (std::uint64_t call = 1; call <= calls; ++call) {
@@ -200,7 +236,9 @@
     }
 }
 
-TEST_CASE("with a majority of disks failing nothing is acknowledged, and all is again once there is space") {
+TEST_CASE(
+    "with a majority of disks failing nothing is acknowledged, and all is again once there is "
+    "space") {
   for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter, Fate::kFull})
     for (Id failing : {Id{2}, Id{3}}) {
       CAPTURE(static_cast<int>(fate));
@@ -211,7 +249,9 @@
       REQUIRE(cluster.IsWhole());
       bool fails = true;
       for (Id id = 1; id <= failing; ++id)
-        cluster.disks[id].fate = [&](std::uint64_t) { return fails ? fate : Fate::kWell; };
+        cluster.disks[id].fate = [&](std::uint64_t) {
+          return fails ? fate : Fate::kWell;
+        };
       // What came to a disk before is acknowledged still; then nothing.
       cluster.Run(cluster.now() + 500);
       std::size_t before = cluster.acknowledged.size();
@@ -233,7 +273,9 @@
     Cluster cluster;
     cluster.StartAll();
     cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-    cluster.disks[1].fate = [&](std::uint64_t) { return fate; };
+    cluster.disks[1].fate = [&](std::uint64_t) {
+      return fate;
+    };
     cluster.Run(cluster.now() + kFailingFor);
     Want want;
     want.subscriber = 77;
@@ -257,7 +299,9 @@
   REQUIRE(cluster.IsWhole());
   cluster.Stop(1);
   bool down = true;
-  cluster.disks[1].fate = [&](std::uint64_t) { return down ? Fate::kFailsBefore : Fate::kWell; };
+  cluster.disks[1].fate = [&](std::uint64_t) {
+    return down ? Fate::kFailsBefore : Fate::kWell;
+  };
   cluster.Start(1);
   cluster.Run(cluster.now() + kFailingFor);
   CHECK(cluster.IsServing());
