--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -1,5 +1,6 @@
-// A keeper's log and its compaction, and subscribers: steps, hard cases, each disk call as a crash point, and seeded random runs
-// against a plain list. Broken variants (record::Breaks) are each caught by the check they break.
+// A keeper's log and its compaction, and subscribers: steps, hard cases, each disk call as a crash
+// point, and seeded random runs against a plain list. Broken variants (record::Breaks) are each
+// caught by the check they break.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -20,30 +21,45 @@
 
 constexpr Ms kDay = 24 * 60 * 60 * 1000.0;
 
-Entry MakeEntry(Offset offset, const std::string& key, const std::string& value, Ms at = 0, Token token = 1) {
+Entry MakeEntry(Offset offset, const std::string& key, const std::string& value, Ms at = 0,
+                Token token = 1) {
   Entry e;
-  e.offset = offset, e.token = token, e.key = key, e.value = value, e.at = at;
+  e.offset = offset;
+  e.token = token;
+  e.key = key;
+  e.value = value;
+  e.at = at;
   e.tombstone = value.empty();
   return e;
 }
 LogTerms MakeTerms(std::size_t entries_a_step = 256) {
   LogTerms t;
-  t.lag = 0, t.dead_share = 0, t.entries_a_step = entries_a_step;
+  t.lag = 0;
+  t.dead_share = 0;
+  t.entries_a_step = entries_a_step;
   return t;
 }
-std::string Name(const char* what, std::uint64_t n) { return std::string(what).append(std::to_string(n)); }
-std::vector<Entry> All(const Log& log) { return log.Read(0, log.Last(), 1u << 30); }
+std::string Name(const char* what, std::uint64_t n) {
+  return std::string(what).append(std::to_string(n));
+}
+std::vector<Entry> All(const Log& log) {
+  return log.Read(0, log.Last(), 1u << 30);
+}
 void Compact(Log& log, const Plan& plan) {
   log.Take(plan);
-  while (log.Step()) {}
+  while (log.Step()) {
+  }
 }
 // Of a list: what a plan leaves, by the words of log.hpp alone.
 std::vector<Entry> Left(const std::vector<Entry>& list, const Plan& plan) {
   std::vector<Entry> out;
   for (const Entry& e : list) {
-    bool later = std::any_of(list.begin(), list.end(),
-        [&](const Entry& o) { return o.offset > e.offset && o.offset <= plan.up_to && o.stream == e.stream && o.key == e.key; });
-    if (e.offset <= plan.up_to && (later || (e.tombstone && e.offset <= plan.forget))) continue;
+    bool later = std::any_of(list.begin(), list.end(), [&](const Entry& o) {
+      return o.offset > e.offset && o.offset <= plan.up_to && o.stream == e.stream &&
+             o.key == e.key;
+    });
+    if (e.offset <= plan.up_to && (later || (e.tombstone && e.offset <= plan.forget)))
+      continue;
     out.push_back(e);
   }
   return out;
@@ -52,7 +68,8 @@
   std::knuth_b chance(seed);
   std::vector<Entry> out;
   for (Offset o = 1; o <= n; ++o) {
-    Entry e = MakeEntry(o, Name("k", chance() % 7), chance() % 4 == 0 ? "" : Name("v", o), static_cast<double>(o));
+    Entry e = MakeEntry(o, Name("k", chance() % 7), chance() % 4 == 0 ? "" : Name("v", o),
+                        static_cast<double>(o));
     e.stream = static_cast<Stream>(chance() % kStreams);
     out.push_back(e);
   }
@@ -67,7 +84,8 @@
   t.lag = 1000;
   Log log(1, t, disk, 77);
   std::vector<Entry> entries;
-  for (Offset o = 1; o <= 20; ++o) entries.push_back(MakeEntry(o, Name("k", o % 3), Name("v", o), 100.0 * static_cast<double>(o)));
+  for (Offset o = 1; o <= 20; ++o)
+    entries.push_back(MakeEntry(o, Name("k", o % 3), Name("v", o), 100.0 * static_cast<double>(o)));
   CHECK(log.append(0, entries));
   CHECK(!log.append(0, {MakeEntry(22, "gap", "x")}));
   CHECK(!log.Latest(Stream::kRecalls, "k0"));
@@ -78,7 +96,8 @@
   CHECK(plan->up_to == 15);
   log.Take(*plan);
   std::uint64_t before = log.Digest(20);
-  for (std::uint64_t calls = disk.Calls(); log.Step(); calls = disk.Calls()) CHECK(disk.Calls() <= calls + 1);
+  for (std::uint64_t calls = disk.Calls(); log.Step(); calls = disk.Calls())
+    CHECK(disk.Calls() <= calls + 1);
   CHECK(log.Digest(20) == before);
   std::vector<Entry> left(entries.begin() + 12, entries.end());
   CHECK(All(log) == left);
@@ -90,7 +109,9 @@
   CHECK_THROWS_AS(Log(2, t, disk, 79), Failed);
 }
 
-TEST_CASE("a plan leaves exactly what its words say, whatever the budget and however often it was begun") {
+TEST_CASE(
+    "a plan leaves exactly what its words say, whatever the budget and however often it was "
+    "begun") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     std::knuth_b chance(seed);
@@ -99,16 +120,20 @@
     Log a(1, MakeTerms(1 + chance() % 9), one, 1), b(2, MakeTerms(1 + chance() % 9), two, 2);
     CHECK(a.append(0, list));
     CHECK(b.append(0, list));
-    a.Commit(60), b.Commit(60);
+    a.Commit(60);
+    b.Commit(60);
     Plan early{1, 10 + chance() % 20, 0}, plan{1, 40 + chance() % 20, 0};
-    early.forget = chance() % (early.up_to + 1), plan.forget = early.forget + chance() % (plan.up_to - early.forget + 1);
+    early.forget = chance() % (early.up_to + 1);
+    plan.forget = early.forget + chance() % (plan.up_to - early.forget + 1);
     Compact(a, early);
     CHECK(All(a) == Left(list, early));
     CHECK(a.head().cleaned == early.up_to);
     a.Take(plan);
-    for (std::size_t k = chance() % 8; k > 0; --k) a.Step();
+    for (std::size_t k = chance() % 8; k > 0; --k)
+      a.Step();
     Log again(1, MakeTerms(3), one, 1);  // begun anew after a start
-    Compact(again, plan), Compact(b, plan);
+    Compact(again, plan);
+    Compact(b, plan);
     CHECK(All(again) == Left(list, plan));
     CHECK(All(b) == Left(list, plan));
     Offset forgotten = std::max(again.head().forgotten, b.head().forgotten);
@@ -128,8 +153,11 @@
       log.Commit(n);
     };
     log.Promise(3);
-    up_to(20), Compact(log, {3, 15, 10});
-    up_to(40), Compact(log, {3, 33, 12}), Compact(log, {3, 39, 30});
+    up_to(20);
+    Compact(log, {3, 15, 10});
+    up_to(40);
+    Compact(log, {3, 33, 12});
+    Compact(log, {3, 39, 30});
   };
   MemoryDisk calm;
   Log whole(1, MakeTerms(4), calm, 1);
@@ -138,16 +166,20 @@
   std::uint64_t calls = calm.Calls();
   CHECK(calls >= 25);
   for (std::uint64_t at = 1; at <= calls; ++at)
-    for (auto fate : {MemoryDisk::Fate::kFailsBefore, MemoryDisk::Fate::kFailsAfter, MemoryDisk::Fate::kFull}) {
+    for (auto fate :
+         {MemoryDisk::Fate::kFailsBefore, MemoryDisk::Fate::kFailsAfter, MemoryDisk::Fate::kFull}) {
       CAPTURE(at);
       CAPTURE(static_cast<int>(fate));
       MemoryDisk disk;
-      disk.fate = [&](std::uint64_t call) { return call == at ? fate : MemoryDisk::Fate::kWell; };
+      disk.fate = [&](std::uint64_t call) {
+        return call == at ? fate : MemoryDisk::Fate::kWell;
+      };
       std::unique_ptr<Log> log;
       int faults = 0;
       for (bool done = false; !done;) {
         try {
-          if (!log) log = std::make_unique<Log>(1, MakeTerms(4), disk, 1);
+          if (!log)
+            log = std::make_unique<Log>(1, MakeTerms(4), disk, 1);
           drive(*log);
           done = true;
         } catch (const Full&) {
@@ -180,8 +212,10 @@
   LogTerms t = MakeTerms();
   t.tombstone_term = kDay;
   Log log(1, t, disk, 1);
-  CHECK(log.append(0, {MakeEntry(1, "a", "old", 1), MakeEntry(2, "a", "", 2), MakeEntry(3, "b", "old", 3), MakeEntry(4, "b", "", 3),
-      MakeEntry(5, "b", "new", 3), MakeEntry(6, "c", "x", 4), MakeEntry(7, "d", "x", 5)}));
+  CHECK(log.append(
+      0, {MakeEntry(1, "a", "old", 1), MakeEntry(2, "a", "", 2), MakeEntry(3, "b", "old", 3),
+          MakeEntry(4, "b", "", 3), MakeEntry(5, "b", "new", 3), MakeEntry(6, "c", "x", 4),
+          MakeEntry(7, "d", "x", 5)}));
   log.Commit(7);
   auto plan = log.Worth(1000, 7, 1);
   REQUIRE(plan);
@@ -200,23 +234,27 @@
   CHECK(!log.Latest(Stream::kRecalls, "a"));
   CHECK(log.head().first == 5);
   // A plan of a lower token, or further back, is passed over.
-  log.Take({9, 3, 0}), log.Take({8, 6, 6});
+  log.Take({9, 3, 0});
+  log.Take({8, 6, 6});
   CHECK(!log.Step());
 }
 
 TEST_CASE("clocks at 1970, and a century ahead") {
   MemoryDisk disk;
   LogTerms t = MakeTerms();
-  t.lag = 1000, t.tombstone_term = kDay;
+  t.lag = 1000;
+  t.tombstone_term = kDay;
   Log log(1, t, disk, 1);
   const Ms now = 56 * 365 * kDay, ahead = now + 36500 * kDay;
   // A stopped clock wrote at 1970; another at 2100; then right again.
-  CHECK(log.append(0, {MakeEntry(1, "a", "1", 5), MakeEntry(2, "a", "2", 6), MakeEntry(3, "b", "", 7),
-      MakeEntry(4, "c", "1", ahead), MakeEntry(5, "c", "", ahead), MakeEntry(6, "d", "1", now), MakeEntry(7, "d", "2", now)}));
+  CHECK(
+      log.append(0, {MakeEntry(1, "a", "1", 5), MakeEntry(2, "a", "2", 6), MakeEntry(3, "b", "", 7),
+                     MakeEntry(4, "c", "1", ahead), MakeEntry(5, "c", "", ahead),
+                     MakeEntry(6, "d", "1", now), MakeEntry(7, "d", "2", now)}));
   log.Commit(7);
   auto plan = log.Worth(now, 7, 1);
   REQUIRE(plan);
-  CHECK(plan->up_to == 5);    // one century does not stop it; the young stay whole
+  CHECK(plan->up_to == 5);   // one century does not stop it; the young stay whole
   CHECK(plan->forget == 3);  // the one ahead stays until its term has run: safe, and small
   Compact(log, *plan);
   CHECK(All(log).size() == 4);
@@ -237,23 +275,27 @@
     list.push_back(MakeEntry(o, list[o - 31].key, Name("n", o), 1));
     CHECK(log.append(0, {list.back()}));
   }
-  CHECK(!log.append(25, {}));   // committed
+  CHECK(!log.append(25, {}));  // committed
   CHECK(!log.append(20, {}));
   CHECK(log.append(35, {MakeEntry(35, "z", "z", 1, 7)}));
-  list.resize(34), list.push_back(MakeEntry(35, "z", "z", 1, 7));
-  while (log.Step()) {}
+  list.resize(34);
+  list.push_back(MakeEntry(35, "z", "z", 1, 7));
+  while (log.Step()) {
+  }
   CHECK(All(log) == Left(list, {1, 24, 10}));
   CHECK(log.LastToken() == 7);
   CHECK(log.head().cleaned == 24);
   // The index is as a fresh start would build it.
   Log again(1, MakeTerms(2), disk, 1);
-  log.Commit(35), again.Commit(35);
+  log.Commit(35);
+  again.Commit(35);
   CHECK(log.Digest(35) == again.Digest(35));
   CHECK(log.bytes() == again.bytes());
   CHECK(log.DeadBytes() == again.DeadBytes());
 }
 
-TEST_CASE("flipped and lost entries are holes; they heal, or are closed; nothing comes back to life") {
+TEST_CASE(
+    "flipped and lost entries are holes; they heal, or are closed; nothing comes back to life") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     auto list = Mixed(40, seed);
@@ -263,16 +305,21 @@
       Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
       CHECK(a.append(0, list));
       CHECK(b.append(0, list));
-      a.Commit(40), b.Commit(40);
+      a.Commit(40);
+      b.Commit(40);
       Compact(a, {1, 20, 10});
     }
     std::set<Offset> bad;
     for (int k = 0; k < 4; ++k) {
       Offset o = 1 + chance() % 40;
-      if (!one.Has(o) || !bad.insert(o).second) continue;
+      if (!one.Has(o) || !bad.insert(o).second)
+        continue;
       one.Flip(o);
     }
-    if (one.Has(40)) one.Lose(40), bad.insert(40);
+    if (one.Has(40)) {
+      one.Lose(40);
+      bad.insert(40);
+    }
     Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
     auto holes = a.Holes(100);
     CHECK(std::set<Offset>(holes.begin(), holes.end()) == bad);
@@ -282,9 +329,11 @@
     CHECK(reached == *bad.begin() - 1);
     Plan plan{1, 39, 30};
     a.Take(plan);
-    while (a.Step()) CHECK(a.head().cleaned < *bad.begin());
+    while (a.Step())
+      CHECK(a.head().cleaned < *bad.begin());
     CHECK(a.head().forgotten <= 10);
-    if (chance() % 2) Compact(b, plan);
+    if (chance() % 2)
+      Compact(b, plan);
     CHECK(!a.Heal(MakeEntry(41, "k", "v")));
     Source source{b.head().cleaned, b.head().forgotten};
     for (Offset h : holes) {
@@ -298,7 +347,8 @@
       }
     }
     CHECK(!a.Close(40, {40, 0}));
-    Compact(a, plan), Compact(b, plan);
+    Compact(a, plan);
+    Compact(b, plan);
     CHECK(All(a) == Left(list, plan));
     Offset f = std::max(a.head().forgotten, b.head().forgotten);
     CHECK(a.Digest(40, f) == b.Digest(40, f));
@@ -308,7 +358,9 @@
   }
 }
 
-TEST_CASE("one lost where it looks compacted is found by the count; nothing is read over it, and only a log begun anew mends it") {
+TEST_CASE(
+    "one lost where it looks compacted is found by the count; nothing is read over it, and only a "
+    "log begun anew mends it") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     auto list = Mixed(40, seed);
@@ -326,23 +378,31 @@
     Source source{well.head().cleaned, well.head().forgotten};
     std::vector<Offset> can;
     for (const Entry& e : entries)
-      if (e.offset <= 30) can.push_back(e.offset);
+      if (e.offset <= 30)
+        can.push_back(e.offset);
     std::size_t n = 1 + chance() % 2;
-    for (std::size_t k = 0; k < n; ++k) disk.Lose(can[(chance() % (can.size() / 2)) * 2 + k]);
+    for (std::size_t k = 0; k < n; ++k)
+      disk.Lose(can[(chance() % (can.size() / 2)) * 2 + k]);
     bool flips = chance() % 2 != 0;
-    if (flips) disk.Flip(35);
+    if (flips)
+      disk.Flip(35);
     for (int start = 0; start < 3; ++start) {
       Log log(1, MakeTerms(), disk, 1);
       CHECK(log.Lost());
       auto holes = log.Holes(9);
       REQUIRE(holes.size() == (flips && start == 0 ? 2 : 1));
-      for (Offset after = 0; after < 30; ++after) CHECK(log.Read(after, 40, 1u << 20).empty());
+      for (Offset after = 0; after < 30; ++after)
+        CHECK(log.Read(after, 40, 1u << 20).empty());
       CHECK(!log.Heal(list[holes.front() - 1]));
       CHECK(!log.Close(holes.front(), {40, 0}));
-      if (start == 0) CHECK(log.append(0, {MakeEntry(41, "x", "y")}));
-      if (start == 0 && flips) CHECK(log.append(31, {list.begin() + 30, list.end()}) == false);
-      if (start == 0 && flips) CHECK(log.Holes(9).size() == 2);
-      flips = false, disk.Heal(list[34]);
+      if (start == 0)
+        CHECK(log.append(0, {MakeEntry(41, "x", "y")}));
+      if (start == 0 && flips)
+        CHECK(log.append(31, {list.begin() + 30, list.end()}) == false);
+      if (start == 0 && flips)
+        CHECK(log.Holes(9).size() == 2);
+      flips = false;
+      disk.Heal(list[34]);
     }
     Log log(1, MakeTerms(), disk, 1);
     CHECK(log.Anew(entries, source));
@@ -408,7 +468,9 @@
   CHECK(!again.append(0, {MakeEntry(21, "k", std::string(kLongestValue + 1, 'v'))}));
   CHECK(!again.append(0, {MakeEntry(20, "k", "x")}));
   CHECK(again.Last() == 20);
-  again.witness(3, 9), again.witness(2, 4), again.witness(3, 7);
+  again.witness(3, 9);
+  again.witness(2, 4);
+  again.witness(3, 7);
   again.Keep();
   Log third(1, t, disk, 6);
   CHECK(third.head().seen == std::vector<std::pair<Id, Offset>>{{2, 4}, {3, 9}});
@@ -421,7 +483,9 @@
   CHECK(little.head().promised == 4);
 }
 
-TEST_CASE("brought up from a compacted log: gaps only where the source was cleaned, anew behind what it forgot") {
+TEST_CASE(
+    "brought up from a compacted log: gaps only where the source was cleaned, anew behind what it "
+    "forgot") {
   auto list = Mixed(50, 21);
   MemoryDisk one, two;
   Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
@@ -442,7 +506,8 @@
   CHECK(b.head().committed == 0);
   Log again(2, MakeTerms(), two, 9);
   std::vector<Entry> rest2(whole.begin() + static_cast<std::ptrdiff_t>(half), whole.end());
-  if (again.Last() < source.forgotten) CHECK(!again.append(0, rest2, {source.cleaned, source.forgotten - 1}));
+  if (again.Last() < source.forgotten)
+    CHECK(!again.append(0, rest2, {source.cleaned, source.forgotten - 1}));
   CHECK(again.append(0, rest2, source));
   again.Commit(50);
   CHECK(again.Whole());
@@ -462,17 +527,21 @@
     std::vector<Entry> batch;
     for (Offset o = 1; o <= n; ++o) {
       batch.push_back(MakeEntry(o, many ? Name("k", o) : "one", "v", 0));
-      if (batch.size() < 1000 && o != n) continue;
+      if (batch.size() < 1000 && o != n)
+        continue;
       REQUIRE(log.append(0, batch));
       batch.clear();
       log.Commit(o);
-      if (auto plan = log.Worth(1e6, log.head().committed, 1)) log.Take(*plan);
-      while (log.Step()) {}
+      if (auto plan = log.Worth(1e6, log.head().committed, 1))
+        log.Take(*plan);
+      while (log.Step()) {
+      }
       most = std::max(most, log.bytes());
     }
     CHECK(log.Last() == n);
     CHECK(log.size() == (many ? n : 2));  // the last is never above what a plan cleans
-    if (!many) CHECK(most < 1000 * 1000);
+    if (!many)
+      CHECK(most < 1000 * 1000);
     CHECK(log.Latest(Stream::kRecalls, many ? "k77" : "one")->offset == (many ? 77 : n));
   }
 }
@@ -493,7 +562,9 @@
     Log log(1, MakeTerms(4), *disk, 8);
     for (Log* l : {&log, &reference}) {
       CHECK(l->append(0, list));
-      l->witness(2, 12), l->Promise(5), l->Commit(30);
+      l->witness(2, 12);
+      l->Promise(5);
+      l->Commit(30);
       CHECK(l->append(35, {MakeEntry(35, "t", "u", 3, 2)}));
       l->Commit(35);
       Compact(*l, {1, 29, 20});
@@ -512,19 +583,26 @@
   CHECK_THROWS_AS(Log(2, MakeTerms(), *disk, 8), Failed);
   disk.reset();
   // One byte of one value on the page: a hole at the next start, healed from another.
-  const Entry* victim = reference.at(30) && !reference.at(30)->tombstone ? reference.at(30) : reference.at(35);
+  const Entry* victim =
+      reference.at(30) && !reference.at(30)->tombstone ? reference.at(30) : reference.at(35);
   {
     std::string path = folder + "/a/data.mdb";
     std::FILE* f = std::fopen(path.c_str(), "r+b");
     std::string bytes(fs::file_size(path), 0);
     REQUIRE(std::fread(bytes.data(), 1, bytes.size(), f) == bytes.size());
     std::size_t flipped = 0;
-    std::string look = std::string(1, '\x22').append(1, static_cast<char>(victim->key.size())).append(victim->key);
-    if (victim->tombstone) look.append("\x28\x01");
-    else look.append(1, '\x32').append(1, static_cast<char>(victim->value.size())).append(victim->value);
+    std::string look =
+        std::string(1, '\x22').append(1, static_cast<char>(victim->key.size())).append(victim->key);
+    if (victim->tombstone)
+      look.append("\x28\x01");
+    else
+      look.append(1, '\x32')
+          .append(1, static_cast<char>(victim->value.size()))
+          .append(victim->value);
     for (std::size_t at = 0; (at = bytes.find(look, at)) != std::string::npos; ++at) {
       std::fseek(f, static_cast<long>(at + look.size() - 1), SEEK_SET);
-      std::fputc(bytes[at + look.size() - 1] ^ 4, f), ++flipped;
+      std::fputc(bytes[at + look.size() - 1] ^ 4, f);
+      ++flipped;
     }
     std::fclose(f);
     CHECK(flipped > 0);
@@ -540,7 +618,8 @@
   auto small = open("b", 256 << 10);
   Log log(1, MakeTerms(), *small, 1);
   bool full = false;
-  for (Offset o = 1; o < 2000 && !full; ++o) try {
+  for (Offset o = 1; o < 2000 && !full; ++o)
+    try {
       bool ok = log.append(0, {MakeEntry(o, Name("k", o % 5), std::string(1000, 'v'))});
       CHECK(ok);
     } catch (const Full&) {
@@ -553,7 +632,8 @@
   Compact(log, {1, log.Last() - 1, 0});
   CHECK(small->PageBytes() < pages / 4);
   CHECK(log.append(0, {MakeEntry(log.Last() + 1, "k", std::string(1000, 'v'))}));
-  small.reset(), disk.reset();
+  small.reset();
+  disk.reset();
   fs::remove_all(folder);
 }
 
@@ -562,27 +642,46 @@
 namespace {
 
 struct Op {
-  unsigned kind = 0, a = 0, b = 0;
+  unsigned kind = 0;
+  unsigned a = 0;
+  unsigned b = 0;
 };
 
-// Two keepers fed the same list, compacted, restarted, damaged and set back at different times; subscribers that read from either,
-// with messages lost, doubled, garbled and late. After every event each subscriber is held against the list.
+// Two keepers fed the same list, compacted, restarted, damaged and set back at different times;
+// subscribers that read from either, with messages lost, doubled, garbled and late. After every
+// event each subscriber is held against the list.
 class Play {
  public:
   explicit Play(Breaks breaks) {
     log_.breaks = sub_.breaks = breaks;
-    log_.lag = 50, log_.tombstone_term = 200, log_.dead_share = 0.1, log_.entries_a_step = 3, log_.breaks = breaks;
-    sub_.lease = 400, sub_.ask_every = 20, sub_.again = 100, sub_.piece_bytes = 150, sub_.most_subscribers = 8;
-    for (int k = 0; k < 2; ++k) Start(k);
-    for (unsigned s = 0; s < 3; ++s) Join(s, false);
+    log_.lag = 50;
+    log_.tombstone_term = 200;
+    log_.dead_share = 0.1;
+    log_.entries_a_step = 3;
+    log_.breaks = breaks;
+    sub_.lease = 400;
+    sub_.ask_every = 20;
+    sub_.again = 100;
+    sub_.piece_bytes = 150;
+    sub_.most_subscribers = 8;
+    for (int k = 0; k < 2; ++k)
+      Start(k);
+    for (unsigned s = 0; s < 3; ++s)
+      Join(s, false);
   }
   std::string Run(const std::vector<Op>& ops) {
-    for (std::size_t n = 0; n < ops.size() && wrong_.empty(); ++n) Act(ops[n]);
-    if (wrong_.empty()) Settle();
+    for (std::size_t n = 0; n < ops.size() && wrong_.empty(); ++n)
+      Act(ops[n]);
+    if (wrong_.empty())
+      Settle();
     return wrong_;
   }
-  std::uint64_t StartOvers() const { return start_overs_; }
-  std::uint64_t Refused() const { return refused_; }
+  std::uint64_t StartOvers() const {
+    return start_overs_;
+  }
+  std::uint64_t Refused() const {
+    return refused_;
+  }
 
  private:
   struct Keeper {
@@ -604,14 +703,18 @@
     std::string bytes;
   };
   void Wrong(const std::string& what) {
-    if (wrong_.empty()) wrong_ = what;
+    if (wrong_.empty())
+      wrong_ = what;
   }
   void Start(int k) {
     Keeper& kp = keepers_[k];
-    kp.disk.fate = nullptr, kp.server.reset(), kp.log.reset();
+    kp.disk.fate = nullptr;
+    kp.server.reset();
+    kp.log.reset();
     kp.log = std::make_unique<Log>(k + 1, log_, kp.disk, 10 + k);
     kp.server = std::make_unique<Server>(*kp.log, sub_, now_);
-    for (auto& one : asked_) one.second.until = 0;  // what it held of leases is gone
+    for (auto& one : asked_)
+      one.second.until = 0;  // what it held of leases is gone
   }
   void Guarded(int k, const std::function<void()>& what) {
     try {
@@ -622,75 +725,108 @@
   }
   void Feed(int k) {
     Keeper& kp = keepers_[k];
-    if (!kp.fed) return;
+    if (!kp.fed)
+      return;
     Guarded(k, [&] {
       Offset from = kp.log->Last();
-      if (from < list_.size()) kp.log->append(0, {list_.begin() + static_cast<std::ptrdiff_t>(from), list_.end()});
+      if (from < list_.size())
+        kp.log->append(0, {list_.begin() + static_cast<std::ptrdiff_t>(from), list_.end()});
       kp.log->Commit(list_.size());
     });
   }
-  void Write(const std::string& key, const std::string& value) { list_.push_back(MakeEntry(list_.size() + 1, key, value, now_)); }
+  void Write(const std::string& key, const std::string& value) {
+    list_.push_back(MakeEntry(list_.size() + 1, key, value, now_));
+  }
   void Join(unsigned s, bool resumes) {
     Follower& f = followers_[s];
-    if (!resumes) f.state.clear(), f.last = 0;
+    if (!resumes) {
+      f.state.clear();
+      f.last = 0;
+    }
     ++lives_;
-    f.sub = std::make_unique<Subscriber>(s + 1, lives_, std::vector<Id>{1, 2}, sub_, f.last, lives_, now_);
+    f.sub = std::make_unique<Subscriber>(s + 1, lives_, std::vector<Id>{1, 2}, sub_, f.last, lives_,
+                                         now_);
     asked_[s].until = 0;
   }
   Subscriber::Out out(unsigned s) {
     Subscriber::Out o;
     o.ask = [this, s](Id keeper, const Want& w) {
-      if (letters_.size() < 50) letters_.push_back({s, keeper, Encode(w)});
+      if (letters_.size() < 50)
+        letters_.push_back({s, keeper, Encode(w)});
     };
     o.entry = [this, s](const Entry& e) {
       Follower& f = followers_[s];
-      if (e.offset <= f.last) Wrong("an older one after a newer one, or a double");
-      if (e.offset > list_.size() || !(list_[e.offset - 1] == e)) return Wrong("an entry that was never written so");
+      if (e.offset <= f.last)
+        Wrong("an older one after a newer one, or a double");
+      if (e.offset > list_.size() || !(list_[e.offset - 1] == e))
+        return Wrong("an entry that was never written so");
       f.last = e.offset;
-      if (e.tombstone) f.state.erase(e.key);
-      else f.state[e.key] = {e.offset, e.value};
+      if (e.tombstone)
+        f.state.erase(e.key);
+      else
+        f.state[e.key] = {e.offset, e.value};
+    };
+    o.start_over = [this, s] {
+      followers_[s].state.clear();
+      followers_[s].last = 0;
+      ++start_overs_;
     };
-    o.start_over = [this, s] { followers_[s].state.clear(), followers_[s].last = 0, ++start_overs_; };
     return o;
   }
-  // Of each key the latest at or below the position, or a later one is on its way; exactly the latest, once it is caught up.
+  // Of each key the latest at or below the position, or a later one is on its way; exactly the
+  // latest, once it is caught up.
   void Judge(unsigned s) {
     Follower& f = followers_[s];
     Offset p = f.sub->Position();
-    if (f.last > p) return Wrong("position behind what was told");
+    if (f.last > p)
+      return Wrong("position behind what was told");
     f.last = p;
     bool exact = f.sub->CaughtUp() && p >= list_.size();
     std::map<std::string, const Entry*> then;
     std::set<std::string> later;
     for (const Entry& e : list_) {
-      if (e.offset <= p) then[e.key] = &e;
-      else later.insert(e.key);
+      if (e.offset <= p)
+        then[e.key] = &e;
+      else
+        later.insert(e.key);
     }
     for (const auto& [key, e] : then) {
       auto i = f.state.find(key);
-      bool same = e->tombstone ? i == f.state.end() : i != f.state.end() && i->second.first == e->offset;
+      bool same =
+          e->tombstone ? i == f.state.end() : i != f.state.end() && i->second.first == e->offset;
       if (!same && (exact || later.count(key) == 0))
-        return Wrong(key + (i == f.state.end() ? " lacks" : " is of the past") + " at " + std::to_string(p));
+        return Wrong(key + (i == f.state.end() ? " lacks" : " is of the past") + " at " +
+                     std::to_string(p));
     }
     for (const auto& [key, one] : f.state)
-      if (then.count(key) == 0) Wrong(key + " was never there");
+      if (then.count(key) == 0)
+        Wrong(key + " was never there");
   }
   void Deliver(std::size_t n, unsigned fate) {
-    if (letters_.empty()) return;
+    if (letters_.empty())
+      return;
     auto at = letters_.begin() + static_cast<std::ptrdiff_t>(n % letters_.size());
     Letter l = *at;
-    if (fate % 8 != 1) letters_.erase(at);  // 1: a second copy stays
-    if (fate % 8 == 0) return;              // lost
+    if (fate % 8 != 1)
+      letters_.erase(at);  // 1: a second copy stays
+    if (fate % 8 == 0)
+      return;  // lost
     auto said = DecodeSaying(l.bytes);
-    if (!said) return Wrong("a message of our own can't be read");
+    if (!said)
+      return Wrong("a message of our own can't be read");
     if (const auto* w = std::get_if<Want>(&*said)) {
       asked_[l.who] = {w->after, now_ + sub_.lease};
-      if (auto p = keepers_[l.keeper - 1].server->Wants(now_, *w)) letters_.push_back({l.who, l.keeper, Encode(*p)});
-      else asked_[l.who].until = 0;
+      if (auto p = keepers_[l.keeper - 1].server->Wants(now_, *w))
+        letters_.push_back({l.who, l.keeper, Encode(*p)});
+      else
+        asked_[l.who].until = 0;
     } else if (auto* p = std::get_if<Piece>(&*said)) {
-      if (fate % 8 == 2 && !p->entries.empty()) p->entries[0].value += "~";
-      if (fate % 8 == 3) p->up_to += 1;
-      if (fate % 16 == 4) p->start_over = !p->start_over;
+      if (fate % 8 == 2 && !p->entries.empty())
+        p->entries[0].value += "~";
+      if (fate % 8 == 3)
+        p->up_to += 1;
+      if (fate % 16 == 4)
+        p->start_over = !p->start_over;
       Follower& f = followers_[l.who];
       std::uint64_t before = f.sub->Refused();
       f.sub->Receive(now_, l.keeper, *p, out(l.who));
@@ -701,14 +837,18 @@
   void plan(unsigned to) {
     Offset passed = std::min(keepers_[0].server->Passed(now_), keepers_[1].server->Passed(now_));
     auto p = keepers_[0].log->Worth(now_, passed, 1);
-    if (!p) return;
+    if (!p)
+      return;
     for (const auto& [who, one] : asked_)
-      if (one.until > now_ && one.after < p->forget) Wrong("a tombstone goes that a living subscriber has not passed");
+      if (one.until > now_ && one.after < p->forget)
+        Wrong("a tombstone goes that a living subscriber has not passed");
     for (const Entry& e : list_)
-      if (e.tombstone && e.offset <= p->forget && now_ - e.at < log_.tombstone_term && keepers_[0].log->at(e.offset))
+      if (e.tombstone && e.offset <= p->forget && now_ - e.at < log_.tombstone_term &&
+          keepers_[0].log->at(e.offset))
         Wrong("a tombstone goes before its term");
     for (int k = 0; k < 2; ++k)
-      if (to % 4 != static_cast<unsigned>(k)) keepers_[k].log->Take(*p);
+      if (to % 4 != static_cast<unsigned>(k))
+        keepers_[k].log->Take(*p);
   }
   void Mend(int k) {
     Keeper& kp = keepers_[k];
@@ -717,23 +857,30 @@
       for (Offset h : log.Holes(100)) {
         Source source{other.head().cleaned, other.head().forgotten};
         auto others = other.Holes(1);
-        if (!other.Whole() || other.head().committed < h || !others.empty()) return;
-        if (const Entry* e = other.at(h)) log.Heal(*e);
-        else if (!log.Close(h, source)) return void((log.Anew(All(other), source), log.Commit(other.head().committed)));
+        if (!other.Whole() || other.head().committed < h || !others.empty())
+          return;
+        if (const Entry* e = other.at(h))
+          log.Heal(*e);
+        else if (!log.Close(h, source))
+          return void((log.Anew(All(other), source), log.Commit(other.head().committed)));
       }
     });
   }
   // A few keys go while one subscriber is away past its lease, and so do their tombstones.
   void Sweep(unsigned s, unsigned from) {
-    for (unsigned n = 0; n < 8; ++n) Write(Name("k", (from + n) % 24), "");
+    for (unsigned n = 0; n < 8; ++n)
+      Write(Name("k", (from + n) % 24), "");
     followers_[s].away_until = now_ + 1000;
     for (int turn = 0; turn < 2; ++turn) {
-      now_ += 500, Write(Name("z", list_.size()), "z");
-      for (int k = 0; k < 2; ++k) Feed(k);
+      now_ += 500;
+      Write(Name("z", list_.size()), "z");
+      for (int k = 0; k < 2; ++k)
+        Feed(k);
       plan(3);
       for (int k = 0; k < 2; ++k)
         Guarded(k, [&] {
-          while (keepers_[k].log->Step()) {}
+          while (keepers_[k].log->Step()) {
+          }
         });
     }
   }
@@ -742,69 +889,114 @@
     unsigned s = op.a % 3;
     Keeper& kp = keepers_[k];
     switch (op.kind % 20) {
-      case 0: case 1:
-        for (unsigned n = 0; n <= op.b % 3; ++n) Write(Name("k", (op.a + n) % 24), (op.b + n) % 3 == 0 ? "" : Name("v", list_.size() + 1));
-        Feed(0), Feed(1);
+      case 0:
+      case 1:
+        for (unsigned n = 0; n <= op.b % 3; ++n)
+          Write(Name("k", (op.a + n) % 24), (op.b + n) % 3 == 0 ? "" : Name("v", list_.size() + 1));
+        Feed(0);
+        Feed(1);
         break;
       case 2:
-        Write(Name("k", op.a % 24), ""), Write(Name("k", op.a % 24), Name("v", list_.size() + 1));
-        Feed(0), Feed(1);
+        Write(Name("k", op.a % 24), "");
+        Write(Name("k", op.a % 24), Name("v", list_.size() + 1));
+        Feed(0);
+        Feed(1);
+        break;
+      case 3:
+        plan(op.a);
         break;
-      case 3: plan(op.a); break;
-      case 4: case 5:
+      case 4:
+      case 5:
         Guarded(k, [&] {
-          for (unsigned n = 0; n <= op.b % 4; ++n) kp.log->Step();
+          for (unsigned n = 0; n <= op.b % 4; ++n)
+            kp.log->Step();
         });
         break;
-      case 6: now_ += op.b % 8 == 0 ? 10.0 * (op.a % 512) : op.a % 64; break;
-      case 7: case 8: case 9:
-        if (now_ >= followers_[s].away_until) followers_[s].sub->Tick(now_, out(s));
+      case 6:
+        now_ += op.b % 8 == 0 ? 10.0 * (op.a % 512) : op.a % 64;
+        break;
+      case 7:
+      case 8:
+      case 9:
+        if (now_ >= followers_[s].away_until)
+          followers_[s].sub->Tick(now_, out(s));
+        break;
+      case 10:
+      case 11:
+      case 12:
+      case 13:
+      case 14:
+        Deliver(op.a, op.b);
+        break;
+      case 15:
+        Start(k);
         break;
-      case 10: case 11: case 12: case 13: case 14: Deliver(op.a, op.b); break;
-      case 15: Start(k); break;
       case 16:
         kp.disk.fate = [n = 1 + op.b % 4, after = op.b % 8 >= 4, seen = 0u](std::uint64_t) mutable {
-          return ++seen == n ? (after ? MemoryDisk::Fate::kFailsAfter : MemoryDisk::Fate::kFailsBefore) : MemoryDisk::Fate::kWell;
+          return ++seen == n
+                     ? (after ? MemoryDisk::Fate::kFailsAfter : MemoryDisk::Fate::kFailsBefore)
+                     : MemoryDisk::Fate::kWell;
         };
         break;
       case 17:
-        if (op.b % 4 == 0) Join(s, false);
-        else if (op.b % 4 == 1) Join(s, true);
-        else followers_[s].away_until = now_ + 3000;  // past its lease
+        if (op.b % 4 == 0)
+          Join(s, false);
+        else if (op.b % 4 == 1)
+          Join(s, true);
+        else
+          followers_[s].away_until = now_ + 3000;  // past its lease
         break;
       case 18:
         if (k == 1) {
-          if (op.b % 3 == 0) kp.fed = !kp.fed;
-          else if (op.b % 3 == 1 || !kp.old.head) kp.old = kp.disk.copy();
-          else kp.disk.PutBack(kp.old), Start(1);
+          if (op.b % 3 == 0)
+            kp.fed = !kp.fed;
+          else if (op.b % 3 == 1 || !kp.old.head)
+            kp.old = kp.disk.copy();
+          else {
+            kp.disk.PutBack(kp.old);
+            Start(1);
+          }
         } else if (keepers_[1].log->Holes(1).empty() && kp.log->Last() > 0) {
-          kp.disk.Flip(1 + op.b % kp.log->Last()), Start(0);
+          kp.disk.Flip(1 + op.b % kp.log->Last());
+          Start(0);
         }
         break;
       case 19:
         Mend(k);
-        if (op.b % 8 == 0) Sweep(s, op.a % 24);
+        if (op.b % 8 == 0)
+          Sweep(s, op.a % 24);
         break;
     }
   }
   void Settle() {
     for (int round = 0; round < 200 && wrong_.empty(); ++round) {
-      for (int k = 0; k < 2; ++k) keepers_[k].fed = true, Feed(k), Mend(k);
-      if (round % 100 == 3) plan(3);
-      for (int k = 0; k < 2; ++k) Guarded(k, [&] { keepers_[k].log->Step(); });
+      for (int k = 0; k < 2; ++k) {
+        keepers_[k].fed = true;
+        Feed(k);
+        Mend(k);
+      }
+      if (round % 100 == 3)
+        plan(3);
+      for (int k = 0; k < 2; ++k)
+        Guarded(k, [&] { keepers_[k].log->Step(); });
       now_ += 25;
-      for (unsigned s = 0; s < 3; ++s) followers_[s].sub->Tick(now_, out(s));
-      while (!letters_.empty() && wrong_.empty()) Deliver(0, 7);
+      for (unsigned s = 0; s < 3; ++s)
+        followers_[s].sub->Tick(now_, out(s));
+      while (!letters_.empty() && wrong_.empty())
+        Deliver(0, 7);
     }
     for (unsigned s = 0; s < 3 && wrong_.empty(); ++s) {
-      if (!followers_[s].sub->CaughtUp() || followers_[s].sub->Position() != list_.size()) Wrong("not caught up in the end");
+      if (!followers_[s].sub->CaughtUp() || followers_[s].sub->Position() != list_.size())
+        Wrong("not caught up in the end");
       Judge(s);
     }
     for (int k = 0; k < 2; ++k)
-      if (keepers_[k].log->Holes(1).size() > 0) Wrong("a hole that nobody mended");
+      if (keepers_[k].log->Holes(1).size() > 0)
+        Wrong("a hole that nobody mended");
     const Log &a = *keepers_[0].log, &b = *keepers_[1].log;
     Offset forgotten = std::max(a.head().forgotten, b.head().forgotten);
-    if (wrong_.empty() && a.Digest(list_.size(), forgotten) != b.Digest(list_.size(), forgotten)) Wrong("keepers are not alike in the end");
+    if (wrong_.empty() && a.Digest(list_.size(), forgotten) != b.Digest(list_.size(), forgotten))
+      Wrong("keepers are not alike in the end");
   }
 
   struct Asked {
@@ -819,68 +1011,94 @@
   std::map<unsigned, Asked> asked_;
   Follower followers_[3];
   std::vector<Letter> letters_;
-  std::uint64_t lives_ = 0, start_overs_ = 0, refused_ = 0;
+  std::uint64_t lives_ = 0;
+  std::uint64_t start_overs_ = 0;
+  std::uint64_t refused_ = 0;
   std::string wrong_;
 };
 
 std::vector<Op> Drawn(std::uint64_t seed, std::size_t n) {
   std::knuth_b chance(seed);
   std::vector<Op> ops(n);
-  for (Op& o : ops) o.kind = chance() >> 4, o.a = chance() >> 4, o.b = chance() >> 4;
+  for (Op& o : ops) {
+    o.kind = chance() >> 4;
+    o.a = chance() >> 4;
+    o.b = chance() >> 4;
+  }
   return ops;
 }
 // How many of these seeds find something wrong; the first is told.
-int Found(Breaks breaks, std::uint64_t seeds, int enough = 1 << 20, std::uint64_t* start_overs = nullptr, std::uint64_t* refused = nullptr) {
+int Found(Breaks breaks, std::uint64_t seeds, int enough = 1 << 20,
+          std::uint64_t* start_overs = nullptr, std::uint64_t* refused = nullptr) {
   int n = 0;
   for (std::uint64_t seed = 1; seed <= seeds && n < enough; ++seed) {
     Play play(breaks);
     std::string what = play.Run(Drawn(seed, 600));
-    if (start_overs) *start_overs += play.StartOvers();
-    if (refused) *refused += play.Refused();
-    if (!what.empty() && ++n == 1) MESSAGE("seed ", seed, ": ", what);
+    if (start_overs)
+      *start_overs += play.StartOvers();
+    if (refused)
+      *refused += play.Refused();
+    if (!what.empty() && ++n == 1)
+      MESSAGE("seed ", seed, ": ", what);
   }
   return n;
 }
 
 }  // namespace
 
-TEST_CASE("random runs: the subscriber's promise at every position, from two keepers, through every fault") {
+TEST_CASE(
+    "random runs: the subscriber's promise at every position, from two keepers, through every "
+    "fault") {
   std::uint64_t start_overs = 0, refused = 0;
   CHECK(Found({}, 500, 1 << 20, &start_overs, &refused) == 0);
   CHECK(start_overs > 50);
   CHECK(refused > 1000);
   bool holds = rc::check("a plain list is the judge", [] {
-    auto raw = *rc::gen::scale(6, rc::gen::arbitrary<std::vector<std::tuple<std::uint8_t, std::uint16_t, std::uint16_t>>>());
+    auto raw = *rc::gen::scale(
+        6,
+        rc::gen::arbitrary<std::vector<std::tuple<std::uint8_t, std::uint16_t, std::uint16_t>>>());
     std::vector<Op> ops;
-    for (auto [kind, a, b] : raw) ops.push_back({kind, a, b});
+    for (auto [kind, a, b] : raw)
+      ops.push_back({kind, a, b});
     std::string what = Play({}).Run(ops);
-    if (!what.empty()) RC_FAIL(what);
+    if (!what.empty())
+      RC_FAIL(what);
   });
   CHECK(holds);
 }
 
 TEST_CASE("broken variants are caught") {
   Breaks early, gap, resumed, unchecked;
-  early.tombstone_early = gap.gap_after_snapshot = resumed.resumed_forgotten = unchecked.digest_unchecked = true;
+  early.tombstone_early = gap.gap_after_snapshot = resumed.resumed_forgotten =
+      unchecked.digest_unchecked = true;
   CHECK(Found(early, 200, 1) > 0);
   CHECK(Found(gap, 200, 1) > 0);
   CHECK(Found(resumed, 400, 1) > 0);
   CHECK(Found(unchecked, 200, 1) > 0);
 }
 
-TEST_CASE("subscribers: snapshot then tail while both go on; the slow, the away, the many, and messages of others") {
+TEST_CASE(
+    "subscribers: snapshot then tail while both go on; the slow, the away, the many, and messages "
+    "of others") {
   MemoryDisk disk;
   Log log(1, MakeTerms(), disk, 1);
   auto list = Mixed(60, 31);
   CHECK(log.append(0, {list.begin(), list.begin() + 40}));
   log.Commit(40);
   SubscriberTerms t;
-  t.piece_bytes = 200, t.most_subscribers = 2, t.lease = 1000;
+  t.piece_bytes = 200;
+  t.most_subscribers = 2;
+  t.lease = 1000;
   Server server(log, t, 0);
   std::vector<Want> asked;
   std::vector<Entry> got;
   int over = 0;
-  Subscriber::Out out{[&](Id, const Want& w) { asked.push_back(w); }, [&](const Entry& e) { got.push_back(e); }, [&] { ++over, got.clear(); }};
+  Subscriber::Out out{[&](Id, const Want& w) { asked.push_back(w); },
+                      [&](const Entry& e) { got.push_back(e); },
+                      [&] {
+                        ++over;
+                        got.clear();
+                      }};
   Subscriber sub(9, 1, {1}, t, 0, 5, 0);
   sub.Tick(0, out);
   REQUIRE(asked.size() == 1);
@@ -888,29 +1106,34 @@
   REQUIRE(piece);
   CHECK(piece->snapshot == 40);
   std::size_t bytes = 0;
-  for (const Entry& e : piece->entries) bytes += e.key.size() + e.value.size() + 40;
+  for (const Entry& e : piece->entries)
+    bytes += e.key.size() + e.value.size() + 40;
   CHECK(bytes <= t.piece_bytes);
   CHECK(server.Passed(1) == 0);
   CHECK(!server.Wants(1, asked[0]));  // a second copy
   sub.Receive(1, 2, *piece, out);     // from one that was not asked
   CHECK(got.empty());
-  for (int n = 0; n < 5; ++n) sub.Tick(1, out);
+  for (int n = 0; n < 5; ++n)
+    sub.Tick(1, out);
   CHECK(asked.size() == 1);  // one question under way, however often it is ticked
-  sub.Receive(1, 1, *piece, out), sub.Receive(1, 1, *piece, out);
+  sub.Receive(1, 1, *piece, out);
+  sub.Receive(1, 1, *piece, out);
   CHECK(got.size() == piece->entries.size());
   CHECK(asked.size() == 2);
   CHECK(server.Wants(2, Want{7, 1, 1, 0, 7, 0}));
-  CHECK(!server.Wants(2, Want{8, 1, 1, 0, 7, 0}));  // full
+  CHECK(!server.Wants(2, Want{8, 1, 1, 0, 7, 0}));     // full
   CHECK(server.Wants(1500, Want{8, 1, 1, 40, 7, 0}));  // both leases have run
   CHECK(server.Living(1500).positions.size() == 1);
   CHECK(!server.Wants(1501, Want{8, 0, 9, 0, 7, 0}));  // of an earlier life
   // More is written, and compacted, before it goes on: the tail follows the snapshot.
   CHECK(log.append(0, {list.begin() + 40, list.end()}));
-  log.Commit(60), Compact(log, {1, 30, 0});
+  log.Commit(60);
+  Compact(log, {1, 30, 0});
   CHECK(!sub.CaughtUp());
   for (int n = 0; n < 60 && !sub.CaughtUp(); ++n)
     if (auto p = server.Wants(2000, asked.back())) {
-      if (p->after < 40) CHECK(p->up_to <= 40);
+      if (p->after < 40)
+        CHECK(p->up_to <= 40);
       sub.Receive(2000, 1, *p, out);
     }
   REQUIRE(sub.CaughtUp());
@@ -922,14 +1145,16 @@
   Subscriber old(10, 1, {1}, t, 5, 5, 3000);
   old.Tick(3000, out);
   for (int n = 0; n < 60 && !old.CaughtUp(); ++n)
-    if (auto p = server.Wants(3000, asked.back())) old.Receive(3000, 1, *p, out);
+    if (auto p = server.Wants(3000, asked.back()))
+      old.Receive(3000, 1, *p, out);
   CHECK(over == 1);
   CHECK(old.CaughtUp());
   CHECK(got == All(log));
   // One stream only.
   auto one = server.Wants(9000, Want{30, 1, 1, 0, 2, 0});
   REQUIRE(one);
-  for (const Entry& e : one->entries) CHECK(e.stream == Stream::kRules);
+  for (const Entry& e : one->entries)
+    CHECK(e.stream == Stream::kRules);
   // Bytes of anybody: read whole, or not at all.
   std::knuth_b chance(3);
   std::string whole = Encode(*one);
@@ -937,11 +1162,15 @@
   CHECK(std::get<Lease>(*DecodeSaying(Encode(Lease{{{4, 5}}}))).positions.size() == 1);
   for (int n = 0; n < 20000; ++n) {
     std::string bad = whole;
-    for (int k = 0; k < 3; ++k) bad[chance() % bad.size()] = static_cast<char>(chance());
-    if (n % 3 == 0) bad.resize(chance() % bad.size());
+    for (int k = 0; k < 3; ++k)
+      bad[chance() % bad.size()] = static_cast<char>(chance());
+    if (n % 3 == 0)
+      bad.resize(chance() % bad.size());
     auto said = DecodeSaying(bad);
-    if (!said || !std::holds_alternative<Piece>(*said)) continue;
+    if (!said || !std::holds_alternative<Piece>(*said))
+      continue;
     Piece p = std::get<Piece>(*said);
-    if (Encode(p) != whole) CHECK(Digest(p) != p.digest);
+    if (Encode(p) != whole)
+      CHECK(Digest(p) != p.digest);
   }
 }
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -1,4 +1,5 @@
-// Sides of an exchange that note what they are told, for the tests of the exchange and of the sides.
+// Sides of an exchange that note what they are told, for the tests of the exchange and of the
+// sides.
 #pragma once
 #include <map>
 
@@ -14,12 +15,18 @@
 inline const std::string kId = "9b1f03aa5c7e2d41";
 
 inline sheet::RoadTerms MakeTerms(Ms within = 400, Ms idle = 30000) {
-  return {{"video", "write"}, {"hub", "e-1"}, {"box", "parent", "origin"}, {"util"}, within, idle, 100};
+  return {
+      {"video", "write"}, {"hub", "e-1"}, {"box", "parent", "origin"}, {"util"}, within, idle, 100};
 }
 
 inline Ask AskFor(const std::string& name = kId) {
   Ask a;
-  a.id = name, a.offering = "video", a.object = "7f3a", a.part = "0", a.ttl = 60000, a.size_kb = 1000;
+  a.id = name;
+  a.offering = "video";
+  a.object = "7f3a";
+  a.part = "0";
+  a.ttl = 60000;
+  a.size_kb = 1000;
   return a;
 }
 
@@ -28,16 +35,33 @@
   std::vector<std::string> told;
   std::string body;
   void Finished(const std::string& tag, std::string bytes) override {
-    told.push_back("200 " + tag), body = bytes;
+    told.push_back("200 " + tag);
+    body = bytes;
+  }
+  void Unchanged(const std::string& tag) override {
+    told.push_back("304 " + tag);
+  }
+  void Declined(Ms retry_after) override {
+    told.push_back(retry_after > 0 ? "503 later" : "503");
+  }
+  void Abandoned() override {
+    told.push_back("502");
+  }
+  void Begun(const std::string& tag, std::size_t) override {
+    told.push_back("begun " + tag);
+  }
+  void More(std::string_view bytes) override {
+    body += bytes;
+  }
+  void Completed() override {
+    told.push_back("completed");
+  }
+  void BrokeOff() override {
+    told.push_back("broke");
+  }
+  bool Is(const std::vector<std::string>& all) const {
+    return told == all;
   }
-  void Unchanged(const std::string& tag) override { told.push_back("304 " + tag); }
-  void Declined(Ms retry_after) override { told.push_back(retry_after > 0 ? "503 later" : "503"); }
-  void Abandoned() override { told.push_back("502"); }
-  void Begun(const std::string& tag, std::size_t) override { told.push_back("begun " + tag); }
-  void More(std::string_view bytes) override { body += bytes; }
-  void Completed() override { told.push_back("completed"); }
-  void BrokeOff() override { told.push_back("broke"); }
-  bool Is(const std::vector<std::string>& all) const { return told == all; }
 };
 
 // A caches' side that notes what it is asked for.
@@ -54,11 +78,14 @@
     sent.push_back({key, how, avoid});
     return sent.size();
   }
-  void GiveUp(LegKey key, const Ask&, std::uint32_t) override { given_up.push_back(key); }
+  void GiveUp(LegKey key, const Ask&, std::uint32_t) override {
+    given_up.push_back(key);
+  }
   bool waiting = false;  // nothing has left yet
   std::vector<LegKey> taken_back;
   bool TakeBack(LegKey key, const Ask&, std::uint32_t) override {
-    if (waiting) taken_back.push_back(key);
+    if (waiting)
+      taken_back.push_back(key);
     return waiting;
   }
   void Probe(std::uint32_t) override {}
@@ -67,16 +94,22 @@
     numbers[machine] = one.cache;
   }
   std::vector<std::uint32_t> forgotten;
-  void Forget(std::uint32_t cache) override { forgotten.push_back(cache); }
+  void Forget(std::uint32_t cache) override {
+    forgotten.push_back(cache);
+  }
 };
 
 inline exchange::Word Said(Ending ending, Remark remark = Remark::kNone) {
   exchange::Word w;
-  w.ending = ending, w.remark = remark, w.tag = "t1", w.dated = true;
+  w.ending = ending;
+  w.remark = remark;
+  w.tag = "t1";
+  w.dated = true;
   return w;
 }
 
-inline std::vector<exchange::Listed> Machines(const std::vector<std::pair<std::string, loop::Address>>& stores) {
+inline std::vector<exchange::Listed> Machines(
+    const std::vector<std::pair<std::string, loop::Address>>& stores) {
   std::vector<exchange::Listed> all;
   for (auto& [name, at] : stores)
     all.push_back({MakeEntry(0, name[0] == 'o' ? kOriginKind : kStoreKind, 1), name, at});
@@ -90,14 +123,16 @@
   explicit Desk(StoreSheet s = kit::Sheet(), int stores = 4) : exchange(loop, s, 1) {
     exchange.Meet(caches);
     std::vector<std::pair<std::string, loop::Address>> all{{"origin", {}}};
-    for (int i = 0; i < stores; ++i) all.push_back({"s-" + std::to_string(i), {}});
+    for (int i = 0; i < stores; ++i)
+      all.push_back({"s-" + std::to_string(i), {}});
     exchange.ListCame(true, Machines(all));
   }
 };
 
-inline std::string Get(const std::string& more = "", const std::string& target = "/ops/video/7f3a?part=3") {
-  return "GET " + target + " HTTP/1.1\r\nX-Request-Id: " + kId + "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\n" +
-         more + "\r\n";
+inline std::string Get(const std::string& more = "",
+                       const std::string& target = "/ops/video/7f3a?part=3") {
+  return "GET " + target + " HTTP/1.1\r\nX-Request-Id: " + kId +
+         "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\n" + more + "\r\n";
 }
 
 inline std::string GetAs(int which) {  // under an id of its own
--- a/tests/stage_test.cpp
+++ b/tests/stage_test.cpp
@@ -1,4 +1,5 @@
-// The staged ground: what a stream and a datagram promise, each trouble of the network, and that it replays.
+// The staged ground: what a stream and a datagram promise, each trouble of the network, and that it
+// replays.
 #include "stage/stage.hpp"
 
 #include <cassert>
@@ -25,7 +26,9 @@
     got += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Ended(Parting how) override { ends.push_back(how); }
+  void Ended(Parting how) override {
+    ends.push_back(how);
+  }
 };
 
 // Two processes, a listener at the second, one connection from the first.
@@ -41,19 +44,25 @@
     net.place(0x0a000002, 1);
     stage::Way w;
     w.latency = latency;
-    net.Join(0, 1, w), net.Join(1, 0, w);
+    net.Join(0, 1, w);
+    net.Join(1, 0, w);
     if (listens)
       b.Act([&] {
         listener = std::make_unique<loop::Listener>(b.loop(), kThere, [this](loop::Descriptor fd) {
           far.push_back(std::make_unique<Side>());
-          far.back()->connection = std::make_unique<loop::Connection>(b.loop(), *far.back(), std::move(fd));
+          far.back()->connection =
+              std::make_unique<loop::Connection>(b.loop(), *far.back(), std::move(fd));
         });
       });
   }
   void Open(loop::Ms within = 400) {
-    a.Act([&] { near.connection = std::make_unique<loop::Connection>(a.loop(), near, kThere, within); });
+    a.Act([&] {
+      near.connection = std::make_unique<loop::Connection>(a.loop(), near, kThere, within);
+    });
+  }
+  void Pass(loop::Ms ms) {
+    net.RunUntil(net.now() + ms);
   }
-  void Pass(loop::Ms ms) { net.RunUntil(net.now() + ms); }
   void Send(Side& side, Process& of, std::string text) {
     of.Act([&] { side.connection->Send(std::move(text)); });
   }
@@ -61,7 +70,8 @@
 
 std::string Pattern(std::size_t n) {
   std::string text;
-  for (std::size_t i = 0; i < n; ++i) text += static_cast<char>('a' + i * 7 % 26);
+  for (std::size_t i = 0; i < n; ++i)
+    text += static_cast<char>('a' + i * 7 % 26);
   return text;
 }
 
@@ -97,20 +107,43 @@
 void EndsAreToldAsTheyAre() {
   struct Case {
     const char* name;
-    bool listens, opens;
+    bool listens;
+    bool opens;
     void (*what)(Pair&);
     std::vector<Parting> near;
   };
   for (const Case& c : std::vector<Case>{
            {"nobody listens", false, false, [](Pair&) {}, {Parting::kRefused}},
-           {"the host is cut", true, false, [](Pair& p) { p.net.SetCut(0x0a000002, true, true); }, {Parting::kNeverUp}},
-           {"the host has vanished", true, false, [](Pair& p) { p.net.Vanish(p.b); }, {Parting::kNeverUp}},
-           {"closed", true, true, [](Pair& p) { p.b.Act([&] { p.far[0]->connection->Close(); }); }, {Parting::kClosed}},
-           {"half closed", true, true, [](Pair& p) { p.b.Act([&] { p.far[0]->connection->SayNoMore(); }); }, {Parting::kClosed}},
+           {"the host is cut",
+            true,
+            false,
+            [](Pair& p) { p.net.SetCut(0x0a000002, true, true); },
+            {Parting::kNeverUp}},
+           {"the host has vanished",
+            true,
+            false,
+            [](Pair& p) { p.net.Vanish(p.b); },
+            {Parting::kNeverUp}},
+           {"closed",
+            true,
+            true,
+            [](Pair& p) { p.b.Act([&] { p.far[0]->connection->Close(); }); },
+            {Parting::kClosed}},
+           {"half closed",
+            true,
+            true,
+            [](Pair& p) { p.b.Act([&] { p.far[0]->connection->SayNoMore(); }); },
+            {Parting::kClosed}},
            {"killed", true, true, [](Pair& p) { p.net.Kill(p.b); }, {Parting::kReset}},
            {"vanished under it: silent", true, true, [](Pair& p) { p.net.Vanish(p.b); }, {}},
-           {"cut under it: silent", true, true, [](Pair& p) { p.net.SetCut(0x0a000002, true, true); }, {}},
-           {"vanished, and a new process there: a reset once something is said", true, true,
+           {"cut under it: silent",
+            true,
+            true,
+            [](Pair& p) { p.net.SetCut(0x0a000002, true, true); },
+            {}},
+           {"vanished, and a new process there: a reset once something is said",
+            true,
+            true,
             [](Pair& p) {
               p.net.Vanish(p.b);
               p.net.Start(0x0a000002, "b2");
@@ -118,12 +151,15 @@
             },
             {Parting::kReset}}}) {
     Pair p(1, c.listens);
-    if (!c.opens) c.what(p);
+    if (!c.opens)
+      c.what(p);
     p.Open();
     p.Pass(100);
-    if (c.opens) c.what(p);
+    if (c.opens)
+      c.what(p);
     p.Pass(5000);
-    if (p.near.ends != c.near) std::fprintf(stderr, "%s\n", c.name);
+    if (p.near.ends != c.near)
+      std::fprintf(stderr, "%s\n", c.name);
     assert(p.near.ends == c.near);
   }
 }
@@ -147,7 +183,8 @@
   Net net(1);
   Process& a = net.Start(0x0a000001, "a", 6);  // three for the standard streams
   a.Act([&] {
-    for (int fd : {3, 4, 5}) assert(a.OpenStream() == fd);
+    for (int fd : {3, 4, 5})
+      assert(a.OpenStream() == fd);
     assert(a.OpenStream() == -EMFILE);
     a.Close(4);
     assert(a.OpenStream() == 4 && a.OpenDescriptors() == 3);
@@ -157,13 +194,18 @@
 
 void DatagramsComeWholeOrNot() {
   struct Case {
-    double lost, doubled, shuffled;
+    double lost;
+    double doubled;
+    double shuffled;
   };
   for (const Case& c : {Case{0, 0, 0}, {0.3, 0, 0}, {0, 0.3, 0}, {0, 0, 0.5}}) {
     Net net(7);
     Process &a = net.Start(0x0a000001, "a"), &b = net.Start(0x0a000002, "b");
     stage::Way& w = net.way(0, 0);
-    w.latency = 5, w.lost = c.lost, w.doubled = c.doubled, w.shuffled = c.shuffled;
+    w.latency = 5;
+    w.lost = c.lost;
+    w.doubled = c.doubled;
+    w.shuffled = c.shuffled;
     int from = a.OpenDatagrams(stage::AddressOf(0x0a000001, 0)), to = b.OpenDatagrams(kThere);
     assert(from >= 0 && to >= 0 && b.OpenDatagrams(kThere) == -EADDRINUSE);
     std::vector<int> got;
@@ -180,7 +222,8 @@
       }
     }
     bool ordered = std::is_sorted(got.begin(), got.end());
-    std::size_t n = got.size(), all = static_cast<std::size_t>(sent) - 4;  // the last are on their way
+    std::size_t n = got.size(),
+                all = static_cast<std::size_t>(sent) - 4;  // the last are on their way
     assert(c.lost > 0 ? n < 180 && n > 90 : c.doubled > 0 ? n > 220 : n + 30 > all);
     assert(c.shuffled > 0 ? !ordered : ordered);
   }
@@ -189,7 +232,9 @@
 void AProcessThatNeverRestsIsFound() {
   Net net(1);
   Process& a = net.Start(0x0a000001, "a");
-  std::function<void()> again = [&] { a.loop().at(a.loop().now(), again); };
+  std::function<void()> again = [&] {
+    a.loop().at(a.loop().now(), again);
+  };
   a.Act(again);
   bool found = false;
   try {
@@ -218,7 +263,10 @@
     p.net.SetChoppy(0.5);
     p.net.way(0, 1).lost = 0.1;
     p.Open();
-    for (int i = 0; i < 50; ++i) p.Send(p.near, p.a, Pattern(static_cast<std::size_t>(100 * i + 1))), p.Pass(7);
+    for (int i = 0; i < 50; ++i) {
+      p.Send(p.near, p.a, Pattern(static_cast<std::size_t>(100 * i + 1)));
+      p.Pass(7);
+    }
     p.Pass(1000);
     return p.net.Digest();
   };
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,6 +1,6 @@
-// Folders that last, on real files: a file-size limit makes writes fail in a child process, files cut short
-// by a full disk, and stores that an older version wrote. Floors on a disk that fails, by plan, at every call
-// in turn.
+// Folders that last, on real files: a file-size limit makes writes fail in a child process, files
+// cut short by a full disk, and stores that an older version wrote. Floors on a disk that fails, by
+// plan, at every call in turn.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <sys/resource.h>
@@ -30,17 +30,21 @@
   Folder() : path_((fs::temp_directory_path() / "storage_test.XXXXXX").string()) {
     REQUIRE(::mkdtemp(path_.data()) != nullptr);
   }
-  ~Folder() { fs::remove_all(path_); }
+  ~Folder() {
+    fs::remove_all(path_);
+  }
   Folder(const Folder&) = delete;
   Folder& operator=(const Folder&) = delete;
-  std::string at(const std::string& name) const { return path_ + "/" + name; }
+  std::string at(const std::string& name) const {
+    return path_ + "/" + name;
+  }
 
  private:
   std::string path_;
 };
 
-// From here on a write past `bytes` of any file fails with EFBIG, as on a disk that is full; nothing else
-// does.
+// From here on a write past `bytes` of any file fails with EFBIG, as on a disk that is full;
+// nothing else does.
 void LimitFiles(rlim_t bytes) {
   ::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
@@ -49,8 +53,8 @@
   ::setrlimit(RLIMIT_FSIZE, &limit);
 }
 
-// Runs `body` in a child of its own, so that the limit is only there. It returns the line of the first check
-// that failed, or 0.
+// Runs `body` in a child of its own, so that the limit is only there. It returns the line of the
+// first check that failed, or 0.
 int InChild(const std::function<int()>& body) {
   std::fflush(nullptr);
   pid_t child = ::fork();
@@ -70,12 +74,13 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 #define HOLDS(what) \
-  if (!(what)) return __LINE__
+  if (!(what))      \
+  return __LINE__
 
 constexpr rlim_t kSmallLimit = 64 << 10;
 constexpr rlim_t kReplicaLimit = 256 << 10;
-// Values of one page are refused whole (no room); of several pages a write is cut short, which LMDB tells as
-// an I/O error.
+// Values of one page are refused whole (no room); of several pages a write is cut short, which LMDB
+// tells as an I/O error.
 constexpr std::size_t kValueOfOnePage = 2000;
 constexpr std::size_t kValueOfPages = 10000;
 constexpr int kMostTries = 10000;
@@ -105,14 +110,16 @@
     auto open_disk = [folder]() -> std::unique_ptr<record::Disk> {
       return std::make_unique<store::RecordLmdb>(folder);
     };
-    replica =
-        std::make_unique<record::Replica>(1, std::vector<record::Id>{1}, record::ReplicaTerms{}, open_disk, 5,
-                                          now, [this](const std::string& line) { lines.push_back(line); });
+    replica = std::make_unique<record::Replica>(
+        1, std::vector<record::Id>{1}, record::ReplicaTerms{}, open_disk, 5, now,
+        [this](const std::string& line) { lines.push_back(line); });
     writer = std::make_unique<record::Writer>(1, std::vector<record::Id>{1}, record::KeeperTerms{},
                                               record::LogTerms{}, 1000, now);
   }
   record::Send Send() {
-    return [this](record::Id to, const record::Message& message) { wire.emplace_back(to, message); };
+    return [this](record::Id to, const record::Message& message) {
+      wire.emplace_back(to, message);
+    };
   }
   void Step() {
     constexpr record::Ms kTick = 20;
@@ -126,7 +133,8 @@
       writer->Write(
           now, {put},
           [this](record::Writer::Outcome outcome, record::Offset first) {
-            if (outcome == record::Writer::Outcome::kAcknowledged) acknowledged.insert(first);
+            if (outcome == record::Writer::Outcome::kAcknowledged)
+              acknowledged.insert(first);
           },
           Send());
     }
@@ -134,10 +142,12 @@
       record::Message message = std::move(wire.front().second);
       wire.pop_front();
       bool is_answer = std::holds_alternative<record::Tail>(message) ||
-                      std::holds_alternative<record::Kept>(message) ||
-                      std::holds_alternative<record::Fetched>(message);
-      if (is_answer) writer->Receive(now, 1, message, Send());
-      else replica->Receive(now, 1, message, Send());
+                       std::holds_alternative<record::Kept>(message) ||
+                       std::holds_alternative<record::Fetched>(message);
+      if (is_answer)
+        writer->Receive(now, 1, message, Send());
+      else
+        replica->Receive(now, 1, message, Send());
     }
   }
 };
@@ -145,12 +155,15 @@
 }  // namespace
 
 TEST_CASE(
-    "an owner's store on a file that can't grow keeps what it took, takes nothing more, and goes on once "
+    "an owner's store on a file that can't grow keeps what it took, takes nothing more, and goes "
+    "on once "
     "there is room") {
   Folder folder;
   int result = InChild([&] {
     std::vector<std::string> taken;
-    auto open = [&] { return std::make_unique<store::LmdbStore>(folder.at("owner")); };
+    auto open = [&] {
+      return std::make_unique<store::LmdbStore>(folder.at("owner"));
+    };
     auto entry = [](std::size_t n) {
       return owner::LogEntry{1, 1, std::string(900, 'a') + std::to_string(n)};
     };
@@ -161,9 +174,11 @@
     HOLDS(taken.size() > 5);
     HOLDS(taken.size() < kMostTries);
     auto holds_all = [&](owner::StoredState state) {
-      if (state.entries.size() != taken.size()) return false;
+      if (state.entries.size() != taken.size())
+        return false;
       for (std::size_t i = 0; i < taken.size(); ++i)
-        if (state.entries[i].bytes != taken[i]) return false;
+        if (state.entries[i].bytes != taken[i])
+          return false;
       return true;
     };
     HOLDS(holds_all(disk->load()));
@@ -183,7 +198,8 @@
 }
 
 TEST_CASE(
-    "a replica on a file that can't grow acknowledges no more, and by itself again once there is room; "
+    "a replica on a file that can't grow acknowledges no more, and by itself again once there is "
+    "room; "
     "nothing acknowledged is lost") {
   for (std::size_t valueBytes : {kValueOfOnePage, kValueOfPages}) {
     CAPTURE(valueBytes);
@@ -193,15 +209,19 @@
       {
         Alone alone(folder.at("record"), valueBytes);
         constexpr int kSteps = 400;
-        for (int i = 0; i < 10; ++i) alone.Step();
+        for (int i = 0; i < 10; ++i)
+          alone.Step();
         HOLDS(!alone.acknowledged.empty());
         LimitFiles(kReplicaLimit);
-        for (int i = 0; i < kSteps; ++i) alone.Step();
+        for (int i = 0; i < kSteps; ++i)
+          alone.Step();
         std::size_t before = alone.acknowledged.size();
-        for (int i = 0; i < kSteps; ++i) alone.Step();
+        for (int i = 0; i < kSteps; ++i)
+          alone.Step();
         HOLDS(alone.acknowledged.size() == before);
         LimitFiles(RLIM_INFINITY);
-        for (int i = 0; i < kMostTries && alone.acknowledged.size() < before + 20; ++i) alone.Step();
+        for (int i = 0; i < kMostTries && alone.acknowledged.size() < before + 20; ++i)
+          alone.Step();
         HOLDS(alone.acknowledged.size() >= before + 20);
         HOLDS(alone.replica->IsOpen());
         HOLDS(alone.lines.empty() == (valueBytes == kValueOfOnePage));
@@ -210,7 +230,8 @@
       }
       store::RecordLmdb disk(folder.at("record"));
       record::Log log(1, {}, disk, 5);
-      for (record::Offset offset : acknowledged) HOLDS(log.at(offset) != nullptr);
+      for (record::Offset offset : acknowledged)
+        HOLDS(log.at(offset) != nullptr);
       HOLDS(log.Holes(1).empty());
       return 0;
     });
@@ -219,7 +240,8 @@
 }
 
 TEST_CASE(
-    "floors on a file that can't grow say so, keep what was written, and are kept again once there is room") {
+    "floors on a file that can't grow say so, keep what was written, and are kept again once there "
+    "is room") {
   Folder folder;
   int result = InChild([&] {
     auto open_disk = [&]() -> std::unique_ptr<FloorDisk> {
@@ -239,14 +261,16 @@
     for (std::uint32_t id = 1; id <= kMostWitnessed; ++id) {
       wanted.witnessed[id] = 1764629600000 + id;
       floors.Keep(now += 20, wanted);
-      if (!floors.IsKept()) break;
+      if (!floors.IsKept())
+        break;
       last = wanted;
     }
     HOLDS(!floors.IsKept());
     HOLDS(lines.size() == 1);
     HOLDS(floors.Lasting() == last);
     LimitFiles(RLIM_INFINITY);
-    for (int i = 0; i < kMostTries && !floors.IsKept(); ++i) floors.Keep(now += 20, wanted);
+    for (int i = 0; i < kMostTries && !floors.IsKept(); ++i)
+      floors.Keep(now += 20, wanted);
     HOLDS(floors.IsKept());
     HOLDS(floors.Lasting() == wanted);
     HOLDS(lines.back() == "recovery floors kept again");
@@ -264,16 +288,20 @@
       int result = InChild([&] {
         auto use = [&] {
           std::string at = folder.at(kind);
-          if (kind == std::string("owner")) store::LmdbStore(at).SetTerm(4);
-          if (kind == std::string("record")) store::RecordLmdb(at).Write(record::Head{});
-          if (kind == std::string("floors")) store::FloorStore(at).Write(KeptFloors{});
+          if (kind == std::string("owner"))
+            store::LmdbStore(at).SetTerm(4);
+          if (kind == std::string("record"))
+            store::RecordLmdb(at).Write(record::Head{});
+          if (kind == std::string("floors"))
+            store::FloorStore(at).Write(KeptFloors{});
         };
         LimitFiles(limit);
         HOLDS(Fails(use));
         HOLDS(Fails(use));
         LimitFiles(RLIM_INFINITY);
         HOLDS(!Fails(use));
-        if (kind == std::string("owner")) HOLDS(store::LmdbStore(folder.at(kind)).load().term == 4);
+        if (kind == std::string("owner"))
+          HOLDS(store::LmdbStore(folder.at(kind)).load().term == 4);
         return 0;
       });
       CHECK(result == 0);
@@ -290,8 +318,10 @@
       fs::copy_file(std::string(DATA) + "/stores-cd3eb2b/" + kind + "/data.mdb",
                     folder.at(kind) + "/data.mdb");
       fs::resize_file(folder.at(kind) + "/data.mdb", bytes);
-      if (kind == std::string("owner")) CHECK(store::LmdbStore(folder.at(kind)).load().term == 0);
-      if (kind == std::string("record")) CHECK_FALSE(store::RecordLmdb(folder.at(kind)).head());
+      if (kind == std::string("owner"))
+        CHECK(store::LmdbStore(folder.at(kind)).load().term == 0);
+      if (kind == std::string("record"))
+        CHECK_FALSE(store::RecordLmdb(folder.at(kind)).head());
       KeptFloors found;
       if (kind == std::string("floors"))
         CHECK(store::FloorStore(folder.at(kind)).Read(found) == FloorDisk::Found::kEmpty);
@@ -302,7 +332,8 @@
   Folder folder;
   for (const char* kind : {"owner", "record", "floors"}) {
     fs::create_directory(folder.at(kind));
-    fs::copy_file(std::string(DATA) + "/stores-cd3eb2b/" + kind + "/data.mdb", folder.at(kind) + "/data.mdb");
+    fs::copy_file(std::string(DATA) + "/stores-cd3eb2b/" + kind + "/data.mdb",
+                  folder.at(kind) + "/data.mdb");
   }
   for (int opening = 0; opening < 2; ++opening) {
     store::LmdbStore owned(folder.at("owner"));
@@ -356,7 +387,11 @@
 
 namespace {
 
-enum class Fate { kWorks, kFailsBefore, kFailsAfter };
+enum class Fate {
+  kWorks,
+  kFailsBefore,
+  kFailsAfter
+};
 
 // What is on a floor disk; it outlives its openings.
 struct PlannedFloors {
@@ -369,9 +404,11 @@
   void Call(const std::function<void()>& change) {
     ++calls;
     Fate now = fate ? fate(calls) : Fate::kWorks;
-    if (now == Fate::kFailsBefore) throw std::runtime_error("no space left on device");
+    if (now == Fate::kFailsBefore)
+      throw std::runtime_error("no space left on device");
     change();
-    if (now == Fate::kFailsAfter) throw std::runtime_error("input/output error");
+    if (now == Fate::kFailsAfter)
+      throw std::runtime_error("input/output error");
   }
 };
 
@@ -381,7 +418,9 @@
     disk_.Call([] {});
     disk_.most_open = std::max(disk_.most_open, ++disk_.open);
   }
-  ~PlannedFloorDisk() override { --disk_.open; }
+  ~PlannedFloorDisk() override {
+    --disk_.open;
+  }
   Found Read(KeptFloors& into) override {
     disk_.Call([&] { into = disk_.kept.value_or(KeptFloors{}); });
     return disk_.kept ? Found::kGood : Found::kEmpty;
@@ -409,7 +448,8 @@
 }  // namespace
 
 TEST_CASE(
-    "floors on a disk that fails at any call for a while are told only once they last, never fall, and are "
+    "floors on a disk that fails at any call for a while are told only once they last, never fall, "
+    "and are "
     "kept again") {
   constexpr store::Ms kFailingFor = 3000;
   constexpr std::uint64_t kCalls = 12;
@@ -424,14 +464,17 @@
         store::Ms now = 0;
         store::Ms fails_until = -1;
         disk.fate = [&](std::uint64_t number) {
-          if (number == call) fails_until = now + kFailingFor;
+          if (number == call)
+            fails_until = now + kFailingFor;
           return now < fails_until ? fate : Fate::kWorks;
         };
         std::size_t lines = 0;
         auto open_disk = [&]() -> std::unique_ptr<FloorDisk> {
           return std::make_unique<PlannedFloorDisk>(disk);
         };
-        auto say = [&](const std::string&) { ++lines; };
+        auto say = [&](const std::string&) {
+          ++lines;
+        };
         auto floors = std::make_unique<store::LastingFloors>(open_disk, say);
         KeptFloors found;
         floors->Start(now, 3, found);
@@ -445,12 +488,15 @@
             offset = std::max(offset, found.offset);
             isKilled = false;
           }
-          if (offset < kLifeBegins) ++offset;
+          if (offset < kLifeBegins)
+            ++offset;
           floors->Keep(now, FloorsAt(offset));
           CHECK(disk.kept->offset >= lowest);
           lowest = std::max(lowest, disk.kept->offset);
-          if (floors->IsKept()) CHECK(floors->Lasting() == *disk.kept);
-          std::uint64_t told = floors->Lasting().witnessed.count(1) ? floors->Lasting().witnessed.at(1) : 0;
+          if (floors->IsKept())
+            CHECK(floors->Lasting() == *disk.kept);
+          std::uint64_t told =
+              floors->Lasting().witnessed.count(1) ? floors->Lasting().witnessed.at(1) : 0;
           CHECK(told <= disk.kept->witnessed.at(1));
         }
         REQUIRE(fails_until > 0);
@@ -466,7 +512,9 @@
   disk.kept = FloorsAt(500);
   disk.kept->whose = 8;
   bool down = false;
-  disk.fate = [&](std::uint64_t) { return down ? Fate::kFailsBefore : Fate::kWorks; };
+  disk.fate = [&](std::uint64_t) {
+    return down ? Fate::kFailsBefore : Fate::kWorks;
+  };
   store::LastingFloors floors(
       [&]() -> std::unique_ptr<FloorDisk> { return std::make_unique<PlannedFloorDisk>(disk); },
       [](const std::string&) {});
--- a/tests/support/failing_store.hpp
+++ b/tests/support/failing_store.hpp
@@ -1,6 +1,6 @@
-/// The disk of a member of the owners' group that fails by plan. What is on it outlives the stores that are
-/// opened over it, as a disk outlives processes. It also holds the promise that a disk can show: one vote a
-/// term.
+/// The disk of a member of the owners' group that fails by plan. What is on it outlives the stores
+/// that are opened over it, as a disk outlives processes. It also holds the promise that a disk can
+/// show: one vote a term.
 #pragma once
 #include <functional>
 #include <memory>
@@ -11,7 +11,11 @@
 
 namespace dunlinwick::tests {
 
-enum class Fate : std::uint8_t { kWorks, kFailsBefore, kFailsAfter };
+enum class Fate : std::uint8_t {
+  kWorks,
+  kFailsBefore,
+  kFailsAfter
+};
 
 /// What lies on the disk. Opening counts as a call too, as it does on LMDB.
 struct StoreDisk {
@@ -26,9 +30,11 @@
   void Call(const std::function<void()>& change) {
     ++calls;
     Fate now = fate ? fate(calls) : Fate::kWorks;
-    if (now == Fate::kFailsBefore) throw std::runtime_error("no space left on device");
+    if (now == Fate::kFailsBefore)
+      throw std::runtime_error("no space left on device");
     change();
-    if (now == Fate::kFailsAfter) throw std::runtime_error("input/output error");
+    if (now == Fate::kFailsAfter)
+      throw std::runtime_error("input/output error");
   }
 };
 
@@ -39,22 +45,30 @@
     ++disk_.open;
     disk_.most_open = std::max(disk_.most_open, disk_.open);
   }
-  ~FailingStore() override { --disk_.open; }
-  bool Lasts() const override { return true; }
-  owner::StoredState load() override { return disk_.kept.load(); }
+  ~FailingStore() override {
+    --disk_.open;
+  }
+  bool Lasts() const override {
+    return true;
+  }
+  owner::StoredState load() override {
+    return disk_.kept.load();
+  }
   void Found(const std::string& founding) override {
     disk_.Call([&] { disk_.kept.Found(founding); });
   }
   void SetTerm(std::uint64_t term) override {
     disk_.Call([&] {
-      if (term <= disk_.kept.load().term) ++disk_.votes_changed;
+      if (term <= disk_.kept.load().term)
+        ++disk_.votes_changed;
       disk_.kept.SetTerm(term);
     });
   }
   void SetVote(std::uint64_t vote) override {
     disk_.Call([&] {
       std::uint64_t before = disk_.kept.load().vote;
-      if (before != 0 && before != vote) ++disk_.votes_changed;
+      if (before != 0 && before != vote)
+        ++disk_.votes_changed;
       disk_.kept.SetVote(vote);
     });
   }
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,6 +1,7 @@
-// Every system call may fail. The environment of a front's parts is wrapped by one whose calls fail by a
-// plan, on the simulated network: each call once, at every ordinal of one serving scenario, then at random by
-// seeds. After each: no request lost, no effect twice, no spin, no descriptor leaked.
+// Every system call may fail. The environment of a front's parts is wrapped by one whose calls fail
+// by a plan, on the simulated network: each call once, at every ordinal of one serving scenario,
+// then at random by seeds. After each: no request lost, no effect twice, no spin, no descriptor
+// leaked.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -23,7 +24,8 @@
 namespace {
 
 const loop::Address kFrontAddress = stage::AddressOf(0x0a000002, 80);
-const loop::Address kServerAddresses[] = {stage::AddressOf(0x0a000003, 5000), stage::AddressOf(0x0a000004, 5000)};
+const loop::Address kServerAddresses[] = {stage::AddressOf(0x0a000003, 5000),
+                                          stage::AddressOf(0x0a000004, 5000)};
 constexpr std::size_t kMostIdleWaits = 100;
 
 // ---- one connection, whose environment fails
@@ -37,8 +39,12 @@
     received += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Drained() override { ++drains; }
-  void Ended(Parting how) override { ends.push_back(how); }
+  void Drained() override {
+    ++drains;
+  }
+  void Ended(Parting how) override {
+    ends.push_back(how);
+  }
 };
 
 /// A process that dials, through a failing environment, one that listens.
@@ -54,9 +60,10 @@
   ConnectionFixture() {
     dialling.UseEnvironment(environment);
     listening.Act([&] {
-      listener =
-          std::make_unique<loop::Listener>(listening.loop(), kFrontAddress, [this](loop::Descriptor fd) {
-            far.connection = std::make_unique<loop::Connection>(listening.loop(), far, std::move(fd));
+      listener = std::make_unique<loop::Listener>(
+          listening.loop(), kFrontAddress, [this](loop::Descriptor fd) {
+            far.connection =
+                std::make_unique<loop::Connection>(listening.loop(), far, std::move(fd));
           });
     });
   }
@@ -69,17 +76,21 @@
   }
   void Dial() {
     dialling.Act([&] {
-      near.connection = std::make_unique<loop::Connection>(dialling.loop(), near, kFrontAddress, 1000);
+      near.connection =
+          std::make_unique<loop::Connection>(dialling.loop(), near, kFrontAddress, 1000);
       near.connection->Send("hello");
     });
   }
-  void Run(Ms time) { net.RunUntil(net.now() + time); }
+  void Run(Ms time) {
+    net.RunUntil(net.now() + time);
+  }
 };
 
 /// Fails calls of one kind with one error until `ends`.
 FailingEnvironment::Plan FailUntil(const stage::Net& net, Call failing, int error, Ms ends) {
   return [&net, failing, error, ends](Call call, std::size_t) -> std::optional<Failure> {
-    if (call == failing && net.now() < ends) return Failure{error};
+    if (call == failing && net.now() < ends)
+      return Failure{error};
     return std::nullopt;
   };
 }
@@ -120,7 +131,8 @@
       test.environment.plan = FailOnce(call, 0, {error});
       test.Dial();
       test.Run(100);
-      CHECK(test.near.ends == std::vector{error == ECONNREFUSED ? Parting::kRefused : Parting::kNeverUp});
+      CHECK(test.near.ends ==
+            std::vector{error == ECONNREFUSED ? Parting::kRefused : Parting::kNeverUp});
     }
   }
 }
@@ -130,15 +142,18 @@
   test.Dial();
   test.Run(100);
   test.listening.Act([&] { test.far.connection->Send("answer"); });
-  // The answer lies in the buffers of a process that stands still; then its write fails before it reads.
+  // The answer lies in the buffers of a process that stands still; then its write fails before it
+  // reads.
   test.dialling.StandStill(test.net.now() + 50);
   test.Run(40);
   REQUIRE(test.near.received.empty());
   std::size_t next_read = test.environment.Calls(Call::kReceive);
   std::size_t next_write = test.environment.Calls(Call::kSend);
   test.environment.plan = [=](Call call, std::size_t ordinal) -> std::optional<Failure> {
-    if (call == Call::kSend && ordinal >= next_write) return Failure{EPIPE};
-    if (call == Call::kReceive && ordinal == next_read) return Failure{EINTR};
+    if (call == Call::kSend && ordinal >= next_write)
+      return Failure{EPIPE};
+    if (call == Call::kReceive && ordinal == next_read)
+      return Failure{EINTR};
     return std::nullopt;
   };
   test.dialling.Act([&] { test.near.connection->Send("next"); });
@@ -179,7 +194,8 @@
   }
 }
 
-TEST_CASE("a poll that keeps failing neither spins nor holds up timers, and what came is read after it") {
+TEST_CASE(
+    "a poll that keeps failing neither spins nor holds up timers, and what came is read after it") {
   for (int error : {ENOMEM, EINVAL}) {
     CAPTURE(error);
     ConnectionFixture test;
@@ -188,7 +204,8 @@
     Ms start = test.net.now();
     Ms ran_at = 0;
     test.environment.plan = FailUntil(test.net, Call::kWait, error, start + 60);
-    test.dialling.Act([&] { test.dialling.loop().at(start + 30, [&] { ran_at = test.net.now(); }); });
+    test.dialling.Act(
+        [&] { test.dialling.loop().at(start + 30, [&] { ran_at = test.net.now(); }); });
     test.listening.Act([&] { test.far.connection->Send("answer"); });
     CHECK_NOTHROW(test.Run(200));
     CHECK(ran_at >= start + 30);
@@ -202,7 +219,8 @@
   ConnectionFixture test;
   std::size_t interrupted = 0;
   test.environment.plan = [&](Call call, std::size_t) -> std::optional<Failure> {
-    if (call != Call::kWait || interrupted == 20) return std::nullopt;
+    if (call != Call::kWait || interrupted == 20)
+      return std::nullopt;
     ++interrupted;
     return Failure{EINTR};
   };
@@ -227,7 +245,8 @@
     listening.UseEnvironment(environment);
     listening.Act([&] {
       listener = std::make_unique<loop::Listener>(
-          listening.loop(), kFrontAddress, [this](loop::Descriptor fd) { taken.push_back(std::move(fd)); });
+          listening.loop(), kFrontAddress,
+          [this](loop::Descriptor fd) { taken.push_back(std::move(fd)); });
     });
   }
   ~ListenerFixture() {
@@ -241,7 +260,8 @@
     dialling.Act([&] {
       for (int i = 0; i < count; ++i) {
         auto peer = std::make_unique<NotedOwner>();
-        peer->connection = std::make_unique<loop::Connection>(dialling.loop(), *peer, kFrontAddress, 60000);
+        peer->connection =
+            std::make_unique<loop::Connection>(dialling.loop(), *peer, kFrontAddress, 60000);
         peers.push_back(std::move(peer));
       }
     });
@@ -266,7 +286,8 @@
   }
 }
 
-TEST_CASE("an error of one pending connection is not told as want of descriptors, and holds up nobody") {
+TEST_CASE(
+    "an error of one pending connection is not told as want of descriptors, and holds up nobody") {
   for (int error : {EPROTO, ECONNABORTED, ENETDOWN, EHOSTUNREACH, ETIMEDOUT}) {
     CAPTURE(error);
     ListenerFixture test;
@@ -313,9 +334,10 @@
  public:
   FakeServer(stage::Process& process, const loop::Address& at) : process_(process) {
     process_.Act([&] {
-      listener_ = std::make_unique<loop::Listener>(process_.loop(), at, [this](loop::Descriptor fd) {
-        lines_.push_back(std::make_unique<Line>(*this, std::move(fd)));
-      });
+      listener_ =
+          std::make_unique<loop::Listener>(process_.loop(), at, [this](loop::Descriptor fd) {
+            lines_.push_back(std::make_unique<Line>(*this, std::move(fd)));
+          });
     });
   }
   ~FakeServer() {
@@ -339,16 +361,19 @@
     bool ReadOne() {
       std::string_view bytes = connection.in.bytes();
       std::size_t end = bytes.find("\r\n");
-      if (end == bytes.npos) return false;
+      if (end == bytes.npos)
+        return false;
       std::string line(bytes.substr(0, end));
       std::string id = Word(line, 1);
       if (!line.starts_with("want ")) {
         connection.in.Consume(end + 2);
-        if (!line.starts_with("never_mind ")) connection.Send(id + " PONG - 0\r\n\r\n");
+        if (!line.starts_with("never_mind "))
+          connection.Send(id + " PONG - 0\r\n\r\n");
         return true;
       }
       std::size_t size = std::stoul(line.substr(line.rfind(' ') + 1));
-      if (bytes.size() < end + 2 + size + 2) return false;
+      if (bytes.size() < end + 2 + size + 2)
+        return false;
       connection.in.Consume(end + 2 + size + 2);
       ++server.executions[id];
       Answer(id, line.find("thing=" + kLargeObject) != line.npos);
@@ -356,12 +381,13 @@
     }
     void Answer(const std::string& id, bool large) {
       std::string body = large ? std::string(150000, 'x') : std::string("ok");
-      connection.Send(id + " HIT entity=t,issued=1,remark=local " + std::to_string(body.size()) + "\r\n" +
-                      body + "\r\n");
+      connection.Send(id + " HIT entity=t,issued=1,remark=local " + std::to_string(body.size()) +
+                      "\r\n" + body + "\r\n");
     }
     static std::string Word(const std::string& line, int number) {
       std::size_t start = 0;
-      for (int i = 0; i < number; ++i) start = line.find(' ', start) + 1;
+      for (int i = 0; i < number; ++i)
+        start = line.find(' ', start) + 1;
       return line.substr(start, line.find(' ', start) - start);
     }
 
@@ -380,7 +406,8 @@
   FakeClient(stage::Process& process, std::vector<std::string> requests)
       : process_(process), requests_(std::move(requests)) {
     process_.Act([&] {
-      connection_ = std::make_unique<loop::Connection>(process_.loop(), *this, kFrontAddress, 60000);
+      connection_ =
+          std::make_unique<loop::Connection>(process_.loop(), *this, kFrontAddress, 60000);
       SendNext();
     });
   }
@@ -392,11 +419,14 @@
   std::vector<int> statuses;
   bool lost = false;        // the connection ended before the last answer
   std::size_t unasked = 0;  // answers beyond the requests sent
-  std::size_t RequestCount() const { return requests_.size(); }
+  std::size_t RequestCount() const {
+    return requests_.size();
+  }
 
  private:
   void SendNext() {
-    if (sent_ < requests_.size()) connection_->Send(requests_[sent_++]);
+    if (sent_ < requests_.size())
+      connection_->Send(requests_[sent_++]);
   }
   void Came() override {
     received_ += connection_->in.bytes();
@@ -406,14 +436,17 @@
   }
   bool ReadOne() {
     std::size_t head = received_.find("\r\n\r\n");
-    if (head == received_.npos) return false;
+    if (head == received_.npos)
+      return false;
     constexpr std::string_view kLength = "Content-Length: ";
     std::size_t at = received_.find(kLength);
     std::size_t length = at < head ? std::stoul(received_.substr(at + kLength.size())) : 0;
-    if (received_.size() < head + 4 + length) return false;
+    if (received_.size() < head + 4 + length)
+      return false;
     statuses.push_back(std::stoi(received_.substr(9, 3)));
     received_.erase(0, head + 4 + length);
-    if (statuses.size() > sent_) ++unasked;
+    if (statuses.size() > sent_)
+      ++unasked;
     SendNext();
     return true;
   }
@@ -443,15 +476,19 @@
       exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Sheet(), 1);
       caches_ = std::make_unique<caches::Caches>(front_.loop(), *exchange, kit::MakeTerms(), 8);
       exchange->Meet(*caches_);
-      exchange->ListCame(true, kit::Machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
-      clients_ = std::make_unique<clients::Clients>(front_.loop(), *exchange, kit::MakeTerms().offerings,
-                                                    std::vector<bool>{false, true}, kFrontAddress, 50);
+      exchange->ListCame(
+          true, kit::Machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
+      clients_ =
+          std::make_unique<clients::Clients>(front_.loop(), *exchange, kit::MakeTerms().offerings,
+                                             std::vector<bool>{false, true}, kFrontAddress, 50);
     });
   }
-  ~ServingScenario() { TakeDown(); }
+  ~ServingScenario() {
+    TakeDown();
+  }
 
-  /// Reads, writes that must not run twice, and a large object, some at once and some in a row on one
-  /// connection.
+  /// Reads, writes that must not run twice, and a large object, some at once and some in a row on
+  /// one connection.
   void Serve() {
     constexpr int kClientCount = 5;
     for (int i = 0; i < kClientCount; ++i) {
@@ -464,24 +501,32 @@
   void Come(std::vector<std::string> requests) {
     clients.push_back(std::make_unique<FakeClient>(peers_, std::move(requests)));
   }
-  void Run(Ms time) { net.RunUntil(net.now() + time); }
+  void Run(Ms time) {
+    net.RunUntil(net.now() + time);
+  }
 
-  std::string Read(const std::string& object) { return Request("GET", "video", object, "", false); }
-  std::string Write() { return Request("PUT", "write", "order", "pay", true); }
+  std::string Read(const std::string& object) {
+    return Request("GET", "video", object, "", false);
+  }
+  std::string Write() {
+    return Request("PUT", "write", "order", "pay", true);
+  }
 
-  /// What holds after every plan: each request has its one final answer, unless its own connection was ended
-  /// by a failure; nothing that may run once ran twice; no spin; nothing is left open.
+  /// What holds after every plan: each request has its one final answer, unless its own connection
+  /// was ended by a failure; nothing that may run once ran twice; no spin; nothing is left open.
   void CheckInvariants() {
     std::size_t lost = 0;
     for (auto& client : clients) {
       lost += client->lost ? 1 : 0;
       CHECK(client->unasked == 0);
-      if (!client->lost) CHECK(client->statuses.size() == client->RequestCount());
+      if (!client->lost)
+        CHECK(client->statuses.size() == client->RequestCount());
     }
     CHECK(lost <= environment.AcceptedLost());
     for (const std::string& id : written_) {
       int ran = 0;
-      for (auto& server : servers) ran += server->executions[id];
+      for (auto& server : servers)
+        ran += server->executions[id];
       CHECK(ran <= 1);
     }
     CHECK(exchange->OpenPulls() == 0);
@@ -493,7 +538,8 @@
   bool AllAnsweredWith200() const {
     for (auto& client : clients)
       for (int status : client->statuses)
-        if (status != 200) return false;
+        if (status != 200)
+          return false;
     return true;
   }
 
@@ -518,10 +564,11 @@
       exchange.reset();
     });
   }
-  std::string Request(const std::string& method, const std::string& offering, const std::string& object,
-                      const std::string& body, bool writes) {
+  std::string Request(const std::string& method, const std::string& offering,
+                      const std::string& object, const std::string& body, bool writes) {
     std::string id = RequestId(++last_request_);
-    if (writes) written_.push_back(id);
+    if (writes)
+      written_.push_back(id);
     std::string length = writes ? "Content-Length: " + std::to_string(body.size()) + "\r\n" : "";
     return method + " /ops/" + offering + "/" + object + " HTTP/1.1\r\nX-Request-Id: " + id +
            "\r\nX-Timeout-Ms: 4000\r\nX-Group: 17\r\nX-Memory-Kb: 100\r\n" + length + "\r\n" + body;
@@ -533,7 +580,8 @@
   int last_request_ = 0;
 };
 
-/// Failures after which every request still has its 200: nothing that the system takes back is lost by them.
+/// Failures after which every request still has its 200: nothing that the system takes back is lost
+/// by them.
 bool MustNotShow(Call call, int error) {
   bool passes = error == 0 || error == EINTR || error == ENOBUFS || error == ENOMEM;
   return call == Call::kWait || call == Call::kAccept ||
@@ -541,14 +589,16 @@
          (call == Call::kConnect && error == EINTR);
 }
 
-constexpr Call kServingCalls[] = {Call::kWait,   Call::kOpenStream, Call::kConnect, Call::kConnectResult,
-                                  Call::kAccept, Call::kReceive,    Call::kSend};
+constexpr Call kServingCalls[] = {Call::kWait,          Call::kOpenStream, Call::kConnect,
+                                  Call::kConnectResult, Call::kAccept,     Call::kReceive,
+                                  Call::kSend};
 
 TEST_CASE("without failures all requests are answered with 200") {
   ServingScenario scenario;
   scenario.Serve();
   CHECK(scenario.AllAnsweredWith200());
-  for (Call call : kServingCalls) CHECK(scenario.environment.Calls(call) > 0);
+  for (Call call : kServingCalls)
+    CHECK(scenario.environment.Calls(call) > 0);
   scenario.CheckInvariants();
 }
 
@@ -565,7 +615,8 @@
         ServingScenario scenario(FailOnce(call, ordinal, failure));
         REQUIRE_NOTHROW(scenario.Serve());
         CHECK(scenario.environment.Failures() == 1);
-        if (MustNotShow(call, failure.error)) CHECK(scenario.AllAnsweredWith200());
+        if (MustNotShow(call, failure.error))
+          CHECK(scenario.AllAnsweredWith200());
         scenario.Come({scenario.Read("afterwards")});
         REQUIRE_NOTHROW(scenario.Run(3000));
         CHECK(scenario.clients.back()->statuses == std::vector{200});
@@ -582,7 +633,8 @@
   for (Call call : kServingCalls) {
     for (Failure failure : FailuresOf(call)) {
       // Interrupted calls are made again at once, and nothing interrupts a process without end.
-      if (failure.error == EINTR) continue;
+      if (failure.error == EINTR)
+        continue;
       CAPTURE(Name(call));
       CAPTURE(failure.error);
       ServingScenario scenario;
@@ -600,7 +652,8 @@
 
 TEST_CASE("calls that fail at random lose no request") {
   std::uint64_t seeds = 400;
-  if (const char* given = std::getenv("DUNLINWICK_SEEDS")) seeds = std::strtoull(given, nullptr, 10);
+  if (const char* given = std::getenv("DUNLINWICK_SEEDS"))
+    seeds = std::strtoull(given, nullptr, 10);
   constexpr Ms kFailingFor = 2000;
   std::size_t failures = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -1,5 +1,6 @@
-// Stamps of other machines' clocks, off by an hour and by ten seconds, ahead and behind, as this front starts and later on. Each is
-// played through the notice board's lines up to what a cache is asked for.
+// Stamps of other machines' clocks, off by an hour and by ten seconds, ahead and behind, as this
+// front starts and later on. Each is played through the notice board's lines up to what a cache is
+// asked for.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -22,23 +23,31 @@
 
 constexpr Ms kSecond = 1000;
 constexpr Ms kHour = 3600 * kSecond;
-constexpr Ms kSkews[] = {kHour, -kHour, 10 * kSecond, -10 * kSecond};  // the other machine's clock against this front's
-constexpr Ms kPurgeDone = 6 * kSecond;                                 // of kit::sheet()
-constexpr Ms kSlowStart = 15 * kSecond;                                // likewise
+constexpr Ms kSkews[] = {kHour, -kHour, 10 * kSecond,
+                         -10 * kSecond};  // the other machine's clock against this front's
+constexpr Ms kPurgeDone = 6 * kSecond;    // of kit::sheet()
+constexpr Ms kSlowStart = 15 * kSecond;   // likewise
 
-std::string Stamp(Ms at) { return std::to_string(static_cast<long long>(at)); }
+std::string Stamp(Ms at) {
+  return std::to_string(static_cast<long long>(at));
+}
 
 std::string PurgeNotice(std::uint64_t rev, Ms stamp) {
-  return "{\"rev\":" + std::to_string(rev) + ",\"flush\":{\"asset\":\"7f3a\",\"ms\":" + Stamp(stamp) + "}}";
+  return "{\"rev\":" + std::to_string(rev) +
+         ",\"flush\":{\"asset\":\"7f3a\",\"ms\":" + Stamp(stamp) + "}}";
 }
 
-std::string ServerNotice(std::uint64_t rev, const std::string& id, Ms started, bool full = false, const char* state = "in_service") {
-  return "{\"rev\":" + std::to_string(rev) + ",\"pool\":{\"full\":" + (full ? "true" : "false") + ",\"servers\":[{\"id\":\"" + id +
-         "\",\"addr\":\"127.0.0.9:5050\",\"zone\":\"e-1\",\"kind\":\"box\",\"weight\":6,\"state\":\"" + state +
-         "\",\"started_ms\":" + Stamp(started) + "}]}}";
+std::string ServerNotice(std::uint64_t rev, const std::string& id, Ms started, bool full = false,
+                         const char* state = "in_service") {
+  return "{\"rev\":" + std::to_string(rev) + ",\"pool\":{\"full\":" + (full ? "true" : "false") +
+         ",\"servers\":[{\"id\":\"" + id +
+         "\",\"addr\":\"127.0.0.9:5050\",\"zone\":\"e-1\",\"kind\":\"box\",\"weight\":6,\"state\":"
+         "\"" +
+         state + "\",\"started_ms\":" + Stamp(started) + "}]}}";
 }
 
-// A front's discovery on a socket, with five servers listed that started long ago, and a client that asks.
+// A front's discovery on a socket, with five servers listed that started long ago, and a client
+// that asks.
 struct Discovery {
   Desk desk{kit::Sheet(), 5};
   FarListener listener;
@@ -47,7 +56,9 @@
   std::uint64_t last = 1;
   int asked = 0;
 
-  Ms Now() const { return desk.loop.now(); }
+  Ms Now() const {
+    return desk.loop.now();
+  }
 
   void Begin(const std::string& notices = "") {
     auto known = json::Read("{\"notices\":[" + notices + "],\"rev\":1}");
@@ -94,8 +105,9 @@
   }
 };
 
-// What a cache may be asked for after a purge that happened at `purged` on this front's clock, whatever its stamp said: no copy that
-// is older, but one that was made since this front heard of it.
+// What a cache may be asked for after a purge that happened at `purged` on this front's clock,
+// whatever its stamp said: no copy that is older, but one that was made since this front heard of
+// it.
 void CheckPurgeBinds(Discovery& d, Ms purged, Ms heard) {
   d.desk.loop.Skip(500);
   Ms since_heard = d.Now() - heard;
@@ -119,13 +131,15 @@
   return count;
 }
 
-// The number by which the exchange knows a server: the only one that is asked after the others are gone.
+// The number by which the exchange knows a server: the only one that is asked after the others are
+// gone.
 std::uint32_t NumberOf(const std::string& id) {
   Discovery d;
   d.Begin(ServerNotice(1, id, 0, true));
   for (int i = 0;; ++i) {
     REQUIRE(i < 100);
-    if (std::uint32_t cache = d.Request("object-" + std::to_string(i)).cache; cache != 0) return cache;
+    if (std::uint32_t cache = d.Request("object-" + std::to_string(i)).cache; cache != 0)
+      return cache;
   }
 }
 
@@ -139,7 +153,8 @@
   return SentTo(d, NumberOf(id));
 }
 
-// A server whose start was just told gets what a cold one carries, and after the slow start what a warm one gets.
+// A server whose start was just told gets what a cold one carries, and after the slow start what a
+// warm one gets.
 void CheckSlowStart(Discovery& d, const std::string& id, int warm) {
   std::uint32_t server = NumberOf(id);
   REQUIRE(warm > 40);
@@ -176,7 +191,9 @@
     }
 }
 
-TEST_CASE("a purge told after the board's clock was stepped back binds, though one before it carries a later stamp") {
+TEST_CASE(
+    "a purge told after the board's clock was stepped back binds, though one before it carries a "
+    "later stamp") {
   Discovery d;
   d.Begin();
   d.Follow();
@@ -187,18 +204,25 @@
   CheckPurgeBinds(d, purged, d.Now());
 }
 
-TEST_CASE("where clocks agree a purge counts from its stamp, at the start, in a change and after a silence") {
+TEST_CASE(
+    "where clocks agree a purge counts from its stamp, at the start, in a change and after a "
+    "silence") {
   for (bool at_start : {true, false})
     for (Ms age : {20.0, 250.0, 900.0}) {
       CAPTURE(at_start);
       CAPTURE(age);
       Discovery d;
       Ms purged = std::floor(d.Now()) - age;
-      if (at_start) d.Begin(PurgeNotice(1, purged));
-      else d.Begin();
-      if (!at_start) d.Follow();
-      if (!at_start) purged = std::floor(d.Now()) - age;
-      if (!at_start) d.Announce(PurgeNotice(d.last + 1, purged));
+      if (at_start)
+        d.Begin(PurgeNotice(1, purged));
+      else
+        d.Begin();
+      if (!at_start)
+        d.Follow();
+      if (!at_start)
+        purged = std::floor(d.Now()) - age;
+      if (!at_start)
+        d.Announce(PurgeNotice(d.last + 1, purged));
       d.desk.loop.Skip(300);
       Ms before = d.Now();
       SendLeg attempt = d.Request("7f3a");
@@ -228,7 +252,8 @@
   }
 }
 
-TEST_CASE("a server listed at the start with a stamp ahead of now starts slowly, and not for ever") {
+TEST_CASE(
+    "a server listed at the start with a stamp ahead of now starts slowly, and not for ever") {
   int warm = SentToWarm("s-new");
   for (Ms skew : {kHour, 10 * kSecond}) {
     CAPTURE(skew);
@@ -267,7 +292,9 @@
   }
 }
 
-TEST_CASE("rules that are turned over know purges and starts by when they were told, not by their stamps") {
+TEST_CASE(
+    "rules that are turned over know purges and starts by when they were told, not by their "
+    "stamps") {
   auto known = [](const std::string& notices, std::uint64_t rev) {
     auto value = json::Read("{\"notices\":[" + notices + "],\"rev\":" + std::to_string(rev) + "}");
     REQUIRE(value);
@@ -278,14 +305,19 @@
     int warm = SentToWarm("s-new");
     loop::Loop loop;
     generations::Generations rules(kit::Sheet(), 1);
-    exchange::Exchange exchange(loop, kit::Sheet(), [&](Ms now, const Event& event) { return rules.Handle(now, event); });
+    exchange::Exchange exchange(
+        loop, kit::Sheet(), [&](Ms now, const Event& event) { return rules.Handle(now, event); });
     Sent caches;
     exchange.Meet(caches);
-    exchange.ListCame(true, Machines({{"origin", {}}, {"s-0", {}}, {"s-1", {}}, {"s-2", {}}, {"s-3", {}}, {"s-4", {}}}));
+    exchange.ListCame(
+        true,
+        Machines(
+            {{"origin", {}}, {"s-0", {}}, {"s-1", {}}, {"s-2", {}}, {"s-3", {}}, {"s-4", {}}}));
     board::Board board(loop, exchange, MakeTerms(), FreeAddress());
     REQUIRE(board.begin(known("", 1)));
     Ms purged = loop.now();
-    std::string news = PurgeNotice(2, purged + skew) + "," + ServerNotice(3, "s-new", purged + skew);
+    std::string news =
+        PurgeNotice(2, purged + skew) + "," + ServerNotice(3, "s-new", purged + skew);
     REQUIRE(board.MoveTo(FreeAddress(), known(news, 3)));  // announced after the start
     loop.Skip(500);
     std::vector<Action> out;
@@ -324,12 +356,14 @@
 TEST_CASE("where clocks agree a slow start goes by its stamp") {
   int warm = SentToWarm("s-new");
   Discovery d;
-  d.Begin(ServerNotice(1, "s-new", d.Now() - kSlowStart - kSecond));  // listed at the start, warm by then
+  d.Begin(ServerNotice(1, "s-new",
+                       d.Now() - kSlowStart - kSecond));  // listed at the start, warm by then
   CHECK(SentTo(d, NumberOf("s-new")) >= warm * 8 / 10);
   Discovery late;
   late.Begin();
   late.Follow();
-  late.Announce(ServerNotice(late.last + 1, "s-new", late.Now() - 4 * kSecond));  // it took four seconds to be listed
+  late.Announce(ServerNotice(late.last + 1, "s-new",
+                             late.Now() - 4 * kSecond));  // it took four seconds to be listed
   late.desk.loop.Skip(kSlowStart - 4 * kSecond);
   CHECK(SentTo(late, NumberOf("s-new")) >= warm * 8 / 10);
 }
@@ -337,7 +371,8 @@
 TEST_CASE("when the origin gave out a copy, by its clock, is told on and changes nothing else") {
   std::set<std::string> tags;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
-    auto answer = caches::ReadAnswer("9b1f HIT entity=t1,issued=" + Stamp(1.76e12 + skew) + ",remark=local 5", {});
+    auto answer = caches::ReadAnswer(
+        "9b1f HIT entity=t1,issued=" + Stamp(1.76e12 + skew) + ",remark=local 5", {});
     REQUIRE(answer);
     CHECK(answer->word.ending == Ending::kFinished);
     CHECK(answer->word.dated);
@@ -347,7 +382,9 @@
   CHECK(tags.size() == 1);
 }
 
-TEST_CASE("an approval's term is held within its bounds by whatever clock it was given, and begins once") {
+TEST_CASE(
+    "an approval's term is held within its bounds by whatever clock it was given, and begins "
+    "once") {
   using namespace drift;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     CAPTURE(skew);
@@ -360,15 +397,22 @@
     Ms given = 1.76e12;
     front.Handle(0, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond, given, form});
     Told lacks;
-    lacks.version = 9, lacks.active = 1, lacks.approved = 1;
+    lacks.version = 9;
+    lacks.active = 1;
+    lacks.approved = 1;
     std::optional<Ms> found;
     for (Ms now = 100; now <= terms.term_most + 20 * kSecond && !found; now += 100) {
-      lacks.seq = static_cast<std::uint64_t>(now), lacks.changed = 1;
+      lacks.seq = static_cast<std::uint64_t>(now);
+      lacks.changed = 1;
       front.Handle(now, Hears{2, lacks});
-      if (now == 2000) front.Handle(now, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond, given - kHour, form});
+      if (now == 2000)
+        front.Handle(now, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond,
+                                      given - kHour, form});
       front.Handle(now, Tick{});
       auto row = front.Rows().find(2);
-      if (row->second.standing == drift::Standing::kConverging || row->second.standing == drift::Standing::kUnknown) continue;
+      if (row->second.standing == drift::Standing::kConverging ||
+          row->second.standing == drift::Standing::kUnknown)
+        continue;
       found = now;
     }
     REQUIRE(found);
@@ -377,7 +421,9 @@
   }
 }
 
-TEST_CASE("a recall read at a start is never taken for older than it is, by a writer's clock an hour off") {
+TEST_CASE(
+    "a recall read at a start is never taken for older than it is, by a writer's clock an hour "
+    "off") {
   constexpr Ms kNow = 1.76e12;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond, -kNow})
     for (Ms age : {kSecond, 10 * 60 * kSecond, 5 * kHour}) {
@@ -388,7 +434,8 @@
       CHECK(read <= age);
       CHECK(front::RecallAge(WallTime(kNow - age + skew), kNow, true) == 0);
     }
-  CHECK(front::RecallAge(WallTime(kNow - 5 * kHour), kNow, false) >= 3 * kHour);  // an old one does not count as new
+  CHECK(front::RecallAge(WallTime(kNow - 5 * kHour), kNow, false) >=
+        3 * kHour);  // an old one does not count as new
 }
 
 TEST_CASE("a tombstone is let go in the end, by a writer's clock an hour off") {
@@ -414,12 +461,14 @@
     auto plan = log.Worth(kWritten + terms.tombstone_term + 2 * kHour, 3, 1);
     REQUIRE(plan);
     CHECK(plan->forget == 2);
-    auto lagging = log.Worth(kWritten + terms.tombstone_term + 2 * kHour, 1, 1);  // a subscriber has not passed it
+    auto lagging = log.Worth(kWritten + terms.tombstone_term + 2 * kHour, 1,
+                             1);  // a subscriber has not passed it
     CHECK((!lagging || lagging->forget == 0));
   }
 }
 
-// A front that was stopped, and started again under a clock that was set back: its words are numbered by that clock.
+// A front that was stopped, and started again under a clock that was set back: its words are
+// numbered by that clock.
 TEST_CASE("a front restarted under a clock that was set back is heard again") {
   using namespace drift;
   for (Ms back : {kHour, 10 * kSecond}) {
@@ -432,22 +481,27 @@
     std::map<Id, Drift> fronts;
     auto start = [&](Id id, Ms now, std::uint32_t incarnation) {
       fronts.erase(id);
-      Drift& front = fronts.emplace(id, Drift(id, zones, {}, terms, id, now, {incarnation, 0})).first->second;
+      Drift& front =
+          fronts.emplace(id, Drift(id, zones, {}, terms, id, now, {incarnation, 0})).first->second;
       front.Handle(now, Active{*form});
       front.Handle(now, Approved{10, Approval{"ann", "", 0, 0, *form}});
-      for (const auto& [other, zone] : zones) front.Handle(now, ApprovedFor{other, 10, Digest(*form), 0, 0, form});
+      for (const auto& [other, zone] : zones)
+        front.Handle(now, ApprovedFor{other, 10, Digest(*form), 0, 0, form});
     };
     auto run = [&](Ms from, Ms to) {
       for (Ms now = from; now <= to; now += 100)
         for (const auto& [id, zone] : zones) {
-          if (fronts.count(id) == 0) continue;
+          if (fronts.count(id) == 0)
+            continue;
           for (const drift::Action& action : fronts.at(id).Handle(now, Tick{})) {
             const auto* tell = std::get_if<Tell>(&action);
-            if (tell && fronts.count(tell->to)) fronts.at(tell->to).Handle(now, Hears{id, tell->told});
+            if (tell && fronts.count(tell->to))
+              fronts.at(tell->to).Handle(now, Hears{id, tell->told});
           }
         }
     };
-    for (const auto& [id, zone] : zones) start(id, 0, kStarted);
+    for (const auto& [id, zone] : zones)
+      start(id, 0, kStarted);
     run(100, 20000);
     REQUIRE(fronts.at(2).Rows().at(1).standing == drift::Standing::kInStep);
     fronts.erase(1);
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -1,5 +1,5 @@
-// Crossings of answers and dials on a connection to a server: a dial that comes up after its timeout, an answer that trickles on,
-// one under another request's id, spare bytes after an answer.
+// Crossings of answers and dials on a connection to a server: a dial that comes up after its
+// timeout, an answer that trickles on, one under another request's id, spare bytes after an answer.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -12,40 +12,71 @@
 /// The system's own environment, in which the first dial comes up when the test says so.
 class LateDial final : public loop::Ground {
  public:
-  void AllowDial() { held_ = kNone; }
-  Ms now() override { return system_.now(); }
+  void AllowDial() {
+    held_ = kNone;
+  }
+  Ms now() override {
+    return system_.now();
+  }
   int Wait(std::span<pollfd> watched, int ms) override {
     std::vector<pollfd> polled(watched.begin(), watched.end());
     for (pollfd& one : polled)
-      if (one.fd == held_) one.fd = kIgnoredByPoll;
+      if (one.fd == held_)
+        one.fd = kIgnoredByPoll;
     int count = system_.Wait(polled, ms);
-    for (std::size_t i = 0; i < polled.size(); ++i) watched[i].revents = polled[i].revents;
+    for (std::size_t i = 0; i < polled.size(); ++i)
+      watched[i].revents = polled[i].revents;
     return count;
   }
-  int OpenStream() override { return system_.OpenStream(); }
+  int OpenStream() override {
+    return system_.OpenStream();
+  }
   int Connect(int fd, const loop::Address& to) override {
-    if (!dialled_) held_ = fd;
+    if (!dialled_)
+      held_ = fd;
     dialled_ = true;
     return system_.Connect(fd, to);
   }
-  int Fault(int fd) override { return system_.Fault(fd); }
-  int Listen(const loop::Address& at) override { return system_.Listen(at); }
-  int Accept(int fd) override { return system_.Accept(fd); }
-  ssize_t receive(int fd, std::span<char> into) override { return system_.receive(fd, into); }
-  ssize_t Send(int fd, std::span<const iovec> parts) override { return system_.Send(fd, parts); }
-  void SayNoMore(int fd) override { system_.SayNoMore(fd); }
+  int Fault(int fd) override {
+    return system_.Fault(fd);
+  }
+  int Listen(const loop::Address& at) override {
+    return system_.Listen(at);
+  }
+  int Accept(int fd) override {
+    return system_.Accept(fd);
+  }
+  ssize_t receive(int fd, std::span<char> into) override {
+    return system_.receive(fd, into);
+  }
+  ssize_t Send(int fd, std::span<const iovec> parts) override {
+    return system_.Send(fd, parts);
+  }
+  void SayNoMore(int fd) override {
+    system_.SayNoMore(fd);
+  }
   void Close(int fd) override {
-    if (fd == held_) held_ = kNone;
+    if (fd == held_)
+      held_ = kNone;
     system_.Close(fd);
   }
   void Abort(int fd) override {
-    if (fd == held_) held_ = kNone;
+    if (fd == held_)
+      held_ = kNone;
     system_.Abort(fd);
   }
-  int OpenDatagrams(const loop::Address& at) override { return system_.OpenDatagrams(at); }
-  ssize_t SendTo(int fd, std::span<const char> bytes, const loop::Address& to) override { return system_.SendTo(fd, bytes, to); }
-  ssize_t ReceiveFrom(int fd, std::span<char> into, loop::Address& from) override { return system_.ReceiveFrom(fd, into, from); }
-  std::size_t DescriptorLimit() override { return system_.DescriptorLimit(); }
+  int OpenDatagrams(const loop::Address& at) override {
+    return system_.OpenDatagrams(at);
+  }
+  ssize_t SendTo(int fd, std::span<const char> bytes, const loop::Address& to) override {
+    return system_.SendTo(fd, bytes, to);
+  }
+  ssize_t ReceiveFrom(int fd, std::span<char> into, loop::Address& from) override {
+    return system_.ReceiveFrom(fd, into, from);
+  }
+  std::size_t DescriptorLimit() override {
+    return system_.DescriptorLimit();
+  }
 
  private:
   static constexpr int kNone = -2;
@@ -55,10 +86,12 @@
   int held_ = kNone;
 };
 
-std::string IdOf(int which) { return "00000000000000a" + std::to_string(which); }
+std::string IdOf(int which) {
+  return "00000000000000a" + std::to_string(which);
+}
 std::string AnswerTo(int which, const std::string& body) {
-  return IdOf(which) + " HIT entity=t" + std::to_string(which) + ",issued=1,remark=local " + std::to_string(body.size()) + "\r\n" +
-         body + "\r\n";
+  return IdOf(which) + " HIT entity=t" + std::to_string(which) + ",issued=1,remark=local " +
+         std::to_string(body.size()) + "\r\n" + body + "\r\n";
 }
 
 /// Two requests open on one connection, and a second server beside the one that they went to.
@@ -81,7 +114,8 @@
     Until(road.loop, [&] {
       for (FarListener& listener : listeners) {
         int accepted = next.fd ? -1 : ::accept4(listener.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-        if (accepted >= 0) next = Far(loop::Descriptor(accepted));
+        if (accepted >= 0)
+          next = Far(loop::Descriptor(accepted));
       }
       return static_cast<bool>(next.fd);
     });
@@ -91,7 +125,8 @@
 
 }  // namespace
 
-TEST_CASE("a dial that comes up after its timeout carries nothing, and its request goes elsewhere once") {
+TEST_CASE(
+    "a dial that comes up after its timeout carries nothing, and its request goes elsewhere once") {
   constexpr Ms kConnectWithin = 400;
   FarListener listeners[2];
   LateDial ground;
@@ -108,7 +143,8 @@
   Until(loop, [&] {
     for (int i = 0; i < 2 && !other; ++i) {
       int accepted = ::accept4(listeners[i].fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-      if (accepted < 0) continue;
+      if (accepted < 0)
+        continue;
       dialled = Far(loop::Descriptor(accepted));
       other = &listeners[1 - i];
     }
@@ -119,7 +155,10 @@
   ground.AllowDial();
   Far server = other->Next(loop);
   Until(loop, [&] { return server.Hears(WantOf(1)); });
-  Until(loop, [&] { return dialled.Read(), dialled.over; });
+  Until(loop, [&] {
+    dialled.Read();
+    return dialled.over;
+  });
   CHECK(dialled.got.empty());
   CHECK(server.got.find(WantOf(1), server.got.find(WantOf(1)) + 1) == std::string::npos);
   server.Send(Hit(1));
@@ -127,7 +166,8 @@
   CHECK(client.Is({"200 t"}));
 }
 
-// The dial's event and its timeout in one turn, after a standstill: it came up in time, and what waited goes out, once.
+// The dial's event and its timeout in one turn, after a standstill: it came up in time, and what
+// waited goes out, once.
 TEST_CASE("a dial that is up in the turn of its timeout is used") {
   constexpr Ms kConnectWithin = 400;
   FarListener listener;
@@ -145,8 +185,9 @@
   CHECK(client.Is({"200 t"}));
 }
 
-// Every byte shows that the connection carries, so no silence ends it. Its request's client is answered by its deadline, and who
-// comes later does not wait behind it, neither while it is awaited nor once it is given up.
+// Every byte shows that the connection carries, so no silence ends it. Its request's client is
+// answered by its deadline, and who comes later does not wait behind it, neither while it is
+// awaited nor once it is given up.
 TEST_CASE("an answer that trickles on for ever holds up nobody but its own request") {
   constexpr Ms kExpiry = 5000;
   constexpr Ms kStep = 50;
@@ -156,7 +197,8 @@
   };
   const std::string body = AnswerTo(1, std::string(1000, 'x'));
   const std::string line = IdOf(1) + " HIT entity=" + std::string(2000, 'e');
-  for (const Case& c : {Case{body, 1000}, {body, kExpiry + 100}, {line, 1000}, {line, kExpiry + 100}}) {
+  for (const Case& c :
+       {Case{body, 1000}, {body, kExpiry + 100}, {line, 1000}, {line, kExpiry + 100}}) {
     CAPTURE(c.answer.substr(0, 30));
     CAPTURE(c.second_comes);
     FarListener listener;
@@ -169,12 +211,14 @@
     server.Send(c.answer.substr(0, sent));
     auto trickle = [&] {
       bool is_over = (server.Read(), server.over);
-      if (!is_over && sent < c.answer.size()) server.Send(c.answer.substr(sent++, 1));
+      if (!is_over && sent < c.answer.size())
+        server.Send(c.answer.substr(sent++, 1));
       road.loop.Skip(kStep);
       road.Turns(2);
     };
     Ms passed = 0;
-    for (; passed < c.second_comes; passed += kStep) trickle();
+    for (; passed < c.second_comes; passed += kStep)
+      trickle();
     Asked second;
     road.exchange.OnRequest(AskAs(2), second);
     Far again;
@@ -182,7 +226,8 @@
       trickle();
       passed += kStep;
       int accepted = ::accept4(listener.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-      if (accepted >= 0) again = Far(loop::Descriptor(accepted));
+      if (accepted >= 0)
+        again = Far(loop::Descriptor(accepted));
     }
     REQUIRE(again.fd);
     Until(road.loop, [&] { return again.Hears(WantOf(2)); });
@@ -190,15 +235,18 @@
     Until(road.loop, [&] { return !second.told.empty(); });
     CHECK(second.Is({"200 t"}));
     CHECK_FALSE(server.Hears(WantOf(2)));
-    for (; passed <= kExpiry; passed += kStep) trickle();
+    for (; passed <= kExpiry; passed += kStep)
+      trickle();
     CHECK(first.told.size() == 1);
     CHECK(first.told[0].substr(0, 3) != "200");
   }
 }
 
-// The id is all by which answers are told apart: the first one under it is that request's, any other is nobody's, and the request
-// that got none is answered by its own, or at its deadline.
-TEST_CASE("an answer under the id of another open request is taken once, and the other waits for its own") {
+// The id is all by which answers are told apart: the first one under it is that request's, any
+// other is nobody's, and the request that got none is answered by its own, or at its deadline.
+TEST_CASE(
+    "an answer under the id of another open request is taken once, and the other waits for its "
+    "own") {
   for (bool own_answer_comes : {true, false}) {
     TwoOpen open;
     open.server.Send(AnswerTo(2, "two") + AnswerTo(2, "one"));
@@ -206,12 +254,16 @@
     CHECK(open.second.Is({"200 t2"}));
     CHECK(open.second.body == "two");
     CHECK(open.first.told.empty());
-    if (own_answer_comes) open.server.Send(AnswerTo(1, "own"));
-    else open.road.loop.Skip(60001);
+    if (own_answer_comes)
+      open.server.Send(AnswerTo(1, "own"));
+    else
+      open.road.loop.Skip(60001);
     Until(open.road.loop, [&] { return !open.first.told.empty(); });
     CHECK(open.first.told.size() == 1);
-    if (own_answer_comes) CHECK(open.first.body == "own");
-    else CHECK(open.first.told[0].substr(0, 3) == "503");
+    if (own_answer_comes)
+      CHECK(open.first.body == "own");
+    else
+      CHECK(open.first.told[0].substr(0, 3) == "503");
     CHECK(open.second.told.size() == 1);
     CHECK(open.road.exchange.counters.bad_lines == 0);
   }
@@ -240,18 +292,21 @@
   std::string answer = AnswerTo(1, "one");
   answer.insert(answer.size() - 2, "more");
   open.server.Send(answer);
-  Far again[2] = {open.Next(), open.Next()};  // the one whose answer it was moves on, the other is asked again
+  Far again[2] = {open.Next(),
+                  open.Next()};  // the one whose answer it was moves on, the other is asked again
   bool asked[2] = {false, false};
   Until(open.road.loop, [&] {
     for (int which : {1, 2})
-      for (Far& server : again) asked[which - 1] |= server.Hears(WantOf(which));
+      for (Far& server : again)
+        asked[which - 1] |= server.Hears(WantOf(which));
     return asked[0] && asked[1];
   });
   CHECK(open.first.told.empty());
   CHECK(open.road.exchange.counters.bad_lines == 1);
   for (int which : {1, 2})
     for (Far& server : again)
-      if (server.Hears(WantOf(which))) server.Send(AnswerTo(which, which == 1 ? "one" : "two"));
+      if (server.Hears(WantOf(which)))
+        server.Send(AnswerTo(which, which == 1 ? "one" : "two"));
   Until(open.road.loop, [&] { return !open.first.told.empty() && !open.second.told.empty(); });
   CHECK(open.first.Is({"200 t1"}));
   CHECK(open.first.body == "one");
--- a/tests/upstream_fixture.hpp
+++ b/tests/upstream_fixture.hpp
@@ -1,5 +1,5 @@
-// The upstream side between an exchange that decides and far sides that say each byte when they are told to; and an attempt that
-// waits to be written, for whatever reason.
+// The upstream side between an exchange that decides and far sides that say each byte when they are
+// told to; and an attempt that waits to be written, for whatever reason.
 #pragma once
 #include "caches/caches.hpp"
 #include "sides.hpp"
@@ -20,7 +20,8 @@
     exchange.ListCame(true, list);
   }
   void Turns(int count = 20) {
-    for (int i = 0; i < count; ++i) loop.turn(1);
+    for (int i = 0; i < count; ++i)
+      loop.turn(1);
   }
 };
 
@@ -34,14 +35,26 @@
 inline Ask AskAs(int which, int offering = kVideo) {
   Ask a = AskFor("00000000000000a" + std::to_string(which));
   a.offering_at = offering;
-  if (offering == kWrite) a.offering = "write", a.body = "x";
+  if (offering == kWrite) {
+    a.offering = "write";
+    a.body = "x";
+  }
   return a;
 }
-inline std::string WantOf(int which) { return "want 00000000000000a" + std::to_string(which) + ' '; }
-inline std::string Hit(int which) { return "00000000000000a" + std::to_string(which) + " HIT entity=t,issued=1,remark=local 2\r\nok\r\n"; }
+inline std::string WantOf(int which) {
+  return "want 00000000000000a" + std::to_string(which) + ' ';
+}
+inline std::string Hit(int which) {
+  return "00000000000000a" + std::to_string(which) +
+         " HIT entity=t,issued=1,remark=local 2\r\nok\r\n";
+}
 
 // What the attempt waits for when something happens.
-enum Wait { kDial, kQueue, kCheck };
+enum Wait {
+  kDial,
+  kQueue,
+  kCheck
+};
 
 // A road whose attempt of request 1 waits; the far side that would get it.
 struct Waiting {
@@ -54,15 +67,18 @@
   Wait wait;
   int asked = 1;
 
-  Waiting(Wait how, StoreSheet s, std::vector<exchange::Listed> more = {}, int offering = kVideo) : r(ListOf(far, more), s), wait(how) {
-    if (how == kQueue) Fill();
+  Waiting(Wait how, StoreSheet s, std::vector<exchange::Listed> more = {}, int offering = kVideo)
+      : r(ListOf(far, more), s), wait(how) {
+    if (how == kQueue)
+      Fill();
     request = r.exchange.OnRequest(AskAs(1, offering), client);
     if (how == kCheck) {
       peer = far.Next(r.loop);
       Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
     }
   }
-  static std::vector<exchange::Listed> ListOf(const FarListener& far, std::vector<exchange::Listed> more) {
+  static std::vector<exchange::Listed> ListOf(const FarListener& far,
+                                              std::vector<exchange::Listed> more) {
     auto all = Machines({{"s-1", far.at}});
     all.insert(all.end(), more.begin(), more.end());
     return all;
@@ -76,18 +92,22 @@
     // More than the system holds for one connection, on both sides.
     for (int i = 1; i < 7; ++i) {  // seven share the connection with the one that waits
       Ask a = AskFor("00000000000000b" + std::to_string(i));
-      a.offering_at = kVideo, a.body.assign(4 << 20, 'x');
+      a.offering_at = kVideo;
+      a.body.assign(4 << 20, 'x');
       r.exchange.OnRequest(a, others[static_cast<std::size_t>(i)]);
     }
     r.Turns(3);
   }
   // Lets what waits go, as far as it still goes.
   void LetGo() {
-    if (wait == kCheck) peer.Send("call PONG - 0\r\n\r\n");
-    if (wait == kDial) peer = far.Next(r.loop);
+    if (wait == kCheck)
+      peer.Send("call PONG - 0\r\n\r\n");
+    if (wait == kDial)
+      peer = far.Next(r.loop);
     if (wait == kQueue)
       Until(r.loop, [&] {
-        if (peer.Read(1 << 20).size() > (1 << 21)) peer.got.erase(0, peer.got.size() - 4096);
+        if (peer.Read(1 << 20).size() > (1 << 21))
+          peer.got.erase(0, peer.got.size() - 4096);
         return peer.got.ends_with("\r\n") && Quiet();
       });
     r.Turns();
@@ -97,11 +117,14 @@
     for (int i = 0; i < 20; ++i) {
       std::size_t before = peer.got.size();
       r.loop.turn(1);
-      if (peer.Read(1 << 20).size() != before) return false;
+      if (peer.Read(1 << 20).size() != before)
+        return false;
     }
     return true;
   }
-  bool Began() { return peer.Hears(WantOf(1)); }
+  bool Began() {
+    return peer.Hears(WantOf(1));
+  }
 };
 
 }  // namespace kit
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -1,6 +1,7 @@
-// Golden bytes: one fixed message of each kind that replicas exchange, and one fixed value of each kind that they store, against
-// hex files under tests/data/behaviour/wire/. Names in the code may change, these bytes may not. Each file is also decoded and
-// encoded again, which has to give the same bytes.
+// Golden bytes: one fixed message of each kind that replicas exchange, and one fixed value of each
+// kind that they store, against hex files under tests/data/behaviour/wire/. Names in the code may
+// change, these bytes may not. Each file is also decoded and encoded again, which has to give the
+// same bytes.
 //
 //   wire_golden_test                     compares
 //   wire_golden_test --write-golden      writes the files anew (tools/behaviour_net --record)
@@ -46,11 +47,13 @@
 using Bytes = std::span<const char>;
 using StoredValues = std::map<std::string, std::string>;
 
-/// One golden file: its bytes as this build writes them, and what this build makes of them after reading them.
+/// One golden file: its bytes as this build writes them, and what this build makes of them after
+/// reading them.
 struct Golden {
   std::string name;
   std::string bytes;
-  /// Decodes and encodes again; nothing where the bytes were not understood. Not set: has no public decoder.
+  /// Decodes and encodes again; nothing where the bytes were not understood. Not set: has no public
+  /// decoder.
   std::function<std::optional<std::string>(Bytes)> reencode;
 };
 
@@ -63,7 +66,8 @@
     auto byte = static_cast<unsigned char>(bytes[i]);
     text.push_back(kDigits[byte >> 4]);
     text.push_back(kDigits[byte & 0xf]);
-    if (i % kBytesPerLine == kBytesPerLine - 1 || i + 1 == bytes.size()) text.push_back('\n');
+    if (i % kBytesPerLine == kBytesPerLine - 1 || i + 1 == bytes.size())
+      text.push_back('\n');
   }
   return text;
 }
@@ -71,7 +75,8 @@
 std::string FromHex(const std::string& text) {
   std::string digits;
   for (char c : text) {
-    if (c != '\n') digits.push_back(c);
+    if (c != '\n')
+      digits.push_back(c);
   }
   std::string bytes;
   for (std::size_t i = 0; i + 1 < digits.size(); i += 2) {
@@ -85,7 +90,8 @@
 std::function<std::optional<std::string>(Bytes)> Reencode(Decode decode) {
   return [decode](Bytes bytes) -> std::optional<std::string> {
     auto value = decode(bytes);
-    if (!value) return std::nullopt;
+    if (!value)
+      return std::nullopt;
     return Encode(*value);
   };
 }
@@ -100,12 +106,17 @@
     m.to = 7;
     m.seq = 0xfffffffe;
     m.target = 9;
-    m.news = {{3, 5, members::State::kAlive, 0}, {4, 6, members::State::kSuspect, 7}, {0xffffffff, 8, members::State::kDead, 1}};
+    m.news = {{3, 5, members::State::kAlive, 0},
+              {4, 6, members::State::kSuspect, 7},
+              {0xffffffff, 8, members::State::kDead, 1}};
     m.notes = {{2, 11, 0x0123456789abcdefu}, {3, 0xffffffff, 0}};
-    all.push_back({std::string("members_") + members::ToString(m.kind), members::Encode(m), Reencode(members::Decode)});
+    all.push_back({std::string("members_") + members::ToString(m.kind), members::Encode(m),
+                   Reencode(members::Decode)});
   }
-  all.push_back({"members_view_request", members::kViewRequest, [](Bytes bytes) -> std::optional<std::string> {
-                   if (!members::IsViewRequest(bytes)) return std::nullopt;
+  all.push_back({"members_view_request", members::kViewRequest,
+                 [](Bytes bytes) -> std::optional<std::string> {
+                   if (!members::IsViewRequest(bytes))
+                     return std::nullopt;
                    return members::kViewRequest;
                  }});
 }
@@ -114,15 +125,18 @@
 
 std::optional<std::string> ReencodeFrame(Bytes bytes) {
   auto frame = peers::ReadFrame(bytes);
-  if (!frame) return std::nullopt;
+  if (!frame)
+    return std::nullopt;
   if (frame->kind == peers::Kind::kPiece) {
     auto piece = peers::ReadPiece(frame->body);
-    if (!piece) return std::nullopt;
+    if (!piece)
+      return std::nullopt;
     return peers::Encode(frame->channel, frame->from, *piece);
   }
   if (frame->kind == peers::Kind::kHad) {
     auto had = peers::ReadHad(frame->body);
-    if (!had) return std::nullopt;
+    if (!had)
+      return std::nullopt;
     return peers::Encode(frame->channel, frame->from, *had);
   }
   return peers::Encode(frame->channel, frame->from, frame->kind, frame->body);
@@ -133,10 +147,12 @@
   const std::string body = "a small message, whole";
   for (std::size_t channel = 0; channel < peers::kChannels; ++channel) {
     auto id = static_cast<peers::Channel>(channel);
-    all.push_back({std::string("peers_whole_") + peers::ToString(id), peers::Encode(id, kFrom, peers::Kind::kWhole, body), ReencodeFrame});
+    all.push_back({std::string("peers_whole_") + peers::ToString(id),
+                   peers::Encode(id, kFrom, peers::Kind::kWhole, body), ReencodeFrame});
   }
   std::string large;
-  for (std::size_t i = 0; i < 2 * peers::kPieceBytes + 100; ++i) large.push_back(static_cast<char>(i * 7));
+  for (std::size_t i = 0; i < 2 * peers::kPieceBytes + 100; ++i)
+    large.push_back(static_cast<char>(i * 7));
   peers::Piece piece;
   piece.incarnation = 0x1122334455667788u;
   piece.message = 3;
@@ -144,14 +160,17 @@
   piece.index = 2;
   piece.digest = peers::Digest(large);
   piece.bytes = Bytes(large).subspan(2 * peers::kPieceBytes);
-  all.push_back({"peers_piece", peers::Encode(peers::Channel::kRecord, kFrom, piece), ReencodeFrame});
+  all.push_back(
+      {"peers_piece", peers::Encode(peers::Channel::kRecord, kFrom, piece), ReencodeFrame});
   peers::Had had;
   had.incarnation = 0x1122334455667788u;
   had.message = 3;
   had.life = {0x99aabbccddeeff00u, 4};
-  all.push_back({"peers_had_delivered", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
+  all.push_back(
+      {"peers_had_delivered", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
   had.pieces = {true, false, true, true, false, false, false, false, true, false, true};
-  all.push_back({"peers_had_partly", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
+  all.push_back(
+      {"peers_had_partly", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
 }
 
 // ---- shares of limits
@@ -180,8 +199,9 @@
 
 // ---- leases
 
-/// The longest datagram of each kind that a fleet of three voters, one worker and one executor sends, by a fixed schedule in
-/// virtual time. One voter hears nothing at first, so that it is sent a snapshot. These messages have no public encoder of their own.
+/// The longest datagram of each kind that a fleet of three voters, one worker and one executor
+/// sends, by a fixed schedule in virtual time. One voter hears nothing at first, so that it is sent
+/// a snapshot. These messages have no public encoder of their own.
 std::map<std::string, std::string> LeaseDatagrams() {
   constexpr owner::Id kWorker = 4;
   constexpr owner::Id kExecutor = 5;
@@ -199,7 +219,8 @@
   std::deque<Packet> network;
   auto send = [&](owner::Id to, std::string bytes) {
     auto frame = owner::ReadFrame(bytes);
-    if (!frame) throw std::runtime_error("a datagram that its own reader refuses");
+    if (!frame)
+      throw std::runtime_error("a datagram that its own reader refuses");
     static const char* const kKinds[] = {"group", "ask", "answer", "act", "did"};
     std::string name = std::string("owner_") + kKinds[static_cast<int>(frame->kind)];
     if (frame->kind == owner::Kind::kGroup) {
@@ -207,7 +228,8 @@
       name += consensus ? "_raft_" + std::to_string(static_cast<int>(frame->body[1])) : "_hello";
     }
     std::string& kept = longest[name];
-    if (bytes.size() > kept.size()) kept = bytes;
+    if (bytes.size() > kept.size())
+      kept = bytes;
     network.push_back({to, std::move(bytes)});
   };
   std::map<owner::Id, owner::MemoryStore> stores;
@@ -216,23 +238,29 @@
     owner::NodeTerms terms;
     terms.self = id;
     terms.group = {1, 2, 3};
-    if (id == kWorker) terms.jobs = {{"sweep-1", kSteps, 50, {kExecutor}, false}, {"record", 1, 50, {}, true}};
+    if (id == kWorker)
+      terms.jobs = {{"sweep-1", kSteps, 50, {kExecutor}, false}, {"record", 1, 50, {}, true}};
     owner::Store* store = id == kWorker ? nullptr : &stores[id];
-    nodes[id] = std::make_unique<owner::Node>(terms, store, 1000 + id, 40 + id, 0, owner::Node::Ways{send, [](const std::string&) {}});
+    nodes[id] = std::make_unique<owner::Node>(terms, store, 1000 + id, 40 + id, 0,
+                                              owner::Node::Ways{send, [](const std::string&) {
+                                                                }});
   }
   owner::Fence fence;
   for (owner::Ms now = 0; now <= kUntil; now += kTick) {
-    for (auto& [id, node] : nodes) node->Tick(now);
+    for (auto& [id, node] : nodes)
+      node->Tick(now);
     for (std::deque<Packet> due = std::exchange(network, {}); !due.empty(); due.pop_front()) {
       const Packet& packet = due.front();
-      if (packet.to == kDeaf && now >= kDeafFrom && now < kDeafUntil) continue;
+      if (packet.to == kDeaf && now >= kDeafFrom && now < kDeafUntil)
+        continue;
       if (packet.to != kExecutor) {
         nodes.at(packet.to)->Receive(now, packet.bytes);
         continue;
       }
       auto frame = owner::ReadFrame(packet.bytes);
       auto step = owner::DecodeDo(frame->body);
-      if (!step) throw std::runtime_error("a step that its own reader refuses");
+      if (!step)
+        throw std::runtime_error("a step that its own reader refuses");
       owner::Did did;
       did.what = *step;
       did.landing = fence.Take(step->work, step->token, step->step);
@@ -245,9 +273,11 @@
 
 std::optional<std::string> ReencodeStep(Bytes bytes) {
   auto frame = owner::ReadFrame(bytes);
-  if (!frame || frame->kind != owner::Kind::kAct) return std::nullopt;
+  if (!frame || frame->kind != owner::Kind::kAct)
+    return std::nullopt;
   auto step = owner::DecodeDo(frame->body);
-  if (!step) return std::nullopt;
+  if (!step)
+    return std::nullopt;
   return owner::EncodeDo(frame->from, *step);
 }
 
@@ -259,20 +289,25 @@
     command.token = 0x1122334455667788u;
     command.step = 6;
     command.work = "sweep-1";
-    all.push_back({std::string("owner_command_") + owner::MakeWord(command.deed), owner::Encode(command), Reencode(owner::Decode)});
+    all.push_back({std::string("owner_command_") + owner::MakeWord(command.deed),
+                   owner::Encode(command), Reencode(owner::Decode)});
   }
   owner::Table table;
   table.Apply({owner::Deed::kFound, 1, 100, 0, ""});
   table.Apply({owner::Deed::kTake, 2, 0, 4, "sweep-1"});
   table.Apply({owner::Deed::kTake, 3, 0, 0, "record"});
   table.Apply({owner::Deed::kRecord, 2, table.Works().at("sweep-1").token, 1, "sweep-1"});
-  all.push_back({"owner_table_snapshot", table.Snapshot(), [](Bytes bytes) -> std::optional<std::string> {
-                   owner::Table restored;
-                   if (!restored.Restore(bytes)) return std::nullopt;
-                   return restored.Snapshot();
-                 }});
+  all.push_back(
+      {"owner_table_snapshot", table.Snapshot(), [](Bytes bytes) -> std::optional<std::string> {
+         owner::Table restored;
+         if (!restored.Restore(bytes))
+           return std::nullopt;
+         return restored.Snapshot();
+       }});
   for (auto& [name, bytes] : LeaseDatagrams()) {
-    all.push_back({name, bytes, name == "owner_act" ? ReencodeStep : std::function<std::optional<std::string>(Bytes)>()});
+    all.push_back(
+        {name, bytes,
+         name == "owner_act" ? ReencodeStep : std::function<std::optional<std::string>(Bytes)>()});
   }
 }
 
@@ -286,7 +321,8 @@
 
 void AddLog(std::vector<Golden>& all) {
   auto add = [&](const char* name, const record::Message& m) {
-    all.push_back({std::string("record_") + name, record::Encode(m), Reencode([](Bytes bytes) { return record::Decode(bytes); })});
+    all.push_back({std::string("record_") + name, record::Encode(m),
+                   Reencode([](Bytes bytes) { return record::Decode(bytes); })});
   };
   add("seek", record::Seek{7, 3});
   record::Tail tail;
@@ -351,7 +387,8 @@
   add("fetched", fetched);
 
   auto say = [&](const char* name, const record::Saying& s) {
-    all.push_back({std::string("record_") + name, record::Encode(s), Reencode(record::DecodeSaying)});
+    all.push_back(
+        {std::string("record_") + name, record::Encode(s), Reencode(record::DecodeSaying)});
   };
   say("want", record::Want{0x1234, 2, 9, 40, 5, 12});
   record::Piece piece;
@@ -372,7 +409,8 @@
 // ---- approvals and drift
 
 drift::Form SampleForm() {
-  return {{"quota", {{"limit", "120.5"}, {"name", "origin"}}}, {"serving", {{"listen", "127.0.0.1:8080"}, {"zone", "1"}}}};
+  return {{"quota", {{"limit", "120.5"}, {"name", "origin"}}},
+          {"serving", {{"listen", "127.0.0.1:8080"}, {"zone", "1"}}}};
 }
 
 void AddDrift(std::vector<Golden>& all) {
@@ -410,7 +448,8 @@
   told.cases = {drifted};
   told.asides = {{3, 7, 2, true}};
   all.push_back({"drift_told", drift::Encode(told), Reencode(drift::DecodeTold)});
-  all.push_back({"drift_repair", drift::Encode(drift::Repair{3, 7, 42, 86}), Reencode(drift::DecodeRepair)});
+  all.push_back(
+      {"drift_repair", drift::Encode(drift::Repair{3, 7, 42, 86}), Reencode(drift::DecodeRepair)});
 }
 
 // ---- recovery
@@ -428,7 +467,8 @@
   hello.zone = 2;
   hello.carries = 0.35;
   hello.of_you = 1700000000001u;
-  all.push_back({"recovery_hello", recovery::Encode(hello), Reencode([](Bytes bytes) { return recovery::Decode(bytes); })});
+  all.push_back({"recovery_hello", recovery::Encode(hello),
+                 Reencode([](Bytes bytes) { return recovery::Decode(bytes); })});
 }
 
 // ---- what is stored
@@ -438,13 +478,18 @@
  public:
   ScratchFolder() {
     std::string name = (std::filesystem::temp_directory_path() / "wire-golden-XXXXXX").string();
-    if (!::mkdtemp(name.data())) throw std::runtime_error("no scratch folder");
+    if (!::mkdtemp(name.data()))
+      throw std::runtime_error("no scratch folder");
     path_ = name;
   }
-  ~ScratchFolder() { std::filesystem::remove_all(path_); }
+  ~ScratchFolder() {
+    std::filesystem::remove_all(path_);
+  }
   ScratchFolder(const ScratchFolder&) = delete;
   ScratchFolder& operator=(const ScratchFolder&) = delete;
-  std::string Path() const { return path_; }
+  std::string Path() const {
+    return path_;
+  }
 
  private:
   std::string path_;
@@ -474,7 +519,8 @@
     Check(mdb_cursor_open(transaction_, database_, &cursor));
     MDB_val key{};
     MDB_val value{};
-    while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == 0) values[Text(key)] = Text(value);
+    while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == 0)
+      values[Text(key)] = Text(value);
     mdb_cursor_close(cursor);
     return values;
   }
@@ -488,9 +534,12 @@
 
  private:
   static void Check(int fault) {
-    if (fault != 0) throw std::runtime_error(mdb_strerror(fault));
+    if (fault != 0)
+      throw std::runtime_error(mdb_strerror(fault));
+  }
+  static std::string Text(const MDB_val& value) {
+    return std::string(static_cast<const char*>(value.mv_data), value.mv_size);
   }
-  static std::string Text(const MDB_val& value) { return std::string(static_cast<const char*>(value.mv_data), value.mv_size); }
   MDB_env* env_ = nullptr;
   MDB_txn* transaction_ = nullptr;
   MDB_dbi database_ = 0;
@@ -500,7 +549,8 @@
 std::string Pack(const StoredValues& values) {
   std::string packed;
   auto put = [&](const std::string& text) {
-    for (int shift = 0; shift < 32; shift += 8) packed.push_back(static_cast<char>(text.size() >> shift & 0xff));
+    for (int shift = 0; shift < 32; shift += 8)
+      packed.push_back(static_cast<char>(text.size() >> shift & 0xff));
     packed += text;
   };
   for (const auto& [key, value] : values) {
@@ -514,7 +564,8 @@
   StoredValues values;
   auto get = [&] {
     std::size_t size = 0;
-    for (std::size_t i = 0; i < 4; ++i) size |= std::size_t{static_cast<unsigned char>(packed[i])} << (8 * i);
+    for (std::size_t i = 0; i < 4; ++i)
+      size |= std::size_t{static_cast<unsigned char>(packed[i])} << (8 * i);
     std::string text(packed.data() + 4, size);
     packed = packed.subspan(4 + size);
     return text;
@@ -533,9 +584,12 @@
   return Pack(RawStore(folder.Path()).Read());
 }
 
-void PutRaw(const std::string& folder, Bytes packed) { RawStore(folder).Write(Unpack(packed)); }
+void PutRaw(const std::string& folder, Bytes packed) {
+  RawStore(folder).Write(Unpack(packed));
+}
 
-void WriteLog(const std::string& folder, const record::Head& head, const std::vector<record::Entry>& entries) {
+void WriteLog(const std::string& folder, const record::Head& head,
+              const std::vector<record::Entry>& entries) {
   store::RecordLmdb disk(folder, 1 << 20);
   disk.append(1, entries, head);
 }
@@ -550,11 +604,14 @@
     store::RecordLmdb disk(folder.Path(), 1 << 20);
     head = disk.head();
     disk.Each([&](record::Offset, const record::Entry* entry) {
-      if (entry) entries.push_back(*entry);
-      else corrupted = true;
+      if (entry)
+        entries.push_back(*entry);
+      else
+        corrupted = true;
     });
   }
-  if (!head || corrupted) return std::nullopt;
+  if (!head || corrupted)
+    return std::nullopt;
   return StoredBy([&](const std::string& again) { WriteLog(again, *head, entries); });
 }
 
@@ -562,7 +619,8 @@
   ScratchFolder folder;
   PutRaw(folder.Path(), packed);
   store::KeptFloors floors;
-  if (store::FloorStore(folder.Path()).Read(floors) != store::FloorStore::Found::kGood) return std::nullopt;
+  if (store::FloorStore(folder.Path()).Read(floors) != store::FloorStore::Found::kGood)
+    return std::nullopt;
   return StoredBy([&](const std::string& again) { store::FloorStore(again).Write(floors); });
 }
 
@@ -579,7 +637,8 @@
   ScratchFolder folder;
   PutRaw(folder.Path(), packed);
   owner::StoredState state = store::LmdbStore(folder.Path()).load();
-  if (!state.snapshot) return std::nullopt;
+  if (!state.snapshot)
+    return std::nullopt;
   return StoredBy([&](const std::string& again) { WriteGroup(again, state); });
 }
 
@@ -595,7 +654,9 @@
   head.forgotten = 12;
   head.entries = 3;
   head.seen = {{1, 44}, {2, 45}};
-  all.push_back({"stored_record", StoredBy([&](const std::string& folder) { WriteLog(folder, head, LogEntries()); }), RestoreLog});
+  all.push_back({"stored_record",
+                 StoredBy([&](const std::string& folder) { WriteLog(folder, head, LogEntries()); }),
+                 RestoreLog});
   store::KeptFloors floors;
   floors.whose = 3;
   floors.token = 7;
@@ -604,14 +665,19 @@
   floors.rules_digest = 0x0102030405060708u;
   floors.rules_version = 42;
   floors.witnessed = {{1, 1700000000001u}, {2, 1700000000002u}};
-  all.push_back({"stored_floors", StoredBy([&](const std::string& folder) { store::FloorStore(folder).Write(floors); }), RestoreFloors});
+  all.push_back({"stored_floors", StoredBy([&](const std::string& folder) {
+                   store::FloorStore(folder).Write(floors);
+                 }),
+                 RestoreFloors});
   owner::StoredState group;
   group.founding = "founders";
   group.term = 5;
   group.vote = 2;
   group.entries = {{4, 1, "first"}, {5, 1, std::string("se\0cond", 7)}, {5, 3, ""}};
   group.snapshot = owner::StoredSnapshot{2, 5, 1, "configuration", "data"};
-  all.push_back({"stored_group", StoredBy([&](const std::string& folder) { WriteGroup(folder, group); }), RestoreGroup});
+  all.push_back({"stored_group",
+                 StoredBy([&](const std::string& folder) { WriteGroup(folder, group); }),
+                 RestoreGroup});
 }
 
 // ---- comparison
@@ -636,7 +702,8 @@
 std::filesystem::path FileOf(const std::string& name) {
   std::string file = name;
   for (char& c : file) {
-    if (c == ' ') c = '_';
+    if (c == ' ')
+      c = '_';
   }
   return std::filesystem::path(GOLDEN_FOLDER) / (file + ".hex");
 }
@@ -647,11 +714,13 @@
 }
 
 int WriteGolden() {
-  for (const auto& entry : std::filesystem::directory_iterator(GOLDEN_FOLDER)) std::filesystem::remove(entry.path());
+  for (const auto& entry : std::filesystem::directory_iterator(GOLDEN_FOLDER))
+    std::filesystem::remove(entry.path());
   for (const Golden& golden : AllGolden()) {
     std::ofstream file(FileOf(golden.name), std::ios::binary);
     file << ToHex(golden.bytes);
-    if (!file.flush()) return 1;
+    if (!file.flush())
+      return 1;
   }
   return 0;
 }
@@ -668,7 +737,8 @@
 
 TEST_CASE("golden bytes are decoded, and encoded again to the same bytes") {
   for (const Golden& golden : AllGolden()) {
-    if (!golden.reencode) continue;
+    if (!golden.reencode)
+      continue;
     CAPTURE(golden.name);
     std::string bytes = FromHex(ReadFile(FileOf(golden.name)));
     auto again = golden.reencode(bytes);
@@ -679,13 +749,16 @@
 
 TEST_CASE("each golden file belongs to a message, and no two messages share one") {
   std::set<std::string> expected;
-  for (const Golden& golden : AllGolden()) CHECK(expected.insert(FileOf(golden.name).filename().string()).second);
+  for (const Golden& golden : AllGolden())
+    CHECK(expected.insert(FileOf(golden.name).filename().string()).second);
   std::set<std::string> found;
-  for (const auto& entry : std::filesystem::directory_iterator(GOLDEN_FOLDER)) found.insert(entry.path().filename().string());
+  for (const auto& entry : std::filesystem::directory_iterator(GOLDEN_FOLDER))
+    found.insert(entry.path().filename().string());
   CHECK(found == expected);
 }
 
 int main(int argc, char** argv) {
-  if (argc == 2 && std::strcmp(argv[1], "--write-golden") == 0) return WriteGolden();
+  if (argc == 2 && std::strcmp(argv[1], "--write-golden") == 0)
+    return WriteGolden();
   return doctest::Context(argc, argv).run();
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -26,7 +26,8 @@
                         {"\"open", false},     {deep + std::string(40, ']'), false}})
     assert(json::Read(c.text).has_value() == c.good);
   auto v = json::Read("{\"s\":\"\\u00e9\\ud83d\\ude00\\/\",\"n\":-2.5e3,\"t\":true}");
-  assert(v->word("s") == "\xc3\xa9\xf0\x9f\x98\x80/" && v->number("n") == -2500.0 && !v->number("t"));
+  assert(v->word("s") == "\xc3\xa9\xf0\x9f\x98\x80/" && v->number("n") == -2500.0 &&
+         !v->number("t"));
 }
 
 static void SettingsAreLaidOutAsOnTheWire() {
@@ -35,7 +36,8 @@
       "one\",\"e,1\"],\"tenants\":[],\"limits\":{\"connIdle\":30000.0,\"cancel\":true},"
       "\"classes\":[{\"aim\":200.0,\"name\":\"a\"},{\"aim\":100.0,\"name\":\"b\"}]}");
   assert(sheet::Dotted(*v) ==
-         "zone=1\nazs=hub_one,e_1\ntenants=\nlimits.connIdle=30000.0\nlimits.cancel=true\nclasses.count=2\n"
+         "zone=1\nazs=hub_one,e_1\ntenants=\nlimits.connIdle=30000.0\nlimits.cancel=true\nclasses."
+         "count=2\n"
          "classes.0.aim=200.0\nclasses.0.name=a\nclasses.1.aim=100.0\nclasses.1.name=b\n");
 }
 
@@ -51,7 +53,8 @@
   std::string bytes = "\r\n" + kPut + "GET";
   auto all = clients::ReadRequest(bytes, 100);
   assert(all.whole && all.request.size == kPut.size() + 2 && all.request.body == "ab\r\n\x01");
-  assert(all.request.path == "/ops/handover/7f3a" && all.request.query == "part=3" && all.request.keep_alive);
+  assert(all.request.path == "/ops/handover/7f3a" && all.request.query == "part=3" &&
+         all.request.keep_alive);
   assert(all.request.header("x-REQUEST-id") == "9b1f03aa5c7e2d41");
 }
 
@@ -89,18 +92,26 @@
 
 static void WantsCarryAllThatTheDecisionsName() {
   exchange::Ask ask;
-  ask.id = "9b1f03aa5c7e2d41", ask.offering = "video", ask.object = "7f3a", ask.part = "3";
+  ask.id = "9b1f03aa5c7e2d41";
+  ask.offering = "video";
+  ask.object = "7f3a";
+  ask.part = "3";
   SendLeg how;
   assert(caches::RequestLine(ask, how, "").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501 0\r\n\r\n");
-  ask.tag = "4be0", ask.body = "a\r\nb";
-  how.join = how.held_only = how.renew = true, how.rank = 2, how.oldest = 0.001;
+  ask.tag = "4be0";
+  ask.body = "a\r\nb";
+  how.join = how.held_only = how.renew = true;
+  how.rank = 2;
+  how.oldest = 0.001;
   // An age below a millisecond must not become 0, which would lift the cap after a purge.
   assert(caches::RequestLine(ask, how, "s-2").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501,miss=s-2,prio=2,within=1,"
          "f=coalesce+shallow+freshen,mine=4be0 4\r\na\r\nb\r\n");
   ask.key = "k-17";  // as its client named it: repeats are known by it
-  assert(caches::RequestLine(ask, how, "s-2").WithTimeLeft(1500.2).find(",mine=4be0,replay=k-17 4\r\n") != std::string::npos);
+  assert(caches::RequestLine(ask, how, "s-2")
+             .WithTimeLeft(1500.2)
+             .find(",mine=4be0,replay=k-17 4\r\n") != std::string::npos);
 }
 
 static void AnswersAreRead() {
@@ -110,32 +121,35 @@
     Remark remark;
     std::size_t length;
   };
-  for (Case c :
-       {Case{"a HIT entity=x1,issued=17645,remark=local,delay=0.5 240000", Ending::kFinished, Remark::kHit,
-             240000},
-        {"a VALID entity=x1,issued=1,remark=pulled_far 0", Ending::kFinished, Remark::kFilledByOrigin, 0},
-        {"a NONE remark=not_there 0", Ending::kMiss, Remark::kSourceLacks, 0},
-        {"a SHED remark=no_place 0", Ending::kFull, Remark::kNoFillPlace, 0},
-        {"a FAULT remark=far_fault 0", Ending::kError, Remark::kOriginFailed, 0},
-        {"a FAULT later=field,remark=cut_off 0", Ending::kError, Remark::kSourceLost, 0},
-        {"a LATE - 0", Ending::kMoot, Remark::kNone, 0}}) {
+  for (Case c : {Case{"a HIT entity=x1,issued=17645,remark=local,delay=0.5 240000",
+                      Ending::kFinished, Remark::kHit, 240000},
+                 {"a VALID entity=x1,issued=1,remark=pulled_far 0", Ending::kFinished,
+                  Remark::kFilledByOrigin, 0},
+                 {"a NONE remark=not_there 0", Ending::kMiss, Remark::kSourceLacks, 0},
+                 {"a SHED remark=no_place 0", Ending::kFull, Remark::kNoFillPlace, 0},
+                 {"a FAULT remark=far_fault 0", Ending::kError, Remark::kOriginFailed, 0},
+                 {"a FAULT later=field,remark=cut_off 0", Ending::kError, Remark::kSourceLost, 0},
+                 {"a LATE - 0", Ending::kMoot, Remark::kNone, 0}}) {
     auto answer = caches::ReadAnswer(c.line, {});
     assert(answer && answer->id == "a" && !answer->probe && answer->length == c.length);
     assert(answer->word.ending == c.ending && answer->word.remark == c.remark);
   }
   auto valid = caches::ReadAnswer("a VALID entity=x1,delay=2.5 0", {});
   assert(valid->word.unchanged && valid->word.tag == "x1" && valid->word.waited == 2.5);
-  auto pong = caches::ReadAnswer("p PONG report=util:0.61;inflight:7;odd:1 0", {"inflight", "util"});
+  auto pong =
+      caches::ReadAnswer("p PONG report=util:0.61;inflight:7;odd:1 0", {"inflight", "util"});
   assert(pong->probe && pong->well && pong->word.report[0] == 7 && pong->word.report[1] == 0.61f);
   assert(!caches::ReadAnswer("p SICK - 0", {})->well);
-  for (const char* bad : {"", "a", "a HIT", "a HIT -", "a HIT - x", "a HIT - -1", "a HIT - 240001",
-                          "a HUT - 0", " HIT - 0", "a HIT  0", "a HIT remark=magic 0", "a HIT delay=x 0",
-                          "a HIT delay=-1 0", "a HIT =x 0", "a HIT entity=a\"b 0", "a HIT entity=a\tb 0",
-                          "a HIT report=x 0", "a HIT - 0 0", "a HIT - 99999999999999999999"})
+  for (const char* bad :
+       {"", "a", "a HIT", "a HIT -", "a HIT - x", "a HIT - -1", "a HIT - 240001", "a HUT - 0",
+        " HIT - 0", "a HIT  0", "a HIT remark=magic 0", "a HIT delay=x 0", "a HIT delay=-1 0",
+        "a HIT =x 0", "a HIT entity=a\"b 0", "a HIT entity=a\tb 0", "a HIT report=x 0",
+        "a HIT - 0 0", "a HIT - 99999999999999999999"})
     assert(!caches::ReadAnswer(bad, {}));
 }
 
-static const sheet::RoadTerms kTerms{{"video"}, {"hub", "e-1"}, {"box", "parent"}, {}, 400, 30000, 100};
+static const sheet::RoadTerms kTerms{{"video"}, {"hub", "e-1"}, {"box", "parent"}, {}, 400, 30000,
+                                     100};
 
 static void NoticesAreRead() {
   auto read = [](const char* text) {
@@ -143,46 +157,60 @@
     return v ? board::ReadNotice(*v, kTerms) : std::nullopt;
   };
   auto list = read(
-      "{\"rev\":41,\"pool\":{\"version\":7,\"full\":false,\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.9:"
+      "{\"rev\":41,\"pool\":{\"version\":7,\"full\":false,\"servers\":[{\"id\":\"s-1\",\"addr\":"
+      "\"127.0.0.9:"
       "5050\","
-      "\"zone\":\"e-1\",\"kind\":\"parent\",\"cell\":2,\"state\":\"terminating\",\"weight\":4,\"started_ms\":"
+      "\"zone\":\"e-1\",\"kind\":\"parent\",\"cell\":2,\"state\":\"terminating\",\"weight\":4,"
+      "\"started_ms\":"
       "17}]}}");
-  assert(list && list->rev == 41 && list->list && !list->whole && !list->purge && list->entries.size() == 1);
+  assert(list && list->rev == 41 && list->list && !list->whole && !list->purge &&
+         list->entries.size() == 1);
   const exchange::Listed& one = list->entries[0];
-  assert(one.id == "s-1" && ntohs(one.at.sin_port) == 5050 && one.entry.zone == 1 && one.entry.kind == 1);
-  assert(one.entry.standing == Standing::kDraining && one.entry.weight == 4 && one.entry.started_at == 17);
+  assert(one.id == "s-1" && ntohs(one.at.sin_port) == 5050 && one.entry.zone == 1 &&
+         one.entry.kind == 1);
+  assert(one.entry.standing == Standing::kDraining && one.entry.weight == 4 &&
+         one.entry.started_at == 17);
   auto object = read("{\"rev\":42,\"flush\":{\"asset\":\"7f3a\",\"ms\":123}}");
-  assert(object && object->purge && !object->whole_group && object->object == "7f3a" && object->at == 123);
+  assert(object && object->purge && !object->whole_group && object->object == "7f3a" &&
+         object->at == 123);
   auto group = read("{\"rev\":43,\"flush\":{\"collection\":17,\"ms\":480}}");
   assert(group && group->whole_group && group->group == 17);
   assert(read("{\"rev\":44,\"news\":1}"));  // of a kind to come
   for (const char* bad :
        {"{}", "{\"rev\":0}", "{\"rev\":1.5}", "{\"rev\":\"1\"}", "{\"rev\":1,\"pool\":{}}", "[1]",
-        "{\"rev\":1,\"pool\":{\"servers\":[{\"id\":\"s\",\"addr\":\"x\",\"state\":\"in_service\"}]}}",
+        "{\"rev\":1,\"pool\":{\"servers\":[{\"id\":\"s\",\"addr\":\"x\",\"state\":\"in_service\"}]}"
+        "}",
         "{\"rev\":1,\"pool\":{\"servers\":[{\"id\":\"s "
         "1\",\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\"}]}}",
-        "{\"rev\":1,\"pool\":{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"state\":\"odd\"}]}}",
+        "{\"rev\":1,\"pool\":{\"servers\":[{\"id\":\"s\",\"addr\":\"127.0.0.1:1\",\"state\":"
+        "\"odd\"}]}}",
         "{\"rev\":1,\"flush\":{\"asset\":\"a\"}}", "{\"rev\":1,\"flush\":{\"ms\":1}}",
-        "{\"rev\":1,\"flush\":{\"asset\":\"a\",\"ms\":1e300}}", "{\"rev\":1,\"flush\":{\"asset\":\"a\",\"ms\":-1e16}}",
+        "{\"rev\":1,\"flush\":{\"asset\":\"a\",\"ms\":1e300}}",
+        "{\"rev\":1,\"flush\":{\"asset\":\"a\",\"ms\":-1e16}}",
         "{\"rev\":1,\"flush\":{\"asset\":\"a\",\"collection\":1e300,\"ms\":1}}",
-        "{\"rev\":1,\"flush\":{\"collection\":-1,\"ms\":1}}", "{\"rev\":1,\"flush\":{\"collection\":65536,\"ms\":1}}"})
+        "{\"rev\":1,\"flush\":{\"collection\":-1,\"ms\":1}}",
+        "{\"rev\":1,\"flush\":{\"collection\":65536,\"ms\":1}}"})
     assert(!read(bad));
   auto entry = [&](const std::string& id, const std::string& more) {
-    return read(("{\"rev\":1,\"pool\":{\"servers\":[{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\"" + more +
-                 "}]}}")
+    return read(("{\"rev\":1,\"pool\":{\"servers\":[{\"id\":\"" + id +
+                 "\",\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\"" + more + "}]}}")
                     .c_str());
   };
-  assert(entry("s-1", "") && entry("s-1", ",\"weight\":-1,\"started_ms\":-1,\"cell\":1e300,\"zone\":7"));
-  for (const char* bad : {",\"weight\":1e300", ",\"weight\":-1e300", ",\"started_ms\":1e300", ",\"started_ms\":-1e300"})
+  assert(entry("s-1", "") &&
+         entry("s-1", ",\"weight\":-1,\"started_ms\":-1,\"cell\":1e300,\"zone\":7"));
+  for (const char* bad : {",\"weight\":1e300", ",\"weight\":-1e300", ",\"started_ms\":1e300",
+                          ",\"started_ms\":-1e300"})
     assert(!entry("s-1", bad));
-  for (const char* bad : {"", "s,1", "s\\r1", "s\\n1", "s\\t1", "s\\u00001", "s\\u007f1"}) assert(!entry(bad, ""));
+  for (const char* bad : {"", "s,1", "s\\r1", "s\\n1", "s\\t1", "s\\u00001", "s\\u007f1"})
+    assert(!entry(bad, ""));
 }
 
 static void EndsMeanWhatTheyProve() {
   using loop::Parting;
   struct Case {
     Parting how;
-    Ending whole, part;
+    Ending whole;
+    Ending part;
   };
   for (Case c : {Case{Parting::kRefused, Ending::kNoConnection, Ending::kNoConnection},
                  {Parting::kNeverUp, Ending::kNoConnection, Ending::kNoConnection},
@@ -196,10 +224,12 @@
   }
 }
 
-// Bytes changed at random: the readers may say what they like, but stay in their bounds (sanitizers look on).
+// Bytes changed at random: the readers may say what they like, but stay in their bounds (sanitizers
+// look on).
 static void JunkIsBorne() {
   std::knuth_b chance(7);
-  const std::string samples[] = {kPut, "a HIT entity=x1,issued=17645,remark=local,report=a:1;b:2 24",
+  const std::string samples[] = {kPut,
+                                 "a HIT entity=x1,issued=17645,remark=local,report=a:1;b:2 24",
                                  "{\"rev\":42,\"flush\":{\"asset\":\"7f\\u00e9\",\"ms\":1.5e2}}"};
   std::size_t read = 0;
   for (int i = 0; i < 30000; ++i) {
@@ -210,7 +240,8 @@
     auto request = clients::ReadRequest(bytes, 100);
     assert(!request.whole || request.request.size <= bytes.size());
     read += request.whole + caches::ReadAnswer(bytes, {"a"}).has_value();
-    if (auto v = json::Read(bytes)) read += board::ReadNotice(*v, kTerms).has_value();
+    if (auto v = json::Read(bytes))
+      read += board::ReadNotice(*v, kTerms).has_value();
   }
   assert(read > 0);
 }
