--- a/bench/steady.cpp
+++ b/bench/steady.cpp
@@ -40,7 +40,7 @@
     connection.in.Consume(end + 4 + length);
     Next();
   }
-  void Ended(Parting) override {
+  void Ended(DisconnectReason) override {
     --busy;
   }
   Loop& loop;
@@ -54,9 +54,9 @@
 int main(int argc, char** argv) {
   CLI::App app{"a bounded steady load for one front"};
   std::string to = "127.0.0.1:8080";
-  int pulls = 5000, connections = 16;
+  int requests = 5000, connections = 16;
   app.add_option("--to", to)->capture_default_str();
-  app.add_option("--pulls", pulls)->capture_default_str()->check(CLI::Range(1, 1000000));
+  app.add_option("--pulls", requests)->capture_default_str()->check(CLI::Range(1, 1000000));
   app.add_option("--connections", connections)->capture_default_str()->check(CLI::Range(1, 200));
   CLI11_PARSE(app, argc, argv);
   auto at = ReadAddress(to);
@@ -65,13 +65,13 @@
     return 1;
   }
   Loop loop;
-  int left = pulls, busy = connections;
+  int left = requests, busy = connections;
   std::vector<std::unique_ptr<Client>> all;
   for (int i = 0; i < connections; ++i)
     all.push_back(std::make_unique<Client>(loop, *at, left, busy));
   Ms end = loop.now() + 300000;
   while (busy > 0 && loop.now() < end)
     loop.turn(100);
-  std::printf("%d of %d pulls answered with 200\n", Client::answered, pulls);
-  return Client::answered == pulls ? 0 : 1;
+  std::printf("%d of %d pulls answered with 200\n", Client::answered, requests);
+  return Client::answered == requests ? 0 : 1;
 }
--- a/examples/toy.cpp
+++ b/examples/toy.cpp
@@ -22,18 +22,18 @@
 
 struct Peer : Connection::Owner {
   Loop& loop;
-  bool board;
+  bool discovery;
   bool source;
   std::set<std::string>& kept;
   Connection connection;
-  Peer(Loop& l, bool is_board, bool is_source, std::set<std::string>& names, Descriptor fd)
+  Peer(Loop& l, bool is_discovery, bool is_source, std::set<std::string>& names, Descriptor fd)
       : loop(l),
-        board(is_board),
+        discovery(is_discovery),
         source(is_source),
         kept(names),
         connection(l, *this, std::move(fd)) {}
 
-  void Ended(Parting) override {
+  void Ended(DisconnectReason) override {
     connection.Close();
   }
   void Came() override {
@@ -55,7 +55,7 @@
   }
   void Take(const std::string& line) {
     std::printf("%s\n", line.c_str());
-    if (board)
+    if (discovery)
       return TellNumber(line.substr(line.find(' ') + 1));
     std::size_t one = line.find(' '), two = line.find(' ', one + 1), three = line.rfind(' ');
     std::string what = line.substr(0, one), id = line.substr(one + 1, two - one - 1);
@@ -88,9 +88,9 @@
 
 int main(int argc, char** argv) {
   CLI::App app{"toy caches and a notice board, to try a front with"};
-  std::string board;
+  std::string discovery;
   std::vector<std::string> caches, sources;
-  app.add_option("--board", board, "address of the notice board");
+  app.add_option("--board", discovery, "address of the notice board");
   app.add_option("--cache", caches, "address of a cache; again for each");
   app.add_option("--source", sources,
                  "address of a parent or origin, which holds everything; again for each");
@@ -101,19 +101,20 @@
   std::vector<std::unique_ptr<Peer>> peers;  // a toy: kept until the end
   std::vector<std::unique_ptr<std::set<std::string>>> kept;
   std::vector<std::unique_ptr<Listener>> listeners;
-  auto open = [&](const std::string& one, bool is_board, bool is_source) {
+  auto open = [&](const std::string& one, bool is_discovery, bool is_source) {
     auto at = ReadAddress(one);
     if (!at)
       throw std::runtime_error("no address: " + one);
     kept.push_back(std::make_unique<std::set<std::string>>());
     listeners.push_back(std::make_unique<Listener>(
-        loop, *at, [&loop, &peers, &names = *kept.back(), is_board, is_source](Descriptor fd) {
-          peers.push_back(std::make_unique<Peer>(loop, is_board, is_source, names, std::move(fd)));
+        loop, *at, [&loop, &peers, &names = *kept.back(), is_discovery, is_source](Descriptor fd) {
+          peers.push_back(
+              std::make_unique<Peer>(loop, is_discovery, is_source, names, std::move(fd)));
         }));
   };
   try {
-    if (!board.empty())
-      open(board, true, false);
+    if (!discovery.empty())
+      open(discovery, true, false);
     for (const std::string& one : caches)
       open(one, false, false);
     for (const std::string& one : sources)
--- a/src/benchlink/codec.cpp
+++ b/src/benchlink/codec.cpp
@@ -70,7 +70,7 @@
     case 306:
       return Ending::kCancelled;
     case 307:
-      return Ending::kMoot;
+      return Ending::kSuperseded;
   }
   throw WireFault("unknown outcome " + std::to_string(verdict));
 }
@@ -114,17 +114,17 @@
       return e;
     }
     case 5: {
-      LegStarted e;
-      e.pull = in.U32();
+      AttemptStarted e;
+      e.request = in.U32();
       e.cache = in.U32();
-      e.leg = in.U8();
+      e.attempt = in.U8();
       in.F64();
       return e;
     }
     case 6: {
-      LegEnded e;
-      e.pull = in.U32();
-      e.leg = in.U8();
+      AttemptEnded e;
+      e.request = in.U32();
+      e.attempt = in.U8();
       e.cache = in.U32();
       e.ending = EndingOf(in.U16());
       e.took = in.F64();
@@ -136,9 +136,9 @@
       return e;
     }
     case 7: {
-      PullCame e;
-      e.pull = in.U32();
-      e.offering = in.U8();
+      RequestCame e;
+      e.request = in.U32();
+      e.request_class = in.U8();
       in.U32();
       e.object = in.U64();
       e.ttl = in.F64();
@@ -173,29 +173,29 @@
 namespace {
 struct ActionWriter {
   Writer& out;
-  void operator()(const SendLeg& a) const {
+  void operator()(const SendAttempt& a) const {
     out.U16(67);
-    out.U32(a.pull);
+    out.U32(a.request);
     out.U8((a.join ? 1u : 0u) | (a.held_only ? 2u : 0u) | (a.renew ? 8u : 0u));
     out.U8(static_cast<unsigned>(a.rank));
     out.F64(a.oldest);
     out.U32(a.source);
     out.U32(a.cache);
-    out.F64(a.patience);
+    out.F64(a.timeout);
   }
-  void operator()(const CancelLeg& a) const {
+  void operator()(const CancelAttempt& a) const {
     out.U16(73);
-    out.U32(a.pull);
-    out.U8(static_cast<unsigned>(a.leg));
+    out.U32(a.request);
+    out.U8(static_cast<unsigned>(a.attempt));
   }
-  void operator()(const DeclinePull& a) const {
+  void operator()(const DeclineRequest& a) const {
     out.U16(77);
-    out.U32(a.pull);
+    out.U32(a.request);
     out.F64(a.retry_after);
   }
-  void operator()(const AbandonPull& a) const {
+  void operator()(const AbandonRequest& a) const {
     out.U16(71);
-    out.U32(a.pull);
+    out.U32(a.request);
   }
   void operator()(const WakeMe& a) const {
     out.U16(70);
--- a/src/benchlink/host.cpp
+++ b/src/benchlink/host.cpp
@@ -27,9 +27,9 @@
     }
     if (code == kCodeAttach) {
       std::uint64_t seed = in.U64();
-      StoreSheet sheet = sheet::ReadSheet(in.Take(in.U32()));
+      StoreSettings settings = settings::ReadSettings(in.Take(in.U32()));
       fronts_.erase(who);
-      fronts_.emplace(who, Router(sheet, seed));
+      fronts_.emplace(who, Router(settings, seed));
       continue;
     }
     Event event = ReadEvent(code, in);
--- a/src/board/board.cpp
+++ b/src/board/board.cpp
@@ -5,10 +5,10 @@
 
 #include "log/log.hpp"
 
-namespace dunlinwick::board {
+namespace dunlinwick::discovery {
 
+using loop::DisconnectReason;
 using loop::Ms;
-using loop::Parting;
 
 constexpr std::size_t kLongest =
     1 << 20;                   // of a line with its end: a whole list of some thousand machines
@@ -17,24 +17,24 @@
              kLongestPause =
                  500;  // soon, since news binds untold; no busy knocking at a dead board
 
-Board::Board(loop::Loop& loop, exchange::Exchange& exchange, const sheet::RoadTerms& terms,
-             const loop::Address& at)
+Discovery::Discovery(loop::Loop& loop, exchange::Exchange& exchange,
+                     const settings::RoadTerms& terms, const loop::Address& at)
     : loop_(loop), exchange_(exchange), terms_(terms), at_(at), silence_(kSilence) {}
 
-Board::~Board() {
+Discovery::~Discovery() {
   loop_.Cancel(timer_);
 }
 
 // All of them or none: a list read in half would pass for the whole.
-std::optional<std::vector<Notice>> Board::ReadKnown(const json::Value& known,
-                                                    std::uint64_t& last) const {
-  const json::Value* notices = known.Find("notices", json::Kind::kList);
+std::optional<std::vector<Notice>> Discovery::ReadKnown(const json::Value& known,
+                                                        std::uint64_t& last) const {
+  const json::Value* watch_events = known.Find("notices", json::Kind::kList);
   auto rev = known.number("rev");
-  if (!notices || !rev || !(*rev >= 0 && *rev < 1e15))
+  if (!watch_events || !rev || !(*rev >= 0 && *rev < 1e15))
     return std::nullopt;
   last = static_cast<std::uint64_t>(*rev);
   std::vector<Notice> all;
-  for (const json::Value& one : notices->items) {
+  for (const json::Value& one : watch_events->items) {
     auto notice = ReadNotice(one, terms_);
     // One beyond the last would be passed on here and told once more by the board: an old state
     // would stand again.
@@ -45,7 +45,7 @@
   return all;
 }
 
-bool Board::begin(const json::Value& known) {
+bool Discovery::begin(const json::Value& known) {
   std::uint64_t last = 0;
   auto all = ReadKnown(known, last);
   if (!all)
@@ -57,7 +57,7 @@
   return true;
 }
 
-bool Board::MoveTo(const loop::Address& at, const json::Value& known) {
+bool Discovery::MoveTo(const loop::Address& at, const json::Value& known) {
   std::uint64_t last = 0;
   auto all = ReadKnown(known, last);
   if (!all)
@@ -80,10 +80,10 @@
   return true;
 }
 
-void Board::Follow() {
+void Discovery::Follow() {
   following_ = true;
   asked_at_ = loop_.now();
-  ++exchange_.counters.board_connections;
+  ++exchange_.counters.discovery_connections;
   connection_ = std::make_shared<loop::Connection>(loop_, *this, at_, terms_.connect_within);
   connection_->ReadUpTo(kLongest);
   connection_->Send("watch " + std::to_string(last_) + "\n");
@@ -92,7 +92,7 @@
 
 // A line comes every second. After one and a half with none it is asked anew: it costs one
 // connection if it was only late, and what is told there binds whether it arrived or not.
-void Board::Heard() {
+void Discovery::Heard() {
   loop_.Cancel(timer_);
   timer_ = loop_.at(loop_.now() + silence_, [this] { WasSilent(); });
 }
@@ -100,21 +100,21 @@
 // Where a line was under way, the next connection has twice as long for it, so that a long list on
 // a slow way comes through; never longer than it takes until all counts as told. Harm without: it
 // is cut short each time, for ever.
-void Board::WasSilent() {
-  constexpr Ms kTold = 7000;
+void Discovery::WasSilent() {
+  constexpr Ms kNotified = 7000;
   if (!connection_)
     return;
-  silence_ = connection_->in.size() > 0 ? std::min(2 * silence_, kTold) : kSilence;
-  connection_->EndAs(Parting::kSilent);
+  silence_ = connection_->in.size() > 0 ? std::min(2 * silence_, kNotified) : kSilence;
+  connection_->EndAs(DisconnectReason::kSilent);
 }
 
-void Board::Came() {
+void Discovery::Came() {
   for (;;) {
     std::string_view bytes = connection_->in.bytes();
     std::size_t end = bytes.find('\n');
     // Whether its end has come or not: else it would hang on how the bytes were cut.
     if (std::min(end, bytes.size()) >= kLongest)
-      return connection_->EndAs(Parting::kMalformed);
+      return connection_->EndAs(DisconnectReason::kMalformed);
     if (end == bytes.npos)
       return;
     std::string line(bytes.substr(0, end));
@@ -122,7 +122,7 @@
     if (!line.empty() && line.back() == '\r')
       line.pop_back();
     if (!TakeLine(line))
-      return connection_->EndAs(Parting::kMalformed);
+      return connection_->EndAs(DisconnectReason::kMalformed);
     // Silence counts from a whole line. Counted from any byte, half a line that drips in keeps a
     // dead watch for ever.
     silence_ = kSilence;
@@ -134,7 +134,7 @@
   }
 }
 
-bool Board::TakeLine(std::string_view line) {
+bool Discovery::TakeLine(std::string_view line) {
   std::uint64_t number = 0;
   auto [end, fault] = std::from_chars(line.data(), line.data() + line.size(), number);
   // The number of the last event: where it is beyond ours, something was missed, and asking anew
@@ -158,16 +158,16 @@
   return true;
 }
 
-void Board::Pass(const Notice& n, std::optional<Ms> up_to_date_at) {
+void Discovery::Pass(const Notice& n, std::optional<Ms> up_to_date_at) {
   if (n.list)
     exchange_.ListCame(n.whole, n.entries, up_to_date_at);
   if (n.purge)
     exchange_.PurgeCame(n.whole_group, n.object, n.group, n.at, up_to_date_at);
 }
 
-void Board::Ended(Parting how) {
-  if (how == Parting::kMalformed)
-    ++exchange_.counters.bad_notices;
+void Discovery::Ended(DisconnectReason how) {
+  if (how == DisconnectReason::kMalformed)
+    ++exchange_.counters.bad_watch_events;
   if (pause_ == 0)  // the first in a row
     log::Say("notice board: connection %s after event %llu", loop::ToString(how),
              static_cast<unsigned long long>(last_));
@@ -178,4 +178,4 @@
   timer_ = loop_.at(loop_.now() + pause_, [this] { Follow(); });
 }
 
-}  // namespace dunlinwick::board
+}  // namespace dunlinwick::discovery
--- a/src/board/board.hpp
+++ b/src/board/board.hpp
@@ -4,13 +4,13 @@
 
 #include "board/notices.hpp"
 
-namespace dunlinwick::board {
+namespace dunlinwick::discovery {
 
-class Board final : public loop::Connection::Owner {
+class Discovery final : public loop::Connection::Owner {
  public:
-  Board(loop::Loop& loop, exchange::Exchange& exchange, const sheet::RoadTerms& terms,
-        const loop::Address& at);
-  ~Board();
+  Discovery(loop::Loop& loop, exchange::Exchange& exchange, const settings::RoadTerms& terms,
+            const loop::Address& at);
+  ~Discovery();
   // The events of the start; false where they can't be read.
   bool begin(const json::Value& known);
   void Follow();
@@ -24,7 +24,7 @@
 
  private:
   void Came() override;
-  void Ended(loop::Parting how) override;
+  void Ended(loop::DisconnectReason how) override;
   std::optional<std::vector<Notice>> ReadKnown(const json::Value& known, std::uint64_t& last) const;
   bool TakeLine(std::string_view line);
   void Pass(const Notice& notice, std::optional<Ms> up_to_date_at);
@@ -33,7 +33,7 @@
 
   loop::Loop& loop_;
   exchange::Exchange& exchange_;
-  sheet::RoadTerms terms_;
+  settings::RoadTerms terms_;
   loop::Address at_;
   std::uint64_t last_ = 0;           // number of the last event that was passed on
   std::optional<Ms> up_to_date_at_;  // when the board last had no later one; none: not begun
@@ -45,4 +45,4 @@
   std::shared_ptr<loop::Connection> connection_;
 };
 
-}  // namespace dunlinwick::board
+}  // namespace dunlinwick::discovery
--- a/src/board/notices.cpp
+++ b/src/board/notices.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace dunlinwick::board {
+namespace dunlinwick::discovery {
 namespace {
 
 using json::Kind;
@@ -17,11 +17,11 @@
 constexpr int kUnnamed = 65535;
 
 int PlaceOf(std::string_view name, const std::vector<std::string>& names) {
-  auto at = std::find(names.begin(), names.end(), sheet::PlainWord(name));
+  auto at = std::find(names.begin(), names.end(), settings::PlainWord(name));
   return at == names.end() ? kUnnamed : static_cast<int>(at - names.begin());
 }
 
-bool ReadEntry(const Value& v, const sheet::RoadTerms& terms, exchange::Listed& out) {
+bool ReadEntry(const Value& v, const settings::RoadTerms& terms, exchange::Listed& out) {
   std::string_view state = v.word("state");
   auto at = loop::ReadAddress(v.word("addr"));
   out.id = v.word("id");
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::optional<Notice> ReadNotice(const Value& v, const sheet::RoadTerms& terms) {
+std::optional<Notice> ReadNotice(const Value& v, const settings::RoadTerms& terms) {
   Notice n;
   double rev = v.number("rev").value_or(0);
   if (!(rev >= 1 && rev < 1e15) || rev != std::floor(rev))
@@ -86,4 +86,4 @@
   return n;
 }
 
-}  // namespace dunlinwick::board
+}  // namespace dunlinwick::discovery
--- a/src/board/notices.hpp
+++ b/src/board/notices.hpp
@@ -6,7 +6,7 @@
 #include "json/json.hpp"
 #include "sheet/sheet.hpp"
 
-namespace dunlinwick::board {
+namespace dunlinwick::discovery {
 
 struct Notice {
   std::uint64_t rev = 0;
@@ -22,6 +22,6 @@
 
 // Nothing where it can't be read. A notice of a kind not known here is one of neither list nor
 // purge.
-std::optional<Notice> ReadNotice(const json::Value& notice, const sheet::RoadTerms& terms);
+std::optional<Notice> ReadNotice(const json::Value& notice, const settings::RoadTerms& terms);
 
-}  // namespace dunlinwick::board
+}  // namespace dunlinwick::discovery
--- a/src/caches/caches.cpp
+++ b/src/caches/caches.cpp
@@ -7,12 +7,12 @@
 namespace dunlinwick::caches {
 
 using exchange::Ask;
-using exchange::LegKey;
-using loop::Parting;
+using exchange::AttemptKey;
+using loop::DisconnectReason;
 
 /// An attempt of which nothing is written yet.
 struct Caches::QueuedAttempt {
-  LegKey key;
+  AttemptKey key;
   std::uint32_t cache = 0;
   std::string id;
   RequestLine request;
@@ -58,16 +58,16 @@
   bool Fit(const std::string& id) const {
     return !connection_.IsOver() && !connection_.PeerDone() && !stale_ && !Mute() && !Dripping() &&
            open_.count(id) == 0 &&
-           open_.size() < static_cast<std::size_t>(all_.terms_.legs_at_once) &&
+           open_.size() < static_cast<std::size_t>(all_.terms_.attempts_at_once) &&
            (!Idle() || all_.loop_.now() - used_at_ < 0.9 * all_.terms_.idle_for);
   }
 
-  void leg(QueuedAttempt attempt) {
+  void Begin(QueuedAttempt attempt) {
     constexpr Ms kFresh =
         50;  // heard that lately it has not lain idle; far below what resets idle connections
     Ms now = all_.loop_.now();
     bool waits = attempt.proven && !(carried_ && now - heard_at_ < kFresh);
-    open_[attempt.id] = {attempt.key, What::kLeg, 0, now};
+    open_[attempt.id] = {attempt.key, What::kAttempt, 0, now};
     if (waits) {
       held_.push_back(std::move(attempt));
       Call();
@@ -94,10 +94,10 @@
                   });
   }
 
-  bool Has(LegKey key, const std::string& id) const {
+  bool Has(AttemptKey key, const std::string& id) const {
     auto at = open_.find(id);
-    return at != open_.end() && at->second.what == What::kLeg && at->second.key.pull == key.pull &&
-           at->second.key.leg == key.leg;
+    return at != open_.end() && at->second.what == What::kAttempt &&
+           at->second.key.request == key.request && at->second.key.attempt == key.attempt;
   }
   void GiveUp(const std::string& id) {
     Ms sent_at = open_.at(id).sent_at;
@@ -122,7 +122,7 @@
     if (Idle() && (stale_ || now - used_at_ >= 0.9 * all_.terms_.idle_for))
       all_.Drop(cache_, number_);
   }
-  void end(Parting how) {
+  void end(DisconnectReason how) {
     connection_.EndAs(how);
   }
 
@@ -137,12 +137,13 @@
       LookAgain(0);
   }
 
-  void Ended(Parting how) override {
+  void Ended(DisconnectReason how) override {
     exchange::Counters& counters = all_.exchange_.counters;
-    counters.bad_lines += how == Parting::kMalformed;
-    counters.stalled += how == Parting::kStalled;
-    counters.silent += how == Parting::kSilent;
-    if (how == Parting::kMalformed || how == Parting::kStalled || how == Parting::kSilent)
+    counters.bad_lines += how == DisconnectReason::kMalformed;
+    counters.stalled += how == DisconnectReason::kStalled;
+    counters.silent += how == DisconnectReason::kSilent;
+    if (how == DisconnectReason::kMalformed || how == DisconnectReason::kStalled ||
+        how == DisconnectReason::kSilent)
       log::Say("%s: %s; its connection ends, %zu open", all_.machines_[cache_].id.c_str(),
                loop::ToString(how), open_.size());
     struct Lost {
@@ -160,13 +161,13 @@
     // never left.
     constexpr int kMost = 3;
     auto held = std::move(held_);
-    bool there = how != Parting::kRefused && how != Parting::kNeverUp &&
-                 how != Parting::kNoDescriptor && how != Parting::kReplaced;
+    bool there = how != DisconnectReason::kRefused && how != DisconnectReason::kNeverUp &&
+                 how != DisconnectReason::kNoDescriptor && how != DisconnectReason::kReplaced;
     std::erase_if(held, [&](const QueuedAttempt& one) { return !there || one.moves >= kMost; });
     std::erase_if(lost, [&](const Lost& one) {
       return std::any_of(held.begin(), held.end(), [&](const QueuedAttempt& h) {
-        return one.open.what == What::kLeg && h.key.pull == one.open.key.pull &&
-               h.key.leg == one.open.key.leg;
+        return one.open.what == What::kAttempt && h.key.request == one.open.key.request &&
+               h.key.attempt == one.open.key.attempt;
       });
     });
     open_.clear();
@@ -176,26 +177,26 @@
     int fell = 0;
     for (QueuedAttempt& one : held) {
       ++one.moves;
-      LegKey key = one.key;
+      AttemptKey key = one.key;
       if (std::uint64_t via = all.place(std::move(one)))
         all.exchange_.Moved(key, via);
     }
     for (auto& [open, whole] : lost)
       if (open.what == What::kProbe)
         all.exchange_.OnProbeEnded(cache, false, all.loop_.now() - open.sent_at, {});
-      else if (open.what == What::kLeg)
-        all.exchange_.LegLost(open.key, how, whole, fell++);
+      else if (open.what == What::kAttempt)
+        all.exchange_.AttemptLost(open.key, how, whole, fell++);
   }
 
  private:
   enum class What {
-    kLeg,
+    kAttempt,
     kProbe,
     kCall
   };  // a call asks of the connection alone whether it carries
   struct Open {
-    LegKey key;
-    What what = What::kLeg;
+    AttemptKey key;
+    What what = What::kAttempt;
     std::uint64_t mark = 0;
     Ms sent_at = 0;
   };
@@ -217,12 +218,12 @@
       bool called = open_.count(kCallId) != 0;
       NoteDrip();
       if (Dripping() && !(reading_ && Theirs()))
-        return connection_.EndAs(Parting::kStalled);
+        return connection_.EndAs(DisconnectReason::kStalled);
       if (now >= 2 && (InPart() || now >= 4)) {
         if (InPart())
-          return connection_.EndAs(Parting::kStalled);
+          return connection_.EndAs(DisconnectReason::kStalled);
         if (called)
-          return connection_.EndAs(Parting::kSilent);
+          return connection_.EndAs(DisconnectReason::kSilent);
       }
       if (now >= 2 && !called && all_.terms_.may_probe && WaitedFor() >= 2 * kLook) {
         Call();
@@ -324,12 +325,12 @@
       std::size_t end = bytes.substr(0, kLongestLine).find("\r\n");
       if (end == bytes.npos) {
         if (bytes.size() >= kLongestLine)
-          connection_.EndAs(Parting::kMalformed);
+          connection_.EndAs(DisconnectReason::kMalformed);
         return false;
       }
       auto answer = ReadAnswer(bytes.substr(0, end), all_.terms_.reported);
       if (!answer) {
-        connection_.EndAs(Parting::kMalformed);
+        connection_.EndAs(DisconnectReason::kMalformed);
         return false;
       }
       connection_.in.Consume(end + 2);
@@ -337,7 +338,7 @@
       answer_ = std::move(*answer);
       left_ = answer_.length;
       reading_ = true;
-      if (Open* open = Theirs(); open && open->what == What::kLeg)
+      if (Open* open = Theirs(); open && open->what == What::kAttempt)
         all_.exchange_.AnswerBegun(open->key, answer_.word, answer_.length);
       return true;
     }
@@ -345,7 +346,7 @@
       std::string_view part = bytes.substr(0, left_);
       if (part.empty())
         return false;
-      if (Open* open = Theirs(); open && open->what == What::kLeg)
+      if (Open* open = Theirs(); open && open->what == What::kAttempt)
         all_.exchange_.AnswerBytes(open->key, part);
       left_ -= part.size();
       connection_.in.Consume(part.size());
@@ -354,7 +355,7 @@
     if (bytes.size() < 2)
       return false;
     if (bytes.substr(0, 2) != "\r\n") {
-      connection_.EndAs(Parting::kMalformed);
+      connection_.EndAs(DisconnectReason::kMalformed);
       return false;
     }
     connection_.in.Consume(2);
@@ -367,8 +368,8 @@
   // What the answer that is being read belongs to; null if it was given up.
   Open* Theirs() {
     auto at = open_.find(answer_.id);
-    return at == open_.end() || (at->second.what != What::kLeg) != answer_.probe ? nullptr
-                                                                                 : &at->second;
+    return at == open_.end() || (at->second.what != What::kAttempt) != answer_.probe ? nullptr
+                                                                                     : &at->second;
   }
 
   void Answered() {
@@ -407,7 +408,7 @@
   loop::Connection connection_;
 };
 
-Caches::Caches(loop::Loop& loop, exchange::Exchange& exchange, sheet::RoadTerms terms,
+Caches::Caches(loop::Loop& loop, exchange::Exchange& exchange, settings::RoadTerms terms,
                std::size_t most)
     : loop_(loop), exchange_(exchange), terms_(std::move(terms)), most_(most) {
   Sweep();
@@ -467,11 +468,11 @@
   return (m.lines[number] = std::make_shared<Line>(*this, cache, number, m.at)).get();
 }
 
-std::uint64_t Caches::Send(LegKey key, const Ask& ask, const SendLeg& how,
+std::uint64_t Caches::Send(AttemptKey key, const Ask& ask, const SendAttempt& how,
                            const std::vector<std::uint64_t>& avoid) {
   auto at = machines_.find(how.cache), source = machines_.find(how.source);
   if (at == machines_.end() || source == machines_.end()) {
-    exchange_.LegLost(key, Parting::kNoDescriptor, false);
+    exchange_.AttemptLost(key, DisconnectReason::kNoDescriptor, false);
     return 0;
   }
   RequestLine request(ask, how, how.source == how.cache ? "" : source->second.id);
@@ -479,13 +480,13 @@
                 .cache = how.cache,
                 .id = ask.id,
                 .request = std::move(request),
-                .timeout = how.patience,
+                .timeout = how.timeout,
                 .proven = how.proven,
                 .avoid = avoid});
 }
 
 // Told in a turn of its own, since it may come up within any call.
-void Caches::Lapse(LegKey key) {
+void Caches::Lapse(AttemptKey key) {
   loop_.at(loop_.now(), [this, key] { exchange_.Lapsed(key); });
 }
 
@@ -494,14 +495,15 @@
   bool none = at == machines_.end() || at->second.supplanted;
   Line* line = none ? nullptr : LineFor(at->second, attempt.cache, attempt.id, attempt.avoid);
   if (line) {
-    line->leg(std::move(attempt));
+    line->Begin(std::move(attempt));
     return line->number();
   }
-  exchange_.LegLost(attempt.key, none ? Parting::kReplaced : Parting::kNoDescriptor, false);
+  exchange_.AttemptLost(
+      attempt.key, none ? DisconnectReason::kReplaced : DisconnectReason::kNoDescriptor, false);
   return 0;
 }
 
-Caches::Line* Caches::LineOf(LegKey key, const Ask& ask, std::uint32_t cache) {
+Caches::Line* Caches::LineOf(AttemptKey key, const Ask& ask, std::uint32_t cache) {
   auto at = machines_.find(cache);
   if (at == machines_.end())
     return nullptr;
@@ -511,12 +513,12 @@
   return nullptr;
 }
 
-void Caches::GiveUp(LegKey key, const Ask& ask, std::uint32_t cache) {
+void Caches::GiveUp(AttemptKey key, const Ask& ask, std::uint32_t cache) {
   if (Line* line = LineOf(key, ask, cache))
     line->GiveUp(ask.id);
 }
 
-bool Caches::TakeBack(LegKey key, const Ask& ask, std::uint32_t cache) {
+bool Caches::TakeBack(AttemptKey key, const Ask& ask, std::uint32_t cache) {
   Line* line = LineOf(key, ask, cache);
   return line && line->TakeBack(ask.id);
 }
@@ -549,7 +551,7 @@
     one.supplanted |= taken;
     if (other == entry.cache ? another : taken)
       for (auto& [number, line] : one.lines)
-        line->end(Parting::kReplaced);
+        line->end(DisconnectReason::kReplaced);
   }
 }
 
--- a/src/caches/caches.hpp
+++ b/src/caches/caches.hpp
@@ -11,12 +11,13 @@
 class Caches final : public exchange::CacheSide {
  public:
   // `most`: connections at once, over all machines.
-  Caches(loop::Loop& loop, exchange::Exchange& exchange, sheet::RoadTerms terms, std::size_t most);
+  Caches(loop::Loop& loop, exchange::Exchange& exchange, settings::RoadTerms terms,
+         std::size_t most);
   ~Caches();
-  std::uint64_t Send(exchange::LegKey key, const exchange::Ask& ask, const SendLeg& how,
+  std::uint64_t Send(exchange::AttemptKey key, const exchange::Ask& ask, const SendAttempt& how,
                      const std::vector<std::uint64_t>& avoid) override;
-  void GiveUp(exchange::LegKey key, const exchange::Ask& ask, std::uint32_t cache) override;
-  bool TakeBack(exchange::LegKey key, const exchange::Ask& ask, std::uint32_t cache) override;
+  void GiveUp(exchange::AttemptKey key, const exchange::Ask& ask, std::uint32_t cache) override;
+  bool TakeBack(exchange::AttemptKey key, const exchange::Ask& ask, std::uint32_t cache) override;
   void Probe(std::uint32_t cache) override;
   void list(const ListEntry& entry, const std::string& id, const loop::Address& at) override;
   void Forget(std::uint32_t cache) override;
@@ -33,8 +34,8 @@
   };
   struct QueuedAttempt;
   std::uint64_t place(QueuedAttempt attempt);
-  void Lapse(exchange::LegKey key);
-  Line* LineOf(exchange::LegKey key, const exchange::Ask& ask, std::uint32_t cache);
+  void Lapse(exchange::AttemptKey key);
+  Line* LineOf(exchange::AttemptKey key, const exchange::Ask& ask, std::uint32_t cache);
   Line* LineFor(Machine& m, std::uint32_t cache, const std::string& id,
                 const std::vector<std::uint64_t>& avoid);
   void Drop(std::uint32_t cache, std::uint64_t line);
@@ -43,7 +44,7 @@
 
   loop::Loop& loop_;
   exchange::Exchange& exchange_;
-  sheet::RoadTerms terms_;
+  settings::RoadTerms terms_;
   std::size_t most_;
   std::size_t count_ = 0;
   std::uint64_t last_ = 0;
--- a/src/caches/lines.cpp
+++ b/src/caches/lines.cpp
@@ -87,8 +87,9 @@
 
 }  // namespace
 
-RequestLine::RequestLine(const exchange::Ask& ask, const SendLeg& how, std::string_view source) {
-  before_deadline_ = "want " + ask.id + " profile=" + ask.offering + ",thing=" + ask.object;
+RequestLine::RequestLine(const exchange::Ask& ask, const SendAttempt& how,
+                         std::string_view source) {
+  before_deadline_ = "want " + ask.id + " profile=" + ask.request_class + ",thing=" + ask.object;
   if (!ask.part.empty())
     before_deadline_ += ",nth=" + ask.part;
   before_deadline_ += ",max=";
@@ -152,7 +153,7 @@
                                                      {"NONE", Ending::kMiss},
                                                      {"SHED", Ending::kFull},
                                                      {"FAULT", Ending::kError},
-                                                     {"LATE", Ending::kMoot}}};
+                                                     {"LATE", Ending::kSuperseded}}};
   Answer a;
   a.id = Next(line, ' ');
   std::string_view word = Next(line, ' '), fields = Next(line, ' ');
--- a/src/caches/lines.hpp
+++ b/src/caches/lines.hpp
@@ -11,7 +11,7 @@
 class RequestLine {
  public:
   /// `source`: the id of the machine that fills a miss, "" for none.
-  RequestLine(const exchange::Ask& ask, const SendLeg& how, std::string_view source);
+  RequestLine(const exchange::Ask& ask, const SendAttempt& how, std::string_view source);
   /// The whole request, body included. `left`: the time until its deadline, above 0.
   std::string WithTimeLeft(Ms left) const;
 
--- a/src/changes/ledger.cpp
+++ b/src/changes/ledger.cpp
@@ -46,7 +46,7 @@
   for (const Alive& one : alive_)
     out.append(" ")
         .append(std::to_string(one.generation))
-        .append(one.pulls ? "p" : "-")
+        .append(one.requests ? "p" : "-")
         .append(one.content)
         .append(std::to_string(one.ends_at));
   return out;
@@ -82,7 +82,7 @@
 // Not needed once no pull holds it and it is neither kept nor serving.
 void Ledger::Drop(Generation generation, std::vector<Deed>& out) {
   Alive* a = alive(generation);
-  if (!a || a->pulls || generation == kept_ || generation == serving_)
+  if (!a || a->requests || generation == kept_ || generation == serving_)
     return;
   std::erase_if(alive_, [&](const Alive& one) { return one.generation == generation; });
   out.emplace_back(Forget{generation});
@@ -92,10 +92,10 @@
   Generation bad = serving_;
   serving_ = kept_;
   lease_ends_ = 0;
-  note(bad, State::kUndone, why);
+  note(bad, State::kReverted, why);
   // Nothing needs to last: a front that starts now would serve the kept one anyway.
   out.emplace_back(Serve{kept_});
-  out.emplace_back(Undone{bad, why});
+  out.emplace_back(Reverted{bad, why});
 }
 
 std::vector<Deed> Ledger::Handle(Ms now, const Happening& what) {
@@ -106,7 +106,8 @@
 
   // What was staged and never applied: its proposer is gone, or thought better of it.
   for (std::size_t i = alive_.size(); i-- > 0;)
-    if (const Alive& one = alive_[i]; !one.pulls && one.generation != kept_ && now >= one.ends_at) {
+    if (const Alive& one = alive_[i];
+        !one.requests && one.generation != kept_ && now >= one.ends_at) {
       note(one.generation, State::kDropped, Why::kLeaseEnded);
       Drop(one.generation, out);
     }
@@ -118,7 +119,7 @@
       why = Why::kNotNext;
     // The same said again, its answer having been lost: one generation, not two.
     for (const Alive& one : alive_)
-      if (why == Why::kNone && fence_ == before && !one.pulls && one.generation != kept_ &&
+      if (why == Why::kNone && fence_ == before && !one.requests && one.generation != kept_ &&
           one.content == p->content) {
         out.emplace_back(Answer{p->ticket, one.generation, Why::kNone});
         return out;
@@ -145,7 +146,7 @@
       out.emplace_back(Answer{a->ticket, a->generation, Why::kNone});  // heard twice
       return out;
     }
-    if (why == Why::kNone && (!one || a->generation == kept_ || one->pulls))
+    if (why == Why::kNone && (!one || a->generation == kept_ || one->requests))
       why = Why::kUnknown;
     if (why == Why::kNone && serving_ != kept_)
       why = Why::kBusy;
@@ -156,7 +157,7 @@
       Keep(out);
     if (why == Why::kNone) {
       serving_ = a->generation;
-      one->pulls = true;
+      one->requests = true;
       lease_ends_ = std::min(now + a->confirm_within, one->ends_at);
       note(serving_, State::kApplied);
       out.emplace_back(Serve{serving_});
@@ -186,7 +187,7 @@
       Drop(old, out);
       // What was staged on the old one can't be applied any more.
       for (std::size_t i = alive_.size(); i-- > 0;)
-        if (Generation g = alive_[i].generation; !alive_[i].pulls && g != kept_) {
+        if (Generation g = alive_[i].generation; !alive_[i].requests && g != kept_) {
           note(g, State::kDropped, Why::kNotNext);
           Drop(g, out);
         }
@@ -201,7 +202,7 @@
       Alive* one = alive(u->generation);
       if (u->generation == serving_ && lease_ends_ > 0) {
         UndoChange(Why::kAsked, out);
-      } else if (one && !one->pulls && u->generation != kept_) {
+      } else if (one && !one->requests && u->generation != kept_) {
         note(u->generation, State::kDropped, Why::kAsked);
         Drop(u->generation, out);
       } else {
@@ -214,7 +215,7 @@
       UndoChange(Why::kAlarm, out);
   } else if (auto* r = std::get_if<Released>(&what)) {
     if (Alive* one = alive(r->generation); one && r->generation != serving_) {
-      one->pulls = false;
+      one->requests = false;
       if (r->generation != kept_)
         Drop(r->generation, out);
     }
--- a/src/changes/ledger.hpp
+++ b/src/changes/ledger.hpp
@@ -35,7 +35,7 @@
   kStaged,
   kApplied,
   kKept,
-  kUndone,
+  kReverted,
   kDropped
 };
 const char* ToString(State state);
@@ -111,14 +111,14 @@
   Generation generation = 0;
   Why refused = Why::kNone;
 };
-struct Undone {  // to be told, and logged
+struct Reverted {  // to be told, and logged
   Generation generation = 0;
   Why why = Why::kNone;
 };
 struct WakeAt {
   Ms at = 0;
 };
-using Deed = std::variant<Record, Serve, Forget, Answer, Undone, WakeAt>;
+using Deed = std::variant<Record, Serve, Forget, Answer, Reverted, WakeAt>;
 
 struct Bounds {
   int most_alive = 4;                 // generations whose content is held, the kept one included
@@ -160,8 +160,8 @@
   struct Alive {
     Generation generation = 0;
     std::string content;
-    bool pulls = false;  // some that began with it may be open
-    Ms ends_at = 0;      // of what is not confirmed
+    bool requests = false;  // some that began with it may be open
+    Ms ends_at = 0;         // of what is not confirmed
   };
   Why Heard(std::uint64_t fence);
   Alive* alive(Generation generation);
--- a/src/changes/push.cpp
+++ b/src/changes/push.cpp
@@ -69,7 +69,7 @@
   }
   // Undone words are said for as long as a lease could last; after that nothing is left to undo.
   if (phase_ == Phase::kUndoing &&
-      (all(Step::kUndone, fronts_.size()) || now >= since_ + terms_.lease))
+      (all(Step::kReverted, fronts_.size()) || now >= since_ + terms_.lease))
     phase_ = Phase::kFailed;
 }
 
@@ -91,9 +91,9 @@
       out.push_back({i, Apply{fence_, Ticket(i, Kind::kApply), f.generation, lease_ends_ - now}});
     } else if (phase_ == Phase::kConfirming && f.step == Step::kApplied && due(f)) {
       out.push_back({i, Confirm{fence_, Ticket(i, Kind::kConfirm), f.generation}});
-    } else if (phase_ == Phase::kUndoing && f.step != Step::kUndone) {
+    } else if (phase_ == Phase::kUndoing && f.step != Step::kReverted) {
       if (f.generation == 0)
-        f.step = Step::kUndone;  // it never said that it holds it
+        f.step = Step::kReverted;  // it never said that it holds it
       else if (due(f))
         out.push_back({i, Undo{fence_, Ticket(i, Kind::kUndo), f.generation}});
     }
@@ -112,14 +112,14 @@
   Front& f = fronts_[front];
   f.said_at = -1e18;
   if (phase_ == Phase::kUndoing) {
-    f.step = Step::kUndone;  // gone, or never there
+    f.step = Step::kReverted;  // gone, or never there
   } else if (a.refused != Why::kNone) {
     if (phase_ == Phase::kStaging || phase_ == Phase::kApplying) {
       phase_ = Phase::kUndoing;
       since_ = now;
       why_ = "front " + std::to_string(front + 1) + " refused it: " + ToString(a.refused);
     } else if (phase_ == Phase::kConfirming) {
-      f.step = Step::kUndone;  // it went back by itself: it is behind
+      f.step = Step::kReverted;  // it went back by itself: it is behind
     }
   } else if (phase_ == Phase::kStaging && f.step == Step::kNone) {
     f.generation = a.generation;
--- a/src/changes/push.hpp
+++ b/src/changes/push.hpp
@@ -79,7 +79,7 @@
     kStaged,
     kApplied,
     kKept,
-    kUndone
+    kReverted
   };
   struct Front {
     Generation base = 0;
--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -10,8 +10,8 @@
 namespace dunlinwick::clients {
 
 using exchange::Ask;
+using loop::DisconnectReason;
 using loop::Ms;
-using loop::Parting;
 
 namespace {
 
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-class Clients::Client final : public loop::Connection::Owner, exchange::Asker {
+class Clients::Client final : public loop::Connection::Owner, exchange::ResponseSink {
  public:
   Client(Clients& all, std::uint64_t number, loop::Descriptor fd)
       : all_(all),
@@ -148,9 +148,9 @@
     else
       ReadOn();
   }
-  void Ended(Parting) override {
+  void Ended(DisconnectReason) override {
     if (open_)
-      all_.exchange_.OnClientLeft(pull_);
+      all_.exchange_.OnClientLeft(request_);
     else if (!closing_ && !last_empty_)
       NoteBad("it left within a request");
     Close(CloseReason::kClientLeft);
@@ -227,7 +227,7 @@
     const std::size_t before = connection_.in.size();
     while (connection_.in.size() < kMostHeld) {
       std::span<char> room = connection_.in.room(kChunk);
-      ssize_t got = all_.loop_.ground().receive(descriptor_, room.first(kChunk));
+      ssize_t got = all_.loop_.environment().receive(descriptor_, room.first(kChunk));
       if (got <= 0)
         break;  // an end or a fault shows in the next poll as well
       connection_.in.Wrote(static_cast<std::size_t>(got));
@@ -364,8 +364,8 @@
     open_ = true;
     wanted_until_ = all_.loop_.now() + ask.ttl;
     connection_.BePatient(true);
-    std::uint32_t pull = all_.exchange_.OnRequest(std::move(ask), *this);
-    pull_ = pull;
+    std::uint32_t request = all_.exchange_.OnRequest(std::move(ask), *this);
+    request_ = request;
   }
 
   // The status with which the request is refused, or 0.
@@ -376,15 +376,17 @@
     std::size_t slash = names.find('/');
     if (slash == names.npos)
       return 404;
-    ask.offering = names.substr(0, slash);
+    ask.request_class = names.substr(0, slash);
     ask.object = names.substr(slash + 1);
-    auto at = std::find(all_.offerings_.begin(), all_.offerings_.end(), ask.offering);
+    auto at =
+        std::find(all_.request_classes_.begin(), all_.request_classes_.end(), ask.request_class);
     constexpr std::size_t kLongestName =
         128;  // it goes on the caches' lines, whose length is bounded
-    if (at == all_.offerings_.end() || !IsToken(ask.object) || ask.object.size() > kLongestName)
+    if (at == all_.request_classes_.end() || !IsToken(ask.object) ||
+        ask.object.size() > kLongestName)
       return 404;
-    ask.offering_at = static_cast<int>(at - all_.offerings_.begin());
-    bool writes = all_.written_[static_cast<std::size_t>(ask.offering_at)];
+    ask.request_class_at = static_cast<int>(at - all_.request_classes_.begin());
+    bool writes = all_.written_[static_cast<std::size_t>(ask.request_class_at)];
     if (r.method != (writes ? "PUT" : "GET"))
       return 405;
     if (!writes && !r.body.empty())
@@ -443,17 +445,17 @@
   bool last_empty_ = true;
   bool served_ = false;           // a whole request has come
   std::size_t current_size_ = 0;  // of the request at the buffer's front while it is being taken
-  std::uint32_t pull_ = 0;
+  std::uint32_t request_ = 0;
   Ms since_;             // the last request's or answer's end
   Ms wanted_until_ = 0;  // the last request's deadline
 };
 
 Clients::Clients(loop::Loop& loop, exchange::Exchange& exchange,
-                 const std::vector<std::string>& offerings, std::vector<bool> written,
+                 const std::vector<std::string>& request_classes, std::vector<bool> written,
                  const loop::Address& at, std::size_t most, std::size_t most_lingering)
     : loop_(loop),
       exchange_(exchange),
-      offerings_(offerings),
+      request_classes_(request_classes),
       written_(std::move(written)),
       most_(most),
       most_lingering_(std::max<std::size_t>(1, most_lingering)),
--- a/src/clients/clients.hpp
+++ b/src/clients/clients.hpp
@@ -17,9 +17,9 @@
  public:
   // Throws std::system_error where the address can't be had. `most`: connections at once, but for
   // one. Beside them so many linger: ended from here, and read until the other side's end.
-  Clients(loop::Loop& loop, exchange::Exchange& exchange, const std::vector<std::string>& offerings,
-          std::vector<bool> written, const loop::Address& at, std::size_t most,
-          std::size_t most_lingering = 8);
+  Clients(loop::Loop& loop, exchange::Exchange& exchange,
+          const std::vector<std::string>& request_classes, std::vector<bool> written,
+          const loop::Address& at, std::size_t most, std::size_t most_lingering = 8);
   ~Clients();
   // Called again and again, with a turn of the loop between: those who wait are accepted, then none
   // is, answers close their connection, and those with nothing open that were here at the call
@@ -54,7 +54,7 @@
 
   loop::Loop& loop_;
   exchange::Exchange& exchange_;
-  std::vector<std::string> offerings_;
+  std::vector<std::string> request_classes_;
   std::vector<bool> written_;  // by offering: its pulls write
   std::size_t most_;
   std::size_t most_lingering_;
--- a/src/ctl/fleet.cpp
+++ b/src/ctl/fleet.cpp
@@ -113,7 +113,7 @@
   void Ready(short) override {
     std::vector<char> buffer(kLargestFile + 1);
     loop::Address from{};
-    ssize_t got = loop_->ground().ReceiveFrom(control.Get(), buffer, from);
+    ssize_t got = loop_->environment().ReceiveFrom(control.Get(), buffer, from);
     if (got < 0)
       return;
     std::string text(buffer.data(), static_cast<std::size_t>(got)), answer;
@@ -133,7 +133,7 @@
         answer = std::string("refused: ") + fault.what();
       }
     }
-    loop_->ground().SendTo(control.Get(), answer, from);
+    loop_->environment().SendTo(control.Get(), answer, from);
   }
 
   int operator()() {
@@ -172,18 +172,18 @@
     loop::Loop loop;
     int code = 0;
     {
-      int fd = loop.ground().OpenDatagrams(ControlAt(f.port));
+      int fd = loop.environment().OpenDatagrams(ControlAt(f.port));
       if (fd < 0)
         throw std::runtime_error(
             "127.0.0.3:" + std::to_string(f.port) +
             " is taken: is another fleet up there? Give the file another port");
-      control = loop::Descriptor(loop.ground(), fd);
+      control = loop::Descriptor(loop.environment(), fd);
       fleet::Harness h(loop, f, {program, toy, place, folder}, seed);
       loop_ = &loop;
       harness = &h;
       loop.WatchDescriptor(control.Get(), *this, POLLIN);
       h.Wait(3000);  // the members meet before anything is done or asked
-      h.Ask(f.pulls_per_s);
+      h.Ask(f.requests_per_s);
       Take(script);
       Ms from = loop.now(), until = lasts > 0 ? from + lasts * 1000 : 1e300, table_at = from;
       while (!asked && loop.now() < until) {
@@ -245,13 +245,13 @@
 std::string Control(loop::Loop& loop, int port, const std::string& what) {
   loop::Address mine = ControlAt(0);
   mine.sin_addr.s_addr = htonl(127u << 24 | 1);
-  loop::Descriptor fd(loop.ground(), loop.ground().OpenDatagrams(mine));
-  loop.ground().SendTo(fd.Get(), what, ControlAt(port));
+  loop::Descriptor fd(loop.environment(), loop.environment().OpenDatagrams(mine));
+  loop.environment().SendTo(fd.Get(), what, ControlAt(port));
   constexpr Ms kWithin = 3000;
   std::vector<char> buffer(65536);
   for (Ms end = loop.now() + kWithin; loop.now() < end; loop.turn(5)) {
     loop::Address from{};
-    ssize_t got = loop.ground().ReceiveFrom(fd.Get(), buffer, from);
+    ssize_t got = loop.environment().ReceiveFrom(fd.Get(), buffer, from);
     if (got > 0)
       return std::string(buffer.data(), static_cast<std::size_t>(got));
   }
@@ -299,8 +299,9 @@
     fleet::FleetFile f = fleet::ReadFleetFile(fleet_file, fronts);
     if (std::string why = fleet::Unfit(script, f); !why.empty())
       throw std::runtime_error(file + ": " + why);
-    f.pulls_per_s = f.pulls_per_s > 0 ? f.pulls_per_s
-                                      : 1;  // what is held of caches needs no pulls on the stage
+    f.requests_per_s = f.requests_per_s > 0
+                           ? f.requests_per_s
+                           : 1;  // what is held of caches needs no pulls on the stage
     std::uint64_t bad = 0;
     std::size_t verdicts = 0;
     std::vector<fleet::Broken> first;
@@ -354,7 +355,7 @@
     auto n = static_cast<std::size_t>(who->number("fronts").value_or(0));
     loop::Address mine = ControlAt(0);
     mine.sin_addr.s_addr = htonl(127u << 24 | 1);
-    loop::Descriptor fd(loop.ground(), loop.ground().OpenDatagrams(mine));
+    loop::Descriptor fd(loop.environment(), loop.environment().OpenDatagrams(mine));
     if (!json)
       std::fputs(kHead, stdout);
     std::string all = "[";
--- a/src/ctl/owner.cpp
+++ b/src/ctl/owner.cpp
@@ -23,7 +23,7 @@
     loop::Loop loop;
     loop::Address mine{};
     mine.sin_family = AF_INET;
-    loop::Descriptor fd(loop.ground(), loop.ground().OpenDatagrams(mine));
+    loop::Descriptor fd(loop.environment(), loop.environment().OpenDatagrams(mine));
     std::size_t silent = 0;
     std::string all = "[", tail;
     std::optional<json::Value> best;  // the leader's, else the group member's that has applied most
--- a/src/ctl/record.cpp
+++ b/src/ctl/record.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-struct Asker {
+struct ResponseSink {
   loop::Loop loop;
   loop::Descriptor fd;
   std::vector<loop::Address> fronts;
 
-  Asker(const std::vector<std::string>& at, int port) {
+  ResponseSink(const std::vector<std::string>& at, int port) {
     std::vector<std::string> all = at;
     if (all.empty())
       for (const std::string& owner : OwnersUp(port))
@@ -35,7 +35,7 @@
     }
     loop::Address mine{};
     mine.sin_family = AF_INET;
-    fd = loop::Descriptor(loop.ground(), loop.ground().OpenDatagrams(mine));
+    fd = loop::Descriptor(loop.environment(), loop.environment().OpenDatagrams(mine));
   }
 
   std::optional<std::string> status(std::size_t i) {
@@ -55,12 +55,12 @@
     std::optional<proto::record::PutAnswer> last;
     while (loop.now() < end) {
       for (const loop::Address& to : fronts) {
-        loop.ground().SendTo(fd.Get(), datagram, to);
+        loop.environment().SendTo(fd.Get(), datagram, to);
         double until = std::min(end, loop.now() + kEach);
         while (loop.now() < until) {
           std::vector<char> buffer(65536);
           loop::Address from{};
-          ssize_t got = loop.ground().ReceiveFrom(fd.Get(), buffer, from);
+          ssize_t got = loop.environment().ReceiveFrom(fd.Get(), buffer, from);
           proto::record::PutAnswer a;
           if (got <= 0 || !a.ParseFromArray(buffer.data(), static_cast<int>(got)) ||
               a.number() != batch.number()) {
@@ -122,7 +122,7 @@
   std::vector<std::string> keys;
   bool lift = false;
   int operator()() {
-    Asker asker(at, port);
+    ResponseSink response_sink(at, port);
     proto::record::PutBatch batch;
     batch.set_number(UnixMs());
     for (const std::string& key : keys) {
@@ -133,7 +133,7 @@
       p->set_value(value);
       p->set_tombstone(lift);
     }
-    return Tell(asker.put(batch));
+    return Tell(response_sink.put(batch));
   }
 };
 
@@ -145,16 +145,16 @@
   double within = 60;
   long long over = -1;
   int operator()() {
-    Asker asker(at, port);
+    ResponseSink response_sink(at, port);
     drift::Approval a;
     a.by = by;
     a.second = second;
     a.hold_by = static_cast<double>(UnixMs()) + within * 1000;
-    schema::Sheet sheet(
+    schema::Settings settings(
         file, schema::ReadFile(file),
         R"({"type": "object", "minProperties": 1, "maxProperties": 32, "additionalProperties":
       {"type": "object", "minProperties": 1, "maxProperties": 256, "additionalProperties": {"type": ["string", "number", "boolean"]}}})");
-    for (const auto& section : sheet.Root().GetObject())
+    for (const auto& section : settings.Root().GetObject())
       for (const auto& field : section.value.GetObject()) {
         const rapidjson::Value& v = field.value;
         a.form[section.name.GetString()][field.name.GetString()] =
@@ -166,8 +166,8 @@
       a.replaces = static_cast<drift::Version>(over);
     } else {
       // What stands now, as the fronts hold it: the newest that any of them has read.
-      for (std::size_t i = 0; i < asker.fronts.size(); ++i)
-        if (auto raw = asker.status(i)) {
+      for (std::size_t i = 0; i < response_sink.fronts.size(); ++i)
+        if (auto raw = response_sink.status(i)) {
           rapidjson::Document d;
           d.Parse(raw->c_str());
           if (d.HasParseError() || !d["rules"].IsObject())
@@ -183,21 +183,21 @@
     p->set_stream(static_cast<unsigned>(record::Stream::kRules));
     p->set_key(where);
     p->set_value(drift::Encode(a));
-    return Tell(asker.put(batch));
+    return Tell(response_sink.put(batch));
   }
 };
 
 struct Status : Common {
   bool json = false;
   int operator()() {
-    Asker asker(at, port);
+    ResponseSink response_sink(at, port);
     std::string all = "[";
     int silent = 0;
     if (!json)
       std::printf("%-6s %-12s %-9s %-10s %-10s %-9s %-8s %-12s %s\n", "front", "phase", "lets in",
                   "offset", "committed", "caught up", "recalls", "rules", "");
-    for (std::size_t i = 0; i < asker.fronts.size(); ++i) {
-      auto raw = asker.status(i);
+    for (std::size_t i = 0; i < response_sink.fronts.size(); ++i) {
+      auto raw = response_sink.status(i);
       silent += !raw;
       all += (i ? ",\n " : "\n ") + raw.value_or("{\"silent\":true}");
       if (json)
--- a/src/drift/drift.cpp
+++ b/src/drift/drift.cpp
@@ -20,7 +20,7 @@
   }
   return to;
 }
-Told::Ballot Bits(const Inner::Ballot& from) {
+ActiveReport::Ballot Bits(const Inner::Ballot& from) {
   return {from.token, Bits(from.voters), Bits(from.withdrawn)};
 }
 
@@ -44,8 +44,8 @@
   next_round = now + std::uniform_real_distribution<double>(0, terms.round)(random);
 }
 
-Told Inner::word(bool full) {
-  Told t;
+ActiveReport Inner::word(bool full) {
+  ActiveReport t;
   const Seen& s = seen[self];
   t.version = s.version;
   t.active = s.active;
@@ -93,7 +93,7 @@
   }
   if (!all.empty())
     cases_from = (cases_from + t.cases.size()) % all.size();
-  for (const auto& [who, a] : aside_of)
+  for (const auto& [who, a] : ejected_of)
     if (a.token != 0 && t.asides.size() < 32)
       t.asides.push_back({who, a.token, a.count, a.on});
   return t;
@@ -138,14 +138,14 @@
       continue;
     ++a.tries;
     a.at = now;
-    Told t = word(false);
+    ActiveReport t = word(false);
     t.ask = true;
     out.push_back(Tell{who, std::move(t)});
   }
 }
 
-void Inner::answer(Id to, const Told& asked) {
-  Told t = word(false);
+void Inner::answer(Id to, const ActiveReport& asked) {
+  ActiveReport t = word(false);
   if (asked.wants.empty()) {
     for (const auto& [name, section] : active)
       if (t.sections.size() < 32)
@@ -158,13 +158,13 @@
   out.push_back(Tell{to, std::move(t)});
 }
 
-void Inner::Opened(Id from, const Told& t) {
+void Inner::Opened(Id from, const ActiveReport& t) {
   const Wanted& w = wanted[from];
   if (w.form == nullptr || !Bad(held[from]))
     return;
   std::vector<Difference> fields;
   if (!t.sections.empty()) {
-    Told next = word(false);
+    ActiveReport next = word(false);
     next.ask = true;
     for (const auto& [name, section] : *w.form) {
       auto it = t.sections.find(name);
@@ -251,7 +251,7 @@
   } else if (auto* e = std::get_if<Hears>(&event)) {
     if (in.zone_of.count(e->from) == 0 || e->from == in.self)
       return {};
-    const Told& t = e->told;
+    const ActiveReport& t = e->notified;
     in.highest = std::max(in.highest, t.token);
     in.stopped_at = std::max(in.stopped_at, t.stopped_at);
     if (t.seq != 0)
@@ -271,14 +271,14 @@
     for (const auto& a : t.asides) {
       if (in.zone_of.count(a.who) == 0)
         continue;
-      auto& have = in.aside_of[a.who];
+      auto& have = in.ejected_of[a.who];
       if (std::pair(a.token, a.count) <= std::pair(have.token, have.count))
         continue;
       bool turned = a.on != have.on;
       have = {a.token, a.count, a.on, now};
       if (turned)
         in.out.push_back(
-            SetAside{a.who, a.on, "by the owner with token " + std::to_string(a.token)});
+            SetEjected{a.who, a.on, "by the owner with token " + std::to_string(a.token)});
     }
     in.HeardShares(e->from, now);
     if (t.ask)
@@ -290,7 +290,7 @@
       in.owns_since = now;
     in.mine = e->token;
     in.highest = std::max(in.highest, e->token);
-  } else if (auto* e = std::get_if<Pulls>(&event)) {
+  } else if (auto* e = std::get_if<Requests>(&event)) {
     in.abandoned = std::clamp(e->abandoned, 0.0, 1.0);
     in.declined = std::clamp(e->declined, 0.0, 1.0);
     Inner::Seen& s = in.seen[in.self];
@@ -322,9 +322,9 @@
 const std::map<Id, Drift::Row>& Drift::Rows() const {
   return inner_->rows;
 }
-bool Drift::aside(Id front) const {
-  auto it = inner_->aside_of.find(front);
-  return it != inner_->aside_of.end() && it->second.on;
+bool Drift::ejected(Id front) const {
+  auto it = inner_->ejected_of.find(front);
+  return it != inner_->ejected_of.end() && it->second.on;
 }
 bool Drift::may_serve() const {
   return inner_->may;
--- a/src/drift/drift.hpp
+++ b/src/drift/drift.hpp
@@ -89,7 +89,7 @@
 std::string Refused(const Approval& a, Version current, bool wants_second);
 
 // ---- what fronts tell (Channel::rules)
-struct Told {           // each round to `fanout` fronts, all of it; news of others rides along
+struct ActiveReport {       // each round to `fanout` fronts, all of it; news of others rides along
   Version version = 0;  // that it believes approved
   std::uint64_t active = 0;
   std::uint64_t approved = 0;  // digests of all
@@ -131,13 +131,13 @@
     std::vector<Difference> fields;  // at most 4, values cut at 64 bytes
   };
   std::vector<Case> cases;  // at most 8
-  struct Aside {
+  struct Ejected {
     Id who = 0;
     Token token = 0;
     std::uint32_t count = 0;
     bool on = false;
   };
-  std::vector<Aside> asides;  // at most 32; the highest token, then count, holds
+  std::vector<Ejected> asides;  // at most 32; the highest token, then count, holds
 };
 constexpr std::size_t kMostOthers = 32, kMostCases = 8, kMostFronts = 512;
 // The span, from 0, that word `seq` of a front falls in, of those since `changed`: of 64 words, or
@@ -155,8 +155,8 @@
 // again only from the next span on, against the same word: up to 32 s late. A verdict that is in
 // common stays while its holder finds the front astray itself, votes lapsed or not.
 std::uint64_t SpanOf(std::uint64_t seq, std::uint64_t changed, std::size_t fronts);
-std::string Encode(const Told& t);
-std::optional<Told> DecodeTold(std::span<const char> bytes);
+std::string Encode(const ActiveReport& t);
+std::optional<ActiveReport> DecodeNotified(std::span<const char> bytes);
 
 enum class Standing : std::uint8_t {
   kUnknown,
@@ -217,21 +217,21 @@
 };
 struct Hears {
   Id from = 0;
-  Told told;
+  ActiveReport notified;
 };
 struct Owns {
   Token token = 0;
 };  // 0: not this front
-struct Pulls {
+struct Requests {
   double abandoned = 0;
   double declined = 0;
 };
 struct Tick {};
-using Event = std::variant<Active, Approved, ApprovedFor, Hears, Owns, Pulls, Tick>;
+using Event = std::variant<Active, Approved, ApprovedFor, Hears, Owns, Requests, Tick>;
 
 struct Tell {
   Id to = 0;
-  Told told;
+  ActiveReport notified;
 };
 // The owner's word (may be to itself): take up the approved form now, in place of what the front
 // says since `changed`: a late one, about what the front no longer says, is refused by it.
@@ -261,7 +261,7 @@
   bool may = true;
   std::vector<Difference> fields;
 };
-struct SetAside {
+struct SetEjected {
   Id front = 0;
   bool on = false;
   std::string why;
@@ -269,7 +269,7 @@
 struct Stopped {
   std::string why;
 };  // repairs are stopped until an operator approves again
-using Action = std::variant<Tell, Repair, TakeUp, Found, MayServe, SetAside, Stopped>;
+using Action = std::variant<Tell, Repair, TakeUp, Found, MayServe, SetEjected, Stopped>;
 
 // Taking up is by the owner's word only, an approval's rollout as well as a repair, so that a zone
 // never goes at once. A zone of one front is therefore left to staff wherever leastServing is above
@@ -296,10 +296,10 @@
     Ms seen_at = -1;
     Version version = 0;
     std::vector<Difference> fields;
-    bool aside = false;
+    bool ejected = false;
   };
   const std::map<Id, Row>& Rows() const;
-  bool aside(Id front) const;
+  bool ejected(Id front) const;
   bool may_serve() const;
   bool stopped() const;
   Token token()
--- a/src/drift/evidence.cpp
+++ b/src/drift/evidence.cpp
@@ -25,7 +25,7 @@
     if (static_cast<unsigned char>(from[i / 8]) >> (i % 8) & 1)
       to[i] = true;
 }
-void Add(const Told::Ballot& from, Inner::Ballot& to) {
+void Add(const ActiveReport::Ballot& from, Inner::Ballot& to) {
   to.token = std::max(to.token, from.token);
   Add(from.voters, to.voters);
   Add(from.withdrawn, to.withdrawn);
@@ -92,12 +92,12 @@
 // back the others hold this front's earlier words for the newer ones, and would pass over all it
 // says until the clock has come up to them. As a SWIM member does with its incarnation, it goes on
 // above what is told of it; its next word is a new one, whatever it said before.
-void Inner::Outdo(std::uint64_t told) {
+void Inner::Outdo(std::uint64_t notified) {
   constexpr std::uint64_t kHighest =
       ~std::uint64_t{0} - (std::uint64_t{1} << 40);  // room for words to come: beyond it a fault
-  if (told <= seq || told > kHighest)
+  if (notified <= seq || notified > kHighest)
     return;
-  seq = told + 1;
+  seq = notified + 1;
   outdone = true;
 }
 
@@ -139,7 +139,7 @@
     cases.erase(it);
 }
 
-void Inner::MergeCase(const Told::Case& c, Ms now) {
+void Inner::MergeCase(const ActiveReport::Case& c, Ms now) {
   (void)now;
   if (zone_of.count(c.who) == 0 || !Bad(static_cast<Standing>(c.standing)))
     return;
@@ -224,7 +224,7 @@
   if (terms.quorum != 0)
     return terms.quorum;
   std::size_t off = 0;
-  for (const auto& [who, a] : aside_of)
+  for (const auto& [who, a] : ejected_of)
     off += a.on;
   return (ids.size() - std::min(off, ids.size() - 1)) / 2 + 1;
 }
@@ -254,8 +254,8 @@
     for (std::size_t i = 0; i < ids.size(); ++i) {
       if (!c.Counts(i))
         continue;
-      auto a = aside_of.find(ids[i]);
-      if (a != aside_of.end() && a->second.on)
+      auto a = ejected_of.find(ids[i]);
+      if (a != ejected_of.end() && a->second.on)
         continue;
       any[i] = true;
       ++votes;
@@ -293,17 +293,17 @@
               true;  // astray ourselves before, or another run of us was
     if (!Bad(h) || !steady)
       continue;
-    auto a = aside_of.find(self);
-    if (a != aside_of.end() && a->second.on && who != self)
+    auto a = ejected_of.find(self);
+    if (a != ejected_of.end() && a->second.on && who != self)
       continue;
-    Told::Case vote{who,
-                    static_cast<std::uint8_t>(h),
-                    s->second.changed,
-                    wanted[who].version,
-                    SpanOf(s->second.seq, s->second.changed, ids.size()),
-                    {Owning() ? mine : 0, {}, {}},
-                    {},
-                    {}};
+    ActiveReport::Case vote{who,
+                        static_cast<std::uint8_t>(h),
+                        s->second.changed,
+                        wanted[who].version,
+                        SpanOf(s->second.seq, s->second.changed, ids.size()),
+                        {Owning() ? mine : 0, {}, {}},
+                        {},
+                        {}};
     std::size_t i = Index(self);
     vote.newest.voters.assign(i / 8 + 1, '\0');
     vote.newest.voters[i / 8] = static_cast<char>(1 << (i % 8));
@@ -332,8 +332,8 @@
       r.seen_at = s->second.at;
       r.version = s->second.version;
     }
-    if (auto a = aside_of.find(who); a != aside_of.end())
-      r.aside = a->second.on;
+    if (auto a = ejected_of.find(who); a != ejected_of.end())
+      r.ejected = a->second.on;
     std::vector<Difference> fields;
     if (Bad(next) && of != nullptr)
       fields = of->fields;
--- a/src/drift/inner.hpp
+++ b/src/drift/inner.hpp
@@ -78,7 +78,7 @@
     int count = 0;
     Ms not_before = kNever;
   };
-  struct AsideState {
+  struct EjectedState {
     Token token = 0;
     std::uint32_t count = 0;
     bool on = false;
@@ -86,10 +86,10 @@
   };
 
   // evidence.cpp
-  void Outdo(std::uint64_t told);  // a number that others have of this front's words
+  void Outdo(std::uint64_t notified);  // a number that others have of this front's words
   void Merge(Id who, std::uint64_t seq, Version version, std::uint64_t active,
              std::uint64_t approved, std::uint64_t changed, Ms now);
-  void MergeCase(const Told::Case& c, Ms now);
+  void MergeCase(const ActiveReport::Case& c, Ms now);
   Standing Evaluate(Id who, Ms now) const;
   void Judge(Ms now);  // one round: opinions, votes, rows
   void Show(Ms now);   // rows by opinions and votes
@@ -101,11 +101,11 @@
   std::size_t Index(Id who) const;
   std::vector<Difference> OwnFields() const;
   // told.cpp's counterpart: what goes out
-  Told word(bool full);
+  ActiveReport word(bool full);
   void SendReport(Ms now);
   void Ask(Ms now);
-  void answer(Id to, const Told& asked);
-  void Opened(Id from, const Told& t);
+  void answer(Id to, const ActiveReport& asked);
+  void Opened(Id from, const ActiveReport& t);
   // repair.cpp
   bool Owning() const;
   void Repairs(Ms now);
@@ -153,7 +153,7 @@
   std::map<Id, Underway> underway;
   std::map<Id, Tries> tries;
   std::map<Id, std::deque<Ms>> episodes;  // at most `often` a front
-  std::map<Id, AsideState> aside_of;
+  std::map<Id, EjectedState> ejected_of;
   std::optional<Repair> pending;  // asked for before the approval was heard, for repairWithin / 2
   Ms pending_until = kNever;
   Id answer_to = 0;  // an owner that repairs this front is told each round
--- a/src/drift/repair.cpp
+++ b/src/drift/repair.cpp
@@ -11,8 +11,8 @@
 bool Inner::Owning() const {
   if (mine == 0 || mine < highest)
     return false;
-  auto a = aside_of.find(self);
-  return a == aside_of.end() || !a->second.on;
+  auto a = ejected_of.find(self);
+  return a == ejected_of.end() || !a->second.on;
 }
 
 // Whether `zone` may do without `who` meanwhile. What serves: heard lately, not under way, not
@@ -145,10 +145,10 @@
   if (!Owning())
     return;
   std::size_t off = 0;
-  for (const auto& [who, a] : aside_of)
+  for (const auto& [who, a] : ejected_of)
     off += a.on;
   for (Id who : ids) {
-    AsideState& a = aside_of[who];
+    EjectedState& a = ejected_of[who];
     auto e = episodes.find(who);
     if (!a.on) {
       bool often = e != episodes.end() &&
@@ -159,14 +159,14 @@
         continue;
       a = {mine, a.count + 1, true, now};
       ++off;
-      out.push_back(SetAside{who, true, "drifted " + std::to_string(terms.often) + " times"});
+      out.push_back(SetEjected{who, true, "drifted " + std::to_string(terms.often) + " times"});
     } else if (rows[who].standing == Standing::kInStep &&
                now - std::max(a.since, rows[who].since) >= terms.within) {
       a = {mine, a.count + 1, false, now};
       --off;
       if (e != episodes.end())
         e->second.clear();
-      out.push_back(SetAside{who, false, "in step for " + Number(terms.within / 1000) + " s"});
+      out.push_back(SetEjected{who, false, "in step for " + Number(terms.within / 1000) + " s"});
     }
   }
 }
--- a/src/drift/told.cpp
+++ b/src/drift/told.cpp
@@ -13,10 +13,10 @@
   return std::isfinite(v) && v >= 0 && v <= 1;
 }
 
-bool Empty(const Told::Ballot& b) {
+bool Empty(const ActiveReport::Ballot& b) {
   return b.token == 0 && b.voters.empty() && b.withdrawn.empty();
 }
-void Put(const Told::Ballot& from, proto::drift::Ballot& to) {
+void Put(const ActiveReport::Ballot& from, proto::drift::Ballot& to) {
   to.set_token(from.token);
   to.set_voters(from.voters);
   to.set_withdrawn(from.withdrawn);
@@ -24,13 +24,13 @@
 bool Fits(const proto::drift::Ballot& b) {
   return b.voters().size() <= kMostFronts / 8 && b.withdrawn().size() <= kMostFronts / 8;
 }
-Told::Ballot Read(const proto::drift::Ballot& b) {
+ActiveReport::Ballot Read(const proto::drift::Ballot& b) {
   return {b.token(), b.voters(), b.withdrawn()};
 }
 
 }  // namespace
 
-std::string Encode(const Told& t) {
+std::string Encode(const ActiveReport& t) {
   proto::drift::Message whole;
   auto& m = *whole.mutable_told();
   m.set_version(t.version);
@@ -90,7 +90,7 @@
   return whole.SerializeAsString();
 }
 
-std::optional<Told> DecodeTold(std::span<const char> bytes) {
+std::optional<ActiveReport> DecodeNotified(std::span<const char> bytes) {
   proto::drift::Message whole;
   if (!whole.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || !whole.has_told())
     return {};
@@ -104,7 +104,7 @@
     return {};
   if (!Share(m.abandoned()) || !Share(m.declined()) || m.changed() > m.seq())
     return {};
-  Told t;
+  ActiveReport t;
   t.version = m.version();
   t.active = m.active();
   t.approved = m.approved();
@@ -140,10 +140,10 @@
       return {};
     if (!Fits(c.newest()) || !Fits(c.before()) || over(c.fields_size(), kMostOpened))
       return {};
-    Told::Case k{c.who(),          static_cast<std::uint8_t>(c.standing()),
-                 c.changed(),      c.wanted(),
-                 c.span(),         Read(c.newest()),
-                 Read(c.before()), {}};
+    ActiveReport::Case k{c.who(),          static_cast<std::uint8_t>(c.standing()),
+                     c.changed(),      c.wanted(),
+                     c.span(),         Read(c.newest()),
+                     Read(c.before()), {}};
     for (const auto& f : c.fields()) {
       if (f.breaks() > 2 || f.section().size() > kMostValue || f.name().size() > kMostValue ||
           f.active().size() > kMostValue || f.approved().size() > kMostValue)
--- a/src/drill/cast.hpp
+++ b/src/drill/cast.hpp
@@ -22,7 +22,7 @@
 std::string BodyOf(const std::string& tag, double size_kb, double bytes_per_kb);
 
 // What goes wrong with a machine's answers.
-struct Spoilt {
+struct Corrupted {
   double swallowed = 0;
   double broken_off = 0;
   double noise = 0;  // shares
@@ -33,13 +33,13 @@
   struct Setup {
     std::string id;
     Address at{};
-    std::vector<std::string> offerings;
+    std::vector<std::string> request_classes;
     double bytes_per_kb = 0.25;
     std::uint64_t seed = 1;
   };
   MachineSpeaker(loop::Loop& loop, Act act, world::Model& model, Tell tell, Setup setup);
   ~MachineSpeaker();
-  Spoilt spoilt;
+  Corrupted corrupted;
 
  private:
   class Caller;
@@ -48,21 +48,21 @@
   world::Model& model_;
   Tell tell_;
   Setup setup_;
-  world::Dice dice_;
+  world::RandomEngine random_engine_;
   std::uint64_t last_ = 0;
   std::map<std::uint64_t, std::shared_ptr<Caller>> callers_;  // emptied as they end
   loop::Listener listener_;
 };
 
 // Publishes numbered events; every watcher is told those it lacks, in order.
-class BoardSpeaker {
+class DiscoverySpeaker {
  public:
   // Each front has one of its own, so that it is known who was told. `told`: an event was written
   // to it.
-  using Told = std::function<void(std::uint64_t event)>;
+  using Notified = std::function<void(std::uint64_t event)>;
   // `first`: the number of the first event to come; those before it are known to whoever starts.
-  BoardSpeaker(loop::Loop& loop, const Address& at, std::uint64_t first, Told told);
-  ~BoardSpeaker();
+  DiscoverySpeaker(loop::Loop& loop, const Address& at, std::uint64_t first, Notified notified);
+  ~DiscoverySpeaker();
   std::uint64_t Publish(std::string json);  // without its "rev"; returns the number
   std::uint64_t Last() const {
     return first_ + events_.size() - 1;
@@ -74,7 +74,7 @@
   class Watcher;
   void SayNumber();
   loop::Loop& loop_;
-  Told told_;
+  Notified notified_;
   std::uint64_t first_;
   std::uint64_t last_ = 0;
   std::uint64_t timer_ = 0;
@@ -87,7 +87,7 @@
 // ---- clients
 
 struct ClientTerms {
-  double pulls_per_s = 60;
+  double requests_per_s = 60;
   int retries = 1;
   Ms wait = 100;          // before a retry; 0: at once
   double honour = 0.6;    // of those who are told when to come back
@@ -103,9 +103,9 @@
   struct Sum {
     double asked = 0;
     double got = 0;
-    std::uint64_t pulls = 0;
+    std::uint64_t requests = 0;
   };
-  std::vector<Sum> by_offering;
+  std::vector<Sum> by_request_class;
   std::vector<Sum> by_ten_seconds;
   std::uint64_t tries = 0;
   std::uint64_t finished = 0;
@@ -120,7 +120,7 @@
   std::vector<double> took;  // of the finished, first bucket under 1 ms, each next a fifth longer
   double Service() const;    // of the whole run
   double WorstTen() const;   // of the worst ten seconds
-  std::pair<int, double> WorstOffering() const;
+  std::pair<int, double> WorstRequestClass() const;
 };
 
 class Clients {
@@ -148,12 +148,12 @@
  private:
   class Line;
   struct Want;
-  void Arrive(int offering);
-  void Schedule(int offering);
+  void Arrive(int request_class);
+  void Schedule(int request_class);
   void Ask(std::shared_ptr<Want> want);
   void Over(std::shared_ptr<Want> want, bool finished, bool may_try_again, Ms retry_after);
-  std::string Thing(int offering);
-  std::string Popular(int offering, bool local, std::size_t rank) const;
+  std::string Thing(int request_class);
+  std::string Popular(int request_class, bool local, std::size_t rank) const;
   int PickFront();
 
   loop::Loop& loop_;
@@ -166,7 +166,7 @@
   std::vector<Ms> failing_since_;
   std::vector<Ms> avoided_until_;         // by front
   std::vector<std::pair<Ms, Ms>> stops_;  // the same
-  world::Dice dice_;
+  world::RandomEngine random_engine_;
   Ms start_;
   Ms end_;
   std::uint64_t last_ = 0;
--- a/src/drill/client_line.cpp
+++ b/src/drill/client_line.cpp
@@ -6,7 +6,7 @@
 
 namespace dunlinwick::drill {
 
-using loop::Parting;
+using loop::DisconnectReason;
 using rules::Deed;
 using rules::Fact;
 
@@ -22,9 +22,9 @@
 
 void Clients::Line::Ask(std::shared_ptr<Want> want) {
   want_ = std::move(want);
-  const world::OfferingTerms& o =
-      all_.model_.terms().offerings[static_cast<std::size_t>(want_->offering)];
-  id_ = Hex(all_.dice_());
+  const world::RequestClassTerms& o =
+      all_.model_.terms().request_classes[static_cast<std::size_t>(want_->request_class)];
+  id_ = Hex(all_.random_engine_());
   asked_ = answered_ = false;
   sent_at_ = all_.loop_.now();
   auto copy = all_.copies_.find(want_->thing + "/" + std::to_string(want_->part));
@@ -32,7 +32,7 @@
   std::snprintf(numbers, sizeof numbers,
                 "X-Timeout-Ms: %.0f\r\nX-Group: %d\r\nX-Memory-Kb: %.3f\r\n", want_->ttl,
                 world::Model::group(want_->thing),
-                o.never_kept ? 0.1 : all_.model_.SizeKb(want_->offering, want_->thing));
+                o.never_kept ? 0.1 : all_.model_.SizeKb(want_->request_class, want_->thing));
   std::string head = o.never_kept ? "PUT" : "GET";
   head += " /ops/" + o.name + "/" + want_->thing;
   if (!o.never_kept)
@@ -63,7 +63,7 @@
   }
 }
 
-void Clients::Line::Ended(Parting how) {
+void Clients::Line::Ended(DisconnectReason how) {
   all_.loop_.Cancel(timer_);
   connection_.Close();
   auto self = shared_from_this();
@@ -77,7 +77,7 @@
   if (!asked_) {
     ++all_.takings_.refused;
     // A front that can't be reached is left alone once that has been noticed.
-    if (how == Parting::kRefused || how == Parting::kNeverUp) {
+    if (how == DisconnectReason::kRefused || how == DisconnectReason::kNeverUp) {
       if (all_.failing_since_[at] == 0)
         all_.failing_since_[at] = now;
       if (now - all_.failing_since_[at] >= all_.terms_.notice)
@@ -87,18 +87,19 @@
   }
   // It crossed a close of the front's: sent again, once. A reset may be the front's death under it,
   // which says nothing of whether it ran.
-  bool rerunnable =
-      all_.model_.terms().offerings[static_cast<std::size_t>(want->offering)].effect !=
+  bool idempotent =
+      all_.model_.terms().request_classes[static_cast<std::size_t>(want->request_class)].effect !=
       world::Effect::kExclusive;
   if (!heard_ && reused_ && now - sent_at_ < 50 && !want->hurried &&
-      (how == Parting::kClosed || rerunnable)) {
+      (how == DisconnectReason::kClosed || idempotent)) {
     tell(Deed::kLeft);
     want->hurried = true;
     return all_.Ask(want);
   }
   ++all_.takings_.unanswered;
-  bool safe = all_.model_.terms().offerings[static_cast<std::size_t>(want->offering)].effect !=
-              world::Effect::kExclusive;
+  bool safe =
+      all_.model_.terms().request_classes[static_cast<std::size_t>(want->request_class)].effect !=
+      world::Effect::kExclusive;
   all_.Over(want, false, safe, 0);
 }
 
@@ -113,15 +114,15 @@
   heard_ = false;
   Ms now = sent_at_ = all_.loop_.now();
   ++all_.takings_.tries;
-  const world::OfferingTerms& o =
-      all_.model_.terms().offerings[static_cast<std::size_t>(want_->offering)];
+  const world::RequestClassTerms& o =
+      all_.model_.terms().request_classes[static_cast<std::size_t>(want_->request_class)];
   Fact f;
   f.deed = Deed::kAsked;
   f.at = now;
-  f.pull = id_;
+  f.request = id_;
   f.thing = want_->thing;
   f.who = all_.fronts_[static_cast<std::size_t>(front_)].name;
-  f.offering = want_->offering;
+  f.request_class = want_->request_class;
   f.group = world::Model::group(want_->thing);
   f.number = want_->ttl;
   all_.tell_(std::move(f));
@@ -131,9 +132,9 @@
   // A little longer than it says, to see an answer that comes too late.
   constexpr Ms kLonger = 100;
   Ms until = now + want_->ttl + kLonger;
-  bool leaves = world::Between(all_.dice_, 0, 1) < all_.terms_.impatient;
+  bool leaves = world::Between(all_.random_engine_, 0, 1) < all_.terms_.impatient;
   if (leaves)
-    until = now + want_->ttl * world::Between(all_.dice_, 0.02, 0.5);
+    until = now + want_->ttl * world::Between(all_.random_engine_, 0.02, 0.5);
   timer_ = all_.loop_.at(until, [this, leaves] {
     if (leaves && want_) {
       tell(Deed::kLeft);
@@ -154,8 +155,9 @@
     ++all_.takings_.unanswered;
   else
     ++all_.takings_.refused;
-  bool safe = all_.model_.terms().offerings[static_cast<std::size_t>(want->offering)].effect !=
-              world::Effect::kExclusive;
+  bool safe =
+      all_.model_.terms().request_classes[static_cast<std::size_t>(want->request_class)].effect !=
+      world::Effect::kExclusive;
   all_.Over(want, false, safe || !asked_, 0);
 }
 
@@ -163,7 +165,7 @@
   Fact f;
   f.deed = deed;
   f.at = all_.loop_.now();
-  f.pull = id_;
+  f.request = id_;
   f.who = all_.fronts_[static_cast<std::size_t>(front_)].name;
   f.status = status;
   f.tag = tag;
@@ -222,8 +224,9 @@
       all_.copies_.erase(all_.copies_.begin());
     all_.copies_[want->thing + "/" + std::to_string(want->part)] = tag;
   }
-  bool safe = all_.model_.terms().offerings[static_cast<std::size_t>(want->offering)].effect !=
-              world::Effect::kExclusive;
+  bool safe =
+      all_.model_.terms().request_classes[static_cast<std::size_t>(want->request_class)].effect !=
+      world::Effect::kExclusive;
   auto self = shared_from_this();
   if (last)
     Shut();
@@ -232,8 +235,9 @@
 }
 
 bool Clients::Line::Proper(const std::string& tag, std::string_view body, const Want& want) const {
-  bool write = all_.model_.terms().offerings[static_cast<std::size_t>(want.offering)].never_kept;
-  double kb = write ? 0.1 : all_.model_.SizeKb(want.offering, want.thing);
+  bool write =
+      all_.model_.terms().request_classes[static_cast<std::size_t>(want.request_class)].never_kept;
+  double kb = write ? 0.1 : all_.model_.SizeKb(want.request_class, want.thing);
   return !tag.empty() && body == BodyOf(tag, kb, all_.terms_.bytes_per_kb);
 }
 
--- a/src/drill/client_line.hpp
+++ b/src/drill/client_line.hpp
@@ -7,7 +7,7 @@
 
 // What a client wants, with all its tries.
 struct Clients::Want {
-  int offering = 0;
+  int request_class = 0;
   int part = 0;
   int tries = 0;
   std::string thing;
@@ -45,7 +45,7 @@
 
   void Drained() override;
   void Came() override;
-  void Ended(loop::Parting how) override;
+  void Ended(loop::DisconnectReason how) override;
   void Shut();
 
  private:
--- a/src/drill/clients.cpp
+++ b/src/drill/clients.cpp
@@ -9,7 +9,7 @@
 
 double Takings::Service() const {
   double asked = 0, got = 0;
-  for (const Sum& s : by_offering) {
+  for (const Sum& s : by_request_class) {
     asked += s.asked;
     got += s.got;
   }
@@ -19,16 +19,17 @@
 double Takings::WorstTen() const {
   double worst = 1;
   for (const Sum& s : by_ten_seconds)
-    if (s.pulls >= 20)
+    if (s.requests >= 20)
       worst = std::min(worst, s.got / s.asked);
   return worst;
 }
 
-std::pair<int, double> Takings::WorstOffering() const {
+std::pair<int, double> Takings::WorstRequestClass() const {
   std::pair<int, double> worst{-1, 1};
-  for (std::size_t i = 0; i < by_offering.size(); ++i)
-    if (by_offering[i].pulls > 0 && by_offering[i].got / by_offering[i].asked < worst.second)
-      worst = {static_cast<int>(i), by_offering[i].got / by_offering[i].asked};
+  for (std::size_t i = 0; i < by_request_class.size(); ++i)
+    if (by_request_class[i].requests > 0 &&
+        by_request_class[i].got / by_request_class[i].asked < worst.second)
+      worst = {static_cast<int>(i), by_request_class[i].got / by_request_class[i].asked};
   return worst;
 }
 
@@ -45,17 +46,17 @@
       failing_since_(fronts_.size(), 0),
       avoided_until_(fronts_.size(), 0),
       stops_(fronts_.size(), {1e18, 1e18}),
-      dice_(seed),
+      random_engine_(seed),
       start_(start),
       end_(end) {
-  const auto& offerings = model.terms().offerings;
-  takings_.by_offering.resize(offerings.size());
+  const auto& request_classes = model.terms().request_classes;
+  takings_.by_request_class.resize(request_classes.size());
   takings_.took.resize(64);
-  for (std::size_t i = 0; i < offerings.size(); ++i) {
+  for (std::size_t i = 0; i < request_classes.size(); ++i) {
     popularity_.emplace_back();
     double sum = 0;
-    for (int rank = 1; rank <= offerings[i].objects; ++rank)
-      popularity_[i].push_back(sum += std::pow(rank, -offerings[i].zipf));
+    for (int rank = 1; rank <= request_classes[i].objects; ++rank)
+      popularity_[i].push_back(sum += std::pow(rank, -request_classes[i].zipf));
     Schedule(static_cast<int>(i));
   }
 }
@@ -69,78 +70,83 @@
 
 // Poisson, with a slow swing and the crowd's factor; the rate counts pulls, so sessions come by
 // their length.
-void Clients::Schedule(int offering) {
-  const world::OfferingTerms& o = model_.terms().offerings[static_cast<std::size_t>(offering)];
+void Clients::Schedule(int request_class) {
+  const world::RequestClassTerms& o =
+      model_.terms().request_classes[static_cast<std::size_t>(request_class)];
   double parts = (o.least_parts + o.most_parts) / 2;
   Ms now = std::max(loop_.now(), start_);
   double wave = 1 + terms_.swing * std::sin((now - start_) / 20000 * 2 * 3.14159265358979);
-  double per_ms = terms_.pulls_per_s / 1000 * o.share * wave * crowd / parts;
-  Ms wait = per_ms > 0 ? -std::log(1 - world::Between(dice_, 0, 1)) / per_ms : 1000;
+  double per_ms = terms_.requests_per_s / 1000 * o.share * wave * crowd / parts;
+  Ms wait = per_ms > 0 ? -std::log(1 - world::Between(random_engine_, 0, 1)) / per_ms : 1000;
   // Looked at again every second at the latest, so that a crowd is felt at once.
   bool none = wait > 1000;
   Ms when = now + std::min(wait, 1000.0);
   if (when >= end_)
     return;
-  loop_.at(when, [this, offering, none] {
+  loop_.at(when, [this, request_class, none] {
     if (!none)
-      Arrive(offering);
-    Schedule(offering);
+      Arrive(request_class);
+    Schedule(request_class);
   });
 }
 
-std::string Clients::Popular(int offering, bool local, std::size_t rank) const {
-  return world::ThingName(offering, local ? store_ : -1, rank);
+std::string Clients::Popular(int request_class, bool local, std::size_t rank) const {
+  return world::ThingName(request_class, local ? store_ : -1, rank);
 }
 
 std::string Clients::AnyPopular() {
-  int offering = world::Between(dice_, 0, 1) < 0.5 ? 0 : 1;
-  return Popular(offering, false, static_cast<std::size_t>(world::Between(dice_, 0, 20)));
+  int request_class = world::Between(random_engine_, 0, 1) < 0.5 ? 0 : 1;
+  return Popular(request_class, false,
+                 static_cast<std::size_t>(world::Between(random_engine_, 0, 20)));
 }
 
-std::string Clients::Thing(int offering) {
-  const world::OfferingTerms& o = model_.terms().offerings[static_cast<std::size_t>(offering)];
-  double dice = world::Between(dice_, 0, 1);
-  std::string fresh = world::HexName(dice_());
-  if (o.objects == 0 || dice < once)
+std::string Clients::Thing(int request_class) {
+  const world::RequestClassTerms& o =
+      model_.terms().request_classes[static_cast<std::size_t>(request_class)];
+  double random_engine = world::Between(random_engine_, 0, 1);
+  std::string fresh = world::HexName(random_engine_());
+  if (o.objects == 0 || random_engine < once)
     return fresh;
-  if (dice < once + odd) {
+  if (random_engine < once + odd) {
     char head[4];
     std::snprintf(head, sizeof head, "f%02x",
                   static_cast<unsigned>(std::clamp(odd_factor, 1.0, 255.0)));
     return head + fresh.substr(3);
   }
-  const auto& sums = popularity_[static_cast<std::size_t>(offering)];
-  double at = world::Between(dice_, 0, sums.back());
+  const auto& sums = popularity_[static_cast<std::size_t>(request_class)];
+  double at = world::Between(random_engine_, 0, sums.back());
   auto rank =
       static_cast<std::size_t>(std::lower_bound(sums.begin(), sums.end(), at) - sums.begin());
-  return Popular(offering, world::Between(dice_, 0, 1) < o.local, rank);
+  return Popular(request_class, world::Between(random_engine_, 0, 1) < o.local, rank);
 }
 
-void Clients::Arrive(int offering) {
-  const world::OfferingTerms& o = model_.terms().offerings[static_cast<std::size_t>(offering)];
-  std::string name = Thing(offering);
-  int parts = static_cast<int>(std::round(world::Between(dice_, o.least_parts, o.most_parts)));
-  Ms gap = world::Between(dice_, o.least_gap, o.most_gap);
+void Clients::Arrive(int request_class) {
+  const world::RequestClassTerms& o =
+      model_.terms().request_classes[static_cast<std::size_t>(request_class)];
+  std::string name = Thing(request_class);
+  int parts =
+      static_cast<int>(std::round(world::Between(random_engine_, o.least_parts, o.most_parts)));
+  Ms gap = world::Between(random_engine_, o.least_gap, o.most_gap);
   for (int part = 0; part < parts; ++part) {
     auto want = std::make_shared<Want>();
-    want->offering = offering;
+    want->request_class = request_class;
     want->part = part;
     want->thing = name;
     Ms when = loop_.now() + part * gap;
     if (when >= end_)
       break;
     auto begin = [this, want] {
-      const world::OfferingTerms& o =
-          model_.terms().offerings[static_cast<std::size_t>(want->offering)];
+      const world::RequestClassTerms& o =
+          model_.terms().request_classes[static_cast<std::size_t>(want->request_class)];
       want->first_at = loop_.now();
-      auto& sum = takings_.by_offering[static_cast<std::size_t>(want->offering)];
+      auto& sum = takings_.by_request_class[static_cast<std::size_t>(want->request_class)];
       sum.asked += o.payoff;
-      ++sum.pulls;
+      ++sum.requests;
       auto window = static_cast<std::size_t>((want->first_at - start_) / 10000);
       if (takings_.by_ten_seconds.size() <= window)
         takings_.by_ten_seconds.resize(window + 1);
       takings_.by_ten_seconds[window].asked += o.payoff;
-      ++takings_.by_ten_seconds[window].pulls;
+      ++takings_.by_ten_seconds[window].requests;
       Ask(want);
     };
     if (part == 0)
@@ -175,13 +181,13 @@
   if (good.empty())
     return -1;
   return good[static_cast<std::size_t>(
-      world::Between(dice_, 0, static_cast<double>(good.size()) - 1e-9))];
+      world::Between(random_engine_, 0, static_cast<double>(good.size()) - 1e-9))];
 }
 
 void Clients::Ask(std::shared_ptr<Want> want) {
-  const world::OfferingTerms& o =
-      model_.terms().offerings[static_cast<std::size_t>(want->offering)];
-  want->ttl = std::floor(o.expiry * world::Between(dice_, terms_.shortest, 1));
+  const world::RequestClassTerms& o =
+      model_.terms().request_classes[static_cast<std::size_t>(want->request_class)];
+  want->ttl = std::floor(o.expiry * world::Between(random_engine_, terms_.shortest, 1));
   ++want->tries;
   int front = PickFront();
   Ms now = loop_.now();
@@ -206,15 +212,16 @@
 }
 
 void Clients::Over(std::shared_ptr<Want> want, bool finished, bool may_try_again, Ms retry_after) {
-  const world::OfferingTerms& o =
-      model_.terms().offerings[static_cast<std::size_t>(want->offering)];
+  const world::RequestClassTerms& o =
+      model_.terms().request_classes[static_cast<std::size_t>(want->request_class)];
   Ms now = loop_.now(), took = now - want->first_at;
   if (finished) {
-    double kb = o.never_kept ? 0 : model_.SizeKb(want->offering, want->thing);
+    double kb = o.never_kept ? 0 : model_.SizeKb(want->request_class, want->thing);
     Ms agreed = o.agreed + o.agreed_stretch * kb / model_.terms().flow_kb_per_ms;
     double worth = took <= agreed ? 1 : o.late_worth;
     takings_.late += took > agreed;
-    takings_.by_offering[static_cast<std::size_t>(want->offering)].got += worth * o.payoff;
+    takings_.by_request_class[static_cast<std::size_t>(want->request_class)].got +=
+        worth * o.payoff;
     takings_.by_ten_seconds[static_cast<std::size_t>((want->first_at - start_) / 10000)].got +=
         worth * o.payoff;
     auto bucket = took < 1 ? 0
@@ -226,7 +233,7 @@
   if (!may_try_again || want->tries > terms_.retries)
     return;
   Ms wait = terms_.wait;
-  if (retry_after > 0 && world::Between(dice_, 0, 1) < terms_.honour)
+  if (retry_after > 0 && world::Between(random_engine_, 0, 1) < terms_.honour)
     wait = std::max(wait, retry_after);
   loop_.at(now + wait, [this, want] { Ask(want); });
 }
--- a/src/drill/hunt.cpp
+++ b/src/drill/hunt.cpp
@@ -11,10 +11,10 @@
 Script Varied(const Script& script, std::uint64_t seed, double by) {
   if (by <= 0)
     return script;
-  world::Dice dice(seed * 11 + 7);
+  world::RandomEngine random_engine(seed * 11 + 7);
   Script s = script;
   auto moved = [&](double v) {
-    return v * world::Between(dice, 1 - by, 1 + by);
+    return v * world::Between(random_engine, 1 - by, 1 + by);
   };
   for (Trouble& t : s.troubles) {
     t.at = std::min(moved(t.at), s.length - 1);
@@ -95,9 +95,11 @@
       if (Written(s) != Written(best))
         better |= attempt(s);
     };
-    smaller([](Script& one) { one.ticketed = false; });
+    smaller([](Script& one) { one.idempotent_with_key = false; });
     smaller([](Script& one) { one.choppy = 0; });
-    smaller([](Script& one) { one.pulls_per_s = std::max(20.0, std::floor(one.pulls_per_s / 2)); });
+    smaller([](Script& one) {
+      one.requests_per_s = std::max(20.0, std::floor(one.requests_per_s / 2));
+    });
     smaller([](Script& one) {
       int stores = std::max(1, one.stores / 2);
       one.caches = std::max(stores, one.caches * stores / one.stores);
--- a/src/drill/machine.cpp
+++ b/src/drill/machine.cpp
@@ -7,7 +7,7 @@
 
 namespace dunlinwick::drill {
 
-using loop::Parting;
+using loop::DisconnectReason;
 using rules::Deed;
 using rules::Fact;
 
@@ -56,7 +56,7 @@
     while (!connection_.IsOver() && ReadOne()) {
     }
   }
-  void Ended(Parting) override {
+  void Ended(DisconnectReason) override {
     connection_.Close();
     Drop();
     all_.loop_.Bury(shared_from_this());
@@ -67,7 +67,7 @@
     open_.clear();
     for (auto& [id, ticket] : open) {
       all_.model_.GiveUp(all_.loop_.now(), all_.setup_.id, ticket);
-      tell(Deed::kLegDropped, id);
+      tell(Deed::kAttemptDropped, id);
     }
   }
 
@@ -81,7 +81,7 @@
     std::size_t one = line.find(' '), two = line.find(' ', one + 1);
     std::string what = line.substr(0, one);
     if (one == line.npos) {
-      connection_.EndAs(Parting::kMalformed);
+      connection_.EndAs(DisconnectReason::kMalformed);
       return false;
     }
     std::string id = line.substr(one + 1, two == line.npos ? two : two - one - 1);
@@ -101,7 +101,7 @@
         return true;
       all_.model_.GiveUp(all_.loop_.now(), all_.setup_.id, at->second);
       open_.erase(at);
-      tell(Deed::kLegDropped, id);
+      tell(Deed::kAttemptDropped, id);
     } else if (what == "busy" || what == "there") {
       std::string fields = "-";
       if (what == "busy") {
@@ -113,13 +113,13 @@
       }
       connection_.Send(id + " PONG " + fields + " 0\r\n\r\n");
     } else {
-      connection_.EndAs(Parting::kMalformed);
+      connection_.EndAs(DisconnectReason::kMalformed);
     }
     return true;
   }
 
   void want(const std::string& id, std::string_view fields) {
-    world::Wish w;
+    world::ClientRequest w;
     w.id = id;
     w.thing = Field(fields, "thing");
     w.source = Field(fields, "miss");
@@ -128,24 +128,24 @@
     w.rank = static_cast<int>(Number(Field(fields, "prio")));
     w.most = Number(Field(fields, "max"));
     w.within = Number(Field(fields, "within"));
-    std::string_view how = Field(fields, "f"), offering = Field(fields, "profile");
+    std::string_view how = Field(fields, "f"), request_class = Field(fields, "profile");
     w.join = how.find("coalesce") != how.npos;
     w.held_only = how.find("shallow") != how.npos;
     w.passing = how.find("transit") != how.npos;
     w.renew = how.find("freshen") != how.npos;
-    auto& names = all_.setup_.offerings;
-    auto at = std::find(names.begin(), names.end(), offering);
+    auto& names = all_.setup_.request_classes;
+    auto at = std::find(names.begin(), names.end(), request_class);
     Fact f;
-    f.deed = Deed::kLegCame;
+    f.deed = Deed::kAttemptCame;
     f.at = all_.loop_.now();
-    f.pull = id;
+    f.request = id;
     f.thing = w.thing;
     f.who = all_.setup_.id;
     f.other = w.source;
     all_.tell_(std::move(f));
     if (at == names.end() || open_.count(id))
-      return Say(id, "FAULT - 0\r\n\r\n", Deed::kLegEnded, "fault");
-    w.offering = static_cast<int>(at - names.begin());
+      return Say(id, "FAULT - 0\r\n\r\n", Deed::kAttemptEnded, "fault");
+    w.request_class = static_cast<int>(at - names.begin());
     std::weak_ptr<Caller> self = weak_from_this();
     std::uint64_t ticket = all_.model_.Want(all_.loop_.now(), all_.setup_.id, std::move(w),
                                             [self, id, &all = all_](const world::Reply& reply) {
@@ -182,28 +182,29 @@
         r.word == world::Word::kHit ? BodyOf(r.tag, r.size_kb, all_.setup_.bytes_per_kb) : "";
     out += ' ' + (fields.empty() ? "-" : fields) + ' ' + std::to_string(body.size()) + "\r\n" +
            body + "\r\n";
-    Say(id, out, Deed::kLegEnded, kPlain[static_cast<int>(r.word)], r.tag, r.issued);
+    Say(id, out, Deed::kAttemptEnded, kPlain[static_cast<int>(r.word)], r.tag, r.issued);
   }
 
   void Say(const std::string& id, std::string text, Deed deed, const std::string& word,
            const std::string& tag = {}, Ms issued = 0) {
-    const Spoilt& s = all_.spoilt;
-    double dice = s.swallowed + s.broken_off + s.noise > 0 ? world::Between(all_.dice_, 0, 1) : 1;
-    bool spoilt = dice < s.swallowed + s.broken_off + s.noise;
+    const Corrupted& s = all_.corrupted;
+    double random_engine =
+        s.swallowed + s.broken_off + s.noise > 0 ? world::Between(all_.random_engine_, 0, 1) : 1;
+    bool corrupted = random_engine < s.swallowed + s.broken_off + s.noise;
     // What the front can't read whole may have run, for all it knows; of what never comes it learns
     // no end.
-    if (spoilt && dice >= s.swallowed)
-      tell(Deed::kLegDropped, id);
-    else if (spoilt)
+    if (corrupted && random_engine >= s.swallowed)
+      tell(Deed::kAttemptDropped, id);
+    else if (corrupted)
       return;
     else
       tell(deed, id, word, tag, issued);
     std::string message = id + ' ' + text;
-    if (dice < s.swallowed + s.broken_off) {
+    if (random_engine < s.swallowed + s.broken_off) {
       connection_.Send(message.substr(0, message.size() / 2));
       return connection_.SayNoMore();
     }
-    if (spoilt)
+    if (corrupted)
       message = "\x01\x02 noise " + message;
     connection_.Send(std::move(message));
   }
@@ -213,7 +214,7 @@
     Fact f;
     f.deed = deed;
     f.at = all_.loop_.now();
-    f.pull = id;
+    f.request = id;
     f.who = all_.setup_.id;
     f.word = word;
     f.tag = tag;
@@ -234,7 +235,7 @@
       model_(model),
       tell_(std::move(tell)),
       setup_(std::move(setup)),
-      dice_(setup_.seed),
+      random_engine_(setup_.seed),
       listener_(loop, setup_.at, [this](loop::Descriptor fd) {
         std::uint64_t number = ++last_;
         callers_[number] = std::make_shared<Caller>(*this, number, std::move(fd));
--- a/src/drill/noticeboard.cpp
+++ b/src/drill/noticeboard.cpp
@@ -4,12 +4,12 @@
 
 namespace dunlinwick::drill {
 
-using loop::Parting;
+using loop::DisconnectReason;
 
-class BoardSpeaker::Watcher final : public loop::Connection::Owner,
-                                    public std::enable_shared_from_this<Watcher> {
+class DiscoverySpeaker::Watcher final : public loop::Connection::Owner,
+                                        public std::enable_shared_from_this<Watcher> {
  public:
-  Watcher(BoardSpeaker& all, std::uint64_t number, loop::Descriptor fd)
+  Watcher(DiscoverySpeaker& all, std::uint64_t number, loop::Descriptor fd)
       : all_(all), number_(number), connection_(all.loop_, *this, std::move(fd)) {}
   void Came() override {
     std::string_view bytes = connection_.in.bytes();
@@ -21,7 +21,7 @@
     connection_.in.Consume(end + 1);
     TellAll();
   }
-  void Ended(Parting) override {
+  void Ended(DisconnectReason) override {
     connection_.Close();
     all_.loop_.Bury(shared_from_this());
     all_.watchers_.erase(number_);
@@ -35,7 +35,7 @@
       std::size_t at = static_cast<std::size_t>(next_ - all_.first_);
       connection_.Send("{\"rev\":" + std::to_string(next_) + "," + all_.events_[at].substr(1) +
                        "\n");
-      all_.told_(next_);
+      all_.notified_(next_);
     }
   }
   void SayNumber() {
@@ -51,15 +51,16 @@
   }
 
  private:
-  BoardSpeaker& all_;
+  DiscoverySpeaker& all_;
   std::uint64_t number_;
   std::uint64_t next_ = 0;
   loop::Connection connection_;
 };
 
-BoardSpeaker::BoardSpeaker(loop::Loop& loop, const Address& at, std::uint64_t first, Told told)
+DiscoverySpeaker::DiscoverySpeaker(loop::Loop& loop, const Address& at, std::uint64_t first,
+                                   Notified notified)
     : loop_(loop),
-      told_(std::move(told)),
+      notified_(std::move(notified)),
       first_(first),
       listener_(loop, at, [this](loop::Descriptor fd) {
         std::uint64_t number = ++last_;
@@ -68,18 +69,18 @@
   SayNumber();
 }
 
-BoardSpeaker::~BoardSpeaker() {
+DiscoverySpeaker::~DiscoverySpeaker() {
   loop_.Cancel(timer_);
 }
 
-void BoardSpeaker::SayNumber() {
+void DiscoverySpeaker::SayNumber() {
   auto all = watchers_;
   for (auto& [number, watcher] : all)
     watcher->SayNumber();
   timer_ = loop_.at(loop_.now() + 1000, [this] { SayNumber(); });
 }
 
-std::uint64_t BoardSpeaker::Publish(std::string json) {
+std::uint64_t DiscoverySpeaker::Publish(std::string json) {
   events_.push_back(std::move(json));
   auto all = watchers_;
   for (auto& [number, watcher] : all)
@@ -87,13 +88,13 @@
   return Last();
 }
 
-void BoardSpeaker::BreakOff() {
+void DiscoverySpeaker::BreakOff() {
   auto all = watchers_;
   for (auto& [number, watcher] : all)
     watcher->BreakOff();
 }
 
-void BoardSpeaker::StopUntil(Ms when) {
+void DiscoverySpeaker::StopUntil(Ms when) {
   silent_until_ = when;
 }
 
--- a/src/drill/report.cpp
+++ b/src/drill/report.cpp
@@ -31,8 +31,8 @@
 double Outcome::Points() const {
   double links = asked_kb > 0 ? bytes.links / asked_kb : 0,
          office = asked_kb > 0 ? bytes.office / asked_kb : 0;
-  return 0.4 * takings.Service() + 0.4 * takings.WorstTen() + 0.2 * takings.WorstOffering().second -
-         0.06 * links - 0.24 * Wasted() - 0.048 * office;
+  return 0.4 * takings.Service() + 0.4 * takings.WorstTen() +
+         0.2 * takings.WorstRequestClass().second - 0.06 * links - 0.24 * Wasted() - 0.048 * office;
 }
 
 std::string Hex(std::uint64_t digest) {
@@ -50,10 +50,10 @@
     out += "  " + one + "\n";
   out += Print("\n  service            %.3f   worst 10 s %.3f   points by the brief %.3f\n",
                t.Service(), t.WorstTen(), o.Points());
-  for (std::size_t i = 0; i < o.offerings.size(); ++i) {
-    const auto& s = t.by_offering[i];
-    out += Print("    %-16s %.3f   %llu pulls\n", o.offerings[i].c_str(),
-                 s.asked > 0 ? s.got / s.asked : 1.0, static_cast<unsigned long long>(s.pulls));
+  for (std::size_t i = 0; i < o.request_classes.size(); ++i) {
+    const auto& s = t.by_request_class[i];
+    out += Print("    %-16s %.3f   %llu pulls\n", o.request_classes[i].c_str(),
+                 s.asked > 0 ? s.got / s.asked : 1.0, static_cast<unsigned long long>(s.requests));
   }
   out += Print(
       "  tries %llu: finished %llu, unchanged %llu, declined %llu, abandoned %llu, unanswered "
@@ -72,7 +72,7 @@
   out += Print(
       "  legs %llu; work wasted %.4f of what was done; from the head office %.0f MB, over the "
       "links %.0f MB of %.0f MB\n",
-      static_cast<unsigned long long>(o.legs), o.Wasted(), o.bytes.office / 1000,
+      static_cast<unsigned long long>(o.attempts), o.Wasted(), o.bytes.office / 1000,
       o.bytes.links / 1000, o.asked_kb / 1000);
   const rules::Nearest& n = o.nearest;
   out += "  nearest to each limit:\n";
@@ -91,8 +91,9 @@
   for (const rules::Breach& b : o.breaches) {
     if (++shown > 10)
       break;
-    out += Print("    %8.3f s  %s  %s%s%s: %s\n", b.at / 1000, rules::ToString(b.rule),
-                 b.who.c_str(), b.pull.empty() ? "" : " pull ", b.pull.c_str(), b.what.c_str());
+    out +=
+        Print("    %8.3f s  %s  %s%s%s: %s\n", b.at / 1000, rules::ToString(b.rule), b.who.c_str(),
+              b.request.empty() ? "" : " pull ", b.request.c_str(), b.what.c_str());
   }
   if (o.Kept())
     out += "\n  all rules kept\n";
@@ -133,9 +134,10 @@
   number("points", o.Points());
   w.Key("by_offering");
   w.StartObject();
-  for (std::size_t i = 0; i < o.offerings.size(); ++i)
-    number(o.offerings[i].c_str(),
-           t.by_offering[i].asked > 0 ? t.by_offering[i].got / t.by_offering[i].asked : 1);
+  for (std::size_t i = 0; i < o.request_classes.size(); ++i)
+    number(o.request_classes[i].c_str(),
+           t.by_request_class[i].asked > 0 ? t.by_request_class[i].got / t.by_request_class[i].asked
+                                           : 1);
   w.EndObject();
   w.Key("by_10_s");
   w.StartArray();
@@ -158,7 +160,7 @@
   w.EndObject();
   w.Key("work");
   w.StartObject();
-  count("legs", o.legs);
+  count("legs", o.attempts);
   number("wasted", o.Wasted());
   number("office_mb", o.bytes.office / 1000);
   number("links_mb", o.bytes.links / 1000);
@@ -182,7 +184,7 @@
     w.StartObject();
     text("rule", rules::ToString(b.rule));
     number("at_s", b.at / 1000);
-    text("pull", b.pull);
+    text("pull", b.request);
     text("who", b.who);
     text("what", b.what);
     w.EndObject();
--- a/src/drill/run.cpp
+++ b/src/drill/run.cpp
@@ -19,7 +19,7 @@
 // Hosts by what stands there.
 constexpr std::uint16_t kMembersPort = 7400;
 constexpr std::uint32_t kFrontNet = 0x000000, kStoreNet = 0x010000, kHubNet = 0x020000,
-                        kBoardHost = 0x030001, kClientNet = 0x040000;
+                        kDiscoveryHost = 0x030001, kClientNet = 0x040000;
 
 class Stage final : world::Witness {
  public:
@@ -33,7 +33,7 @@
         clients_from_(start_ +
                       (scene.net() ? 500 : 2000)),  // real processes take a moment to start
         end_(clients_from_ + script.length),
-        dice_(options.seed * 3 + 2),
+        random_engine_(options.seed * 3 + 2),
         checker_(LimitsFor(script, options.seed)),
         model_(
             site_.terms, options.seed * 5 + 3, start_,
@@ -65,13 +65,13 @@
       h.front = f;
       h.host = kFrontNet + number;
       h.at = scene_.address(h.host, 8080);
-      h.board_at = scene_.address(kBoardHost, static_cast<std::uint16_t>(4222 + number));
+      h.discovery_at = scene_.address(kDiscoveryHost, static_cast<std::uint16_t>(4222 + number));
       place(h.host, f.store + 1);
-      h.board_process = &scene_.Start(kBoardHost, "board-" + std::to_string(number));
-      h.board_process->act([&] {
-        h.board =
-            std::make_unique<BoardSpeaker>(h.board_process->loop(), h.board_at, 2,
-                                           [this, &h](std::uint64_t event) { told(h, event); });
+      h.discovery_process = &scene_.Start(kDiscoveryHost, "board-" + std::to_string(number));
+      h.discovery_process->act([&] {
+        h.discovery = std::make_unique<DiscoverySpeaker>(
+            h.discovery_process->loop(), h.discovery_at, 2,
+            [this, &h](std::uint64_t event) { notified(h, event); });
       });
     }
     for (auto& h : hosts_)
@@ -82,7 +82,7 @@
       Player& p = scene_.Start(host, "clients-" + std::to_string(k + 1));
       crowds_.push_back({&p, nullptr});
       ClientTerms terms;
-      terms.pulls_per_s = site_.pulls_per_s * site_.traffic[k];
+      terms.requests_per_s = site_.requests_per_s * site_.traffic[k];
       terms.retries = script.retries;
       terms.wait = script.retry_wait;
       terms.swing = script.swing;
@@ -114,8 +114,8 @@
   ~Stage() {
     for (auto& h : hosts_) {
       h->served.reset();
-      scene_.Vanish(*h->board_process);
-      h->board.reset();
+      scene_.Vanish(*h->discovery_process);
+      h->discovery.reset();
     }
     for (auto& b : boxes_) {
       if (b->process)
@@ -158,8 +158,8 @@
     o.nearest = checker_.nearest();
     o.bytes = model_.bytes;
     o.asked_kb = o.bytes.asked * site_.terms.flow_kb_per_ms;
-    for (auto& one : site_.terms.offerings)
-      o.offerings.push_back(one.name);
+    for (auto& one : site_.terms.request_classes)
+      o.request_classes.push_back(one.name);
     return o;
   }
 
@@ -171,7 +171,7 @@
     Player* process = nullptr;
     std::unique_ptr<MachineSpeaker> speaker;
     bool listed = true;
-    bool told_of_start = true;
+    bool notified_of_start = true;
     std::string state = "in_service";
     int successor = 0;
   };
@@ -179,9 +179,9 @@
     SiteFront front;
     std::uint32_t host = 0;
     loop::Address at{};
-    loop::Address board_at{};
-    Player* board_process = nullptr;
-    std::unique_ptr<BoardSpeaker> board;
+    loop::Address discovery_at{};
+    Player* discovery_process = nullptr;
+    std::unique_ptr<DiscoverySpeaker> discovery;
     std::unique_ptr<Served> served;
     int starts = 0;
     bool stopping = false;
@@ -202,7 +202,7 @@
     };
   }
   void See(Fact f) {
-    outcome_.legs += f.deed == Deed::kLegCame;
+    outcome_.attempts += f.deed == Deed::kAttemptCame;
     if (options_.trace)
       *options_.trace << rules::Line(f) << "\n";
     checker_.Take(f);
@@ -244,8 +244,8 @@
     setup.at = b.at;
     setup.bytes_per_kb = script_.bytes_per_kb;
     setup.seed = options_.seed * 77 + b.host + static_cast<std::uint64_t>(b.successor);
-    for (auto& o : site_.terms.offerings)
-      setup.offerings.push_back(o.name);
+    for (auto& o : site_.terms.request_classes)
+      setup.request_classes.push_back(o.name);
     Player* p = b.process;
     p->act([&] {
       b.speaker = std::make_unique<MachineSpeaker>(
@@ -277,7 +277,7 @@
     if (b.process)
       return;
     b.make.started_at = scene_.now();
-    b.told_of_start = false;
+    b.notified_of_start = false;
     Raise(b);
     Occur(Moment::kColdStart);
     list(b, "in_service", site_.add_notice);
@@ -294,8 +294,8 @@
     scene_.at(scene_.now() + after,
               [this, &b, e = std::move(e), state = std::string(state)]() mutable {
                 b.state = state;
-                if (state == "in_service" && !std::exchange(b.told_of_start, true))
-                  model_.StartTold(b.make.id);
+                if (state == "in_service" && !std::exchange(b.notified_of_start, true))
+                  model_.StartNotified(b.make.id);
                 states_[e.fact.other] = {&b, state, e.json};
                 Publish(std::move(e));
               });
@@ -308,14 +308,14 @@
     events_.push_back(std::move(e));
     for (auto& h : hosts_) {
       std::string json = events_.back().json;
-      h->board_process->act([&] { h->board->Publish(std::move(json)); });
+      h->discovery_process->act([&] { h->discovery->Publish(std::move(json)); });
     }
     if (events_.back().fact.word == "draining")
-      Occur(Moment::kDrainTold);
+      Occur(Moment::kDrainNotified);
     if (events_.back().fact.deed == Deed::kPurged)
-      Occur(Moment::kPurgeTold);
+      Occur(Moment::kPurgeNotified);
   }
-  void told(Host& h, std::uint64_t number) {
+  void notified(Host& h, std::uint64_t number) {
     Fact f = events_[number - 2].fact;
     f.who = h.front.name;
     f.at = scene_.now();
@@ -330,8 +330,9 @@
         servers +=
             (servers.empty() ? "" : ",") + Listing(b->make, stage::Text(b->at), b->state.c_str());
     std::string rev = std::to_string(events_.size() + 1);
-    std::string notices = "{\"rev\":" + rev +
-                          ",\"pool\":{\"version\":1,\"full\":true,\"servers\":[" + servers + "]}}";
+    std::string watch_events = "{\"rev\":" + rev +
+                               ",\"pool\":{\"version\":1,\"full\":true,\"servers\":[" + servers +
+                               "]}}";
     for (auto& b : boxes_) {
       if (b->state == "in_service" || !b->listed)
         continue;
@@ -346,13 +347,13 @@
     for (const Event& e : events_) {
       if (e.fact.deed != Deed::kPurged || e.fact.number < scene_.now() - site_.terms.purge_done)
         continue;
-      notices += ",{\"rev\":" + rev + "," + e.json.substr(1);
+      watch_events += ",{\"rev\":" + rev + "," + e.json.substr(1);
       Fact f = e.fact;
       f.at = scene_.now();
       f.who = h.front.name;
       See(std::move(f));
     }
-    return "{\"rev\":" + rev + ",\"notices\":[" + notices + "]}";
+    return "{\"rev\":" + rev + ",\"notices\":[" + watch_events + "]}";
   }
 
   // ---- fronts
@@ -375,7 +376,7 @@
       fleet = FleetBlock(site_, h.front, members);
     }
     std::string text = Configuration(script_, site_, h.front, stage::Text(h.at),
-                                     stage::Text(h.board_at), seed, Known(h), fleet);
+                                     stage::Text(h.discovery_at), seed, Known(h), fleet);
     h.served = scene_.Serve(h.host, h.front.name, text, script_.descriptors,
                             options_.breaker ? options_.breaker() : nullptr);
     if (h.starts++ > 0)
@@ -408,14 +409,14 @@
     Fact f;
     f.deed = Deed::kRan;
     f.at = at;
-    f.pull = id;
+    f.request = id;
     f.thing = thing;
     f.who = "office";
     See(std::move(f));
   }
   void ColdPush(const std::string& machine, double share) override {
     for (auto& b : boxes_)
-      if (b->make.id == machine && !b->told_of_start)
+      if (b->make.id == machine && !b->notified_of_start)
         return;
     Fact f;
     f.deed = Deed::kColdPush;
@@ -435,7 +436,7 @@
       f.limit = limit;
       // It binds fronts that were told of the start. One that nobody was told of falls over all the
       // same.
-      if (b->told_of_start)
+      if (b->notified_of_start)
         See(std::move(f));
       else
         outcome_.happened.push_back("            " + machine +
@@ -470,9 +471,8 @@
     if (t.whom.find('-') != std::string::npos)
       return some;
     for (std::size_t i = some.size(); i > 1; --i)
-      std::swap(
-          some[i - 1],
-          some[static_cast<std::size_t>(world::Between(dice_, 0, static_cast<double>(i) - 1e-9))]);
+      std::swap(some[i - 1], some[static_cast<std::size_t>(world::Between(
+                                 random_engine_, 0, static_cast<double>(i) - 1e-9))]);
     if (t.count > 0 && some.size() > static_cast<std::size_t>(t.count))
       some.resize(static_cast<std::size_t>(t.count));
     return some;
@@ -687,33 +687,33 @@
           // The protocol: new connections for 0.2 to 0.4 s more, requests on open ones for 0.2 s
           // more.
           for (Clients* c : clients()) {
-            Ms fresh = now + world::Between(dice_, 200, 400);
+            Ms fresh = now + world::Between(random_engine_, 200, 400);
             c->Stopping(h->front.name, fresh, fresh + 200);
           }
           h->served->Stop();
         }
         return;
-      case What::kBoardBreak:
+      case What::kDiscoveryBreak:
         note(t, "");
         for (auto& h : hosts_)
-          h->board_process->act([&] { h->board->BreakOff(); });
+          h->discovery_process->act([&] { h->discovery->BreakOff(); });
         return;
-      case What::kBoardStop:
+      case What::kDiscoveryStop:
         note(t, "");
         for (auto& h : hosts_)
-          h->board_process->act([&] { h->board->StopUntil(now + t.lasts); });
+          h->discovery_process->act([&] { h->discovery->StopUntil(now + t.lasts); });
         return;
       case What::kSwallowed:
       case What::kBrokenOff:
       case What::kNoise:
         for_all([&](Box& b) {
-          Spoilt& s = b.speaker->spoilt;
+          Corrupted& s = b.speaker->corrupted;
           (t.what == What::kSwallowed   ? s.swallowed
            : t.what == What::kBrokenOff ? s.broken_off
                                         : s.noise) = t.share;
           Until(t.lasts, [&b] {
             if (b.speaker)
-              b.speaker->spoilt = {};
+              b.speaker->corrupted = {};
           });
         });
         return;
@@ -760,7 +760,7 @@
     std::vector<std::uint32_t> hosts;
     bool fronts = false;
     if (t.whom == "board") {
-      hosts.push_back(kBoardHost);
+      hosts.push_back(kDiscoveryHost);
       note(t, "board");
     }
     for (Box* b : BoxesFor(t)) {
@@ -794,7 +794,7 @@
   Ms start_;
   Ms clients_from_;
   Ms end_;
-  world::Dice dice_;
+  world::RandomEngine random_engine_;
   rules::Checker checker_;
   world::Model model_;
   Outcome outcome_;
@@ -816,13 +816,13 @@
 rules::Limits LimitsFor(const Script& script, std::uint64_t seed) {
   Site site = SiteFor(script, seed);
   rules::Limits l;
-  for (const auto& o : site.terms.offerings) {
-    rules::OfferingRule r;
+  for (const auto& o : site.terms.request_classes) {
+    rules::RequestClassRule r;
     r.name = o.name;
     r.effect = static_cast<rules::Effect>(o.effect);
     r.memory = o.memory;
     r.span = rules::Span::kZone;
-    l.offerings.push_back(r);
+    l.request_classes.push_back(r);
   }
   l.purge_done = site.terms.purge_done;
   for (const auto& m : site.makes)
--- a/src/drill/run.hpp
+++ b/src/drill/run.hpp
@@ -16,7 +16,7 @@
 class Break {
  public:
   virtual ~Break() = default;
-  virtual exchange::Decider around(exchange::Decider module, const StoreSheet&) {
+  virtual exchange::Decider around(exchange::Decider module, const StoreSettings&) {
     return module;
   }
   virtual std::string Sent(std::string bytes) {
@@ -52,10 +52,10 @@
   std::uint64_t counts[rules::kHowMany] = {};
   rules::Nearest nearest;
   Takings takings;
-  std::vector<std::string> offerings;
+  std::vector<std::string> request_classes;
   world::Model::Bytes bytes;
   double asked_kb = 0;  // as many as clients were answered with
-  std::uint64_t legs = 0;
+  std::uint64_t attempts = 0;
   bool Kept() const {
     return breaches.empty();
   }
--- a/src/drill/scene.cpp
+++ b/src/drill/scene.cpp
@@ -39,12 +39,12 @@
   StagedFront(stage::Net& net, stage::Process& p, const std::string& text,
               std::unique_ptr<Break> broken)
       : net_(net), process_(p) {
-    front::Charter charter = front::ReadCharterText(text, p.Name(), "");
-    exchange::Decider module = exchange::ModuleFor(charter.sheet, charter.seed);
+    front::Configuration configuration = front::ReadConfigurationText(text, p.Name(), "");
+    exchange::Decider module = exchange::ModuleFor(configuration.settings, configuration.seed);
     if (broken) {
       std::shared_ptr<Break> shared = std::move(broken);
-      module = [shared, inner = shared->around(std::move(module), charter.sheet)](Ms now,
-                                                                                  const Event& e) {
+      module = [shared, inner = shared->around(std::move(module), configuration.settings)](
+                   Ms now, const Event& e) {
         return inner(now, e);
       };
       if (shared->Sends())
@@ -52,7 +52,9 @@
           return shared->Sent(std::move(bytes));
         };
     }
-    p.Act([&] { front_ = std::make_unique<front::Front>(p.loop(), charter, std::move(module)); });
+    p.Act([&] {
+      front_ = std::make_unique<front::Front>(p.loop(), configuration, std::move(module));
+    });
   }
   ~StagedFront() override {
     net_.Kill(process_);
--- a/src/drill/script.cpp
+++ b/src/drill/script.cpp
@@ -101,8 +101,8 @@
 }
 
 Script ReadScriptText(const std::string& file, const std::string& text) {
-  schema::Sheet sheet(file, text, SchemaText().c_str());
-  const rapidjson::Value& root = sheet.Root();
+  schema::Settings settings(file, text, SchemaText().c_str());
+  const rapidjson::Value& root = settings.Root();
   Script s;
   std::size_t slash = file.rfind('/');
   s.name = slash == file.npos ? file : file.substr(slash + 1);
@@ -110,7 +110,7 @@
   Take(&root, "name", s.name);
   Take(&root, "about", s.about);
   Take(&root, "length_s", s.length, kSecond);
-  Take(&root, "ticketed", s.ticketed);
+  Take(&root, "ticketed", s.idempotent_with_key);
   const rapidjson::Value *fleet = Member(root, "fleet"), *load = Member(root, "load"),
                          *clients = Member(root, "clients"), *network = Member(root, "network");
   Take(fleet, "stores", s.stores);
@@ -120,7 +120,7 @@
   Take(fleet, "in_common", s.in_common);
   Take(fleet, "descriptors", s.descriptors);
   Take(fleet, "memory_mb", s.memory_mb);
-  Take(load, "pulls_per_s", s.pulls_per_s);
+  Take(load, "pulls_per_s", s.requests_per_s);
   Take(load, "of_capacity", s.load);
   Take(load, "swing", s.swing);
   Take(load, "bytes_per_kb", s.bytes_per_kb);
@@ -129,9 +129,9 @@
   Take(clients, "impatient", s.impatient);
   Take(network, "choppy", s.choppy);
   if (s.caches < s.stores)
-    sheet.Refuse("/fleet/caches", "each store needs a cache: fewer caches than stores");
+    settings.Refuse("/fleet/caches", "each store needs a cache: fewer caches than stores");
   if (s.fronts < s.stores)
-    sheet.Refuse("/fleet/fronts", "each store needs a front: fewer fronts than stores");
+    settings.Refuse("/fleet/fronts", "each store needs a front: fewer fronts than stores");
   if (const rapidjson::Value* troubles = Member(root, "troubles"))
     for (rapidjson::SizeType i = 0; i < troubles->Size(); ++i) {
       const rapidjson::Value& one = (*troubles)[i];
@@ -146,14 +146,14 @@
                                      kMoments.begin());
       bool timed = Member(one, "at_s"), waits = Member(one, "when");
       if (timed == waits)
-        sheet.Refuse(at, "needs either at_s or when");
+        settings.Refuse(at, "needs either at_s or when");
       if (!waits && Member(one, "after_ms"))
-        sheet.Refuse(at + "/after_ms", "goes with when, not with at_s");
+        settings.Refuse(at + "/after_ms", "goes with when, not with at_s");
       Take(&one, "at_s", t.at, kSecond);
       Take(&one, "after_ms", t.at);
       if (t.what == What::kFrontKill || t.what == What::kFrontStop || t.what == What::kApart)
         t.whom = "front";
-      if (t.what == What::kBoardBreak || t.what == What::kBoardStop)
+      if (t.what == What::kDiscoveryBreak || t.what == What::kDiscoveryStop)
         t.whom = "board";
       Take(&one, "whom", t.whom);
       Take(&one, "count", t.count);
@@ -166,32 +166,34 @@
                    t.whom.starts_with("front-");
       if (std::find(kKinds.begin(), kKinds.end(), t.whom) == kKinds.end() && !named) {
         std::string near = schema::Nearest(t.whom, kKinds);
-        sheet.Refuse(
+        settings.Refuse(
             at + "/whom",
             "\"" + t.whom +
                 "\" is none of cache, area, office, front, board, cache-N, area-N, front-N" +
                 (near.empty() ? "" : "; did you mean \"" + near + "\"?"));
       }
       if (t.whom.starts_with("area") && s.areas == 0)
-        sheet.Refuse(at + "/whom", "the fleet has no area caches");
+        settings.Refuse(at + "/whom", "the fleet has no area caches");
       bool wants_front =
           t.what == What::kFrontKill || t.what == What::kFrontStop || t.what == What::kApart;
       if (t.what == What::kApart && !s.in_common)
-        sheet.Refuse(at, "\"apart\" needs fronts that are in_common");
-      bool is_front = t.whom.starts_with("front"), is_board = t.whom == "board";
+        settings.Refuse(at, "\"apart\" needs fronts that are in_common");
+      bool is_front = t.whom.starts_with("front"), is_discovery = t.whom == "board";
       bool network = t.what == What::kCut || t.what == What::kOneWay || t.what == What::kLag;
       if (wants_front != is_front && !network)
-        sheet.Refuse(at, std::string("\"") + what + "\" does not go with whom \"" + t.whom + "\"");
-      if (is_board && !network && t.what != What::kBoardBreak && t.what != What::kBoardStop)
-        sheet.Refuse(at, std::string("\"") + what + "\" does not go with the board");
+        settings.Refuse(at,
+                        std::string("\"") + what + "\" does not go with whom \"" + t.whom + "\"");
+      if (is_discovery && !network && t.what != What::kDiscoveryBreak &&
+          t.what != What::kDiscoveryStop)
+        settings.Refuse(at, std::string("\"") + what + "\" does not go with the board");
       if (t.whom == "office" &&
           (t.what == What::kKill || t.what == What::kRestart || t.what == What::kDrain ||
            t.what == What::kTake || t.what == What::kDeploy || t.what == What::kVanish))
-        sheet.Refuse(
+        settings.Refuse(
             at, std::string("there is one head office; it can stall, slow down or be cut, not \"") +
                     what + "\"");
       if (t.when == Moment::kNone && t.at >= s.length)
-        sheet.Refuse(at + "/at_s", "is after the drill's end");
+        settings.Refuse(at + "/at_s", "is after the drill's end");
       s.troubles.push_back(t);
     }
   return s;
@@ -232,7 +234,7 @@
   w.EndObject();
   w.Key("load");
   w.StartObject();
-  number("pulls_per_s", s.pulls_per_s);
+  number("pulls_per_s", s.requests_per_s);
   if (s.load > 0)
     number("of_capacity", s.load);
   number("swing", s.swing);
@@ -249,7 +251,7 @@
   number("choppy", s.choppy);
   w.EndObject();
   w.Key("ticketed");
-  w.Bool(s.ticketed);
+  w.Bool(s.idempotent_with_key);
   w.Key("troubles");
   w.StartArray();
   for (const Trouble& t : s.troubles) {
--- a/src/drill/script.hpp
+++ b/src/drill/script.hpp
@@ -23,22 +23,22 @@
   kTake,     // leaves with notice after `for`, and stays away
   kDeploy,   // one after another, within `for`, are replaced as by drain
   kPurge,    // `count` popular objects are purged at once
-  kPurgeGroups,  // a share of the groups
-  kCut,          // the network of a machine, a front or the board is cut for `for`: silent, open
-  kOneWay,       // what it sends is lost for `for`; what it is sent arrives
-  kLag,          // its network takes `ms` longer
-  kLoss,         // a share of what its store's network carries is lost and sent again
-  kLateReports,  // load reports come `ms` later
-  kOddSizes,     // a share of the pulls is for objects of `factor` times the usual size
-  kScan,         // a share of the pulls is for objects wanted only once
-  kCrowd,        // `factor` times the usual traffic
-  kFrontKill,    // fronts die and come back after `for` with the list of that time
-  kFrontStop,    // fronts are asked to stop, and start anew once they have
-  kBoardBreak,   // the notice board breaks off in the middle of an event
-  kBoardStop,    // it stays open and says nothing for `for`
-  kSwallowed,    // a share of the answers never comes
-  kBrokenOff,    // a share of the answers breaks off
-  kNoise,        // a share of the answers can't be read
+  kPurgeGroups,     // a share of the groups
+  kCut,             // the network of a machine, a front or the board is cut for `for`: silent, open
+  kOneWay,          // what it sends is lost for `for`; what it is sent arrives
+  kLag,             // its network takes `ms` longer
+  kLoss,            // a share of what its store's network carries is lost and sent again
+  kLateReports,     // load reports come `ms` later
+  kOddSizes,        // a share of the pulls is for objects of `factor` times the usual size
+  kScan,            // a share of the pulls is for objects wanted only once
+  kCrowd,           // `factor` times the usual traffic
+  kFrontKill,       // fronts die and come back after `for` with the list of that time
+  kFrontStop,       // fronts are asked to stop, and start anew once they have
+  kDiscoveryBreak,  // the notice board breaks off in the middle of an event
+  kDiscoveryStop,   // it stays open and says nothing for `for`
+  kSwallowed,       // a share of the answers never comes
+  kBrokenOff,       // a share of the answers breaks off
+  kNoise,           // a share of the answers can't be read
   kApart  // fronts and the others of the fleet don't hear each other for `for`; they still reach
           // all caches
 };
@@ -46,8 +46,8 @@
 // What a trouble may wait for in place of a time.
 enum class Moment {
   kNone,
-  kDrainTold,
-  kPurgeTold,
+  kDrainNotified,
+  kPurgeNotified,
   kColdStart,
   kHandoverAsked,
   kOfficeStopped,
@@ -76,15 +76,15 @@
   int areas = 2;
   bool in_common =
       false;  // the fronts have a fleet: membership, a verdict in common, pulls steered by it
-  double pulls_per_s = 240;
+  double requests_per_s = 240;
   double load = 0;  // of the caches' capacity that pulls take on average; 0: as the ranges say
   double bytes_per_kb = 0.1;
   int retries = 1;
   Ms retry_wait = 100;
   double swing = 0.2;
   double impatient = 0.002;
-  bool ticketed = false;  // one offering more, whose repeats the caches of a store drop
-  double choppy = 0.02;   // share of reads and writes that take a part only
+  bool idempotent_with_key = false;  // one offering more, whose repeats the caches of a store drop
+  double choppy = 0.02;              // share of reads and writes that take a part only
   std::size_t descriptors = 1024;
   double memory_mb = 192;
   std::vector<Trouble> troubles;
--- a/src/drill/site.cpp
+++ b/src/drill/site.cpp
@@ -23,13 +23,13 @@
 }
 
 Site SiteFor(const Script& script, std::uint64_t seed) {
-  world::Dice dice(seed * 2 + 1);
+  world::RandomEngine random_engine(seed * 2 + 1);
   auto draw = [&](double low, double high) {
-    return Between(dice, low, high);
+    return Between(random_engine, low, high);
   };
   Site s;
   world::Terms& t = s.terms;
-  world::OfferingTerms video, items, handover;
+  world::RequestClassTerms video, items, handover;
   video.name = "video-parts";
   video.share = 0.52;
   video.sending = draw(250, 400);
@@ -67,21 +67,21 @@
   handover.expiry = 3000;
   handover.payoff = 3;
   handover.never_kept = true;
-  t.offerings = {video, items, handover};
-  if (script.ticketed) {
-    world::OfferingTerms stamp = items;
+  t.request_classes = {video, items, handover};
+  if (script.idempotent_with_key) {
+    world::RequestClassTerms stamp = items;
     stamp.name = "stock-stamp";
-    stamp.effect = world::Effect::kTicketed;
+    stamp.effect = world::Effect::kIdempotentWithKey;
     stamp.share = 0.05;
     stamp.memory = 10000;
     stamp.fresh_for = 0;
-    t.offerings.push_back(stamp);
+    t.request_classes.push_back(stamp);
   }
   t.flow_kb_per_ms = draw(3.6, 11);
   // A few popular things make up much of what is asked for: their sizes must not move the
   // offering's mean.
-  for (int o = 0; o < static_cast<int>(t.offerings.size()); ++o) {
-    auto& one = t.offerings[static_cast<std::size_t>(o)];
+  for (int o = 0; o < static_cast<int>(t.request_classes.size()); ++o) {
+    auto& one = t.request_classes[static_cast<std::size_t>(o)];
     if (one.objects == 0)
       continue;
     double sum = 0, shares = 0;
@@ -132,7 +132,7 @@
     ++s.crews[neediest];
   }
   double all = 0, mean_kb = 0, mean_work = 0, shares = 0;
-  for (const auto& o : t.offerings) {
+  for (const auto& o : t.request_classes) {
     shares += o.share;
     mean_kb += o.never_kept ? 0 : o.share * o.sending * t.flow_kb_per_ms;
     mean_work += o.never_kept ? 0 : o.share * o.sending;
@@ -156,10 +156,10 @@
       all += m.capacity;
       s.makes.push_back(m);
     }
-  s.pulls_per_s = script.load > 0 ? script.load * all * 1000 / mean_work : script.pulls_per_s;
+  s.requests_per_s = script.load > 0 ? script.load * all * 1000 / mean_work : script.requests_per_s;
   double keep_for = draw(9300, 13000), links = 0;
   for (Make& m : s.makes)
-    m.keep_kb = keep_for * s.pulls_per_s / 1000 * mean_kb * m.capacity / all;
+    m.keep_kb = keep_for * s.requests_per_s / 1000 * mean_kb * m.capacity / all;
   for (std::size_t k = 0; k < stores; ++k) {
     constexpr double kMissed = 0.3;  // of the bytes, at full load
     s.link_capacity.push_back(
@@ -176,7 +176,7 @@
     m.slots = static_cast<int>(m.capacity * 20);
     m.queue = static_cast<int>(m.capacity * 10);
     m.fills = static_cast<int>(m.capacity * 20);
-    m.keep_kb = draw(19000, 36000) * s.pulls_per_s / 1000 * mean_kb / script.areas;
+    m.keep_kb = draw(19000, 36000) * s.requests_per_s / 1000 * mean_kb / script.areas;
     s.makes.push_back(m);
   }
   Make office;
@@ -204,8 +204,8 @@
 }
 
 std::string Configuration(const Script& script, const Site& site, const SiteFront& front,
-                          const std::string& listen, const std::string& board, std::uint64_t seed,
-                          const std::string& known, const std::string& fleet) {
+                          const std::string& listen, const std::string& discovery,
+                          std::uint64_t seed, const std::string& known, const std::string& fleet) {
   const world::Terms& t = site.terms;
   char seed_text[20];
   std::snprintf(seed_text, sizeof seed_text, "%016llx", static_cast<unsigned long long>(seed));
@@ -215,7 +215,7 @@
     crews += "," + std::to_string(site.crews[k]);
     pipes += "," + Num(site.link_capacity[k] * t.flow_kb_per_ms * 1000);
   }
-  for (const auto& o : t.offerings) {
+  for (const auto& o : t.request_classes) {
     const char* sep = classes.empty() ? "" : ",";
     static const char* const kEffects[] = {"repeatable", "by_key", "once"};
     fresh += sep + Num(o.fresh_for);
@@ -226,7 +226,7 @@
                kEffects[static_cast<int>(o.effect)] +
                "\",\"group\":\"zone\",\"memorySpan\":" + Num(o.memory) + "}";
   }
-  return "{\"name\":\"" + front.name + "\",\"listen\":\"" + listen + "\",\"board\":\"" + board +
+  return "{\"name\":\"" + front.name + "\",\"listen\":\"" + listen + "\",\"board\":\"" + discovery +
          "\",\"seed\":\"" + seed_text +
          "\",\"limits\":{\"cores\":1.0,\"memory_mb\":" + Num(script.memory_mb) +
          ",\"sockets\":" + std::to_string(script.descriptors) + "},\"known\":" + known +
--- a/src/drill/site.hpp
+++ b/src/drill/site.hpp
@@ -22,7 +22,7 @@
   std::vector<double> link_capacity;
   std::vector<double> traffic;  // by store: transfers; share of the pulls
   std::vector<int> crews;       // by store: fronts
-  double pulls_per_s = 0;
+  double requests_per_s = 0;
   Ms store_way = 0.3;
   Ms hub_way = 3;
   Ms client_way = 5;  // one way
@@ -47,7 +47,7 @@
 // The JSON that a front reads at its start. `known`: what the board tells at that time; `fleet`: ""
 // or its block.
 std::string Configuration(const Script& script, const Site& site, const SiteFront& front,
-                          const std::string& listen, const std::string& board, std::uint64_t seed,
-                          const std::string& known, const std::string& fleet);
+                          const std::string& listen, const std::string& discovery,
+                          std::uint64_t seed, const std::string& known, const std::string& fleet);
 
 }  // namespace dunlinwick::drill
--- a/src/exchange/counters.hpp
+++ b/src/exchange/counters.hpp
@@ -6,21 +6,21 @@
 
 struct Counters {
   using Count = std::uint64_t;
-  Count pulls = 0;
+  Count requests = 0;
   Count finished = 0;
   Count unchanged = 0;
   Count declined = 0;
   Count abandoned = 0;
   Count left = 0;
   Count broken_midway = 0;
-  Count legs = 0;
+  Count attempts = 0;
   Count fills = 0;
-  Count legs_finished = 0;
+  Count attempts_finished = 0;
   Count misses = 0;
   Count full = 0;
   Count errors = 0;
   Count timed_out = 0;
-  Count moot = 0;
+  Count superseded = 0;
   Count never_ran = 0;
   Count broken = 0;
   Count cancelled = 0;
@@ -34,10 +34,10 @@
   Count bad_lines = 0;
   Count stalled = 0;
   Count silent = 0;
-  Count bad_notices = 0;
+  Count bad_watch_events = 0;
   Count list_news = 0;
   Count purges = 0;
-  Count board_connections = 0;
+  Count discovery_connections = 0;
   Count short_of_descriptors = 0;
   Count reloads = 0;
 };
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -8,21 +8,21 @@
 
 namespace dunlinwick::exchange {
 
-using loop::Parting;
+using loop::DisconnectReason;
 
-Ending EndingOf(Parting how, bool written_whole) {
+Ending EndingOf(DisconnectReason how, bool written_whole) {
   switch (how) {
-    case Parting::kRefused:
-    case Parting::kNeverUp:
-    case Parting::kNoDescriptor:
+    case DisconnectReason::kRefused:
+    case DisconnectReason::kNeverUp:
+    case DisconnectReason::kNoDescriptor:
       return Ending::kNoConnection;
-    case Parting::kClosed:
-    case Parting::kReset:
-    case Parting::kSilent:
-    case Parting::kMalformed:
-    case Parting::kStalled:
-    case Parting::kReplaced:
-    case Parting::kLetGo:
+    case DisconnectReason::kClosed:
+    case DisconnectReason::kReset:
+    case DisconnectReason::kSilent:
+    case DisconnectReason::kMalformed:
+    case DisconnectReason::kStalled:
+    case DisconnectReason::kReplaced:
+    case DisconnectReason::kLetGo:
       // Half a line is no request: what was not written whole never ran. What was may have.
       return written_whole ? Ending::kBroken : Ending::kNoConnection;
   }
@@ -37,17 +37,17 @@
   return h;
 }
 
-Decider ModuleFor(const StoreSheet& sheet, std::uint64_t seed) {
-  return [router = std::make_shared<Router>(sheet, seed)](Ms now, const Event& event) {
+Decider ModuleFor(const StoreSettings& settings, std::uint64_t seed) {
+  return [router = std::make_shared<Router>(settings, seed)](Ms now, const Event& event) {
     return router->Handle(now, event);
   };
 }
 
-Exchange::Exchange(loop::Loop& loop, const StoreSheet& sheet, Decider decides)
-    : loop_(loop), decides_(std::move(decides)), offerings_(sheet.offerings) {}
+Exchange::Exchange(loop::Loop& loop, const StoreSettings& settings, Decider decides)
+    : loop_(loop), decides_(std::move(decides)), request_classes_(settings.request_classes) {}
 
-Exchange::Exchange(loop::Loop& loop, const StoreSheet& sheet, std::uint64_t seed)
-    : Exchange(loop, sheet, ModuleFor(sheet, seed)) {}
+Exchange::Exchange(loop::Loop& loop, const StoreSettings& settings, std::uint64_t seed)
+    : Exchange(loop, settings, ModuleFor(settings, seed)) {}
 
 // ---- the decisions
 
@@ -58,9 +58,9 @@
   telling_ = true;
   while (!untold_.empty() || !ended_.empty()) {
     if (untold_.empty()) {
-      std::uint32_t pull = ended_.back();
+      std::uint32_t request = ended_.back();
       ended_.pop_back();
-      Settle(pull);
+      Settle(request);
       continue;
     }
     Event next = std::move(untold_.front());
@@ -75,25 +75,25 @@
 // written is taken back, whether or not the settings allow cancelling, since no cache has heard of
 // it. Guards against attempts begun for nobody, as long after as a connection takes to come up. It
 // is forgotten when its last attempt is in.
-void Exchange::Settle(std::uint32_t pull) {
-  Pull* p = FindRequest(pull);
-  if (!p || p->asker)
+void Exchange::Settle(std::uint32_t request) {
+  Request* p = FindRequest(request);
+  if (!p || p->response_sink)
     return;
-  TakeBack(pull, [](const Leg&) { return true; });
-  if (untold_.empty() && std::none_of(p->legs.begin(), p->legs.end(), IsOut))
-    pulls_.erase(pull);
+  TakeBack(request, [](const Attempt&) { return true; });
+  if (untold_.empty() && std::none_of(p->attempts.begin(), p->attempts.end(), IsOut))
+    requests_.erase(request);
 }
 
 template <class Which>
-void Exchange::TakeBack(std::uint32_t pull, Which which) {
-  Pull* p = FindRequest(pull);
-  std::size_t count = p ? p->legs.size() : 0;  // not those that are sent in the place of these
+void Exchange::TakeBack(std::uint32_t request, Which which) {
+  Request* p = FindRequest(request);
+  std::size_t count = p ? p->attempts.size() : 0;  // not those that are sent in the place of these
   for (std::size_t i = 0; p && i < count; ++i) {
-    LegKey key{pull, static_cast<int>(i)};
-    if (p->legs[i].out && p->streaming != key.leg && which(p->legs[i]) &&
-        caches_->TakeBack(key, p->ask, p->legs[i].cache)) {
+    AttemptKey key{request, static_cast<int>(i)};
+    if (p->attempts[i].out && p->streaming != key.attempt && which(p->attempts[i]) &&
+        caches_->TakeBack(key, p->ask, p->attempts[i].cache)) {
       Lapsed(key);
-      p = FindRequest(pull);  // what decides was told, and may have ended it
+      p = FindRequest(request);  // what decides was told, and may have ended it
     }
   }
 }
@@ -101,84 +101,84 @@
 template <class Which>
 void Exchange::TakeBackAll(Which which) {
   std::vector<std::uint32_t> all;
-  for (auto& [pull, p] : pulls_)
-    all.push_back(pull);
-  for (std::uint32_t pull : all)
-    if (Pull* p = FindRequest(pull))
-      TakeBack(pull, [&, p](const Leg& leg) { return which(*p, leg); });
+  for (auto& [request, p] : requests_)
+    all.push_back(request);
+  for (std::uint32_t request : all)
+    if (Request* p = FindRequest(request))
+      TakeBack(request, [&, p](const Attempt& attempt) { return which(*p, attempt); });
 }
 
-Asker* Exchange::Close(std::uint32_t pull) {
-  ended_.push_back(pull);
-  return std::exchange(FindRequest(pull)->asker, nullptr);
+ResponseSink* Exchange::Close(std::uint32_t request) {
+  ended_.push_back(request);
+  return std::exchange(FindRequest(request)->response_sink, nullptr);
 }
 
-void Exchange::Act(const SendLeg& a) {
-  Pull* p = FindRequest(a.pull);
+void Exchange::Act(const SendAttempt& a) {
+  Request* p = FindRequest(a.request);
   if (!p)
     return;
-  LegKey key{a.pull, static_cast<int>(p->legs.size())};
+  AttemptKey key{a.request, static_cast<int>(p->attempts.size())};
   std::vector<std::uint64_t> avoid;
   // The legs of a pull share its id. On a connection that had one of them, its answer, or a second
   // copy of it, would pass for this leg's.
-  for (const Leg& leg : p->legs)
-    if (leg.cache == a.cache && leg.via != 0)
-      avoid.push_back(leg.via);
+  for (const Attempt& attempt : p->attempts)
+    if (attempt.cache == a.cache && attempt.via != 0)
+      avoid.push_back(attempt.via);
   Ms now = loop_.now();
-  Leg leg;
-  leg.cache = a.cache;
-  leg.source = a.source;
-  leg.sent_at = now;
-  leg.not_after = a.not_after;
-  leg.deadline = a.patience > 0 ? std::min(p->expires_at, now + a.patience) : p->expires_at;
-  p->legs.push_back(std::move(leg));
-  ++counters.legs;
+  Attempt attempt;
+  attempt.cache = a.cache;
+  attempt.source = a.source;
+  attempt.sent_at = now;
+  attempt.not_after = a.not_after;
+  attempt.deadline = a.timeout > 0 ? std::min(p->expires_at, now + a.timeout) : p->expires_at;
+  p->attempts.push_back(std::move(attempt));
+  ++counters.attempts;
   counters.fills += a.source != a.cache;
-  if (!p->asker || p->streaming >= 0)
-    return EndLeg(key, Ending::kMoot);
-  SendLeg how = a;
-  how.patience = a.patience > 0 ? std::min(a.patience, p->expires_at - now) : p->expires_at - now;
-  if (how.patience <= 0)
-    return EndLeg(key, Ending::kMoot);
-  p->legs.back().timer = loop_.at(now + how.patience, [this, key] {
-    if (!LegOut(key) || FindRequest(key.pull)->streaming == key.leg)
+  if (!p->response_sink || p->streaming >= 0)
+    return EndAttempt(key, Ending::kSuperseded);
+  SendAttempt how = a;
+  how.timeout = a.timeout > 0 ? std::min(a.timeout, p->expires_at - now) : p->expires_at - now;
+  if (how.timeout <= 0)
+    return EndAttempt(key, Ending::kSuperseded);
+  p->attempts.back().timer = loop_.at(now + how.timeout, [this, key] {
+    if (!AttemptOut(key) || FindRequest(key.request)->streaming == key.attempt)
       return;
-    caches_->GiveUp(key, FindRequest(key.pull)->ask, LegOut(key)->cache);
-    EndLeg(key, Ending::kTimedOut);
+    caches_->GiveUp(key, FindRequest(key.request)->ask, AttemptOut(key)->cache);
+    EndAttempt(key, Ending::kTimedOut);
   });
   // What is still not begun then is answered at once: waiting on can't help it.
   if (a.not_after > 0)
-    p->legs.back().limit = loop_.at(std::max(now, a.not_after), [this, key] {
-      TakeBack(key.pull, [&](const Leg& one) { return &one == LegOut(key); });
+    p->attempts.back().limit = loop_.at(std::max(now, a.not_after), [this, key] {
+      TakeBack(key.request, [&](const Attempt& one) { return &one == AttemptOut(key); });
     });
   std::uint64_t via = caches_->Send(key, p->ask, how, avoid);
-  if (Leg* sent = LegOut(key))
+  if (Attempt* sent = AttemptOut(key))
     sent->via = via;
 }
 
-void Exchange::Act(const CancelLeg& a) {
-  LegKey key{a.pull, a.leg};
-  Leg* leg = LegOut(key);
-  if (!leg || FindRequest(a.pull)->streaming == a.leg)
+void Exchange::Act(const CancelAttempt& a) {
+  AttemptKey key{a.request, a.attempt};
+  Attempt* attempt = AttemptOut(key);
+  if (!attempt || FindRequest(a.request)->streaming == a.attempt)
     return;
-  caches_->GiveUp(key, FindRequest(a.pull)->ask, leg->cache);
-  EndLeg(key, Ending::kCancelled);
+  caches_->GiveUp(key, FindRequest(a.request)->ask, attempt->cache);
+  EndAttempt(key, Ending::kCancelled);
 }
 
-void Exchange::Act(const DeclinePull& a) {
-  Pull* p = FindRequest(a.pull);
-  if (!p || !p->asker || p->streaming >= 0)
+void Exchange::Act(const DeclineRequest& a) {
+  Request* p = FindRequest(a.request);
+  if (!p || !p->response_sink || p->streaming >= 0)
     return;
   ++counters.declined;
-  Close(a.pull)->Declined(a.retry_after);
+  Close(a.request)->Declined(a.retry_after);
 }
 
-void Exchange::Act(const AbandonPull& a) {
-  Pull* p = FindRequest(a.pull);
-  if (!p || !p->asker || p->streaming >= 0)
+void Exchange::Act(const AbandonRequest& a) {
+  Request* p = FindRequest(a.request);
+  if (!p || !p->response_sink || p->streaming >= 0)
     return;
   ++counters.abandoned;
-  Close(a.pull)->Abandoned();
+  Close(a.request)->Abandoned();
 }
 
 void Exchange::Act(const WakeMe& a) {
@@ -196,182 +196,188 @@
 
 // ---- pulls
 
-Exchange::Pull* Exchange::FindRequest(std::uint32_t pull) {
-  auto at = pulls_.find(pull);
-  return at == pulls_.end() ? nullptr : &at->second;
+Exchange::Request* Exchange::FindRequest(std::uint32_t request) {
+  auto at = requests_.find(request);
+  return at == requests_.end() ? nullptr : &at->second;
 }
 
 bool Exchange::IsOpen(std::string_view id) const {
-  return std::any_of(pulls_.begin(), pulls_.end(),
-                     [&](auto& one) { return one.second.asker && one.second.ask.id == id; });
+  return std::any_of(requests_.begin(), requests_.end(), [&](auto& one) {
+    return one.second.response_sink && one.second.ask.id == id;
+  });
 }
 
-std::uint32_t Exchange::OnRequest(Ask ask, Asker& asker) {
+std::uint32_t Exchange::OnRequest(Ask ask, ResponseSink& response_sink) {
   // None lasts longer than its offering's expiry; what a client says beyond it would only be held
   // as long.
-  ask.ttl = std::min(ask.ttl, offerings_[static_cast<std::size_t>(ask.offering_at)].expiry);
+  ask.ttl =
+      std::min(ask.ttl, request_classes_[static_cast<std::size_t>(ask.request_class_at)].expiry);
   do
-    ++last_pull_;
-  while (pulls_.count(last_pull_));
-  std::uint32_t number = last_pull_;
-  PullCame e;
-  e.pull = number;
-  e.offering = ask.offering_at;
+    ++last_request_;
+  while (requests_.count(last_request_));
+  std::uint32_t number = last_request_;
+  RequestCame e;
+  e.request = number;
+  e.request_class = ask.request_class_at;
   e.object = Hashed(ask.object);
   e.part = ask.part_number;
   e.group = ask.group;
   e.ttl = ask.ttl;
   e.size_kb = ask.size_kb;
-  Pull& p = pulls_[number];
+  Request& p = requests_[number];
   p.expires_at = loop_.now() + ask.ttl;
   p.ask = std::move(ask);
-  p.asker = &asker;
-  ++counters.pulls;
+  p.response_sink = &response_sink;
+  ++counters.requests;
   Tell(e);
   return number;
 }
 
-void Exchange::OnClientLeft(std::uint32_t pull) {
-  Pull* p = FindRequest(pull);
-  if (!p || !p->asker)
+void Exchange::OnClientLeft(std::uint32_t request) {
+  Request* p = FindRequest(request);
+  if (!p || !p->response_sink)
     return;
   ++counters.left;
-  Close(pull);
+  Close(request);
   // A leg that the client was being sent is its own, and goes with it.
-  if (int leg = std::exchange(p->streaming, -1); leg >= 0)
-    Act(CancelLeg{pull, leg});
-  Tell(ClientLeft{pull});
+  if (int attempt = std::exchange(p->streaming, -1); attempt >= 0)
+    Act(CancelAttempt{request, attempt});
+  Tell(ClientLeft{request});
 }
 
 // ---- legs
 
-Exchange::Leg* Exchange::LegOut(LegKey key) {
-  Pull* p = FindRequest(key.pull);
-  if (!p || key.leg < 0 || key.leg >= static_cast<int>(p->legs.size()))
+Exchange::Attempt* Exchange::AttemptOut(AttemptKey key) {
+  Request* p = FindRequest(key.request);
+  if (!p || key.attempt < 0 || key.attempt >= static_cast<int>(p->attempts.size()))
     return nullptr;
-  Leg& leg = p->legs[static_cast<std::size_t>(key.leg)];
-  return leg.out ? &leg : nullptr;
+  Attempt& attempt = p->attempts[static_cast<std::size_t>(key.attempt)];
+  return attempt.out ? &attempt : nullptr;
 }
 
 void Exchange::count(Ending ending) {
-  Counters::Count* counts[] = {&counters.legs_finished, &counters.errors,    &counters.full,
-                               &counters.timed_out,     &counters.never_ran, &counters.broken,
-                               &counters.cancelled,     &counters.moot,      &counters.misses};
+  Counters::Count* counts[] = {&counters.attempts_finished, &counters.errors,     &counters.full,
+                               &counters.timed_out,         &counters.never_ran,  &counters.broken,
+                               &counters.cancelled,         &counters.superseded, &counters.misses};
   ++*counts[static_cast<int>(ending)];
 }
 
-void Exchange::EndLeg(LegKey key, Ending ending, const Word& word, int fell_with, bool ours) {
-  Pull* p = FindRequest(key.pull);
-  Leg& leg = p->legs[static_cast<std::size_t>(key.leg)];
-  leg.out = false;
-  leg.bytes = {};
-  loop_.Cancel(leg.timer);
-  loop_.Cancel(leg.limit);
+void Exchange::EndAttempt(AttemptKey key, Ending ending, const Word& word, int fell_with,
+                          bool ours) {
+  Request* p = FindRequest(key.request);
+  Attempt& attempt = p->attempts[static_cast<std::size_t>(key.attempt)];
+  attempt.out = false;
+  attempt.bytes = {};
+  loop_.Cancel(attempt.timer);
+  loop_.Cancel(attempt.limit);
   count(ending);
-  LegEnded e;
-  e.pull = key.pull;
-  e.cache = leg.cache;
-  e.leg = key.leg;
+  AttemptEnded e;
+  e.request = key.request;
+  e.cache = attempt.cache;
+  e.attempt = key.attempt;
   e.ending = ending;
-  e.took = loop_.now() - leg.sent_at;
-  e.final = !p->asker;
+  e.took = loop_.now() - attempt.sent_at;
+  e.final = !p->response_sink;
   e.remark = word.remark;
   e.waited = word.waited;
   e.fell_with = fell_with;
   e.ours = ours;
   e.report = word.report;
-  if (!p->asker)
-    ended_.push_back(key.pull);
+  if (!p->response_sink)
+    ended_.push_back(key.request);
   Tell(std::move(e));
 }
 
-void Exchange::AnswerBegun(LegKey key, const Word& word, std::size_t length) {
-  Leg* leg = LegOut(key);
-  if (!leg)
+void Exchange::AnswerBegun(AttemptKey key, const Word& word, std::size_t length) {
+  Attempt* attempt = AttemptOut(key);
+  if (!attempt)
     return;
-  leg->bytes.reserve(length);
-  Pull& p = *FindRequest(key.pull);
-  if (!offerings_[static_cast<std::size_t>(p.ask.offering_at)].streams || !p.asker ||
-      p.streaming >= 0 || word.ending != Ending::kFinished || word.unchanged || word.tag.empty() ||
-      !word.dated)
+  attempt->bytes.reserve(length);
+  Request& p = *FindRequest(key.request);
+  if (!request_classes_[static_cast<std::size_t>(p.ask.request_class_at)].streams ||
+      !p.response_sink || p.streaming >= 0 || word.ending != Ending::kFinished || word.unchanged ||
+      word.tag.empty() || !word.dated)
     return;
-  p.streaming = key.leg;
-  p.asker->Begun(word.tag, length);
-  Tell(LegStarted{key.pull, leg->cache, key.leg});
+  p.streaming = key.attempt;
+  p.response_sink->Begun(word.tag, length);
+  Tell(AttemptStarted{key.request, attempt->cache, key.attempt});
 }
 
-void Exchange::AnswerBytes(LegKey key, std::string_view bytes) {
-  Leg* leg = LegOut(key);
-  if (!leg)
+void Exchange::AnswerBytes(AttemptKey key, std::string_view bytes) {
+  Attempt* attempt = AttemptOut(key);
+  if (!attempt)
     return;
-  Pull& p = *FindRequest(key.pull);
-  if (p.streaming != key.leg)
-    leg->bytes.append(bytes);
-  else if (p.asker)
-    p.asker->More(bytes);
+  Request& p = *FindRequest(key.request);
+  if (p.streaming != key.attempt)
+    attempt->bytes.append(bytes);
+  else if (p.response_sink)
+    p.response_sink->More(bytes);
 }
 
-void Exchange::AnswerWhole(LegKey key, const Word& word) {
-  Leg* leg = LegOut(key);
-  if (!leg)
+void Exchange::AnswerWhole(AttemptKey key, const Word& word) {
+  Attempt* attempt = AttemptOut(key);
+  if (!attempt)
     return;
-  Pull& p = *FindRequest(key.pull);
+  Request& p = *FindRequest(key.request);
   // Not what the protocol promises: a client's copy confirmed where it told of none; a kept object
   // without its tag or age, which may be any bytes of any age.
-  bool kept = !offerings_[static_cast<std::size_t>(p.ask.offering_at)].never_kept;
+  bool kept = !request_classes_[static_cast<std::size_t>(p.ask.request_class_at)].never_kept;
   bool lacks = kept && (word.tag.empty() || !word.dated);
   if (word.ending == Ending::kFinished && p.streaming < 0 &&
       (lacks || (word.unchanged && p.ask.tag.empty())))
-    return EndLeg(key, Ending::kError);
-  if (word.ending == Ending::kFinished && p.asker && (p.streaming < 0 || p.streaming == key.leg)) {
-    Asker* asker = Close(key.pull);
+    return EndAttempt(key, Ending::kError);
+  if (word.ending == Ending::kFinished && p.response_sink &&
+      (p.streaming < 0 || p.streaming == key.attempt)) {
+    ResponseSink* response_sink = Close(key.request);
     ++(word.unchanged ? counters.unchanged : counters.finished);
     if (word.unchanged)
-      asker->Unchanged(word.tag);
+      response_sink->Unchanged(word.tag);
     else if (p.streaming < 0)
-      asker->Finished(word.tag, std::move(leg->bytes));
+      response_sink->Finished(word.tag, std::move(attempt->bytes));
     else
-      asker->Completed();
+      response_sink->Completed();
   }
-  EndLeg(key, word.ending, word);
+  EndAttempt(key, word.ending, word);
 }
 
-void Exchange::LegLost(LegKey key, Parting how, bool written_whole, int fell_with) {
-  if (!LegOut(key))
+void Exchange::AttemptLost(AttemptKey key, DisconnectReason how, bool written_whole,
+                           int fell_with) {
+  if (!AttemptOut(key))
     return;
-  Pull& p = *FindRequest(key.pull);
-  if (p.streaming == key.leg && p.asker) {
+  Request& p = *FindRequest(key.request);
+  if (p.streaming == key.attempt && p.response_sink) {
     ++counters.broken_midway;
-    Close(key.pull)->BrokeOff();
+    Close(key.request)->BrokeOff();
   }
-  EndLeg(key, EndingOf(how, written_whole), {}, fell_with, how == Parting::kNoDescriptor);
+  EndAttempt(key, EndingOf(how, written_whole), {}, fell_with,
+             how == DisconnectReason::kNoDescriptor);
 }
 
-Ms Exchange::TimeLeft(LegKey key) {
-  const Pull* p = FindRequest(key.pull);
+Ms Exchange::TimeLeft(AttemptKey key) {
+  const Request* p = FindRequest(key.request);
   if (!p)
     return std::numeric_limits<Ms>::infinity();
-  const Leg* leg = LegOut(key);
-  if (!leg || !p->asker || p->streaming >= 0)
+  const Attempt* attempt = AttemptOut(key);
+  if (!attempt || !p->response_sink || p->streaming >= 0)
     return 0;
   Ms now = loop_.now();
-  if (leg->not_after > 0 && now >= leg->not_after)
+  if (attempt->not_after > 0 && now >= attempt->not_after)
     return 0;
-  return std::max(0.0, leg->deadline - now);
+  return std::max(0.0, attempt->deadline - now);
 }
 
-void Exchange::Lapsed(LegKey key) {
-  Leg* leg = LegOut(key);
-  if (!leg)
+void Exchange::Lapsed(AttemptKey key) {
+  Attempt* attempt = AttemptOut(key);
+  if (!attempt)
     return;
-  leg->via = 0;  // nothing was asked there, so no answer comes there
-  leg->sent_at = loop_.now();
-  EndLeg(key, Ending::kMoot, {}, 0, true);
+  attempt->via = 0;  // nothing was asked there, so no answer comes there
+  attempt->sent_at = loop_.now();
+  EndAttempt(key, Ending::kSuperseded, {}, 0, true);
 }
 
-void Exchange::Moved(LegKey key, std::uint64_t via) {
-  if (Leg* leg = LegOut(key))
-    leg->via = via;
+void Exchange::Moved(AttemptKey key, std::uint64_t via) {
+  if (Attempt* attempt = AttemptOut(key))
+    attempt->via = via;
 }
 
 void Exchange::OnProbeEnded(std::uint32_t cache, bool answered, Ms took,
@@ -453,37 +459,40 @@
   };
   Tell(std::move(news));
   if (!closed.empty())
-    TakeBackAll([&](const Pull&, const Leg& leg) { return shut(leg.cache) || shut(leg.source); });
+    TakeBackAll([&](const Request&, const Attempt& attempt) {
+      return shut(attempt.cache) || shut(attempt.source);
+    });
 }
 
 // An attempt that waits here names an age worked out before the purge: it is decided anew.
-void Exchange::TakeBackPurged(std::string_view object, int group, int offering) {
-  TakeBackAll([&](const Pull& p, const Leg&) {
-    return offering >= 0    ? p.ask.offering_at == offering
-           : object.empty() ? p.ask.group == group
-                            : p.ask.object == object;
+void Exchange::TakeBackPurged(std::string_view object, int group, int request_class) {
+  TakeBackAll([&](const Request& p, const Attempt&) {
+    return request_class >= 0 ? p.ask.request_class_at == request_class
+           : object.empty()   ? p.ask.group == group
+                              : p.ask.object == object;
   });
 }
 
-void Exchange::RecallCame(std::string_view object, int group, int offering, bool lifted, Ms ago) {
+void Exchange::RecallCame(std::string_view object, int group, int request_class, bool lifted,
+                          Ms ago) {
   ++counters.purges;
   Purged p;
-  p.whole_group = object.empty() && offering < 0;
+  p.whole_group = object.empty() && request_class < 0;
   p.object = object.empty() ? 0 : Hashed(object);
   p.group = group;
   p.ago = ago;
   p.standing = true;
   p.lifted = lifted;
-  p.offering = offering;
+  p.request_class = request_class;
   Tell(p);
   if (!lifted)
-    TakeBackPurged(object, group, offering);
+    TakeBackPurged(object, group, request_class);
 }
 
 void Exchange::LimitAge(Ms than) {
   Tell(NoOlder{than});
   if (than > 0)
-    TakeBackAll([](const Pull&, const Leg&) { return true; });
+    TakeBackAll([](const Request&, const Attempt&) { return true; });
 }
 
 void Exchange::PurgeCame(bool whole_group, std::string_view object, int group, WallTime at,
--- a/src/exchange/exchange.hpp
+++ b/src/exchange/exchange.hpp
@@ -21,13 +21,13 @@
 // A pull as its client worded it. Id, names, tag and body go on as they are.
 struct Ask {
   std::string id;
-  std::string offering;
+  std::string request_class;
   std::string object;
   std::string part;
   std::string tag;
   std::string body;
   std::string key;  // by which repeats are known, where its client names one
-  int offering_at = 0;
+  int request_class_at = 0;
   int part_number = 0;
   int group = 0;
   Ms ttl = 0;
@@ -35,7 +35,7 @@
 };
 
 // The client side's end of a pull: it is told one final answer at most.
-class Asker {
+class ResponseSink {
  public:
   virtual void Finished(const std::string& tag, std::string body) = 0;
   virtual void Unchanged(const std::string& tag) = 0;
@@ -49,12 +49,12 @@
   virtual void BrokeOff() = 0;
 
  protected:
-  ~Asker() = default;
+  ~ResponseSink() = default;
 };
 
-struct LegKey {
-  std::uint32_t pull = 0;
-  int leg = 0;
+struct AttemptKey {
+  std::uint32_t request = 0;
+  int attempt = 0;
 };
 
 // What a cache said to a leg, without the bytes.
@@ -74,12 +74,12 @@
  public:
   // Returns the connection's number, 0 if it has none. `avoid`: connections on which an earlier
   // answer to this pull may still come.
-  virtual std::uint64_t Send(LegKey key, const Ask& ask, const SendLeg& how,
+  virtual std::uint64_t Send(AttemptKey key, const Ask& ask, const SendAttempt& how,
                              const std::vector<std::uint64_t>& avoid) = 0;
-  virtual void GiveUp(LegKey key, const Ask& ask, std::uint32_t cache) = 0;
+  virtual void GiveUp(AttemptKey key, const Ask& ask, std::uint32_t cache) = 0;
   // Takes back an attempt of which not a byte has left this process. False: it may have left, and
   // stays.
-  virtual bool TakeBack(LegKey key, const Ask& ask, std::uint32_t cache) = 0;
+  virtual bool TakeBack(AttemptKey key, const Ask& ask, std::uint32_t cache) = 0;
   virtual void Probe(std::uint32_t cache) = 0;
   virtual void list(const ListEntry& entry, const std::string& id, const loop::Address& at) = 0;
   virtual void Forget(std::uint32_t cache) = 0;  // it left long ago
@@ -95,16 +95,16 @@
 };
 
 // What a leg's connection's end means to the decisions: this is the one place that says so.
-Ending EndingOf(loop::Parting how, bool written_whole);
+Ending EndingOf(loop::DisconnectReason how, bool written_whole);
 
 // What decides: the module, or what a test puts around it.
 using Decider = std::function<std::vector<Action>(Ms now, const Event& event)>;
-Decider ModuleFor(const StoreSheet& sheet, std::uint64_t seed);
+Decider ModuleFor(const StoreSettings& settings, std::uint64_t seed);
 
 class Exchange {
  public:
-  Exchange(loop::Loop& loop, const StoreSheet& sheet, Decider decides);
-  Exchange(loop::Loop& loop, const StoreSheet& sheet, std::uint64_t seed);
+  Exchange(loop::Loop& loop, const StoreSettings& settings, Decider decides);
+  Exchange(loop::Loop& loop, const StoreSettings& settings, std::uint64_t seed);
   void Meet(CacheSide& caches) {
     caches_ = &caches;
   }
@@ -112,29 +112,30 @@
   bool Ready() const {
     return listed_;
   }
-  std::size_t OpenPulls() const {
-    return pulls_.size();
+  std::size_t OpenRequests() const {
+    return requests_.size();
   }
 
   // from the clients' side
-  std::uint32_t OnRequest(Ask ask, Asker& asker);  // the answer may come from within
-  void OnClientLeft(std::uint32_t pull);
+  std::uint32_t OnRequest(Ask ask, ResponseSink& response_sink);  // the answer may come from within
+  void OnClientLeft(std::uint32_t request);
   bool IsOpen(std::string_view id) const;  // a pull of that id is owed its answer
 
   // from the caches' side
-  void AnswerBegun(LegKey key, const Word& word, std::size_t length);
-  void AnswerBytes(LegKey key, std::string_view bytes);
-  void AnswerWhole(LegKey key, const Word& word);
+  void AnswerBegun(AttemptKey key, const Word& word, std::size_t length);
+  void AnswerBytes(AttemptKey key, std::string_view bytes);
+  void AnswerWhole(AttemptKey key, const Word& word);
   // `fellWith`: legs told before it that fell with the same connection.
-  void LegLost(LegKey key, loop::Parting how, bool written_whole, int fell_with = 0);
+  void AttemptLost(AttemptKey key, loop::DisconnectReason how, bool written_whole,
+                   int fell_with = 0);
   void OnProbeEnded(std::uint32_t cache, bool answered, Ms took, std::vector<float> report);
   /// The one check of every attempt, asked in the moment before its first byte is written: the time
   /// left until the attempt's timeout or its client's deadline, whichever comes first. 0: it must
   /// not be begun, since its client has left or has an answer, the time is up, or a repeat would no
   /// longer be known as one. Infinite for a request not of this exchange.
-  Ms TimeLeft(LegKey key);
-  void Lapsed(LegKey key);  // it was not begun: nothing of it has left
-  void Moved(LegKey key,
+  Ms TimeLeft(AttemptKey key);
+  void Lapsed(AttemptKey key);  // it was not begun: nothing of it has left
+  void Moved(AttemptKey key,
              std::uint64_t via);  // it waited on a connection that ended, and waits on another
 
   // from the notice board
@@ -150,21 +151,21 @@
     Tell(ZoneShares{std::move(by_zone)});
   }
   // from the fleet's record and its recovery
-  void RecallCame(std::string_view object, int group, int offering, bool lifted, Ms ago);
+  void RecallCame(std::string_view object, int group, int request_class, bool lifted, Ms ago);
   void LimitAge(Ms than);
   // The rules are another sheet's from now on: new pulls go by its offerings, and what decides is
   // called at once. Which of them are never kept, or stream, holds for the life of a process: a
   // pull under way must not be another kind of pull.
-  void Turned(const StoreSheet& sheet) {
-    offerings_ = sheet.offerings;
+  void Turned(const StoreSettings& settings) {
+    request_classes_ = settings.request_classes;
     Tell(PeerSaid{});
   }
-  void Admit(std::vector<double> by_offering, Ms come_back) {
-    Tell(LetIn{std::move(by_offering), come_back});
+  void Admit(std::vector<double> by_request_class, Ms come_back) {
+    Tell(LetIn{std::move(by_request_class), come_back});
   }
 
  private:
-  struct Leg {
+  struct Attempt {
     std::uint32_t cache = 0;
     std::uint64_t via = 0;
     std::uint32_t source = 0;
@@ -176,40 +177,41 @@
     std::uint64_t limit = 0;  // of its patience; of notAfter
     std::string bytes;
   };
-  struct Pull {
+  struct Request {
     Ask ask;
-    Asker* asker = nullptr;  // null once it has its final answer, or the client has left
+    ResponseSink* response_sink =
+        nullptr;  // null once it has its final answer, or the client has left
     Ms expires_at = 0;
     int streaming = -1;  // the leg that the client is being sent
-    std::vector<Leg> legs;
+    std::vector<Attempt> attempts;
   };
 
-  static bool IsOut(const Leg& leg) {
-    return leg.out;
+  static bool IsOut(const Attempt& attempt) {
+    return attempt.out;
   }
   void Tell(Event event);
-  Asker* Close(std::uint32_t pull);  // no answer is owed from here on
-  void Act(const SendLeg& a);
-  void Act(const CancelLeg& a);
-  void Act(const DeclinePull& a);
-  void Act(const AbandonPull& a);
+  ResponseSink* Close(std::uint32_t request);  // no answer is owed from here on
+  void Act(const SendAttempt& a);
+  void Act(const CancelAttempt& a);
+  void Act(const DeclineRequest& a);
+  void Act(const AbandonRequest& a);
   void Act(const WakeMe& a);
   void Act(const ProbeCache& a);
   void Act(const FollowList&) {}  // the notice board is always followed
   void Act(const WriteLine& a);
   void Act(const TellHealth&) {}  // heard where the module is wrapped (src/front/front.cpp)
-  Pull* FindRequest(std::uint32_t pull);
-  Leg* LegOut(LegKey key);
-  void EndLeg(LegKey key, Ending ending, const Word& word = {}, int fell_with = 0,
-              bool ours = false);
+  Request* FindRequest(std::uint32_t request);
+  Attempt* AttemptOut(AttemptKey key);
+  void EndAttempt(AttemptKey key, Ending ending, const Word& word = {}, int fell_with = 0,
+                  bool ours = false);
   // Ends those attempts of a request that still wait here; `which` says of each whether it is
   // meant.
   template <class Which>
-  void TakeBack(std::uint32_t pull, Which which);
+  void TakeBack(std::uint32_t request, Which which);
   template <class Which>
   void TakeBackAll(Which which);
-  void TakeBackPurged(std::string_view object, int group, int offering);
-  void Settle(std::uint32_t pull);
+  void TakeBackPurged(std::string_view object, int group, int request_class);
+  void Settle(std::uint32_t request);
   void count(Ending ending);
   struct Known {
     std::uint32_t number = 0;
@@ -222,15 +224,15 @@
 
   loop::Loop& loop_;
   Decider decides_;
-  std::vector<Offering> offerings_;
+  std::vector<RequestClass> request_classes_;
   CacheSide* caches_ = nullptr;
   bool listed_ = false;
   bool telling_ = false;
-  std::uint32_t last_pull_ = 0;
+  std::uint32_t last_request_ = 0;
   std::deque<Event> untold_;          // emptied before the outermost call returns
   std::vector<std::uint32_t> ended_;  // the same: pulls that may now be forgotten
-  std::map<std::uint32_t, Pull>
-      pulls_;  // emptied when a pull has its answer and its last leg is in
+  std::map<std::uint32_t, Request>
+      requests_;  // emptied when a pull has its answer and its last leg is in
   std::map<std::string, Known>
       numbers_;  // machines, by id; emptied by news, some time after they have gone
   std::unordered_set<std::uint32_t> taken_;  // the numbers in `numbers_`, emptied with it
--- a/src/failover/health.hpp
+++ b/src/failover/health.hpp
@@ -27,24 +27,24 @@
       else
         caches_[e.cache] = e.weight > 0 ? e.weight : 1;
     }
-    told_ = told_ || !caches_.empty();
+    notified_ = notified_ || !caches_.empty();
   }
-  void Take(const TellHealth& told) {
+  void Take(const TellHealth& notified) {
     constexpr std::size_t kMost = 1024;
-    if (!told.aside)
-      return void(aside_.erase(told.cache));
-    if (aside_.size() >= kMost)
-      std::erase_if(aside_, [&](std::uint32_t id) { return !caches_.count(id); });
-    aside_.insert(told.cache);
+    if (!notified.ejected)
+      return void(ejected_.erase(notified.cache));
+    if (ejected_.size() >= kMost)
+      std::erase_if(ejected_, [&](std::uint32_t id) { return !caches_.count(id); });
+    ejected_.insert(notified.cache);
   }
   // 0 to 1; below 0 before the first cache of the zone was listed: no opinion.
   double Share() const {
-    if (!told_)
+    if (!notified_)
       return -1;
     double all = 0, up = 0;
     for (const auto& [id, weight] : caches_) {
       all += weight;
-      up += aside_.count(id) ? 0 : weight;
+      up += ejected_.count(id) ? 0 : weight;
     }
     return all > 0 ? up / all : 0;
   }
@@ -53,11 +53,11 @@
   int zone_;
   int parent_kind_;
   int origin_kind_;
-  bool told_ = false;
+  bool notified_ = false;
   std::map<std::uint32_t, double> caches_;  // weights
   // The module's words outlive the list's: a cache that drains and is ready again is still aside.
   // Emptied by the module's word that it is back, and past the bound of those that are not listed.
-  std::set<std::uint32_t> aside_;
+  std::set<std::uint32_t> ejected_;
 };
 
 }  // namespace dunlinwick::failover
--- a/src/front/active.cpp
+++ b/src/front/active.cpp
@@ -8,12 +8,12 @@
 // changes a struct is sent here by its size (x86-64, libstdc++), adds the field below, then counts
 // anew. tests/drift_test.cpp changes each field in turn.
 #if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
-static_assert(sizeof(Offering) == 72, "Offering changed: tell its new field below (10 fields)");
+static_assert(sizeof(RequestClass) == 72, "Offering changed: tell its new field below (10 fields)");
 static_assert(sizeof(Permits) == 5, "Permits changed: tell its new field below (5 fields)");
 static_assert(sizeof(ColdTerms) == 24, "ColdTerms changed: tell its new field below (3 fields)");
-static_assert(sizeof(StoreSheet) == 176,
+static_assert(sizeof(StoreSettings) == 176,
               "StoreSheet changed: tell its new field below (21 fields)");
-static_assert(sizeof(sheet::RoadTerms) == 120,
+static_assert(sizeof(settings::RoadTerms) == 120,
               "RoadTerms changed: tell its new field below (8 fields)");
 static_assert(sizeof(owner::Terms) == 32 && sizeof(owner::GroupTerms) == 24,
               "owner terms changed: tell the new field below");
@@ -34,9 +34,9 @@
   return std::to_string(v);
 }
 std::string Text(Effect v) {
-  return v == Effect::kRerunnable ? "rerunnable"
-         : v == Effect::kTicketed ? "ticketed"
-                                  : "exclusive";
+  return v == Effect::kIdempotent          ? "rerunnable"
+         : v == Effect::kIdempotentWithKey ? "ticketed"
+                                           : "exclusive";
 }
 std::string Text(Span v) {
   return v == Span::kEverywhere ? "everywhere" : v == Span::kZone ? "zone" : "cell";
@@ -72,7 +72,7 @@
   return std::to_string(value.size()) + " bytes, digest " + std::to_string(Digest(whole));
 }
 
-Section Offering(const Offering& o) {
+Section RequestClass(const RequestClass& o) {
   return {{"effect", Text(o.effect)},
           {"span", Text(o.span)},
           {"memory", Text(o.memory)},
@@ -93,62 +93,65 @@
 
 }  // namespace
 
-Form ActiveForm(const StoreSheet& sheet, const sheet::RoadTerms& road,
+Form ActiveForm(const StoreSettings& settings, const settings::RoadTerms& road,
                 const front::FleetTerms& fleet, const front::OwnerTerms& owner,
                 const std::string& build) {
   Form form;
   form["build"] = {{"version", build}};
 
-  Section& offerings = form["offerings"];
-  bool wide = sheet.offerings.size() > 25;  // 10 fields each
-  offerings["count"] = Text(sheet.offerings.size());
+  Section& request_classes = form["offerings"];
+  bool wide = settings.request_classes.size() > 25;  // 10 fields each
+  request_classes["count"] = Text(settings.request_classes.size());
   std::string rest;
-  for (std::size_t i = 0; i < sheet.offerings.size(); ++i) {
-    Section row = Offering(sheet.offerings[i]);
+  for (std::size_t i = 0; i < settings.request_classes.size(); ++i) {
+    Section row = RequestClass(settings.request_classes[i]);
     std::string at = std::to_string(i);
     if (!wide) {
       for (auto& [name, value] : row)
-        offerings[std::string(at).append(".").append(name)] = value;
+        request_classes[std::string(at).append(".").append(name)] = value;
     } else if (i < 250) {
-      offerings[std::string(at).append(".row")] = Canonical(row);
+      request_classes[std::string(at).append(".row")] = Canonical(row);
     } else {
       rest += Canonical(row) + ";";
     }
   }
   if (!rest.empty())
-    offerings["rest.row"] = Bounded(rest);
+    request_classes["rest.row"] = Bounded(rest);
 
-  form["sheet"] = {{"zone", Text(sheet.zone)},
-                   {"fronts", Text(sheet.fronts)},
-                   {"crew", Text(sheet.crew)},
-                   {"parent_kind", Text(sheet.parent_kind)},
-                   {"origin_kind", Text(sheet.origin_kind)},
-                   {"asks_for_list", Text(sheet.asks_for_list)},
-                   {"weighing", Text(sheet.weighing)},
-                   {"longest_retry_after", Text(sheet.longest_retry_after)},
-                   {"most_legs", Text(sheet.most_legs)},
-                   {"places", Text(sheet.places)},
-                   {"lateral", Text(sheet.lateral)},
-                   {"stream_kb_per_ms", Text(sheet.stream_kb_per_ms)},
-                   {"link_kb_per_ms", Text(sheet.link_kb_per_ms)},
-                   {"link_report", Text(sheet.link_report)},
-                   {"remarks", Text(sheet.remarks)},
-                   {"purge_done", Text(sheet.purge_done)}};
-  form["permits"] = {{"probe", Text(sheet.may.probe)},
-                     {"cancel", Text(sheet.may.cancel)},
-                     {"two_legs_at_once", Text(sheet.may.two_legs_at_once)},
-                     {"join", Text(sheet.may.join)},
-                     {"direct", Text(sheet.may.direct)}};
+  form["sheet"] = {{"zone", Text(settings.zone)},
+                   {"fronts", Text(settings.fronts)},
+                   {"crew", Text(settings.zone_replicas)},
+                   {"parent_kind", Text(settings.parent_kind)},
+                   {"origin_kind", Text(settings.origin_kind)},
+                   {"asks_for_list", Text(settings.asks_for_list)},
+                   {"weighing", Text(settings.weighing)},
+                   {"longest_retry_after", Text(settings.longest_retry_after)},
+                   {"most_legs", Text(settings.most_attempts)},
+                   {"places", Text(settings.places)},
+                   {"lateral", Text(settings.lateral)},
+                   {"stream_kb_per_ms", Text(settings.stream_kb_per_ms)},
+                   {"link_kb_per_ms", Text(settings.link_kb_per_ms)},
+                   {"link_report", Text(settings.link_report)},
+                   {"remarks", Text(settings.remarks)},
+                   {"purge_done", Text(settings.purge_done)}};
+  form["permits"] = {{"probe", Text(settings.may.probe)},
+                     {"cancel", Text(settings.may.cancel)},
+                     {"two_legs_at_once", Text(settings.may.two_attempts_at_once)},
+                     {"join", Text(settings.may.join)},
+                     {"direct", Text(settings.may.direct)}};
   Section& c = form["cold"];
-  Cold(c, "store", sheet.cold_store);
-  Cold(c, "parent", sheet.cold_parent);
-  c["window"] = Text(sheet.cold_window);
+  Cold(c, "store", settings.cold_store);
+  Cold(c, "parent", settings.cold_parent);
+  c["window"] = Text(settings.cold_window);
 
-  form["road"] = {
-      {"offerings", Bounded(List(road.offerings))},  {"zones", Bounded(List(road.zones))},
-      {"kinds", Bounded(List(road.kinds))},          {"reported", Bounded(List(road.reported))},
-      {"connect_within", Text(road.connect_within)}, {"idle_for", Text(road.idle_for)},
-      {"legs_at_once", Text(road.legs_at_once)},     {"may_probe", Text(road.may_probe)}};
+  form["road"] = {{"offerings", Bounded(List(road.request_classes))},
+                  {"zones", Bounded(List(road.zones))},
+                  {"kinds", Bounded(List(road.kinds))},
+                  {"reported", Bounded(List(road.reported))},
+                  {"connect_within", Text(road.connect_within)},
+                  {"idle_for", Text(road.idle_for)},
+                  {"legs_at_once", Text(road.attempts_at_once)},
+                  {"may_probe", Text(road.may_probe)}};
 
   if (fleet.on) {
     std::string members;
--- a/src/front/active.hpp
+++ b/src/front/active.hpp
@@ -12,7 +12,7 @@
 namespace dunlinwick::drift {
 
 // Sections: build, sheet, offerings, permits, cold, road, fleet, owner.
-Form ActiveForm(const StoreSheet& sheet, const sheet::RoadTerms& road,
+Form ActiveForm(const StoreSettings& settings, const settings::RoadTerms& road,
                 const front::FleetTerms& fleet, const front::OwnerTerms& owner,
                 const std::string& build);
 
--- a/src/front/charter.cpp
+++ b/src/front/charter.cpp
@@ -278,24 +278,24 @@
   return t;
 }
 
-Charter ReadCharter(const std::string& path, const std::string& listen) {
+Configuration ReadConfiguration(const std::string& path, const std::string& listen) {
   std::ifstream file(path, std::ios::binary);
   std::stringstream text;
   if (!file || !(text << file.rdbuf()))
     throw std::runtime_error("configuration cannot be read: " + path);
-  return ReadCharterText(text.str(), path, listen);
+  return ReadConfigurationText(text.str(), path, listen);
 }
 
-Charter ReadCharterText(const std::string& text, const std::string& named,
-                        const std::string& listen) {
+Configuration ReadConfigurationText(const std::string& text, const std::string& named,
+                                    const std::string& listen) {
   auto all = json::Read(text);
   if (!all || all->kind != Kind::kObject)
     throw std::runtime_error("configuration is no JSON object: " + named);
-  Charter c;
+  Configuration c;
   c.name = all->word("name");
   c.listen = Address(listen.empty() ? Need(*all, "listen", Kind::kString).text : listen, "listen");
-  c.board_text = Need(*all, "board", Kind::kString).text;
-  c.board = Address(c.board_text, "board");
+  c.discovery_text = Need(*all, "board", Kind::kString).text;
+  c.discovery = Address(c.discovery_text, "board");
   const std::string& seed = Need(*all, "seed", Kind::kString).text;
   auto [end, fault] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
   if (fault != std::errc{} || end != seed.data() + seed.size())
@@ -307,12 +307,12 @@
     throw std::runtime_error("limits are too small to serve: 32 MB and 64 sockets are the least");
   c.descriptors = static_cast<std::size_t>(sockets);
   c.known = Need(*all, "known", Kind::kObject);
-  std::string settings = sheet::Dotted(Need(*all, "settings", Kind::kObject));
-  c.sheet = sheet::ReadSheet(settings);
-  c.terms = sheet::ReadRoadTerms(settings);
+  std::string settings = settings::Dotted(Need(*all, "settings", Kind::kObject));
+  c.settings = settings::ReadSettings(settings);
+  c.terms = settings::ReadRoadTerms(settings);
   // The protocol: clients hold at most a third of the descriptor limit, and one request on each.
   int third = static_cast<int>(c.descriptors / 3);
-  c.sheet.places = c.sheet.places > 0 ? std::min(c.sheet.places, third) : third;
+  c.settings.places = c.settings.places > 0 ? std::min(c.settings.places, third) : third;
   // A list of that name is the platform's own word for the fronts' addresses, and none of ours:
   // taken for the block, it kept every front of the bench from starting.
   if (const Value* peers = all->Find("peers"); peers && peers->kind != Kind::kList) {
@@ -323,7 +323,7 @@
   if (const Value* fleet = all->Find("fleet")) {
     if (fleet->kind != Kind::kObject)
       throw std::runtime_error("fleet: an object wanted");
-    c.fleet = ReadFleet(*fleet, c.peers, c.terms.zones, c.sheet.zone);
+    c.fleet = ReadFleet(*fleet, c.peers, c.terms.zones, c.settings.zone);
   }
   if (const Value* owner = all->Find("owner")) {
     if (owner->kind != Kind::kObject)
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -75,17 +75,17 @@
 
 constexpr std::size_t kLeastDescriptors = 64;  // with fewer there are none left for caches
 
-struct Charter {
+struct Configuration {
   std::string name;
-  std::string board_text;
+  std::string discovery_text;
   loop::Address listen{};
-  loop::Address board{};
+  loop::Address discovery{};
   std::uint64_t seed = 0;
   std::size_t descriptors = 0;  // at least `leastDescriptors`
   double memory_mb = 0;
   json::Value known;  // the notice board's events up to now
-  StoreSheet sheet;
-  sheet::RoadTerms terms;
+  StoreSettings settings;
+  settings::RoadTerms terms;
   PeersTerms peers;
   FleetTerms fleet;
   OwnerTerms owner;
@@ -98,13 +98,13 @@
 bool PartsBuilt();
 PeersTerms ReadPeers(const json::Value& block);  // throws, as below
 void ReadLayer(const json::Value& all,
-               Charter& into);  // blocks record, recovery, rules; throws, as below
+               Configuration& into);  // blocks record, recovery, rules; throws, as below
 
 // Throws std::runtime_error with one line that says what is wrong. `listen`: in place of the
 // file's, if given.
-Charter ReadCharter(const std::string& path, const std::string& listen);
+Configuration ReadConfiguration(const std::string& path, const std::string& listen);
 // The same of a text; `named` is what a fault calls it.
-Charter ReadCharterText(const std::string& text, const std::string& named,
-                        const std::string& listen);
+Configuration ReadConfigurationText(const std::string& text, const std::string& named,
+                                    const std::string& listen);
 
 }  // namespace dunlinwick::front
--- a/src/front/charter_layer.cpp
+++ b/src/front/charter_layer.cpp
@@ -149,7 +149,7 @@
   return t;
 }
 
-void ReadLayer(const Value& all, Charter& c) {
+void ReadLayer(const Value& all, Configuration& c) {
   const Value *record = all.Find("record"), *recovery = all.Find("recovery"),
               *rules = all.Find("rules");
   if (!record && !recovery && !rules)
--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -28,7 +28,7 @@
 }
 
 int Opened(loop::Loop& loop, const FleetTerms& t) {
-  int fd = loop.ground().OpenDatagrams(t.listen);
+  int fd = loop.environment().OpenDatagrams(t.listen);
   if (fd < 0)
     throw std::runtime_error("fleet.listen cannot be had: " + std::to_string(-fd));
   return fd;
@@ -43,7 +43,8 @@
     : loop_(loop),
       terms_(terms),
       peers_(peers),
-      socket_(peers ? loop::Descriptor() : loop::Descriptor(loop.ground(), Opened(loop, terms))),
+      socket_(peers ? loop::Descriptor()
+                    : loop::Descriptor(loop.environment(), Opened(loop, terms))),
       swim_(terms.self, Others(terms), static_cast<std::uint32_t>(loop.now() / 1000), terms.swim,
             seed, loop.now()),
       verdicts_(terms.self, Places(terms), terms.zone_region, terms.verdict),
@@ -103,15 +104,15 @@
         if (peers_)
           peers_->Send(peers::Channel::kMembers, to.id, std::move(bytes));
         else
-          loop_.ground().SendTo(socket_.Get(), bytes,
-                                to.at);  // lost where the system can't take it: as on a wire
+          loop_.environment().SendTo(socket_.Get(), bytes,
+                                     to.at);  // lost where the system can't take it: as on a wire
       }
 }
 
 void Fleet::Took(std::span<const char> datagram, const loop::Address& from) {
   if (members::IsViewRequest(datagram)) {
     std::string text = view();
-    loop_.ground().SendTo(socket_.Get(), text, from);
+    loop_.environment().SendTo(socket_.Get(), text, from);
     return;
   }
   auto m = members::Decode(datagram);
@@ -144,7 +145,7 @@
       log::Say("fleet member %u %s incarnation %u", c.who, members::ToString(c.state),
                c.incarnation);
   bool changed = false;
-  failover::Opinion told =
+  failover::Opinion notified =
       verdicts_.Look(loop_.now(), health_.Share(), failover::Living(swim_), changed);
   if (changed) {
     const failover::Verdict& v = verdicts_.verdict();
@@ -167,7 +168,7 @@
       steer_(std::move(by_platform));
     }
   }
-  swim_.Publish(loop_.now(), failover::Pack(told));
+  swim_.Publish(loop_.now(), failover::Pack(notified));
 }
 
 std::string Fleet::view() const {
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -18,12 +18,12 @@
 
 // Descriptors that are neither a client's nor a cache's: standard streams, listener, board,
 // signals, and some for what the system opens.
-constexpr std::size_t kAside = 24;
+constexpr std::size_t kEjected = 24;
 
 // The process may be held to fewer than the configuration says. Harm without the least: with none
 // left for caches the count of theirs wraps, and they take all.
-std::size_t Descriptors(const Charter& c, loop::Loop& loop) {
-  std::size_t own = loop.ground().DescriptorLimit();
+std::size_t Descriptors(const Configuration& c, loop::Loop& loop) {
+  std::size_t own = loop.environment().DescriptorLimit();
   if (own < kLeastDescriptors)
     throw std::runtime_error("the process may hold " + std::to_string(own) +
                              " descriptors, at least " + std::to_string(kLeastDescriptors) +
@@ -33,49 +33,49 @@
 
 // Those that were ended from here and are read until the other side ends them too: out of the
 // clients' half.
-std::size_t MostLingering(const Charter& c, loop::Loop& loop) {
+std::size_t MostLingering(const Configuration& c, loop::Loop& loop) {
   return Descriptors(c, loop) / 16;
 }
 
 // Clients hold at most a third of the descriptors; half leaves room for those that are about to
 // close. Each may hold one answer of the largest size, here and in the system's buffers, which the
 // memory must bear.
-std::size_t MostClients(const Charter& c, loop::Loop& loop) {
+std::size_t MostClients(const Configuration& c, loop::Loop& loop) {
   constexpr double kShare = 0.6, kEachMb = 0.25;
   return std::min(Descriptors(c, loop) / 2 - MostLingering(c, loop),
                   static_cast<std::size_t>(kShare * c.memory_mb / kEachMb));
 }
 
-std::size_t ForCaches(const Charter& c, loop::Loop& loop) {
-  return Descriptors(c, loop) - kAside - MostClients(c, loop) - MostLingering(c, loop);
+std::size_t ForCaches(const Configuration& c, loop::Loop& loop) {
+  return Descriptors(c, loop) - kEjected - MostClients(c, loop) - MostLingering(c, loop);
 }
 
-std::vector<bool> Written(const StoreSheet& sheet) {
+std::vector<bool> Written(const StoreSettings& settings) {
   std::vector<bool> all;
-  for (const Offering& o : sheet.offerings)
+  for (const RequestClass& o : settings.request_classes)
     all.push_back(o.never_kept);
   return all;
 }
 
 }  // namespace
 
-Front::Front(loop::Loop& loop, const Charter& c) : Front(loop, c, DecidingFor(c)) {}
+Front::Front(loop::Loop& loop, const Configuration& c) : Front(loop, c, DecidingFor(c)) {}
 
-Front::Front(loop::Loop& loop, const Charter& c, exchange::Decider decides)
+Front::Front(loop::Loop& loop, const Configuration& c, exchange::Decider decides)
     : Front(loop, c, Deciding{std::move(decides), nullptr, nullptr}) {}
 
-Front::Front(loop::Loop& loop, const Charter& c, Deciding deciding)
+Front::Front(loop::Loop& loop, const Configuration& c, Deciding deciding)
     : loop_(loop),
-      health_(c.sheet.zone, c.sheet.parent_kind, c.sheet.origin_kind),
-      exchange_(loop, c.sheet, c.fleet.on ? Noting(deciding.decides) : deciding.decides),
+      health_(c.settings.zone, c.settings.parent_kind, c.settings.origin_kind),
+      exchange_(loop, c.settings, c.fleet.on ? Noting(deciding.decides) : deciding.decides),
       caches_(loop, exchange_, c.terms, ForCaches(c, loop)),
-      board_(loop, exchange_, c.terms, c.board),
-      clients_(loop, exchange_, c.terms.offerings, Written(c.sheet), c.listen, MostClients(c, loop),
-               MostLingering(c, loop)) {
+      discovery_(loop, exchange_, c.terms, c.discovery),
+      clients_(loop, exchange_, c.terms.request_classes, Written(c.settings), c.listen,
+               MostClients(c, loop), MostLingering(c, loop)) {
   exchange_.Meet(caches_);
-  if (!board_.begin(c.known))
+  if (!discovery_.begin(c.known))
     throw std::runtime_error("configuration lacks usable events under known");
-  board_.Follow();
+  discovery_.Follow();
   Fleet::Steer steer = [this](std::vector<double> shares) {
     exchange_.SharesCame(std::move(shares));
   };
@@ -90,14 +90,14 @@
       health_.Take(*news);
     std::vector<Action> todo = decides(now, event);
     for (const Action& a : todo)
-      if (auto* told = std::get_if<TellHealth>(&a))
-        health_.Take(*told);
+      if (auto* notified = std::get_if<TellHealth>(&a))
+        health_.Take(*notified);
     return todo;
   };
 }
 
-void Front::Follow(const Charter& c) {
-  if (!board_.MoveTo(c.board, c.known))
+void Front::Follow(const Configuration& c) {
+  if (!discovery_.MoveTo(c.discovery, c.known))
     throw std::runtime_error("configuration lacks usable events under known");
   ++exchange_.counters.reloads;
 }
@@ -108,7 +108,7 @@
   constexpr Ms kClientsStillCome = 700;
   if (std::exchange(stopping_, true))
     return;
-  log::Say("stopping: %zu pulls open", exchange_.OpenPulls());
+  log::Say("stopping: %zu pulls open", exchange_.OpenRequests());
   clients_.Wind();
   loop_.at(loop_.now() + kClientsStillCome, [this] { LeaveWhenDone(); });
 }
@@ -184,9 +184,10 @@
   // was.
   void Reread() {
     try {
-      Charter charter = ReadCharter(path_, listen_);
-      front_->Follow(charter);
-      log::Say("new configuration: the notice board is at %s", charter.board_text.c_str());
+      Configuration configuration = ReadConfiguration(path_, listen_);
+      front_->Follow(configuration);
+      log::Say("new configuration: the notice board is at %s",
+               configuration.discovery_text.c_str());
     } catch (const std::exception& fault) {
       log::Say("new configuration not taken, the old one stays: %s", fault.what());
     }
@@ -221,10 +222,10 @@
   OpenStandardStreams();
   loop::Loop loop;
   Signals signals(loop, path, listen);
-  Charter charter = ReadCharter(path, listen);
-  Front front(loop, charter);
+  Configuration configuration = ReadConfiguration(path, listen);
+  Front front(loop, configuration);
   signals.Reach(front);
-  log::Say("%s serves", charter.name.c_str());
+  log::Say("%s serves", configuration.name.c_str());
   loop.Run();
   log::WriteToStandardError(front.counters());
   return 0;
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -13,13 +13,13 @@
 
 class Front {
  public:
-  Front(loop::Loop& loop, const Charter& charter);
-  Front(loop::Loop& loop, const Charter& charter, exchange::Decider decides);
-  Front(loop::Loop& loop, const Charter& charter, Deciding deciding);
+  Front(loop::Loop& loop, const Configuration& configuration);
+  Front(loop::Loop& loop, const Configuration& configuration, exchange::Decider decides);
+  Front(loop::Loop& loop, const Configuration& configuration, Deciding deciding);
   // Turns to the notice board that a new configuration names. The rest of it holds for the life of
   // a process: what differs there is passed over. Throws std::runtime_error, with nothing changed,
   // where it is unusable.
-  void Follow(const Charter& charter);
+  void Follow(const Configuration& configuration);
   void Stop();  // takes what still arrives, answers all it has taken, then ends the loop
   std::string counters() const;
 
@@ -32,7 +32,7 @@
   failover::Health health_;
   exchange::Exchange exchange_;
   caches::Caches caches_;
-  board::Board board_;
+  discovery::Discovery discovery_;
   clients::Clients clients_;
   std::unique_ptr<Fleet> fleet_;  // with a fleet block that has a socket of its own
   std::unique_ptr<Parts> parts_;  // with an owner or a peers block
