--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -20,56 +20,59 @@
 
 struct Layer::Inner {
   loop::Loop& loop;
-  Charter charter;
+  Configuration configuration;
   Ways ways;
   std::unique_ptr<store::LastingFloors> lasting_floors;  // none where no folder is configured
   store::KeptFloors current;                             // what this process knows and wants kept
   std::unique_ptr<Record> record;
   std::unique_ptr<Rules> rules;
   std::unique_ptr<Recovering> recovering;
-  bool aside = false;
+  bool ejected = false;
   bool serves = true;
   LetIn admitted;
   // A front whose drift can break a rule takes no pull at all: each is declined at once.
   void ApplyAdmission() {
     if (serves)
-      ways.exchange->Admit(admitted.by_offering, admitted.come_back);
+      ways.exchange->Admit(admitted.by_request_class, admitted.come_back);
     else
-      ways.exchange->Admit(std::vector<double>(charter.sheet.offerings.size(), 0.0),
-                           std::max(admitted.come_back, charter.rules.terms.repair_within));
+      ways.exchange->Admit(std::vector<double>(configuration.settings.request_classes.size(), 0.0),
+                           std::max(admitted.come_back, configuration.rules.terms.repair_within));
   }
   std::uint64_t said =
       0;  // of what is behind: full answers and time-outs, as counted at the last look
   struct Window {
     Ms at = 0;
-    std::uint64_t pulls = 0;
+    std::uint64_t requests = 0;
     std::uint64_t abandoned = 0;
     std::uint64_t declined = 0;
-    drift::Pulls share;
+    drift::Requests share;
   } window;
   std::map<std::string, Recall> standing;  // recalls in force: as many as the record holds
 
-  Inner(loop::Loop& l, const Charter& c, Ways w) : loop(l), charter(c), ways(std::move(w)) {}
+  Inner(loop::Loop& l, const Configuration& c, Ways w)
+      : loop(l), configuration(c), ways(std::move(w)) {}
 
   std::uint32_t Self() const {
-    return charter.peers.self;
+    return configuration.peers.self;
   }
   drift::Form active() const {
-    StoreSheet sheet = ways.generations ? ways.generations->sheet() : charter.sheet;
-    return drift::ActiveForm(sheet, charter.terms, charter.fleet, charter.owner,
-                             DUNLINWICK_VERSION);
+    StoreSettings settings =
+        ways.generations ? ways.generations->settings() : configuration.settings;
+    return drift::ActiveForm(settings, configuration.terms, configuration.fleet,
+                             configuration.owner, DUNLINWICK_VERSION);
   }
 
   recovery::StoreSeen CheckStore() {
     recovery::StoreSeen seen;
     using State = recovery::StoreSeen::State;
-    if (charter.recovery.store.empty()) {
+    if (configuration.recovery.store.empty()) {
       seen.state = State::kNone;
     } else {
       // A store that can't be opened or read is a spoilt one: the front starts without it, trusts
       // nothing of it, says so, and tries again.
       store::KeptFloors found;
-      auto open_disk = [folder = charter.recovery.store]() -> std::unique_ptr<store::FloorDisk> {
+      auto open_disk = [folder =
+                            configuration.recovery.store]() -> std::unique_ptr<store::FloorDisk> {
         return std::make_unique<store::FloorStore>(folder);
       };
       auto say = [this](const std::string& line) {
@@ -80,8 +83,8 @@
         case store::FloorDisk::Found::kEmpty:
           seen.state = State::kEmpty;
           break;
-        case store::FloorDisk::Found::kSpoilt:
-          seen.state = State::kSpoilt;
+        case store::FloorDisk::Found::kCorrupted:
+          seen.state = State::kCorrupted;
           break;
         case store::FloorDisk::Found::kGood:
           seen.state = found.whose == Self() ? State::kGood : State::kForeign;
@@ -96,7 +99,7 @@
     }
     if (record && record->Keeps()) {
       record::Head head = record->head();
-      if (record->Spoilt() &&
+      if (record->Corrupted() &&
           (seen.state == State::kGood || seen.state == State::kNone || seen.state == State::kEmpty))
         seen.state = State::kHoled;
       seen.floors.token = std::max(seen.floors.token, head.promised);
@@ -133,9 +136,9 @@
   // The incarnation of another front that this one is a witness of: only what lasts is told, where
   // anything does.
   std::uint64_t Witnessed(std::uint32_t front) const {
-    const store::KeptFloors& told = lasting_floors ? lasting_floors->Lasting() : current;
-    auto at = told.witnessed.find(front);
-    return at == told.witnessed.end() ? 0 : at->second;
+    const store::KeptFloors& notified = lasting_floors ? lasting_floors->Lasting() : current;
+    auto at = notified.witnessed.find(front);
+    return at == notified.witnessed.end() ? 0 : at->second;
   }
   std::string FloorsView() const {
     if (!lasting_floors)
@@ -147,7 +150,7 @@
 
   void Permit() {
     if (ways.owner)
-      ways.owner->Permit(!aside && (!recovering || recovering->MayOwn()));
+      ways.owner->Permit(!ejected && (!recovering || recovering->MayOwn()));
   }
 
   Recovering::Now now() {
@@ -176,26 +179,26 @@
     return n;
   }
 
-  drift::Pulls pulls() {
+  drift::Requests requests() {
     constexpr Ms kEach = 1000;
     const exchange::Counters& c = ways.exchange->counters;
     // What it declines because it may not serve, or is still letting in, says nothing of the rules:
     // counted, the repair that mends it would be taken for the harm (seen between processes:
     // repairs stopped by the front that they had just mended).
-    if (!serves || !admitted.by_offering.empty()) {
+    if (!serves || !admitted.by_request_class.empty()) {
       window.at = loop.now() - kEach;
-      window.pulls = c.pulls;
+      window.requests = c.requests;
       window.abandoned = c.abandoned;
       window.declined = c.declined;
     }
     if (loop.now() >= window.at + kEach) {
-      double came = static_cast<double>(c.pulls - window.pulls);
-      window.share = came > 0
-                         ? drift::Pulls{static_cast<double>(c.abandoned - window.abandoned) / came,
-                                        static_cast<double>(c.declined - window.declined) / came}
-                         : drift::Pulls{};
+      double came = static_cast<double>(c.requests - window.requests);
+      window.share =
+          came > 0 ? drift::Requests{static_cast<double>(c.abandoned - window.abandoned) / came,
+                                     static_cast<double>(c.declined - window.declined) / came}
+                   : drift::Requests{};
       window.at = loop.now();
-      window.pulls = c.pulls;
+      window.requests = c.requests;
       window.abandoned = c.abandoned;
       window.declined = c.declined;
     }
@@ -203,26 +206,26 @@
   }
 
   void recall(const Recall& r) {
-    int offering = -1;
-    if (!r.offering.empty()) {
-      const auto& names = charter.terms.offerings;
-      auto at = std::find(names.begin(), names.end(), r.offering);
+    int request_class = -1;
+    if (!r.request_class.empty()) {
+      const auto& names = configuration.terms.request_classes;
+      auto at = std::find(names.begin(), names.end(), r.request_class);
       if (at == names.end())
         return;  // not one of this front's
-      offering = static_cast<int>(at - names.begin());
+      request_class = static_cast<int>(at - names.begin());
     }
-    std::string key = !r.object.empty() ? "o" + r.object
-                      : offering >= 0   ? "f" + std::to_string(offering)
-                                        : "g" + std::to_string(r.group);
+    std::string key = !r.object.empty()    ? "o" + r.object
+                      : request_class >= 0 ? "f" + std::to_string(request_class)
+                                           : "g" + std::to_string(r.group);
     if (r.lifted)
       standing.erase(key);
     else
       standing[key] = r;
-    ways.exchange->RecallCame(r.object, r.group, offering, r.lifted, r.ago);
+    ways.exchange->RecallCame(r.object, r.group, request_class, r.lifted, r.ago);
   }
 };
 
-Layer::Layer(loop::Loop& loop, const Charter& c, Ways ways)
+Layer::Layer(loop::Loop& loop, const Configuration& c, Ways ways)
     : inner_(std::make_unique<Inner>(loop, c, std::move(ways))) {
   Inner& in = *inner_;
   std::map<peers::Id, int> zone_of;
@@ -248,18 +251,18 @@
     w.take_up = [&in](const drift::Form& form) -> std::string {
       if (!in.ways.generations)
         return "this front turns no generation";
-      StoreSheet sheet = in.ways.generations->sheet();
-      std::string why = TakeUp(form, in.active(), sheet);
+      StoreSettings settings = in.ways.generations->settings();
+      std::string why = TakeUp(form, in.active(), settings);
       if (why.empty())
-        in.ways.turn(sheet);
+        in.ways.turn(settings);
       return why;
     };
     w.owns = owns;
-    w.pulls = [&in] {
-      return in.pulls();
+    w.requests = [&in] {
+      return in.requests();
     };
-    w.aside = [&in](bool on) {
-      in.aside = on;
+    w.ejected = [&in](bool on) {
+      in.ejected = on;
       in.Permit();
     };
     w.serves = [&in](bool may) {
@@ -297,7 +300,7 @@
     };
     w.other = [&in](const record::Entry& e) {
       if (e.stream == record::Stream::kRules && in.rules)
-        in.rules->told(e.offset, e.key, e.tombstone, e.value);
+        in.rules->notified(e.offset, e.key, e.tombstone, e.value);
     };
     w.no_older = [&in](Ms than) {
       in.ways.exchange->LimitAge(than);
@@ -324,8 +327,8 @@
     w.now = [&in] {
       return in.now();
     };
-    w.admit = [&in](std::vector<double> by_offering, Ms come_back) {
-      in.admitted = {std::move(by_offering), come_back};
+    w.admit = [&in](std::vector<double> by_request_class, Ms come_back) {
+      in.admitted = {std::move(by_request_class), come_back};
       in.ApplyAdmission();
     };
     w.heard = [&in](peers::Id from, std::uint64_t incarnation) {
@@ -340,14 +343,14 @@
       zones.insert(zone);
     terms.terms.zones = static_cast<int>(std::max<std::size_t>(1, zones.size()));
     terms.terms.zone = zone_of[in.Self()];
-    terms.terms.crew =
+    terms.terms.zone_replicas =
         static_cast<int>(std::count_if(zone_of.begin(), zone_of.end(), [&](auto& one) {
           return one.second == zone_of[in.Self()];
         }));
     terms.terms.lease = c.owner.on ? c.owner.lease.lease : 0;
     terms.terms.margin = c.owner.lease.margin;
     terms.terms.drift = c.owner.lease.drift;
-    for (const Offering& o : c.sheet.offerings) {
+    for (const RequestClass& o : c.settings.request_classes) {
       terms.terms.payoff.push_back(o.payoff);
       terms.terms.certain.push_back(o.never_kept);
     }
@@ -382,7 +385,7 @@
     bool first = true;
     for (const auto& row : inner_->ways.generations->alive()) {
       s += std::string(first ? "" : ",") + "{\"number\":" + std::to_string(row.number) +
-           ",\"pulls\":" + std::to_string(row.pulls) + "}";
+           ",\"pulls\":" + std::to_string(row.requests) + "}";
       first = false;
     }
   }
--- a/src/front/layer.hpp
+++ b/src/front/layer.hpp
@@ -24,11 +24,11 @@
     std::function<bool(peers::Id to, peers::Channel channel, std::string message)> send;
     exchange::Exchange* exchange = nullptr;
     generations::Generations* generations =
-        nullptr;                                  // null: the rules can't be turned while it serves
-    std::function<void(const StoreSheet&)> turn;  // to a new generation, from the next event on
+        nullptr;  // null: the rules can't be turned while it serves
+    std::function<void(const StoreSettings&)> turn;  // to a new generation, from the next event on
     Owner* owner = nullptr;
   };
-  Layer(loop::Loop& loop, const Charter& charter, Ways ways);
+  Layer(loop::Loop& loop, const Configuration& configuration, Ways ways);
   ~Layer();
   std::vector<Part*> parts();
   std::string status() const;  // JSON: record, recovery, rules
--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -33,10 +33,10 @@
   in.terms = terms;
   in.peers = peers;
   if (!peers) {
-    int fd = loop.ground().OpenDatagrams(terms.listen);
+    int fd = loop.environment().OpenDatagrams(terms.listen);
     if (fd < 0)
       throw std::runtime_error("owner.listen cannot be had: " + std::string(std::strerror(-fd)));
-    in.socket = loop::Descriptor(loop.ground(), fd);
+    in.socket = loop::Descriptor(loop.environment(), fd);
   }
   owner::NodeTerms t;
   t.self = terms.self;
@@ -60,8 +60,8 @@
     if (at == inner_->terms.at.end())
       return;
     ++inner_->sent;
-    loop_.ground().SendTo(inner_->socket.Get(), bytes,
-                          at->second);  // lost where the system can't take it: as on a wire
+    loop_.environment().SendTo(inner_->socket.Get(), bytes,
+                               at->second);  // lost where the system can't take it: as on a wire
   };
   ways.say = [this](const std::string& line) {
     log::Say("%s at %.0f", line.c_str(), loop_.now());
@@ -134,7 +134,7 @@
   constexpr std::string_view kViewRequest = "DO?";
   if (std::string_view(datagram.data(), datagram.size()) == kViewRequest) {
     std::string text = view();
-    loop_.ground().SendTo(inner_->socket.Get(), text, from);
+    loop_.environment().SendTo(inner_->socket.Get(), text, from);
     return;
   }
   ++inner_->received;
--- a/src/front/parts.cpp
+++ b/src/front/parts.cpp
@@ -23,16 +23,16 @@
 };
 }  // namespace
 
-Deciding DecidingFor(const Charter& c) {
+Deciding DecidingFor(const Configuration& c) {
   if (!c.rules.on)
-    return {exchange::ModuleFor(c.sheet, c.seed), nullptr, nullptr};
+    return {exchange::ModuleFor(c.settings, c.seed), nullptr, nullptr};
   Deciding d;
-  d.generations = std::make_shared<generations::Generations>(c.sheet, c.seed);
-  d.next = std::make_shared<std::optional<StoreSheet>>();
+  d.generations = std::make_shared<generations::Generations>(c.settings, c.seed);
+  d.next = std::make_shared<std::optional<StoreSettings>>();
   d.decides = [all = d.generations, next = d.next](Ms now, const Event& event) {
     std::vector<Action> todo;
-    if (std::optional<StoreSheet> sheet = std::exchange(*next, std::nullopt);
-        sheet && all->turn(now, *sheet, todo) == 0)
+    if (std::optional<StoreSettings> settings = std::exchange(*next, std::nullopt);
+        settings && all->turn(now, *settings, todo) == 0)
       todo.push_back(
           WriteLine{"rules: not turned, as many generations serve as may; the drift stays and is "
                     "repaired again"});
@@ -44,7 +44,7 @@
   return d;
 }
 
-std::unique_ptr<Parts> MakeParts(loop::Loop& loop, const Charter& c, failover::Health& health,
+std::unique_ptr<Parts> MakeParts(loop::Loop& loop, const Configuration& c, failover::Health& health,
                                  Fleet::Steer steer, exchange::Exchange& exchange,
                                  const Deciding& deciding) {
   if (!c.peers.on && !c.owner.on)
@@ -72,9 +72,9 @@
     ways.generations = deciding.generations.get();
     // Between two turns of the loop: the sheet is laid ready, and the next event (this one has no
     // other meaning) turns to it.
-    ways.turn = [&exchange, next = deciding.next](const StoreSheet& sheet) {
-      *next = sheet;
-      exchange.Turned(sheet);
+    ways.turn = [&exchange, next = deciding.next](const StoreSettings& settings) {
+      *next = settings;
+      exchange.Turned(settings);
     };
     ways.owner = all->owner.get();
     all->layer = std::make_unique<Layer>(loop, c, std::move(ways));
--- a/src/front/parts.hpp
+++ b/src/front/parts.hpp
@@ -24,11 +24,11 @@
 struct Deciding {
   exchange::Decider decides;
   std::shared_ptr<generations::Generations> generations;
-  std::shared_ptr<std::optional<StoreSheet>> next;  // to be turned to with the next event
+  std::shared_ptr<std::optional<StoreSettings>> next;  // to be turned to with the next event
 };
-Deciding DecidingFor(const Charter& charter);
-std::unique_ptr<Parts> MakeParts(loop::Loop& loop, const Charter& charter, failover::Health& health,
-                                 Fleet::Steer steer, exchange::Exchange& exchange,
-                                 const Deciding& deciding);
+Deciding DecidingFor(const Configuration& configuration);
+std::unique_ptr<Parts> MakeParts(loop::Loop& loop, const Configuration& configuration,
+                                 failover::Health& health, Fleet::Steer steer,
+                                 exchange::Exchange& exchange, const Deciding& deciding);
 
 }  // namespace dunlinwick::front
--- a/src/front/peers.cpp
+++ b/src/front/peers.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 int Opened(loop::Loop& loop, const PeersTerms& t) {
-  int fd = loop.ground().OpenDatagrams(t.listen);
+  int fd = loop.environment().OpenDatagrams(t.listen);
   if (fd < 0)
     throw std::runtime_error("peers.listen cannot be had: " + std::string(std::strerror(-fd)));
   return fd;
@@ -25,7 +25,7 @@
     : loop_(loop),
       self_(terms.self),
       at_(terms.at),
-      socket_(loop.ground(), Opened(loop, terms)),
+      socket_(loop.environment(), Opened(loop, terms)),
       peers_(
           terms.self, {}, static_cast<std::uint64_t>(loop.now()), loop.now(),
           [this](peers::Id to, std::string datagram) { SendRaw(at_.at(to), datagram); },
@@ -73,7 +73,7 @@
 }
 
 void Peers::SendRaw(const loop::Address& to, const std::string& datagram) {
-  if (loop_.ground().SendTo(socket_.Get(), datagram, to) < 0)
+  if (loop_.environment().SendTo(socket_.Get(), datagram, to) < 0)
     ++unsent_;
 }
 
--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -26,7 +26,7 @@
   if (kind == "object") {
     r.object = name;
   } else if (kind == "offering") {
-    r.offering = name;
+    r.request_class = name;
   } else if (kind == "group") {
     auto [end, fault] = std::from_chars(name.data(), name.data() + name.size(), r.group);
     if (fault != std::errc{} || end != name.data() + name.size() || r.group < 0)
@@ -68,11 +68,11 @@
   Ms plan_at = 0;
   Ms highest_at = 0;
   Ms wake_at = 0;
-  struct Told {
+  struct Notified {
     Ms at = 0;
     record::Lease lease;
   };
-  std::map<peers::Id, Told> leases;  // by keeper: as many as there are
+  std::map<peers::Id, Notified> leases;  // by keeper: as many as there are
   Ms writes_since = 0;
   int under_way = 0;
   int rules_under_way = 0;
@@ -173,9 +173,9 @@
     if (now - writes_since < terms.subscriber.lease)
       return 0;
     Offset least = writer->Committed();
-    for (const auto& [keeper, told] : leases)
-      if (now - told.at <= terms.subscriber.lease)
-        for (const auto& [who, at] : told.lease.positions)
+    for (const auto& [keeper, notified] : leases)
+      if (now - notified.at <= terms.subscriber.lease)
+        for (const auto& [who, at] : notified.lease.positions)
           least = std::min(least, at);
     return least;
   }
@@ -297,7 +297,7 @@
 bool Record::Keeps() const {
   return inner_->replica && inner_->replica->IsOpen();
 }
-bool Record::Spoilt() const {
+bool Record::Corrupted() const {
   return inner_->replica && (!Keeps() || !inner_->replica->log()->Holes(1).empty());
 }
 record::Head Record::head() const {
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -31,7 +31,7 @@
 struct Recall {
   std::string object;
   int group = -1;
-  std::string offering;
+  std::string request_class;
   bool lifted = false;  // a tombstone: no older copy can exist any more, or it was a mistake
   Ms ago = 0;           // since it was given; 0: now, to be sure
 };
@@ -78,7 +78,7 @@
   record::Offset Position() const, Committed() const;
   Ms GoodAt() const;
   bool Keeps() const;         // is a replica, and its store is open
-  bool Spoilt() const;        // its store has holes, or is not open
+  bool Corrupted() const;     // its store has holes, or is not open
   record::Head head() const;  // of its store, as it was when opened last
   bool Writes() const;
 
--- a/src/front/recovery.cpp
+++ b/src/front/recovery.cpp
@@ -40,10 +40,10 @@
                in->by_time ? "by time" : "by condition", in->why.c_str(), loop_.now());
     } else if (auto* admit = std::get_if<recovery::Admit>(&a)) {
       // One line a second at most while shares grow; each change of what is served is said.
-      if (admit->certain_only != certain_only_ || admit->by_offering.empty() ||
+      if (admit->certain_only != certain_only_ || admit->by_request_class.empty() ||
           loop_.now() - said_admit_ >= 1000) {
         std::string shares;
-        for (double s : admit->by_offering) {
+        for (double s : admit->by_request_class) {
           char text[32];
           std::snprintf(text, sizeof text, "%s%.3f", shares.empty() ? "" : ",", s);
           shares += text;
@@ -53,13 +53,14 @@
         said_admit_ = loop_.now();
       }
       certain_only_ = admit->certain_only;
-      ways_.admit(admit->by_offering, admit->come_back);
+      ways_.admit(admit->by_request_class, admit->come_back);
     } else if (auto* loss = std::get_if<recovery::Loss>(&a)) {
       log::Say("recovery loss %s back %d kept %d: %s at %.0f", loss->whole ? "whole" : "part",
                loss->back, loss->kept, loss->lost.empty() ? "nothing was lost" : loss->lost.c_str(),
                loop_.now());
-    } else if (auto* spoilt = std::get_if<recovery::Spoilt>(&a)) {
-      log::Say("recovery spoilt %u: %s at %.0f", spoilt->whose, spoilt->why.c_str(), loop_.now());
+    } else if (auto* corrupted = std::get_if<recovery::Corrupted>(&a)) {
+      log::Say("recovery spoilt %u: %s at %.0f", corrupted->whose, corrupted->why.c_str(),
+               loop_.now());
     }
   }
 }
--- a/src/front/recovery.hpp
+++ b/src/front/recovery.hpp
@@ -26,7 +26,7 @@
   struct Ways {
     std::function<bool(peers::Id to, std::string message)> send;
     std::function<Now()> now;
-    std::function<void(std::vector<double> by_offering, Ms come_back)>
+    std::function<void(std::vector<double> by_request_class, Ms come_back)>
         admit;  // what may not be served while only what is certain is: 0
     std::function<void(peers::Id from, std::uint64_t incarnation)> heard;
     std::function<std::uint64_t(peers::Id of)>
--- a/src/front/rules.cpp
+++ b/src/front/rules.cpp
@@ -75,7 +75,7 @@
     for (const drift::Action& a : actions) {
       Ms now = loop.now();
       if (auto* tell = std::get_if<drift::Tell>(&a)) {
-        ways.send(tell->to, drift::Encode(tell->told));
+        ways.send(tell->to, drift::Encode(tell->notified));
       } else if (auto* repair = std::get_if<drift::Repair>(&a)) {
         log::Say("rules repair %u version %llu token %llu at %.0f", repair->front,
                  static_cast<unsigned long long>(repair->version),
@@ -104,11 +104,11 @@
         log::Say("rules: this front %s at %.0f",
                  may->may ? "may serve" : "may not serve what can break a rule", now);
         ways.serves(may->may);
-      } else if (auto* aside = std::get_if<drift::SetAside>(&a)) {
-        log::Say("rules %s %u: %s at %.0f", aside->on ? "set aside" : "takes back", aside->front,
-                 aside->why.c_str(), now);
-        if (aside->front == self)
-          ways.aside(aside->on);
+      } else if (auto* ejected = std::get_if<drift::SetEjected>(&a)) {
+        log::Say("rules %s %u: %s at %.0f", ejected->on ? "set aside" : "takes back",
+                 ejected->front, ejected->why.c_str(), now);
+        if (ejected->front == self)
+          ways.ejected(ejected->on);
       } else if (auto* stopped = std::get_if<drift::Stopped>(&a)) {
         log::Say("rules stopped: %s at %.0f", stopped->why.c_str(), now);
       }
@@ -124,14 +124,14 @@
 
 void Rules::Heard(peers::Id from, std::span<const char> message) {
   Ms now = inner_->loop.now();
-  if (auto told = drift::DecodeTold(message))
-    inner_->Does(inner_->drift.Handle(now, drift::Hears{from, *told}));
+  if (auto notified = drift::DecodeNotified(message))
+    inner_->Does(inner_->drift.Handle(now, drift::Hears{from, *notified}));
   else if (auto repair = drift::DecodeRepair(message))
     inner_->Does(inner_->drift.RepairAsked(now, from, *repair));
 }
 
-void Rules::told(std::uint64_t offset, const std::string& key, bool tombstone,
-                 const std::string& value) {
+void Rules::notified(std::uint64_t offset, const std::string& key, bool tombstone,
+                     const std::string& value) {
   Inner& in = *inner_;
   if (tombstone) {
     in.approved.erase(key);
@@ -172,7 +172,7 @@
   Ms now = in.loop.now();
   auto [token, may] = in.ways.owns();
   in.Does(in.drift.Handle(now, drift::Owns{may ? token : 0}));
-  in.Does(in.drift.Handle(now, in.ways.pulls()));
+  in.Does(in.drift.Handle(now, in.ways.requests()));
   in.Does(in.drift.Handle(now, drift::Active{in.active()}));
   in.Does(in.drift.Handle(now, drift::Tick{}));
   constexpr Ms kLongest = 200, kLeast = 20;
@@ -210,7 +210,7 @@
          (row.since > 0 ? std::to_string(static_cast<long long>(in.loop.now() - row.since))
                         : "null") +
          ",\"version\":" + std::to_string(row.version) +
-         ",\"aside\":" + (row.aside ? "true" : "false") +
+         ",\"aside\":" + (row.ejected ? "true" : "false") +
          ",\"fields\":" + std::to_string(row.fields.size()) + "}";
     first = false;
   }
--- a/src/front/rules.hpp
+++ b/src/front/rules.hpp
@@ -25,9 +25,9 @@
     std::function<std::string(const drift::Form&)>
         take_up;  // "" once it is active, else why it can't be
     std::function<std::pair<drift::Token, bool>()> owns;  // of the record's work
-    std::function<drift::Pulls()> pulls;
-    std::function<void(bool aside)> aside;    // of this front
-    std::function<void(bool serves)> serves;  // false: its drift can break a rule
+    std::function<drift::Requests()> requests;
+    std::function<void(bool ejected)> ejected;  // of this front
+    std::function<void(bool serves)> serves;    // false: its drift can break a rule
   };
   struct Fronts {
     std::map<peers::Id, int> zone_of;
@@ -43,9 +43,9 @@
   void Wake() override;
   Ms WakeAt() const override;
   std::string view() const override;
-  void told(std::uint64_t offset, const std::string& key, bool tombstone,
-            const std::string& value);  // by the record, in order
-  void StartOver();                     // what the record told is void
+  void notified(std::uint64_t offset, const std::string& key, bool tombstone,
+                const std::string& value);  // by the record, in order
+  void StartOver();                         // what the record told is void
   // Whether an approval may be written: "" or why not. The owner asks before it writes, so the
   // record holds none that was refused.
   std::string Refuses(const std::string& key, const std::string& value) const;
--- a/src/front/turning.cpp
+++ b/src/front/turning.cpp
@@ -22,8 +22,8 @@
   return text == "true" || text == "false";
 }
 bool read(const std::string& text, Effect& into) {
-  into = text == "rerunnable" ? Effect::kRerunnable
-         : text == "ticketed" ? Effect::kTicketed
+  into = text == "rerunnable" ? Effect::kIdempotent
+         : text == "ticketed" ? Effect::kIdempotentWithKey
                               : Effect::kExclusive;
   return text == "rerunnable" || text == "ticketed" || text == "exclusive";
 }
@@ -55,10 +55,10 @@
   all["cold." + name + ".lasts"] = Into(c.lasts);
 }
 
-std::map<std::string, Set> Fields(StoreSheet& s) {
+std::map<std::string, Set> Fields(StoreSettings& s) {
   std::map<std::string, Set> all;
-  for (std::size_t i = 0; i < s.offerings.size(); ++i) {
-    Offering& o = s.offerings[i];
+  for (std::size_t i = 0; i < s.request_classes.size(); ++i) {
+    RequestClass& o = s.request_classes[i];
     std::string at = "offerings." + std::to_string(i) + ".";
     all[at + "effect"] = Into(o.effect);
     all[at + "span"] = Into(o.span);
@@ -72,17 +72,17 @@
   }
   all["permits.probe"] = Into(s.may.probe);
   all["permits.cancel"] = Into(s.may.cancel);
-  all["permits.two_legs_at_once"] = Into(s.may.two_legs_at_once);
+  all["permits.two_legs_at_once"] = Into(s.may.two_attempts_at_once);
   all["permits.join"] = Into(s.may.join);
   all["permits.direct"] = Into(s.may.direct);
   Cold(all, "store", s.cold_store);
   Cold(all, "parent", s.cold_parent);
   all["cold.window"] = Into(s.cold_window);
   all["sheet.fronts"] = Into(s.fronts);
-  all["sheet.crew"] = Into(s.crew);
+  all["sheet.crew"] = Into(s.zone_replicas);
   all["sheet.weighing"] = Into(s.weighing);
   all["sheet.longest_retry_after"] = Into(s.longest_retry_after);
-  all["sheet.most_legs"] = Into(s.most_legs);
+  all["sheet.most_legs"] = Into(s.most_attempts);
   all["sheet.places"] = Into(s.places);
   all["sheet.lateral"] = Into(s.lateral);
   all["sheet.stream_kb_per_ms"] = Into(s.stream_kb_per_ms);
@@ -95,8 +95,9 @@
 
 }  // namespace
 
-std::string TakeUp(const drift::Form& approved, const drift::Form& active, StoreSheet& sheet) {
-  StoreSheet next = sheet;
+std::string TakeUp(const drift::Form& approved, const drift::Form& active,
+                   StoreSettings& settings) {
+  StoreSettings next = settings;
   auto all = Fields(next);
   for (const auto& [section, rows] : approved) {
     auto at = active.find(section);
@@ -113,7 +114,7 @@
   }
   // An offering whose effect changes under open pulls is one generation's each: nothing of the
   // pulls under way turns with it.
-  sheet = std::move(next);
+  settings = std::move(next);
   return "";
 }
 
--- a/src/generations/generations.cpp
+++ b/src/generations/generations.cpp
@@ -14,9 +14,9 @@
 }
 }  // namespace
 
-Generations::Generations(const StoreSheet& sheet, std::uint64_t seed)
-    : seed_(seed), purge_kept_(2 * sheet.purge_done) {
-  lives_.push_back({++last_, sheet, std::make_unique<Router>(sheet, seed), 0});
+Generations::Generations(const StoreSettings& settings, std::uint64_t seed)
+    : seed_(seed), purge_kept_(2 * settings.purge_done) {
+  lives_.push_back({++last_, settings, std::make_unique<Router>(settings, seed), 0});
 }
 
 Generations::Life* Generations::life(Number number) {
@@ -36,31 +36,31 @@
                   std::holds_alternative<TellHealth>(a) || std::holds_alternative<FollowList>(a);
     if (common && !newest)
       continue;
-    auto pull = [&](std::uint32_t id, bool leg) {
+    auto request = [&](std::uint32_t id, bool attempt) {
       auto at = open_.find(id);
       if (at == open_.end())
         return;
-      leg ? void(++at->second.legs_out) : void(at->second.ended = true);
+      attempt ? void(++at->second.attempts_out) : void(at->second.ended = true);
     };
-    if (auto* send = std::get_if<SendLeg>(&a))
-      pull(send->pull, true);
-    if (auto* no = std::get_if<DeclinePull>(&a))
-      pull(no->pull, false);
-    if (auto* gone = std::get_if<AbandonPull>(&a))
-      pull(gone->pull, false);
+    if (auto* send = std::get_if<SendAttempt>(&a))
+      request(send->request, true);
+    if (auto* no = std::get_if<DeclineRequest>(&a))
+      request(no->request, false);
+    if (auto* gone = std::get_if<AbandonRequest>(&a))
+      request(gone->request, false);
     out.push_back(std::move(a));
   }
 }
 
 // A pull that is over leaves its generation, and one that has none left and is not the newest goes.
-void Generations::Settle(std::uint32_t pull) {
-  auto at = open_.find(pull);
-  if (at == open_.end() || !at->second.ended || at->second.legs_out > 0)
+void Generations::Settle(std::uint32_t request) {
+  auto at = open_.find(request);
+  if (at == open_.end() || !at->second.ended || at->second.attempts_out > 0)
     return;
   if (Life* l = life(at->second.number))
-    --l->pulls;
+    --l->requests;
   open_.erase(at);
-  std::erase_if(lives_, [&](const Life& l) { return l.number != last_ && l.pulls == 0; });
+  std::erase_if(lives_, [&](const Life& l) { return l.number != last_ && l.requests == 0; });
 }
 
 // Board's purges run out; recalls stay until they are lifted.
@@ -88,7 +88,7 @@
       std::erase_if(purges_, [&](const Bound& b) {
         const Purged& q = b.purge;
         return q.standing && q.whole_group == purge->whole_group && q.object == purge->object &&
-               q.group == purge->group && q.offering == purge->offering;
+               q.group == purge->group && q.request_class == purge->request_class;
       });
     if (!purge->lifted)
       purges_.push_back({now - purge->ago, *purge});
@@ -101,32 +101,32 @@
 std::vector<Action> Generations::Handle(Ms now, const Event& event) {
   std::vector<Action> out;
   note(now, event);
-  auto of_pull = [&](std::uint32_t pull) {
-    auto at = open_.find(pull);
+  auto of_request = [&](std::uint32_t request) {
+    auto at = open_.find(request);
     if (at == open_.end())
       return;
     if (Life* l = life(at->second.number))
       Tell(*l, now, event, out);
-    Settle(pull);
+    Settle(request);
   };
-  if (auto* came = std::get_if<PullCame>(&event)) {
-    if (open_.count(came->pull))
+  if (auto* came = std::get_if<RequestCame>(&event)) {
+    if (open_.count(came->request))
       return out;
-    open_[came->pull] = {last_, 0, false};
-    ++lives_.back().pulls;
-    of_pull(came->pull);
-  } else if (auto* begun = std::get_if<LegStarted>(&event)) {
-    of_pull(begun->pull);
-  } else if (auto* ended = std::get_if<LegEnded>(&event)) {
-    if (auto at = open_.find(ended->pull); at != open_.end()) {
-      --at->second.legs_out;
+    open_[came->request] = {last_, 0, false};
+    ++lives_.back().requests;
+    of_request(came->request);
+  } else if (auto* begun = std::get_if<AttemptStarted>(&event)) {
+    of_request(begun->request);
+  } else if (auto* ended = std::get_if<AttemptEnded>(&event)) {
+    if (auto at = open_.find(ended->request); at != open_.end()) {
+      --at->second.attempts_out;
       at->second.ended |= ended->final;
     }
-    of_pull(ended->pull);
+    of_request(ended->request);
   } else if (auto* left = std::get_if<ClientLeft>(&event)) {
-    if (auto at = open_.find(left->pull); at != open_.end())
+    if (auto at = open_.find(left->request); at != open_.end())
       at->second.ended = true;
-    of_pull(left->pull);
+    of_request(left->request);
   } else if (auto* woke = std::get_if<WakeUp>(&event)) {
     Number number = (woke->handle & kWhoseMask) >> kWhose;
     auto who_is = std::find_if(lives_.begin(), lives_.end(), [&](const Life& l) {
@@ -144,15 +144,15 @@
   return out;
 }
 
-Number Generations::turn(Ms now, const StoreSheet& sheet, std::vector<Action>& out) {
+Number Generations::turn(Ms now, const StoreSettings& settings, std::vector<Action>& out) {
   Lapse(now);
   if (lives_.size() >= kMostAlive || purges_.size() > kMostPurges)
     return 0;
-  if (sheet.offerings.size() != lives_.front().sheet.offerings.size())
+  if (settings.request_classes.size() != lives_.front().settings.request_classes.size())
     return 0;
   ++last_;
-  lives_.push_back({last_, sheet, std::make_unique<Router>(sheet, seed_ + last_), 0});
-  purge_kept_ = std::max(purge_kept_, 2 * sheet.purge_done);
+  lives_.push_back({last_, settings, std::make_unique<Router>(settings, seed_ + last_), 0});
+  purge_kept_ = std::max(purge_kept_, 2 * settings.purge_done);
   Life& l = lives_.back();
   ListNews all;
   all.listing = Listing::kWhole;
@@ -167,14 +167,14 @@
   }
   for (const auto& [kind, fact] : facts_)
     Tell(l, now, fact, out);
-  std::erase_if(lives_, [&](const Life& one) { return one.number != last_ && one.pulls == 0; });
+  std::erase_if(lives_, [&](const Life& one) { return one.number != last_ && one.requests == 0; });
   return last_;
 }
 
 std::vector<Generations::Row> Generations::alive() const {
   std::vector<Row> rows;
   for (const Life& l : lives_)
-    rows.push_back({l.number, l.pulls});
+    rows.push_back({l.number, l.requests});
   return rows;
 }
 
--- a/src/generations/generations.hpp
+++ b/src/generations/generations.hpp
@@ -34,40 +34,40 @@
 
 class Generations {
  public:
-  Generations(const StoreSheet& sheet, std::uint64_t seed);
+  Generations(const StoreSettings& settings, std::uint64_t seed);
   std::vector<Action> Handle(Ms now, const Event& event);
   // The next generation, from now on. 0, with nothing changed: too many live, or it has other
   // offerings than the first (a pull names its offering by place), or too many purges bind.
-  Number turn(Ms now, const StoreSheet& sheet, std::vector<Action>& out);
+  Number turn(Ms now, const StoreSettings& settings, std::vector<Action>& out);
   Number Newest() const {
     return lives_.back().number;
   }
-  const StoreSheet& sheet() const {
-    return lives_.back().sheet;
+  const StoreSettings& settings() const {
+    return lives_.back().settings;
   }
   struct Row {
     Number number = 0;
-    std::size_t pulls = 0;
+    std::size_t requests = 0;
   };
   std::vector<Row> alive() const;
 
  private:
   struct Life {
     Number number = 0;
-    StoreSheet sheet;
+    StoreSettings settings;
     std::unique_ptr<Router> router;
-    std::size_t pulls = 0;  // open ones
+    std::size_t requests = 0;  // open ones
   };
   struct Open {  // a pull: until its final answer is out and its last leg is in
     Number number = 0;
-    int legs_out = 0;
+    int attempts_out = 0;
     bool ended = false;
   };
   Life* life(Number number);
   void Tell(Life& life, Ms now, const Event& event, std::vector<Action>& out);
   void Lapse(Ms now);
   void note(Ms now, const Event& event);
-  void Settle(std::uint32_t pull);
+  void Settle(std::uint32_t request);
 
   std::uint64_t seed_;
   Number last_ = 0;
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -13,8 +13,8 @@
 namespace dunlinwick {
 
 enum class Effect {
-  kRerunnable,
-  kTicketed,
+  kIdempotent,
+  kIdempotentWithKey,
   kExclusive
 };
 enum class Span {
@@ -29,8 +29,8 @@
   kLive
 };
 
-struct Offering {
-  Effect effect = Effect::kRerunnable;
+struct RequestClass {
+  Effect effect = Effect::kIdempotent;
   Span span = Span::kEverywhere;
   Ms memory = 0;  // how long the repeats of a ticketed pull are known
   Ms agreed = 0;
@@ -47,7 +47,7 @@
 struct Permits {
   bool probe = false;
   bool cancel = false;
-  bool two_legs_at_once = false;
+  bool two_attempts_at_once = false;
   bool join = false;
   bool direct = false;
 };
@@ -61,18 +61,18 @@
 };
 
 // What the deployment hands over at start. The module keeps figures derived from it, not the sheet.
-struct StoreSheet {
-  std::vector<Offering> offerings;
+struct StoreSettings {
+  std::vector<RequestClass> request_classes;
   int zone = 0;
-  int fronts = 1;  // in all zones
-  int crew = 1;    // fronts serving this zone
+  int fronts = 1;         // in all zones
+  int zone_replicas = 1;  // fronts serving this zone
   int parent_kind = -1;
   int origin_kind = -1;
   bool asks_for_list = false;  // list changes come only when asked for
   Weighing weighing = Weighing::kNone;
   Permits may;
   Ms longest_retry_after = 0;  // 0: no retry time may be named
-  int most_legs = 1;
+  int most_attempts = 1;
   int places = 0;        // pulls that clients can have open here at once; 0: not told
   bool lateral = false;  // a cache may be filled from another of its zone
   double stream_kb_per_ms = 0;
@@ -113,9 +113,9 @@
   Listing listing = Listing::kChanges;
   std::vector<ListEntry> entries;
 };
-struct PullCame {
-  std::uint32_t pull = 0;
-  int offering = 0;
+struct RequestCame {
+  std::uint32_t request = 0;
+  int request_class = 0;
   std::uint64_t object = 0;
   int part = 0;
   int group = 0;
@@ -130,7 +130,7 @@
   kNoConnection,
   kBroken,
   kCancelled,
-  kMoot,
+  kSuperseded,
   kMiss
 };
 enum class Remark {
@@ -146,15 +146,15 @@
   kNoFillPlace,
   kOriginFailed
 };
-struct LegStarted {
-  std::uint32_t pull = 0;
+struct AttemptStarted {
+  std::uint32_t request = 0;
   std::uint32_t cache = 0;
-  int leg = 0;
+  int attempt = 0;
 };
-struct LegEnded {
-  std::uint32_t pull = 0;
+struct AttemptEnded {
+  std::uint32_t request = 0;
   std::uint32_t cache = 0;
-  int leg = 0;
+  int attempt = 0;
   Ending ending = Ending::kFinished;
   Ms took = 0;
   bool final = false;
@@ -166,7 +166,7 @@
   std::vector<float> report;
 };
 struct ClientLeft {
-  std::uint32_t pull = 0;
+  std::uint32_t request = 0;
 };
 struct WakeUp {
   std::uint64_t handle = 0;
@@ -187,7 +187,7 @@
   // platform.
   bool standing = false;
   bool lifted = false;
-  int offering = -1;
+  int request_class = -1;
   /// Where the notice says when, by another machine's clock, and not how long ago: in place of
   /// `ago`.
   struct Stamped {
@@ -215,15 +215,15 @@
 // The share of new pulls that is let in, by offering; empty: all, as at start. Comes only while a
 // fleet comes back from a loss (src/recovery/).
 struct LetIn {
-  std::vector<double> by_offering;
+  std::vector<double> by_request_class;
   Ms come_back = 0;  // told to what is not
 };
-using Event = std::variant<ListNews, PullCame, LegStarted, LegEnded, ClientLeft, WakeUp, ProbeEnded,
-                           Purged, PeerSaid, ZoneShares, NoOlder, LetIn>;
+using Event = std::variant<ListNews, RequestCame, AttemptStarted, AttemptEnded, ClientLeft, WakeUp,
+                           ProbeEnded, Purged, PeerSaid, ZoneShares, NoOlder, LetIn>;
 
 // ---- what is to be done
-struct SendLeg {
-  std::uint32_t pull = 0;
+struct SendAttempt {
+  std::uint32_t request = 0;
   std::uint32_t cache = 0;
   std::uint32_t source = 0;  // source == cache: no fill
   bool join = false;
@@ -231,21 +231,21 @@
   bool held_only = false;  // heldOnly: the source fetches nothing itself
   int rank = 0;
   Ms oldest = 0;        // 0: as old as the offering allows
-  Ms patience = 0;      // 0: till the client quits
+  Ms timeout = 0;       // 0: till the client quits
   bool proven = false;  // only over a connection that has just shown that it carries
   Ms not_after = 0;  // from then on it might take effect a second time: not begun any more, it ends
                      // as moot; 0: no limit
 };
-struct CancelLeg {
-  std::uint32_t pull = 0;
-  int leg = 0;
+struct CancelAttempt {
+  std::uint32_t request = 0;
+  int attempt = 0;
 };
-struct DeclinePull {
-  std::uint32_t pull = 0;
+struct DeclineRequest {
+  std::uint32_t request = 0;
   Ms retry_after = 0;
 };
-struct AbandonPull {
-  std::uint32_t pull = 0;
+struct AbandonRequest {
+  std::uint32_t request = 0;
 };
 struct WakeMe {
   Ms at = 0;
@@ -262,14 +262,14 @@
 // fleet.
 struct TellHealth {
   std::uint32_t cache = 0;
-  bool aside = false;
+  bool ejected = false;
 };
-using Action = std::variant<SendLeg, CancelLeg, DeclinePull, AbandonPull, WakeMe, ProbeCache,
-                            FollowList, WriteLine, TellHealth>;
+using Action = std::variant<SendAttempt, CancelAttempt, DeclineRequest, AbandonRequest, WakeMe,
+                            ProbeCache, FollowList, WriteLine, TellHealth>;
 
 class Router {
  public:
-  Router(const StoreSheet& sheet, std::uint64_t seed);
+  Router(const StoreSettings& settings, std::uint64_t seed);
   ~Router();
   Router(Router&&) noexcept;
   // The one entry point: what happened at `now` in, what is to be done out, in order.
--- a/src/logic/choice.hpp
+++ b/src/logic/choice.hpp
@@ -15,33 +15,33 @@
   double place_price = 0;
   std::vector<double> shares{};  // of pulls, by zone; empty: all stay in the own
 
-  Machine* CacheFor(const Pull& p) {
+  Machine* CacheFor(const Request& p) {
     auto away = load.roster.away.find(ZoneFor(p));  // the own zone is none of these
     Machine* at = away == load.roster.away.end() ? nullptr : Among(p, away->second);
     return at ? at : Among(p, load.roster.stores);
   }
-  Machine* Among(const Pull& p, const std::vector<Machine*>& caches) {
+  Machine* Among(const Request& p, const std::vector<Machine*>& caches) {
     std::vector<Machine*> open;
     for (Machine* m : load.roster.InOrder(caches, p.object))
       if (health.Judge(*m) && !p.HasFailed(m) && MayGo(p, *m) && cold.Affords(*m, cold.WorkOf(p)))
         open.push_back(m);
     Machine* at = FirstInBounds(open, p);
-    return at && load.level(*at) <= Bearable(p) ? at : nullptr;
+    return at && load.level(*at) <= MaxUtilisation(p) ? at : nullptr;
   }
 
   // Bounded load: the first in hash order that is at most a quarter over the mean level, or at one
   // where most pulls are in time, since a move costs a fill; and that this pull can bear. Else the
   // least level.
-  Machine* FirstInBounds(const std::vector<Machine*>& open, const Pull& p) const {
+  Machine* FirstInBounds(const std::vector<Machine*>& open, const Request& p) const {
     double held = 0, room = 0;
     Machine* least = nullptr;
     for (Machine* m : open) {
-      held += load.Together(m->legs, load.Sharers(*m));
+      held += load.Together(m->attempts, load.Sharers(*m));
       room += load.Carries(m->room) * load.roster.Warmth(*m);
       if (!least || load.level(*m) < load.level(*least))
         least = m;
     }
-    double most = std::min(std::max(1.75, 1.25 * (held + 1) / room), Bearable(p));
+    double most = std::min(std::max(1.75, 1.25 * (held + 1) / room), MaxUtilisation(p));
     auto first =
         std::find_if(open.begin(), open.end(), [&](Machine* m) { return load.level(*m) <= most; });
     return first == open.end() ? least : *first;
@@ -50,55 +50,57 @@
   // How crowded a machine or link may be for this pull: stretched by about the level, it must be in
   // time. A poor payoff for the work takes some off: in overload those go first that earn least for
   // it.
-  double Bearable(const Pull& p) const {
+  double MaxUtilisation(const Request& p) const {
     constexpr double kMargin =
         0.8;  // the level is an estimate, and rises while the pull is under way
     double stretch = kMargin * (p.agreed_at - now) / std::max(p.sending, 1.0);
-    return std::clamp(stretch * std::clamp(std::pow(Worthiness(p), 0.2), 0.7, 1.3), 1.2, 5.0);
+    return std::clamp(stretch * std::clamp(std::pow(ValueDensity(p), 0.2), 0.7, 1.3), 1.2, 5.0);
   }
-  double Worthiness(const Pull& p) const {  // payoff for the work, beside that of the usual pull
-    return (p.ware->payoff / std::max(p.sending, 1.0)) / (mean_payoff / std::max(mean_work, 1.0));
+  double ValueDensity(
+      const Request& p) const {  // payoff for the work, beside that of the usual pull
+    return (p.class_state->payoff / std::max(p.sending, 1.0)) /
+           (mean_payoff / std::max(mean_work, 1.0));
   }
 
   // A fleet that comes back from a loss lets in what cold machines bear, all fronts together
   // (src/recovery/); the rest is declined at once. Harm: a front that is told late declines what
   // could be served.
   LetIn admitted{};
-  bool LetsIn(const Pull& p) const {
-    auto at = static_cast<std::size_t>(p.offering);
-    return at >= admitted.by_offering.size() || Drawn() < admitted.by_offering[at];
+  bool LetsIn(const Request& p) const {
+    auto at = static_cast<std::size_t>(p.request_class);
+    return at >= admitted.by_request_class.size() || Drawn() < admitted.by_request_class[at];
   }
 
   // Clients have so many places here, each taken until its answer; when all are, the next pull is
   // turned away whatever it is worth. A price on places settles where nine in ten are taken, and
   // swings with them; what earns less is declined. Guards against surges or slowness that fill
   // them. Harm: costs some large objects.
-  bool CrowdsOut(const Pull& p) {
-    mean_payoff += 0.01 * (p.ware->payoff - mean_payoff);  // about the last hundred pulls
+  bool CrowdsOut(const Request& p) {
+    mean_payoff += 0.01 * (p.class_state->payoff - mean_payoff);  // about the last hundred pulls
     mean_work += 0.01 * (p.sending - mean_work);
     cold.Meet(p.sending);
     constexpr double kAim = 0.9, kStep = 0.002,
                      kSwing = 4;  // settles in a second; hundreds swing by a tenth
-    double over = f.places > 0 ? static_cast<double>(pulls.size()) / f.places - kAim : -1;
+    double over = f.places > 0 ? static_cast<double>(requests.size()) / f.places - kAim : -1;
     place_price = std::clamp(place_price + kStep * over, 0.0, 2.0);
-    return Worthiness(p) < place_price + kSwing * over;
+    return ValueDensity(p) < place_price + kSwing * over;
   }
 
   // Rule 2: where a further leg of this pull may go.
-  bool MayGo(const Pull& p, const Machine& m) const {
-    const Offering& o = *p.ware;
-    for (const Leg& leg : p.legs) {
-      if (leg.never_ran)
+  bool MayGo(const Request& p, const Machine& m) const {
+    const RequestClass& o = *p.class_state;
+    for (const Attempt& attempt : p.attempts) {
+      if (attempt.never_ran)
         continue;
-      if (o.effect == Effect::kExclusive || (leg.out && !f.may.two_legs_at_once))
+      if (o.effect == Effect::kExclusive || (attempt.out && !f.may.two_attempts_at_once))
         return false;
-      if (o.effect == Effect::kRerunnable)
+      if (o.effect == Effect::kIdempotent)
         continue;
-      if (now - leg.sent_at >= o.memory)
+      if (now - attempt.sent_at >= o.memory)
         return false;
-      if (o.span == Span::kZone && m.zone != leg.at->zone)
+      if (o.span == Span::kZone && m.zone != attempt.at->zone)
         return false;
-      if (o.span == Span::kCell && m.cell != leg.at->cell)
+      if (o.span == Span::kCell && m.cell != attempt.at->cell)
         return false;
     }
     return true;
@@ -106,14 +108,14 @@
 
   // Until when a further leg is known as a repeat of those before it, wherever it waits; 0: it
   // repeats none.
-  Ms RepeatsKnownTill(const Pull& p) const {
-    if (p.ware->effect != Effect::kTicketed)
+  Ms RepeatsKnownTill(const Request& p) const {
+    if (p.class_state->effect != Effect::kIdempotentWithKey)
       return 0;
-    auto first =
-        std::find_if(p.legs.begin(), p.legs.end(), [](const Leg& leg) { return !leg.never_ran; });
-    return first == p.legs.end()
+    auto first = std::find_if(p.attempts.begin(), p.attempts.end(),
+                              [](const Attempt& attempt) { return !attempt.never_ran; });
+    return first == p.attempts.end()
                ? 0
-               : first->sent_at + p.ware->memory;  // in the order of their sending
+               : first->sent_at + p.class_state->memory;  // in the order of their sending
   }
 
   // The fleet's verdict says which share of pulls goes to which zone: objects by hash, the same at
@@ -121,13 +123,13 @@
   // misses abroad until kept there. A ticket known to one zone stays: a client's repeat, after the
   // shares moved, would run twice. Without probes a cache that is due its trial gets it, else none
   // would ever be back.
-  int ZoneFor(const Pull& p) const {
-    const Offering& o = *p.ware;
-    if (shares.empty() || (o.effect == Effect::kTicketed && o.span != Span::kEverywhere))
+  int ZoneFor(const Request& p) const {
+    const RequestClass& o = *p.class_state;
+    if (shares.empty() || (o.effect == Effect::kIdempotentWithKey && o.span != Span::kEverywhere))
       return f.zone;
-    if (!f.may.probe && o.effect == Effect::kRerunnable && p.legs.empty())
+    if (!f.may.probe && o.effect == Effect::kIdempotent && p.attempts.empty())
       for (const Machine* m : load.roster.stores)
-        if (m->aside && health.Usable(*m))
+        if (m->ejected && health.Usable(*m))
           return f.zone;
     double left = Fraction(Mixed(p.object ^ 0x5eedull));  // not the homes' hash
     if ((left -= shares[static_cast<std::size_t>(f.zone)]) < 0)
--- a/src/logic/cold.hpp
+++ b/src/logic/cold.hpp
@@ -56,8 +56,8 @@
     return may_have_served ? std::clamp((now - first_met) / f.cold_window, 0.0, 1.0) : 1;
   }
 
-  static Ms WorkOf(const Pull& p) {
-    return std::max(p.sending, p.ware->mean_sending);
+  static Ms WorkOf(const Request& p) {
+    return std::max(p.sending, p.class_state->mean_sending);
   }
   // Its own, and not less than its class's mean, which who counts requests holds it for. Booked at
   // warm ones too: what was sent before the news of a start came is at the new process.
--- a/src/logic/health.hpp
+++ b/src/logic/health.hpp
@@ -16,11 +16,11 @@
   bool Usable(const Machine& m) const {
     if (m.standing != Standing::kReady)
       return false;
-    if (!m.aside)
+    if (!m.ejected)
       return now >= m.full_until;
     // Coming back: a cache after probes; without probes, and as a source, by one trial leg at a
     // time.
-    return (f.may.probe ? m.answers >= 2 : now >= m.aside_until) && !m.trial_out;
+    return (f.may.probe ? m.answers >= 2 : now >= m.ejected_until) && !m.trial_out;
   }
 
   // Three legs overdue and none answered that was sent as late. Guards against what swallows legs
@@ -32,13 +32,14 @@
     if (now - m.last_good <= kGrace)
       return false;  // none sent later can be overdue
     double crowd = std::max(1.0, load.LinkLevel());
-    auto overdue = [&](const Pull& p, const Leg& leg) {
-      return leg.sent_at > m.last_good && now - leg.sent_at > 3 * p.sending * crowd + kGrace;
+    auto overdue = [&](const Request& p, const Attempt& attempt) {
+      return attempt.sent_at > m.last_good &&
+             now - attempt.sent_at > 3 * p.sending * crowd + kGrace;
     };
-    return pulls.LegsOut(&m, overdue) >= kLimit;
+    return requests.AttemptsOut(&m, overdue) >= kLimit;
   }
   bool Judge(Machine& m) {
-    return !m.aside && Silent(m) ? Strike(m, kStrikesOut), false : Usable(m);
+    return !m.ejected && Silent(m) ? Strike(m, kStrikesOut), false : Usable(m);
   }
 
   // Guards against whatever makes a machine fail in a row: a crash the list has not told, a refused
@@ -51,30 +52,30 @@
     m.strikes += by;
     m.answers = 0;
     m.trial_out = false;
-    if (m.aside ? now < m.aside_until : m.strikes < kStrikesOut)
+    if (m.ejected ? now < m.ejected_until : m.strikes < kStrikesOut)
       return;
-    m.pause = m.aside ? std::min(2 * m.pause, kLongestPause) : kFirstPause;
-    if (!m.aside) {
+    m.pause = m.ejected ? std::min(2 * m.pause, kLongestPause) : kFirstPause;
+    if (!m.ejected) {
       Say("set aside", m);
       Act(TellHealth{m.cache, true});
     }
-    m.aside = true;
-    m.aside_until = now + m.pause;
+    m.ejected = true;
+    m.ejected_until = now + m.pause;
     if (f.may.probe)
-      Act(WakeMe{m.aside_until, kWakeMachine << 56 | m.cache});
+      Act(WakeMe{m.ejected_until, kWakeMachine << 56 | m.cache});
   }
 
   void Absolve(Machine& m) {
     m.strikes = 0;
-    m.may_be_new &= m.aside;
-    if (!m.aside || (f.may.probe && m.answers < 2))
+    m.may_be_new &= m.ejected;
+    if (!m.ejected || (f.may.probe && m.answers < 2))
       return;  // with probes: back only after two answered
     m.answers = 0;
     // One that could not be reached may be a new process that the list has not told of: it is taken
     // for cold.
     if (m.may_be_new)
       m.slow_start_from = now;
-    m.aside = m.trial_out = m.may_be_new = false;
+    m.ejected = m.trial_out = m.may_be_new = false;
     Say("is back", m);
     Act(TellHealth{m.cache, false});
   }
@@ -86,7 +87,7 @@
 
   void Probed(const ProbeEnded& e) {
     Machine* m = load.roster.Known(e.cache);
-    if (!m || !m->aside)
+    if (!m || !m->ejected)
       return;
     if (!e.answered) {
       m->may_be_new = true;
@@ -99,7 +100,7 @@
   }
   void Wake(const WakeUp& e) {
     Machine* m = load.roster.Known(static_cast<std::uint32_t>(e.handle));
-    if (!m || !m->aside)
+    if (!m || !m->ejected)
       return;
     m->standing == Standing::kReady ? Act(ProbeCache{m->cache})
                                     : Act(WakeMe{now + kSecond, e.handle});
--- a/src/logic/load.hpp
+++ b/src/logic/load.hpp
@@ -7,7 +7,7 @@
 
 struct Load : Part {
   Roster& roster;
-  const bool link_told = f.link_room > 0;
+  const bool link_notified = f.link_room > 0;
   Room link{0, f.link_room};
   Tally fills{};
   Tally link_levels{};   // fills out through the link; its level
@@ -59,21 +59,21 @@
     t = {out, MeanOf(t, sharing), now};
   }
   void Count(Machine& m, double by) const {
-    Count(m.legs, Sharers(m), m.legs.out + by);
+    Count(m.attempts, Sharers(m), m.attempts.out + by);
   }
 
   // Transfers per transfer it can carry, with one more of ours.
   double level(const Machine& m) const {
-    return (Together(m.legs, Sharers(m)) + 1) / (Carries(m.room) * roster.Warmth(m));
+    return (Together(m.attempts, Sharers(m)) + 1) / (Carries(m.room) * roster.Warmth(m));
   }
   int Sharers(const Machine& m) const {
-    return m.role == Role::kStore ? f.crew : f.fronts;
+    return m.role == Role::kStore ? f.zone_replicas : f.fronts;
   }
 
   // A link not told: a third of what the caches carry, for a usual share of misses; half where that
   // is a low guess itself, for want of weights. Fills correct it.
   void ExpectLink() {
-    if (link_told)
+    if (link_notified)
       return;
     link.nominal = 0;
     for (const Machine* m : roster.stores)
@@ -85,13 +85,13 @@
   // As caches report it, where they do, fading until the next word; else by our own legs.
   double LinkLevel() const {
     constexpr Ms kFade = 5 * kSecond;  // long beside the reports' delay; a look brings the next
-    double own = (Together(fills, f.crew) + 1) / Carries(link);
+    double own = (Together(fills, f.zone_replicas) + 1) / Carries(link);
     return link_said_at > kLongAgo
                ? std::max(own, link_said * std::exp((link_said_at - now) / kFade))
                : own;
   }
   bool LinkKnown() const {
-    return link_told || link_said_at > kLongAgo;
+    return link_notified || link_said_at > kLongAgo;
   }
   void Look() {
     Count(link_levels, 20, LinkLevel());
@@ -100,11 +100,11 @@
     return MeanOf(link_levels, 20);
   }
   void CountFill(double by) {
-    Count(fills, f.crew, fills.out + by);
+    Count(fills, f.zone_replicas, fills.out + by);
   }
   void HearLink(const std::vector<float>& report) {
     double said = std::clamp(Reported(report, f.link_report), 0.0, 100.0);
-    if (link_told || !std::isfinite(said))
+    if (link_notified || !std::isfinite(said))
       return;  // a peer's word
     link_said =
         link_said_at > kLongAgo ? link_said + 0.5 * (said - link_said) : said;  // reports are noisy
--- a/src/logic/memories.hpp
+++ b/src/logic/memories.hpp
@@ -10,14 +10,14 @@
       30 * kSecond;  // long beside any idle window, short beside a fashion
   static constexpr Ms kLongestOmega = 4 * kCountAgeing;
   const Purges& purges;
-  std::vector<Ware> wares{};
+  std::vector<ClassState> class_states{};
   Remembered table{};
 
-  void Start(const std::vector<Offering>& offerings) {
+  void Start(const std::vector<RequestClass>& request_classes) {
     // A sending on the long side, which the first pulls seen replace; the design's few seconds for
     // omega.
-    for (const Offering& o : offerings)
-      wares.push_back({o, o.expiry / 16, 5 * kSecond});
+    for (const RequestClass& o : request_classes)
+      class_states.push_back({o, o.expiry / 16, 5 * kSecond});
   }
 
   Memory* Recall(std::uint64_t object, int part) {
@@ -35,13 +35,13 @@
   }
 
   // A pull came: it is counted, and its sending known by its size, else taken to be the usual one.
-  void Meet(Pull& p) {
-    Ware& w = *p.ware;
+  void Meet(Request& p) {
+    ClassState& w = *p.class_state;
     Memory& m = *(p.memory = Recall(p.object, p.part));
     ++m.pins;
-    p.gap = m.last_pull > kLongAgo ? now - m.last_pull : 0;
-    m.count = m.count * (m.last_pull > kLongAgo ? std::exp(-p.gap / kCountAgeing) : 0) + 1;
-    m.last_pull = now;
+    p.gap = m.last_request > kLongAgo ? now - m.last_request : 0;
+    m.count = m.count * (m.last_request > kLongAgo ? std::exp(-p.gap / kCountAgeing) : 0) + 1;
+    m.last_request = now;
     p.last_at = m.last_at;
     p.sending = w.mean_sending;
     if (p.size_kb > 0 && f.stream_kb_per_ms > 0) {
@@ -60,13 +60,14 @@
   // answers hit. Departure: nothing is learnt from a cache that started lately, from purged
   // objects, or from another cache than the part's last; omega stays within the fresh time. Else a
   // deploy's misses cut it at all fronts.
-  void LearnOmega(const Pull& p, const Leg& leg, bool hit) const {
+  void LearnOmega(const Request& p, const Attempt& attempt, bool hit) const {
     constexpr double kStep =
         0.02;  // fifty answers move it by e: seconds of traffic, not single surprises
-    Ware& w = *p.ware;
-    if (leg.at != p.last_at || p.gap <= 0 || purges.at(p) > kLongAgo)
+    ClassState& w = *p.class_state;
+    if (attempt.at != p.last_at || p.gap <= 0 || purges.at(p) > kLongAgo)
       return;
-    if (leg.at->slow_start_from > 0 && now - leg.at->slow_start_from < f.cold_store.lasts + p.gap)
+    if (attempt.at->slow_start_from > 0 &&
+        now - attempt.at->slow_start_from < f.cold_store.lasts + p.gap)
       return;
     if (hit && p.gap > w.omega)
       w.omega *= 1 + kStep;
@@ -76,10 +77,10 @@
     w.omega = std::clamp(w.omega, kSecond / 2, most);
   }
 
-  int RankOf(const Pull& p) const {
-    double lambda =
-        ((p.memory->count - 1) * f.crew + 1) / kCountAgeing;  // this pull tells of no others
-    double held = 1 - std::exp(-lambda * p.ware->omega);
+  int RankOf(const Request& p) const {
+    double lambda = ((p.memory->count - 1) * f.zone_replicas + 1) /
+                    kCountAgeing;  // this pull tells of no others
+    double held = 1 - std::exp(-lambda * p.class_state->omega);
     return held > 2.0 / 3   ? 3
            : held > 1.0 / 3 ? 2
                             : 1;  // three ranks, even thirds of the held chance
--- a/src/logic/purges.hpp
+++ b/src/logic/purges.hpp
@@ -13,12 +13,12 @@
   std::unordered_map<std::uint64_t, Ms> recalled{};
   Ms no_older = 0;
 
-  static std::uint64_t OfOffering(int offering) {
-    return Mixed(~static_cast<std::uint64_t>(offering));
+  static std::uint64_t OfRequestClass(int request_class) {
+    return Mixed(~static_cast<std::uint64_t>(request_class));
   }
 
   void Take(const Purged& e) {
-    std::uint64_t key = e.offering >= 0 ? OfOffering(e.offering) : e.object;
+    std::uint64_t key = e.request_class >= 0 ? OfRequestClass(e.request_class) : e.object;
     if (e.whole_group)
       key = ~static_cast<std::uint64_t>(e.group);
     if (e.lifted)
@@ -41,12 +41,12 @@
     constexpr Ms kAnnouncingTakes = kSecond;
     if (!e.stamped)
       return now - e.ago;
-    const Notified& told = e.stamped->notified;
-    Ms earliest = told.up_to_date_at.value_or(told.at - f.purge_done) - kAnnouncingTakes;
-    return OnOwnClock(e.stamped->stamp, earliest, told.at);
+    const Notified& notified = e.stamped->notified;
+    Ms earliest = notified.up_to_date_at.value_or(notified.at - f.purge_done) - kAnnouncingTakes;
+    return OnOwnClock(e.stamped->stamp, earliest, notified.at);
   }
 
-  Ms at(const Pull& p) const {
+  Ms at(const Request& p) const {
     Ms latest = kLongAgo;
     for (std::uint64_t key : {p.object, ~static_cast<std::uint64_t>(p.group)}) {
       auto found = purged.find(key);
@@ -55,7 +55,7 @@
     }
     if (!recalled.empty())
       for (std::uint64_t key :
-           {p.object, ~static_cast<std::uint64_t>(p.group), OfOffering(p.offering)})
+           {p.object, ~static_cast<std::uint64_t>(p.group), OfRequestClass(p.request_class)})
         if (auto r = recalled.find(key); r != recalled.end())
           latest = std::max(latest, r->second);
     return latest;
@@ -65,14 +65,14 @@
   // since it, less one millisecond against rounding, and never 0, which would lift the cap. Where
   // recalls may have been missed: none older than that. Guards against a front cut off from the
   // record. Harm: kept copies are checked.
-  Ms Oldest(const Pull& p) const {
+  Ms Oldest(const Request& p) const {
     Ms purge = at(p);
     if (purge == kLongAgo && no_older <= 0)
       return 0;
     Ms since = purge == kLongAgo ? no_older : std::max(now - purge - 1, 0.001);
     if (no_older > 0)
       since = std::min(since, no_older);
-    return p.ware->fresh_for > 0 ? std::min(since, p.ware->fresh_for) : since;
+    return p.class_state->fresh_for > 0 ? std::min(since, p.class_state->fresh_for) : since;
   }
 };
 
--- a/src/logic/roster.hpp
+++ b/src/logic/roster.hpp
@@ -36,7 +36,7 @@
   // Gone, and nothing sent in the last minute was answered there: it is forgotten, unless a pull
   // still points to it. Harm: one listed again later is as new to this front.
   bool Left(const Machine& m) {
-    if (m.standing != Standing::kGone || now - m.last_good < 60 * kSecond || pulls.PointTo(&m))
+    if (m.standing != Standing::kGone || now - m.last_good < 60 * kSecond || requests.PointTo(&m))
       return false;
     memories.table.Unlink(&m);
     return true;
@@ -51,10 +51,10 @@
       m.weight = 1;
     m.role = RoleOf(e, f);
     if (m.slow_start_from > before) {  // a new start: what was known of the old process is void
-      if (m.aside)
+      if (m.ejected)
         Act(TellHealth{m.cache, false});
       m.strikes = 0;
-      m.aside = m.trial_out = false;
+      m.ejected = m.trial_out = false;
       m.room = {};
     }
     // Weights absent: a cache is held to carry four transfers, a small machine's worth, a source
--- a/src/logic/router.cpp
+++ b/src/logic/router.cpp
@@ -8,8 +8,8 @@
 struct Router::Mind {
   logic::Turn turn;
   const logic::Figures figures;
-  logic::Pulls pulls;
-  const logic::Part part{turn, figures, pulls};
+  logic::Requests requests;
+  const logic::Part part{turn, figures, requests};
   logic::Purges purges{part};
   logic::Memories memories{part, purges};
   logic::Roster roster{part, {}, memories};
@@ -18,20 +18,21 @@
   logic::Health health{part, load};
   logic::Choice choice{part, load, cold, health};
   logic::Sources sources{part, purges, load, choice};
-  logic::Legs legs{part, memories, load, choice, sources};
+  logic::Attempts attempts{part, memories, load, choice, sources};
 
-  Mind(const StoreSheet& s, std::uint64_t seed) : turn{.chance = std::knuth_b(seed)}, figures(s) {
-    memories.Start(s.offerings);
+  Mind(const StoreSettings& s, std::uint64_t seed)
+      : turn{.chance = std::knuth_b(seed)}, figures(s) {
+    memories.Start(s.request_classes);
   }
 
   void take(const ListNews& e) {
     roster.Take(e) ? load.ExpectLink() : void();
   }
-  void take(const PullCame& e) {
-    legs.Arrive(e);
+  void take(const RequestCame& e) {
+    attempts.Arrive(e);
   }
-  void take(const LegEnded& e) {
-    legs.Ended(e);
+  void take(const AttemptEnded& e) {
+    attempts.Ended(e);
   }
   void take(const ProbeEnded& e) {
     health.Probed(e);
@@ -49,33 +50,33 @@
     choice.admitted = e;
   }
   void take(const PeerSaid&) {}  // fronts tell each other nothing this way
-  void take(const LegStarted& e) {
-    logic::Pull* p =
-        pulls.Known(e.pull);  // the client owns that leg now: nothing binds it but its end
+  void take(const AttemptStarted& e) {
+    logic::Request* p =
+        requests.Known(e.request);  // the client owns that leg now: nothing binds it but its end
     if (p && !p->ended) {
       p->streaming = true;
-      legs.CallOff(*p, e.leg);
+      attempts.CallOff(*p, e.attempt);
     }
   }
   void take(const ClientLeft& e) {
-    logic::Pull* p = pulls.Known(e.pull);
+    logic::Request* p = requests.Known(e.request);
     if (p && !p->ended)
-      legs.Finish(*p);
+      attempts.Finish(*p);
     if (p)
-      pulls.Forget(*p);
+      requests.Forget(*p);
   }
   void take(const WakeUp& e) {
     if (e.handle >> 56 == logic::kWakeList)
       turn.todo->push_back(FollowList{});
     if (e.handle >> 56 == logic::kWakeMachine)
       health.Wake(e);
-    if (e.handle >> 56 == logic::kWakePull)
-      legs.Wake(static_cast<std::uint32_t>(e.handle));
+    if (e.handle >> 56 == logic::kWakeRequest)
+      attempts.Wake(static_cast<std::uint32_t>(e.handle));
   }
 };
 
-Router::Router(const StoreSheet& sheet, std::uint64_t seed)
-    : mind_(std::make_unique<Mind>(sheet, seed)) {}
+Router::Router(const StoreSettings& settings, std::uint64_t seed)
+    : mind_(std::make_unique<Mind>(settings, seed)) {}
 Router::~Router() = default;
 Router::Router(Router&&) noexcept = default;
 
--- a/src/logic/sources.hpp
+++ b/src/logic/sources.hpp
@@ -15,17 +15,17 @@
 
   // A cache of the location that finished the part within omega, when its home has moved; else the
   // object's parent, moving on in hash order; else the origin. nullptr: no fill.
-  Machine* SourceFor(Pull& p, const Machine& at) const {
+  Machine* SourceFor(Request& p, const Machine& at) const {
     Machine *origin = load.roster.origin, *last = p.last_at;
     auto open = [&](Machine* m) {
       return choice.health.Judge(*m) && !p.HasFailed(m) &&
              choice.cold.Affords(*m, choice.cold.WorkOf(p));
     };
-    if (p.ware->never_kept && origin && open(origin))
+    if (p.class_state->never_kept && origin && open(origin))
       return origin;
     if (f.lateral && !p.sibling_lacked && last && last != &at && last->IsCache() &&
-        last->zone == at.zone && p.gap < p.ware->omega && purges.at(p) == kLongAgo && open(last) &&
-        load.level(*last) < 1.5)
+        last->zone == at.zone && p.gap < p.class_state->omega && purges.at(p) == kLongAgo &&
+        open(last) && load.level(*last) < 1.5)
       return last;
     std::vector<Machine*> able;
     auto add_able = [&](bool held) {
@@ -42,7 +42,7 @@
       return Fraction(Mixed(~p.object ^ Mixed(m->cache))) < ShareOf(*m);
     });
     Machine* best = able.empty() ? nullptr : choice.FirstInBounds(able, p);
-    if (best && load.level(*best) <= choice.Bearable(p))
+    if (best && load.level(*best) <= choice.MaxUtilisation(p))
       return best;
     return other && (!best || load.level(*origin) < load.level(*best)) ? origin : best;
   }
@@ -50,7 +50,7 @@
   // While the origin is slow beside its calm, only as large a share of misses leads to it; others
   // ask a parent for what it holds, else are declined. Harm: a lasting change of pace is first
   // taken for trouble.
-  bool SparesOrigin(const Pull& p) const {
+  bool SparesOrigin(const Request& p) const {
     constexpr double kSlow = 3,
                      kLook = 0.1;  // calm answers vary by less; a tenth shows when it is calm again
     if (originWait <= kSlow * origin_calm)
@@ -75,10 +75,10 @@
         50 * kSecond;  // forgiven at leisure where nothing is asked of it any more
     return std::min(1.0, m.share + std::min(kWhole, now - m.share_at) / kWhole);
   }
-  void Shift(Machine& from, const Leg& leg, double stretch) const {
+  void Shift(Machine& from, const Attempt& attempt, double stretch) const {
     constexpr double kLeast = 0.05, kCut = 0.7,
                      kGrow = 0.02;  // about one fill in ten is then a stretched one
-    if (leg.sent_at < from.cut_at)
+    if (attempt.sent_at < from.cut_at)
       return;
     bool crowded = stretch > 2;
     from.share =
@@ -97,26 +97,26 @@
     Ms at = held ? m.held_at : m.pace_at;
     return 1 + ((held ? m.held_pace : m.pace) - 1) * std::exp((at - now) / kFade);
   }
-  bool InTime(const Pull& p, const Machine& m, bool held = false) const {
+  bool InTime(const Request& p, const Machine& m, bool held = false) const {
     constexpr double kSpare =
         1.2;  // a pace is a mean of unlike fills; 1.0 and 1.3 won less on six draws
     if (f.remarks)
       return true;
     double pace = PaceOf(m, held);
-    for (auto& [id, other] : pulls)
-      for (const Leg& leg : other.legs)
-        if (leg.out && leg.source == &m && leg.held == held)
-          pace = std::max(pace, (now - leg.sent_at) / (other.sending + fill_wait));
+    for (auto& [id, other] : requests)
+      for (const Attempt& attempt : other.attempts)
+        if (attempt.out && attempt.source == &m && attempt.held == held)
+          pace = std::max(pace, (now - attempt.sent_at) / (other.sending + fill_wait));
     return now + kSpare * (p.sending + fill_wait) * pace < p.agreed_at;
   }
 
   // A fill is stretched by the link, which all share, and by its source. The best source's pace is
   // laid to the link, what is worse to the source.
-  void LearnFill(const Leg& leg, Ms own, Ms took) {
-    Machine& from = *leg.source;
+  void LearnFill(const Attempt& attempt, Ms own, Ms took) {
+    Machine& from = *attempt.source;
     if (own <= 0)
       return;
-    if (leg.held && !f.remarks) {  // tells of what it holds only, and nothing of the link
+    if (attempt.held && !f.remarks) {  // tells of what it holds only, and nothing of the link
       from.held_pace = PaceOf(from, true) + 0.5 * (std::max(1.0, took / own) - PaceOf(from, true));
       return void(from.held_at = now);
     }
@@ -130,24 +130,24 @@
     for (const Machine* m : load.roster.parents)
       if (now - m->pace_at < 5 * kSecond)
         best = std::min(best, m->pace);
-    Shift(from, leg, took / (best * own));
+    Shift(from, attempt, took / (best * own));
     if (load.LinkKnown())
       best = std::min(best, std::max(1.0, load.LinkLevel()));  // none beside a lone one
-    load.Learn(from.room, load.Together(from.legs, f.fronts) + 1, own, took, best);
+    load.Learn(from.room, load.Together(from.attempts, f.fronts) + 1, own, took, best);
     double grow =
         f.remarks ? 1.05 : 1.02;  // slower by lengths alone: one too large costs many late fills
-    if (!load.link_told && from.pace <= 1.25 * best)
-      load.Learn(load.link, load.Together(load.fills, f.crew) + 1, own, took, 1, grow);
+    if (!load.link_notified && from.pace <= 1.25 * best)
+      load.Learn(load.link, load.Together(load.fills, f.zone_replicas) + 1, own, took, 1, grow);
   }
   // One that came whole: where answers don't tell how long it waited, the usual wait is learnt and
   // taken off.
-  void Filled(const Leg& leg, Ms own, Ms took, Ms waited) {
+  void Filled(const Attempt& attempt, Ms own, Ms took, Ms waited) {
     Ms over = std::max(1.0, took - own);
     if (f.remarks)
-      return LearnFill(leg, own, took - waited);
+      return LearnFill(attempt, own, took - waited);
     fill_wait = fill_wait <= 0 ? over : fill_wait * (over > fill_wait ? 1.02 : 0.98);
     if (own > fill_wait)
-      LearnFill(leg, own + fill_wait, took);  // below, the wait outweighs it
+      LearnFill(attempt, own + fill_wait, took);  // below, the wait outweighs it
   }
 };
 
--- a/src/logic_state/records.hpp
+++ b/src/logic_state/records.hpp
@@ -18,7 +18,7 @@
 };
 
 // One offering's figures, with what has been learnt of it.
-struct Ware : Offering {
+struct ClassState : RequestClass {
   Ms mean_sending = 0;
   Ms omega = 0;
   int sendings_seen = 0;  // of this offering's pulls; counts up to where its mean is steady
@@ -44,7 +44,7 @@
 // last good answer, when no pull points to it.
 struct Machine : ListEntry {
   Role role = Role::kForeign;
-  Tally legs;  // of ours that are out there, or name it as their source
+  Tally attempts;  // of ours that are out there, or name it as their source
   Room room;
   Ms slow_start_from = 0;                   // on this front's clock; 0: started long ago
   std::deque<std::pair<Ms, double>> spent;  // cold budget: emptied as the window passes
@@ -52,10 +52,10 @@
   double turn = 1;  // drawn from 0 to 1, for a window of the budget
   int strikes = 0;
   int answers = 0;
-  bool aside = false;
+  bool ejected = false;
   bool trial_out = false;
   bool may_be_new = false;
-  Ms aside_until = 0;
+  Ms ejected_until = 0;
   Ms pause = 0;
   Ms full_until = 0;
   Ms last_good = kLongAgo;  // when the latest leg was sent that it answered, or filled as a source
@@ -76,13 +76,13 @@
 struct Memory {
   std::uint64_t key = 0;
   Ms used_at = kLongAgo;
-  Ms last_pull = kLongAgo;
+  Ms last_request = kLongAgo;
   double count = 0;            // pulls, ageing
   Machine* last_at = nullptr;  // the cache that finished it last
   int pins = 0;                // pulls under way that point here
 };
 
-struct Leg {
+struct Attempt {
   Machine* at = nullptr;
   Machine* source = nullptr;  // nullptr: no fill
   Ms sent_at = 0;
@@ -94,8 +94,8 @@
   bool held = false;  // the source was asked only for what it holds
 };
 
-struct Pull : PullCame {
-  Ware* ware = nullptr;
+struct Request : RequestCame {
+  ClassState* class_state = nullptr;
   Ms expires_at = 0;
   Ms agreed_at = 0;
   Ms sending = 0;
@@ -109,22 +109,22 @@
   bool known_miss = false;
   bool spared = false;
   bool held_only = false;
-  std::vector<Leg> legs;
+  std::vector<Attempt> attempts;
   std::vector<Machine*> failed;  // caches and sources that failed this pull
   bool HasFailed(const Machine* m) const {
     return std::count(failed.begin(), failed.end(), m) > 0;
   }
-  bool LegOut() const {
-    return std::any_of(legs.begin(), legs.end(), [](const Leg& l) { return l.out; });
+  bool AttemptOut() const {
+    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& l) { return l.out; });
   }
   bool PointsTo(const Machine* m) const {
-    auto there = [&](const Leg& l) {
+    auto there = [&](const Attempt& l) {
       return l.at == m || l.source == m;
     };
-    return last_at == m || HasFailed(m) || std::any_of(legs.begin(), legs.end(), there);
+    return last_at == m || HasFailed(m) || std::any_of(attempts.begin(), attempts.end(), there);
   }
   Ms KnownSending() const {
-    return ware->sendings_seen ? sending : 0;
+    return class_state->sendings_seen ? sending : 0;
   }  // 0: no size was ever told
 };
 
--- a/src/logic_state/tables.hpp
+++ b/src/logic_state/tables.hpp
@@ -27,8 +27,8 @@
 }  // above 0 too
 
 // Pulls under way by their number: one goes when it has ended and its last leg is in.
-struct Pulls : std::map<std::uint32_t, Pull> {
-  Pull* Known(std::uint32_t id) {
+struct Requests : std::map<std::uint32_t, Request> {
+  Request* Known(std::uint32_t id) {
     auto at = find(id);
     return at == end() ? nullptr : &at->second;
   }
@@ -37,18 +37,18 @@
   }
   // How many legs are out there, or fed from there, of which `which` holds.
   template <class Which>
-  int LegsOut(const Machine* m, Which which) const {
+  int AttemptsOut(const Machine* m, Which which) const {
     int sum = 0;
     for (auto& [id, p] : *this)
-      for (const Leg& leg : p.legs)
-        sum += leg.out && (leg.at == m || leg.source == m) && which(p, leg);
+      for (const Attempt& attempt : p.attempts)
+        sum += attempt.out && (attempt.at == m || attempt.source == m) && which(p, attempt);
     return sum;
   }
-  void Forget(Pull& p) {
-    if (!p.ended || p.LegOut())
+  void Forget(Request& p) {
+    if (!p.ended || p.AttemptOut())
       return;
     --p.memory->pins;
-    erase(p.pull);
+    erase(p.request);
   }
 };
 
@@ -127,7 +127,7 @@
 inline std::string LineOf(const char* what, const Machine& m) {
   static const char* const kRoles[] = {"cache ", "parent ", "origin ", "machine "};
   return kRoles[static_cast<int>(m.role)] + std::to_string(m.cache) + " " + what + ": strikes " +
-         std::to_string(m.strikes) + ", legs " + std::to_string(std::lround(m.legs.out));
+         std::to_string(m.strikes) + ", legs " + std::to_string(std::lround(m.attempts.out));
 }
 
 }  // namespace dunlinwick::logic
--- a/src/logic_state/turn.hpp
+++ b/src/logic_state/turn.hpp
@@ -11,7 +11,7 @@
 constexpr Ms kSecond = 1000;
 
 enum Wake : std::uint64_t {
-  kWakePull = 1,
+  kWakeRequest = 1,
   kWakeMachine = 2,
   kWakeList = 3
 };  // the upper byte of a WakeMe's handle
@@ -19,12 +19,12 @@
 // The sheet as the parts use it; what they make of it they derive themselves, at start.
 struct Figures {
   int zone;
-  int crew;
+  int zone_replicas;
   int fronts;
   int places;
   int parent_kind;
   int origin_kind;
-  int most_legs;
+  int most_attempts;
   int link_report;
   Permits may;
   bool asks_for_list;
@@ -38,14 +38,14 @@
   double link_room;  // transfers that the link carries, 0: not told
   ColdTerms cold_store;
   ColdTerms cold_parent;
-  explicit Figures(const StoreSheet& s)
+  explicit Figures(const StoreSettings& s)
       : zone(s.zone),
-        crew(std::max(1, s.crew)),
+        zone_replicas(std::max(1, s.zone_replicas)),
         fronts(std::max(1, s.fronts)),
         places(s.places),
         parent_kind(s.parent_kind),
         origin_kind(s.origin_kind),
-        most_legs(s.most_legs),
+        most_attempts(s.most_attempts),
         link_report(s.link_report),
         may(s.may),
         asks_for_list(s.asks_for_list),
@@ -87,7 +87,7 @@
 struct Part {
   Turn& turn;
   const Figures& f;
-  Pulls& pulls;
+  Requests& requests;
   const Ms& now = turn.now;
   void Act(Action a) const {
     turn.todo->push_back(std::move(a));
--- a/src/loop/connection.cpp
+++ b/src/loop/connection.cpp
@@ -8,7 +8,7 @@
 
 namespace dunlinwick::loop {
 
-const char* ToString(Parting how) {
+const char* ToString(DisconnectReason how) {
   static const char* const kWords[] = {"refused",  "never up", "no descriptor", "closed",
                                        "reset",    "silent",   "malformed",     "stalled",
                                        "replaced", "let go"};
@@ -67,22 +67,22 @@
 
 Connection::Connection(Loop& loop, Owner& owner, const Address& to, Ms within)
     : loop_(loop), owner_(owner) {
-  fd_ = Descriptor(loop.ground(), loop.ground().OpenStream());
+  fd_ = Descriptor(loop.environment(), loop.environment().OpenStream());
   if (!fd_) {
-    EndAs(Parting::kNoDescriptor);
+    EndAs(DisconnectReason::kNoDescriptor);
     return;
   }
-  limit_ = loop_.at(loop_.now() + within, [this] { Finish(Parting::kNeverUp); });
-  int result = loop.ground().Connect(fd_.Get(), to);
+  limit_ = loop_.at(loop_.now() + within, [this] { Finish(DisconnectReason::kNeverUp); });
+  int result = loop.environment().Connect(fd_.Get(), to);
   if (result == 0)
     up_ = true;
   else if (result == -ECONNREFUSED)
-    EndAs(Parting::kRefused);
+    EndAs(DisconnectReason::kRefused);
   else if (IsLocalShortage(-result))
-    EndAs(Parting::kNoDescriptor);
+    EndAs(DisconnectReason::kNoDescriptor);
   // Interrupted, it proceeds as one in progress does.
   else if (result != -EINPROGRESS && result != -EINTR)
-    EndAs(Parting::kNeverUp);
+    EndAs(DisconnectReason::kNeverUp);
   if (up_)
     loop_.Cancel(limit_);
   Rewatch();
@@ -101,14 +101,14 @@
   over_ = true;
 }
 
-void Connection::EndAs(Parting how) {
+void Connection::EndAs(DisconnectReason how) {
   if (IsOver())
     return;
   loop_.Forget(fd_.Get());
   report_ = loop_.at(loop_.now(), [this, how] { Finish(how); });
 }
 
-void Connection::Finish(Parting how) {
+void Connection::Finish(DisconnectReason how) {
   if (over_)
     return;
   Close();
@@ -175,7 +175,7 @@
 
 void Connection::SayNoMore() {
   if (!over_ && !shut_)
-    loop_.ground().SayNoMore(fd_.Get());
+    loop_.environment().SayNoMore(fd_.Get());
   shut_ = true;
 }
 
@@ -206,7 +206,7 @@
       if (count == 16)
         break;
     }
-    ssize_t put = loop_.ground().Send(fd_.Get(), {parts, static_cast<std::size_t>(count)});
+    ssize_t put = loop_.environment().Send(fd_.Get(), {parts, static_cast<std::size_t>(count)});
     if (put == -EINTR)
       continue;
     if (put == -EAGAIN || put == -EWOULDBLOCK)
@@ -236,7 +236,7 @@
     constexpr int kMost = 64;  // reads: 1 MB, beyond any answer
     for (int i = 0; i < kMost && !IsOver() && in.size() < most_; ++i) {
       std::span<char> room = in.room(1 << 14);
-      ssize_t got = loop_.ground().receive(fd_.Get(), room);
+      ssize_t got = loop_.environment().receive(fd_.Get(), room);
       if (got == -EINTR)
         continue;
       if (got <= 0)
@@ -245,7 +245,7 @@
       owner_.Came();
     }
     if (!IsOver())
-      Finish(Parting::kReset);
+      Finish(DisconnectReason::kReset);
   });
 }
 
@@ -253,17 +253,17 @@
   // One read a turn, so that a fast sender does not hold up the others.
   constexpr std::size_t kChunk = 1 << 14;
   std::span<char> room = in.room(kChunk);
-  ssize_t got = loop_.ground().receive(fd_.Get(), room);
+  ssize_t got = loop_.environment().receive(fd_.Get(), room);
   if (got > 0) {
     in.Wrote(static_cast<std::size_t>(got));
     owner_.Came();
     Rewatch();
   } else if (got == 0) {
-    Finish(Parting::kClosed);
+    Finish(DisconnectReason::kClosed);
   } else if (IsOutOfBuffers(got)) {
     WaitForBuffers();
   } else if (got != -EAGAIN && got != -EWOULDBLOCK && got != -EINTR) {
-    Finish(Parting::kReset);
+    Finish(DisconnectReason::kReset);
   }
 }
 
@@ -281,11 +281,11 @@
 
 void Connection::Ready(short events) {
   if (!up_) {
-    int fault = loop_.ground().Fault(fd_.Get());
+    int fault = loop_.environment().Fault(fd_.Get());
     if (fault == ECONNREFUSED)
-      return Finish(Parting::kRefused);
+      return Finish(DisconnectReason::kRefused);
     if (fault != 0 || (events & (POLLERR | POLLHUP)))
-      return Finish(Parting::kNeverUp);
+      return Finish(DisconnectReason::kNeverUp);
     if (!(events & POLLOUT))
       return;
     up_ = true;
@@ -300,9 +300,9 @@
   if ((events & POLLIN) && in.size() < most_)
     Fetch();
   else if (events & (POLLERR | POLLHUP))
-    return Finish(Parting::kReset);
+    return Finish(DisconnectReason::kReset);
   else if (events & POLLRDHUP)
-    return Finish(Parting::kClosed);
+    return Finish(DisconnectReason::kClosed);
   if (IsOver() || broken_ || !(events & POLLOUT) || out_.empty())
     return;
   Flush();
--- a/src/loop/connection.hpp
+++ b/src/loop/connection.hpp
@@ -12,7 +12,7 @@
 namespace dunlinwick::loop {
 
 // Every way in which a connection can end.
-enum class Parting {
+enum class DisconnectReason {
   kRefused,       // the other side said no
   kNeverUp,       // not up within the limit
   kNoDescriptor,  // this machine has no descriptor, port, buffer or route for it: nothing is known
@@ -25,7 +25,7 @@
   kReplaced,      // another process is listed in the other side's place
   kLetGo          // closed from here, with nothing open on it
 };
-const char* ToString(Parting how);
+const char* ToString(DisconnectReason how);
 
 std::optional<Address> ReadAddress(std::string_view text);  // 127.0.0.1:5050
 
@@ -33,9 +33,10 @@
  public:
   class Owner {
    public:
-    virtual void Came() = 0;              // there are bytes in the buffer
-    virtual void Drained() {}             // all messages are out
-    virtual void Ended(Parting how) = 0;  // once; never called out of a call of the owner's
+    virtual void Came() = 0;   // there are bytes in the buffer
+    virtual void Drained() {}  // all messages are out
+    virtual void Ended(
+        DisconnectReason how) = 0;  // once; never called out of a call of the owner's
 
    protected:
     ~Owner() = default;
@@ -69,11 +70,11 @@
   bool PeerDone() const {
     return peer_done_;
   }
-  void ReadUpTo(std::size_t most);  // reads no more while the buffer holds that much
-  void BePatient(bool patient);     // nothing but its end is waited for
-  void EndAs(Parting how);          // reports it to the owner in the next turn
-  void SayNoMore();                 // shuts the way out; reading goes on
-  void Close();                     // without a report
+  void ReadUpTo(std::size_t most);   // reads no more while the buffer holds that much
+  void BePatient(bool patient);      // nothing but its end is waited for
+  void EndAs(DisconnectReason how);  // reports it to the owner in the next turn
+  void SayNoMore();                  // shuts the way out; reading goes on
+  void Close();                      // without a report
 
  private:
   struct Message {
@@ -83,7 +84,7 @@
                                  // when it was sent
   };
   void Ready(short events) override;
-  void Finish(Parting how);
+  void Finish(DisconnectReason how);
   void Fetch();
   std::uint64_t Enqueue(Message message, bool more);
   bool ComposeFirst();
--- a/src/loop/datagram_reader.cpp
+++ b/src/loop/datagram_reader.cpp
@@ -33,7 +33,7 @@
   std::vector<char> buffer(longest_);
   for (int i = 0; i < kMostInTurn; ++i) {
     Address from{};
-    ssize_t size = loop_.ground().ReceiveFrom(socket_, buffer, from);
+    ssize_t size = loop_.environment().ReceiveFrom(socket_, buffer, from);
     if (size == -ENOBUFS || size == -ENOMEM) {
       WaitForBuffers();
       break;
--- a/src/loop/ground.hpp
+++ b/src/loop/ground.hpp
@@ -17,7 +17,7 @@
 using Address = sockaddr_in;
 
 // Calls answer as the system's do, with a negative errno in place of -1. Descriptors never block.
-class Ground {
+class Environment {
  public:
   virtual Ms now() = 0;  // Unix time in milliseconds as at the start; it never goes back
   // As poll(2); waits no longer than `ms`. A staged ground does not wait: it notes what was asked
@@ -41,21 +41,21 @@
   virtual std::size_t DescriptorLimit() = 0;  // that a process may hold
 
  protected:
-  ~Ground() = default;
+  ~Environment() = default;
 };
 
-Ground& MakeSystem();  // the machine's own
+Environment& MakeSystem();  // the machine's own
 
 // Owns a descriptor of a ground.
 class Descriptor {
  public:
   Descriptor() = default;
   explicit Descriptor(int fd) : Descriptor(MakeSystem(), fd) {}
-  Descriptor(Ground& ground, int fd) : ground_(&ground), fd_(fd) {}
+  Descriptor(Environment& environment, int fd) : environment_(&environment), fd_(fd) {}
   Descriptor(Descriptor&& other) noexcept
-      : ground_(other.ground_), fd_(std::exchange(other.fd_, -1)) {}
+      : environment_(other.environment_), fd_(std::exchange(other.fd_, -1)) {}
   Descriptor& operator=(Descriptor&& other) noexcept {
-    std::swap(ground_, other.ground_);
+    std::swap(environment_, other.environment_);
     std::swap(fd_, other.fd_);
     return *this;
   }
@@ -70,18 +70,18 @@
   }
   void Reset() {
     if (fd_ >= 0)
-      ground_->Close(std::exchange(fd_, -1));
+      environment_->Close(std::exchange(fd_, -1));
   }
   int Release() {
     return std::exchange(fd_, -1);
   }  // the caller's from here on
   void Abort() {
     if (fd_ >= 0)
-      ground_->Abort(std::exchange(fd_, -1));
+      environment_->Abort(std::exchange(fd_, -1));
   }
 
  private:
-  Ground* ground_ = nullptr;
+  Environment* environment_ = nullptr;
   int fd_ = -1;
 };
 
--- a/src/loop/listener.cpp
+++ b/src/loop/listener.cpp
@@ -16,10 +16,10 @@
 
 Listener::Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> taken)
     : loop_(loop), taken_(std::move(taken)) {
-  int fd = loop.ground().Listen(at);
+  int fd = loop.environment().Listen(at);
   if (fd < 0)
     throw std::system_error(-fd, std::generic_category(), "cannot listen");
-  fd_ = Descriptor(loop.ground(), fd);
+  fd_ = Descriptor(loop.environment(), fd);
   Resume();
 }
 
@@ -48,10 +48,10 @@
 }
 
 bool Listener::AcceptOne() {
-  int fd = loop_.ground().Accept(fd_.Get());
+  int fd = loop_.environment().Accept(fd_.Get());
   if (fd >= 0) {
     failed_in_row_ = 0;
-    taken_(Descriptor(loop_.ground(), fd));
+    taken_(Descriptor(loop_.environment(), fd));
     return true;
   }
   if (fd == -EAGAIN || fd == -EWOULDBLOCK)
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -69,15 +69,15 @@
 int Loop::LookAtAll(std::vector<pollfd>& polled, std::vector<std::uint64_t>& since) {
   Gather(true, polled, since);
   looked_at_all_ = now();
-  return ground_.Wait(polled, 0);
+  return environment_.Wait(polled, 0);
 }
 
 void Loop::turn(Ms longest) {
   // poll(2) costs by the descriptor. Most are of clients that wait for their answer, of whom only
   // their leaving can show; looked at in every turn, they took a third of a busy front's time.
-  constexpr Ms kPatience = 5;
+  constexpr Ms kTimeout = 5;
   Ms start = now();
-  bool all = start - looked_at_all_ >= kPatience, left = false;
+  bool all = start - looked_at_all_ >= kTimeout, left = false;
   if (all)
     looked_at_all_ = start;
   // Taken from the loop for the turn, in case a handler turns it again.
@@ -87,18 +87,18 @@
   if (!timers_.empty())
     longest = std::min(longest, timers_.begin()->first.first - start);
   if (left)
-    longest = std::min(longest, looked_at_all_ + kPatience - start);
-  int count = ground_.Wait(polled, static_cast<int>(std::ceil(std::max(0.0, longest))));
+    longest = std::min(longest, looked_at_all_ + kTimeout - start);
+  int count = environment_.Wait(polled, static_cast<int>(std::ceil(std::max(0.0, longest))));
   if (count < 0 && count != -EINTR) {
     // Without the rest a poll that keeps failing would spin. Waiting for time alone needs no memory
     // for descriptors.
     constexpr Ms kRestAfterFailure = 5;
-    ground_.Wait({}, static_cast<int>(std::ceil(std::clamp(longest, 0.0, kRestAfterFailure))));
+    environment_.Wait({}, static_cast<int>(std::ceil(std::clamp(longest, 0.0, kRestAfterFailure))));
   }
   // The process may have stood still in the wait, with the patient ones left out of it: all are
   // looked at before anything is done.
   bool timer_is_due = !timers_.empty() && timers_.begin()->first.first <= now();
-  if (left && now() >= looked_at_all_ + kPatience && (count > 0 || timer_is_due))
+  if (left && now() >= looked_at_all_ + kTimeout && (count > 0 || timer_is_due))
     count = LookAtAll(polled, since);
   // The patient ones first: what shows there is a client that leaves, and whatever else came with
   // it must not begin a thing for it any more. Harm without: after a standstill of this process, an
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -20,12 +20,12 @@
 
 class Loop {
  public:
-  explicit Loop(Ground& ground = MakeSystem()) : ground_(ground) {}
-  Ground& ground() const {
-    return ground_;
+  explicit Loop(Environment& environment = MakeSystem()) : environment_(environment) {}
+  Environment& environment() const {
+    return environment_;
   }
   Ms now() const {
-    return ground_.now() + skipped_;
+    return environment_.now() + skipped_;
   }
   void Skip(Ms by) {
     skipped_ += by;
@@ -73,7 +73,7 @@
   bool Gather(bool all, std::vector<pollfd>& polled, std::vector<std::uint64_t>& since) const;
   int LookAtAll(std::vector<pollfd>& polled, std::vector<std::uint64_t>& since);
 
-  Ground& ground_;
+  Environment& environment_;
   Ms skipped_ = 0;
   Ms looked_at_all_ = 0;
   bool stopped_ = false;
--- a/src/loop/system.cpp
+++ b/src/loop/system.cpp
@@ -32,7 +32,7 @@
   return reinterpret_cast<const sockaddr*>(&at);
 }
 
-class System final : public Ground {
+class System final : public Environment {
  public:
   Ms now() override {
     return MakeMs<std::chrono::steady_clock>() + offset_;
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-Ground& MakeSystem() {
+Environment& MakeSystem() {
   static System one;
   return one;
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -31,11 +31,13 @@
     }
     if (*serve)
       return front::Serve(file, listen);
-    front::Charter charter = front::ReadCharter(file, listen);
-    std::printf("%s: zone %s, %zu offerings, %d fronts, %zu events known\n", charter.name.c_str(),
-                charter.terms.zones.at(static_cast<std::size_t>(charter.sheet.zone)).c_str(),
-                charter.sheet.offerings.size(), charter.sheet.fronts,
-                charter.known.Find("notices") ? charter.known.Find("notices")->items.size() : 0);
+    front::Configuration configuration = front::ReadConfiguration(file, listen);
+    std::printf(
+        "%s: zone %s, %zu offerings, %d fronts, %zu events known\n", configuration.name.c_str(),
+        configuration.terms.zones.at(static_cast<std::size_t>(configuration.settings.zone)).c_str(),
+        configuration.settings.request_classes.size(), configuration.settings.fronts,
+        configuration.known.Find("notices") ? configuration.known.Find("notices")->items.size()
+                                            : 0);
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "dunlinwick: %s\n", fault.what());
     return 1;
--- a/src/members/swim.cpp
+++ b/src/members/swim.cpp
@@ -377,7 +377,8 @@
       ++it;
       continue;
     }
-    out.push_back(Make(Kind::kNack, it->second.asker, it->second.asker_seq, it->second.target));
+    out.push_back(Make(Kind::kNack, it->second.response_sink, it->second.response_sink_seq,
+                       it->second.target));
     it = relays_.erase(it);
   }
   if (now >= note_at_) {
@@ -405,7 +406,8 @@
         probe_.answered = true;
         Better(-1);
       } else if (auto r = relays_.find(m.seq); r != relays_.end() && m.target == r->second.target) {
-        out.push_back(Make(Kind::kAck, r->second.asker, r->second.asker_seq, r->second.target));
+        out.push_back(Make(Kind::kAck, r->second.response_sink, r->second.response_sink_seq,
+                           r->second.target));
         relays_.erase(r);
       }
       break;
@@ -415,7 +417,7 @@
         // time. Asked again for the same probe, it goes on with the one under way.
         constexpr double kShare = 0.8;
         for (const auto& [seq, r] : relays_)
-          if (r.asker == m.from && r.asker_seq == m.seq)
+          if (r.response_sink == m.from && r.response_sink_seq == m.seq)
             return;
         Ms lasts = kShare * terms_.probe_timeout * (health_ + 1);
         relays_[++seq_] =
--- a/src/members/swim.hpp
+++ b/src/members/swim.hpp
@@ -175,9 +175,9 @@
         false;  // the first word of a living member: what a start of many members has most of
   };
   struct Relay {  // a probe made for somebody else
-    Id asker = 0;
+    Id response_sink = 0;
     Id target = 0;
-    std::uint32_t asker_seq = 0;
+    std::uint32_t response_sink_seq = 0;
     Ms until = 0;
     Ms again_at = 0;
     bool again = false;  // it was sent a second time
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -47,7 +47,7 @@
   }
 
   Outcome operator()() {
-    SecondLegs();
+    SecondAttempts();
     Remarks();
     Links();
     Siblings();
@@ -72,7 +72,7 @@
   // By the very reader that a front starts with.
   void Acceptable(const std::string& text, const char* when) const {
     try {
-      front::ReadCharterText(text, named_, "");
+      front::ReadConfigurationText(text, named_, "");
     } catch (const std::exception& fault) {
       Refuse(when, fault.what());
     }
@@ -120,7 +120,7 @@
     return Value(text.c_str(), root_.GetAllocator());
   }
 
-  void SecondLegs() {
+  void SecondAttempts() {
     Set("limits", "mayDuplicate", Value(false), "a pull never has two legs out at once");
   }
 
@@ -134,11 +134,12 @@
     auto at = info.FindMember("pipeKbPerS");
     if (at == info.MemberEnd())
       return;
-    bool told = at->value.IsArray()
-                    ? std::any_of(at->value.Begin(), at->value.End(),
-                                  [](const Value& v) { return v.IsNumber() && v.GetDouble() > 0; })
-                    : at->value.IsNumber() && at->value.GetDouble() > 0;
-    if (!told)
+    bool notified =
+        at->value.IsArray()
+            ? std::any_of(at->value.Begin(), at->value.End(),
+                          [](const Value& v) { return v.IsNumber() && v.GetDouble() > 0; })
+            : at->value.IsNumber() && at->value.GetDouble() > 0;
+    if (!notified)
       return;
     Leave("settings.familyInfo.pipeKbPerS",
           "links told (" + Shown(at->value) +
--- a/src/owner/node.cpp
+++ b/src/owner/node.cpp
@@ -245,9 +245,9 @@
 void Node::note() {
   if (!group_)
     return;
-  if (group_->standing() != told_) {
-    told_ = group_->standing();
-    ways_.say(std::string("owner group: ") + MakeWord(told_) +
+  if (group_->standing() != notified_) {
+    notified_ = group_->standing();
+    ways_.say(std::string("owner group: ") + MakeWord(notified_) +
               (group_->Why().empty() ? "" : ": " + group_->Why()));
   }
   if (group_->Leads() != led_) {
--- a/src/owner/node.hpp
+++ b/src/owner/node.hpp
@@ -85,7 +85,7 @@
   std::unique_ptr<Group> group_;
   Agent agent_;
   std::uint64_t refused_ = 0;
-  Group::Standing told_ = Group::Standing::kBegins;
+  Group::Standing notified_ = Group::Standing::kBegins;
   bool led_ = false;
   // Questions under way here, so that one asked twice is put to the group once; emptied as they are
   // answered.
--- a/src/record/keeper.cpp
+++ b/src/record/keeper.cpp
@@ -77,7 +77,7 @@
     t.last_token = log.LastToken();
     t.seen = h.seen;
     t.holes = log.Holes(kHolesATime);
-    t.spoilt = !t.holes.empty();
+    t.corrupted = !t.holes.empty();
     return t;
   }
 
@@ -170,7 +170,7 @@
     Offset up_to = 0;
     bool was_partial = Partial();
     try {
-      if (m.spoilt)
+      if (m.corrupted)
         Mark(false);
       if (!known || !Write(m, up_to)) {
         k.refused = true;
--- a/src/record/keepers.hpp
+++ b/src/record/keepers.hpp
@@ -91,7 +91,7 @@
   Offset forgotten = 0;
   Token last_token = 0;
   std::vector<std::pair<Id, Offset>> seen;
-  bool spoilt = false;  // by its own word: a hole, a swapped disk
+  bool corrupted = false;  // by its own word: a hole, a swapped disk
   std::vector<Offset> holes;
 };
 struct Append {
@@ -103,9 +103,9 @@
   Offset committed = 0;
   bool anew = false;  // a piece of a compacted log; after 0: all that is here goes first
   std::uint64_t session =
-      0;                // of anew: each is begun once, so that a late double throws nothing away
-  bool proves = false;  // doubted no more
-  bool spoilt = false;  // found to be old: it is to mark that before it takes anything
+      0;                   // of anew: each is begun once, so that a late double throws nothing away
+  bool proves = false;     // doubted no more
+  bool corrupted = false;  // found to be old: it is to mark that before it takes anything
   Offset cleaned = 0;
   Offset forgotten = 0;  // gaps up to the first are compacted; the second is known of the record
   Offset passed = 0;     // the least position of living subscribers
--- a/src/record/keepers_wire.cpp
+++ b/src/record/keepers_wire.cpp
@@ -92,7 +92,7 @@
   w->set_cleaned(m.cleaned);
   w->set_forgotten(m.forgotten);
   w->set_last_token(m.last_token);
-  w->set_spoilt(m.spoilt);
+  w->set_spoilt(m.corrupted);
   PutHeld(w->mutable_seen(), m.seen);
   for (Offset o : m.holes)
     w->add_holes(o);
@@ -110,7 +110,7 @@
   w->set_forgotten(m.forgotten);
   w->set_passed(m.passed);
   w->set_session(m.session);
-  w->set_spoilt(m.spoilt);
+  w->set_spoilt(m.corrupted);
   PutEntries(w->mutable_entries(), m.entries);
   PutHeld(w->mutable_held(), m.held);
   if (m.plan.up_to != 0)
@@ -184,7 +184,7 @@
       m.cleaned = w.cleaned();
       m.forgotten = w.forgotten();
       m.last_token = w.last_token();
-      m.spoilt = w.spoilt();
+      m.corrupted = w.spoilt();
       if (!GetHeld(w.seen(), m.seen) || !GetOffsets(w.holes(), m.holes))
         return std::nullopt;
       return m;
@@ -203,7 +203,7 @@
       m.forgotten = w.forgotten();
       m.passed = w.passed();
       m.session = w.session();
-      m.spoilt = w.spoilt();
+      m.corrupted = w.spoilt();
       if (w.has_plan())
         m.plan = GetPlan(w.plan());
       if (!GetEntries(w.entries(), m.entries) || !GetHeld(w.held(), m.held))
--- a/src/record/log.cpp
+++ b/src/record/log.cpp
@@ -196,16 +196,16 @@
   missing(in.head.committed + 1);  // what was known to be here must be
   // An entry lost at or below `cleaned` looks like one compacted: served and handed on as whole,
   // its key would be missing for ever. The lowest gap is a hole for the first of them.
-  if (auto n = in.Count(), told = in.head.entries.value_or(0); n < told) {
+  if (auto n = in.Count(), notified = in.head.entries.value_or(0); n < notified) {
     Offset gap = 1;
     while (gap <= in.head.cleaned && (in.records.count(gap) != 0 || in.holes.count(gap) != 0))
       ++gap;
     if (gap <= in.head.cleaned) {
       in.loses = true;
       in.holes.insert(gap);
-      in.lost = told - n - 1;
+      in.lost = notified - n - 1;
     } else
-      missing(before + 1 + (told - n));  // the last it had
+      missing(before + 1 + (notified - n));  // the last it had
   }
   in.head.entries = in.Count();
   in.Call([&] { disk.Write(in.head); });
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -17,9 +17,9 @@
 }
 
 struct Peer {
-  bool known = false;    // its life has answered our Seek
-  bool cleared = false;  // not doubted, or proved by us
-  bool spoilt = false;   // found to be old, and not brought up yet
+  bool known = false;      // its life has answered our Seek
+  bool cleared = false;    // not doubted, or proved by us
+  bool corrupted = false;  // found to be old, and not brought up yet
   bool holed = false;
   bool stranded = false;
   bool partial = false;
@@ -125,8 +125,8 @@
         n = std::max(n, upTo);
     return n;
   }
-  bool Spoilt(Id id, const Tail& t, bool some_hold) const {
-    if (t.spoilt)
+  bool Corrupted(Id id, const Tail& t, bool some_hold) const {
+    if (t.corrupted)
       return true;
     if (tails.size() == keepers.size())
       return false;  // a majority of all is whole, and has the best tail
@@ -160,7 +160,7 @@
     std::size_t doubted = 0;
     Offset most = 0;
     for (const auto& [id, t] : tails) {
-      if (Spoilt(id, t, some_hold))
+      if (Corrupted(id, t, some_hold))
         continue;
       ok.push_back(id);
       doubted += t.doubted ? 1 : 0;
@@ -265,12 +265,12 @@
   // of a keeper that lost its disk.
   bool Suspicious(Id id, const Tail& t) const {
     auto w = witnessed.find(id);
-    return t.doubted && (terms.doubt_restarts || t.unproved || t.last == 0 || t.spoilt ||
+    return t.doubted && (terms.doubt_restarts || t.unproved || t.last == 0 || t.corrupted ||
                          (w != witnessed.end() && Reach(id, t) < w->second));
   }
   bool Found(Id id, const Tail& t) const {
     auto w = witnessed.find(id);
-    return t.spoilt || Old(id, t) || (w != witnessed.end() && Reach(id, t) < w->second);
+    return t.corrupted || Old(id, t) || (w != witnessed.end() && Reach(id, t) < w->second);
   }
   // A life of a keeper is met: what it has in common with us is not known yet.
   void Meet(Id id, const Tail& t) {
@@ -279,7 +279,7 @@
       witnessed[who] = std::max(witnessed[who], upTo);
     p = Peer{.known = true,
              .cleared = !Suspicious(id, t),
-             .spoilt = Found(id, t),
+             .corrupted = Found(id, t),
              .holed = !t.holes.empty(),
              .partial = Partial(t),
              .life = t.life,
@@ -308,7 +308,7 @@
     a.after_token = after_token;
     a.committed = committed;
     a.proves = phase == Phase::kServing && p.cleared && p.match >= committed;
-    a.spoilt = p.spoilt;
+    a.corrupted = p.corrupted;
     a.cleaned = cleaned;
     a.forgotten = forgotten;
     a.passed = least;
@@ -517,7 +517,7 @@
       p.session = 0;
     p.match = std::max(p.match, std::min(k.up_to, Last()));
     if (phase == Phase::kServing && Counts(p) && p.match >= committed)
-      p.spoilt = false;
+      p.corrupted = false;
     if (!k.full)
       p.probing = false;
     p.next = k.full ? p.match + 1 : std::max(p.next, p.match + 1);
@@ -726,10 +726,10 @@
       in.committed, in.base_token, in.cleaned, in.forgotten, in.plan.up_to, in.sessions,
       in.founded_anew);
   for (const auto& [id, p] : in.peers)
-    add(id, p.known, p.cleared, p.spoilt, p.holed, p.partial, p.full, p.probing, p.life, p.match,
+    add(id, p.known, p.cleared, p.corrupted, p.holed, p.partial, p.full, p.probing, p.life, p.match,
         p.next, p.last, p.fetching, p.fetch_after, p.session);
   for (const auto& [id, t] : in.tails)
-    add(id, t.life, t.last, t.last_token, t.committed, t.doubted, t.unproved, t.spoilt,
+    add(id, t.life, t.last, t.last_token, t.committed, t.doubted, t.unproved, t.corrupted,
         t.seen.size());
   for (const Entry& e : in.window)
     add(e.offset, e.token, Digest(e));
--- a/src/recovery/letting_in.cpp
+++ b/src/recovery/letting_in.cpp
@@ -52,7 +52,7 @@
   return true;
 }
 
-std::vector<double> LettingIn::ByOffering(bool certain_only) const {
+std::vector<double> LettingIn::ByRequestClass(bool certain_only) const {
   std::size_t n = terms_.payoff.size();
   auto work = [&](std::size_t i) {
     return i < terms_.work.size() ? terms_.work[i] : 1.0;
--- a/src/recovery/letting_in.hpp
+++ b/src/recovery/letting_in.hpp
@@ -29,7 +29,7 @@
   }
   // By offering: those of most payoff first until `share` of the usual work is let in. certainOnly:
   // none of the rest.
-  std::vector<double> ByOffering(bool certain_only) const;
+  std::vector<double> ByRequestClass(bool certain_only) const;
 
  private:
   const Terms& terms_;
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -86,12 +86,12 @@
   Phase phase = Phase::kStore;
   std::map<Id, Row> rows;
   StoreSeen seen;
-  Floors told;
+  Floors notified;
   Floors floors;  // by the group since the start; the highest known by anybody
   bool checked = false;
-  bool spoilt = false;
+  bool corrupted = false;
   bool dirty = true;
-  bool first_told = false;
+  bool first_notified = false;
   GroupNow group;
   bool have_group = false;
   bool group_was = false;
@@ -103,7 +103,7 @@
   std::uint64_t first_said = 0;  // 0: nothing yet
   std::optional<bool> cold;
   Ms majority_at = -1;  // when so many disks had spoken first
-  bool loss_told = false;
+  bool loss_notified = false;
   bool whole_loss = false;
   Loss last;
   LettingIn letting;
@@ -181,7 +181,7 @@
   // The fleet kept running and so did somebody of this zone: what lies behind is warm.
   bool Quick(Ms now) const {
     std::size_t kept = 0;
-    bool zone = cold ? !*cold : terms.crew <= 1;
+    bool zone = cold ? !*cold : terms.zone_replicas <= 1;
     for (auto& [id, r] : rows)
       if (Fresh(r, now) && r.hello.phase == Phase::kWhole && !Young(r, now)) {
         ++kept;
@@ -198,9 +198,9 @@
     h.phase = phase;
     h.store = seen.state;
     h.floors = seen.floors;
-    h.floors.token = std::max(h.floors.token, told.token);
-    h.floors.offset = std::max(h.floors.offset, told.offset);
-    h.floors.incarnation = std::max(h.floors.incarnation, told.incarnation);
+    h.floors.token = std::max(h.floors.token, notified.token);
+    h.floors.offset = std::max(h.floors.offset, notified.offset);
+    h.floors.incarnation = std::max(h.floors.incarnation, notified.incarnation);
     h.committed = record.committed;
     h.zone = terms.zone;
     h.carries = letting.Share();
@@ -219,8 +219,9 @@
     for (auto& [id, r] : rows)
       if (phase != Phase::kWhole || (Fresh(r, now) && r.hello.phase != Phase::kWhole))
         to.push_back(id);
-    std::size_t most = first_told ? std::max<std::size_t>(16, (rows.size() + 3) / 4) : to.size();
-    first_told = true;
+    std::size_t most =
+        first_notified ? std::max<std::size_t>(16, (rows.size() + 3) / 4) : to.size();
+    first_notified = true;
     if (to.size() > most) {
       std::rotate(to.begin(), to.begin() + static_cast<long>(turn % to.size()), to.end());
       to.resize(most);
@@ -253,8 +254,8 @@
     seen.state = as;
     seen.floors = {};
     seen.witnessed.clear();
-    spoilt = dirty = true;
-    out.push_back(Spoilt{whose, why});
+    corrupted = dirty = true;
+    out.push_back(Corrupted{whose, why});
     Back(now, "own store not trusted: " + why);
   }
 
@@ -267,18 +268,18 @@
     auto before = others;  // what they have seen of earlier lives
     if (first_said > 0)
       for (Claim& c : before)
-        if (c.of_us >= first_said && c.of_us <= told.incarnation)
+        if (c.of_us >= first_said && c.of_us <= notified.incarnation)
           c.of_us = 0;
     auto own = [&] {
       return Claim{seen.state, seen.floors, 0};
     };
-    if (!spoilt)
+    if (!corrupted)
       if (std::string why = FoundOut(before, own(), fronts.size(), terms); !why.empty())
-        Distrust(now, State::kSpoilt, self, why);
+        Distrust(now, State::kCorrupted, self, why);
     Floors f = Together(others, own(), fronts.size(), terms);
-    f.token = std::max(f.token, told.token);
-    f.offset = std::max(f.offset, told.offset);
-    f.incarnation = std::max(f.incarnation, told.incarnation);
+    f.token = std::max(f.token, notified.token);
+    f.offset = std::max(f.offset, notified.offset);
+    f.incarnation = std::max(f.incarnation, notified.incarnation);
     floors = f;
     dirty = false;
     auto spoken = 1 + static_cast<std::size_t>(std::count_if(
@@ -305,9 +306,9 @@
       l.lost = "no front heard has a sound store: rules, record and tokens from before are gone";
     else if (l.whole && have_group && group.founded)
       l.lost = "the group's log is gone: founded anew above the floors of the stores that are left";
-    if (loss_told && l.whole == last.whole && l.lost == last.lost)
+    if (loss_notified && l.whole == last.whole && l.lost == last.lost)
       return;
-    loss_told = true;
+    loss_notified = true;
     last = l;
     out.push_back(l);
   }
@@ -392,10 +393,10 @@
     a.certain_only = CertainOnly();
     a.come_back = a.certain_only || phase != Phase::kWhole ? terms.come_back : 0;
     if (phase != Phase::kWhole)
-      a.by_offering = letting.ByOffering(a.certain_only);
-    for (std::size_t i = 0; i < std::min(a.by_offering.size(), certain_let.size()); ++i)
-      a.by_offering[i] = std::max(a.by_offering[i], certain_let[i]);
-    if (admitted && admitted->by_offering == a.by_offering &&
+      a.by_request_class = letting.ByRequestClass(a.certain_only);
+    for (std::size_t i = 0; i < std::min(a.by_request_class.size(), certain_let.size()); ++i)
+      a.by_request_class[i] = std::max(a.by_request_class[i], certain_let[i]);
+    if (admitted && admitted->by_request_class == a.by_request_class &&
         admitted->certain_only == a.certain_only)
       return;
     admitted = a;
@@ -436,12 +437,12 @@
     group = e;
     have_group = true;
     if (e.leader_known && e.token >= floors.token) {
-      told.token = std::max(told.token, e.token);
+      notified.token = std::max(notified.token, e.token);
       group_was = true;
       dirty = true;
     }
     if (e.lost && std::exchange(group_was, false)) {
-      loss_told = whole_loss = false;
+      loss_notified = whole_loss = false;
       last = {};
       Back(now, "the group's majority is gone");
     }
@@ -464,7 +465,7 @@
   void on(Ms, const Said& e) {
     if (first_said == 0)
       first_said = e.incarnation;
-    told.incarnation = std::max(told.incarnation, e.incarnation);
+    notified.incarnation = std::max(notified.incarnation, e.incarnation);
     dirty = true;
   }
   void on(Ms, const Tick&) {}
@@ -480,15 +481,15 @@
         if (!caught && phase == Phase::kLettingIn && !Quick(now)) {
           // What was let in so far asked nothing of parents and caches: how much they bear is not
           // known by it.
-          certain_let = letting.ByOffering(true);
+          certain_let = letting.ByRequestClass(true);
           letting.Again();
           letting.begin(now);
           letting_from = now;
         }
         caught = true;
-        if (record.on && record.committed > told.offset) {
-          told.offset = record.committed;
-          floors.offset = std::max(floors.offset, told.offset);
+        if (record.on && record.committed > notified.offset) {
+          notified.offset = record.committed;
+          floors.offset = std::max(floors.offset, notified.offset);
         }
       }
       loss(now);
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -82,7 +82,7 @@
     kHoled,
     kForeign,
     kOlder,
-    kSpoilt
+    kCorrupted
   } state = State::kNone;
   Floors floors;
   Id whose = 0;  // by its own word; another's than ours: foreign, whatever `state` says
@@ -117,7 +117,7 @@
   int zone = 0;
   // fronts of this zone; above 1 and with no word of the list, a front passes quickly only beside
   // one of it that kept running
-  int crew = 1;
+  int zone_replicas = 1;
   Ms hello_every = 250;
   Ms forget = 3000;  // a neighbour not heard for so long is not counted
   Ms lease = 3000;
@@ -221,11 +221,11 @@
   Phase phase = Phase::kStore;
   std::string why;
   bool by_time = false;
-};                                  // for the log; byTime: its time was over
-struct Admit {                      // fact for the module
-  std::vector<double> by_offering;  // share of pulls let in; empty: all
-  bool certain_only = false;        // what can't be sure to be current is declined
-  Ms come_back = 0;                 // with this time to come back
+};                                       // for the log; byTime: its time was over
+struct Admit {                           // fact for the module
+  std::vector<double> by_request_class;  // share of pulls let in; empty: all
+  bool certain_only = false;             // what can't be sure to be current is declined
+  Ms come_back = 0;                      // with this time to come back
 };
 struct Loss {
   bool whole = false;
@@ -233,11 +233,11 @@
   int kept = 0;
   std::string lost;
 };  // told once it is known, aloud
-struct Spoilt {
+struct Corrupted {
   Id whose = 0;
   std::string why;
 };  // a disk found to be old or another's
-using Action = std::variant<Say, Entered, Admit, Loss, Spoilt>;
+using Action = std::variant<Say, Entered, Admit, Loss, Corrupted>;
 
 class Recovery {
  public:
--- a/src/recovery/trust.cpp
+++ b/src/recovery/trust.cpp
@@ -66,7 +66,7 @@
   if (bytes.size() > kMostHelloBytes ||
       !m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return {};
-  if (m.phase() >= kPhases || m.store() > static_cast<std::uint32_t>(StoreSeen::State::kSpoilt))
+  if (m.phase() >= kPhases || m.store() > static_cast<std::uint32_t>(StoreSeen::State::kCorrupted))
     return {};
   if (!std::isfinite(m.up()) || m.up() < 0 || !(m.carries() >= 0 && m.carries() <= 1) ||
       m.zone() < 0)
--- a/src/rig/clients.cpp
+++ b/src/rig/clients.cpp
@@ -7,34 +7,34 @@
 namespace dunlinwick::fleet {
 
 namespace {
-constexpr std::size_t kMostPulls = 200000;
-constexpr Ms kPullTime = 1500;  // what a client gives a pull
+constexpr std::size_t kMostRequests = 200000;
+constexpr Ms kRequestTime = 1500;  // what a client gives a pull
 }  // namespace
 
 // One client's connection, for one pull.
 struct Harness::Client final : loop::Connection::Owner {
   Harness& harness;
-  std::size_t pull;
+  std::size_t request;
   std::unique_ptr<loop::Connection> connection;
   std::string got;
   std::uint64_t timer = 0;
 
   Client(Harness& h, std::size_t p, const loop::Address& to, std::string request)
-      : harness(h), pull(p) {
-    connection = std::make_unique<loop::Connection>(h.loop_, *this, to, kPullTime);
+      : harness(h), request(p) {
+    connection = std::make_unique<loop::Connection>(h.loop_, *this, to, kRequestTime);
     connection->Send(std::move(request));
-    timer = h.loop_.at(h.loop_.now() + kPullTime + 600, [this] { Over(); });
+    timer = h.loop_.at(h.loop_.now() + kRequestTime + 600, [this] { Over(); });
   }
   void Came() override {
     got += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Ended(loop::Parting) override {
+  void Ended(loop::DisconnectReason) override {
     Came();
     Over();
   }
   void Over() {
-    PullSeen& p = harness.pulls_[pull];
+    RequestSeen& p = harness.requests_[request];
     harness.loop_.Cancel(timer);
     for (std::size_t at = got.find("HTTP/1.1 "); at != std::string::npos;
          at = got.find("HTTP/1.1 ", at + 1)) {
@@ -51,31 +51,31 @@
       p.place = got.substr(place + 4, got.find('\n', place) - place - 4);
     p.ended = true;
     connection->Close();
-    auto self = harness.clients_.extract(pull);
+    auto self = harness.clients_.extract(request);
     harness.loop_.Bury(self.mapped());
   }
 };
 
-void Harness::Ask(double pulls_per_s) {
-  pulls_per_s_ = pulls_per_s;
+void Harness::Ask(double requests_per_s) {
+  requests_per_s_ = requests_per_s;
   loop_.Cancel(asking_);
-  if (pulls_per_s > 0)
-    NextPull();
+  if (requests_per_s > 0)
+    NextRequest();
 }
 
-void Harness::NextPull() {
+void Harness::NextRequest() {
   std::size_t f = next_front_++ % pids_.size();
-  if (pulls_.size() < kMostPulls) {
-    std::size_t number = pulls_.size();
+  if (requests_.size() < kMostRequests) {
+    std::size_t number = requests_.size();
     char id[32];
     std::snprintf(id, sizeof id, "%016llx",
                   static_cast<unsigned long long>(seed_ << 40 | (number + 1)));
-    PullSeen p;
+    RequestSeen p;
     p.id = id;
     p.front = f;
     p.exclusive = number % 10 == 9;
     p.at = loop_.now();
-    p.ttl = kPullTime;
+    p.ttl = kRequestTime;
     unsigned object = std::uniform_int_distribution<unsigned>(0, 499)(random_);
     char request[512];
     std::snprintf(request, sizeof request,
@@ -84,19 +84,19 @@
                   "X-Memory-Kb: 40\r\nConnection: close\r\n%s\r\n%s",
                   p.exclusive ? "PUT" : "GET", p.exclusive ? "order-handover" : "video-parts",
                   p.exclusive ? static_cast<unsigned>(number) : object,
-                  p.exclusive ? "" : "?part=1", id, kPullTime,
+                  p.exclusive ? "" : "?part=1", id, kRequestTime,
                   p.exclusive ? "Content-Length: 5\r\n" : "", p.exclusive ? "order" : "");
-    pulls_.push_back(std::move(p));
+    requests_.push_back(std::move(p));
     clients_[number] = std::make_shared<Client>(
         *this, number, at(f, static_cast<std::uint16_t>(fleet_.port + 200)), request);
   }
-  asking_ = loop_.at(loop_.now() + 1000 / (pulls_per_s_ * static_cast<double>(pids_.size())),
-                     [this] { NextPull(); });
+  asking_ = loop_.at(loop_.now() + 1000 / (requests_per_s_ * static_cast<double>(pids_.size())),
+                     [this] { NextRequest(); });
 }
 
 void Harness::EndClients() {
   loop_.Cancel(asking_);
-  for (auto& [pull, client] : clients_)
+  for (auto& [request, client] : clients_)
     loop_.Cancel(client->timer);
   clients_.clear();
 }
--- a/src/rig/configuration.cpp
+++ b/src/rig/configuration.cpp
@@ -45,9 +45,9 @@
              ",";
   servers += server("origin", Host(kHubHost, static_cast<std::uint16_t>(fleet_.port + 301)), "hub",
                     "origin", 91, 1);
-  std::vector<int> crew(zones);
+  std::vector<int> zone_replicas(zones);
   for (int z : fleet_.zone_of)
-    ++crew[static_cast<std::size_t>(z)];
+    ++zone_replicas[static_cast<std::size_t>(z)];
   std::string name = "front-" + std::to_string(i);
   char seed[32];
   std::snprintf(seed, sizeof seed, "%llx", static_cast<unsigned long long>(seed_ * 1000003 + i));
@@ -69,7 +69,7 @@
       "{\"name\":\"order-handover\",\"aim\":700,\"giveUp\":3000,\"importance\":3,\"idempotency\":"
       "\"once\"}],"
       "\"familyInfo\":{\"crewByZone\":[0," +
-      Joined(zones, [&](std::size_t z) { return std::to_string(crew[z]); }) +
+      Joined(zones, [&](std::size_t z) { return std::to_string(zone_replicas[z]); }) +
       "],\"pipeKbPerS\":[0," + Joined(zones, [](std::size_t) { return std::string("120000"); }) +
       "],\"streamKbPerS\":8800,\"parentKind\":1,\"sourceKind\":2,\"lifetimeByClass\":[0,0],"
       "\"neverKept\":[false,true],"
--- a/src/rig/drift_judge.cpp
+++ b/src/rig/drift_judge.cpp
@@ -36,11 +36,11 @@
     Watch& w = watch_[x];
     std::size_t votes = 0;
     for (Id y : sim_.Ids())
-      votes += sim_.at(y).aside(x);
+      votes += sim_.at(y).ejected(x);
     if (votes * 2 > n)
-      aside_since_.emplace(x, now);
+      ejected_since_.emplace(x, now);
     else
-      aside_since_.erase(x);
+      ejected_since_.erase(x);
     bool is = sim_.TruthBad(x);
     std::uint64_t what = Digest(sim_.memory(x)) ^ sim_.WantedVersion(x);
     if (!is) {
@@ -150,9 +150,9 @@
 
 void DriftJudge::Asks(Id by, const Repair& r) {
   ++asked;
-  auto a = aside_since_.find(by);
-  if (sim_.at(by).aside(by) ||
-      (a != aside_since_.end() && sim_.Reachable(by) && sim_.now() - a->second > bound() &&
+  auto a = ejected_since_.find(by);
+  if (sim_.at(by).ejected(by) ||
+      (a != ejected_since_.end() && sim_.Reachable(by) && sim_.now() - a->second > bound() &&
        watch_[by].disturbed_at < a->second))
     fault("front " + std::to_string(by) + " is set aside and asks front " +
           std::to_string(r.front) + " to take up");
--- a/src/rig/drift_judge.hpp
+++ b/src/rig/drift_judge.hpp
@@ -55,7 +55,7 @@
   const DriftSim& sim_;
   std::map<Id, Watch> watch_;
   std::map<Id, drift::Standing> kind_;
-  std::map<Id, Ms> aside_since_;
+  std::map<Id, Ms> ejected_since_;
   double gone_most_ = 0;  // the most fronts that were away at once, as a share
   Ms thin_at_ = 0;
   bool strict_ = true;
--- a/src/rig/drift_script.cpp
+++ b/src/rig/drift_script.cpp
@@ -38,8 +38,8 @@
     return sim.Ids()[up_to(sim.Ids().size())];
   };
   // A majority whose record is right is what all this stands on.
-  auto few_astray = [&] {
-    return sim.Astray() + 1 <= (sim.Ids().size() - 1) / 2;
+  auto few_drifted = [&] {
+    return sim.Drifted() + 1 <= (sim.Ids().size() - 1) / 2;
   };
   Id usual = any();
   for (int step = 0; step < 10; ++step) {
@@ -76,11 +76,11 @@
         sim.Approve("fleet", approved.back(), 15000);
         break;
       case 5:
-        if (x != sim.owner() && few_astray())
+        if (x != sim.owner() && few_drifted())
           sim.Claim(x, sim.WantedVersion(x) + 3, DriftForm(7));
         break;
       case 6:
-        if (x != sim.owner() && few_astray())
+        if (x != sim.owner() && few_drifted())
           sim.Fork(x, DriftForm(9));
         break;
       case 7:
--- a/src/rig/driftsim.cpp
+++ b/src/rig/driftsim.cpp
@@ -25,13 +25,13 @@
   Form file;
   bool paused = false;
   bool taking = false;
-  bool astray = false;  // astray: what it takes for approved is not the record's
+  bool drifted = false;  // astray: what it takes for approved is not the record's
   Ms down_since = -1;
   Ms unix_at_zero = 1.7e12;
   Token floor = 0;
   Token heard = 0;
   Token last_repair = 0;
-  Version told = 0;
+  Version notified = 0;
   std::uint64_t memory_of = 0;
 };
 
@@ -83,8 +83,8 @@
   ++f.life;
   f.machine = std::make_unique<Drift>(id, zones, classes(), t_.terms, random_(), now_,
                                       Drift::Floors{f.incarnation++, f.floor});
-  f.told = 0;
-  f.astray = false;
+  f.notified = 0;
+  f.drifted = false;
   event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
   Later(Chance(5, 300), [this, id] { TellRecord(id); });
   std::uint64_t life = f.life;
@@ -127,12 +127,12 @@
     auto caring = [this](auto self, Ms lost_since) -> void {
       for (Id id : ids_) {
         Front& f = *fronts_.at(id);
-        if (f.told < offset_)
+        if (f.notified < offset_)
           Later(Chance(10, 400), [this, id] { TellRecord(id); });
       }
       if (t_.owners && auto_owner) {
         bool there = owner_ != 0 && !fronts_.at(owner_)->paused && side_.count(owner_) == 0 &&
-                     !at(owner_).aside(owner_) && !fronts_.at(owner_)->astray;
+                     !at(owner_).ejected(owner_) && !fronts_.at(owner_)->drifted;
         if (there)
           lost_since = -1;
         else if (lost_since < 0)
@@ -140,10 +140,10 @@
         if (lost_since >= 0 && now_ - lost_since >= 3000) {
           std::vector<Id> can;
           for (Id id : ids_) {
-            bool aside = false;
+            bool ejected = false;
             for (Id by : ids_)
-              aside |= Reachable(by) && at(by).aside(id);
-            if (Reachable(id) && !aside && !fronts_.at(id)->astray)
+              ejected |= Reachable(by) && at(by).ejected(id);
+            if (Reachable(id) && !ejected && !fronts_.at(id)->drifted)
               can.push_back(id);
           }
           if (!can.empty()) {
@@ -175,7 +175,7 @@
   f.floor = std::max(f.floor, f.machine->token());
   for (Action& a : actions) {
     if (auto* t = std::get_if<Tell>(&a))
-      Deliver(from, t->to, std::move(t->told));
+      Deliver(from, t->to, std::move(t->notified));
     if (auto* r = std::get_if<Repair>(&a)) {
       judge_->Asks(from, *r);
       DeliverRepair(from, r->front, *r);
@@ -214,26 +214,26 @@
   return side_.count(a) == side_.count(b);
 }
 
-void DriftSim::Deliver(Id from, Id to, Told told) {
+void DriftSim::Deliver(Id from, Id to, ActiveReport notified) {
   ++datagrams_;
   if (t_.via_bytes) {
-    std::string b = Encode(told);
+    std::string b = Encode(notified);
     bytes_ += b.size();
-    auto back = DecodeTold(b);
+    auto back = DecodeNotified(b);
     if (!back) {
       judge_->faults.push_back("a word that can't be read back");
       return;
     }
-    told = std::move(*back);
+    notified = std::move(*back);
   }
   if (Chance(0, 1) < t_.loss)
     return;
-  Later(Chance(t_.delay_least, t_.delay_most), [this, from, to, told = std::move(told)] {
+  Later(Chance(t_.delay_least, t_.delay_most), [this, from, to, notified = std::move(notified)] {
     Front& g = *fronts_.at(to);
     if (!Linked(from, to) || g.paused || g.taking)
       return;
-    g.heard = std::max(g.heard, told.token);
-    event(to, Hears{from, told});
+    g.heard = std::max(g.heard, notified.token);
+    event(to, Hears{from, notified});
   });
 }
 
@@ -299,9 +299,9 @@
 
 void DriftSim::TellRecord(Id id) {
   Front& f = *fronts_.at(id);
-  if (f.paused || f.taking || side_.count(id) != 0 || f.told >= offset_)
+  if (f.paused || f.taking || side_.count(id) != 0 || f.notified >= offset_)
     return;
-  f.told = offset_;
+  f.notified = offset_;
   auto own = record_.find(KeyOf(id));
   for (Id of : ids_) {
     auto it = record_.find(KeyOf(of));
@@ -313,9 +313,9 @@
   }
   if (own != record_.end()) {
     event(id, Approved{own->second.version, own->second.approval});
-    if (f.astray)
+    if (f.drifted)
       judge_->kind(id, Standing::kDrifted);  // its record is right again; its memory may not be
-    f.astray = false;
+    f.drifted = false;
   }
 }
 
@@ -340,16 +340,16 @@
 }
 void DriftSim::Claim(Id id, Version version, Form form) {
   Front& f = *fronts_.at(id);
-  f.astray = true;
+  f.drifted = true;
   judge_->kind(id, Standing::kUnapproved);
   event(id, Approved{version, Approval{"nobody", "", 0, 0, form}});
   ByHand(id, std::move(form), true);
 }
 void DriftSim::Fork(Id id, Form form) {
   Front& f = *fronts_.at(id);
-  if (f.astray)
+  if (f.drifted)
     return;
-  f.astray = true;
+  f.drifted = true;
   judge_->kind(id, Standing::kForked);
   event(id, Approved{WantedVersion(id), Approval{"ops", "", 0, 0, form}});
   // What it has for the others is as wrong.
@@ -402,8 +402,8 @@
   if (owner_ != 0)
     Pause(owner_, true);
 }
-void DriftSim::pulls(Id id, double a, double d) {
-  event(id, Pulls{a, d});
+void DriftSim::requests(Id id, double a, double d) {
+  event(id, Requests{a, d});
 }
 
 int DriftSim::Zone(Id id) const {
@@ -429,12 +429,12 @@
 }
 bool DriftSim::TruthBad(Id id) const {
   const Front& f = *fronts_.at(id);
-  return f.astray || !Differences(f.memory, Wanted(id), {}).empty();
+  return f.drifted || !Differences(f.memory, Wanted(id), {}).empty();
 }
-std::size_t DriftSim::Astray() const {
+std::size_t DriftSim::Drifted() const {
   std::size_t n = 0;
   for (const auto& [id, f] : fronts_)
-    n += f->astray;
+    n += f->drifted;
   return n;
 }
 bool DriftSim::RuleDiffers(Id id) const {
--- a/src/rig/driftsim.hpp
+++ b/src/rig/driftsim.hpp
@@ -75,7 +75,7 @@
   void Give(
       Id front);     // a new owner with a new token; the one before is told where it can be reached
   void OwnerDies();  // without notice
-  void pulls(Id front, double abandoned, double declined);
+  void requests(Id front, double abandoned, double declined);
   std::function<void(Id front, const Form& form)> on_take_up;
   bool auto_owner = true;  // another owner by itself after a lease without one
 
@@ -99,8 +99,8 @@
   bool TakingUp(Id front) const;
   Ms DownSince(Id front) const;  // -1: it is up
   Ms TermEnds(
-      Id front) const;         // by when all hold its approval to be due, whatever their clocks say
-  std::size_t Astray() const;  // fronts whose record is wrong
+      Id front) const;  // by when all hold its approval to be due, whatever their clocks say
+  std::size_t Drifted() const;  // fronts whose record is wrong
   bool RuleDiffers(Id front) const;
   static drift::Classes classes();
   std::uint64_t Datagrams() const {
@@ -135,7 +135,7 @@
   void Later(Ms in, std::function<void()> what);
   void Carry(Id from, std::vector<drift::Action> actions);
   void event(Id front, const drift::Event& e);
-  void Deliver(Id from, Id to, drift::Told told);
+  void Deliver(Id from, Id to, drift::ActiveReport notified);
   void DeliverRepair(Id from, Id to, drift::Repair r);
   void TellRecord(Id front);
   void Start(Id front);
--- a/src/rig/harness.cpp
+++ b/src/rig/harness.cpp
@@ -30,10 +30,10 @@
       fronts.push_back(PlaceAt(p));
   relay_ = std::make_unique<Relay>(loop_, fronts, caches,
                                    static_cast<std::uint16_t>(fleet_.port + 1), seed);
-  int fd = loop_.ground().OpenDatagrams(Host(2, 0));
+  int fd = loop_.environment().OpenDatagrams(Host(2, 0));
   if (fd < 0)
     throw std::runtime_error("no socket to ask the fronts for their views");
-  asker_ = loop::Descriptor(loop_.ground(), fd);
+  response_sink_ = loop::Descriptor(loop_.environment(), fd);
   begun_ = loop_.now();
   if (fleet_.owner.on) {
     auto port = static_cast<std::uint16_t>(fleet_.port + 600),
--- a/src/rig/harness.hpp
+++ b/src/rig/harness.hpp
@@ -65,7 +65,7 @@
   std::optional<json::Value> view(std::size_t i);  // nothing from a front that does not answer
   void Wait(double ms);                            // lets the relay and the clients work
   // Clients ask every front so often, from now on; a tenth of the pulls are exclusive.
-  void Ask(double pulls_per_s);
+  void Ask(double requests_per_s);
   History history();  // what the checker judges, up to now; reads the logs
   Ms begun() const {
     return begun_;
@@ -121,7 +121,7 @@
   std::string PeersBlock(std::size_t i) const;
   std::string LayerBlocks(std::size_t i) const;
   bool WholeZone(const std::vector<std::size_t>& group, std::size_t zone) const;
-  void NextPull();
+  void NextRequest();
   void EndClients();
 
   loop::Loop& loop_;
@@ -138,18 +138,18 @@
   std::map<std::size_t, std::string> program_of_;
   std::map<std::size_t, std::pair<std::string, std::string>> tweaks_;
   std::set<std::size_t> stopped_;
-  loop::Descriptor asker_;
+  loop::Descriptor response_sink_;
   std::vector<CueDone> cues_;
-  std::vector<PullSeen> pulls_;
+  std::vector<RequestSeen> requests_;
   std::map<std::size_t, std::shared_ptr<Client>> clients_;  // by pull; emptied as they end
   std::uint64_t asking_ = 0;
-  double pulls_per_s_ = 0;
+  double requests_per_s_ = 0;
   std::knuth_b random_;
   std::size_t next_front_ = 0;
 };
 
 // A front's view (or its owner's status) as it answers for it, asked from outside the harness.
-std::optional<json::Value> AskView(loop::Loop& loop, loop::Descriptor& asker,
+std::optional<json::Value> AskView(loop::Loop& loop, loop::Descriptor& response_sink,
                                    const loop::Address& front, std::string* raw = nullptr,
                                    const char* question = "DW?");
 
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -116,7 +116,7 @@
       OfFront(f);
     Left();
     Agreement();
-    pulls();
+    requests();
     std::stable_sort(found_.begin(), found_.end(),
                      [](const Broken& a, const Broken& b) { return a.at < b.at; });
     return std::move(found_);
@@ -223,7 +223,7 @@
       for (std::size_t f = 0; f < f_.zone_of.size(); ++f)
         for (bool caches : {false, true}) {
           Ms since = -1, within = caches ? CachesWithin(f_) : LeaveWithin(f_);
-          if (caches && f_.pulls_per_s <= 0)
+          if (caches && f_.requests_per_s <= 0)
             continue;
           for (const Stretch& s : stretches_) {
             bool lost =
@@ -294,9 +294,9 @@
       }
   }
 
-  void pulls() {
+  void requests() {
     constexpr Ms kSlack = 500;
-    for (const PullSeen& p : h_.pulls) {
+    for (const RequestSeen& p : h_.requests) {
       if (p.answers > 1)
         ReportViolation(
             "answers", p.at,
@@ -355,7 +355,7 @@
 
 Kept MakeKept(const FleetFile& fleet, const History& history, Ms from, Ms until) {
   Kept k;
-  for (const PullSeen& p : history.pulls) {
+  for (const RequestSeen& p : history.requests) {
     if (p.at < from || p.at >= until || p.exclusive)
       continue;
     ++k.asked;
--- a/src/rig/judge.hpp
+++ b/src/rig/judge.hpp
@@ -37,7 +37,7 @@
   std::uint64_t out = 0;  // a bit a zone
   std::uint32_t epoch = 0;
 };
-struct PullSeen {
+struct RequestSeen {
   std::string id;
   std::size_t front = 0;
   bool exclusive = false;
@@ -55,7 +55,7 @@
   std::vector<CueDone> cues;
   std::vector<VerdictSeen> verdicts;                                 // by time
   std::vector<std::pair<std::size_t, std::uint32_t>> epochs_at_end;  // of fronts that are up
-  std::vector<PullSeen> pulls;
+  std::vector<RequestSeen> requests;
   std::map<std::string, int> ran;  // exclusive pulls by id: how often one reached where it runs
 };
 struct Broken {
--- a/src/rig/ownersim.cpp
+++ b/src/rig/ownersim.cpp
@@ -202,11 +202,11 @@
               h.step = w.done;
               run_.history.push_back(h);
             }
-            bool told = std::any_of(run_.history.begin(), run_.history.end(),
-                                    [&, n = &name](const Happened& h) {
-                                      return h.what == Happened::What::kFinished && h.work == *n;
-                                    });
-            if (w.finished && !told) {
+            bool notified = std::any_of(
+                run_.history.begin(), run_.history.end(), [&, n = &name](const Happened& h) {
+                  return h.what == Happened::What::kFinished && h.work == *n;
+                });
+            if (w.finished && !notified) {
               Happened h;
               h.what = Happened::What::kFinished;
               h.at = now_;
--- a/src/rig/place.cpp
+++ b/src/rig/place.cpp
@@ -22,12 +22,13 @@
   owner::Id id;
   std::map<owner::Id, loop::Address> fronts;
   owner::Fence fence;
-  Place(loop::Loop& l, int fd, owner::Id i) : loop(l), socket(l.ground(), fd), id(i) {}
+  Place(loop::Loop& l, int fd, owner::Id i) : loop(l), socket(l.environment(), fd), id(i) {}
 
   void Ready(short) override {
     std::vector<char> buffer(2048);
     loop::Address from{};
-    for (ssize_t got = 0; (got = loop.ground().ReceiveFrom(socket.Get(), buffer, from)) >= 0;) {
+    for (ssize_t got = 0;
+         (got = loop.environment().ReceiveFrom(socket.Get(), buffer, from)) >= 0;) {
       auto f = owner::ReadFrame({buffer.data(), static_cast<std::size_t>(got)});
       auto d = f && f->kind == owner::Kind::kAct ? owner::DecodeDo(f->body) : std::nullopt;
       if (!d)
@@ -45,7 +46,7 @@
                    static_cast<unsigned long long>(did.highest), loop.now(),
                    owner::MakeWord(did.landing));
       if (auto at = fronts.find(f->from); at != fronts.end())
-        loop.ground().SendTo(socket.Get(), owner::EncodeDid(id, did), at->second);
+        loop.environment().SendTo(socket.Get(), owner::EncodeDid(id, did), at->second);
     }
   }
 };
@@ -64,7 +65,7 @@
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   loop::Loop loop;
   auto at = loop::ReadAddress(listen);
-  int fd = at ? loop.ground().OpenDatagrams(*at) : -1;
+  int fd = at ? loop.environment().OpenDatagrams(*at) : -1;
   if (fd < 0) {
     std::fprintf(stderr, "dunlinwick_place: %s cannot be had\n", listen.c_str());
     return 1;
--- a/src/rig/recordsim.cpp
+++ b/src/rig/recordsim.cpp
@@ -41,7 +41,7 @@
   int swapped_with = -1;
   Offset cleaned = 0;
   Offset forgotten = 0;
-  Offset told = 0;
+  Offset notified = 0;
 };
 struct Follower {
   std::uint64_t id = 0;
@@ -215,7 +215,7 @@
     f.up = true;
     f.cleaned = f.log->head().cleaned;
     f.forgotten = f.log->head().forgotten;
-    f.told = 0;
+    f.notified = 0;
     judge_.Replaced(f.id, f.log->head().promised);
     judge_.MayClean(f.id, ~Token{0}, f.cleaned, f.forgotten);
     return true;
@@ -254,14 +254,14 @@
       f.cleaned = h.cleaned;
       f.forgotten = h.forgotten;
     }
-    if (h.committed < f.told) {
-      f.told = 0;
+    if (h.committed < f.notified) {
+      f.notified = 0;
       ++out_.anew;
     }
-    for (Offset o = f.told + 1; o <= h.committed; ++o)
+    for (Offset o = f.notified + 1; o <= h.committed; ++o)
       if (const Entry* e = f.log->at(o))
         judge_.CommittedAt(f.id, *e);
-    f.told = std::max(f.told, h.committed);
+    f.notified = std::max(f.notified, h.committed);
     if (f.damaged && f.keeper && !f.keeper->has_failed() && h.committed >= f.owes &&
         f.log->Whole() && f.log->Holes(1).empty() && !f.keeper->Doubted()) {
       f.damaged = false;
--- a/src/rig/recovery_judge.cpp
+++ b/src/rig/recovery_judge.cpp
@@ -33,7 +33,7 @@
         f.started = s.value > 0;
         f.on = s.value > 0;
         break;
-      case Seen::What::kSpoilt:
+      case Seen::What::kCorrupted:
       case Seen::What::kLost:
         f.may_go_back = true;
         break;
--- a/src/rig/recoverysim.cpp
+++ b/src/rig/recoverysim.cpp
@@ -30,7 +30,7 @@
   t.zones = zones;
   t.group = fronts < 5 ? 3 : 5;
   t.each.zones = zones;
-  t.each.crew = fronts / zones;
+  t.each.zone_replicas = fronts / zones;
   // Kept objects of three payoffs, and one class that is never kept.
   t.each.payoff = {3, 1, 2, 1.5};
   t.each.work = {0.2, 0.4, 0.3, 0.1};
@@ -71,7 +71,7 @@
   Ms clock_set = 0;
   Ms start = 0;
   Ms saved_at = 0;
-  Ms told_at = 0;
+  Ms notified_at = 0;
   Ms check_at = 0;
   Ms fetched_at = -1;
   Ms ask_at = 0;
@@ -140,7 +140,7 @@
   f.rec = nullptr;
   Terms t = terms_.each;
   t.zone = f.zone;
-  t.crew = terms_.fronts / terms_.zones + (f.zone < terms_.fronts % terms_.zones);
+  t.zone_replicas = terms_.fronts / terms_.zones + (f.zone < terms_.fronts % terms_.zones);
   std::vector<Id> ids;
   for (auto& o : fronts_)
     ids.push_back(o->id);
@@ -153,7 +153,7 @@
   f.believed = f.disk.there && f.disk.bad;
   f.check_at = now_ + Between(50, 1500);
   f.fetched_at = -1;
-  f.told_at = now_;
+  f.notified_at = now_;
   f.was_member = false;
   f.any_admit = false;
   run_.seen.push_back({.what = Seen::What::kPower, .at = now_, .front = f.id, .value = 1});
@@ -246,8 +246,9 @@
                              .front = f.id,
                              .value = l->whole ? 1.0 : 0.0,
                              .why = l->lost});
-    } else if (auto* s2 = std::get_if<Spoilt>(&a)) {
-      run_.seen.push_back({.what = Seen::What::kSpoilt, .at = now_, .front = f.id, .why = s2->why});
+    } else if (auto* s2 = std::get_if<Corrupted>(&a)) {
+      run_.seen.push_back(
+          {.what = Seen::What::kCorrupted, .at = now_, .front = f.id, .why = s2->why});
       f.believed = false;
       f.position = 0;
       f.version = 0;
@@ -419,9 +420,9 @@
   if (linked && f.position >= g.offset && !f.believed)
     f.current = true;
   // A bad disk that is still believed: what was caught up on its prefix is not current.
-  bool board = now_ >= board_down_until_ && f.side == 0;
+  bool discovery = now_ >= discovery_down_until_ && f.side == 0;
   if (f.version != kApproved || f.disk.floors.rules_digest != kApprovedDigest) {
-    if (f.fetched_at < 0 && board)
+    if (f.fetched_at < 0 && discovery)
       f.fetched_at = now_ + Between(300, 2500);
     if (f.fetched_at >= 0 && now_ >= f.fetched_at) {
       f.version = kApproved;
@@ -432,8 +433,8 @@
       }
     }
   }
-  if (now_ >= f.told_at) {
-    f.told_at = now_ + 200;
+  if (now_ >= f.notified_at) {
+    f.notified_at = now_ + 200;
     std::size_t members = 0;
     for (int i = 0; i < terms_.group; ++i)
       members += reach(f, *fronts_[static_cast<std::size_t>(i)]);
@@ -450,10 +451,10 @@
                       true});
     Ms since = std::max(parents_since_, zone_since_[static_cast<std::size_t>(f.zone)]);
     std::optional<bool> cold;  // the list tells starts
-    if (board)
+    if (discovery)
       cold = now_ - since < terms_.parent_lasts;
     Give(f, Behind{crowded_now_, cold});
-    Give(f, RulesNow{true, board && f.version == kApproved, f.version, kApprovedDigest});
+    Give(f, RulesNow{true, discovery && f.version == kApproved, f.version, kApprovedDigest});
   } else {
     Act(f, f.rec->Handle(now_, Tick{}));
   }
@@ -485,12 +486,13 @@
     double kept = 1, never = 0.1;
     if (terms_.breaks.at_once && f->rec->phase() >= Phase::kLettingIn && !f->rec->CertainOnly())
       kept = 0.9;
-    else if (f->any_admit && f->admit.by_offering.empty())
+    else if (f->any_admit && f->admit.by_request_class.empty())
       kept = 0.9;
     else {
       kept = never = 0;
-      for (std::size_t i = 0; i < f->admit.by_offering.size(); ++i)
-        (terms_.each.certain[i] ? never : kept) += f->admit.by_offering[i] * terms_.each.work[i];
+      for (std::size_t i = 0; i < f->admit.by_request_class.size(); ++i)
+        (terms_.each.certain[i] ? never : kept) +=
+            f->admit.by_request_class[i] * terms_.each.work[i];
     }
     by_zone[static_cast<std::size_t>(f->zone)] += kept;
     straight += never;
@@ -509,9 +511,9 @@
   double done =
       level <= 1 ? 1 : 1 / (level * level);  // pushed over, most fills come too late to be of use
   for (std::size_t z = 0; z < warm_.size(); ++z) {
-    double crew = fronts / static_cast<double>(warm_.size());
-    warm_[z] += (1 - warm_[z]) *
-                std::min(1.0, fills_of[z] * done / crew * terms_.tick / terms_.cache_holds);
+    double zone_replicas = fronts / static_cast<double>(warm_.size());
+    warm_[z] += (1 - warm_[z]) * std::min(1.0, fills_of[z] * done / zone_replicas * terms_.tick /
+                                                   terms_.cache_holds);
     useful += by_zone[z] - fills_of[z] + fills_of[z] * done;
   }
   double office = straight + fills * std::min(1.0, level > 1 ? 1 / level : 1) *
@@ -672,9 +674,9 @@
     }
     if (fault == Fault::kClocks || (fault == Fault::kMixed && Unit() < 0.3))
       deeds.push_back({t + 100, 6, 0});
-    if (fault == Fault::kBoard || (fault == Fault::kMixed && Unit() < 0.3)) {
-      board_down_until_ = t + gap + Between(10000, 60000);
-      run_.faults_over = std::max(run_.faults_over, board_down_until_);
+    if (fault == Fault::kDiscovery || (fault == Fault::kMixed && Unit() < 0.3)) {
+      discovery_down_until_ = t + gap + Between(10000, 60000);
+      run_.faults_over = std::max(run_.faults_over, discovery_down_until_);
       run_.faults.push_back("board down");
     }
     if (fault == Fault::kPartition || (fault == Fault::kMixed && Unit() < 0.3)) {
--- a/src/rig/recoverysim.hpp
+++ b/src/rig/recoverysim.hpp
@@ -25,7 +25,7 @@
   kStores,
   kAllStores,
   kClocks,
-  kBoard,
+  kDiscovery,
   kPartition,
   kAlone,
   kMixed
@@ -66,7 +66,7 @@
     kEntered,
     kAdmit,
     kLoss,
-    kSpoilt,
+    kCorrupted,
     kGrant,
     kCommitted,
     kLevel,
@@ -149,7 +149,7 @@
   double parents_warm_ = 1;
   std::deque<bool> crowded_;
   bool crowded_now_ = false;
-  Ms board_down_until_ = -1;
+  Ms discovery_down_until_ = -1;
   Ms power_back_ = -1;
   std::uint64_t known_token_ = 0;
   std::uint64_t known_offset_ = 0;  // by a majority's disks, when power went
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -37,7 +37,7 @@
   void Came() override {
     Take();
   }
-  void Ended(loop::Parting) override {
+  void Ended(loop::DisconnectReason) override {
     Take();
     over = true;
     from->Close();
@@ -105,12 +105,12 @@
       f->relay = this;
       f->from = i;
       f->to = j;
-      int fd = loop_.ground().OpenDatagrams(face(i, j, port));
+      int fd = loop_.environment().OpenDatagrams(face(i, j, port));
       if (fd < 0)
         throw std::runtime_error("the relay's face " + std::to_string(i) + " to " +
                                  std::to_string(j) + " cannot be had: errno " +
                                  std::to_string(-fd));
-      f->fd = loop::Descriptor(loop_.ground(), fd);
+      f->fd = loop::Descriptor(loop_.environment(), fd);
       loop_.WatchDescriptor(fd, *f, POLLIN);
       faces_.push_back(std::move(f));
     }
@@ -195,7 +195,7 @@
   char buffer[2048];
   for (int i = 0; i < kMostATurn; ++i) {
     loop::Address from{};
-    ssize_t got = loop_.ground().ReceiveFrom(face.fd.Get(), buffer, from);
+    ssize_t got = loop_.environment().ReceiveFrom(face.fd.Get(), buffer, from);
     if (got < 0)
       return;
     const Fault& f = link(face.from, face.to);
@@ -219,7 +219,7 @@
           waits + f.delay + f.jitter * unit(random_) + (unit(random_) < f.reorder ? kLate : 0);
       ++passed_;
       if (after <= 0) {
-        loop_.ground().SendTo(face.fd.Get(), bytes, fronts_[face.to]);
+        loop_.environment().SendTo(face.fd.Get(), bytes, fronts_[face.to]);
         continue;
       }
       if (held_ >= kMostHeld) {
@@ -230,7 +230,7 @@
       Face* through = &face;
       loop_.at(loop_.now() + after, [this, through, bytes] {
         --held_;
-        loop_.ground().SendTo(through->fd.Get(), bytes, fronts_[through->to]);
+        loop_.environment().SendTo(through->fd.Get(), bytes, fronts_[through->to]);
       });
     }
   }
--- a/src/rig/script.cpp
+++ b/src/rig/script.cpp
@@ -100,8 +100,8 @@
 }
 
 FleetFile ReadFleetText(const std::string& named, const std::string& text, int fronts) {
-  schema::Sheet sheet(named, text, kFleetRules);
-  const rapidjson::Value& root = sheet.Root();
+  schema::Settings settings(named, text, kFleetRules);
+  const rapidjson::Value& root = settings.Root();
   FleetFile f;
   f.swim.period = 200;
   f.swim.probe_timeout = 60;
@@ -110,8 +110,8 @@
     std::string name;
     Take(z, "name", name);
     if (std::find(f.zones.begin(), f.zones.end(), name) != f.zones.end())
-      sheet.Refuse("/zones/" + std::to_string(f.zones.size()) + "/name",
-                   "\"" + name + "\" is there twice");
+      settings.Refuse("/zones/" + std::to_string(f.zones.size()) + "/name",
+                      "\"" + name + "\" is there twice");
     f.zones.push_back(name);
     Take(z, "region", f.regions.emplace_back());
   }
@@ -127,18 +127,18 @@
   Take(root, "steer", f.steer);
   Take(root, "peers", f.peers);
   Take(root, "layer", f.layer);
-  Take(root, "pulls_per_s", f.pulls_per_s);
+  Take(root, "pulls_per_s", f.requests_per_s);
   if (const rapidjson::Value* each = Member(root, "front_zones")) {
     if (fronts > 0)
-      sheet.Refuse("/front_zones",
-                   "names each front's zone; another number of fronts does not go with it");
+      settings.Refuse("/front_zones",
+                      "names each front's zone; another number of fronts does not go with it");
     if (Member(root, "fronts"))
-      sheet.Refuse("/fronts", "goes without front_zones, which names each front");
+      settings.Refuse("/fronts", "goes without front_zones, which names each front");
     for (const rapidjson::Value& z : each->GetArray()) {
       auto at = std::find(f.zones.begin(), f.zones.end(), z.GetString());
       if (at == f.zones.end())
-        sheet.Refuse("/front_zones/" + std::to_string(f.zone_of.size()),
-                     "\"" + std::string(z.GetString()) + "\" is not among zones");
+        settings.Refuse("/front_zones/" + std::to_string(f.zone_of.size()),
+                        "\"" + std::string(z.GetString()) + "\" is not among zones");
       f.zone_of.push_back(static_cast<int>(at - f.zones.begin()));
     }
     f.fronts = static_cast<int>(f.zone_of.size());
@@ -165,7 +165,7 @@
       f.owner.works.push_back(one);
     }
     if (f.owner.group > f.fronts)
-      sheet.Refuse("/owner/group", "is more than the fronts");
+      settings.Refuse("/owner/group", "is more than the fronts");
   }
   if (f.layer) {
     if (!f.owner.on) {
@@ -174,18 +174,19 @@
     }
     f.peers = true;
     if (f.owner.group > f.fronts)
-      sheet.Refuse("/layer", "wants three fronts at least: they keep the record");
+      settings.Refuse("/layer", "wants three fronts at least: they keep the record");
   }
   if (!(f.swim.probe_timeout < f.swim.period))
-    sheet.Refuse("/probe_timeout_ms", "must be shorter than period_ms");
+    settings.Refuse("/probe_timeout_ms", "must be shorter than period_ms");
   if (f.verdict.quorum > f.fronts)
-    sheet.Refuse("/quorum", "is more than the fronts");
+    settings.Refuse("/quorum", "is more than the fronts");
   if (f.verdict.quorum > 0 && 2 * f.verdict.quorum <= f.fronts)
-    sheet.Refuse("/quorum", "is half the fronts or fewer: both sides of a partition would decide");
+    settings.Refuse("/quorum",
+                    "is half the fronts or fewer: both sides of a partition would decide");
   if (f.caches_per_zone * static_cast<int>(f.zones.size()) > 62)
-    sheet.Refuse("/caches_per_zone", "62 caches in all at most");
+    settings.Refuse("/caches_per_zone", "62 caches in all at most");
   if (f.port > 64000)
-    sheet.Refuse("/port", "64000 at most: the fleet takes some hundreds from there on");
+    settings.Refuse("/port", "64000 at most: the fleet takes some hundreds from there on");
   return f;
 }
 
@@ -194,8 +195,8 @@
 }
 
 Script ReadFaultsText(const std::string& named, const std::string& text) {
-  schema::Sheet sheet(named, text, FaultRules().c_str());
-  const rapidjson::Value& root = sheet.Root();
+  schema::Settings settings(named, text, FaultRules().c_str());
+  const rapidjson::Value& root = settings.Root();
   Script s;
   s.name = named;
   Take(root, "name", s.name);
@@ -224,23 +225,23 @@
     Take(one, "kb_per_s", t.kb_per_s);
     bool shapes = t.delay || t.jitter || t.loss || t.duplicate || t.reorder || t.kb_per_s;
     if (OfFronts(t.deed) && t.fronts.empty())
-      sheet.Refuse(at, "\"" + what + "\" needs fronts");
+      settings.Refuse(at, "\"" + what + "\" needs fronts");
     if (!OfFronts(t.deed) && !t.fronts.empty())
-      sheet.Refuse(at + "/fronts", "does not go with \"" + what + "\"");
+      settings.Refuse(at + "/fronts", "does not go with \"" + what + "\"");
     if (OfCaches(t.deed) == t.zone.empty())
-      sheet.Refuse(at, OfCaches(t.deed) ? "\"" + what + "\" needs a zone"
-                                        : "a zone does not go with \"" + what + "\"");
+      settings.Refuse(at, OfCaches(t.deed) ? "\"" + what + "\" needs a zone"
+                                           : "a zone does not go with \"" + what + "\"");
     if ((t.deed == Deed::kLinks) != shapes)
-      sheet.Refuse(
+      settings.Refuse(
           at,
           shapes
               ? "delay, loss and their like go with \"links\""
               : "\"links\" needs one of delay_ms, jitter_ms, loss, duplicate, reorder, kb_per_s");
     if (t.lasts > 0 &&
         (t.deed == Deed::kRestart || t.deed == Deed::kResume || t.deed == Deed::kHeal))
-      sheet.Refuse(at + "/for_s", "\"" + what + "\" has no end");
+      settings.Refuse(at + "/for_s", "\"" + what + "\" has no end");
     if (t.at >= s.length)
-      sheet.Refuse(at + "/at_s", "is after the script's end");
+      settings.Refuse(at + "/at_s", "is after the script's end");
     s.steps.push_back(t);
   }
   std::stable_sort(s.steps.begin(), s.steps.end(),
--- a/src/rig/script.hpp
+++ b/src/rig/script.hpp
@@ -44,7 +44,7 @@
   members::Terms swim;
   failover::Terms verdict;
   bool steer = true;
-  double pulls_per_s = 20;  // asked of each front
+  double requests_per_s = 20;  // asked of each front
   OwnerFile owner;
   // The fleet's layer: record (kept by the owner's group, who writes owns the standing work of that
   // name), rules, recovery. Over one socket a front.
--- a/src/rig/seen.cpp
+++ b/src/rig/seen.cpp
@@ -14,7 +14,7 @@
   h.from = begun_;
   h.until = loop_.now();
   h.cues = cues_;
-  h.pulls = pulls_;
+  h.requests = requests_;
   auto bit = [&](const std::string& zone) {
     auto at = std::find(fleet_.zones.begin(), fleet_.zones.end(), zone);
     return at == fleet_.zones.end() ? 0 : std::uint64_t{1} << (at - fleet_.zones.begin());
@@ -47,7 +47,7 @@
   std::stable_sort(h.verdicts.begin(), h.verdicts.end(),
                    [](const VerdictSeen& a, const VerdictSeen& b) { return a.at < b.at; });
   std::set<std::string> exclusive;
-  for (const PullSeen& p : pulls_)
+  for (const RequestSeen& p : requests_)
     if (p.exclusive)
       exclusive.insert(p.id);
   std::vector<std::string> toys{"hub"};
@@ -62,16 +62,16 @@
   return h;
 }
 
-std::optional<json::Value> AskView(loop::Loop& loop, loop::Descriptor& asker,
+std::optional<json::Value> AskView(loop::Loop& loop, loop::Descriptor& response_sink,
                                    const loop::Address& front, std::string* raw,
                                    const char* question) {
-  loop.ground().SendTo(asker.Get(), std::string_view(question), front);
+  loop.environment().SendTo(response_sink.Get(), std::string_view(question), front);
   constexpr double kWithin = 300;
   double end = loop.now() + kWithin;
   std::vector<char> buffer(65536);
   while (loop.now() < end) {
     loop::Address from{};
-    ssize_t got = loop.ground().ReceiveFrom(asker.Get(), buffer, from);
+    ssize_t got = loop.environment().ReceiveFrom(response_sink.Get(), buffer, from);
     if (got > 0 && from.sin_addr.s_addr == front.sin_addr.s_addr &&
         from.sin_port == front.sin_port) {
       auto v = json::Read(std::string_view(buffer.data(), static_cast<std::size_t>(got)));
@@ -87,25 +87,25 @@
 }
 
 std::optional<json::Value> Harness::view(std::size_t i) {
-  return AskView(loop_, asker_, at(i, fleet_.port));
+  return AskView(loop_, response_sink_, at(i, fleet_.port));
 }
 
 std::optional<json::Value> Harness::OwnerStatus(std::size_t i) {
-  return AskView(loop_, asker_, OwnerAt(i), nullptr, "DO?");
+  return AskView(loop_, response_sink_, OwnerAt(i), nullptr, "DO?");
 }
 
 std::optional<json::Value> Harness::LayerStatus(std::size_t i) {
-  return AskView(loop_, asker_, at(i, fleet_.port), nullptr, "DR?");
+  return AskView(loop_, response_sink_, at(i, fleet_.port), nullptr, "DR?");
 }
 
 std::optional<std::string> Harness::operatorAsks(std::size_t i, const std::string& datagram,
                                                  double within) {
   loop::Address to = at(i, fleet_.port);
-  loop_.ground().SendTo(asker_.Get(), datagram, to);
+  loop_.environment().SendTo(response_sink_.Get(), datagram, to);
   std::vector<char> buffer(65536);
   for (double end = loop_.now() + within; loop_.now() < end;) {
     loop::Address from{};
-    ssize_t got = loop_.ground().ReceiveFrom(asker_.Get(), buffer, from);
+    ssize_t got = loop_.environment().ReceiveFrom(response_sink_.Get(), buffer, from);
     bool view =
         got > 0 && buffer[0] == '{';  // of a status that was asked for before and comes late
     if (got > 0 && !view && from.sin_addr.s_addr == to.sin_addr.s_addr &&
--- a/src/rig/sim.cpp
+++ b/src/rig/sim.cpp
@@ -138,12 +138,12 @@
   if (changes.empty() && !always)
     return;
   bool changed = false;
-  failover::Opinion told =
+  failover::Opinion notified =
       node.verdicts->Look(now_, node.health, failover::Living(*node.swim), changed);
   if (changed)
     judged_.push_back(
         Judged{now_, id, node.verdicts->verdict().out, node.verdicts->verdict().epoch});
-  node.swim->Publish(now_, failover::Pack(told));
+  node.swim->Publish(now_, failover::Pack(notified));
 }
 
 void Sim::RunUntil(Ms until) {
--- a/src/rules/rules.cpp
+++ b/src/rules/rules.cpp
@@ -33,12 +33,12 @@
 
 std::string Line(const Fact& f) {
   char numbers[160];
-  std::snprintf(numbers, sizeof numbers, "\t%d\t%d\t%d\t%.3f\t%.3f\t%d", f.offering, f.group,
+  std::snprintf(numbers, sizeof numbers, "\t%d\t%d\t%d\t%.3f\t%.3f\t%d", f.request_class, f.group,
                 f.status, f.number, f.limit, f.flag ? 1 : 0);
   char at[40];
   std::snprintf(at, sizeof at, "%.3f\t", f.at);
   std::string out = std::string(at) + ToString(f.deed);
-  for (const std::string* one : {&f.pull, &f.thing, &f.who, &f.other, &f.word, &f.tag})
+  for (const std::string* one : {&f.request, &f.thing, &f.who, &f.other, &f.word, &f.tag})
     out.append("\t").append(one->empty() ? "-" : *one);
   return out + numbers;
 }
@@ -61,14 +61,14 @@
   Fact f;
   auto deed = std::find(kDeeds.begin(), kDeeds.end(), parts[1]);
   int flag = 0;
-  if (deed == kDeeds.end() || !number(parts[0], f.at) || !number(parts[8], f.offering) ||
+  if (deed == kDeeds.end() || !number(parts[0], f.at) || !number(parts[8], f.request_class) ||
       !number(parts[9], f.group) || !number(parts[10], f.status) || !number(parts[11], f.number) ||
       !number(parts[12], f.limit) || !number(parts[13], flag))
     return std::nullopt;
   f.deed = static_cast<Deed>(deed - kDeeds.begin());
   f.flag = flag != 0;
   int at = 2;
-  for (std::string* one : {&f.pull, &f.thing, &f.who, &f.other, &f.word, &f.tag}) {
+  for (std::string* one : {&f.request, &f.thing, &f.who, &f.other, &f.word, &f.tag}) {
     *one = parts[static_cast<std::size_t>(at++)];
     if (*one == "-")
       one->clear();
@@ -81,7 +81,7 @@
 void Checker::breach(Rule rule, const Fact& f, const std::string& who, std::string what) {
   constexpr std::uint64_t kMost = 100;
   if (++counts_[static_cast<int>(rule)] <= kMost)
-    breaches_.push_back({rule, f.at, f.pull, who, std::move(what)});
+    breaches_.push_back({rule, f.at, f.request, who, std::move(what)});
 }
 
 // What was owed by then and has not come; and what is forgotten.
@@ -90,23 +90,23 @@
     std::string id = due_.begin()->second;
     Ms due = due_.begin()->first;
     due_.erase(due_.begin());
-    auto at = pulls_.find(id);
-    if (at == pulls_.end())
+    auto at = requests_.find(id);
+    if (at == requests_.end())
       continue;
-    Pull& p = at->second;
+    Request& p = at->second;
     Front& front = fronts_[p.front];
     if (!p.answered && !p.left && front.up && front.life == p.life && due > unheard_until_) {
       Fact f;
       f.at = due;
-      f.pull = id;
+      f.request = id;
       breach(Rule::kAnswer, f, p.front,
              "no final answer within the " + Whole(p.due - p.asked_at) + " of its client; " +
-                 std::to_string(p.legs.size()) + " legs came to machines");
+                 std::to_string(p.attempts.size()) + " legs came to machines");
     }
   }
   constexpr Ms kKept = 20000;
   while (!old_.empty() && old_.front().first < time - kKept) {
-    pulls_.erase(old_.front().second);
+    requests_.erase(old_.front().second);
     old_.pop_front();
   }
 }
@@ -115,38 +115,38 @@
   Pass(f.at);
   switch (f.deed) {
     case Deed::kAsked: {
-      Pull p;
+      Request p;
       p.thing = f.thing;
       p.front = f.who;
-      p.offering = f.offering;
+      p.request_class = f.request_class;
       p.group = f.group;
       p.asked_at = p.quiet_since = f.at;
       p.due = f.at + f.number;
       // Written towards a front that has died, before its client could know: nobody took it.
       p.life = fronts_[f.who].up ? fronts_[f.who].life : -1;
-      due_.insert({p.due + limits_.slack, f.pull});
-      old_.push_back({p.due, f.pull});
-      pulls_[f.pull] = std::move(p);
+      due_.insert({p.due + limits_.slack, f.request});
+      old_.push_back({p.due, f.request});
+      requests_[f.request] = std::move(p);
       return;
     }
     case Deed::kAnswered:
       return Answered(f);
     case Deed::kLeft:
-      if (auto at = pulls_.find(f.pull); at != pulls_.end())
+      if (auto at = requests_.find(f.request); at != requests_.end())
         at->second.left = true;
       return;
-    case Deed::kLegCame:
-      return LegCame(f);
-    case Deed::kLegEnded:
-    case Deed::kLegDropped:
-      return LegEnded(f);
+    case Deed::kAttemptCame:
+      return AttemptCame(f);
+    case Deed::kAttemptEnded:
+    case Deed::kAttemptDropped:
+      return AttemptEnded(f);
     case Deed::kRan: {
-      auto at = pulls_.find(f.pull);
-      if (at == pulls_.end() ||
-          limits_.offerings[static_cast<std::size_t>(at->second.offering)].effect !=
+      auto at = requests_.find(f.request);
+      if (at == requests_.end() ||
+          limits_.request_classes[static_cast<std::size_t>(at->second.request_class)].effect !=
               Effect::kExclusive)
         return;
-      auto [before, fresh] = effects_.insert({f.thing, f.pull});
+      auto [before, fresh] = effects_.insert({f.thing, f.request});
       if (!fresh)
         breach(Rule::kEffect, f, at->second.front,
                "the effect of " + f.thing + " ran again; it had run for pull " + before->second);
@@ -165,7 +165,7 @@
       purges.push_back({f.flag, f.thing, f.group, f.number, f.at});
       // No copy older than a purge is left once it is done everywhere and a pull that met it has
       // ended.
-      while (purges.front().told < f.at - limits_.purge_done - 20000)
+      while (purges.front().notified < f.at - limits_.purge_done - 20000)
         purges.pop_front();
       return;
     }
@@ -203,23 +203,23 @@
   }
 }
 
-void Checker::LegCame(const Fact& f) {
-  auto at = pulls_.find(f.pull);
-  if (at == pulls_.end())
+void Checker::AttemptCame(const Fact& f) {
+  auto at = requests_.find(f.request);
+  if (at == requests_.end())
     return breach(Rule::kAnswer, f, f.who, "a leg came for a pull that nobody asked for");
-  Pull& p = at->second;
-  const OfferingRule& o = limits_.offerings[static_cast<std::size_t>(p.offering)];
+  Request& p = at->second;
+  const RequestClassRule& o = limits_.request_classes[static_cast<std::size_t>(p.request_class)];
   Front& front = fronts_[p.front];
   // Drains: as the machine asked, and as the source of a fill.
   for (const std::string* machine : {&f.who, &f.other}) {
-    auto told = front.leaving.find(*machine);
-    if (machine->empty() || told == front.leaving.end() || f.at < unseen_until_)
+    auto notified = front.leaving.find(*machine);
+    if (machine->empty() || notified == front.leaving.end() || f.at < unseen_until_)
       continue;
-    nearest_.drain_after = std::max(nearest_.drain_after, f.at - told->second);
-    if (f.at > told->second + limits_.drain_grace + limits_.slack)
+    nearest_.drain_after = std::max(nearest_.drain_after, f.at - notified->second);
+    if (f.at > notified->second + limits_.drain_grace + limits_.slack)
       breach(Rule::kDrain, f, p.front,
              (machine == &f.who ? "a leg went to " : "a leg named as its source ") + *machine +
-                 " " + Whole(f.at - told->second) + " after the front was told that it leaves");
+                 " " + Whole(f.at - notified->second) + " after the front was told that it leaves");
   }
   // What the fleet had decided before the cut may be on its way still, and is taken back only after
   // the hold.
@@ -232,62 +232,62 @@
              "cut off from its fleet since " + Whole(f.at - front.parted_at) +
                  ", it sent a leg to " + f.who + " of another zone");
   }
-  bool unclear = std::any_of(p.legs.begin(), p.legs.end(),
-                             [](const Leg& l) { return l.fate != Fate::kNotRun; });
+  bool unclear = std::any_of(p.attempts.begin(), p.attempts.end(),
+                             [](const Attempt& l) { return l.fate != Fate::kNotRun; });
   if (o.effect == Effect::kExclusive && unclear)
     breach(Rule::kEffect, f, p.front,
            "an exclusive pull got a further leg, at " + f.who + ", though one at " +
-               p.legs.front().machine + " may have run");
+               p.attempts.front().machine + " may have run");
   if (o.effect == Effect::kExclusive && p.declined)
     breach(Rule::kEffect, f, p.front,
            "an exclusive pull got a leg, at " + f.who + ", after it was declined");
-  if (o.effect == Effect::kTicketed && unclear) {
+  if (o.effect == Effect::kIdempotentWithKey && unclear) {
     // A successor, cache-3+1, stands where cache-3 did.
     auto place_of = [&](const std::string& machine) {
       return limits_.places[machine.substr(0, machine.find('+'))];
     };
     auto place = place_of(f.who);
-    for (const Leg& leg : p.legs) {
-      auto other = place_of(leg.machine);
+    for (const Attempt& attempt : p.attempts) {
+      auto other = place_of(attempt.machine);
       bool same = o.span == Span::kEverywhere ||
                   (o.span == Span::kZone ? place.first == other.first : place == other);
-      if (leg.fate != Fate::kNotRun && !same)
+      if (attempt.fate != Fate::kNotRun && !same)
         breach(Rule::kEffect, f, p.front,
-               "a ticketed pull that may have run at " + leg.machine + " went to " + f.who +
+               "a ticketed pull that may have run at " + attempt.machine + " went to " + f.who +
                    ", outside the group that drops its repeats");
-      else if (leg.fate != Fate::kNotRun && o.memory > 0 &&
-               f.at > leg.came_at + o.memory + limits_.slack)
+      else if (attempt.fate != Fate::kNotRun && o.memory > 0 &&
+               f.at > attempt.came_at + o.memory + limits_.slack)
         breach(Rule::kEffect, f, p.front,
                "a ticketed pull went out again after the time it is remembered");
     }
   }
-  p.legs.push_back({f.who, f.other, f.at, Fate::kOut, {}, 0});
+  p.attempts.push_back({f.who, f.other, f.at, Fate::kOut, {}, 0});
 }
 
-void Checker::LegEnded(const Fact& f) {
-  auto at = pulls_.find(f.pull);
-  if (at == pulls_.end())
+void Checker::AttemptEnded(const Fact& f) {
+  auto at = requests_.find(f.request);
+  if (at == requests_.end())
     return;
-  Pull& p = at->second;
+  Request& p = at->second;
   p.quiet_since = f.at;
-  for (auto leg = p.legs.rbegin(); leg != p.legs.rend(); ++leg) {
-    if (leg->machine != f.who || leg->fate != Fate::kOut)
+  for (auto attempt = p.attempts.rbegin(); attempt != p.attempts.rend(); ++attempt) {
+    if (attempt->machine != f.who || attempt->fate != Fate::kOut)
       continue;
     bool never =
-        f.deed == Deed::kLegEnded && (f.word == "none" || f.word == "shed" || f.word == "late");
-    leg->fate = never ? Fate::kNotRun : Fate::kMayHaveRun;
-    leg->tag = f.tag;
-    leg->issued = f.number;
+        f.deed == Deed::kAttemptEnded && (f.word == "none" || f.word == "shed" || f.word == "late");
+    attempt->fate = never ? Fate::kNotRun : Fate::kMayHaveRun;
+    attempt->tag = f.tag;
+    attempt->issued = f.number;
     return;
   }
 }
 
 void Checker::Answered(const Fact& f) {
-  auto at = pulls_.find(f.pull);
-  if (at == pulls_.end())
+  auto at = requests_.find(f.request);
+  if (at == requests_.end())
     return breach(Rule::kAnswer, f, f.who, "an answer came for a pull that has ended");
-  Pull& p = at->second;
-  const OfferingRule& o = limits_.offerings[static_cast<std::size_t>(p.offering)];
+  Request& p = at->second;
+  const RequestClassRule& o = limits_.request_classes[static_cast<std::size_t>(p.request_class)];
   if (p.answered)
     return breach(Rule::kAnswer, f, p.front, "a second answer came");
   p.answered = true;
@@ -297,10 +297,10 @@
            "the answer came " + Whole(f.at - p.due) + " after its client's time");
   bool served = f.status == 200 || f.status == 304;
   if (served) {
-    const Leg* from = nullptr;
-    for (const Leg& leg : p.legs)
-      if (!leg.tag.empty() && leg.tag == f.tag)
-        from = &leg;
+    const Attempt* from = nullptr;
+    for (const Attempt& attempt : p.attempts)
+      if (!attempt.tag.empty() && attempt.tag == f.tag)
+        from = &attempt;
     if (!from || !f.flag) {
       breach(Rule::kAnswer, f, p.front, "served with something that no machine made for it");
       return;
@@ -312,15 +312,16 @@
       // Any leg that was answered by that tag could have been the one that was sent late; the first
       // is taken.
       Ms sent = from->came_at;
-      for (const Leg& leg : p.legs)
-        if (leg.tag == f.tag)
-          sent = std::min(sent, leg.came_at);
-      nearest_.purge_after = std::max(nearest_.purge_after, sent - purge.told);
-      if (sent > purge.told + limits_.purge_grace + limits_.slack)
+      for (const Attempt& attempt : p.attempts)
+        if (attempt.tag == f.tag)
+          sent = std::min(sent, attempt.came_at);
+      nearest_.purge_after = std::max(nearest_.purge_after, sent - purge.notified);
+      if (sent > purge.notified + limits_.purge_grace + limits_.slack)
         breach(Rule::kPurge, f, p.front,
                "answered from a copy " + Whole(purge.at - from->issued) +
                    " older than a purge of its " + (purge.whole_group ? "group" : "object") +
-                   "; the leg went out " + Whole(sent - purge.told) + " after the front was told");
+                   "; the leg went out " + Whole(sent - purge.notified) +
+                   " after the front was told");
     }
     return;
   }
@@ -328,11 +329,12 @@
   if (!p.declined)
     return;
   bool out = false;
-  for (const Leg& leg : p.legs) {
-    out |= leg.fate == Fate::kOut;
-    if (o.effect == Effect::kExclusive && leg.fate != Fate::kNotRun)
-      breach(Rule::kEffect, f, p.front,
-             "an exclusive pull was declined though its leg at " + leg.machine + " may have run");
+  for (const Attempt& attempt : p.attempts) {
+    out |= attempt.fate == Fate::kOut;
+    if (o.effect == Effect::kExclusive && attempt.fate != Fate::kNotRun)
+      breach(
+          Rule::kEffect, f, p.front,
+          "an exclusive pull was declined though its leg at " + attempt.machine + " may have run");
   }
   // Where machines have vanished, legs may be out that nobody sees.
   if (out || f.at < unseen_until_)
--- a/src/rules/rules.hpp
+++ b/src/rules/rules.hpp
@@ -19,14 +19,14 @@
 using Ms = double;
 
 enum class Deed {
-  kAsked,       // pull, thing, who: the front, offering, group, number: how long its client waits
-  kAnswered,    // pull, who: the front, status, tag, flag: its bytes are whole and those of the tag
-  kLeft,        // pull: its client went before its time
-  kLegCame,     // pull, who: the machine, other: the source or ""
-  kLegEnded,    // pull, who: the machine, word, tag, number: when the copy was issued
-  kLegDropped,  // pull, who: the machine; the front gave it up, or its connection ended
-  kRan,         // pull, thing, who: the machine
-  kListed,      // who: the front that was told, other: the machine, word: ready, draining or gone
+  kAsked,     // pull, thing, who: the front, offering, group, number: how long its client waits
+  kAnswered,  // pull, who: the front, status, tag, flag: its bytes are whole and those of the tag
+  kLeft,      // pull: its client went before its time
+  kAttemptCame,     // pull, who: the machine, other: the source or ""
+  kAttemptEnded,    // pull, who: the machine, word, tag, number: when the copy was issued
+  kAttemptDropped,  // pull, who: the machine; the front gave it up, or its connection ended
+  kRan,             // pull, thing, who: the machine
+  kListed,  // who: the front that was told, other: the machine, word: ready, draining or gone
   kPurged,  // who: the front that was told, thing or group (flag: a whole group), number: when it
             // was purged
   kPushedOver,  // who: the machine, number: work in the window, limit
@@ -36,20 +36,20 @@
   kParted,  // who: the front, group: its zone, flag: from now on, else no more: it is cut off from
             // a quorum of its fleet
   kUnseen   // number: until when legs may be on their way to where nobody sees them; flag: answers
-           // too, by a network that loses or holds up what fronts say
+            // too, by a network that loses or holds up what fronts say
 };
 const char* ToString(Deed deed);
 
 struct Fact {
   Ms at = 0;
   Deed deed = Deed::kAsked;
-  std::string pull;
+  std::string request;
   std::string thing;
   std::string who;
   std::string other;
   std::string word;
   std::string tag;
-  int offering = 0;
+  int request_class = 0;
   int group = 0;
   int status = 0;
   double number = 0;
@@ -75,14 +75,14 @@
 struct Breach {
   Rule rule = Rule::kAnswer;
   Ms at = 0;
-  std::string pull;
+  std::string request;
   std::string who;
   std::string what;  // what: in plain words, with what was seen
 };
 
 enum class Effect {
-  kRerunnable,
-  kTicketed,
+  kIdempotent,
+  kIdempotentWithKey,
   kExclusive
 };
 enum class Span {
@@ -90,15 +90,15 @@
   kZone,
   kCell
 };
-struct OfferingRule {
+struct RequestClassRule {
   std::string name;
-  Effect effect = Effect::kRerunnable;
+  Effect effect = Effect::kIdempotent;
   Span span = Span::kCell;
   Ms memory = 0;
 };
 
 struct Limits {
-  std::vector<OfferingRule> offerings;
+  std::vector<RequestClassRule> request_classes;
   Ms drain_grace = 500;
   Ms purge_grace = 500;
   Ms purge_done = 6000;
@@ -141,7 +141,7 @@
     kNotRun,
     kMayHaveRun
   };
-  struct Leg {
+  struct Attempt {
     std::string machine;
     std::string source;
     Ms came_at = 0;
@@ -149,10 +149,10 @@
     std::string tag;
     Ms issued = 0;
   };
-  struct Pull {
+  struct Request {
     std::string thing;
     std::string front;
-    int offering = 0;
+    int request_class = 0;
     int group = 0;
     int life = 0;
     Ms asked_at = 0;
@@ -161,14 +161,14 @@
     bool answered = false;
     bool declined = false;
     bool left = false;
-    std::vector<Leg> legs;
+    std::vector<Attempt> attempts;
   };
   struct Purge {
     bool whole_group = false;
     std::string thing;
     int group = 0;
     Ms at = 0;
-    Ms told = 0;
+    Ms notified = 0;
   };
   struct Front {
     int life = 0;
@@ -180,14 +180,14 @@
   };
   void breach(Rule rule, const Fact& fact, const std::string& who, std::string what);
   void Pass(Ms time);
-  void LegCame(const Fact& f);
-  void LegEnded(const Fact& f);
+  void AttemptCame(const Fact& f);
+  void AttemptEnded(const Fact& f);
   void Answered(const Fact& f);
 
   Limits limits_;
   Ms unseen_until_ = 0;
   Ms unheard_until_ = 0;
-  std::map<std::string, Pull> pulls_;  // emptied some time after their end
+  std::map<std::string, Request> requests_;  // emptied some time after their end
   std::multimap<Ms, std::string> due_;
   std::deque<std::pair<Ms, std::string>> old_;
   std::map<std::string, Front> fronts_;
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -212,7 +212,7 @@
   return all;
 }
 
-Sheet::Sheet(std::string file, const std::string& text, const char* rules)
+Settings::Settings(std::string file, const std::string& text, const char* rules)
     : file_(std::move(file)) {
   rapidjson::StringStream stream(text.c_str());
   Locator locator(text, stream);
@@ -225,13 +225,13 @@
   root_.Parse<kFlags>(text.c_str());
   // A name that comes twice would be taken once, which of the two nobody could tell.
   struct Twice {
-    const Sheet& sheet;
+    const Settings& settings;
     void Look(const rapidjson::Value& v, const std::string& path) const {
       if (v.IsObject())
         for (auto a = v.MemberBegin(); a != v.MemberEnd(); ++a) {
           for (auto b = v.MemberBegin(); b != a; ++b)
             if (a->name == b->name)
-              sheet.Refuse(path, std::string("has \"") + a->name.GetString() + "\" twice");
+              settings.Refuse(path, std::string("has \"") + a->name.GetString() + "\" twice");
           Look(a->value, path + "/" + a->name.GetString());
         }
       if (v.IsArray())
@@ -273,7 +273,7 @@
   throw Refused({{file_, LineOf(pointer), pointer, reason}});
 }
 
-int Sheet::LineOf(const std::string& pointer) const {
+int Settings::LineOf(const std::string& pointer) const {
   for (std::string p = pointer;; p = p.substr(0, p.rfind('/'))) {
     for (auto& [path, line] : lines_)
       if (path == p)
@@ -283,7 +283,7 @@
   }
 }
 
-void Sheet::Refuse(const std::string& pointer, const std::string& why) const {
+void Settings::Refuse(const std::string& pointer, const std::string& why) const {
   throw Refused({{file_, LineOf(pointer), pointer, why}});
 }
 
--- a/src/schema/schema.hpp
+++ b/src/schema/schema.hpp
@@ -24,10 +24,10 @@
 };
 
 // The text of a file, and where each of its values stands.
-class Sheet {
+class Settings {
  public:
   // Throws Refused. `rules`: the schema's text, which is the program's own and must be good.
-  Sheet(std::string file, const std::string& text, const char* rules);
+  Settings(std::string file, const std::string& text, const char* rules);
   const rapidjson::Document& Root() const {
     return root_;
   }
--- a/src/sheet/sheet.cpp
+++ b/src/sheet/sheet.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <map>
 
-namespace dunlinwick::sheet {
+namespace dunlinwick::settings {
 namespace {
 
 std::vector<std::string_view> Split(std::string_view text, char at) {
@@ -32,7 +32,7 @@
   std::string_view Need(const std::string& key) const {
     auto at = by_key_.find(key);
     if (at == by_key_.end())
-      throw SheetFault("setting missing: " + key);
+      throw SettingsFault("setting missing: " + key);
     return at->second;
   }
   bool Has(const std::string& key) const {
@@ -82,11 +82,12 @@
         return value;
       all += (all.empty() ? "" : ", ") + std::string(word);
     }
-    throw SheetFault("setting unreadable: " + key + " is none of " + all + ": " + Shown(Need(key)));
+    throw SettingsFault("setting unreadable: " + key + " is none of " + all + ": " +
+                        Shown(Need(key)));
   }
   static int ToWhole(const std::string& key, double v, double low, double high) {
     if (!(v >= low && v <= high))
-      throw SheetFault("setting unreadable: " + key + " is out of its range");
+      throw SettingsFault("setting unreadable: " + key + " is out of its range");
     return static_cast<int>(v);
   }
 
@@ -95,7 +96,7 @@
     double v = 0;
     auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), v);
     if (fault != std::errc{} || end != text.data() + text.size() || !std::isfinite(v))
-      throw SheetFault("setting unreadable: " + key + " is no number: " + Shown(text));
+      throw SettingsFault("setting unreadable: " + key + " is no number: " + Shown(text));
     return v;
   }
   static bool ToFlag(const std::string& key, std::string_view text) {
@@ -103,7 +104,8 @@
       return true;
     if (text == "false")
       return false;
-    throw SheetFault("setting unreadable: " + key + " is neither true nor false: " + Shown(text));
+    throw SettingsFault("setting unreadable: " + key +
+                        " is neither true nor false: " + Shown(text));
   }
   static std::string Shown(std::string_view text) {  // of one line, whatever it holds
     std::string plain = PlainWord(text.substr(0, 40));
@@ -114,19 +116,19 @@
 
 }  // namespace
 
-StoreSheet ReadSheet(std::string_view text) {
+StoreSettings ReadSettings(std::string_view text) {
   Facts f(text);
-  StoreSheet s;
+  StoreSettings s;
   std::vector<double> fresh = f.Numbers("familyInfo.lifetimeByClass");
   std::vector<bool> never_kept = f.Flags("familyInfo.neverKept");
   int count = f.Whole("classes.count", 1, 255);
   for (int i = 0; i < count; ++i) {
     std::string at = "classes." + std::to_string(i) + ".";
     std::size_t n = static_cast<std::size_t>(i);
-    Offering o;
+    RequestClass o;
     o.effect = f.choice<Effect>(at + "idempotency", Effect::kExclusive,
-                                {{"repeatable", Effect::kRerunnable},
-                                 {"by_key", Effect::kTicketed},
+                                {{"repeatable", Effect::kIdempotent},
+                                 {"by_key", Effect::kIdempotentWithKey},
                                  {"once", Effect::kExclusive}});
     o.span =
         f.choice<Span>(at + "group", Span::kCell,
@@ -139,15 +141,16 @@
     o.streams = f.Flag(at + "stream", false);
     o.fresh_for = n < fresh.size() ? fresh[n] : 0;
     o.never_kept = n < never_kept.size() && never_kept[n];
-    s.offerings.push_back(o);
+    s.request_classes.push_back(o);
   }
   s.zone = f.Whole("zone", 0, 65535);
   s.fronts = f.Whole("balancers", 1, 65535);
   std::size_t zone = static_cast<std::size_t>(s.zone);
   std::vector<double> crews = f.Numbers("familyInfo.crewByZone"),
                       links = f.Numbers("familyInfo.pipeKbPerS");
-  s.crew = zone < crews.size() ? Facts::ToWhole("familyInfo.crewByZone", crews[zone], 0, 65535)
-                               : s.fronts;
+  s.zone_replicas = zone < crews.size()
+                        ? Facts::ToWhole("familyInfo.crewByZone", crews[zone], 0, 65535)
+                        : s.fronts;
   s.link_kb_per_ms = zone < links.size() ? links[zone] / 1000 : 0;
   s.parent_kind = static_cast<int>(f.number("familyInfo.parentKind", -1));
   s.origin_kind = static_cast<int>(f.number("familyInfo.sourceKind", -1));
@@ -159,12 +162,12 @@
                                    {"live", Weighing::kLive}});
   s.may.probe = f.Flag("limits.probing", false);
   s.may.cancel = f.Flag("limits.cancel", false);
-  s.may.two_legs_at_once = f.Flag("limits.mayDuplicate", false);
+  s.may.two_attempts_at_once = f.Flag("limits.mayDuplicate", false);
   s.may.join = f.Flag("familyInfo.canJoin", false);
   s.may.direct = f.Flag("familyInfo.direct", false);
   s.longest_retry_after =
       f.Flag("limits.retryAfter", false) ? f.number("limits.maxRetryAfter", 0) : 0;
-  s.most_legs = f.Whole("limits.maxAttempts", 1, 255);
+  s.most_attempts = f.Whole("limits.maxAttempts", 1, 255);
   s.places = f.Has("limits.maxOpen") ? f.Whole("limits.maxOpen", 0, 1e9) : 0;
   s.lateral = f.choice<bool>("familyInfo.lateral", false,
                              {{"none", false}, {"location", true}, {"any", true}});
@@ -195,13 +198,13 @@
   RoadTerms t;
   int count = f.Whole("classes.count", 1, 255);
   for (int i = 0; i < count; ++i)
-    t.offerings.emplace_back(f.Need("classes." + std::to_string(i) + ".name"));
+    t.request_classes.emplace_back(f.Need("classes." + std::to_string(i) + ".name"));
   t.zones = f.Words("azs");
   t.kinds = f.Words("flavors");
   t.reported = f.Words("report.names");
   t.connect_within = f.number("limits.connectTimeout");
   t.idle_for = f.number("limits.connIdle");
-  t.legs_at_once = f.Whole("limits.streamsPerConn", 1, 1e6);
+  t.attempts_at_once = f.Whole("limits.streamsPerConn", 1, 1e6);
   t.may_probe = f.Flag("limits.probing", false);
   return t;
 }
@@ -245,4 +248,4 @@
   return out;
 }
 
-}  // namespace dunlinwick::sheet
+}  // namespace dunlinwick::settings
--- a/src/sheet/sheet.hpp
+++ b/src/sheet/sheet.hpp
@@ -9,30 +9,30 @@
 #include "json/json.hpp"
 #include "logic.hpp"
 
-namespace dunlinwick::sheet {
+namespace dunlinwick::settings {
 
-struct SheetFault : std::runtime_error {
+struct SettingsFault : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // What the network code goes by: names as they stand on the wire, and the limits of connections.
 struct RoadTerms {
-  std::vector<std::string> offerings;
+  std::vector<std::string> request_classes;
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
   std::vector<std::string> reported;
   Ms connect_within = 0;
   Ms idle_for = 0;
-  int legs_at_once = 1;  // on one connection
+  int attempts_at_once = 1;  // on one connection
   bool may_probe = false;
 };
 
 // Unknown keys are skipped; a needed one that is missing or unreadable throws SheetFault, naming
 // it.
-StoreSheet ReadSheet(std::string_view text);
+StoreSettings ReadSettings(std::string_view text);
 RoadTerms ReadRoadTerms(std::string_view text);
 
 std::string Dotted(const json::Value& settings);
 std::string PlainWord(std::string_view text);  // as a value stands in the text
 
-}  // namespace dunlinwick::sheet
+}  // namespace dunlinwick::settings
--- a/src/stage/stage.cpp
+++ b/src/stage/stage.cpp
@@ -148,7 +148,7 @@
     p.revents = static_cast<short>(ready & (p.events | POLLERR | POLLHUP));
     count += p.revents != 0;
   }
-  wish_ = ms;
+  client_request_ = ms;
   quiet_ = count == 0 && ms > 0;
   return count;
 }
@@ -169,7 +169,7 @@
   running_ = false;
   if (!alive_ || loop_->Stopped())
     return;
-  due_ = net_.now_ + wish_;
+  due_ = net_.now_ + client_request_;
   due_seq_ = net_.seq_;
   net_.Push({due_, 0, Net::What::kRun, nullptr, 0, 0, this, 0});
 }
@@ -478,7 +478,8 @@
 
 Net::Net(std::uint64_t seed, Ms start)
     : now_(start),
-      dice_(static_cast<std::minstd_rand::result_type>(seed * 2654435761u % 2147483646u + 1)),
+      random_engine_(
+          static_cast<std::minstd_rand::result_type>(seed * 2654435761u % 2147483646u + 1)),
       hash_(std::make_unique<Hash>()) {}
 
 Net::~Net() {
@@ -536,7 +537,7 @@
 }
 
 double Net::Chance() {
-  return static_cast<double>(dice_() - dice_.min()) / 2147483646.0;
+  return static_cast<double>(random_engine_() - random_engine_.min()) / 2147483646.0;
 }
 
 std::size_t Net::part(std::size_t n) {
--- a/src/stage/stage.hpp
+++ b/src/stage/stage.hpp
@@ -49,7 +49,7 @@
 struct Stream;
 
 // One process: its descriptors, its loop, and whatever runs on it.
-class Process final : public loop::Ground {
+class Process final : public loop::Environment {
  public:
   Process(Net& net, std::uint32_t host, std::string name, std::size_t descriptors);
   ~Process();
@@ -74,7 +74,7 @@
   /// Puts `environment`, which wraps this process, between the process and its loop. Call it before
   /// anything is on the loop; `environment` must outlive the process. For tests in which system
   /// calls fail.
-  void UseEnvironment(loop::Ground& environment) {
+  void UseEnvironment(loop::Environment& environment) {
     loop_ = std::make_unique<loop::Loop>(environment);
   }
   // Between a process and its network: what it sends goes through here. For tests that break a
@@ -137,7 +137,7 @@
   bool alive_ = true;
   bool running_ = false;
   bool quiet_ = false;
-  int wish_ = 0;  // of the last wait
+  int client_request_ = 0;  // of the last wait
   Ms due_ = -1;
   Ms still_ = 0;
   std::uint64_t due_seq_ = 0;
@@ -240,7 +240,7 @@
   Ms now_;
   std::uint64_t seq_ = 0;
   std::uint64_t ran_ = 0;
-  std::minstd_rand dice_;
+  std::minstd_rand random_engine_;
   double choppy_ = 0;
   std::vector<Event> queue_;  // a heap
   std::vector<std::function<void()>> calls_;
--- a/src/store/floors.cpp
+++ b/src/store/floors.cpp
@@ -45,12 +45,12 @@
   proto::floors::Floors f;
   std::uint64_t digest = 0;
   if (bytes.size() < sizeof digest)
-    return Found::kSpoilt;
+    return Found::kCorrupted;
   std::memcpy(&digest, bytes.data(), sizeof digest);
   const char* body = bytes.data() + sizeof digest;
   std::size_t size = bytes.size() - sizeof digest;
   if (XXH64(body, size, 0) != digest || !f.ParseFromArray(body, static_cast<int>(size)))
-    return Found::kSpoilt;
+    return Found::kCorrupted;
   into = {f.whose(),        f.token(),         f.offset(), f.incarnation(),
           f.rules_digest(), f.rules_version(), {}};
   for (const auto& w : f.witnessed())
--- a/src/store/floors.hpp
+++ b/src/store/floors.hpp
@@ -28,7 +28,7 @@
   enum class Found {
     kEmpty,
     kGood,
-    kSpoilt
+    kCorrupted
   };
   virtual ~FloorDisk() = default;
   /// Reads what was written last. Throws std::runtime_error where it can't be read at all.
--- a/src/store/lasting_floors.cpp
+++ b/src/store/lasting_floors.cpp
@@ -19,7 +19,7 @@
   } catch (const std::exception& fault) {
     found = {};
     Failed(now, fault.what());
-    return FloorDisk::Found::kSpoilt;
+    return FloorDisk::Found::kCorrupted;
   }
 }
 
--- a/src/world/fill.cpp
+++ b/src/world/fill.cpp
@@ -13,7 +13,7 @@
   ++m->fills;
   work->filling = true;
   work->fill_at = now;
-  auto at = machines_.find(work->wish.source);
+  auto at = machines_.find(work->client_request.source);
   Ms way = at == machines_.end()                     ? 5
            : at->second->make.grade == Grade::kStore ? 0.3
                                                      : at->second->make.way;
@@ -30,7 +30,8 @@
 }
 
 void Model::Arrive(std::shared_ptr<Work> work, Ms now) {
-  const OfferingTerms& o = terms_.offerings[static_cast<std::size_t>(work->wish.offering)];
+  const RequestClassTerms& o =
+      terms_.request_classes[static_cast<std::size_t>(work->client_request.request_class)];
   auto m = work->at.lock();
   auto s = work->filling ? work->source.lock() : m;
   // A process that is gone refuses; one that stands still keeps its callers waiting.
@@ -42,10 +43,10 @@
     if (s->make.grade != Grade::kOffice)
       return end(work, now, Word::kFault, Note::kNone);
     work->fetched = true;
-    witness_.Ran(now, work->wish.id, work->wish.thing);
+    witness_.Ran(now, work->client_request.id, work->client_request.thing);
     Ms way = work->filling ? s->make.way : 0;
-    std::uint64_t job =
-        s->pipe->Add(now, o.sending * Between(dice_, 0.5, 1.5), [this, work, way](Ms then) {
+    std::uint64_t job = s->pipe->Add(
+        now, o.sending * Between(random_engine_, 0.5, 1.5), [this, work, way](Ms then) {
           auto done = [this, work](Ms when) {
             if (!work->over)
               end(work, when, Word::kHit, work->filling ? Note::kPulledFar : Note::kLocal, when,
@@ -60,10 +61,10 @@
     return;
   }
   if (work->filling)
-    Book(*s, MeanSending(work->wish.offering), now);
+    Book(*s, MeanSending(work->client_request.request_class), now);
   if (!machines_.count(s->make.id))
     return;  // that push ended it
-  Ms oldest = work->wish.within > 0 ? work->wish.within : o.fresh_for;
+  Ms oldest = work->client_request.within > 0 ? work->client_request.within : o.fresh_for;
   if (s->make.grade == Grade::kOffice)
     return FromOffice(s, work, now);
   if (work->filling)
@@ -73,7 +74,7 @@
       s->order.insert({c->rank, c->used_at, work->key});
       return Come(work, now, c->issued, Note::kPulled);
     }
-  if (s->make.grade == Grade::kStore || work->wish.held_only)
+  if (s->make.grade == Grade::kStore || work->client_request.held_only)
     return end(work, now, Word::kNone, Note::kNotThere);
   if (static_cast<int>(s->fetches.size()) >= s->make.fills)
     return end(work, now, Word::kFault, Note::kTurnedAway);
@@ -82,7 +83,7 @@
   if (waiting.size() > 1)
     return;  // once for all who wait
   auto far = std::make_shared<Work>();
-  far->wish = work->wish;
+  far->client_request = work->client_request;
   far->key = work->key;
   far->size_kb = work->size_kb;
   far->at = s;
@@ -108,7 +109,12 @@
   auto waiting = std::move(found->second);
   s->fetches.erase(found);
   if (issued > 0) {
-    Copy c{far->size_kb, issued, now, 1, group(far->wish.thing), Hashed(far->wish.thing)};
+    Copy c{far->size_kb,
+           issued,
+           now,
+           1,
+           group(far->client_request.thing),
+           Hashed(far->client_request.thing)};
     Keep(*s, far->key, c, now);
   }
   for (auto& work : waiting)
@@ -133,9 +139,9 @@
     ++office_stops_;
     s->pushes.clear();
     s->pushed = 0;
-    Stall(now, s->make.id, now + Between(dice_, 2000, 5000));
+    Stall(now, s->make.id, now + Between(random_engine_, 2000, 5000));
   }
-  Ms answers = terms_.office_answers * Between(dice_, 0.7, 1.3);
+  Ms answers = terms_.office_answers * Between(random_engine_, 0.7, 1.3);
   bytes.office += work->size_kb;
   work->issued = now;
   if (work->passed) {  // whole, then on: an area cache keeps what it passes on
@@ -177,9 +183,13 @@
     auto m = work->at.lock();
     if (!m)
       return;
-    if (work->filling && work->wish.rank > 0 && !work->wish.passing) {
-      Copy c{work->size_kb,           work->issued, then, work->wish.rank, group(work->wish.thing),
-             Hashed(work->wish.thing)};
+    if (work->filling && work->client_request.rank > 0 && !work->client_request.passing) {
+      Copy c{work->size_kb,
+             work->issued,
+             then,
+             work->client_request.rank,
+             group(work->client_request.thing),
+             Hashed(work->client_request.thing)};
       Keep(*m, work->key, c, then);
     }
     end(work, then, Word::kHit, work->note, work->issued, work->size_kb);
--- a/src/world/model.cpp
+++ b/src/world/model.cpp
@@ -8,12 +8,16 @@
 namespace dunlinwick::world {
 
 Model::Model(Terms terms, std::uint64_t seed, Ms start, At at, Witness& witness)
-    : terms_(std::move(terms)), dice_(seed), start_(start), at_(std::move(at)), witness_(witness) {}
+    : terms_(std::move(terms)),
+      random_engine_(seed),
+      start_(start),
+      at_(std::move(at)),
+      witness_(witness) {}
 
 Model::~Model() = default;
 
-double Model::MeanSending(int offering) const {
-  return terms_.offerings[static_cast<std::size_t>(offering)].sending;
+double Model::MeanSending(int request_class) const {
+  return terms_.request_classes[static_cast<std::size_t>(request_class)].sending;
 }
 
 void Model::SetLink(int store, double capacity) {
@@ -123,7 +127,7 @@
     witness_.PushedOver(now, m.make.id, m.pushed, limit);
 }
 
-void Model::StartTold(const std::string& machine) {
+void Model::StartNotified(const std::string& machine) {
   if (auto at = machines_.find(machine);
       at != machines_.end() && at->second->make.grade != Grade::kOffice) {
     at->second->pushes.clear();
