--- a/src/world/model.hpp
+++ b/src/world/model.hpp
@@ -22,18 +22,18 @@
 namespace dunlinwick::world {
 
 using Ms = double;
-using Dice = boost::random::mt19937_64;
+using RandomEngine = boost::random::mt19937_64;
 
-double Between(Dice& dice, double low, double high);
+double Between(RandomEngine& random_engine, double low, double high);
 
 // The name of a popular thing, the same in every run; `store` -1: wanted everywhere. Other names
 // beginning with f are of things of odd size.
-std::string ThingName(int offering, int store, std::size_t rank);
+std::string ThingName(int request_class, int store, std::size_t rank);
 std::string HexName(std::uint64_t number);
 
 enum class Effect {
-  kRerunnable,
-  kTicketed,
+  kIdempotent,
+  kIdempotentWithKey,
   kExclusive
 };
 enum class Grade {
@@ -42,9 +42,9 @@
   kOffice
 };
 
-struct OfferingTerms {
+struct RequestClassTerms {
   std::string name;
-  Effect effect = Effect::kRerunnable;
+  Effect effect = Effect::kIdempotent;
   double share = 0;        // of the pulls
   Ms sending = 0;          // mean, at full pace
   double size_spread = 0;  // sigma of the sizes' logarithm
@@ -69,7 +69,7 @@
 
 // What holds for the whole run; ranges are drawn by whoever fills it.
 struct Terms {
-  std::vector<OfferingTerms> offerings;
+  std::vector<RequestClassTerms> request_classes;
   double flow_kb_per_ms = 8;  // at which one client is sent an answer
   double fill_pace = 3;
   Ms office_answers = 40;
@@ -103,12 +103,12 @@
   Ms started_at = 0;  // 0: long ago, warm
 };
 
-struct Wish {
+struct ClientRequest {
   std::string id;
   std::string thing;
   std::string source;
   std::string mine;
-  int offering = 0;
+  int request_class = 0;
   int part = 0;
   int rank = 0;
   Ms most = 0;
@@ -196,13 +196,14 @@
   }
 
   // Returns a ticket for giveUp(); `answered` is called later, once, unless the wish is given up.
-  std::uint64_t Want(Ms now, const std::string& machine, Wish wish, Answered answered);
+  std::uint64_t Want(Ms now, const std::string& machine, ClientRequest client_request,
+                     Answered answered);
   void GiveUp(Ms now, const std::string& machine, std::uint64_t ticket);
   Load load(Ms now, const std::string& machine);  // as the machine would report it
   void ApplyPurge(Ms now, bool whole_group, const std::string& thing, int group);
 
   // Fronts are told from now on that it started: what came before does not count against them.
-  void StartTold(const std::string& machine);
+  void StartNotified(const std::string& machine);
 
   // ---- troubles
   void Stall(Ms now, const std::string& machine, Ms until);      // does nothing till then
@@ -212,7 +213,7 @@
   }
 
   // ---- facts of a thing, which follow from its name
-  double SizeKb(int offering, const std::string& thing) const;
+  double SizeKb(int request_class, const std::string& thing) const;
   static int group(const std::string& thing);
 
  private:
@@ -255,10 +256,10 @@
   bool Dropped(const Copy& copy, const Machine& m, Ms now) const;
   void Sample(const std::string& machine, std::uint64_t life);
   double CapacityOf(Machine& m, Ms now) const;
-  double MeanSending(int offering) const;
+  double MeanSending(int request_class) const;
 
   Terms terms_;
-  Dice dice_;
+  RandomEngine random_engine_;
   Ms start_;
   At at_;
   Witness& witness_;
--- a/src/world/things.cpp
+++ b/src/world/things.cpp
@@ -8,10 +8,10 @@
 
 namespace dunlinwick::world {
 
-double Between(Dice& dice, double low, double high) {
+double Between(RandomEngine& random_engine, double low, double high) {
   if (!(high > low))
     return low;
-  return boost::random::uniform_real_distribution<double>(low, high)(dice);
+  return boost::random::uniform_real_distribution<double>(low, high)(random_engine);
 }
 
 std::string HexName(std::uint64_t v) {
@@ -22,14 +22,14 @@
   return text;
 }
 
-std::string ThingName(int offering, int store, std::size_t rank) {
-  std::uint64_t h = static_cast<std::uint64_t>(offering + 1) * 0x9e3779b97f4a7c15ull +
+std::string ThingName(int request_class, int store, std::size_t rank) {
+  std::uint64_t h = static_cast<std::uint64_t>(request_class + 1) * 0x9e3779b97f4a7c15ull +
                     rank * 0xbf58476d1ce4e5b9ull;
   return HexName(Mixed(h + static_cast<std::uint64_t>(store + 1) * 0x94d049bb133111ebull));
 }
 
-double Model::SizeKb(int offering, const std::string& thing) const {
-  const OfferingTerms& o = terms_.offerings[static_cast<std::size_t>(offering)];
+double Model::SizeKb(int request_class, const std::string& thing) const {
+  const RequestClassTerms& o = terms_.request_classes[static_cast<std::size_t>(request_class)];
   double mean = o.sending * terms_.flow_kb_per_ms * o.size_scale;
   // By Box and Muller, from the thing's name.
   double u = Unit(Hashed(thing, 1)), v = Unit(Hashed(thing, 2));
--- a/src/world/wish.cpp
+++ b/src/world/wish.cpp
@@ -16,20 +16,21 @@
   });
 }
 
-std::uint64_t Model::Want(Ms now, const std::string& machine, Wish wish, Answered answered) {
+std::uint64_t Model::Want(Ms now, const std::string& machine, ClientRequest client_request,
+                          Answered answered) {
   auto at = machines_.find(machine);
   if (at == machines_.end())
     return 0;
   auto work = std::make_shared<Work>();
-  work->key = Hashed(wish.thing, static_cast<std::uint64_t>(wish.part) + 16);
-  work->wish = std::move(wish);
+  work->key = Hashed(client_request.thing, static_cast<std::uint64_t>(client_request.part) + 16);
+  work->client_request = std::move(client_request);
   work->at = at->second;
   work->answered = std::move(answered);
   work->ticket = ++last_;
   work->came_at = now;
   at->second->open[work->ticket] = work;
   std::uint64_t ticket = work->ticket;
-  Book(*at->second, MeanSending(work->wish.offering), now);
+  Book(*at->second, MeanSending(work->client_request.request_class), now);
   if (auto m = work->at.lock(); m && machines_.count(machine)) {  // a push may have ended it
     // Never answered from within the call.
     constexpr Ms kReading = 0.1;
@@ -56,36 +57,37 @@
 
 void Model::Start(std::shared_ptr<Work> work, Ms now) {
   auto m = work->at.lock();
-  const OfferingTerms& o = terms_.offerings[static_cast<std::size_t>(work->wish.offering)];
+  const RequestClassTerms& o =
+      terms_.request_classes[static_cast<std::size_t>(work->client_request.request_class)];
   ++m->in_hand;
   work->begun = true;
-  if (now - work->came_at > work->wish.most)
+  if (now - work->came_at > work->client_request.most)
     return end(work, now, Word::kLate, Note::kNone);
-  if (Between(dice_, 0, 1) < terms_.error_rate)
+  if (Between(random_engine_, 0, 1) < terms_.error_rate)
     return end(work, now, Word::kFault, Note::kNone);
   if (o.never_kept) {
     if (m->make.grade == Grade::kOffice)
       return Arrive(work, now);
-    if (work->wish.source.empty())
+    if (work->client_request.source.empty())
       return end(work, now, Word::kNone, Note::kNone);
     return Fill(work, now);
   }
-  work->size_kb = SizeKb(work->wish.offering, work->wish.thing);
-  Ms oldest = work->wish.within > 0 ? work->wish.within : o.fresh_for;
+  work->size_kb = SizeKb(work->client_request.request_class, work->client_request.thing);
+  Ms oldest = work->client_request.within > 0 ? work->client_request.within : o.fresh_for;
   if (m->make.grade != Grade::kOffice) {
     ++m->answers;
     if (Copy* c = Holds(*m, work->key, now, oldest)) {
       ++m->hits;
       m->order.erase({c->rank, c->used_at, work->key});
       c->used_at = now;
-      if (work->wish.rank > 0)
-        c->rank = work->wish.rank;
+      if (work->client_request.rank > 0)
+        c->rank = work->client_request.rank;
       m->order.insert({c->rank, c->used_at, work->key});
       work->note = Note::kLocal;
       work->issued = c->issued;
       return Send(work, now, work->size_kb);
     }
-    if (work->wish.source.empty() && m->make.grade == Grade::kStore)
+    if (work->client_request.source.empty() && m->make.grade == Grade::kStore)
       return end(work, now, Word::kNone, Note::kNone);
   }
   if (m->make.grade == Grade::kStore)
@@ -96,7 +98,7 @@
 
 void Model::Send(std::shared_ptr<Work> work, Ms now, double size_kb) {
   auto m = work->at.lock();
-  bool valid = !work->wish.mine.empty() && work->wish.mine == TagOf(*work);
+  bool valid = !work->client_request.mine.empty() && work->client_request.mine == TagOf(*work);
   double takes = (valid ? 0.05 : 1) * size_kb / terms_.flow_kb_per_ms;
   work->jobs.push_back({work->at, -1, m->pipe->Add(now, takes, [this, work, size_kb](Ms then) {
                           if (!work->over)
@@ -127,7 +129,7 @@
     r.issued = std::floor(issued);
     bytes.asked += work->size_kb / terms_.flow_kb_per_ms;
     r.size_kb = size_kb;
-    if (work->wish.mine == r.tag) {
+    if (work->client_request.mine == r.tag) {
       r.word = Word::kValid;
       r.size_kb = 0;
     }
--- a/src/world/work.hpp
+++ b/src/world/work.hpp
@@ -32,7 +32,7 @@
 
 // One wish, from its coming to its end.
 struct Model::Work {
-  Wish wish;
+  ClientRequest client_request;
   std::weak_ptr<Machine> at;
   std::weak_ptr<Machine> source;
   Answered answered;
--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -19,7 +19,7 @@
 
 /// The deadline in milliseconds that the request line of `which` names; -1 where there is no such
 /// line.
-long long ToldDeadline(const std::string& bytes, int which) {
+long long NotifiedDeadline(const std::string& bytes, int which) {
   std::size_t line = bytes.find(WantOf(which));
   if (line == std::string::npos)
     return -1;
@@ -28,11 +28,11 @@
   return std::stoll(bytes.substr(deadline + 5));
 }
 
-StoreSheet SheetWithExpiry(Ms expiry, Effect effect = Effect::kExclusive) {
-  StoreSheet sheet = SheetWith(false, effect);
-  sheet.offerings[kVideo].expiry = expiry;
-  sheet.offerings[kWrite].expiry = expiry;
-  return sheet;
+StoreSettings SettingsWithExpiry(Ms expiry, Effect effect = Effect::kExclusive) {
+  StoreSettings settings = SettingsWith(false, effect);
+  settings.request_classes[kVideo].expiry = expiry;
+  settings.request_classes[kWrite].expiry = expiry;
+  return settings;
 }
 
 /// Bounds on the moment at which a request's client gives up, by the loop's clock.
@@ -43,10 +43,10 @@
 
 /// What was told lies between the time left before and after the write, rounded up to whole
 /// milliseconds.
-void CheckTold(long long told, const Deadline& deadline, Ms before, Ms after) {
-  CHECK(told >= 1);
-  CHECK(static_cast<double>(told) <= std::ceil(deadline.latest - before));
-  CHECK(static_cast<double>(told) >= std::floor(deadline.earliest - after));
+void CheckNotified(long long notified, const Deadline& deadline, Ms before, Ms after) {
+  CHECK(notified >= 1);
+  CHECK(static_cast<double>(notified) <= std::ceil(deadline.latest - before));
+  CHECK(static_cast<double>(notified) >= std::floor(deadline.earliest - after));
 }
 
 /// Servers that are asked in turn by a router that forgets nothing and asks nobody whether the
@@ -64,11 +64,11 @@
   Further further = Further::kRetry;
   bool proven = false;  // the further attempt waits for its connection's check
   std::vector<std::uint32_t> servers;
-  std::uint32_t pull = 0;
+  std::uint32_t request = 0;
 
-  SendLeg Attempt(std::size_t server) const {
-    SendLeg attempt;
-    attempt.pull = pull;
+  SendAttempt Attempt(std::size_t server) const {
+    SendAttempt attempt;
+    attempt.request = request;
     attempt.cache = servers.at(server);
     attempt.source = attempt.cache;
     attempt.proven = proven && server == 1;
@@ -78,16 +78,16 @@
     if (auto* list = std::get_if<ListNews>(&event))
       for (const ListEntry& entry : list->entries)
         servers.push_back(entry.cache);
-    if (auto* came = std::get_if<PullCame>(&event)) {
-      pull = came->pull;
+    if (auto* came = std::get_if<RequestCame>(&event)) {
+      request = came->request;
       if (further != Further::kHedged)
         return {Attempt(0)};
       return {Attempt(0), WakeMe{now + kBackoff, kWakeUp}};
     }
-    auto* ended = std::get_if<LegEnded>(&event);
-    if (ended && ended->leg == 0 && further == Further::kRetry)
+    auto* ended = std::get_if<AttemptEnded>(&event);
+    if (ended && ended->attempt == 0 && further == Further::kRetry)
       return {Attempt(1)};
-    if (ended && ended->leg == 0 && further == Further::kRetryAfterBackoff)
+    if (ended && ended->attempt == 0 && further == Further::kRetryAfterBackoff)
       return {WakeMe{now + kBackoff, kWakeUp}};
     if (std::holds_alternative<WakeUp>(event))
       return {Attempt(1)};
@@ -118,10 +118,10 @@
   Deadline deadline;
 
   TwoServers(Further further, Pause pause, Ms expiry = 60000)
-      : exchange(loop, SheetWithExpiry(expiry),
+      : exchange(loop, SettingsWithExpiry(expiry),
                  [s = script](Ms now, const Event& event) { return s->Decide(now, event); }),
         caches(loop, exchange, MakeTerms(20000), 8),
-        clients(loop, exchange, MakeTerms().offerings, {false, true}, front_address, 50) {
+        clients(loop, exchange, MakeTerms().request_classes, {false, true}, front_address, 50) {
     script->further = further;
     script->proven = pause == Pause::kCheck;
     exchange.Meet(caches);
@@ -146,10 +146,10 @@
   /// Until the second server, which reads nothing, takes no more; what it is asked for is not of
   /// any client.
   void FillSecond() {
-    SendLeg how;
+    SendAttempt how;
     how.cache = script->servers.at(1);
     how.source = how.cache;
-    how.patience = 60000;
+    how.timeout = 60000;
     for (int i = 0; i < 7; ++i) {
       Ask big = AskFor("00000000000000b" + std::to_string(i));
       big.body.assign(4 << 20, 'x');
@@ -168,7 +168,7 @@
       return;
     if (script->further != Further::kRetry)
       loop.Skip(kBackoff + 1);
-    Until(loop, [&] { return exchange.counters.legs == 2; });
+    Until(loop, [&] { return exchange.counters.attempts == 2; });
     if (pause != Pause::kCheck)
       return;
     second = second_listener.Next(loop);
@@ -224,19 +224,19 @@
       CAPTURE(static_cast<int>(wait));
       CAPTURE(c.waited);
       Ms before = loop::MakeSystem().now();
-      Waiting waiting(wait, SheetWithExpiry(c.expiry), {}, wait == kCheck ? kWrite : kVideo);
+      Waiting waiting(wait, SettingsWithExpiry(c.expiry), {}, wait == kCheck ? kWrite : kVideo);
       Deadline deadline{before + c.expiry, waiting.r.loop.now() + c.expiry};
       waiting.r.loop.Skip(c.waited);
       Ms skipped = waiting.r.loop.now();
       waiting.LetGo();
       Until(waiting.r.loop, [&] { return waiting.Began(); });
-      CheckTold(ToldDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
+      CheckNotified(NotifiedDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
     }
 }
 
 TEST_CASE("an attempt that moves to another connection tells what is left then") {
   Ms before = loop::MakeSystem().now();
-  Waiting waiting(kCheck, SheetWithExpiry(5000), {}, kWrite);
+  Waiting waiting(kCheck, SettingsWithExpiry(5000), {}, kWrite);
   Deadline deadline{before + 5000, waiting.r.loop.now() + 5000};
   for (Ms waited : {700, 600}) {
     waiting.peer.Reset();
@@ -247,7 +247,7 @@
   Ms skipped = waiting.r.loop.now();
   waiting.LetGo();
   Until(waiting.r.loop, [&] { return waiting.Began(); });
-  CheckTold(ToldDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
+  CheckNotified(NotifiedDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
 }
 
 TEST_CASE(
@@ -259,7 +259,7 @@
       CAPTURE(static_cast<int>(wait));
       CAPTURE(left);
       Ms before = loop::MakeSystem().now();
-      Waiting waiting(wait, SheetWithExpiry(kExpiry), {}, wait == kCheck ? kWrite : kVideo);
+      Waiting waiting(wait, SettingsWithExpiry(kExpiry), {}, wait == kCheck ? kWrite : kVideo);
       Deadline deadline{before + kExpiry, waiting.r.loop.now() + kExpiry};
       if (wait == kCheck)
         waiting.peer.Send(kCheckAnswer);  // read in the turn in which time is up
@@ -269,22 +269,22 @@
       if (wait == kDial)
         waiting.peer = waiting.far.Next(waiting.r.loop);
       waiting.r.Turns();
-      long long told = waiting.Began() ? ToldDeadline(waiting.peer.got, 1) : -1;
+      long long notified = waiting.Began() ? NotifiedDeadline(waiting.peer.got, 1) : -1;
       if (left < 0)
-        CHECK(told == -1);
-      if (told != -1)
-        CheckTold(told, deadline, skipped, waiting.r.loop.now());
+        CHECK(notified == -1);
+      if (notified != -1)
+        CheckNotified(notified, deadline, skipped, waiting.r.loop.now());
       Until(waiting.r.loop, [&] {
-        return !waiting.client.told.empty();
+        return !waiting.client.notified.empty();
       });  // and its client is answered once its time is up
-      CHECK(waiting.client.told.size() == 1);
+      CHECK(waiting.client.notified.size() == 1);
     }
 }
 
 TEST_CASE("the line names whole milliseconds, rounded up, and at least 1") {
   struct Case {
     Ms left;
-    std::string told;
+    std::string notified;
   };
   for (const Case& c : {Case{0.0004, "1"},
                         {0.4, "1"},
@@ -293,8 +293,9 @@
                         {999.99, "1000"},
                         {5000, "5000"},
                         {5000.0002, "5000"}}) {
-    std::string bytes = caches::RequestLine(AskFor(), SendLeg{}, "").WithTimeLeft(c.left);
-    CHECK(bytes == "want " + kId + " profile=video,thing=7f3a,nth=0,max=" + c.told + " 0\r\n\r\n");
+    std::string bytes = caches::RequestLine(AskFor(), SendAttempt{}, "").WithTimeLeft(c.left);
+    CHECK(bytes ==
+          "want " + kId + " profile=video,thing=7f3a,nth=0,max=" + c.notified + " 0\r\n\r\n");
   }
 }
 
@@ -312,8 +313,8 @@
     servers.Release(crossing.pause);
     Until(servers.loop, [&] { return servers.second.Hears(TwoServers::WantLine()); });
     std::string line = servers.second.got.substr(servers.second.got.find(TwoServers::WantLine()));
-    long long told = std::stoll(line.substr(line.find(",max=") + 5));
-    CheckTold(told, servers.deadline, skipped, servers.loop.now());
+    long long notified = std::stoll(line.substr(line.find(",max=") + 5));
+    CheckNotified(notified, servers.deadline, skipped, servers.loop.now());
   }
 }
 
@@ -321,13 +322,14 @@
   FarListener listener;
   Script script;
   loop::Loop loop;
-  exchange::Exchange exchange(loop, SheetWithExpiry(5000), [&script](Ms now, const Event& event) {
-    std::vector<Action> actions = script.Decide(now, event);
-    for (Action& action : actions)
-      if (auto* attempt = std::get_if<SendLeg>(&action))
-        attempt->patience = 1500;
-    return actions;
-  });
+  exchange::Exchange exchange(loop, SettingsWithExpiry(5000),
+                              [&script](Ms now, const Event& event) {
+                                std::vector<Action> actions = script.Decide(now, event);
+                                for (Action& action : actions)
+                                  if (auto* attempt = std::get_if<SendAttempt>(&action))
+                                    attempt->timeout = 1500;
+                                return actions;
+                              });
   caches::Caches caches(loop, exchange, MakeTerms(20000), 8);
   exchange.Meet(caches);
   exchange.ListCame(true, Machines({{"s-1", listener.at}}));
@@ -339,7 +341,7 @@
   Ms skipped = loop.now();
   Far server = listener.Next(loop);
   Until(loop, [&] { return server.Hears(WantOf(1)); });
-  CheckTold(ToldDeadline(server.got, 1), timeout, skipped, loop.now());
+  CheckNotified(NotifiedDeadline(server.got, 1), timeout, skipped, loop.now());
 }
 
 // The client's close lies unread when what the attempt waited for comes: both are found in one
@@ -350,7 +352,7 @@
     CAPTURE(static_cast<int>(crossing.pause));
     TwoServers servers(crossing.further, crossing.pause);
     servers.ReachPause(crossing.pause);
-    std::size_t attempts = servers.exchange.counters.legs;
+    std::size_t attempts = servers.exchange.counters.attempts;
     servers.client.fd.Reset();
     if (crossing.pause == Pause::kCheck)
       servers.second.Send(kCheckAnswer);
@@ -372,7 +374,8 @@
     CHECK(servers.exchange.counters.never_ran == 0);
     // A router that still asks for one in a backoff is told that it came to nothing; no other ever
     // is.
-    CHECK(servers.exchange.counters.legs <= attempts + (crossing.pause == Pause::kBackoff ? 1 : 0));
+    CHECK(servers.exchange.counters.attempts <=
+          attempts + (crossing.pause == Pause::kBackoff ? 1 : 0));
   }
 }
 
@@ -382,10 +385,10 @@
   for (Further further : {Further::kRetry, Further::kRetryAfterBackoff, Further::kHedged}) {
     CAPTURE(static_cast<int>(further));
     TwoServers servers(further, Pause::kDial);
-    SendLeg how;
+    SendAttempt how;
     how.cache = servers.script->servers.at(1);
     how.source = how.cache;
-    how.patience = 60000;
+    how.timeout = 60000;
     servers.caches.Send({1000000, 0}, AskFor(), how, {});
     servers.second = servers.second_listener.Next(servers.loop);
     Until(servers.loop, [&] { return servers.second.Hears(kId); });
--- a/tests/board_test.cpp
+++ b/tests/board_test.cpp
@@ -32,8 +32,8 @@
          ",\"servers\":[" + all + "]}}";
 }
 
-json::Value Known(const std::string& notices, std::uint64_t rev) {
-  return *json::Read("{\"notices\":[" + notices + "],\"rev\":" + std::to_string(rev) + "}");
+json::Value Known(const std::string& watch_events, std::uint64_t rev) {
+  return *json::Read("{\"notices\":[" + watch_events + "],\"rev\":" + std::to_string(rev) + "}");
 }
 
 // A caches' side that notes what it is told of the list.
@@ -41,13 +41,13 @@
   std::vector<std::uint32_t> sent;
   std::map<std::string, ListEntry> listed;
   int calls = 0;
-  std::uint64_t Send(LegKey, const Ask&, const SendLeg& how,
+  std::uint64_t Send(AttemptKey, const Ask&, const SendAttempt& how,
                      const std::vector<std::uint64_t>&) override {
     sent.push_back(how.cache);
     return sent.size();
   }
-  void GiveUp(LegKey, const Ask&, std::uint32_t) override {}
-  bool TakeBack(LegKey, const Ask&, std::uint32_t) override {
+  void GiveUp(AttemptKey, const Ask&, std::uint32_t) override {}
+  bool TakeBack(AttemptKey, const Ask&, std::uint32_t) override {
     return false;
   }
   void Probe(std::uint32_t) override {}
@@ -68,7 +68,7 @@
                }};
   log::Use use{log};
   FarListener far;
-  board::Board b{d.loop, d.exchange, MakeTerms(), far.at};
+  discovery::Discovery b{d.loop, d.exchange, MakeTerms(), far.at};
   exchange::Counters& counters = d.exchange.counters;
   Far peer;
 
@@ -123,10 +123,10 @@
   }
 };
 
-void TheBoardIsFollowedWithoutGapOrRepeat() {
+void TheDiscoveryIsFollowedWithoutGapOrRepeat() {
   Desk d;
   FarListener far;
-  board::Board b(d.loop, d.exchange, MakeTerms(), far.at);
+  discovery::Discovery b(d.loop, d.exchange, MakeTerms(), far.at);
   assert(!b.begin(*json::Read("{\"notices\":[{}],\"rev\":1}")) &&
          !b.begin(*json::Read("{\"rev\":1}")));
   assert(b.begin(
@@ -152,8 +152,8 @@
       peer.fd.Reset();
     else if (odd != "silence")
       peer.Send(odd);
-    std::uint64_t connections = d.exchange.counters.board_connections;
-    Until(d.loop, [&] { return d.exchange.counters.board_connections > connections; });
+    std::uint64_t connections = d.exchange.counters.discovery_connections;
+    Until(d.loop, [&] { return d.exchange.counters.discovery_connections > connections; });
     assert(purges == seen + 1 && b.Last() == last);
   }
 }
@@ -172,7 +172,7 @@
     w.peer.Send(line.substr(9));
     w.Passed(rev);
   }
-  assert(w.counters.board_connections == 1);
+  assert(w.counters.discovery_connections == 1);
   assert(w.Drip(w.peer, 60) < 60);
   w.Next(w.far, 7);
 }
@@ -239,7 +239,7 @@
       w.d.loop.turn(1);
   }
   w.Passed(rev);
-  assert(w.counters.board_connections == 1 && w.counters.bad_notices == 0);
+  assert(w.counters.discovery_connections == 1 && w.counters.bad_watch_events == 0);
 }
 
 void AGapInTheMiddleOfOneReadEndsIt() {
@@ -250,11 +250,12 @@
                 Purge(5));  // what stands behind it isn't read
     w.Passed(3);
     Far again = w.Next(w.far, 3);
-    assert(w.counters.bad_notices == 1 && w.counters.board_connections == 2 && w.said.size() == 1);
+    assert(w.counters.bad_watch_events == 1 && w.counters.discovery_connections == 2 &&
+           w.said.size() == 1);
     w.peer.Send(Purge(4));  // the old connection says more
     again.Send("3\n" + Purge(4) + Purge(5));
     w.Passed(5);
-    assert(w.counters.bad_notices == 1 && w.counters.board_connections == 2);
+    assert(w.counters.bad_watch_events == 1 && w.counters.discovery_connections == 2);
   }
 }
 
@@ -270,10 +271,10 @@
       w.Pour(w.peer, first + line);
       if (over == 0) {
         w.Passed(2);
-        assert(w.counters.bad_notices == 0);
+        assert(w.counters.bad_watch_events == 0);
       } else {
         w.Next(w.far);
-        assert(w.counters.bad_notices == 1 && w.b.Last() == 1 && w.counters.purges == 1);
+        assert(w.counters.bad_watch_events == 1 && w.b.Last() == 1 && w.counters.purges == 1);
       }
     }
 }
@@ -302,12 +303,12 @@
   Until(w.d.loop, [&] { return !w.said.empty(); });  // ended, and to be asked anew some time later
   assert(w.b.MoveTo(other.at, Known("", 1)));
   Far there = w.Next(other);
-  assert(w.counters.board_connections == 2);
+  assert(w.counters.discovery_connections == 2);
   for (int i = 0; i < 8; ++i) {
     w.d.loop.Skip(50);
     w.d.loop.turn(1);
   }
-  assert(w.counters.board_connections == 2);  // what waited is no second one
+  assert(w.counters.discovery_connections == 2);  // what waited is no second one
   there.Send(Purge(2));
   w.Passed(2);
 }
@@ -329,7 +330,7 @@
     w.d.loop.Skip(100);
     w.d.loop.turn(1);
   }  // the old dial's time is over
-  assert(w.counters.board_connections == 3 && w.said.empty());
+  assert(w.counters.discovery_connections == 3 && w.said.empty());
   there.Send(Purge(2));
   w.Passed(2);
 }
@@ -353,7 +354,7 @@
   there.Send(Purge(3));
   again.Send(Purge(3));
   w.Passed(3);
-  assert(w.counters.board_connections == 4 && w.said.empty());
+  assert(w.counters.discovery_connections == 4 && w.said.empty());
 }
 
 void MovedWithEventsThatLackSome() {
@@ -370,7 +371,7 @@
   there = w.Next(w.far, 5);
   there.Send("2\n" + Purge(2) + Purge(6));
   w.Passed(6);
-  assert(w.counters.board_connections == 3 && w.counters.bad_notices == 0);
+  assert(w.counters.discovery_connections == 3 && w.counters.bad_watch_events == 0);
 }
 
 void MovedWithEventsThatCannotBeReadChangesNothing() {
@@ -386,13 +387,13 @@
         "{\"rev\":2,\"notices\":[" + Purge(2) + "," + Purge(3) + "]}"}) {
     assert(!w.b.MoveTo(other.at, *json::Read(bad)));
     Desk fresh;
-    board::Board unborn(fresh.loop, fresh.exchange, MakeTerms(), other.at);
+    discovery::Discovery unborn(fresh.loop, fresh.exchange, MakeTerms(), other.at);
     assert(!unborn.begin(*json::Read(bad)) && fresh.exchange.counters.purges == 0);
   }
   assert(w.b.Last() == 1 && w.counters.purges == 1);
   w.peer.Send(Purge(2));  // the old board is still followed
   w.Passed(2);
-  assert(w.counters.board_connections == 1 && w.said.empty());
+  assert(w.counters.discovery_connections == 1 && w.said.empty());
   pollfd asked{other.fd.Get(), POLLIN, 0};
   assert(::poll(&asked, 1, 0) == 0);
 }
@@ -452,13 +453,13 @@
         w.d.loop.Skip(100);
         w.d.loop.turn(1);
       }
-      assert(w.counters.board_connections == 2);
+      assert(w.counters.discovery_connections == 2);
     }
 }
 
 // ---- boards that go wrong
 
-void ABoardBehindOursRepeatsNothing() {
+void ADiscoveryBehindOursRepeatsNothing() {
   Watch w;
   Noted noted;
   w.d.exchange.Meet(noted);
@@ -472,7 +473,7 @@
              Servers(3, Server("s-a")) + "\n" + Purge(4));
   Until(w.d.loop, [&] { return w.b.Last() == 4; });
   assert(w.counters.list_news == lists && w.counters.purges == 2 &&
-         w.counters.board_connections == 2);
+         w.counters.discovery_connections == 2);
   assert(noted.calls == 3 && noted.listed["s-a"].standing == Standing::kDraining);
   std::vector<Asked> asked(20);
   for (int i = 0; i < 20; ++i) {
@@ -486,12 +487,12 @@
 }
 
 // However its connections end, a board is not asked at full speed.
-void ABoardThatEndsEachConnectionIsAskedEverMoreSeldom() {
+void ADiscoveryThatEndsEachConnectionIsAskedEverMoreSeldom() {
   for (const char* word :
        {"", "0\n", "1\n", "1\njunk\n", "9\n", "{\"rev\":9}\n", "0\n1\n{\"rev\":1}\n\n"}) {
     Watch w;
     Ms start = w.d.loop.now(), last = start;
-    std::uint64_t before = w.counters.board_connections;
+    std::uint64_t before = w.counters.discovery_connections;
     std::size_t stalls = 0;  // of this machine: a connection may have stood for long
     for (int i = 0; i < 300; ++i) {
       if (w.peer.fd) {
@@ -508,13 +509,13 @@
     }
     // 20, 40, 80, 160, 320 and then 500 ms.
     double most = 7.0 * static_cast<double>(1 + stalls) + (last - start) / 500;
-    std::uint64_t asked = w.counters.board_connections - before;
+    std::uint64_t asked = w.counters.discovery_connections - before;
     assert(asked >= 3 && static_cast<double>(asked) <= most);
     assert(w.said.size() <= 1 + stalls);
   }
 }
 
-void NoDescriptorForTheBoardIsNoSpin() {
+void NoDescriptorForTheDiscoveryIsNoSpin() {
   Watch w(false);
   rlimit before{}, none{};
   ::getrlimit(RLIMIT_NOFILE, &before);
@@ -531,8 +532,8 @@
   }
   double most = 7 + (w.d.loop.now() - start) / 500;
   ::setrlimit(RLIMIT_NOFILE, &before);
-  assert(w.counters.board_connections >= 3 &&
-         static_cast<double>(w.counters.board_connections) <= most);
+  assert(w.counters.discovery_connections >= 3 &&
+         static_cast<double>(w.counters.discovery_connections) <= most);
   assert(w.said.size() == 1 && w.said[0].find("no descriptor") != std::string::npos);
   Far peer = w.Next(w.far);
   peer.Send(Purge(2));
@@ -616,7 +617,7 @@
     std::uint64_t lists = w.counters.list_news;
     w.Pour(w.peer, line + "\n" + Purge(2));
     Far again = w.Next(w.far);
-    assert(w.counters.bad_notices == 1 && w.counters.board_connections == 2);
+    assert(w.counters.bad_watch_events == 1 && w.counters.discovery_connections == 2);
     assert(w.said == std::vector<std::string>{"notice board: connection malformed after event 1"});
     assert(w.b.Last() == 1 && w.counters.purges == 1 && w.counters.list_news == lists &&
            noted.calls == 0);
@@ -645,7 +646,7 @@
               true) +
       "\n" + Servers(3, "") + "\n");
   Until(w.d.loop, [&] { return w.b.Last() == 3; });
-  assert(w.counters.bad_notices == 0 && w.said.empty() && noted.calls == 6 &&
+  assert(w.counters.bad_watch_events == 0 && w.said.empty() && noted.calls == 6 &&
          noted.listed.size() == 5);
   assert(noted.listed["s-twice"].standing == Standing::kDraining);  // the last word counts
   std::vector<Asked> asked(40);
@@ -673,7 +674,7 @@
   std::uint64_t lists = w.counters.list_news;
   w.Pour(w.peer, Servers(2, all, true) + "\n");
   w.Next(w.far);
-  assert(w.counters.bad_notices == 1 && w.counters.list_news == lists && w.b.Last() == 1);
+  assert(w.counters.bad_watch_events == 1 && w.counters.list_news == lists && w.b.Last() == 1);
   assert(w.said == std::vector<std::string>{"notice board: connection malformed after event 1"});
 }
 
@@ -685,31 +686,31 @@
     const char* name;
     void (*run)();
   };
-  for (Case c :
-       {Case{"the board is followed without gap or repeat", TheBoardIsFollowedWithoutGapOrRepeat},
-        {"half a line dripping in is silence", HalfALineDrippingInIsSilence},
-        {"a long first line comes through in the end", ALongFirstLineComesThroughInTheEnd},
-        {"no line is waited for longer than news takes to bind",
-         NoLineIsWaitedForLongerThanNewsTakesToBind},
-        {"an event split at any byte counts once", AnEventSplitAtAnyByteCountsOnce},
-        {"a gap in the middle of one read ends it", AGapInTheMiddleOfOneReadEndsIt},
-        {"a line has its bound, however it is cut", ALineHasItsBoundHoweverItIsCut},
-        {"the last event before a close counts", TheLastEventBeforeACloseCounts},
-        {"moved while it waits to ask again", MovedWhileItWaitsToAskAgain},
-        {"moved while it is being dialled", MovedWhileItIsBeingDialled},
-        {"moved twice in a row, and to where it is", MovedTwiceInARowAndToWhereItIs},
-        {"moved with events that lack some", MovedWithEventsThatLackSome},
-        {"moved with events that can't be read changes nothing",
-         MovedWithEventsThatCannotBeReadChangesNothing},
-        {"moved with an event unread, or in the write that ends it",
-         MovedWithAnEventUnreadOrInTheEndingWrite},
-        {"a board behind ours repeats nothing", ABoardBehindOursRepeatsNothing},
-        {"a board that ends each connection is asked ever more seldom",
-         ABoardThatEndsEachConnectionIsAskedEverMoreSeldom},
-        {"no descriptor for the board is no spin", NoDescriptorForTheBoardIsNoSpin},
-        {"a bad line ends the watch and nothing else", ABadLineEndsTheWatchAndNothingElse},
-        {"odd entries are borne", OddEntriesAreBorne},
-        {"a list beyond the bound ends the watch", AListBeyondTheBoundEndsTheWatch}}) {
+  for (Case c : {Case{"the board is followed without gap or repeat",
+                      TheDiscoveryIsFollowedWithoutGapOrRepeat},
+                 {"half a line dripping in is silence", HalfALineDrippingInIsSilence},
+                 {"a long first line comes through in the end", ALongFirstLineComesThroughInTheEnd},
+                 {"no line is waited for longer than news takes to bind",
+                  NoLineIsWaitedForLongerThanNewsTakesToBind},
+                 {"an event split at any byte counts once", AnEventSplitAtAnyByteCountsOnce},
+                 {"a gap in the middle of one read ends it", AGapInTheMiddleOfOneReadEndsIt},
+                 {"a line has its bound, however it is cut", ALineHasItsBoundHoweverItIsCut},
+                 {"the last event before a close counts", TheLastEventBeforeACloseCounts},
+                 {"moved while it waits to ask again", MovedWhileItWaitsToAskAgain},
+                 {"moved while it is being dialled", MovedWhileItIsBeingDialled},
+                 {"moved twice in a row, and to where it is", MovedTwiceInARowAndToWhereItIs},
+                 {"moved with events that lack some", MovedWithEventsThatLackSome},
+                 {"moved with events that can't be read changes nothing",
+                  MovedWithEventsThatCannotBeReadChangesNothing},
+                 {"moved with an event unread, or in the write that ends it",
+                  MovedWithAnEventUnreadOrInTheEndingWrite},
+                 {"a board behind ours repeats nothing", ADiscoveryBehindOursRepeatsNothing},
+                 {"a board that ends each connection is asked ever more seldom",
+                  ADiscoveryThatEndsEachConnectionIsAskedEverMoreSeldom},
+                 {"no descriptor for the board is no spin", NoDescriptorForTheDiscoveryIsNoSpin},
+                 {"a bad line ends the watch and nothing else", ABadLineEndsTheWatchAndNothingElse},
+                 {"odd entries are borne", OddEntriesAreBorne},
+                 {"a list beyond the bound ends the watch", AListBeyondTheBoundEndsTheWatch}}) {
     if (only && std::string_view(c.name).find(only) == std::string_view::npos)
       continue;
     std::puts(c.name);
--- a/tests/caches_test.cpp
+++ b/tests/caches_test.cpp
@@ -14,9 +14,9 @@
   exchange::Exchange exchange;
   caches::Caches caches;
   Asked client;
-  explicit Road(const std::vector<exchange::Listed>& list, const sheet::RoadTerms& t = MakeTerms(),
-                std::size_t most = 8)
-      : exchange(loop, kit::Sheet(), 1), caches(loop, exchange, t, most) {
+  explicit Road(const std::vector<exchange::Listed>& list,
+                const settings::RoadTerms& t = MakeTerms(), std::size_t most = 8)
+      : exchange(loop, kit::Settings(), 1), caches(loop, exchange, t, most) {
     exchange.Meet(caches);
     exchange.ListCame(true, list);
   }
@@ -24,13 +24,13 @@
 
 struct Find final : exchange::CacheSide {  // the number under which the exchange knows it
   std::uint32_t number = 0;
-  std::uint64_t Send(LegKey, const Ask&, const SendLeg& how,
+  std::uint64_t Send(AttemptKey, const Ask&, const SendAttempt& how,
                      const std::vector<std::uint64_t>&) override {
     number = how.cache;
     return 1;
   }
-  void GiveUp(LegKey, const Ask&, std::uint32_t) override {}
-  bool TakeBack(LegKey, const Ask&, std::uint32_t) override {
+  void GiveUp(AttemptKey, const Ask&, std::uint32_t) override {}
+  bool TakeBack(AttemptKey, const Ask&, std::uint32_t) override {
     return false;
   }
   void Probe(std::uint32_t) override {}
@@ -68,20 +68,20 @@
     peer.Send(std::string_view(&c, 1));
     r.loop.turn(0);
   }
-  Until(r.loop, [&] { return !one.told.empty(); });
+  Until(r.loop, [&] { return !one.notified.empty(); });
   assert(one.Is({"304 t1"}) && two.Is({"200 t2"}) && two.body == body);
   assert(r.exchange.counters.late_answers == 1);
 }
 
 // Two legs of a pull share its id: the second must not take the first one's answer for its own.
-void LegsOfOnePullAreKeptApart() {
+void AttemptsOfOneRequestAreKeptApart() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
   Find find;
   std::uint32_t cache = find.NumberIn(r, Machines({{"s-1", far.at}}));
-  SendLeg how;
+  SendAttempt how;
   how.cache = how.source = cache;
-  how.patience = 60000;
+  how.timeout = 60000;
   std::uint64_t first = r.caches.Send({1, 0}, AskFor(), how, {});
   std::uint64_t second = r.caches.Send({1, 1}, AskFor(), how, {});  // while the first is out
   assert(first != second);
@@ -96,7 +96,7 @@
   Until(r.loop, [&] { return two.Hears("never_mind " + kId + "\r\n"); });
 }
 
-void EndsOfConnectionsEndTheirLegs() {
+void EndsOfConnectionsEndTheirAttempts() {
   enum Way {
     kRefused,
     kNeverUp,
@@ -137,7 +137,7 @@
     assert(n.never_ran == (way <= kNeverUp ? 1u : 0u) && n.broken == (way > kNeverUp ? 1u : 0u));
     assert(n.bad_lines == (way == kMalformed || way == kImpossible ? 1u : 0u));
     // With its only cache failed the pull is declined at once, not held.
-    assert(r.client.told.size() == 1 && r.client.told[0].substr(0, 3) == "503");
+    assert(r.client.notified.size() == 1 && r.client.notified[0].substr(0, 3) == "503");
   }
 }
 
@@ -169,7 +169,7 @@
     const std::string answer = "00000000000000a1 HIT entity=t,issued=1,remark=local 2\r\nok\r\n";
     again.Send(answer + answer);
     Until(r.loop,
-          [&] { return !clients[1].told.empty() && r.exchange.counters.late_answers == 1; });
+          [&] { return !clients[1].notified.empty() && r.exchange.counters.late_answers == 1; });
   }
 }
 
@@ -179,7 +179,7 @@
 void ConnectionsThatCarryNothingEnd() {
   for (bool carries : {false, true}) {
     FarListener far;
-    sheet::RoadTerms t = MakeTerms();
+    settings::RoadTerms t = MakeTerms();
     t.may_probe = true;
     Road r(Machines({{"s-1", far.at}}), t);
     std::vector<Asked> clients(3);
@@ -205,14 +205,14 @@
 // What may run once waits until its connection has shown that it carries: one that breaks under the
 // call, as idle or new ones may, has taken nothing with it, and the next one is tried, a few times.
 // Given up while it waits, it never left.
-void ExclusiveLegsGoWhereItCarries() {
+void ExclusiveAttemptsGoWhereItCarries() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
-  LegKey key{1, 0};
-  SendLeg how;
+  AttemptKey key{1, 0};
+  SendAttempt how;
   Find find;
   how.cache = how.source = find.NumberIn(r, Machines({{"s-1", far.at}}));
-  how.patience = 60000;
+  how.timeout = 60000;
   how.proven = true;
   for (int broken : {0, 2}) {
     r.caches.Send(key, AskFor(), how, {});
@@ -242,16 +242,16 @@
 }
 
 // Few legs share a connection while there are descriptors for more; then all share what there is.
-void LegsAreSpreadOverConnections() {
+void AttemptsAreSpreadOverConnections() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}), MakeTerms(), 2);
   std::vector<Asked> clients(20);
   for (std::size_t i = 0; i < 20; ++i) {
     r.exchange.OnRequest(AskFor("00000000000000" + std::to_string(10 + i)), clients[i]);
-    if (r.exchange.counters.legs <= 8)
+    if (r.exchange.counters.attempts <= 8)
       assert(r.exchange.counters.cache_connections == 1);
   }
-  assert(r.exchange.counters.cache_connections == 2 && r.exchange.counters.legs > 16);
+  assert(r.exchange.counters.cache_connections == 2 && r.exchange.counters.attempts > 16);
   assert(r.exchange.counters.never_ran == 0);
 }
 
@@ -280,7 +280,7 @@
   Far first = far.Next(r.loop);
   Until(r.loop, [&] { return first.Hears("want "); });
   first.Send(kId + " HIT entity=t,issued=1,remark=local 0\r\n\r\n");
-  Until(r.loop, [&] { return !r.client.told.empty(); });
+  Until(r.loop, [&] { return !r.client.notified.empty(); });
   Ms end = r.loop.now() + 60;
   Until(r.loop, [&] { return r.loop.now() > end; });
   r.exchange.OnRequest(AskFor("00000000000000aa"), r.client);
@@ -300,7 +300,7 @@
       Far peer = far.Next(r.loop);
       Until(r.loop, [&] { return peer.Hears("want "); });
       peer.Reset();
-      Until(r.loop, [&] { return !client.told.empty(); });
+      Until(r.loop, [&] { return !client.notified.empty(); });
     }
     Far peer = far.Next(r.loop);
     Until(r.loop,
@@ -345,15 +345,15 @@
 
 void ConnectionsToCachesAreBudgeted() {
   FarListener far;
-  sheet::RoadTerms one = MakeTerms();
-  one.legs_at_once = 1;
+  settings::RoadTerms one = MakeTerms();
+  one.attempts_at_once = 1;
   Road r(Machines({{"s-1", far.at}}), one, 2);
   std::vector<Asked> clients(3);
   for (int i = 0; i < 3; ++i)
     r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)),
                          clients[static_cast<std::size_t>(i)]);
   assert(r.exchange.counters.cache_connections == 2 && r.exchange.counters.never_ran == 1);
-  assert(clients[2].told.size() == 1 && clients[1].told.empty());
+  assert(clients[2].notified.size() == 1 && clients[1].notified.empty());
 }
 
 }  // namespace
@@ -364,12 +364,12 @@
     void (*run)();
   };
   for (Case c : {Case{"answers come in any order and pieces", AnswersComeInAnyOrderAndPieces},
-                 {"legs of one pull are kept apart", LegsOfOnePullAreKeptApart},
-                 {"ends of connections end their legs", EndsOfConnectionsEndTheirLegs},
+                 {"legs of one pull are kept apart", AttemptsOfOneRequestAreKeptApart},
+                 {"ends of connections end their legs", EndsOfConnectionsEndTheirAttempts},
                  {"what stops short holds up nobody", WhatStopsShortHoldsUpNobody},
                  {"connections that carry nothing end", ConnectionsThatCarryNothingEnd},
-                 {"exclusive legs go where it carries", ExclusiveLegsGoWhereItCarries},
-                 {"legs are spread over connections", LegsAreSpreadOverConnections},
+                 {"exclusive legs go where it carries", ExclusiveAttemptsGoWhereItCarries},
+                 {"legs are spread over connections", AttemptsAreSpreadOverConnections},
                  {"a silent machine holds up nobody", ASilentMachineHoldsUpNobody},
                  {"idle connections are left in time", IdleConnectionsAreLeftInTime},
                  {"probes end one way or another", ProbesEndOneWayOrAnother},
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -63,11 +63,11 @@
     Generation g = d.stage("a");
     d.ApplyGeneration(g, 5000);
     d.now = 4999;
-    assert(All<Undone>(d.Tell(Tick{})).empty());
+    assert(All<Reverted>(d.Tell(Tick{})).empty());
     d.now = 5000;
     auto deeds = d.Tell(Confirm{1, 3, g});
     assert(Refused(deeds) == Why::kUnknown && d.ledger.Serving() == 0);
-    assert(All<Undone>(deeds).size() == 1 && All<Undone>(deeds)[0].why == Why::kLeaseEnded);
+    assert(All<Reverted>(deeds).size() == 1 && All<Reverted>(deeds)[0].why == Why::kLeaseEnded);
     // Its pulls are still open: its content stays until they have ended, and it can't be applied
     // again.
     assert(d.ledger.ContentOf(g) && Refused(d.Tell(Apply{1, 4, g, 5000})) == Why::kUnknown);
@@ -76,13 +76,13 @@
   {
     Desk d;  // the watch, and only of what is on trial
     Generation g = d.stage("a");
-    assert(All<Undone>(d.Tell(Alarm{g})).empty());
+    assert(All<Reverted>(d.Tell(Alarm{g})).empty());
     d.ApplyGeneration(g);
-    assert(All<Undone>(d.Tell(Alarm{g}))[0].why == Why::kAlarm && d.ledger.Serving() == 0);
+    assert(All<Reverted>(d.Tell(Alarm{g}))[0].why == Why::kAlarm && d.ledger.Serving() == 0);
     Generation h = d.stage("b");
     d.ApplyGeneration(h);
     d.Tell(Confirm{1, 3, h});
-    assert(All<Undone>(d.Tell(Alarm{h})).empty() && d.ledger.Serving() == h);
+    assert(All<Reverted>(d.Tell(Alarm{h})).empty() && d.ledger.Serving() == h);
   }
   {
     Desk d;  // two operators at once: the second is based on what is no longer so
@@ -253,7 +253,7 @@
   first.push = std::make_shared<const Push>(push);
   std::unordered_set<std::size_t> seen{std::hash<std::string>{}(first.Fingerprint())};
   std::deque<World> todo{first};
-  std::size_t confirmed_by_all = 0, undone_by_all = 0, apart = 0;
+  std::size_t confirmed_by_all = 0, reverted_by_all = 0, apart = 0;
   auto reach = [&](World&& w) {
     Check(w, bound);
     if (seen.insert(std::hash<std::string>{}(w.Fingerprint())).second)
@@ -265,7 +265,7 @@
     if (w.now >= bound.horizon) {
       std::string a = *w.fronts[0].ContentOf(w.fronts[0].Serving()),
                   b = *w.fronts[1].ContentOf(w.fronts[1].Serving());
-      ++(a != b ? apart : a.empty() ? undone_by_all : confirmed_by_all);
+      ++(a != b ? apart : a.empty() ? reverted_by_all : confirmed_by_all);
       continue;
     }
     // A word arrives at a front, is lost, or kills it right after its record.
@@ -349,8 +349,8 @@
   std::printf(
       "%zu states; at their ends %zu with the change kept by all, %zu with it kept by none, %zu "
       "apart\n",
-      seen.size(), confirmed_by_all, undone_by_all, apart);
-  assert(seen.size() > 1000 && confirmed_by_all > 0 && undone_by_all > 0);
+      seen.size(), confirmed_by_all, reverted_by_all, apart);
+  assert(seen.size() > 1000 && confirmed_by_all > 0 && reverted_by_all > 0);
 }
 
 }  // namespace
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -15,8 +15,8 @@
   Desk d;
   loop::Address at = FreeAddress();
   clients::Clients clients;
-  explicit Counter(std::size_t most = 50, StoreSheet s = kit::Sheet())
-      : d(s), clients(d.loop, d.exchange, MakeTerms().offerings, {false, true}, at, most) {}
+  explicit Counter(std::size_t most = 50, StoreSettings s = kit::Settings())
+      : d(s), clients(d.loop, d.exchange, MakeTerms().request_classes, {false, true}, at, most) {}
   Far Come() {
     Far f = Far::To(at);
     d.loop.turn(1);
@@ -32,11 +32,11 @@
       return clients.empty();
     });
   }
-  LegKey leg(std::size_t which) {
+  AttemptKey attempt(std::size_t which) {
     Until(d.loop, [&] { return d.caches.sent.size() > which; });
     return d.caches.sent[which].key;
   }
-  void Finish(LegKey key, const exchange::Word& word, std::string_view body = {}) {
+  void Finish(AttemptKey key, const exchange::Word& word, std::string_view body = {}) {
     d.exchange.AnswerBegun(key, word, body.size());
     d.exchange.AnswerBytes(key, body);
     d.exchange.AnswerWhole(key, word);
@@ -81,7 +81,7 @@
     assert(::connect(far.fd.Get(), reinterpret_cast<const sockaddr*>(&c.at), sizeof c.at) == 0);
     ::fcntl(far.fd.Get(), F_SETFL, O_NONBLOCK);
     far.Send(GetAs(1));
-    c.Finish(c.leg(0), Said(Ending::kFinished), body);
+    c.Finish(c.attempt(0), Said(Ending::kFinished), body);
     for (int i = 0; i < 3; ++i)
       c.d.loop.turn(0);
   }
@@ -97,7 +97,7 @@
     f.Send(std::string_view(&one, 1));
     c.d.loop.turn(0);
   }
-  c.Finish(c.leg(0), Said(Ending::kFinished), "a\r\n\r\nb");
+  c.Finish(c.attempt(0), Said(Ending::kFinished), "a\r\n\r\nb");
   c.Hear(f, "\r\n\r\na\r\n\r\nb");
   assert(f.Hears("HTTP/1.1 200 OK\r\n") && f.Hears("ETag: \"t1\"\r\n") &&
          f.Hears("Content-Length: 6\r\n"));
@@ -105,7 +105,7 @@
   f.Send(Get("If-None-Match: \"t1\"\r\n"));  // the connection is kept
   exchange::Word valid = Said(Ending::kFinished);
   valid.unchanged = true;
-  c.Finish(c.leg(1), valid);
+  c.Finish(c.attempt(1), valid);
   c.Hear(f, "HTTP/1.1 304 Not Modified\r\nETag: \"t1\"\r\n\r\n");
   f.got.clear();
   std::string body(48000, 'p');
@@ -113,7 +113,7 @@
          "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nConnection: close\r\nContent-Length: "
          "48000\r\n\r\n" +
          body);
-  c.d.exchange.LegLost(c.leg(2), loop::Parting::kReset, true);
+  c.d.exchange.AttemptLost(c.attempt(2), loop::DisconnectReason::kReset, true);
   c.Hear(f, "HTTP/1.1 502 ");
   Until(c.d.loop, [&] {
     f.Read();
@@ -130,13 +130,13 @@
   for (std::size_t i = 0; i < body.size(); ++i)
     body[i] = static_cast<char>(i * 7);
   f.Send(Get() + Get());  // the second waits until the first is out
-  c.Finish(c.leg(0), Said(Ending::kFinished), body);
+  c.Finish(c.attempt(0), Said(Ending::kFinished), body);
   Until(c.d.loop, [&] { return f.Read(1000).size() > 100000; });
   Until(c.d.loop, [&] {
     f.Read();
     return c.d.caches.sent.size() == 2;
   });
-  c.Finish(c.leg(1), Said(Ending::kFinished), "end");
+  c.Finish(c.attempt(1), Said(Ending::kFinished), "end");
   c.Hear(f, "\r\n\r\nend");
   assert(f.got.find(body) != std::string::npos);
 }
@@ -149,7 +149,7 @@
   Counter c;
   Far good = c.Come();
   good.Send(Get());
-  LegKey key = c.leg(0);
+  AttemptKey key = c.attempt(0);
   const std::string head = "GET /ops/video/7f3a HTTP/1.1\r\n";
   const std::string own = "X-Request-Id: 00000000000000aa\r\n";
   for (const Case& one :
@@ -238,7 +238,7 @@
     Counter c;
     Far f = c.Come();
     f.Send(Get());
-    c.leg(0);
+    c.attempt(0);
     LeaveBy(f, how);
     Until(c.d.loop, [&] { return c.d.exchange.counters.left == 1; });
     assert(c.d.caches.given_up.size() == 1 && c.clients.empty());
@@ -272,7 +272,7 @@
     Counter c;
     Far f = c.Come();
     f.Send(GetAs(1) + GetAs(2));
-    LegKey key = c.leg(0);
+    AttemptKey key = c.attempt(0);
     Meanwhile now(c.d.loop, [&] {
       LeaveBy(f, how);
       c.Finish(key, Said(Ending::kFinished), "ok");
@@ -289,7 +289,7 @@
     Counter c;
     Far f = c.Come();
     f.Send(GetAs(1));
-    LegKey key = c.leg(0);
+    AttemptKey key = c.attempt(0);
     Meanwhile now(c.d.loop, [&] {
       f.Send(GetAs(2));
       LeaveBy(f, how);
@@ -307,7 +307,7 @@
   Slow slow(c);
   c.d.loop.Skip(20000);
   Meanwhile now(c.d.loop, [&] { slow.far.Send(GetAs(2)); });
-  c.Finish(c.leg(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(!IsReset(slow.far) &&
          slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos);
@@ -339,9 +339,9 @@
   Slow slow(c);
   slow.far.Send(GetAs(2));
   Far other = Far::To(c.at);
-  c.leg(1);
+  c.attempt(1);
   Until(c.d.loop, [&] { return slow.HasAll(); });
-  c.Finish(c.leg(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Hears("\r\n\r\nsecond"); });
 }
 
@@ -354,7 +354,7 @@
     all.back().Send(GetAs(i));
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
-    c.Finish(c.leg(i), Said(Ending::kFinished), "ok");
+    c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
     for (int turns = 0; turns < 5; ++turns)
       c.d.loop.turn(0);
   }
@@ -428,7 +428,7 @@
     Counter c;
     Far good = c.Come(), f = c.Come();
     good.Send(Get());
-    LegKey key = c.leg(0);
+    AttemptKey key = c.attempt(0);
     f.Send(one.bytes);
     if (one.then != kStays || one.bytes.size() > 10000)
       c.d.loop.turn(1);
@@ -482,7 +482,7 @@
     for (int i = 0; listener == kPaused && i < 2; ++i) {
       before.push_back(c.Come());
       before.back().Send(GetAs(i));
-      c.leg(static_cast<std::size_t>(i));
+      c.attempt(static_cast<std::size_t>(i));
     }
     for (int i = 2; i < 5; ++i)
       waits.push_back(Far::To(c.at));
@@ -503,7 +503,7 @@
       return c.d.caches.sent.size() == all;
     });
     for (std::size_t i = 0; i < all; ++i)
-      c.Finish(c.leg(i), Said(Ending::kFinished), "ok");
+      c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
     for (Far& f : waits) {
       c.Hear(f, "\r\n\r\nok");
       assert(f.Hears("Connection: close\r\n"));
@@ -527,7 +527,7 @@
     c.clients.Leave();
     return c.d.caches.sent.size() == 1;
   });
-  c.Finish(c.leg(0), Said(Ending::kFinished), "ok");
+  c.Finish(c.attempt(0), Said(Ending::kFinished), "ok");
   c.Hear(f, "\r\n\r\nok");
   assert(f.Hears("Connection: close\r\n"));
   c.leave();
@@ -545,7 +545,7 @@
     slow.far.Send(GetAs(2));
     c.clients.Leave();
   });
-  c.Finish(c.leg(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos &&
          slow.far.Hears("Connection: close\r\n"));
@@ -583,13 +583,13 @@
   Counter c;
   Far f = c.Come();
   f.Send(GetAs(1) + GetAs(2) + GetAs(3) + GetAs(4).substr(0, 60));
-  c.leg(0);
+  c.attempt(0);
   for (std::size_t i = 0; i < 3; ++i) {
     for (int turns = 0; turns < 3; ++turns) {
       c.clients.Leave();
       c.d.loop.turn(0);
     }
-    c.Finish(c.leg(i), Said(Ending::kFinished), "body" + std::to_string(i));
+    c.Finish(c.attempt(i), Said(Ending::kFinished), "body" + std::to_string(i));
     c.Hear(f, "\r\n\r\nbody" + std::to_string(i));
     assert(f.Hears("Connection: close\r\n") == (i == 2));
   }
@@ -607,7 +607,7 @@
   Counter c;
   Far f = c.Come();
   f.Send(Get("", "/odd") + GetAs(1));
-  LegKey key = c.leg(0);
+  AttemptKey key = c.attempt(0);
   c.Hear(f, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
   c.Finish(key, Said(Ending::kFinished), "ok");
   c.Hear(f, "\r\n\r\nok");
@@ -626,7 +626,7 @@
   Counter c(2);
   Far busy = c.Come(), served = c.Come();
   busy.Send(GetAs(0));
-  c.leg(0);
+  c.attempt(0);
   served.Send("GET /alive HTTP/1.1\r\n\r\n");
   c.Hear(served, "HTTP/1.1 200");
   Far newcomer = c.Come(), next = c.Come();
@@ -637,10 +637,10 @@
   for (int turns = 0; turns < 5; ++turns)
     c.d.loop.turn(0);
   newcomer.Send(GetAs(1));
-  c.Finish(c.leg(1), Said(Ending::kFinished), "ok");
+  c.Finish(c.attempt(1), Said(Ending::kFinished), "ok");
   c.Hear(newcomer, "\r\n\r\nok");
   next.Send(GetAs(2));
-  c.leg(2);
+  c.attempt(2);
 }
 
 // One that says nothing keeps its place no longer than that, also where nobody else rests.
@@ -648,10 +648,10 @@
   Counter c(1);
   Far busy = c.Come();
   busy.Send(GetAs(0));
-  c.leg(0);
+  c.attempt(0);
   Far silent = c.Come(), next = c.Come();
   next.Send(GetAs(1));
-  c.leg(1);
+  c.attempt(1);
   Until(c.d.loop, [&] {
     silent.Read();
     return silent.over;
@@ -712,7 +712,7 @@
   std::size_t which = 0;
   for (f.Send(request); sent_on(which); ++which, f.Send(request)) {
     assert(which < 200);
-    c.Finish(c.leg(which), Said(Ending::kFinished), body);
+    c.Finish(c.attempt(which), Said(Ending::kFinished), body);
   }
   for (int i = 0; i < 3; ++i) {
     c.clients.Leave();
@@ -727,16 +727,16 @@
   assert(c.clients.empty());
 }
 
-void ABrokenStreamCanBeTold() {
-  StoreSheet s = kit::Sheet();
-  s.offerings[0].streams = true;
+void ABrokenStreamCanBeNotified() {
+  StoreSettings s = kit::Settings();
+  s.request_classes[0].streams = true;
   Counter c(50, s);
   Far f = c.Come();
   f.Send(Get());
-  LegKey key = c.leg(0);
+  AttemptKey key = c.attempt(0);
   c.d.exchange.AnswerBegun(key, Said(Ending::kFinished), 10);
   c.d.exchange.AnswerBytes(key, "half");
-  c.d.exchange.LegLost(key, loop::Parting::kReset, true);
+  c.d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
   Until(c.d.loop, [&] {
     f.Read();
     return f.over;
@@ -748,27 +748,27 @@
   Counter c(3);
   Far one = c.Come(), two = c.Come();
   one.Send(GetAs(1));
-  c.leg(0);
+  c.attempt(0);
   Far three = c.Come(), four = c.Come();  // two has been idle longest
   Until(c.d.loop, [&] {
     two.Read();
     return two.over;
   });
   four.Send(GetAs(2));
-  c.leg(1);
+  c.attempt(1);
   assert(!(one.Read(), one.over));
   // With all places taken a newcomer waits, until one of them has its answer.
   three.Send(GetAs(3));
-  c.leg(2);
+  c.attempt(2);
   Far five = c.Come(), six = c.Come();
   five.Send(GetAs(4));
-  c.leg(3);
+  c.attempt(3);
   six.Send(GetAs(5));
   for (int i = 0; i < 20; ++i)
     c.d.loop.turn(1);
   assert(c.d.caches.sent.size() == 4);
-  c.Finish(c.leg(0), Said(Ending::kFinished));
-  c.leg(4);
+  c.Finish(c.attempt(0), Said(Ending::kFinished));
+  c.attempt(4);
 }
 
 void NoDescriptorsIsNoSpin() {
@@ -784,7 +784,7 @@
   Until(c.d.loop, [&] { return c.d.exchange.counters.short_of_descriptors > 0; });
   ::setrlimit(RLIMIT_NOFILE, &before);
   f.Send(Get());
-  c.leg(0);  // served once there are some again
+  c.attempt(0);  // served once there are some again
   assert(c.d.exchange.counters.short_of_descriptors < 20);
 }
 
@@ -829,7 +829,7 @@
         {"who never spoke does not linger", WhoNeverSpokeDoesNotLinger},
         {"half a request is refused in a stop", HalfARequestIsRefusedInAStop},
         {"who takes nothing holds no stop up", WhoTakesNothingHoldsNoStopUp},
-        {"a broken stream can be told", ABrokenStreamCanBeTold},
+        {"a broken stream can be told", ABrokenStreamCanBeNotified},
         {"idle clients make room", IdleClientsMakeRoom},
         {"no descriptors is no spin", NoDescriptorsIsNoSpin}}) {
     if (count > 1 && std::string_view(words[1]) != c.name)
--- a/tests/connection_test.cpp
+++ b/tests/connection_test.cpp
@@ -5,13 +5,13 @@
 
 namespace {
 
-void AMessageHalfWrittenIsToldApart() {
+void AMessageHalfWrittenIsNotifiedApart() {
   loop::Loop loop;
   FarListener far;
   struct Owner final : loop::Connection::Owner {
-    std::optional<loop::Parting> how;
+    std::optional<loop::DisconnectReason> how;
     void Came() override {}
-    void Ended(loop::Parting p) override {
+    void Ended(loop::DisconnectReason p) override {
       how = p;
     }
   } owner;
@@ -24,7 +24,7 @@
   assert(c.Unsent(second) && c.Unsent(third) && !c.TakeBack(second) && c.TakeBack(third));
   peer.Reset();
   Until(loop, [&] { return owner.how.has_value(); });
-  assert(*owner.how == loop::Parting::kReset && c.Unsent(second) && !c.Unsent(first));
+  assert(*owner.how == loop::DisconnectReason::kReset && c.Unsent(second) && !c.Unsent(first));
 }
 
 }  // namespace
@@ -34,7 +34,8 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"a message half written is told apart", AMessageHalfWrittenIsToldApart}}) {
+  for (Case c :
+       {Case{"a message half written is told apart", AMessageHalfWrittenIsNotifiedApart}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -16,17 +16,17 @@
   for (Wait how : {kDial, kQueue, kCheck})
     for (bool cancel : {true, false}) {
       bool once = how == kCheck;
-      Waiting w(how, SheetWith(cancel, Effect::kExclusive), {}, once ? kWrite : kVideo);
+      Waiting w(how, SettingsWith(cancel, Effect::kExclusive), {}, once ? kWrite : kVideo);
       w.r.exchange.OnClientLeft(w.request);
       w.LetGo();
       assert(!w.Began() && !w.peer.Hears("never_mind 00000000000000a1"));
-      assert(w.client.told.empty() && w.r.exchange.counters.never_ran == 0);
+      assert(w.client.notified.empty() && w.r.exchange.counters.never_ran == 0);
       Asked next;
       w.r.exchange.OnRequest(AskAs(2), next);
       if (how != kQueue) {
         Until(w.r.loop, [&] { return w.peer.Hears(WantOf(2)); });
         w.peer.Send(Hit(2));
-        Until(w.r.loop, [&] { return !next.told.empty(); });
+        Until(w.r.loop, [&] { return !next.notified.empty(); });
       }
       assert(w.r.exchange.counters.bad_lines == 0 && !w.Began());
     }
@@ -36,7 +36,7 @@
 // timer is looked at.
 void OverdueAttemptsDoNotGo() {
   for (Wait how : {kDial, kCheck}) {
-    Waiting w(how, SheetWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
+    Waiting w(how, SettingsWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
     if (how == kCheck)
       w.peer.Send("call PONG - 0\r\n\r\n");
     w.r.loop.Skip(61000);
@@ -44,16 +44,16 @@
     if (how == kDial)
       w.peer = w.far.Next(w.r.loop);
     w.r.Turns();
-    assert(!w.Began() && w.client.told.size() == 1);
+    assert(!w.Began() && w.client.notified.size() == 1);
   }
 }
 
 // A repeat that its window no longer covers when the connection is up is not begun; its client is
 // told at once.
 void RepeatsStayWithinTheirWindow() {
-  StoreSheet s = SheetWith(true, Effect::kTicketed);
-  s.offerings[kWrite].memory = 500;
-  s.offerings[kWrite].expiry = 60000;
+  StoreSettings s = SettingsWith(true, Effect::kIdempotentWithKey);
+  s.request_classes[kWrite].memory = 500;
+  s.request_classes[kWrite].expiry = 60000;
   for (bool late : {false, true}) {
     FarListener one, other;
     Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}), s);
@@ -76,7 +76,7 @@
     first.Send("00000000000000a1 FAULT - 0\r\n\r\n");
     Until(r.loop, [&] { return r.exchange.counters.errors == 1; });
     // The repeat is on its way to a connection that is not up yet: no turn has passed since.
-    assert(r.exchange.counters.legs == 2 && client.told.empty());
+    assert(r.exchange.counters.attempts == 2 && client.notified.empty());
     if (late)
       r.loop.Skip(501);
     r.Turns();
@@ -84,7 +84,7 @@
     if (!late)
       Until(r.loop, [&] { return second.Hears(WantOf(1)); });
     if (late)
-      Until(r.loop, [&] { return client.told.size() == 1; });
+      Until(r.loop, [&] { return client.notified.size() == 1; });
     assert(second.Hears(WantOf(1)) == !late);
   }
 }
@@ -107,8 +107,8 @@
       one.entry.zone = 0;
       one.entry.weight = 30;
     }
-    Waiting w(kDial, SheetWith(false), parents);
-    assert(w.r.exchange.counters.legs == 1);
+    Waiting w(kDial, SettingsWith(false), parents);
+    assert(w.r.exchange.counters.attempts == 1);
     auto s1 = Machines({{"s-1", w.far.at}});
     s1[0].entry.standing = Standing::kDraining;
     if (news == kDrained)
@@ -128,7 +128,7 @@
       w.r.exchange.LimitAge(5);
     w.LetGo();
     if (news == kDrained) {
-      assert(!w.Began() && w.client.told.size() == 1);
+      assert(!w.Began() && w.client.notified.size() == 1);
       continue;
     }
     Until(w.r.loop, [&] { return w.peer.Hears("\r\n\r\n"); });
@@ -145,7 +145,7 @@
 // time for it.
 void NewsOfOthersChangesNothing() {
   for (bool gone : {false, true}) {
-    Waiting w(kDial, SheetWith(false));
+    Waiting w(kDial, SettingsWith(false));
     if (gone)
       w.LetGo();
     w.r.exchange.PurgeCame(false, gone ? "7f3a" : "0000", 9, w.r.loop.now());
@@ -155,14 +155,14 @@
     Until(w.r.loop, [&] { return w.Began(); });
     w.r.Turns();
     assert(w.peer.Read().find(WantOf(1), 10) == std::string::npos &&
-           w.r.exchange.counters.legs == 1);
+           w.r.exchange.counters.attempts == 1);
   }
 }
 
 // A machine replaced at the same address while an attempt waits to be written there.
 void NothingWaitingReachesAReplacement() {
   for (Wait how : {kDial, kCheck}) {
-    Waiting w(how, SheetWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
+    Waiting w(how, SettingsWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
     auto fresh = Machines({{"s-2", w.far.at}});
     fresh[0].entry.weight = 1e-9;
     w.r.exchange.ListCame(false, fresh);
@@ -181,7 +181,7 @@
 // The answer to the check and the peer's close in one write: what may run once goes over another
 // connection.
 void ACheckAnsweredWithACloseCarriesNothing() {
-  Waiting w(kCheck, SheetWith(true, Effect::kExclusive), {}, kWrite);
+  Waiting w(kCheck, SettingsWith(true, Effect::kExclusive), {}, kWrite);
   w.peer.Send("call PONG - 0\r\n\r\n");
   w.peer.fd.Reset();
   Far again = w.far.Next(w.r.loop);
@@ -189,7 +189,7 @@
   again.Send("call PONG - 0\r\n\r\n");
   Until(w.r.loop, [&] { return again.Hears(WantOf(1)); });
   again.Send(Hit(1));
-  Until(w.r.loop, [&] { return !w.client.told.empty(); });
+  Until(w.r.loop, [&] { return !w.client.notified.empty(); });
   assert(w.client.Is({"200 t"}) && w.r.exchange.counters.broken == 0);
 }
 
@@ -198,14 +198,14 @@
 // is nobody's.
 void WhatMayRunOnceRunsOnce() {
   for (const char* said : {"", "0", "00000000000000a1 HIT - 2\r\no"}) {
-    Waiting w(kCheck, SheetWith(true, Effect::kExclusive), {}, kWrite);
+    Waiting w(kCheck, SettingsWith(true, Effect::kExclusive), {}, kWrite);
     w.peer.Send("call PONG - 0\r\n\r\n");
     Until(w.r.loop, [&] { return w.Began(); });
     if (*said)
       w.peer.Send(said);
     w.peer.Reset();
-    Until(w.r.loop, [&] { return !w.client.told.empty(); });
-    assert(w.client.Is({"502"}) && w.r.exchange.counters.legs == 1);
+    Until(w.r.loop, [&] { return !w.client.notified.empty(); });
+    assert(w.client.Is({"502"}) && w.r.exchange.counters.attempts == 1);
     w.r.Turns();
     int got = ::accept4(w.far.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
     assert(got < 0);  // nobody came to ask again
@@ -216,7 +216,7 @@
 // may still come there, so the next attempt of the request goes elsewhere, and the duplicate is
 // nobody's.
 void MovedAttemptsAreKeptApart() {
-  StoreSheet s = SheetWith(true, Effect::kExclusive);
+  StoreSettings s = SettingsWith(true, Effect::kExclusive);
   s.may.direct = false;
   std::vector<exchange::Listed> origin = Machines({{"origin", {}}});
   Waiting w(kCheck, s, origin, kWrite);
@@ -227,7 +227,7 @@
   Until(w.r.loop, [&] { return second.Hears(WantOf(1)); });
   second.Send("00000000000000a1 NONE remark=not_there 0\r\n\r\n");
   Until(w.r.loop, [&] { return w.r.exchange.counters.misses == 1; });
-  assert(w.r.exchange.counters.legs == 2);
+  assert(w.r.exchange.counters.attempts == 2);
   second.Send("00000000000000a1 NONE remark=not_there 0\r\n\r\n");
   Far third = w.far.Next(w.r.loop);
   Until(w.r.loop, [&] { return third.Hears("there call\r\n"); });
@@ -247,17 +247,17 @@
   peer.Send(Hit(1));
   peer.Reset();
   r.exchange.OnRequest(AskAs(2), two);  // written into the break
-  Until(r.loop, [&] { return !one.told.empty(); });
+  Until(r.loop, [&] { return !one.notified.empty(); });
   assert(one.Is({"200 t"}));
-  Until(r.loop, [&] { return !two.told.empty() || r.exchange.counters.legs > 2; });
+  Until(r.loop, [&] { return !two.notified.empty() || r.exchange.counters.attempts > 2; });
 }
 
 // No descriptor for a connection is this front's own want: the caches stay in use.
 void WantOfDescriptorsIsNoSignOfTheCache() {
   FarListener far;
-  sheet::RoadTerms t = MakeTerms(20000);
-  t.legs_at_once = 1;
-  Road r(Machines({{"s-1", far.at}}), kit::Sheet(), t, 1);
+  settings::RoadTerms t = MakeTerms(20000);
+  t.attempts_at_once = 1;
+  Road r(Machines({{"s-1", far.at}}), kit::Settings(), t, 1);
   Asked first;
   r.exchange.OnRequest(AskAs(0), first);
   Far peer = far.Next(r.loop);
@@ -265,10 +265,10 @@
   std::vector<Asked> turned_away(4);
   for (int i = 0; i < 4; ++i) {
     r.exchange.OnRequest(AskAs(i + 1), turned_away[static_cast<std::size_t>(i)]);
-    assert(turned_away[static_cast<std::size_t>(i)].told.size() == 1);
+    assert(turned_away[static_cast<std::size_t>(i)].notified.size() == 1);
   }
   peer.Send(Hit(0));
-  Until(r.loop, [&] { return !first.told.empty(); });
+  Until(r.loop, [&] { return !first.notified.empty(); });
   Asked last;
   r.exchange.OnRequest(AskAs(9), last);
   Until(r.loop, [&] { return peer.Hears(WantOf(9)); });
@@ -278,9 +278,10 @@
 // The client's idempotency key goes on with each attempt, as the client worded it.
 void KeysGoOnWithEachAttempt() {
   FarListener one, other;
-  Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}), SheetWith(true, Effect::kTicketed));
+  Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}),
+         SettingsWith(true, Effect::kIdempotentWithKey));
   loop::Address at = FreeAddress();
-  clients::Clients clients(r.loop, r.exchange, MakeTerms().offerings, {false, true}, at, 50);
+  clients::Clients clients(r.loop, r.exchange, MakeTerms().request_classes, {false, true}, at, 50);
   Far client = Far::To(at);
   client.Send("PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
               "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nIdempotency-Key: "
@@ -303,16 +304,16 @@
   do {
     for (bool waiting : {false, true})
       for (bool cancel : {false, true}) {
-        Desk d(SheetWith(cancel));
+        Desk d(SettingsWith(cancel));
         d.caches.waiting = waiting;
         Asked client;
         Ask a = AskAs(1);
         a.ttl = 100;
         std::uint32_t request = d.exchange.OnRequest(a, client);
-        LegKey key = d.caches.sent.at(0).key;
+        AttemptKey key = d.caches.sent.at(0).key;
         bool left = false;
         for (int what : order) {
-          std::size_t told = client.told.size();
+          std::size_t notified = client.notified.size();
           if (what == 0) {
             d.loop.Skip(200);
             d.loop.turn(0);
@@ -325,12 +326,12 @@
             d.exchange.AnswerBegun(key, Said(Ending::kFinished), 0);
             d.exchange.AnswerWhole(key, Said(Ending::kFinished));
           }
-          assert(client.told.size() <= 1 && (!left || client.told.size() == told));
+          assert(client.notified.size() <= 1 && (!left || client.notified.size() == notified));
         }
-        assert(client.told.size() == (order[0] == 1 ? 0u : 1u) && d.caches.sent.size() == 1 &&
-               d.exchange.OpenPulls() == 0);
+        assert(client.notified.size() == (order[0] == 1 ? 0u : 1u) && d.caches.sent.size() == 1 &&
+               d.exchange.OpenRequests() == 0);
         auto& n = d.exchange.counters;
-        assert(n.legs_finished + n.timed_out + n.cancelled + n.moot == 1);
+        assert(n.attempts_finished + n.timed_out + n.cancelled + n.superseded == 1);
       }
   } while (std::next_permutation(order.begin(), order.end()));
 }
@@ -339,9 +340,9 @@
 // further attempt begins.
 void WhoLeavesIsHeardFirst() {
   FarListener one, other;
-  Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}), SheetWith(false));
+  Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}), SettingsWith(false));
   loop::Address at = FreeAddress();
-  clients::Clients clients(r.loop, r.exchange, MakeTerms().offerings, {false, true}, at, 50);
+  clients::Clients clients(r.loop, r.exchange, MakeTerms().request_classes, {false, true}, at, 50);
   // The connections to both caches come first, so that every client's descriptor lies above theirs.
   std::vector<Asked> before(2);
   Far peer[2];
@@ -361,7 +362,7 @@
           peer[k].got.clear();
         }
       }
-      return !answered.told.empty();
+      return !answered.notified.empty();
     });
   }
   assert(peer[0].fd && peer[1].fd);
@@ -374,17 +375,17 @@
         home = &one;
     return home != nullptr;
   });
-  auto attempts = r.exchange.counters.legs;
+  auto attempts = r.exchange.counters.attempts;
   home->Send(kId + " SHED - 0\r\n\r\n");
   client.fd.Reset();
   r.loop.Skip(10);  // as after a standstill: all are looked at
   Until(r.loop, [&] { return r.exchange.counters.full == 1; });
-  assert(r.exchange.counters.legs == attempts && r.exchange.counters.left == 1);
+  assert(r.exchange.counters.attempts == attempts && r.exchange.counters.left == 1);
 }
 
 // A ground of two descriptors and a clock that goes on by a millisecond a wait: 1 is always
 // readable, 2 ends at a set time.
-struct Bare final : loop::Ground {
+struct Bare final : loop::Environment {
   Ms clock = 1000;
   Ms ends_at = 1e18;
   Ms now() override {
@@ -449,8 +450,8 @@
     }
   };
   for (int phase = 0; phase < 10; ++phase) {
-    Bare ground;
-    loop::Loop loop(ground);
+    Bare environment;
+    loop::Loop loop(environment);
     std::vector<int> order;
     Note busy(order, 1), resting(order, 2);
     loop.WatchDescriptor(1, busy, POLLIN);
@@ -458,11 +459,11 @@
     for (int i = 0; i < 20; ++i)
       loop.turn(1000);
     assert(std::count(order.begin(), order.end(), 1) == 20);
-    ground.ends_at = ground.clock + phase;
+    environment.ends_at = environment.clock + phase;
     while (std::count(order.begin(), order.end(), 2) == 0) {
       order.clear();
       loop.turn(1000);
-      assert(ground.clock <= ground.ends_at + 7);
+      assert(environment.clock <= environment.ends_at + 7);
     }
     assert((order == std::vector<int>{2, 1}));
   }
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -18,7 +18,7 @@
     got += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Ended(loop::Parting) override {
+  void Ended(loop::DisconnectReason) override {
     over = true;
   }
 };
@@ -35,11 +35,12 @@
       : peers(net.Start(0x0a000001, "clients")),
         front(net.Start(0x0a000002, "front", descriptors)) {
     front.Act([&] {
-      exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::Sheet(), 1);
+      exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::Settings(), 1);
       exchange->Meet(caches);
       exchange->ListCame(true, Machines({{"origin", {}}, {"s-0", {}}}));
-      clients = std::make_unique<clients::Clients>(front.loop(), *exchange, MakeTerms().offerings,
-                                                   std::vector<bool>{false, true}, kThere, most);
+      clients =
+          std::make_unique<clients::Clients>(front.loop(), *exchange, MakeTerms().request_classes,
+                                             std::vector<bool>{false, true}, kThere, most);
     });
   }
   ~Tier() {
--- a/tests/drift_test.cpp
+++ b/tests/drift_test.cpp
@@ -15,10 +15,10 @@
 
 using dunlinwick::Effect;
 using dunlinwick::Span;
-using dunlinwick::StoreSheet;
+using dunlinwick::StoreSettings;
 using dunlinwick::Weighing;
 namespace rig = dunlinwick::rig;
-namespace sheet = dunlinwick::sheet;
+namespace settings = dunlinwick::settings;
 namespace front = dunlinwick::front;
 using namespace dunlinwick::drift;
 using dunlinwick::rig::DriftFlaw;
@@ -116,7 +116,7 @@
 }
 
 TEST_CASE("words as bytes; junk and cuts never throw") {
-  Told t;
+  ActiveReport t;
   t.version = 3;
   t.active = 4;
   t.approved = 5;
@@ -140,56 +140,56 @@
               {{{"a", "b"}, std::string(200, '\xc3'), "2", Breaks::kRule}}}};
   t.asides = {{3, 6, 1, true}};
   std::string b = Encode(t);
-  auto r = DecodeTold(b);
+  auto r = DecodeNotified(b);
   REQUIRE(r);
   CHECK((r->version == 3 && r->active == 4 && r->approved == 5 && r->seq == 9 && r->changed == 8 &&
          r->ask && r->wants == t.wants));
   CHECK((r->sections == t.sections && r->opened == t.opened && r->others[0].changed == 1 &&
          r->asides[0].on && r->stopped_at == 2));
-  const Told::Case &c = r->cases[0], &was = t.cases[0];
+  const ActiveReport::Case &c = r->cases[0], &was = t.cases[0];
   CHECK((c.newest.voters == was.newest.voters && c.newest.token == 6 &&
          c.before.voters == was.before.voters && c.before.token == 7 &&
          c.newest.withdrawn == was.newest.withdrawn));
   CHECK((c.fields[0].active.size() == 64 && c.span == 2));
   for (std::size_t n = 0; n < b.size(); ++n)
-    DecodeTold(std::span(b.data(), n));
+    DecodeNotified(std::span(b.data(), n));
   t.cases[0].standing = 1;  // no verdict against anybody
-  CHECK_FALSE(DecodeTold(Encode(t)));
+  CHECK_FALSE(DecodeNotified(Encode(t)));
   t.cases.clear();
   t.changed = 10;
-  CHECK_FALSE(DecodeTold(Encode(t)));
+  CHECK_FALSE(DecodeNotified(Encode(t)));
   auto p = DecodeRepair(Encode(Repair{4, 5, 6, 7}));
   REQUIRE(p);
   CHECK((p->front == 4 && p->token == 5 && p->version == 6 && p->changed == 7));
   CHECK(rc::check("junk", [](const std::string& junk) {
-    DecodeTold(junk), DecodeApproval(junk), DecodeRepair(junk);
+    DecodeNotified(junk), DecodeApproval(junk), DecodeRepair(junk);
   }));
 }
 
 TEST_CASE(
     "every field of what a front decides by changes the digest of its section, and of no other") {
-  StoreSheet sheet;
-  sheet.offerings.resize(2);
-  sheet::RoadTerms road;
-  road.offerings = {"a", "b"};
+  StoreSettings settings;
+  settings.request_classes.resize(2);
+  settings::RoadTerms road;
+  road.request_classes = {"a", "b"};
   front::FleetTerms fleet;
   front::OwnerTerms owner;
   fleet.on = owner.on = true;
-  auto form = [&](const StoreSheet& s) {
+  auto form = [&](const StoreSettings& s) {
     return ActiveForm(s, road, fleet, owner, "1");
   };
-  const Form base = form(sheet);
+  const Form base = form(settings);
   struct Change {
     std::string section;
     std::string name;
-    std::function<void(StoreSheet&)> what;
+    std::function<void(StoreSettings&)> what;
   };
   std::vector<Change> all;
-  auto add = [&](const char* section, const char* name, std::function<void(StoreSheet&)> what) {
+  auto add = [&](const char* section, const char* name, std::function<void(StoreSettings&)> what) {
     all.push_back({section, name, std::move(what)});
   };
 #define OFFERING(field, value, name) \
-  add("offerings", "1." name, [](StoreSheet& s) { s.offerings[1].field = value; })
+  add("offerings", "1." name, [](StoreSettings& s) { s.request_classes[1].field = value; })
   OFFERING(effect, Effect::kExclusive, "effect");
   OFFERING(span, Span::kCell, "span");
   OFFERING(memory, 7, "memory");
@@ -201,21 +201,21 @@
   OFFERING(fresh_for, 7, "fresh_for");
   OFFERING(never_kept, true, "never_kept");
 #define FIELD(section, field, value, name) \
-  add(section, name, [](StoreSheet& s) { s.field = value; })
+  add(section, name, [](StoreSettings& s) { s.field = value; })
   FIELD("sheet", zone, 7, "zone");
   FIELD("sheet", fronts, 7, "fronts");
-  FIELD("sheet", crew, 7, "crew");
+  FIELD("sheet", zone_replicas, 7, "crew");
   FIELD("sheet", parent_kind, 7, "parent_kind");
   FIELD("sheet", origin_kind, 7, "origin_kind");
   FIELD("sheet", asks_for_list, true, "asks_for_list");
   FIELD("sheet", weighing, Weighing::kLive, "weighing");
   FIELD("permits", may.probe, true, "probe");
   FIELD("permits", may.cancel, true, "cancel");
-  FIELD("permits", may.two_legs_at_once, true, "two_legs_at_once");
+  FIELD("permits", may.two_attempts_at_once, true, "two_legs_at_once");
   FIELD("permits", may.join, true, "join");
   FIELD("permits", may.direct, true, "direct");
   FIELD("sheet", longest_retry_after, 7, "longest_retry_after");
-  FIELD("sheet", most_legs, 7, "most_legs");
+  FIELD("sheet", most_attempts, 7, "most_legs");
   FIELD("sheet", places, 7, "places");
   FIELD("sheet", lateral, true, "lateral");
   FIELD("sheet", stream_kb_per_ms, 7, "stream_kb_per_ms");
@@ -230,15 +230,16 @@
   FIELD("cold", cold_parent.multiple, 7, "parent.multiple");
   FIELD("cold", cold_parent.lasts, 7, "parent.lasts");
   FIELD("cold", cold_window, 7, "window");
-  std::size_t told = base.at("sheet").size() + base.at("permits").size() + base.at("cold").size() +
-                     (base.at("offerings").size() - 1) / 2;
-  CHECK(all.size() ==
-        told);  // as many changes as fields: none is told that is not tried, and none tried twice
+  std::size_t notified = base.at("sheet").size() + base.at("permits").size() +
+                         base.at("cold").size() + (base.at("offerings").size() - 1) / 2;
+  CHECK(
+      all.size() ==
+      notified);  // as many changes as fields: none is told that is not tried, and none tried twice
   std::set<std::string> tried;
   for (const Change& c : all) {
     INFO(c.section << "." << c.name);
     CHECK(tried.insert(c.section + "." + c.name).second);
-    StoreSheet s = sheet;
+    StoreSettings s = settings;
     c.what(s);
     Form f = form(s);
     for (const auto& [name, section] : base)
@@ -267,12 +268,12 @@
   CHECK(breaks("build", "version") == Breaks::kNothing);
   // Many offerings: a row each, then a digest for the rest; a change anywhere shows.
   for (std::size_t n : {26, 250, 251, 400}) {
-    StoreSheet many;
-    many.offerings.resize(n);
+    StoreSettings many;
+    many.request_classes.resize(n);
     Form before = form(many);
     for (const auto& [name, section] : before)
       CHECK(section.size() <= 256);
-    many.offerings.back().payoff = 9;
+    many.request_classes.back().payoff = 9;
     CHECK(Digest(form(many)) != Digest(before));
   }
 }
@@ -463,7 +464,7 @@
   for (int i = 1; i < 10; ++i)
     for (Action& a : d.Handle(100.0 * i, Tick{}))
       if (auto* tell = std::get_if<Tell>(&a))
-        changed = tell->told.changed;
+        changed = tell->notified.changed;
   REQUIRE(changed != 0);
   auto takes = [&](Repair r) {
     std::size_t n = 0;
@@ -476,10 +477,10 @@
   CHECK(takes({2, 9, 10, changed}) == 0);
   CHECK(takes({1, 5, 9, changed}) == 0);
   CHECK(takes({1, 5, 10, changed - 1}) == 0);
-  Told told;
-  told.token = 8;
-  told.seq = 1;
-  d.Handle(1000, Hears{3, told});  // hearing of it is enough
+  ActiveReport notified;
+  notified.token = 8;
+  notified.seq = 1;
+  d.Handle(1000, Hears{3, notified});  // hearing of it is enough
   CHECK(takes({1, 7, 10, changed}) == 0);
   CHECK(takes({1, 8, 10, changed}) == 1);
   CHECK(d.token() == 8);
@@ -493,7 +494,7 @@
   sim.RunUntil(20000);
   sim.on_take_up = [&](Id id, const Form& f) {
     if (f == DriftForm(2))
-      sim.pulls(id, 0.3, 0);
+      sim.requests(id, 0.3, 0);
   };
   sim.Approve("fleet", DriftForm(2), 40000);
   sim.RunUntil(40000);
@@ -524,11 +525,11 @@
     sim.RunUntil(sim.now() + 30000);
   }
   for (Id id : sim.Ids())
-    CHECK(sim.at(id).aside(x));
+    CHECK(sim.at(id).ejected(x));
   CHECK(sim.owner() != x);
   sim.RunUntil(sim.now() + 300000);
   for (Id id : sim.Ids())
-    CHECK_FALSE(sim.at(id).aside(x));
+    CHECK_FALSE(sim.at(id).ejected(x));
   Clean(sim);
 }
 
@@ -565,8 +566,8 @@
     "spans") {
   // Front 1 hears of front 3, which forks; the votes of 4 and 5 are told by front 2, front 1 gives
   // its own: three of five name it.
-  auto named = [](std::uint64_t span, const Told::Ballot& newest, const Told::Ballot& before,
-                  std::uint64_t word, bool forks = true) {
+  auto named = [](std::uint64_t span, const ActiveReport::Ballot& newest,
+                  const ActiveReport::Ballot& before, std::uint64_t word, bool forks = true) {
     Terms t;
     t.fronts = 5;
     Drift d(1, {{1, 0}, {2, 0}, {3, 1}, {4, 1}, {5, 2}}, {}, t, 1, 0, {});
@@ -574,18 +575,18 @@
     d.Handle(0, Active{*form});
     for (Id id = 1; id <= 5; ++id)
       d.Handle(0, ApprovedFor{id, 10, Digest(*form), 0, 0, form});
-    Told told;
-    told.seq = 1;
-    told.others = {{3, word, 10, Digest(*form), forks ? Digest(*form) + 1 : Digest(*form), 1}};
-    told.cases = {
+    ActiveReport notified;
+    notified.seq = 1;
+    notified.others = {{3, word, 10, Digest(*form), forks ? Digest(*form) + 1 : Digest(*form), 1}};
+    notified.cases = {
         {3, static_cast<std::uint8_t>(Standing::kForked), 1, 10, span, newest, before, {}}};
-    d.Handle(1, Hears{2, told});
+    d.Handle(1, Hears{2, notified});
     for (Ms now = 0; now <= 2000; now += 100)
       d.Handle(now, Tick{});
     return d.Rows().at(3).standing;
   };
-  const Told::Ballot none{}, two{0, "\x18", ""}, first{0, "\x08", ""}, second{0, "\x10", ""};
-  const Told::Ballot off{0, "\x10", "\x08"}, was{0, "\x18", "\x18"};
+  const ActiveReport::Ballot none{}, two{0, "\x18", ""}, first{0, "\x08", ""}, second{0, "\x10", ""};
+  const ActiveReport::Ballot off{0, "\x10", "\x08"}, was{0, "\x18", "\x18"};
   CHECK(SpanOf(64, 1, 5) == 0);
   CHECK(SpanOf(65, 1, 5) == 1);
   CHECK(SpanOf(301, 1, 300) == 1);
--- a/tests/drill_test.cpp
+++ b/tests/drill_test.cpp
@@ -84,36 +84,36 @@
 
 rules::Limits Limits() {
   rules::Limits l;
-  l.offerings = {{"video", rules::Effect::kRerunnable, rules::Span::kCell, 0},
-                 {"order", rules::Effect::kExclusive, rules::Span::kCell, 0},
-                 {"stamp", rules::Effect::kTicketed, rules::Span::kZone, 5000}};
+  l.request_classes = {{"video", rules::Effect::kIdempotent, rules::Span::kCell, 0},
+                       {"order", rules::Effect::kExclusive, rules::Span::kCell, 0},
+                       {"stamp", rules::Effect::kIdempotentWithKey, rules::Span::kZone, 5000}};
   l.places = {{"c1", {1, 1}}, {"c2", {1, 1}}, {"p", {0, 0}}};
   return l;
 }
-Fact MakeFact(rules::Ms at, Deed deed, const std::string& pull = "a") {
+Fact MakeFact(rules::Ms at, Deed deed, const std::string& request = "a") {
   Fact f;
   f.at = at;
   f.deed = deed;
-  f.pull = pull;
+  f.request = request;
   f.thing = "t";
   f.who = "f";
   return f;
 }
-Fact Asked(rules::Ms at, int offering = 0, rules::Ms ttl = 1000) {
+Fact Asked(rules::Ms at, int request_class = 0, rules::Ms ttl = 1000) {
   Fact f = MakeFact(at, Deed::kAsked);
-  f.offering = offering;
+  f.request_class = request_class;
   f.number = ttl;
   return f;
 }
 Fact Came(rules::Ms at, const std::string& machine, const std::string& source = "") {
-  Fact f = MakeFact(at, Deed::kLegCame);
+  Fact f = MakeFact(at, Deed::kAttemptCame);
   f.who = machine;
   f.other = source;
   return f;
 }
 Fact Ended(rules::Ms at, const std::string& machine, const std::string& word,
            const std::string& tag = "", rules::Ms issued = 0) {
-  Fact f = MakeFact(at, Deed::kLegEnded);
+  Fact f = MakeFact(at, Deed::kAttemptEnded);
   f.who = machine;
   f.word = word;
   f.tag = tag;
@@ -139,8 +139,8 @@
   f.flag = group;
   return f;
 }
-Fact Ran(rules::Ms at, const std::string& pull) {
-  return MakeFact(at, Deed::kRan, pull);
+Fact Ran(rules::Ms at, const std::string& request) {
+  return MakeFact(at, Deed::kRan, request);
 }
 
 void TheCheckerTellsBreachesFromGoodRuns() {
@@ -151,8 +151,8 @@
   };
   Fact down = MakeFact(300, Deed::kFrontDown, ""), left = MakeFact(500, Deed::kLeft),
        second = Asked(600, 1);
-  second.pull = "b";
-  Fact dropped = MakeFact(50, Deed::kLegDropped);
+  second.request = "b";
+  Fact dropped = MakeFact(50, Deed::kAttemptDropped);
   dropped.who = "c1";
   std::vector<Case> cases{
       {"finished",
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -8,43 +8,43 @@
 
 namespace {
 
-void EveryPullGetsOneAnswer() {
+void EveryRequestGetsOneAnswer() {
   struct Case {
     Ending ending;
-    std::vector<std::string> told;
-    std::size_t legs;
+    std::vector<std::string> notified;
+    std::size_t attempts;
   };
   for (const Case& c :
        {Case{Ending::kFinished, {"200 t1"}, 1}, {Ending::kError, {}, 2}, {Ending::kFull, {}, 2}}) {
     Desk d;
     Asked client;
     d.exchange.OnRequest(AskFor(), client);
-    assert(d.caches.sent.size() == 1 && client.told.empty());
-    LegKey key = d.caches.sent[0].key;
+    assert(d.caches.sent.size() == 1 && client.notified.empty());
+    AttemptKey key = d.caches.sent[0].key;
     d.exchange.AnswerBegun(key, Said(c.ending), 3);
     d.exchange.AnswerBytes(key, "a\r");
     d.exchange.AnswerBytes(key, "b");
     d.exchange.AnswerWhole(key, Said(c.ending));
-    assert(client.Is(c.told) && d.caches.sent.size() == c.legs);
-    assert(c.told.empty() || client.body == "a\rb");
+    assert(client.Is(c.notified) && d.caches.sent.size() == c.attempts);
+    assert(c.notified.empty() || client.body == "a\rb");
     d.exchange.AnswerWhole(key, Said(Ending::kFinished));  // late, or twice
-    d.exchange.LegLost(key, loop::Parting::kReset, true);
-    assert(client.Is(c.told) && d.exchange.OpenPulls() == (c.told.empty() ? 1u : 0u));
+    d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
+    assert(client.Is(c.notified) && d.exchange.OpenRequests() == (c.notified.empty() ? 1u : 0u));
   }
 }
 
 // An exclusive pull whose leg was written whole and broke may have run: it is abandoned. Not
 // written whole, or never up: it goes out again.
-void ExclusivePullsGoByWhatIsProven() {
+void ExclusiveRequestsGoByWhatIsProven() {
   for (bool whole : {false, true}) {
     Desk d;
     Asked client;
     Ask a = AskFor();
-    a.offering = "write";
-    a.offering_at = 1;
+    a.request_class = "write";
+    a.request_class_at = 1;
     a.body = "x";
     d.exchange.OnRequest(a, client);
-    d.exchange.LegLost(d.caches.sent[0].key, loop::Parting::kReset, whole);
+    d.exchange.AttemptLost(d.caches.sent[0].key, loop::DisconnectReason::kReset, whole);
     assert(client.Is(whole ? std::vector<std::string>{"502"} : std::vector<std::string>{}) == true);
     assert(d.caches.sent.size() == (whole ? 1u : 2u));
   }
@@ -72,8 +72,8 @@
     Ask a = AskFor();
     a.tag = c.held;
     if (c.writes) {
-      a.offering = "write";
-      a.offering_at = 1;
+      a.request_class = "write";
+      a.request_class_at = 1;
     }
     d.exchange.OnRequest(a, client);
     exchange::Word word = Said(Ending::kFinished);
@@ -81,50 +81,51 @@
     word.tag = c.tag;
     word.dated = c.dated;
     d.exchange.AnswerWhole(d.caches.sent[0].key, word);
-    assert(client.told.size() == (c.fits ? 1u : 0u) && d.caches.sent.size() == (c.fits ? 1u : 2u));
+    assert(client.notified.size() == (c.fits ? 1u : 0u) &&
+           d.caches.sent.size() == (c.fits ? 1u : 2u));
   }
 }
 
 void WhoLeavesIsOwedNothing() {
   Desk d;
   Asked client;
-  std::uint32_t pull = d.exchange.OnRequest(AskFor(), client);
-  d.exchange.OnClientLeft(pull);
-  assert(d.caches.given_up.size() == 1 && d.exchange.OpenPulls() == 0);
+  std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
+  d.exchange.OnClientLeft(request);
+  assert(d.caches.given_up.size() == 1 && d.exchange.OpenRequests() == 0);
   d.exchange.AnswerWhole(d.caches.sent[0].key, Said(Ending::kFinished));
-  assert(client.told.empty());
+  assert(client.notified.empty());
 }
 
-void OverduePullsAreAnswered() {
+void OverdueRequestsAreAnswered() {
   Desk d;
   Asked client;
   Ask a = AskFor();
   a.ttl = 30;
   d.exchange.OnRequest(a, client);
-  Until(d.loop, [&] { return !client.told.empty(); });
-  assert(client.told[0].substr(0, 3) == "503" && d.caches.given_up.size() == 1 &&
-         d.exchange.OpenPulls() == 0);
+  Until(d.loop, [&] { return !client.notified.empty(); });
+  assert(client.notified[0].substr(0, 3) == "503" && d.caches.given_up.size() == 1 &&
+         d.exchange.OpenRequests() == 0);
 }
 
 void StreamsArePassedOnAsTheyCome() {
-  StoreSheet s = kit::Sheet();
-  s.offerings[0].streams = true;
+  StoreSettings s = kit::Settings();
+  s.request_classes[0].streams = true;
   for (int end = 0; end < 3; ++end) {
     Desk d(s);
     Asked client;
-    std::uint32_t pull = d.exchange.OnRequest(AskFor(), client);
-    LegKey key = d.caches.sent[0].key;
+    std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
+    AttemptKey key = d.caches.sent[0].key;
     d.exchange.AnswerBegun(key, Said(Ending::kFinished), 4);
     d.exchange.AnswerBytes(key, "ab");
     assert(client.Is({"begun t1"}) && client.body == "ab");
     if (end == 0)
       d.exchange.AnswerWhole(key, Said(Ending::kFinished));
     if (end == 1)
-      d.exchange.LegLost(key, loop::Parting::kReset, true);
+      d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
     if (end == 2)
-      d.exchange.OnClientLeft(pull);
-    assert(client.told.size() == (end == 2 ? 1u : 2u) && d.exchange.OpenPulls() == 0);
-    assert(end == 2 || client.told[1] == (end == 0 ? "completed" : "broke"));
+      d.exchange.OnClientLeft(request);
+    assert(client.notified.size() == (end == 2 ? 1u : 2u) && d.exchange.OpenRequests() == 0);
+    assert(end == 2 || client.notified[1] == (end == 0 ? "completed" : "broke"));
     assert(d.caches.given_up.size() == (end == 2 ? 1u : 0u));
   }
 }
@@ -132,14 +133,14 @@
 // A machine keeps its number while it is listed; some minutes after it has left, told so or lacking
 // from a whole list, nothing of it is kept.
 void MachinesThatLeftAreForgotten() {
-  for (bool told : {true, false}) {
-    Desk d(kit::Sheet(), 2);
+  for (bool notified : {true, false}) {
+    Desk d(kit::Settings(), 2);
     auto two = Machines({{"s-0", {}}, {"s-1", {}}});
-    if (told)
+    if (notified)
       two[1].entry.standing = Standing::kGone;
     else
       two.pop_back();
-    d.exchange.ListCame(!told, two);
+    d.exchange.ListCame(!notified, two);
     d.loop.Skip(100000);
     two.resize(1);
     d.exchange.ListCame(false, two);
@@ -147,7 +148,7 @@
     d.loop.Skip(100000);
     d.exchange.ListCame(false, two);
     assert(d.caches.forgotten.size() ==
-           (told ? 1u : 2u));  // the origin was not on the second list either
+           (notified ? 1u : 2u));  // the origin was not on the second list either
   }
 }
 
@@ -259,11 +260,11 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"every pull gets one answer", EveryPullGetsOneAnswer},
-                 {"exclusive pulls go by what is proven", ExclusivePullsGoByWhatIsProven},
+  for (Case c : {Case{"every pull gets one answer", EveryRequestGetsOneAnswer},
+                 {"exclusive pulls go by what is proven", ExclusiveRequestsGoByWhatIsProven},
                  {"no copy is confirmed that nobody has", NoCopyIsConfirmedThatNobodyHas},
                  {"who leaves is owed nothing", WhoLeavesIsOwedNothing},
-                 {"overdue pulls are answered", OverduePullsAreAnswered},
+                 {"overdue pulls are answered", OverdueRequestsAreAnswered},
                  {"streams are passed on as they come", StreamsArePassedOnAsTheyCome},
                  {"machines that left are forgotten", MachinesThatLeftAreForgotten},
                  {"numbers are given in turn", NumbersAreGivenInTurn},
--- a/tests/exposition_test.cpp
+++ b/tests/exposition_test.cpp
@@ -20,7 +20,7 @@
     numbers[i] = 9007199254740000u + i;  // whole in a double, and each another's
   std::memcpy(&c, numbers, sizeof c);
   std::istringstream text(front::Exposition(c));
-  std::map<std::string, double> told;
+  std::map<std::string, double> notified;
   std::set<std::string> helped, typed;
   for (std::string line; std::getline(text, line);) {
     std::istringstream words(line);
@@ -37,16 +37,16 @@
     REQUIRE((words >> value));
     CHECK(helped.count(first) == 1);
     CHECK(typed.count(first) == 1);
-    CHECK(told.emplace(first, value).second);
+    CHECK(notified.emplace(first, value).second);
   }
-  CHECK(told.size() == kMany);
+  CHECK(notified.size() == kMany);
   std::set<double> values;
-  for (auto& [name, value] : told)
+  for (auto& [name, value] : notified)
     values.insert(value);
   CHECK(values.size() == kMany);
   CHECK(*values.begin() == static_cast<double>(numbers[0]));
   CHECK(*values.rbegin() == static_cast<double>(numbers[kMany - 1]));
-  CHECK(told.at("dunlinwick_pulls_total") == static_cast<double>(c.pulls));
-  CHECK(told.at("dunlinwick_late_total") == static_cast<double>(c.late_answers));
-  CHECK(told.at("dunlinwick_reloads_total") == static_cast<double>(c.reloads));
+  CHECK(notified.at("dunlinwick_pulls_total") == static_cast<double>(c.requests));
+  CHECK(notified.at("dunlinwick_late_total") == static_cast<double>(c.late_answers));
+  CHECK(notified.at("dunlinwick_reloads_total") == static_cast<double>(c.reloads));
 }
--- a/tests/fleet_budget_test.cpp
+++ b/tests/fleet_budget_test.cpp
@@ -66,11 +66,11 @@
 struct Fleet {
   Play play;
   std::knuth_b chance;
-  StoreSheet sheet = kit::Sheet();
+  StoreSettings settings = kit::Settings();
   std::vector<std::unique_ptr<Front>> fronts;
   std::vector<int> lives;  // by front: how often it was started
   std::vector<std::map<std::uint32_t, std::size_t>>
-      told;  // by front and server: its last start it knows of
+      notified;  // by front and server: its last start it knows of
   std::map<std::pair<std::size_t, std::uint32_t>, std::vector<Sent>>
       sent;         // by start and server, by told fronts
   double mean = 0;  // work of the requests that came
@@ -114,7 +114,7 @@
   }
   // What the rule allows in the window that ends then, in work, without what is chance.
   double Allowed(std::uint32_t id, Ms started, Ms at) const {
-    const ColdTerms& t = IsCache(id) ? sheet.cold_store : sheet.cold_parent;
+    const ColdTerms& t = IsCache(id) ? settings.cold_store : settings.cold_parent;
     return t.multiple * WeightOf(id) *
            (t.from + (1 - t.from) * std::min(1.0, (at - started) / t.lasts)) * kWindow;
   }
@@ -123,7 +123,7 @@
     ListNews news{Listing::kChanges, {}};
     for (std::uint32_t id : s.servers) {
       news.entries.push_back(Fresh(id, start));
-      told[front][id] = start;
+      notified[front][id] = start;
     }
     if (s.leaves)
       news.entries.push_back(
@@ -141,7 +141,7 @@
     ++lives[front];
     requests[front].clear();
     auto seed = 1000 * play.seed + front + 1000000 * static_cast<std::size_t>(lives[front]);
-    fronts[front] = std::make_unique<Front>(sheet, seed, ListNews{Listing::kWhole, {}});
+    fronts[front] = std::make_unique<Front>(settings, seed, ListNews{Listing::kWhole, {}});
     fronts[front]->now = at;
     fronts[front]->Tell(ListAtStart());
     for (std::size_t start = 0; start < play.starts.size(); ++start)
@@ -151,21 +151,21 @@
 
   explicit Fleet(const Play& p) : play(p), chance(p.seed) {
     auto n = static_cast<std::size_t>(p.fronts);
-    sheet.fronts = sheet.crew = p.fronts;
-    sheet.link_kb_per_ms = 1e9;
-    for (Offering& o : sheet.offerings) {
+    settings.fronts = settings.zone_replicas = p.fronts;
+    settings.link_kb_per_ms = 1e9;
+    for (RequestClass& o : settings.request_classes) {
       o.expiry = 20000;
       o.agreed_stretch = 4;
     }
     if (!p.ramps)
-      sheet.cold_store.from = 1;
+      settings.cold_store.from = 1;
     ListNews news = ListAtStart();
     lives.resize(n);
-    told.resize(n);
+    notified.resize(n);
     std::vector<double> busy;  // some fronts get several times the mean
     double all = 0;
     for (std::size_t i = 0; i < n; ++i) {
-      fronts.push_back(std::make_unique<Front>(sheet, 1000 * p.seed + i, news));
+      fronts.push_back(std::make_unique<Front>(settings, 1000 * p.seed + i, news));
       busy.push_back(std::exp(1.5 * Drawn()) * (Drawn() < 0.1 ? 4 : 1));
       all += busy.back();
       for (std::size_t start = 0; start < p.starts.size(); ++start)
@@ -184,10 +184,10 @@
     int came = 0;
     for (std::size_t i = 0; i < n; ++i) {
       std::exponential_distribution<> gap(rate * busy[i] / all);
-      PullCame r;
-      for (Ms at = kBegan - 2000 + gap(chance); at < kBegan + sheet.cold_store.lasts;
+      RequestCame r;
+      for (Ms at = kBegan - 2000 + gap(chance); at < kBegan + settings.cold_store.lasts;
            at += gap(chance)) {
-        if (came % p.row == 0 || r.pull == 0) {
+        if (came % p.row == 0 || r.request == 0) {
           r.object = ++object;
           r.part = 0;
           constexpr double kRare = 1.0 / 50;
@@ -197,7 +197,7 @@
           r.size_kb = 10 * p.mean * std::clamp(size, 0.01, 40.0);
         }
         ++r.part;
-        ++r.pull;
+        ++r.request;
         ++came;
         works += r.size_kb / 10;
         r.ttl = 15000;
@@ -206,7 +206,7 @@
       }
     }
     mean = works / came;
-    for (; !due.empty() && due.top().at < kBegan + sheet.cold_store.lasts;) {
+    for (; !due.empty() && due.top().at < kBegan + settings.cold_store.lasts;) {
       Due next = due.top();
       due.pop();
       turn(next);
@@ -230,24 +230,24 @@
     Front& f = *fronts[next.front];
     int life = lives[next.front];
     auto& open = requests[next.front];
-    if (auto* r = std::get_if<PullCame>(&event))
-      open[r->pull] = {0, r->size_kb / 10};
+    if (auto* r = std::get_if<RequestCame>(&event))
+      open[r->request] = {0, r->size_kb / 10};
     f.now = next.at;
     f.Tell(event);
     for (const Action& a : std::vector<Action>(f.did)) {
       if (auto* w = std::get_if<WakeMe>(&a))
         Later(w->at, next.front, WakeUp{w->handle}, life);
-      auto* s = std::get_if<SendLeg>(&a);
+      auto* s = std::get_if<SendAttempt>(&a);
       if (!s)
         continue;
-      auto& [attempts, work] = open[s->pull];
-      for (auto [id, start] : told[next.front])
+      auto& [attempts, work] = open[s->request];
+      for (auto [id, start] : notified[next.front])
         if (s->cache == id || s->source == id)
           sent[{start, id}].push_back({f.now, work});
-      LegEnded e;
-      e.pull = s->pull;
+      AttemptEnded e;
+      e.request = s->request;
       e.cache = s->cache;
-      e.leg = attempts++;
+      e.attempt = attempts++;
       double u = Drawn();
       bool fills = s->source != s->cache;
       if (u < 0.08) {
@@ -298,7 +298,7 @@
       if (s.at >= started + 3000)
         all += CountedFormerly(s);
     }
-    Ms lasts = kBegan + sheet.cold_store.lasts - started - 3000;
+    Ms lasts = kBegan + settings.cold_store.lasts - started - 3000;
     out.usual = all / (Allowed(id, started, started + 3000 + lasts / 2) * lasts / kWindow);
     return out;
   }
@@ -484,10 +484,10 @@
 // Crossing: a start whose news comes late. What went there in the last window before the news
 // counts: with it the front keeps within its share, as if it had known.
 int WhatWentBeforeTheNewsCounts() {
-  StoreSheet s = Sheet();
+  StoreSettings s = Settings();
   s.link_kb_per_ms = 1e9;
   Front f(s);
-  std::uint32_t home = f.Pull(1).cache;
+  std::uint32_t home = f.Request(1).cache;
   f.Finish({1, home});
   Ms start = f.now += 10;
   std::uint64_t object = 1;
@@ -496,7 +496,7 @@
   auto play = [&](Ms until) {
     while (f.now < until) {
       f.now += 5;
-      SendLeg a = f.Pull(++object);
+      SendAttempt a = f.Request(++object);
       if (a.cache == home)
         sent += 100;
       if (a.cache)
@@ -529,11 +529,11 @@
   double works = 0;
   int came = 0;
 
-  LargestFirst(const StoreSheet& s, std::uint64_t seed) : front(s, seed) {
-    home = front.Pull(1).cache;
+  LargestFirst(const StoreSettings& s, std::uint64_t seed) : front(s, seed) {
+    home = front.Request(1).cache;
     front.Finish({1, home});
     for (std::uint64_t object = 2;
-         at_home.size() < (kFirstOnes + 1) * kWindows || front.last_pull < 500; ++object)
+         at_home.size() < (kFirstOnes + 1) * kWindows || front.last_request < 500; ++object)
       if (Request(object, kSmallWork) == home)
         at_home.push_back(object);
     sent.clear();
@@ -558,7 +558,7 @@
     front.now += 1;
     works += work;
     ++came;
-    SendLeg a = front.Pull(object, 0, 10 * work, 19000);
+    SendAttempt a = front.Request(object, 0, 10 * work, 19000);
     if (a.cache == home)
       sent.push_back({front.now, work});
     if (a.cache)
@@ -571,15 +571,15 @@
 // same time.
 int LargestOfFewComeTogether() {
   int over = 0;
-  StoreSheet s = Sheet();
+  StoreSettings s = Settings();
   s.link_kb_per_ms = 1e9;
   s.cold_store.from = 1;
-  for (Offering& o : s.offerings) {
+  for (RequestClass& o : s.request_classes) {
     o.expiry = 20000;
     o.agreed_stretch = 4;
   }
   for (int fronts : {1, 2, 3}) {
-    s.fronts = s.crew = fronts;
+    s.fronts = s.zone_replicas = fronts;
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       std::vector<Sent> all;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -61,7 +61,7 @@
     h = std::make_unique<fleet::Harness>(loop, f,
                                          fleet::Programs{programs[1], programs[2], "", folder}, 7);
     Until("all see each other", [&] { return Calm(); });
-    h->Ask(f.pulls_per_s);
+    h->Ask(f.requests_per_s);
     h->Wait(1000);
     from = loop.now();
   }
--- a/tests/front_terms_test.cpp
+++ b/tests/front_terms_test.cpp
@@ -88,9 +88,9 @@
       if (all.mode_ == ServerMode::kAnswer)
         connection.Send(id + " HIT entity=t,issued=1,remark=local 2\r\nok\r\n");
       if (all.mode_ == ServerMode::kReset)
-        connection.EndAs(loop::Parting::kLetGo);
+        connection.EndAs(loop::DisconnectReason::kLetGo);
     }
-    void Ended(loop::Parting) override {
+    void Ended(loop::DisconnectReason) override {
       connection.Close();
     }
   };
@@ -117,7 +117,7 @@
     if (answered_at == 0 && received.find("\r\n\r\n") != std::string::npos)
       answered_at = process->loop().now();
   }
-  void Ended(loop::Parting) override {
+  void Ended(loop::DisconnectReason) override {
     ended_by_front = true;
   }
   std::size_t CountAnswers() const {
@@ -166,7 +166,7 @@
     }
     front_process.Act([&] {
       front = std::make_unique<front::Front>(
-          front_process.loop(), front::ReadCharterText(Configuration(sockets), "test", ""));
+          front_process.loop(), front::ReadConfigurationText(Configuration(sockets), "test", ""));
     });
   }
   ~Deployment() {
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-std::string Charter(const loop::Address& listen, const std::string& board,
-                    const std::string& store) {
+std::string Configuration(const loop::Address& listen, const std::string& discovery,
+                          const std::string& store) {
   return "{\"name\":\"n0\",\"listen\":\"" + kit::Text(listen) +
          "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
          "1024},"
          "\"board\":\"" +
-         board +
+         discovery +
          "\",\"known\":{\"rev\":1,\"notices\":[{\"rev\":1,\"pool\":{\"full\":true,\"servers\":[{"
          "\"id\":\"s-"
          "1\",\"addr\":"
@@ -94,13 +94,13 @@
 
 const std::string kAlive = "GET /alive HTTP/1.1\r\n\r\n";
 
-bool ToldTheEnd(Far& f) {
+bool NotifiedTheEnd(Far& f) {
   pollfd one{f.fd.Get(), POLLRDHUP, 0};
   return ::poll(&one, 1, 0) == 1;
 }
 
 void UnusableChartersSayWhy() {
-  std::string good = Charter(FreeAddress(), "127.0.0.1:1", "127.0.0.1:2");
+  std::string good = Configuration(FreeAddress(), "127.0.0.1:1", "127.0.0.1:2");
   struct Case {
     const char *from, *to, *named;
   };
@@ -116,7 +116,7 @@
     text.replace(text.find(c.from), std::string(c.from).size(), c.to);
     std::string path = Written(text);
     try {
-      front::ReadCharter(path, "");
+      front::ReadConfiguration(path, "");
     } catch (const std::runtime_error& fault) {
       said = fault.what();
     }
@@ -128,12 +128,12 @@
 // What the platform tells besides: names of its own that are no blocks of ours, whatever this build
 // has. A front that took the list of its peers' addresses for a block would not start at all.
 void ThePlatformsOwnFieldsArePassedOver() {
-  std::string text = Charter(FreeAddress(), "127.0.0.1:1", "127.0.0.1:2");
+  std::string text = Configuration(FreeAddress(), "127.0.0.1:1", "127.0.0.1:2");
   text.insert(1,
               "\"peer_listen\":\"10.0.0.4:7946\",\"peers\":[\"10.3.0.1:7946\",\"10.3.0.2:7946\"],"
               "\"peers_all\":\"10.3.255.1:7946\","
               "\"flow_bytes_per_s\":310000,\"link_bytes_per_s\":1240000,");
-  front::Charter c = front::ReadCharterText(text, "test", "");
+  front::Configuration c = front::ReadConfigurationText(text, "test", "");
   assert(!c.peers.on && !c.fleet.on && !c.owner.on && !c.record.on && c.name == "n0");
 }
 
@@ -141,15 +141,15 @@
 // end is 0.
 void APlannedStopAnswersAll() {
   loop::Loop loop;
-  FarListener store, board;
+  FarListener store, discovery;
   loop::Address at = FreeAddress();
-  std::string path = Written(Charter(at, board.Text(), store.Text()));
+  std::string path = Written(Configuration(at, discovery.Text(), store.Text()));
   pid_t child = ::fork();
   assert(child >= 0);
   if (child == 0)
     ::_exit(front::Serve(path, ""));
-  Far board_end = board.Next(loop);
-  Until(loop, [&] { return board_end.Hears("watch 1\n"); });
+  Far discovery_end = discovery.Next(loop);
+  Until(loop, [&] { return discovery_end.Hears("watch 1\n"); });
   Far first = Far::To(at), second = Far::To(at);
   first.Send("GET /alive HTTP/1.1\r\n\r\n");
   Until(loop, [&] { return first.Hears("HTTP/1.1 200 OK\r\n"); });
@@ -184,7 +184,7 @@
   loop::Loop loop;
   FarListener store, old, next, last;
   loop::Address at = FreeAddress();
-  std::string path = Written(Charter(at, old.Text(), store.Text()));
+  std::string path = Written(Configuration(at, old.Text(), store.Text()));
   pid_t child = ::fork();
   assert(child >= 0);
   if (child == 0)
@@ -203,7 +203,7 @@
   assert(!(old_end.Read(), old_end.over));
   // Event 2 stands in the new file as well, 3 is new there, 5 comes before 4: the board is asked
   // for it.
-  std::string fresh = Charter(at, next.Text(), store.Text());
+  std::string fresh = Configuration(at, next.Text(), store.Text());
   std::string head = "\"known\":{\"rev\":1,\"notices\":[";
   fresh.replace(
       fresh.find(head), head.size(),
@@ -218,7 +218,7 @@
     old_end.Read();
     return old_end.over;
   });
-  Written(Charter(at, last.Text(), store.Text()));
+  Written(Configuration(at, last.Text(), store.Text()));
   ::kill(child, SIGTERM);
   ::kill(child, SIGHUP);
   Far last_end = last.Next(loop);
@@ -236,9 +236,9 @@
 // third is ended, and the exit is 0.
 void AStopEndsAllThatIsOpen() {
   loop::Loop loop;
-  FarListener store, board;
+  FarListener store, discovery;
   loop::Address at = FreeAddress();
-  Served front(Written(Charter(at, board.Text(), store.Text())));
+  Served front(Written(Configuration(at, discovery.Text(), store.Text())));
   Far waits = Arrive(loop, at), rests = Far::To(at), silent = Far::To(at);
   rests.Send(kAlive);
   Until(loop, [&] { return rests.Hears("HTTP/1.1 200 OK\r\n"); });
@@ -254,7 +254,7 @@
   front.Tell(SIGTERM);
   front.Tell(SIGINT);
   assert(half.Hears("HTTP/1.1 503 ") && half.Hears("Connection: close\r\n"));
-  Until(loop, [&] { return ToldTheEnd(rests) && ToldTheEnd(silent); });
+  Until(loop, [&] { return NotifiedTheEnd(rests) && NotifiedTheEnd(silent); });
   Until(loop, [&] { return waits.Hears("\r\n\r\n"); });
   assert(waits.Hears("HTTP/1.1 50") && waits.Hears("Connection: close\r\n"));
   front.EndsWell(loop);  // though none of them closes
@@ -263,7 +263,7 @@
 // It is kept until the front is there.
 void AStopDuringTheStartIsKept() {
   loop::Loop loop;
-  FarListener store, board;
+  FarListener store, discovery;
   loop::Address at = FreeAddress();
   std::string path = "/tmp/dunlinwick_test." + std::to_string(::getpid()) + ".fifo";
   ::unlink(path.c_str());
@@ -272,7 +272,7 @@
   int to = ::open(path.c_str(), O_WRONLY);  // until the front opens it
   assert(to >= 0);
   front.Tell(SIGTERM);
-  std::string text = Charter(at, board.Text(), store.Text());
+  std::string text = Configuration(at, discovery.Text(), store.Text());
   assert(::write(to, text.data(), text.size()) == static_cast<ssize_t>(text.size()));
   ::close(to);
   front.EndsWell(loop);
@@ -283,7 +283,7 @@
   loop::Loop loop;
   FarListener store, old, next;
   loop::Address at = FreeAddress();
-  Served front(Written(Charter(at, old.Text(), store.Text())));
+  Served front(Written(Configuration(at, old.Text(), store.Text())));
   Far client = Arrive(loop, at);
   client.Send(Get());
   Far cache = store.Next(loop);
@@ -293,7 +293,7 @@
   Until(loop, [&] {
     return ::waitpid(front.pid, &status, WUNTRACED | WNOHANG) == front.pid && WIFSTOPPED(status);
   });
-  Written(Charter(at, next.Text(), store.Text()));
+  Written(Configuration(at, next.Text(), store.Text()));
   front.Tell(SIGTERM);
   front.Tell(SIGHUP);
   front.Tell(SIGCONT);
@@ -334,9 +334,9 @@
   };
   for (Leave how : {Leave::kClose, Leave::kReset, Leave::kHalfClose}) {
     loop::Loop loop;
-    FarListener store, board;
+    FarListener store, discovery;
     loop::Address at = FreeAddress();
-    std::string text = Charter(at, board.Text(), store.Text());
+    std::string text = Configuration(at, discovery.Text(), store.Text());
     // Exclusive: the cache is asked whether it is there before a request is written to a new
     // connection.
     const std::string first_class = "\"classes\":[";
@@ -381,9 +381,9 @@
 // its close wait together.
 void AClientOfAStandstillIsNotServedAfterItLeft() {
   loop::Loop loop;
-  FarListener store, board;
+  FarListener store, discovery;
   loop::Address at = FreeAddress();
-  Served front(Written(Charter(at, board.Text(), store.Text())));
+  Served front(Written(Configuration(at, discovery.Text(), store.Text())));
   Far other = Arrive(loop, at);
   other.Send(kAlive);
   Until(loop, [&] { return other.Hears("HTTP/1.1 200 OK\r\n"); });
@@ -406,9 +406,9 @@
 void RestingClientsKeepNobodyOut() {
   for (bool by_system : {false, true}) {
     loop::Loop loop;
-    FarListener store(16), board(16);
+    FarListener store(16), discovery(16);
     loop::Address at = FreeAddress();
-    std::string text = Charter(at, board.Text(), store.Text());
+    std::string text = Configuration(at, discovery.Text(), store.Text());
     if (!by_system)
       text.replace(text.find("1024"), 4, "64");
     Served front(Written(text), by_system ? 64 : 0);
@@ -422,9 +422,9 @@
     Far newcomer = Far::To(at);
     newcomer.Send(kAlive);
     Until(loop, [&] { return newcomer.Hears("HTTP/1.1 200 OK\r\n"); });
-    assert(ToldTheEnd(rest[0]));
-    Far board_end = board.Next(loop);
-    Until(loop, [&] { return board_end.Hears("watch 1\n"); });
+    assert(NotifiedTheEnd(rest[0]));
+    Far discovery_end = discovery.Next(loop);
+    Until(loop, [&] { return discovery_end.Hears("watch 1\n"); });
     newcomer.Send(Get());
     Far cache = store.Next(loop);
     Until(loop, [&] { return cache.Hears("want "); });
@@ -439,8 +439,8 @@
 // caches to be without end.
 void TooFewDescriptorsAreRefused() {
   loop::Loop loop;
-  front::Charter c =
-      front::ReadCharterText(Charter(FreeAddress(), "127.0.0.1:1", "127.0.0.1:2"), "test", "");
+  front::Configuration c = front::ReadConfigurationText(
+      Configuration(FreeAddress(), "127.0.0.1:1", "127.0.0.1:2"), "test", "");
   rlimit full{}, few{};
   ::getrlimit(RLIMIT_NOFILE, &full);
   std::string said;
@@ -464,7 +464,7 @@
 void AllAreReadyWhileDiscoveryIsDownOrMute() {
   for (bool mute : {false, true}) {
     loop::Loop loop;
-    FarListener store, board;
+    FarListener store, discovery;
     loop::Address nobody = FreeAddress();
     std::vector<loop::Address> at;
     {
@@ -476,9 +476,10 @@
     }
     std::vector<Served> fronts;
     for (int i = 0; i < 6; ++i)
-      fronts.emplace_back(Written(Charter(at[static_cast<std::size_t>(i)],
-                                          mute ? board.Text() : kit::Text(nobody), store.Text()),
-                                  i));
+      fronts.emplace_back(
+          Written(Configuration(at[static_cast<std::size_t>(i)],
+                                mute ? discovery.Text() : kit::Text(nobody), store.Text()),
+                  i));
     std::vector<Far> clients;
     for (const loop::Address& a : at) {
       clients.push_back(Arrive(loop, a));
@@ -507,7 +508,7 @@
        std::vector<std::vector<int>>{{2}, {1, 2}, {0, 1, 2}, {0, 2}}) {
     loop::Loop loop;
     loop::Address at = FreeAddress();
-    Served front(Written(Charter(at, "127.0.0.1:1", "127.0.0.1:2")), 0, [&] {
+    Served front(Written(Configuration(at, "127.0.0.1:1", "127.0.0.1:2")), 0, [&] {
       for (int fd : closed)
         ::close(fd);
     });
@@ -537,7 +538,7 @@
   }
   ::fcntl(to.Get(), F_SETFL, 0);  // as a front has it: a write would wait for a reader
   loop::Address at = FreeAddress();
-  Served front(Written(Charter(at, "127.0.0.1:1", "127.0.0.1:2")), 0,
+  Served front(Written(Configuration(at, "127.0.0.1:1", "127.0.0.1:2")), 0,
                [&] { ::dup2(to.Get(), STDERR_FILENO); });
   Far client = Arrive(loop, at);
   constexpr int kRounds = 3;
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -268,8 +268,8 @@
       "file",
       R"({"length_s": 60, "steps": [{"at_s": 2, "do": "kill", "fronts": [2, 5, 8], "for_s": 30}]})");
   History good = PlayStaged(f, s, 3);
-  auto pull = [&](Ms at) {
-    PullSeen p;
+  auto request = [&](Ms at) {
+    RequestSeen p;
     p.id = "p";
     p.front = 1;
     p.at = at;
@@ -281,7 +281,7 @@
     p.place = "b";
     return p;
   };
-  good.pulls = {pull(4000)};
+  good.requests = {request(4000)};
   good.ran = {{"x", 1}};
   assert(CheckHistory(f, good).empty());
   struct Case {
@@ -328,15 +328,15 @@
              }},
         Case{"answers",
              [&](History& h) {
-               h.pulls[0].answers = 2;
+               h.requests[0].answers = 2;
              }},
         Case{"answers",
              [&](History& h) {
-               h.pulls[0].answers = 0;
+               h.requests[0].answers = 0;
              }},
         Case{"answers",
              [&](History& h) {
-               h.pulls[0].answered_at += 3000;
+               h.requests[0].answered_at += 3000;
              }},
         Case{"effects", [&](History& h) {
                h.ran["x"] = 2;
@@ -352,9 +352,9 @@
   }
   // What a killed front owes is not held against it.
   History h = good;
-  h.pulls[0].front = 2;
-  h.pulls[0].at = good.cues[0].at - 100;
-  h.pulls[0].answers = 0;
+  h.requests[0].front = 2;
+  h.requests[0].at = good.cues[0].at - 100;
+  h.requests[0].answers = 0;
   assert(CheckHistory(f, h).empty());
 }
 
--- a/tests/keepers_test.cpp
+++ b/tests/keepers_test.cpp
@@ -151,7 +151,7 @@
          .forgotten = 4,
          .last_token = 6,
          .seen = {{0, 1}, {2, 8}},
-         .spoilt = true,
+         .corrupted = true,
          .holes = {3, 4}};
   Append a;
   a.token = 4;
@@ -162,7 +162,7 @@
   a.anew = true;
   a.session = 5;
   a.proves = true;
-  a.spoilt = true;
+  a.corrupted = true;
   a.cleaned = 2;
   a.forgotten = 1;
   a.passed = 3;
--- a/tests/kit.hpp
+++ b/tests/kit.hpp
@@ -18,9 +18,9 @@
 
 constexpr int kStoreKind = 0, kParentKind = 1, kOriginKind = 2;
 
-inline StoreSheet Sheet() {
-  StoreSheet s;
-  Offering video, write;
+inline StoreSettings Settings() {
+  StoreSettings s;
+  RequestClass video, write;
   video.agreed = 500;
   video.agreed_stretch = 2;
   video.expiry = 5000;
@@ -30,15 +30,15 @@
   write.expiry = 3000;
   write.payoff = 3;
   write.never_kept = true;
-  s.offerings = {video, write};
+  s.request_classes = {video, write};
   s.zone = 1;
   s.fronts = 2;
-  s.crew = 1;
+  s.zone_replicas = 1;
   s.parent_kind = kParentKind;
   s.origin_kind = kOriginKind;
   s.weighing = Weighing::kNominal;
   s.may = {true, true, true, false, true};
-  s.most_legs = 8;
+  s.most_attempts = 8;
   s.lateral = true;
   s.stream_kb_per_ms = 10;
   s.link_kb_per_ms = 150;
@@ -75,10 +75,10 @@
 struct Front {
   Router router;
   Ms now = 1e6;
-  std::uint32_t last_pull = 0;
+  std::uint32_t last_request = 0;
   std::vector<Action> did;  // by the last event
 
-  explicit Front(StoreSheet s = Sheet(), std::uint64_t seed = 1, ListNews news = List())
+  explicit Front(StoreSettings s = Settings(), std::uint64_t seed = 1, ListNews news = List())
       : router(s, seed) {
     Tell(news);
   }
@@ -94,41 +94,41 @@
     return found;
   }
   // The leg that a new pull leads to; cache 0 when it leads to none.
-  SendLeg Pull(std::uint64_t object, int offering = 0, double size_kb = 1000, Ms ttl = 4000,
-               int part = 0) {
-    PullCame p;
-    p.pull = ++last_pull;
-    p.offering = offering;
+  SendAttempt Request(std::uint64_t object, int request_class = 0, double size_kb = 1000,
+                      Ms ttl = 4000, int part = 0) {
+    RequestCame p;
+    p.request = ++last_request;
+    p.request_class = request_class;
     p.object = object;
     p.ttl = ttl;
     p.size_kb = size_kb;
     p.part = part;
     p.group = 7;
     Tell(p);
-    return leg();
+    return attempt();
   }
-  SendLeg leg() const {
-    return all<SendLeg>().empty() ? SendLeg{} : all<SendLeg>().front();
+  SendAttempt attempt() const {
+    return all<SendAttempt>().empty() ? SendAttempt{} : all<SendAttempt>().front();
   }
   bool Declined() const {
-    return !all<DeclinePull>().empty();
+    return !all<DeclineRequest>().empty();
   }
   bool Abandoned() const {
-    return !all<AbandonPull>().empty();
+    return !all<AbandonRequest>().empty();
   }
-  void end(const SendLeg& a, Ending ending, Remark remark = Remark::kNone, int leg = 0,
+  void end(const SendAttempt& a, Ending ending, Remark remark = Remark::kNone, int attempt = 0,
            Ms took = 105) {
-    LegEnded e;
-    e.pull = a.pull;
+    AttemptEnded e;
+    e.request = a.request;
     e.cache = a.cache;
-    e.leg = leg;
+    e.attempt = attempt;
     e.ending = ending;
     e.remark = remark;
     e.took = took;
     e.final = ending == Ending::kFinished;
     Tell(e);
   }
-  void Finish(const SendLeg& a, Remark remark = Remark::kHit) {
+  void Finish(const SendAttempt& a, Remark remark = Remark::kHit) {
     end(a, Ending::kFinished, remark);
   }
 };
--- a/tests/large_objects_test.cpp
+++ b/tests/large_objects_test.cpp
@@ -35,7 +35,7 @@
 };
 
 struct Request {
-  std::size_t offering;
+  std::size_t request_class;
   Ms at;
   Ms sending;
   Ms agreed_at;
@@ -52,7 +52,7 @@
   std::uint32_t request;
   std::uint32_t cache;
   std::uint32_t source;
-  int leg;
+  int attempt;
   Ms began;
   Ms left;
   bool fills;
@@ -62,7 +62,7 @@
 struct Site {
   Play play;
   std::mt19937_64 chance;
-  StoreSheet sheet = kit::Sheet();
+  StoreSettings settings = kit::Settings();
   std::vector<Request> requests{};
   std::vector<Transfer> transfers{};
   std::multimap<Ms, Event> due{};
@@ -73,18 +73,18 @@
   std::size_t declined = 0;
 
   explicit Site(const Play& p) : play(p), chance(p.seed) {
-    sheet.offerings.clear();
+    settings.request_classes.clear();
     for (const Class& c : kClasses) {
-      Offering o;
+      RequestClass o;
       o.agreed = c.agreed;
       o.agreed_stretch = 2;
       o.expiry = kLongest;
       o.payoff = c.payoff;
-      sheet.offerings.push_back(o);
+      settings.request_classes.push_back(o);
     }
-    sheet.fronts = sheet.crew = 1;
-    sheet.places = p.places;
-    sheet.link_kb_per_ms = 10 * p.link;
+    settings.fronts = settings.zone_replicas = 1;
+    settings.places = p.places;
+    settings.link_kb_per_ms = 10 * p.link;
     std::normal_distribution<> normal;
     std::uniform_real_distribution<> uniform;
     for (std::size_t i = 0; i < std::size(kClasses); ++i) {
@@ -108,7 +108,7 @@
     }
     std::sort(requests.begin(), requests.end(),
               [](const Request& a, const Request& b) { return a.at < b.at; });
-    Front f(sheet, p.seed);
+    Front f(settings, p.seed);
     std::size_t next = 0;
     for (f.now = 1e6; f.now < 1e6 + kLasts + kLeadIn + 10000; f.now += kTick) {
       for (; next < requests.size() && requests[next].at <= f.now; ++next)
@@ -130,9 +130,9 @@
       return;
     }
     ++open;
-    PullCame e;
-    e.pull = i + 1;
-    e.offering = static_cast<int>(r.offering);
+    RequestCame e;
+    e.request = i + 1;
+    e.request_class = static_cast<int>(r.request_class);
     e.object = i + 1;
     e.group = 7;
     e.ttl = r.leaves_at - r.at;
@@ -148,9 +148,9 @@
 
   void Hear(Front& f, const Event& e) {
     if (auto* left = std::get_if<ClientLeft>(&e)) {
-      if (!requests[left->pull - 1].open)
+      if (!requests[left->request - 1].open)
         return;
-      Close(requests[left->pull - 1]);
+      Close(requests[left->request - 1]);
     }
     f.Tell(e);
     for (const Action& a : std::vector<Action>(f.did)) {
@@ -158,25 +158,25 @@
         due.emplace(w->at, WakeUp{w->handle});
       if (auto* p = std::get_if<ProbeCache>(&a))
         due.emplace(f.now + kTick, ProbeEnded{p->cache, true, 1, {}});
-      if (auto* d = std::get_if<DeclinePull>(&a)) {
-        declined += requests[d->pull - 1].open;
-        Close(requests[d->pull - 1]);
+      if (auto* d = std::get_if<DeclineRequest>(&a)) {
+        declined += requests[d->request - 1].open;
+        Close(requests[d->request - 1]);
       }
-      if (auto* d = std::get_if<AbandonPull>(&a))
-        Close(requests[d->pull - 1]);
-      if (auto* s = std::get_if<SendLeg>(&a))
+      if (auto* d = std::get_if<AbandonRequest>(&a))
+        Close(requests[d->request - 1]);
+      if (auto* s = std::get_if<SendAttempt>(&a))
         Send(f, *s);
-      if (auto* c = std::get_if<CancelLeg>(&a))
+      if (auto* c = std::get_if<CancelAttempt>(&a))
         for (Transfer& t : transfers)
-          t.called |= t.request == c->pull && t.leg == c->leg;
+          t.called |= t.request == c->request && t.attempt == c->attempt;
     }
   }
 
   void end(const Transfer& t, Ms at, Ending ending, Remark remark) {
-    LegEnded e;
-    e.pull = t.request;
+    AttemptEnded e;
+    e.request = t.request;
     e.cache = t.cache;
-    e.leg = t.leg;
+    e.attempt = t.attempt;
     e.ending = ending;
     e.remark = remark;
     e.took = at - t.began;
@@ -185,9 +185,9 @@
     due.emplace(at, e);
   }
 
-  void Send(Front& f, const SendLeg& s) {
-    Request& r = requests[s.pull - 1];
-    Transfer t{s.pull, s.cache, s.source, r.attempts++, f.now, r.sending, !r.kept};
+  void Send(Front& f, const SendAttempt& s) {
+    Request& r = requests[s.request - 1];
+    Transfer t{s.request, s.cache, s.source, r.attempts++, f.now, r.sending, !r.kept};
     bool fillable = s.source != s.cache && !s.held_only;
     if (t.fills && !fillable)
       return end(t, f.now + 5, Ending::kMiss, Remark::kNone);
@@ -244,10 +244,10 @@
     double next;
     std::size_t count;
   };
-  Shares shares(std::size_t offering) const {
+  Shares shares(std::size_t request_class) const {
     std::vector<const Request*> of;
     for (const Request& r : requests)
-      if (r.offering == offering && r.at >= 1e6 + kLeadIn)
+      if (r.request_class == request_class && r.at >= 1e6 + kLeadIn)
         of.push_back(&r);
     std::sort(of.begin(), of.end(), [](auto* a, auto* b) { return a->sending > b->sending; });
     auto share = [&](std::size_t from, std::size_t to) {
@@ -264,8 +264,8 @@
     double won = 0, offered = 0;
     for (const Request& r : requests)
       if (r.at >= 1e6 + kLeadIn) {
-        offered += kClasses[r.offering].payoff;
-        won += r.in_time ? kClasses[r.offering].payoff : 0;
+        offered += kClasses[r.request_class].payoff;
+        won += r.in_time ? kClasses[r.request_class].payoff : 0;
       }
     return won / offered;
   }
@@ -274,7 +274,7 @@
 // Each mix of sizes, load, link and places, by some seeds; every play is judged by itself.
 int LargeObjectsAreAnswered() {
   int broken = 0;
-  bool told = std::getenv("LARGE_OBJECTS_ALL");
+  bool notified = std::getenv("LARGE_OBJECTS_ALL");
   // Under sanitizers, where DUNLINWICK_SEEDS is set, the first seed of each.
   std::uint64_t seeds = std::getenv("DUNLINWICK_SEEDS") ? 1 : 3;
   double worths[3] = {};
@@ -294,7 +294,7 @@
               auto s = site.shares(i);
               bool wrong = s.largest < bound * s.all || s.next < bound * s.all;
               broken += wrong;
-              if (wrong || told)
+              if (wrong || notified)
                 std::printf(
                     "%s load %.1f sigma %.1f link %2.0f places %2d seed %d class %zu (%zu "
                     "requests): answered %.3f, "
--- a/tests/layer_test.cpp
+++ b/tests/layer_test.cpp
@@ -390,7 +390,7 @@
   s.h->Wait(1500);
   auto history = s.h->history();
   int unanswered = 0;
-  for (const auto& p : history.pulls)
+  for (const auto& p : history.requests)
     unanswered += p.ended && p.answers != 1 && p.front != 7;
   assert(unanswered == 0 && "each pull one answer, through the turns");
   s.Judged();
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -134,15 +134,15 @@
     text.replace(text.find(c.from), std::string(c.from).size(), c.to);
     std::string said;
     try {
-      sheet::ReadSheet(text);
-    } catch (const sheet::SheetFault& fault) {
+      settings::ReadSettings(text);
+    } catch (const settings::SettingsFault& fault) {
       said = fault.what();
     }
     assert(said.find(c.named) != said.npos);
   }
-  StoreSheet s = sheet::ReadSheet(kFacts);
+  StoreSettings s = settings::ReadSettings(kFacts);
   assert(s.zone == 1 && s.longest_retry_after == 500 &&
-         s.offerings[0].effect == Effect::kRerunnable);
+         s.request_classes[0].effect == Effect::kIdempotent);
 }
 
 int main() {
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -48,7 +48,7 @@
 }
 
 // Undoes the escapes of bytes below 0x80 and of one byte each.
-std::string Undone(std::string_view line) {
+std::string Reverted(std::string_view line) {
   std::string all;
   for (std::size_t i = 0; i < line.size(); ++i) {
     if (line[i] != '\\') {
@@ -104,7 +104,7 @@
     std::string bytes = *rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127));
     Kept k;
     k.log.Say(bytes);
-    RC_ASSERT(Undone(k.lines.at(0)) == bytes);
+    RC_ASSERT(Reverted(k.lines.at(0)) == bytes);
   }));
 }
 
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -6,25 +6,25 @@
 
 static void OneFinalAnswerInTime() {
   Front f;
-  SendLeg a = f.Pull(1);
+  SendAttempt a = f.Request(1);
   assert(a.cache != 0 && !a.proven);
   f.now +=
       4000 -
       3;  // nothing came: the answer goes out before the client leaves, and the leg is called off
-  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.pull});
-  assert(f.Declined() && f.all<CancelLeg>().size() == 1);
+  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.request});
+  assert(f.Declined() && f.all<CancelAttempt>().size() == 1);
   f.end(a, Ending::kCancelled);
   assert(f.did.empty());
-  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.pull});
+  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.request});
   assert(f.did.empty());
   f.end(a, Ending::kFinished);  // news of a pull already ended, of unknown legs and caches, and
                                 // stale timers
-  f.Tell(ClientLeft{a.pull});
+  f.Tell(ClientLeft{a.request});
   f.Tell(ProbeEnded{99, true, 1, {}});
   f.Tell(WakeUp{~std::uint64_t{0}});
   f.Tell(ListNews{Listing::kWhole, {}});
   assert(f.did.empty());
-  assert(f.Pull(2).cache == 0 && f.Declined());  // an empty list: answered at once
+  assert(f.Request(2).cache == 0 && f.Declined());  // an empty list: answered at once
 }
 
 // What an exclusive pull may do after each ending of its leg.
@@ -41,16 +41,16 @@
                  {Ending::kCancelled, false},
                  {Ending::kMiss, true}}) {
     Front f;
-    SendLeg a = f.Pull(1, 1);
+    SendAttempt a = f.Request(1, 1);
     assert(a.cache == 31 && a.proven);  // it runs at the origin
     f.end(a, c.ending);
-    assert((f.leg().cache != 0 || f.Declined()) == c.proven);
+    assert((f.attempt().cache != 0 || f.Declined()) == c.proven);
     assert(f.Abandoned() == !c.proven);
   }
   Front f;
-  SendLeg a = f.Pull(1, 1);
+  SendAttempt a = f.Request(1, 1);
   f.now += 3999;
-  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.pull});
+  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.request});
   assert(f.Abandoned() && !f.Declined());
 }
 
@@ -58,19 +58,19 @@
 static void TicketsStayInTheirGroup() {
   for (Span span : {Span::kEverywhere, Span::kCell}) {
     for (Ms later : {10.0, 9000.0}) {
-      StoreSheet s = Sheet();
-      s.offerings[0].effect = Effect::kTicketed;
-      s.offerings[0].span = span;
-      s.offerings[0].memory = 5000;
+      StoreSettings s = Settings();
+      s.request_classes[0].effect = Effect::kIdempotentWithKey;
+      s.request_classes[0].span = span;
+      s.request_classes[0].memory = 5000;
       ListNews news = List();
       for (ListEntry& e : news.entries)
         e.cell = static_cast<int>(e.cache);
       Front f(s, 1, news);
-      SendLeg a = f.Pull(1, 0, 1000, 20000);
+      SendAttempt a = f.Request(1, 0, 1000, 20000);
       f.now += later;
       f.end(a, Ending::kError);
       bool may = span == Span::kEverywhere && later < 5000;
-      assert((f.leg().cache != 0) == may);
+      assert((f.attempt().cache != 0) == may);
       if (!may)
         assert(f.Declined() == (span == Span::kEverywhere));
     }
@@ -84,10 +84,10 @@
         Listing::kChanges,
         {MakeEntry(11, kStoreKind, 1, standing), MakeEntry(21, kParentKind, 0, standing)}};
     for (std::uint64_t o = 1; o <= 40; ++o)
-      f.Finish(f.Pull(o), Remark::kFilled);
+      f.Finish(f.Request(o), Remark::kFilled);
     f.Tell(news);
     for (std::uint64_t o = 1; o <= 40; ++o) {
-      SendLeg a = f.Pull(o);
+      SendAttempt a = f.Request(o);
       assert(a.cache != 0 && a.cache != 11 && a.source != 11 && a.source != 21);
       f.Finish(a);
     }
@@ -106,10 +106,10 @@
   for (Cold how : {Cold::kCache, Cold::kParent, Cold::kSilentlyNew}) {
     Front f;
     bool parent = how == Cold::kParent;
-    std::uint32_t cold = parent ? 21 : f.Pull(1).cache;
+    std::uint32_t cold = parent ? 21 : f.Request(1).cache;
     if (how == Cold::kSilentlyNew) {
       f.end({1, cold}, Ending::kBroken);
-      f.end(f.Pull(1), Ending::kNoConnection);
+      f.end(f.Request(1), Ending::kNoConnection);
       for (int i = 0; i < 2; ++i)
         f.Tell(ProbeEnded{cold, true, 1, {}});
     } else {
@@ -120,7 +120,7 @@
     double sent = 0, share = parent ? 0.5 : 1, weight = parent ? 30 : 6, from = parent ? 0.1 : 0.3;
     for (std::uint64_t o = 1; o <= 400; ++o) {
       f.now += 1;
-      SendLeg a = f.Pull(o);
+      SendAttempt a = f.Request(o);
       if (a.cache == cold || a.source == cold)
         sent += 100;
       if (a.cache)
@@ -136,30 +136,31 @@
   Front f;
   for (std::uint64_t o = 1; o <= 400; ++o) {
     f.now += 20;
-    SendLeg a = f.Pull(o, 0, 2500);
+    SendAttempt a = f.Request(o, 0, 2500);
     if (a.cache)
       f.Finish(a);
   }
   for (int part = 0; part < 100; ++part) {  // six small objects, part after part
     f.now += 20;
-    SendLeg a = f.Pull(1000 + static_cast<std::uint64_t>(part / 17), 0, 100, 4000, part % 17);
+    SendAttempt a =
+        f.Request(1000 + static_cast<std::uint64_t>(part / 17), 0, 100, 4000, part % 17);
     if (a.cache)
       f.Finish(a);
   }
-  std::uint32_t cold = f.Pull(2000).cache;
+  std::uint32_t cold = f.Request(2000).cache;
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(cold, kStoreKind, 1, Standing::kReady, f.now)}});
-  int legs = 0;
+  int attempts = 0;
   for (std::uint64_t o = 3000; o < 3300; ++o) {
     f.now += 1;
-    SendLeg a = f.Pull(o, 0, 2500);
-    legs += a.cache == cold;
+    SendAttempt a = f.Request(o, 0, 2500);
+    attempts += a.cache == cold;
     if (a.cache)
       f.Finish(a);
   }
   // What it bears in a window, in legs of the true mean (250 ms less the small ones' fifth): under
   // it all the same.
   double bears = 2 * 6 * (0.3 + 0.02) * 1000 / 210;
-  assert(legs > 0 && legs <= 0.65 * bears);
+  assert(attempts > 0 && attempts <= 0.65 * bears);
 }
 
 static void PurgesKept() {
@@ -183,18 +184,18 @@
     p.ago = c.ago;
     f.Tell(p);
     f.now += c.later;
-    SendLeg a = f.Pull(5);
+    SendAttempt a = f.Request(5);
     assert(a.oldest >= c.least && a.oldest <= c.most);
     f.Finish(a);
   }
 }
 
 static void HomesAreSharedAndSteady() {
-  Front f(Sheet(), 1), g(Sheet(), 99);
+  Front f(Settings(), 1), g(Settings(), 99);
   std::set<std::uint32_t> used, parents;
-  std::vector<SendLeg> before;
+  std::vector<SendAttempt> before;
   for (std::uint64_t o = 1; o <= 200; ++o) {
-    SendLeg a = f.Pull(o), b = g.Pull(o);
+    SendAttempt a = f.Request(o), b = g.Request(o);
     assert(a.cache == b.cache && a.source == b.source);
     used.insert(a.cache);
     parents.insert(a.source);
@@ -205,7 +206,7 @@
   assert(used.size() == 4 && parents.size() == 2);
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1, Standing::kGone)}});
   for (std::uint64_t o = 1; o <= 200; ++o) {
-    SendLeg a = f.Pull(o);
+    SendAttempt a = f.Request(o);
     assert(a.cache == before[o - 1].cache ||
            before[o - 1].cache == 12);  // only its own objects move
     f.Finish(a);
@@ -217,19 +218,19 @@
 static void MovedHomesFillFromSiblings() {
   Front f;
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1, Standing::kDraining)}});
-  std::vector<SendLeg> first;
+  std::vector<SendAttempt> first;
   for (std::uint64_t o = 1; o <= 40; ++o) {
-    first.push_back(f.Pull(o));
+    first.push_back(f.Request(o));
     f.Finish(first.back(), Remark::kFilled);
   }
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1)}});
   bool moved = false;
   for (std::uint64_t o = 1; o <= 40; ++o) {
-    SendLeg a = f.Pull(o);
+    SendAttempt a = f.Request(o);
     if (a.cache == 12) {
       assert(a.source == first[o - 1].cache);
       f.end(a, Ending::kMiss, Remark::kSourceLacks);
-      SendLeg again = f.leg();
+      SendAttempt again = f.attempt();
       assert(again.cache == 12 && (again.source == 21 || again.source == 22));
       f.end(again, Ending::kFinished, Remark::kFilled, 1);
       moved = true;
@@ -245,25 +246,25 @@
   int ranks[4] = {};
   for (int i = 0; i < 20; ++i) {
     f.now += 500;
-    SendLeg a = f.Pull(1);
+    SendAttempt a = f.Request(1);
     assert(a.rank >= 1 && a.rank <= 3);
     ++ranks[a.rank];
     f.Finish(a);
   }
-  assert(ranks[1] > 0 && ranks[3] > 0 && f.Pull(1).rank == 3 && f.Pull(2).rank == 1);
+  assert(ranks[1] > 0 && ranks[3] > 0 && f.Request(1).rank == 3 && f.Request(2).rank == 1);
 }
 
 // One pull where many fronts serve a location does not rank an object high: it may be wanted only
 // once.
-static void SinglePullsRankLowAtSize() {
-  StoreSheet s = Sheet();
-  s.crew = 12;
+static void SingleRequestsRankLowAtSize() {
+  StoreSettings s = Settings();
+  s.zone_replicas = 12;
   s.fronts = 200;
   Front f(s);
-  SendLeg a = f.Pull(1);
+  SendAttempt a = f.Request(1);
   f.Finish(a);
   f.now += 3000;
-  assert(a.rank == 1 && f.Pull(1).rank == 3 && f.Pull(2).rank == 1);
+  assert(a.rank == 1 && f.Request(1).rank == 3 && f.Request(2).rank == 1);
 }
 
 // Omega falls on misses at short gaps, but not on those of a cache that started lately.
@@ -278,12 +279,12 @@
     for (int round = 0; round < 30; ++round)
       for (std::uint64_t o = 1; o <= 5; ++o) {
         f.now += 20;
-        f.Finish(f.Pull(o), Remark::kFilled);
+        f.Finish(f.Request(o), Remark::kFilled);
       }
     f.now += 1000;
     int most = 0;
     for (int i = 0; i < 3; ++i) {
-      SendLeg a = f.Pull(1000);
+      SendAttempt a = f.Request(1000);
       most = std::max(most, a.rank);
       f.Finish(a);
     }
@@ -296,21 +297,21 @@
 // process when it is back.
 static void OneBreakIsOneSign() {
   Front f;
-  SendLeg a = f.Pull(1), b = f.Pull(1);
-  LegEnded e;
+  SendAttempt a = f.Request(1), b = f.Request(1);
+  AttemptEnded e;
   e.ending = Ending::kBroken;
   e.cache = a.cache;
-  for (e.pull = a.pull; e.pull <= b.pull; ++e.pull, ++e.fell_with) {
+  for (e.request = a.request; e.request <= b.request; ++e.request, ++e.fell_with) {
     f.Tell(e);
-    assert((f.leg().cache == a.cache) == (e.fell_with > 0));
+    assert((f.attempt().cache == a.cache) == (e.fell_with > 0));
   }
-  assert(f.Pull(1).cache == a.cache);
-  f.end({f.last_pull, a.cache}, Ending::kBroken);  // a second connection: set aside
-  assert(f.Pull(1).cache != a.cache);
+  assert(f.Request(1).cache == a.cache);
+  f.end({f.last_request, a.cache}, Ending::kBroken);  // a second connection: set aside
+  assert(f.Request(1).cache != a.cache);
   for (int i = 0; i < 2; ++i)
     f.Tell(ProbeEnded{a.cache, true, 1, {}});
   for (int i = 0; i < 20; ++i) {  // more than a cold one would be sent
-    SendLeg again = f.Pull(1, 0, 2000);
+    SendAttempt again = f.Request(1, 0, 2000);
     assert(again.cache == a.cache);
     f.Finish(again);
   }
@@ -318,24 +319,24 @@
 
 // A pull that two machines call an error is at fault itself: it goes no further, and they stay in
 // use. Where another answers it, the one that erred is struck.
-static void BadPullsStrikeNobody() {
+static void BadRequestsStrikeNobody() {
   Front f;
-  std::uint32_t home = f.Pull(1).cache;
-  f.Finish({f.last_pull, home});
+  std::uint32_t home = f.Request(1).cache;
+  f.Finish({f.last_request, home});
   for (int i = 0; i < 5; ++i) {
-    f.end(f.Pull(1), Ending::kError);
-    SendLeg second = f.leg();
+    f.end(f.Request(1), Ending::kError);
+    SendAttempt second = f.attempt();
     assert(second.cache != home && second.cache != 0);
     f.end(second, Ending::kError, Remark::kNone, 1);
     assert(f.Declined());
   }
-  assert(f.Pull(1).cache == home);
-  f.Finish({f.last_pull, home});
+  assert(f.Request(1).cache == home);
+  f.Finish({f.last_request, home});
   for (int i = 0; i < 2; ++i) {
-    f.end(f.Pull(1), Ending::kError);
-    f.end(f.leg(), Ending::kFinished, Remark::kHit, 1);
+    f.end(f.Request(1), Ending::kError);
+    f.end(f.attempt(), Ending::kFinished, Remark::kHit, 1);
   }
-  assert(f.Pull(1).cache != home);
+  assert(f.Request(1).cache != home);
 }
 
 // What is gone for long is forgotten, so that new ids all day fill no table: listed again it is a
@@ -343,13 +344,13 @@
 static void MachinesThatLeftAreForgotten() {
   for (bool pointed_at : {false, true}) {
     Front f;
-    SendLeg held = f.Pull(1);
+    SendAttempt held = f.Request(1);
     std::uint32_t bad = held.cache;
     if (!pointed_at)
       f.Finish(held);
     for (int i = 0; i < 2; ++i) {
-      f.end(f.Pull(1), Ending::kError);
-      f.end(f.leg(), Ending::kFinished, Remark::kHit, 1);
+      f.end(f.Request(1), Ending::kError);
+      f.end(f.attempt(), Ending::kFinished, Remark::kHit, 1);
     }
     auto listed = [&](Standing standing) {
       f.now += 61000;
@@ -357,24 +358,24 @@
     };
     listed(Standing::kGone);
     listed(Standing::kReady);
-    assert((f.Pull(1).cache == bad) == !pointed_at);  // else it is still set aside
+    assert((f.Request(1).cache == bad) == !pointed_at);  // else it is still set aside
   }
 }
 
 static void FailingCachesRestAndComeBack() {
   for (bool probes : {true, false}) {
-    StoreSheet s = Sheet();
+    StoreSettings s = Settings();
     s.may.probe = probes;
     Front f(s);
     std::uint64_t object = 1;
-    std::uint32_t bad = f.Pull(object).cache;
-    f.end({f.last_pull, bad}, Ending::kError);
-    assert(f.leg().cache != bad);
-    f.end(f.leg(), Ending::kFinished, Remark::kHit, 1);
-    SendLeg second = f.Pull(object);
+    std::uint32_t bad = f.Request(object).cache;
+    f.end({f.last_request, bad}, Ending::kError);
+    assert(f.attempt().cache != bad);
+    f.end(f.attempt(), Ending::kFinished, Remark::kHit, 1);
+    SendAttempt second = f.Request(object);
     f.end(second, Ending::kError);
-    f.end(f.leg(), Ending::kFinished, Remark::kHit, 1);
-    SendLeg passed = f.Pull(object);
+    f.end(f.attempt(), Ending::kFinished, Remark::kHit, 1);
+    SendAttempt passed = f.Request(object);
     assert(passed.cache != bad);
     f.Finish(passed);
     f.now += 300;
@@ -385,12 +386,12 @@
         f.Tell(ProbeEnded{bad, true, 1, {}});
       }
     }
-    SendLeg trial = f.Pull(object);
+    SendAttempt trial = f.Request(object);
     assert(trial.cache == bad);
     if (!probes)
-      assert(f.Pull(object).cache != bad);  // one trial at a time
+      assert(f.Request(object).cache != bad);  // one trial at a time
     f.end(trial, Ending::kFinished, Remark::kHit);
-    SendLeg back = f.Pull(object);
+    SendAttempt back = f.Request(object);
     assert(back.cache == bad);
   }
 }
@@ -400,19 +401,19 @@
 // told apart.
 static void CrowdedLinkLooksFirst() {
   int filled[2] = {};
-  for (int told : {0, 1}) {
-    StoreSheet s = Sheet();
-    s.link_kb_per_ms = told ? 80 : 0;  // as much as is guessed from the caches
+  for (int notified : {0, 1}) {
+    StoreSettings s = Settings();
+    s.link_kb_per_ms = notified ? 80 : 0;  // as much as is guessed from the caches
     Front f(s);
     int looks = 0, declines = 0;
     for (std::uint64_t o = 1; o <= 200; ++o) {
-      SendLeg a = f.Pull(o, 0, 2000);
+      SendAttempt a = f.Request(o, 0, 2000);
       assert(o > 1 || a.cache != a.source);
       if (a.cache == 0 || a.cache != a.source)
         continue;
       ++looks;
       f.end(a, Ending::kMiss);
-      f.leg().cache ? ++filled[told] : ++declines;
+      f.attempt().cache ? ++filled[notified] : ++declines;
     }
     assert(looks > 0 && declines > 0);
   }
@@ -424,18 +425,18 @@
 static void LastingLevelsDeclineEarlier() {
   int filled[2] = {};
   for (int lasting : {0, 1}) {
-    StoreSheet s = Sheet();
+    StoreSettings s = Settings();
     s.link_kb_per_ms = 40;  // four transfers
     Front f(s);
     std::uint64_t object = 0;
     auto fill = [&] {  // a pull, and after a look the fill
-      SendLeg a = f.Pull(++object, 0, 2000, 20000);
+      SendAttempt a = f.Request(++object, 0, 2000, 20000);
       if (a.cache == 0 || a.cache != a.source)
         return a;
       f.end(a, Ending::kMiss);
-      return f.leg();
+      return f.attempt();
     };
-    std::vector<SendLeg> out;
+    std::vector<SendAttempt> out;
     for (int i = 0; i < 14; ++i)
       out.push_back(fill());
     for (std::size_t i = 0; lasting && i < 200;
@@ -443,7 +444,7 @@
       f.now += 50;
       if (out[i].cache)
         f.end(out[i], Ending::kFinished, Remark::kFilled, i < 8 ? 0 : 1);
-      out.push_back(out[i].cache ? fill() : SendLeg{});
+      out.push_back(out[i].cache ? fill() : SendAttempt{});
     }
     for (std::size_t i = out.size() - 14; i < out.size(); ++i)
       filled[lasting] += out[i].cache != 0;  // still out
@@ -456,21 +457,21 @@
 // No place for a fill is no fault of the cache: hits still go there.
 static void FullFillPlacesAreNoFault() {
   Front f;
-  SendLeg a = f.Pull(1);
+  SendAttempt a = f.Request(1);
   for (int i = 0; i < 3; ++i)
-    f.end(f.Pull(1), Ending::kFull, Remark::kNoFillPlace);
-  assert(f.Pull(1).cache == a.cache);
+    f.end(f.Request(1), Ending::kFull, Remark::kNoFillPlace);
+  assert(f.Request(1).cache == a.cache);
 }
 
 static void SlowCachesArePassedOver() {
   Front f;
-  std::uint32_t slow = f.Pull(1).cache;
+  std::uint32_t slow = f.Request(1).cache;
   f.Finish({1, slow});
   for (int i = 0; i < 60; ++i) {
-    SendLeg a = f.Pull(1);
+    SendAttempt a = f.Request(1);
     f.end(a, Ending::kFinished, Remark::kHit, 0, a.cache == slow ? 2000 : 105);
   }
-  assert(f.Pull(1).cache != slow);
+  assert(f.Request(1).cache != slow);
 }
 
 // A parent whose fills are stretched, or never end, is passed over: its objects move on to the
@@ -478,13 +479,13 @@
 static void BadParentsArePassedOver() {
   for (bool swallows : {false, true}) {
     Front f;
-    SendLeg first = f.Pull(1);
+    SendAttempt first = f.Request(1);
     std::uint32_t bad = first.source;
     f.Finish(first);
     int late = 0;
     for (std::uint64_t o = 1; o <= 200; ++o) {
       f.now += 40;
-      SendLeg a = f.Pull(o, 0, 300);
+      SendAttempt a = f.Request(o, 0, 300);
       if (o > 100)
         late += a.source == bad;
       if (a.source != bad || !swallows)
@@ -497,13 +498,13 @@
 // A known miss whose sources all failed is declined at once: no further cache is looked at.
 static void MissesWithoutSourceAreDeclined() {
   Front f;
-  SendLeg a = f.Pull(1);
-  int legs = 0;
-  for (; a.cache; ++legs) {
-    f.end(a, Ending::kFull, Remark::kSourceRefused, legs, 20);
-    a = f.leg();
+  SendAttempt a = f.Request(1);
+  int attempts = 0;
+  for (; a.cache; ++attempts) {
+    f.end(a, Ending::kFull, Remark::kSourceRefused, attempts, 20);
+    a = f.attempt();
   }
-  assert(legs == 3 && f.Declined());  // two parents and the origin
+  assert(attempts == 3 && f.Declined());  // two parents and the origin
 }
 
 // Once fills by way of the origin come late, most misses ask a parent only for what it holds, and
@@ -515,10 +516,10 @@
     spared = 0;
     for (std::uint64_t o = from; o < from + 100; ++o) {
       f.now += 300;
-      SendLeg a = f.Pull(o);
+      SendAttempt a = f.Request(o);
       spared += a.held_only;
-      LegEnded e;
-      e.pull = a.pull;
+      AttemptEnded e;
+      e.request = a.request;
       e.cache = a.cache;
       e.took = 105 + waited;
       e.waited = waited;
@@ -526,7 +527,7 @@
       e.final = !a.held_only;
       e.remark = a.held_only ? Remark::kSourceLacks : Remark::kFilledByOrigin;
       f.Tell(e);
-      assert(f.Declined() == a.held_only && f.leg().cache == 0);
+      assert(f.Declined() == a.held_only && f.attempt().cache == 0);
     }
   };
   round(1, 60);
@@ -546,28 +547,28 @@
   for (std::uint32_t id : {11, 12, 13})
     news.entries.push_back(MakeEntry(id, kStoreKind, 1, Standing::kGone));
   f.Tell(news);
-  int legs = 0, declined = 0;
+  int attempts = 0, declined = 0;
   for (std::uint64_t o = 1; o <= 100; ++o) {
-    SendLeg a = f.Pull(o, 0, 300);
+    SendAttempt a = f.Request(o, 0, 300);
     assert(a.cache == 0 || a.cache == 14);
-    legs += a.cache != 0;
+    attempts += a.cache != 0;
     declined += f.Declined();
   }
-  assert(legs > 0 && declined > 0 && legs + declined == 100);
+  assert(attempts > 0 && declined > 0 && attempts + declined == 100);
 }
 
 // Where hundreds of fronts share a parent, a few legs of ours don't make it look full.
-static void OwnLegsAreNotTakenForDozens() {
-  StoreSheet s = Sheet();
+static void OwnAttemptsAreNotTakenForDozens() {
+  StoreSettings s = Settings();
   s.fronts = 200;
   Front f(s), alone;
   for (std::uint64_t o = 1; o <= 5; ++o)
-    assert(f.Pull(o, 0, 300).source == alone.Pull(o, 0, 300).source);
+    assert(f.Request(o, 0, 300).source == alone.Request(o, 0, 300).source);
 }
 
 // A parent whose fills come stretched keeps a share of its objects, the same at all fronts.
 static void CrowdedParentsKeepAShare() {
-  StoreSheet s = Sheet();
+  StoreSettings s = Settings();
   s.weighing = Weighing::kNone;
   s.fronts = 200;
   Front f(s, 1), g(s, 99);
@@ -577,7 +578,7 @@
     for (std::uint64_t o = 1; o <= 100; ++o) {
       f.now += 200;
       g.now += 200;
-      SendLeg a = f.Pull(o, 0, 600), b = g.Pull(o, 0, 600);
+      SendAttempt a = f.Request(o, 0, 600), b = g.Request(o, 0, 600);
       if (round == 0)
         home[o] = a.source;
       if (round == 2 && home[o] == 21) {
@@ -594,8 +595,8 @@
 
 // With so many fronts that one's share of a cold parent is less than a leg, all together send it
 // some, and stay within the rule in every window.
-static void SharesBelowALegAddUp() {
-  StoreSheet s = Sheet();
+static void SharesBelowAAttemptAddUp() {
+  StoreSettings s = Settings();
   s.fronts = 200;
   std::vector<std::unique_ptr<Front>> fronts;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -611,7 +612,7 @@
   for (std::uint64_t o = 1; o <= 20; ++o)
     for (auto& f : fronts) {
       f->now += 100;
-      SendLeg a = f->Pull(o, 0, 1000);
+      SendAttempt a = f->Request(o, 0, 1000);
       if (o > 10 && (a.source == 21 || a.source == 22))
         sent += 100;
       f->Finish(a, Remark::kFilled);
@@ -634,7 +635,7 @@
     f.Tell(news);
     for (int i = 0; i < 300; ++i) {
       f.now += 1;
-      SendLeg a = f.Pull(++object, i % 7 == 0);
+      SendAttempt a = f.Request(++object, i % 7 == 0);
       assert((a.cache != 0) + f.Declined() == 1 && f.did.size() < 5);
       if (a.cache)
         f.end(a, Ending::kFinished, Remark::kFilled, 0, 200);
@@ -645,7 +646,7 @@
 // Without parents, probes, reports, weights, direct routes or a told link; the list only when asked
 // for.
 static void WorksWithoutTheExtras() {
-  StoreSheet s = Sheet();
+  StoreSettings s = Settings();
   s.parent_kind = -1;
   s.may = {};
   s.weighing = Weighing::kNone;
@@ -655,11 +656,11 @@
   ListNews news = List();
   Front f(s, 1, {Listing::kRemembered, {news.entries[0], news.entries[1], news.entries[6]}});
   assert(f.all<FollowList>().size() == 1);
-  SendLeg a = f.Pull(1);
+  SendAttempt a = f.Request(1);
   assert((a.cache == 11 || a.cache == 12) && a.source == 31);
-  f.Tell(LegStarted{a.pull, a.cache, 0});
+  f.Tell(AttemptStarted{a.request, a.cache, 0});
   f.now += 9000;
-  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.pull});
+  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.request});
   assert(f.did.empty());  // a stream that has started is not called off
   f.Finish(a);
   f.Tell(ListNews{Listing::kFailed, {}});
@@ -679,7 +680,7 @@
                  {200, 100, 4000, false},
                  {100, 99, 4000, true},
                  {100, 99, 500, false}}) {
-    StoreSheet s = Sheet();
+    StoreSettings s = Settings();
     s.places = c.places;
     s.link_kb_per_ms = 1e6;
     ListNews many{Listing::kWhole, {}};
@@ -689,27 +690,27 @@
       many.entries.push_back(MakeEntry(id, kParentKind, 0));
     Front f(s, 1, many);
     for (int i = 0; i < c.open; ++i)
-      f.Pull(1000 + static_cast<std::uint64_t>(i));
-    SendLeg leg = f.Pull(7, 0, c.size_kb);
-    assert(f.Declined() == c.declined && (leg.cache == 0) == c.declined);
+      f.Request(1000 + static_cast<std::uint64_t>(i));
+    SendAttempt attempt = f.Request(7, 0, c.size_kb);
+    assert(f.Declined() == c.declined && (attempt.cache == 0) == c.declined);
   }
 }
 
 // A sheet of the shape in which answers tell only hits, and caches report how full their link is.
-static StoreSheet PlainSheet() {
-  StoreSheet s = Sheet();
+static StoreSettings PlainSettings() {
+  StoreSettings s = Settings();
   s.remarks = false;
   s.link_kb_per_ms = 0;
   s.link_report = 1;
   return s;
 }
 
-static void Send(Front& f, const SendLeg& a, Ending ending, Remark remark, int leg, Ms took,
+static void Send(Front& f, const SendAttempt& a, Ending ending, Remark remark, int attempt, Ms took,
                  float level) {
-  LegEnded e;
-  e.pull = a.pull;
+  AttemptEnded e;
+  e.request = a.request;
   e.cache = a.cache;
-  e.leg = leg;
+  e.attempt = attempt;
   e.ending = ending;
   e.remark = remark;
   e.took = took;
@@ -723,11 +724,11 @@
 // any more.
 static void ReportedLinkLevelsAreBelieved() {
   for (float level : {0.3f, 30.0f}) {
-    Front f(PlainSheet());
+    Front f(PlainSettings());
     int looks = 0;
     for (std::uint64_t o = 1; o <= 100; ++o) {
       f.now += 300;
-      SendLeg a = f.Pull(o);
+      SendAttempt a = f.Request(o);
       if (o > 50)
         looks += a.cache == a.source;
       Send(f, a, Ending::kFinished, Remark::kFilled, 0, 105 + 170,
@@ -735,7 +736,7 @@
     }
     assert(level < 1 ? looks == 0 : looks == 50);
     f.now += 60000;
-    SendLeg after = f.Pull(1000);
+    SendAttempt after = f.Request(1000);
     assert(after.cache && after.cache != after.source);
   }
 }
@@ -743,30 +744,30 @@
 // Where only hits are told: a refusal or an error that comes from behind the cache is its source's,
 // a quick one of a fill has found no place; the cache keeps its pulls.
 static void WhatFailsBehindACacheIsTheSources() {
-  StoreSheet s = PlainSheet();
-  s.may.probe = false;           // sources set aside come back by trial legs
-  s.offerings[0].agreed = 4000;  // there is time for another source
+  StoreSettings s = PlainSettings();
+  s.may.probe = false;                 // sources set aside come back by trial legs
+  s.request_classes[0].agreed = 4000;  // there is time for another source
   Front f(s);
-  SendLeg first = f.Pull(1);
+  SendAttempt first = f.Request(1);
   Send(f, first, Ending::kFinished, Remark::kHit, 0, 105, 0.2f);
   for (Ms took : {30.0, 400.0, 1400.0}) {
     for (int i = 0; i < 3; ++i) {
       f.now += 60000;
-      SendLeg a = f.Pull(1);
+      SendAttempt a = f.Request(1);
       assert(a.cache == first.cache && a.source != a.cache);
       f.now += took;
       Send(f, a, took > 1000 ? Ending::kError : Ending::kFull, Remark::kNone, 0, took, 0.2f);
-      SendLeg b = f.leg();  // the same cache, another source
+      SendAttempt b = f.attempt();  // the same cache, another source
       assert(b.cache == first.cache && b.source != a.source && b.source != b.cache);
       Send(f, b, Ending::kFinished, Remark::kFilled, 1, 150, 0.2f);
     }
   }
   f.now += 5000;
-  SendLeg a = f.Pull(1);
+  SendAttempt a = f.Request(1);
   Send(f, a, Ending::kFull, Remark::kNone, 0, 0.6, 0.2f);  // no place: another cache fills it
-  assert(f.leg().cache && f.leg().cache != a.cache);
-  Send(f, f.leg(), Ending::kFinished, Remark::kFilled, 1, 150, 0.2f);
-  assert(f.Pull(1).cache == first.cache);
+  assert(f.attempt().cache && f.attempt().cache != a.cache);
+  Send(f, f.attempt(), Ending::kFinished, Remark::kFilled, 1, 150, 0.2f);
+  assert(f.Request(1).cache == first.cache);
 }
 
 // Found at full size: a front asks a source once in seconds, and four slow ones in five took most
@@ -774,20 +775,20 @@
 // again.
 static void OneSlowFillTellsOfItsSource() {
   for (bool ends : {true, false}) {
-    Front f(PlainSheet());
+    Front f(PlainSettings());
     for (std::uint64_t o = 1; o <= 20; ++o) {
       f.now += 300;
-      SendLeg a = f.Pull(o);
+      SendAttempt a = f.Request(o);
       Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
     }
-    SendLeg slow = f.Pull(100);
+    SendAttempt slow = f.Request(100);
     f.now += 3000;
     if (ends)
       Send(f, slow, Ending::kFinished, Remark::kFilled, 0, 3000, 0.2f);
     int asked = 0;
     for (std::uint64_t o = 200; o < 240; ++o) {
       f.now += 20;
-      SendLeg a = f.Pull(o);
+      SendAttempt a = f.Request(o);
       asked += a.source == slow.source;
       if (a.cache)
         Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
@@ -797,7 +798,7 @@
       Send(f, slow, Ending::kFinished, Remark::kFilled, 0, 3800, 0.2f);
     f.now += 120000;
     for (std::uint64_t o = 300; o < 340; ++o) {
-      SendLeg a = f.Pull(o);
+      SendAttempt a = f.Request(o);
       asked += a.source == slow.source;
       if (a.cache)
         Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
@@ -809,12 +810,12 @@
 // While all sources come late with what they fetch, one is asked for what it holds; if it lacks
 // that, the pull is declined at once, with a time to come back.
 static void LateSourcesAreAskedForWhatTheyHold() {
-  StoreSheet s = PlainSheet();
+  StoreSettings s = PlainSettings();
   s.longest_retry_after = 500;
   Front f(s);
   for (std::uint64_t o = 1; o <= 40; ++o) {
     f.now += 200;
-    SendLeg a = f.Pull(o);
+    SendAttempt a = f.Request(o);
     if (!a.cache)
       continue;
     if (a.held_only || a.cache == a.source)
@@ -822,11 +823,11 @@
     else
       Send(f, a, Ending::kFinished, Remark::kFilled, 0, o < 5 ? 150 : 2500, 0.2f);
   }
-  SendLeg a = f.Pull(1000);
+  SendAttempt a = f.Request(1000);
   assert(a.held_only && (a.source == 21 || a.source == 22));
   Send(f, a, Ending::kMiss, Remark::kNone, 0, 20, 0.2f);
-  assert(f.Declined() && f.all<DeclinePull>().front().retry_after > 0 && f.leg().cache == 0);
-  SendLeg b = f.Pull(1001);
+  assert(f.Declined() && f.all<DeclineRequest>().front().retry_after > 0 && f.attempt().cache == 0);
+  SendAttempt b = f.Request(1001);
   Send(f, b, Ending::kFinished, Remark::kFilled, 0, 120, 0.2f);
   assert(f.did.empty());
 }
@@ -834,31 +835,31 @@
 // A ticketed pull that is never kept runs at the origin by way of its home cache, whatever the
 // link's level, and is not looked for first; a repeat goes there as long as the origin drops it.
 static void TicketsRunAtTheOriginThroughACache() {
-  StoreSheet s = PlainSheet();
+  StoreSettings s = PlainSettings();
   s.may.direct = false;
-  s.offerings[1].effect = Effect::kTicketed;
-  s.offerings[1].memory = 6000;
+  s.request_classes[1].effect = Effect::kIdempotentWithKey;
+  s.request_classes[1].memory = 6000;
   Front f(s);
   for (std::uint64_t o = 1; o <= 20; ++o) {
     f.now += 300;
-    SendLeg a = f.Pull(o);
+    SendAttempt a = f.Request(o);
     if (a.cache)
       Send(f, a, a.cache == a.source ? Ending::kMiss : Ending::kFinished, Remark::kNone, 0, 150,
            9.0f);
   }
-  SendLeg a = f.Pull(500, 1, 100);
+  SendAttempt a = f.Request(500, 1, 100);
   assert(a.cache >= 11 && a.cache <= 14 && a.source == 31);
   Send(f, a, Ending::kBroken, Remark::kNone, 0, 20, 9.0f);
-  assert(f.leg().cache && f.leg().source == 31);
+  assert(f.attempt().cache && f.attempt().source == 31);
 }
 
 // Found on reading: what a parent is asked for only if it holds it tells of that parent too, where
 // waits are told.
 static void HeldFillsTellOfCrowdedParents() {
   Front f;
-  auto end = [&](const SendLeg& a, Remark remark, Ms took, Ms waited) {
-    LegEnded e;
-    e.pull = a.pull;
+  auto end = [&](const SendAttempt& a, Remark remark, Ms took, Ms waited) {
+    AttemptEnded e;
+    e.request = a.request;
     e.cache = a.cache;
     e.ending = Ending::kFinished;
     e.remark = remark;
@@ -870,7 +871,7 @@
   int held = 0, crowded = 0;
   for (std::uint64_t o = 1; o <= 600; ++o) {
     f.now += 40;
-    SendLeg a = f.Pull(o, 0, 300);
+    SendAttempt a = f.Request(o, 0, 300);
     if (!a.cache)
       continue;
     bool bad = a.source == 21;
@@ -890,12 +891,12 @@
 // with the whole share, the same ones each time; a ticket known to one zone stays; what is set
 // aside or back is told.
 static void SharesFollowTheVerdict() {
-  StoreSheet s = Sheet();
+  StoreSettings s = Settings();
   s.lateral = true;
-  s.offerings.push_back(s.offerings[0]);
-  s.offerings[2].effect = Effect::kTicketed;
-  s.offerings[2].span = Span::kZone;
-  s.offerings[2].memory = 5000;
+  s.request_classes.push_back(s.request_classes[0]);
+  s.request_classes[2].effect = Effect::kIdempotentWithKey;
+  s.request_classes[2].span = Span::kZone;
+  s.request_classes[2].memory = 5000;
   ListNews news = List();
   int own = s.zone, other = own + 1;
   for (std::uint32_t id : {41u, 42u}) {
@@ -903,11 +904,11 @@
     news.entries.back().weight = news.entries.front().weight;
   }
   Front f(s, 1, news);
-  auto abroad = [&](int offering) {
+  auto abroad = [&](int request_class) {
     std::vector<std::uint64_t> went;
     for (std::uint64_t o = 1; o <= 200; ++o) {
       f.now += 100;
-      SendLeg a = f.Pull(o, offering);
+      SendAttempt a = f.Request(o, request_class);
       assert(a.cache != 0);
       assert((a.source != 41 && a.source != 42) ||
              a.source == a.cache);  // no fill from another zone's cache
@@ -936,35 +937,35 @@
   assert(abroad(0).size() == 200 && abroad(2).empty());
   f.Tell(ListNews{Listing::kChanges, {MakeEntry(41, kStoreKind, other, Standing::kDraining)}});
   for (std::uint64_t o = 1; o <= 50; ++o) {
-    SendLeg a = f.Pull(o);
+    SendAttempt a = f.Request(o);
     assert(a.cache != 41);
     f.Finish(a, Remark::kHit);
   }
   for (std::uint32_t id : {41u, 42u})
     f.Tell(ListNews{Listing::kChanges, {MakeEntry(id, kStoreKind, other, Standing::kGone)}});
-  SendLeg home =
-      f.Pull(900);  // nobody abroad any more: the own zone's caches, whatever the verdict
+  SendAttempt home =
+      f.Request(900);  // nobody abroad any more: the own zone's caches, whatever the verdict
   assert(home.cache != 0 && home.cache != 41 && home.cache != 42);
   f.Finish(home);
   f.Tell(ZoneShares{});
   assert(abroad(0).empty());
   // Two failures in a row set a cache aside, which is told; two answered probes bring it back, and
   // that is told too.
-  SendLeg a = f.Pull(901);
+  SendAttempt a = f.Request(901);
   f.end(a, Ending::kBroken);
   for (std::uint64_t o = 902; f.all<TellHealth>().empty() && o < 1000; ++o) {
-    SendLeg b = f.Pull(o);
+    SendAttempt b = f.Request(o);
     if (b.cache == a.cache)
       f.end(b, Ending::kBroken);
     else
       f.Finish(b, Remark::kHit);
   }
   assert(f.all<TellHealth>().size() == 1 && f.all<TellHealth>()[0].cache == a.cache &&
-         f.all<TellHealth>()[0].aside);
+         f.all<TellHealth>()[0].ejected);
   f.now += 300;
   for (int i = 0; i < 2; ++i)
     f.Tell(ProbeEnded{a.cache, true, 1, {}});
-  assert(f.all<TellHealth>().size() == 1 && !f.all<TellHealth>()[0].aside);
+  assert(f.all<TellHealth>().size() == 1 && !f.all<TellHealth>()[0].ejected);
 }
 
 int main() {
@@ -984,7 +985,7 @@
                  {"ranks follow held chance", RanksFollowHeldChance},
                  {"omega learns from warm caches only", OmegaLearnsFromWarmCachesOnly},
                  {"one break is one sign", OneBreakIsOneSign},
-                 {"bad pulls strike nobody", BadPullsStrikeNobody},
+                 {"bad pulls strike nobody", BadRequestsStrikeNobody},
                  {"machines that left are forgotten", MachinesThatLeftAreForgotten},
                  {"failing caches rest and come back", FailingCachesRestAndComeBack},
                  {"a crowded link looks first", CrowdedLinkLooksFirst},
@@ -994,11 +995,11 @@
                  {"misses without a source are declined", MissesWithoutSourceAreDeclined},
                  {"slow origins are spared", SlowOriginsAreSpared},
                  {"lost locations decline", LostLocationsDecline},
-                 {"single pulls rank low at size", SinglePullsRankLowAtSize},
+                 {"single pulls rank low at size", SingleRequestsRankLowAtSize},
                  {"lasting levels decline earlier", LastingLevelsDeclineEarlier},
-                 {"own legs are not taken for dozens", OwnLegsAreNotTakenForDozens},
+                 {"own legs are not taken for dozens", OwnAttemptsAreNotTakenForDozens},
                  {"crowded parents keep a share", CrowdedParentsKeepAShare},
-                 {"shares below a leg add up", SharesBelowALegAddUp},
+                 {"shares below a leg add up", SharesBelowAAttemptAddUp},
                  {"full places decline what earns least", FullPlacesDeclineWhatEarnsLeast},
                  {"odd lists are borne", OddListsAreBorne},
                  {"works without the extras", WorksWithoutTheExtras},
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -42,17 +42,17 @@
   return std::any_of(notes.begin(), notes.end(),
                      [&](const migrate::Note& n) { return n.field == field; });
 }
-StoreSheet SheetOf(const std::string& text) {
-  return front::ReadCharterText(text, "new", "").sheet;
+StoreSettings SettingsOf(const std::string& text) {
+  return front::ReadConfigurationText(text, "new", "").settings;
 }
 
 void TheNewShapeIsWhatTheModuleReads() {
-  StoreSheet old = SheetOf(example);
-  assert(old.remarks && old.link_report < 0 && old.link_kb_per_ms > 0 && old.may.two_legs_at_once &&
-         old.lateral);
+  StoreSettings old = SettingsOf(example);
+  assert(old.remarks && old.link_report < 0 && old.link_kb_per_ms > 0 &&
+         old.may.two_attempts_at_once && old.lateral);
   migrate::Outcome done = migrate::Migrated(example, "f", {});
-  StoreSheet s = SheetOf(done.text);
-  assert(!s.remarks && s.link_report == 2 && s.link_kb_per_ms == 0 && !s.may.two_legs_at_once &&
+  StoreSettings s = SettingsOf(done.text);
+  assert(!s.remarks && s.link_report == 2 && s.link_kb_per_ms == 0 && !s.may.two_attempts_at_once &&
          !s.lateral);
   for (const char* field :
        {"settings.limits.mayDuplicate", "settings.familyInfo.detail", "settings.familyInfo.lateral",
@@ -61,9 +61,9 @@
   assert(done.left.size() == 2 && Names(done.left, "settings.familyInfo.pipeKbPerS") &&
          Names(done.left, "settings.classes.1.idempotency"));
   // All else as it was.
-  assert(s.offerings[1].effect == Effect::kExclusive && s.may.direct && s.may.probe &&
-         s.most_legs == old.most_legs && s.purge_done == old.purge_done && s.crew == old.crew &&
-         s.longest_retry_after == old.longest_retry_after);
+  assert(s.request_classes[1].effect == Effect::kExclusive && s.may.direct && s.may.probe &&
+         s.most_attempts == old.most_attempts && s.purge_done == old.purge_done &&
+         s.zone_replicas == old.zone_replicas && s.longest_retry_after == old.longest_retry_after);
 }
 
 void WhatIsMovedNeedsNoFurtherMove() {
@@ -72,9 +72,9 @@
   migrate::Outcome once = migrate::Migrated(example, "f", target),
                    twice = migrate::Migrated(once.text, "f", target);
   assert(twice.changed.empty() && twice.left.empty() && twice.text == once.text);
-  StoreSheet s = SheetOf(once.text);
-  assert(s.offerings[1].effect == Effect::kTicketed && s.offerings[1].span == Span::kEverywhere &&
-         s.offerings[1].memory == 6000);
+  StoreSettings s = SettingsOf(once.text);
+  assert(s.request_classes[1].effect == Effect::kIdempotentWithKey &&
+         s.request_classes[1].span == Span::kEverywhere && s.request_classes[1].memory == 6000);
 }
 
 void ChoicesAreTheOperators() {
@@ -83,13 +83,13 @@
   target.direct = false;
   target.joins = true;
   target.probes = false;
-  StoreSheet s = SheetOf(migrate::Migrated(example, "f", target).text);
+  StoreSettings s = SettingsOf(migrate::Migrated(example, "f", target).text);
   assert(s.lateral && !s.may.direct && s.may.join && !s.may.probe);
   // Four values are the most in a report.
   migrate::Outcome full = migrate::Migrated(
       With(example, "[\"load_share\", \"concurrent\"]", "[\"depth\",\"tps\",\"x0\",\"err_ps\"]"),
       "f", {});
-  assert(Names(full.left, "settings.report.names") && SheetOf(full.text).link_report == 3);
+  assert(Names(full.left, "settings.report.names") && SettingsOf(full.text).link_report == 3);
 }
 
 void BadInputIsRefusedWithPlaceAndReason() {
@@ -203,11 +203,11 @@
 void AFrontServesByBothShapes() {
   for (bool moved : {false, true}) {
     loop::Loop loop;
-    FarListener one, two, board;
+    FarListener one, two, discovery;
     loop::Address at = FreeAddress();
     std::string text = moved ? migrate::Migrated(example, "f", {}).text : example;
     for (auto& [from, to] : {std::pair{std::string("127.0.0.1:8080"), kit::Text(at)},
-                             {"127.0.0.1:4222", board.Text()},
+                             {"127.0.0.1:4222", discovery.Text()},
                              {"127.0.0.1:5101", one.Text()},
                              {"127.0.0.1:5102", two.Text()}})
       text = With(text, from, to);
@@ -221,7 +221,7 @@
       ::execl(node.c_str(), node.c_str(), "serve", "--config", file.c_str(), nullptr);
       ::_exit(127);
     }
-    Far watch = board.Next(loop);
+    Far watch = discovery.Next(loop);
     Far client = Far::To(at);
     client.Send(
         "GET /ops/video-parts/7f3a HTTP/1.1\r\nX-Request-Id: 00000000000000a1\r\nX-Timeout-Ms: "
--- a/tests/mutants.cpp
+++ b/tests/mutants.cpp
@@ -16,18 +16,18 @@
 // Around the module: what it is told and what it wants pass through here.
 class Around : public Break {
  public:
-  Decider around(Decider module, const StoreSheet& sheet) override {
-    sheet_ = sheet;
+  Decider around(Decider module, const StoreSettings& settings) override {
+    settings_ = settings;
     return [this, module = std::move(module)](Ms now, const Event& event) {
-      if (auto* p = std::get_if<PullCame>(&event))
+      if (auto* p = std::get_if<RequestCame>(&event))
         note(now, *p);
-      Event told = event;
+      Event notified = event;
       Actions actions;
-      if (Tell(now, told))
-        actions = module(now, told);
+      if (Tell(now, notified))
+        actions = module(now, notified);
       for (const Action& a : actions)
-        if (auto* s = std::get_if<SendLeg>(&a))
-          pulls_[s->pull].legs.push_back(*s);
+        if (auto* s = std::get_if<SendAttempt>(&a))
+          requests_[s->request].attempts.push_back(*s);
       Act(now, event, actions);
       return actions;
     };
@@ -35,43 +35,46 @@
 
  protected:
   struct Known {
-    PullCame came;
+    RequestCame came;
     Ms at = 0;
-    std::vector<SendLeg> legs;
+    std::vector<SendAttempt> attempts;
   };
   virtual bool Tell(Ms, Event&) {
     return true;
   }                                                // false: the module is not told
   virtual void Act(Ms, const Event&, Actions&) {}  // after the module's own
-  Effect effect(std::uint32_t pull) {
-    return sheet_.offerings[static_cast<std::size_t>(pulls_[pull].came.offering)].effect;
+  Effect effect(std::uint32_t request) {
+    return settings_
+        .request_classes[static_cast<std::size_t>(requests_[request].came.request_class)]
+        .effect;
   }
-  static bool Unclear(const LegEnded& e) {
+  static bool Unclear(const AttemptEnded& e) {
     return e.ending == Ending::kBroken || e.ending == Ending::kTimedOut ||
            e.ending == Ending::kError;
   }
 
-  StoreSheet sheet_;
-  std::map<std::uint32_t, Known> pulls_;  // the latest thousand
+  StoreSettings settings_;
+  std::map<std::uint32_t, Known> requests_;  // the latest thousand
 
  private:
-  void note(Ms now, const PullCame& p) {
-    pulls_[p.pull] = {p, now, {}};
-    if (pulls_.size() > 1000)
-      pulls_.erase(pulls_.begin());
+  void note(Ms now, const RequestCame& p) {
+    requests_[p.request] = {p, now, {}};
+    if (requests_.size() > 1000)
+      requests_.erase(requests_.begin());
   }
 };
 
 class LosesRefusals : public Around {
   void Act(Ms, const Event&, Actions& a) override {
     std::erase_if(a, [](const Action& one) {
-      return std::holds_alternative<DeclinePull>(one) || std::holds_alternative<AbandonPull>(one);
+      return std::holds_alternative<DeclineRequest>(one) ||
+             std::holds_alternative<AbandonRequest>(one);
     });
   }
 };
 class ForgetsToWake : public Around {
   bool Tell(Ms, Event& e) override {
-    auto* l = std::get_if<LegEnded>(&e);
+    auto* l = std::get_if<AttemptEnded>(&e);
     return !std::holds_alternative<WakeUp>(e) && !(l && l->ending == Ending::kTimedOut);
   }
 };
@@ -90,14 +93,14 @@
   void Act(Ms now, const Event& event, Actions& a) override {
     Actions now_;
     for (Action& one : a) {
-      auto* d = std::get_if<DeclinePull>(&one);
+      auto* d = std::get_if<DeclineRequest>(&one);
       if (!d) {
         now_.push_back(one);
         continue;
       }
-      held_[d->pull] = *d;
-      now_.push_back(
-          WakeMe{pulls_[d->pull].at + pulls_[d->pull].came.ttl + 65, 1ull << 62 | d->pull});
+      held_[d->request] = *d;
+      now_.push_back(WakeMe{requests_[d->request].at + requests_[d->request].came.ttl + 65,
+                            1ull << 62 | d->request});
     }
     if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1) {
       auto at = held_.find(static_cast<std::uint32_t>(w->handle));
@@ -113,20 +116,20 @@
     auto* w = std::get_if<WakeUp>(&e);
     return !w || w->handle >> 62 != 1;
   }
-  std::map<std::uint32_t, DeclinePull> held_;
+  std::map<std::uint32_t, DeclineRequest> held_;
 };
 class HoldsRefusals : public Around {  // until shortly before its client's time is over
   void Act(Ms, const Event& event, Actions& a) override {
     Actions out;
     for (Action& one : a) {
-      auto* d = std::get_if<DeclinePull>(&one);
+      auto* d = std::get_if<DeclineRequest>(&one);
       if (!d) {
         out.push_back(one);
         continue;
       }
-      held_[d->pull] = *d;
-      out.push_back(
-          WakeMe{pulls_[d->pull].at + 0.8 * pulls_[d->pull].came.ttl, 1ull << 62 | d->pull});
+      held_[d->request] = *d;
+      out.push_back(WakeMe{requests_[d->request].at + 0.8 * requests_[d->request].came.ttl,
+                           1ull << 62 | d->request});
     }
     if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1)
       if (auto at = held_.find(static_cast<std::uint32_t>(w->handle)); at != held_.end()) {
@@ -139,19 +142,19 @@
     auto* w = std::get_if<WakeUp>(&e);
     return !w || w->handle >> 62 != 1;
   }
-  std::map<std::uint32_t, DeclinePull> held_;
+  std::map<std::uint32_t, DeclineRequest> held_;
 };
 class HoldsAWhile : public Around {  // each refusal, for a second
   void Act(Ms now, const Event& event, Actions& a) override {
     Actions out;
     for (Action& one : a) {
-      auto* d = std::get_if<DeclinePull>(&one);
-      if (!d || pulls_[d->pull].came.ttl < 1500) {
+      auto* d = std::get_if<DeclineRequest>(&one);
+      if (!d || requests_[d->request].came.ttl < 1500) {
         out.push_back(one);
         continue;
       }
-      held_[d->pull] = *d;
-      out.push_back(WakeMe{now + 1000, 1ull << 62 | d->pull});
+      held_[d->request] = *d;
+      out.push_back(WakeMe{now + 1000, 1ull << 62 | d->request});
     }
     if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1)
       if (auto at = held_.find(static_cast<std::uint32_t>(w->handle)); at != held_.end()) {
@@ -164,7 +167,7 @@
     auto* w = std::get_if<WakeUp>(&e);
     return !w || w->handle >> 62 != 1;
   }
-  std::map<std::uint32_t, DeclinePull> held_;
+  std::map<std::uint32_t, DeclineRequest> held_;
 };
 class MakesUpBytes : public Break {
   std::string Sent(std::string bytes) override {
@@ -179,36 +182,37 @@
 };
 class RepeatsExclusive : public Around {  // after an end that leaves unclear whether it ran
   void Act(Ms, const Event& event, Actions& a) override {
-    auto* e = std::get_if<LegEnded>(&event);
-    if (!e || e->final || !Unclear(*e) || !pulls_.count(e->pull) ||
-        effect(e->pull) != Effect::kExclusive)
+    auto* e = std::get_if<AttemptEnded>(&event);
+    if (!e || e->final || !Unclear(*e) || !requests_.count(e->request) ||
+        effect(e->request) != Effect::kExclusive)
       return;
     std::erase_if(a, [&](const Action& one) {
-      auto* b = std::get_if<AbandonPull>(&one);
-      return b && b->pull == e->pull;
+      auto* b = std::get_if<AbandonRequest>(&one);
+      return b && b->request == e->request;
     });
-    if (pulls_[e->pull].legs.empty())
+    if (requests_[e->request].attempts.empty())
       return;
-    SendLeg again = pulls_[e->pull].legs.back();
-    pulls_[e->pull].legs.push_back(again);
+    SendAttempt again = requests_[e->request].attempts.back();
+    requests_[e->request].attempts.push_back(again);
     a.push_back(again);
   }
 };
 class DeclinesWhatMayHaveRun : public Around {
   void Act(Ms, const Event&, Actions& a) override {
     for (Action& one : a)
-      if (auto* b = std::get_if<AbandonPull>(&one); b && effect(b->pull) == Effect::kExclusive)
-        one = DeclinePull{b->pull, 0};
+      if (auto* b = std::get_if<AbandonRequest>(&one);
+          b && effect(b->request) == Effect::kExclusive)
+        one = DeclineRequest{b->request, 0};
   }
 };
 class DoublesExclusive : public Around {  // two legs at once, for speed
   void Act(Ms, const Event& event, Actions& a) override {
-    auto* p = std::get_if<PullCame>(&event);
-    if (!p || effect(p->pull) != Effect::kExclusive)
+    auto* p = std::get_if<RequestCame>(&event);
+    if (!p || effect(p->request) != Effect::kExclusive)
       return;
     for (std::size_t i = 0; i < a.size(); ++i)
-      if (auto* s = std::get_if<SendLeg>(&a[i])) {
-        SendLeg again = *s;
+      if (auto* s = std::get_if<SendAttempt>(&a[i])) {
+        SendAttempt again = *s;
         a.push_back(again);
         return;
       }
@@ -216,22 +220,23 @@
 };
 class LeavesTheGroup : public Around {  // a ticketed pull goes to any machine once one fails
   void Act(Ms, const Event& event, Actions& a) override {
-    if (auto* p = std::get_if<PullCame>(&event); p && effect(p->pull) == Effect::kTicketed) {
+    if (auto* p = std::get_if<RequestCame>(&event);
+        p && effect(p->request) == Effect::kIdempotentWithKey) {
       for (const Action& one : a)
-        if (auto* s = std::get_if<SendLeg>(&one); s && s->source != s->cache)
+        if (auto* s = std::get_if<SendAttempt>(&one); s && s->source != s->cache)
           parent_ = s->source;
     }
-    auto* e = std::get_if<LegEnded>(&event);
-    if (!e || e->final || !Unclear(*e) || !pulls_.count(e->pull) ||
-        effect(e->pull) != Effect::kTicketed || parent_ == 0)
+    auto* e = std::get_if<AttemptEnded>(&event);
+    if (!e || e->final || !Unclear(*e) || !requests_.count(e->request) ||
+        effect(e->request) != Effect::kIdempotentWithKey || parent_ == 0)
       return;
     std::erase_if(a, [&](const Action& one) {
-      auto* s = std::get_if<SendLeg>(&one);
-      auto* b = std::get_if<AbandonPull>(&one);
-      return (s && s->pull == e->pull) || (b && b->pull == e->pull);
+      auto* s = std::get_if<SendAttempt>(&one);
+      auto* b = std::get_if<AbandonRequest>(&one);
+      return (s && s->request == e->request) || (b && b->request == e->request);
     });
-    SendLeg again;
-    again.pull = e->pull;
+    SendAttempt again;
+    again.request = e->request;
     again.cache = again.source = parent_;
     again.rank = 1;
     a.push_back(again);
@@ -251,23 +256,23 @@
   bool Tell(Ms, Event& e) override {
     if (auto* n = std::get_if<ListNews>(&e))
       for (ListEntry& one : n->entries)
-        if (one.standing == Standing::kDraining && one.kind == sheet_.parent_kind)
+        if (one.standing == Standing::kDraining && one.kind == settings_.parent_kind)
           one.standing = Standing::kReady;
     return true;
   }
 };
 class TakesColdForWarm : public Around {  // its module is handed no terms for caches that start
-  Decider around(Decider, const StoreSheet& sheet) override {
-    StoreSheet other = sheet;
+  Decider around(Decider, const StoreSettings& settings) override {
+    StoreSettings other = settings;
     other.cold_store = {};
-    return Around::around(exchange::ModuleFor(other, 1), sheet);
+    return Around::around(exchange::ModuleFor(other, 1), settings);
   }
 };
 class TakesColdAreaForWarm : public Around {
-  Decider around(Decider, const StoreSheet& sheet) override {
-    StoreSheet other = sheet;
+  Decider around(Decider, const StoreSettings& settings) override {
+    StoreSettings other = settings;
     other.cold_parent = {};
-    return Around::around(exchange::ModuleFor(other, 1), sheet);
+    return Around::around(exchange::ModuleFor(other, 1), settings);
   }
 };
 class ForgetsPurges : public Around {
@@ -285,24 +290,24 @@
 class AsksNoAge : public Around {
   void Act(Ms, const Event&, Actions& a) override {
     for (Action& one : a)
-      if (auto* s = std::get_if<SendLeg>(&one))
+      if (auto* s = std::get_if<SendAttempt>(&one))
         s->oldest = 0;
   }
 };
 
 class GoesFar : public Around {  // half its pulls go to another zone, whatever its fleet says
   bool Tell(Ms, Event& e) override {
-    if (auto* told = std::get_if<ZoneShares>(&e))
-      told->shares = shares_;
+    if (auto* notified = std::get_if<ZoneShares>(&e))
+      notified->shares = shares_;
     return true;
   }
-  Decider around(Decider module, const StoreSheet& sheet) override {
+  Decider around(Decider module, const StoreSettings& settings) override {
     shares_.assign(4, 0);  // the hub and three stores
-    for (std::size_t z :
-         {static_cast<std::size_t>(sheet.zone), static_cast<std::size_t>(sheet.zone == 1 ? 2 : 1)})
+    for (std::size_t z : {static_cast<std::size_t>(settings.zone),
+                          static_cast<std::size_t>(settings.zone == 1 ? 2 : 1)})
       shares_[z] = 0.5;
     module(0, ZoneShares{shares_});
-    return Around::around(std::move(module), sheet);
+    return Around::around(std::move(module), settings);
   }
   std::vector<double> shares_;
 };
@@ -310,15 +315,15 @@
                                           // without asking its fleet
   void Act(Ms now, const Event&, Actions& a) override {
     for (const Action& one : a)
-      if (auto* told = std::get_if<TellHealth>(&one); told && told->aside) {
+      if (auto* notified = std::get_if<TellHealth>(&one); notified && notified->ejected) {
         std::vector<double> shares(4, 0);
-        shares[sheet_.zone == 1 ? 2 : 1] = 1;
+        shares[settings_.zone == 1 ? 2 : 1] = 1;
         inner_(now, ZoneShares{shares});
       }
   }
-  Decider around(Decider module, const StoreSheet& sheet) override {
+  Decider around(Decider module, const StoreSettings& settings) override {
     inner_ = module;
-    return Around::around(std::move(module), sheet);
+    return Around::around(std::move(module), settings);
   }
   Decider inner_;
 };
@@ -332,7 +337,7 @@
 
 const char* const kCrowd = R"({"length_s": 14, "troubles": [
   {"what": "crowd", "at_s": 2, "for_s": 10, "factor": 2.5}]})";
-const char* const kBrokenLegs = R"({"length_s": 25, "troubles": [
+const char* const kBrokenAttempts = R"({"length_s": 25, "troubles": [
   {"what": "broken_off", "whom": "office", "at_s": 2, "for_s": 22, "share": 0.5},
   {"what": "broken_off", "whom": "cache", "count": 0, "at_s": 2, "for_s": 22, "share": 0.05}]})";
 const char* const kBrokenTickets = R"({"length_s": 25, "ticketed": true, "troubles": [
@@ -371,9 +376,9 @@
       {"makes-up-bytes", "one answer in fifty has a byte changed", Rule::kAnswer,
        Made<MakesUpBytes>(), R"({"length_s": 8})"},
       {"repeats-exclusive", "an exclusive pull goes out again after an unclear end", Rule::kEffect,
-       Made<RepeatsExclusive>(), kBrokenLegs},
+       Made<RepeatsExclusive>(), kBrokenAttempts},
       {"declines-what-may-have-run", "an exclusive pull with an unclear end is declined",
-       Rule::kEffect, Made<DeclinesWhatMayHaveRun>(), kBrokenLegs},
+       Rule::kEffect, Made<DeclinesWhatMayHaveRun>(), kBrokenAttempts},
       {"doubles-exclusive", "an exclusive pull gets two legs at once", Rule::kEffect,
        Made<DoublesExclusive>(), R"({"length_s": 8})"},
       {"leaves-the-group", "a ticketed pull with an unclear end goes to another group",
--- a/tests/owner_storage_test.cpp
+++ b/tests/owner_storage_test.cpp
@@ -403,8 +403,8 @@
     fronts.Start(id);
   REQUIRE(fronts.Until([&] { return fronts.IsOwned(); }));
   fronts.parts.erase(1);
-  std::string aside = fronts.folder + "/aside";
-  std::filesystem::rename(fronts.Store(1), aside);
+  std::string ejected = fronts.folder + "/aside";
+  std::filesystem::rename(fronts.Store(1), ejected);
   std::ofstream(fronts.Store(1)) << "not a folder";
   fronts.Start(1);
   CHECK(fronts.Shows(1, "\"group\":\"none\",\"store\":\"not used\""));
@@ -412,7 +412,7 @@
   CHECK_FALSE(fronts.parts[1]->group().lost);
   CHECK_FALSE(fronts.parts[1]->group().in_group);
   std::filesystem::remove(fronts.Store(1));
-  std::filesystem::rename(aside, fronts.Store(1));
+  std::filesystem::rename(ejected, fronts.Store(1));
   CHECK(fronts.Until([&] { return fronts.Shows(1, "\"group\":\"member\""); }));
   CHECK_FALSE(fronts.Shows(1, "\"store\":\"not used\""));
 }
--- a/tests/peers_front_test.cpp
+++ b/tests/peers_front_test.cpp
@@ -54,7 +54,7 @@
   std::string all = text.str();
   all.insert(all.find('{') + 1, blocks + ",");
   try {
-    front::ReadCharterText(all, "test", "");
+    front::ReadConfigurationText(all, "test", "");
   } catch (const std::exception& fault) {
     return fault.what();
   }
@@ -97,9 +97,9 @@
   a.Send(peers::Channel::kRecord, 2, bulk);
   a.Send(peers::Channel::kMembers, 2, "probe");
   a.Send(peers::Channel::kMembers, 9, "to nobody");
-  loop::Descriptor other(loop.ground(), loop.ground().OpenDatagrams(At(33, port)));
+  loop::Descriptor other(loop.environment(), loop.environment().OpenDatagrams(At(33, port)));
   auto say = [&](const std::string& d) {
-    loop.ground().SendTo(other.Get(), d, two.listen);
+    loop.environment().SendTo(other.Get(), d, two.listen);
   };
   say(peers::Encode(peers::Channel::kMembers, 7, peers::Kind::kWhole, std::string("a stranger")));
   say(peers::Encode(peers::Channel::kMembers, 2, peers::Kind::kWhole, std::string("oneself")));
@@ -122,7 +122,7 @@
   std::vector<std::string> answers;
   char buffer[4096];
   loop::Address from{};
-  for (ssize_t got = 0; (got = loop.ground().ReceiveFrom(other.Get(), buffer, from)) >= 0;)
+  for (ssize_t got = 0; (got = loop.environment().ReceiveFrom(other.Get(), buffer, from)) >= 0;)
     answers.emplace_back(buffer, static_cast<std::size_t>(got));
   REQUIRE(answers.size() == 3);
   CHECK(answers[0] == "{\"part\":\"members\"}");
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -289,7 +289,7 @@
 // The sender, then (on every other seed) the receiver, starts again in the midst of a large
 // message; the sender had sent others before. And a sender whose new life has the old one's
 // numbers. No message is a mixture, and what the living sent arrives.
-bool RestartsAreTold(std::uint64_t seed, Peers::Breaks b) {
+bool RestartsAreNotified(std::uint64_t seed, Peers::Breaks b) {
   Net net(seed, b);
   net.weather = {0.1, 0.05, 3, 30};
   net.Start(1, 10);
@@ -416,13 +416,13 @@
 TEST_CASE("restarts in the midst of a large message, on 100 seeds") {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     INFO("seed ", seed);
-    REQUIRE(RestartsAreTold(seed, {}));
+    REQUIRE(RestartsAreNotified(seed, {}));
   }
   Peers::Breaks b;
   b.old_life = true;
   bool caught = false;
   for (std::uint64_t seed = 1; seed <= 10; ++seed)
-    caught |= !RestartsAreTold(seed, b);
+    caught |= !RestartsAreNotified(seed, b);
   CHECK(caught);
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -162,20 +162,20 @@
   Terms t;
   t.payoff = {1};
   t.certain = {false};
-  auto spoilt = [](const std::vector<Action>& out) {
+  auto corrupted = [](const std::vector<Action>& out) {
     return std::any_of(out.begin(), out.end(),
-                       [](auto& a) { return std::holds_alternative<Spoilt>(a); });
+                       [](auto& a) { return std::holds_alternative<Corrupted>(a); });
   };
   StoreSeen other{State::kGood, {900, 900, 900, 1, 1}, 2, {}},
       old{State::kOlder, {900, 900, 900, 1, 1}, 1, {}},
       holed{State::kHoled, {9, 9, 9, 1, 1}, 1, {}};
   for (const StoreSeen& s : {other, old}) {
     Recovery r(1, {1, 2, 3}, t, 1, 0);
-    CHECK(spoilt(r.Handle(0, StoreChecked{s})));
+    CHECK(corrupted(r.Handle(0, StoreChecked{s})));
     CHECK(r.floors().token == 0);
   }
   Recovery r(1, {1, 2, 3}, t, 1, 0);
-  CHECK(!spoilt(r.Handle(0, StoreChecked{holed})));
+  CHECK(!corrupted(r.Handle(0, StoreChecked{holed})));
   CHECK(r.floors().token == 9);  // what is whole of it counts
   r.Handle(0, GroupNow{true, true, false, false, 9});
   Hello h;
@@ -209,7 +209,7 @@
     Terms t;
     t.payoff = {1, 2};
     t.certain = {false, true};
-    t.crew = 2;
+    t.zone_replicas = 2;
     Recovery r(1, {1, 2, 3, 4}, t, 1, 0);
     Hello h;
     h.phase = Phase::kWhole;
@@ -248,7 +248,7 @@
   REQUIRE(last);
   CHECK(last->certain_only);
   CHECK(last->come_back == t.come_back);
-  CHECK(last->by_offering == std::vector<double>{0, 1});
+  CHECK(last->by_request_class == std::vector<double>{0, 1});
   CHECK(!r.MayOwn(300000));
 }
 
@@ -260,7 +260,7 @@
   t.zones = 2;
   LettingIn a(t);
   a.begin(0);
-  auto by = a.ByOffering(false);
+  auto by = a.ByRequestClass(false);
   CHECK(by[1] == 1);
   CHECK(by[2] == doctest::Approx(0.2));
   CHECK(by[0] == 0);
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -10,11 +10,11 @@
 namespace kit {
 
 using exchange::Ask;
-using exchange::LegKey;
+using exchange::AttemptKey;
 
 inline const std::string kId = "9b1f03aa5c7e2d41";
 
-inline sheet::RoadTerms MakeTerms(Ms within = 400, Ms idle = 30000) {
+inline settings::RoadTerms MakeTerms(Ms within = 400, Ms idle = 30000) {
   return {
       {"video", "write"}, {"hub", "e-1"}, {"box", "parent", "origin"}, {"util"}, within, idle, 100};
 }
@@ -22,7 +22,7 @@
 inline Ask AskFor(const std::string& name = kId) {
   Ask a;
   a.id = name;
-  a.offering = "video";
+  a.request_class = "video";
   a.object = "7f3a";
   a.part = "0";
   a.ttl = 60000;
@@ -31,59 +31,59 @@
 }
 
 // A client side that notes what it is told.
-struct Asked final : exchange::Asker {
-  std::vector<std::string> told;
+struct Asked final : exchange::ResponseSink {
+  std::vector<std::string> notified;
   std::string body;
   void Finished(const std::string& tag, std::string bytes) override {
-    told.push_back("200 " + tag);
+    notified.push_back("200 " + tag);
     body = bytes;
   }
   void Unchanged(const std::string& tag) override {
-    told.push_back("304 " + tag);
+    notified.push_back("304 " + tag);
   }
   void Declined(Ms retry_after) override {
-    told.push_back(retry_after > 0 ? "503 later" : "503");
+    notified.push_back(retry_after > 0 ? "503 later" : "503");
   }
   void Abandoned() override {
-    told.push_back("502");
+    notified.push_back("502");
   }
   void Begun(const std::string& tag, std::size_t) override {
-    told.push_back("begun " + tag);
+    notified.push_back("begun " + tag);
   }
   void More(std::string_view bytes) override {
     body += bytes;
   }
   void Completed() override {
-    told.push_back("completed");
+    notified.push_back("completed");
   }
   void BrokeOff() override {
-    told.push_back("broke");
+    notified.push_back("broke");
   }
   bool Is(const std::vector<std::string>& all) const {
-    return told == all;
+    return notified == all;
   }
 };
 
 // A caches' side that notes what it is asked for.
 struct Sent final : exchange::CacheSide {
   struct One {
-    LegKey key;
-    SendLeg how;
+    AttemptKey key;
+    SendAttempt how;
     std::vector<std::uint64_t> avoid;
   };
   std::vector<One> sent;
-  std::vector<LegKey> given_up;
-  std::uint64_t Send(LegKey key, const Ask&, const SendLeg& how,
+  std::vector<AttemptKey> given_up;
+  std::uint64_t Send(AttemptKey key, const Ask&, const SendAttempt& how,
                      const std::vector<std::uint64_t>& avoid) override {
     sent.push_back({key, how, avoid});
     return sent.size();
   }
-  void GiveUp(LegKey key, const Ask&, std::uint32_t) override {
+  void GiveUp(AttemptKey key, const Ask&, std::uint32_t) override {
     given_up.push_back(key);
   }
   bool waiting = false;  // nothing has left yet
-  std::vector<LegKey> taken_back;
-  bool TakeBack(LegKey key, const Ask&, std::uint32_t) override {
+  std::vector<AttemptKey> taken_back;
+  bool TakeBack(AttemptKey key, const Ask&, std::uint32_t) override {
     if (waiting)
       taken_back.push_back(key);
     return waiting;
@@ -120,7 +120,7 @@
   loop::Loop loop;
   exchange::Exchange exchange;
   Sent caches;
-  explicit Desk(StoreSheet s = kit::Sheet(), int stores = 4) : exchange(loop, s, 1) {
+  explicit Desk(StoreSettings s = kit::Settings(), int stores = 4) : exchange(loop, s, 1) {
     exchange.Meet(caches);
     std::vector<std::pair<std::string, loop::Address>> all{{"origin", {}}};
     for (int i = 0; i < stores; ++i)
--- a/tests/stage_test.cpp
+++ b/tests/stage_test.cpp
@@ -9,7 +9,7 @@
 #include "loop/listener.hpp"
 
 using namespace dunlinwick;
-using loop::Parting;
+using loop::DisconnectReason;
 using stage::Net;
 using stage::Process;
 
@@ -20,13 +20,13 @@
 // One end of a connection that notes what it sees.
 struct Side final : loop::Connection::Owner {
   std::string got;
-  std::vector<Parting> ends;
+  std::vector<DisconnectReason> ends;
   std::unique_ptr<loop::Connection> connection;
   void Came() override {
     got += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Ended(Parting how) override {
+  void Ended(DisconnectReason how) override {
     ends.push_back(how);
   }
 };
@@ -104,37 +104,37 @@
   assert(p.near.connection->DrainedOut() && p.far[0]->got == Pattern(1 << 20));
 }
 
-void EndsAreToldAsTheyAre() {
+void EndsAreNotifiedAsTheyAre() {
   struct Case {
     const char* name;
     bool listens;
     bool opens;
     void (*what)(Pair&);
-    std::vector<Parting> near;
+    std::vector<DisconnectReason> near;
   };
   for (const Case& c : std::vector<Case>{
-           {"nobody listens", false, false, [](Pair&) {}, {Parting::kRefused}},
+           {"nobody listens", false, false, [](Pair&) {}, {DisconnectReason::kRefused}},
            {"the host is cut",
             true,
             false,
             [](Pair& p) { p.net.SetCut(0x0a000002, true, true); },
-            {Parting::kNeverUp}},
+            {DisconnectReason::kNeverUp}},
            {"the host has vanished",
             true,
             false,
             [](Pair& p) { p.net.Vanish(p.b); },
-            {Parting::kNeverUp}},
+            {DisconnectReason::kNeverUp}},
            {"closed",
             true,
             true,
             [](Pair& p) { p.b.Act([&] { p.far[0]->connection->Close(); }); },
-            {Parting::kClosed}},
+            {DisconnectReason::kClosed}},
            {"half closed",
             true,
             true,
             [](Pair& p) { p.b.Act([&] { p.far[0]->connection->SayNoMore(); }); },
-            {Parting::kClosed}},
-           {"killed", true, true, [](Pair& p) { p.net.Kill(p.b); }, {Parting::kReset}},
+            {DisconnectReason::kClosed}},
+           {"killed", true, true, [](Pair& p) { p.net.Kill(p.b); }, {DisconnectReason::kReset}},
            {"vanished under it: silent", true, true, [](Pair& p) { p.net.Vanish(p.b); }, {}},
            {"cut under it: silent",
             true,
@@ -149,7 +149,7 @@
               p.net.Start(0x0a000002, "b2");
               p.Send(p.near, p.a, "still there?");
             },
-            {Parting::kReset}}}) {
+            {DisconnectReason::kReset}}}) {
     Pair p(1, c.listens);
     if (!c.opens)
       c.what(p);
@@ -176,7 +176,8 @@
   p.a.Act([&] { p.near.connection->Close(); });
   p.net.SetCut(0x0a000001, false, false);
   p.Pass(1000);
-  assert(p.far[0]->got == "held" && p.far[0]->ends == std::vector<Parting>{Parting::kClosed});
+  assert(p.far[0]->got == "held" &&
+         p.far[0]->ends == std::vector<DisconnectReason>{DisconnectReason::kClosed});
 }
 
 void DescriptorsAndBacklogHaveLimits() {
@@ -278,7 +279,7 @@
 int main() {
   BytesComeWholeAndInOrder();
   ASlowReaderHoldsTheSenderUp();
-  EndsAreToldAsTheyAre();
+  EndsAreNotifiedAsTheyAre();
   WhatACutHeldUpComesAfterIt();
   DescriptorsAndBacklogHaveLimits();
   DatagramsComeWholeOrNot();
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -495,9 +495,9 @@
           lowest = std::max(lowest, disk.kept->offset);
           if (floors->IsKept())
             CHECK(floors->Lasting() == *disk.kept);
-          std::uint64_t told =
+          std::uint64_t notified =
               floors->Lasting().witnessed.count(1) ? floors->Lasting().witnessed.at(1) : 0;
-          CHECK(told <= disk.kept->witnessed.at(1));
+          CHECK(notified <= disk.kept->witnessed.at(1));
         }
         REQUIRE(fails_until > 0);
         CHECK(floors->IsKept());
--- a/tests/support/failing_environment.hpp
+++ b/tests/support/failing_environment.hpp
@@ -82,13 +82,13 @@
   return on_connection && (error == ETIMEDOUT || error == EHOSTUNREACH || error == EPIPE);
 }
 
-class FailingEnvironment final : public loop::Ground {
+class FailingEnvironment final : public loop::Environment {
  public:
   /// Asked before each call with its ordinal among calls of its kind, from 0. Nothing: the call
   /// goes through.
   using Plan = std::function<std::optional<Failure>(Call call, std::size_t ordinal)>;
 
-  explicit FailingEnvironment(loop::Ground& inner) : inner_(inner) {}
+  explicit FailingEnvironment(loop::Environment& inner) : inner_(inner) {}
 
   Plan plan;
 
@@ -285,7 +285,7 @@
     most_waits_ = std::max(most_waits_, waits_);
   }
 
-  loop::Ground& inner_;
+  loop::Environment& inner_;
   std::array<std::size_t, kCallCount> calls_{};
   std::map<int, Open> open_;  // by descriptor; emptied by close()
   std::size_t failures_ = 0;
