--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -18,8 +18,8 @@
 
 using namespace dunlinwick;
 using namespace dunlinwick::testing;
+using loop::DisconnectReason;
 using loop::Ms;
-using loop::Parting;
 
 namespace {
 
@@ -33,7 +33,7 @@
 struct NotedOwner final : loop::Connection::Owner {
   std::unique_ptr<loop::Connection> connection;
   std::string received;
-  std::vector<Parting> ends;
+  std::vector<DisconnectReason> ends;
   int drains = 0;
   void Came() override {
     received += connection->in.bytes();
@@ -42,7 +42,7 @@
   void Drained() override {
     ++drains;
   }
-  void Ended(Parting how) override {
+  void Ended(DisconnectReason how) override {
     ends.push_back(how);
   }
 };
@@ -111,7 +111,7 @@
     test.environment.plan = FailOnce(Call::kConnect, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{Parting::kNoDescriptor});
+    CHECK(test.near.ends == std::vector{DisconnectReason::kNoDescriptor});
   }
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     CAPTURE(error);
@@ -119,7 +119,7 @@
     test.environment.plan = FailOnce(Call::kOpenStream, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{Parting::kNoDescriptor});
+    CHECK(test.near.ends == std::vector{DisconnectReason::kNoDescriptor});
   }
 }
 
@@ -131,8 +131,8 @@
       test.environment.plan = FailOnce(call, 0, {error});
       test.Dial();
       test.Run(100);
-      CHECK(test.near.ends ==
-            std::vector{error == ECONNREFUSED ? Parting::kRefused : Parting::kNeverUp});
+      CHECK(test.near.ends == std::vector{error == ECONNREFUSED ? DisconnectReason::kRefused
+                                                                : DisconnectReason::kNeverUp});
     }
   }
 }
@@ -159,7 +159,7 @@
   test.dialling.Act([&] { test.near.connection->Send("next"); });
   test.Run(100);
   CHECK(test.near.received == "answer");
-  CHECK(test.near.ends == std::vector{Parting::kReset});
+  CHECK(test.near.ends == std::vector{DisconnectReason::kReset});
 }
 
 TEST_CASE("want of buffers for a write is waited out, and the message goes") {
@@ -189,7 +189,7 @@
     });
     CHECK_NOTHROW(test.Run(200));
     CHECK(test.near.received == "answer");
-    CHECK(test.near.ends == std::vector{Parting::kClosed});
+    CHECK(test.near.ends == std::vector{DisconnectReason::kClosed});
     CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
@@ -356,7 +356,7 @@
       while (ReadOne()) {
       }
     }
-    void Ended(Parting) override {}
+    void Ended(DisconnectReason) override {}
 
     bool ReadOne() {
       std::string_view bytes = connection.in.bytes();
@@ -450,7 +450,7 @@
     SendNext();
     return true;
   }
-  void Ended(Parting) override {
+  void Ended(DisconnectReason) override {
     lost = statuses.size() < requests_.size();
     unasked += received_.find("HTTP/1.1 ", 1) != received_.npos ? 1 : 0;
   }
@@ -473,14 +473,14 @@
       servers.push_back(std::make_unique<FakeServer>(process, at));
     }
     front_.Act([&] {
-      exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Sheet(), 1);
+      exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Settings(), 1);
       caches_ = std::make_unique<caches::Caches>(front_.loop(), *exchange, kit::MakeTerms(), 8);
       exchange->Meet(*caches_);
       exchange->ListCame(
           true, kit::Machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
-      clients_ =
-          std::make_unique<clients::Clients>(front_.loop(), *exchange, kit::MakeTerms().offerings,
-                                             std::vector<bool>{false, true}, kFrontAddress, 50);
+      clients_ = std::make_unique<clients::Clients>(
+          front_.loop(), *exchange, kit::MakeTerms().request_classes,
+          std::vector<bool>{false, true}, kFrontAddress, 50);
     });
   }
   ~ServingScenario() {
@@ -529,7 +529,7 @@
         ran += server->executions[id];
       CHECK(ran <= 1);
     }
-    CHECK(exchange->OpenPulls() == 0);
+    CHECK(exchange->OpenRequests() == 0);
     CHECK(environment.MostIdleWaits() < kMostIdleWaits);
     TakeDown();
     CHECK(environment.OpenDescriptors() == 0);
@@ -564,13 +564,13 @@
       exchange.reset();
     });
   }
-  std::string Request(const std::string& method, const std::string& offering,
+  std::string Request(const std::string& method, const std::string& request_class,
                       const std::string& object, const std::string& body, bool writes) {
     std::string id = RequestId(++last_request_);
     if (writes)
       written_.push_back(id);
     std::string length = writes ? "Content-Length: " + std::to_string(body.size()) + "\r\n" : "";
-    return method + " /ops/" + offering + "/" + object + " HTTP/1.1\r\nX-Request-Id: " + id +
+    return method + " /ops/" + request_class + "/" + object + " HTTP/1.1\r\nX-Request-Id: " + id +
            "\r\nX-Timeout-Ms: 4000\r\nX-Group: 17\r\nX-Memory-Kb: 100\r\n" + length + "\r\n" + body;
   }
 
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -49,9 +49,9 @@
 // A front's discovery on a socket, with five servers listed that started long ago, and a client
 // that asks.
 struct Discovery {
-  Desk desk{kit::Sheet(), 5};
+  Desk desk{kit::Settings(), 5};
   FarListener listener;
-  board::Board board{desk.loop, desk.exchange, MakeTerms(), listener.at};
+  discovery::Discovery discovery{desk.loop, desk.exchange, MakeTerms(), listener.at};
   Far peer;
   std::uint64_t last = 1;
   int asked = 0;
@@ -60,13 +60,13 @@
     return desk.loop.now();
   }
 
-  void Begin(const std::string& notices = "") {
-    auto known = json::Read("{\"notices\":[" + notices + "],\"rev\":1}");
+  void Begin(const std::string& watch_events = "") {
+    auto known = json::Read("{\"notices\":[" + watch_events + "],\"rev\":1}");
     REQUIRE(known);
-    REQUIRE(board.begin(*known));
+    REQUIRE(discovery.begin(*known));
   }
   void Follow() {
-    board.Follow();
+    discovery.Follow();
     peer = listener.Next(desk.loop);
     BeUpToDate();
   }
@@ -86,17 +86,17 @@
   void Announce(const std::string& notice) {
     peer.Send(notice + "\n");
     ++last;
-    Until(desk.loop, [&] { return board.Last() == last; });
+    Until(desk.loop, [&] { return discovery.Last() == last; });
   }
   // A request for a new object, or for the one that is purged; what a cache is then asked for.
-  SendLeg Request(const std::string& object) {
+  SendAttempt Request(const std::string& object) {
     Ask ask = AskFor("request-" + std::to_string(++asked));
     ask.object = object;
     ask.ttl = 4 * kSecond;
     Asked client;
     std::size_t before = desk.caches.sent.size();
     std::uint32_t request = desk.exchange.OnRequest(ask, client);
-    SendLeg attempt;
+    SendAttempt attempt;
     if (desk.caches.sent.size() > before) {
       attempt = desk.caches.sent.back().how;
       desk.exchange.AnswerWhole({request, 0}, Said(Ending::kFinished, Remark::kHit));
@@ -111,7 +111,7 @@
 void CheckPurgeBinds(Discovery& d, Ms purged, Ms heard) {
   d.desk.loop.Skip(500);
   Ms since_heard = d.Now() - heard;
-  SendLeg attempt = d.Request("7f3a");
+  SendAttempt attempt = d.Request("7f3a");
   REQUIRE(attempt.cache != 0);
   CHECK(attempt.oldest > 0);
   CHECK(attempt.oldest <= d.Now() - purged);
@@ -225,7 +225,7 @@
         d.Announce(PurgeNotice(d.last + 1, purged));
       d.desk.loop.Skip(300);
       Ms before = d.Now();
-      SendLeg attempt = d.Request("7f3a");
+      SendAttempt attempt = d.Request("7f3a");
       CHECK(attempt.oldest >= before - purged - 1);
       CHECK(attempt.oldest <= d.Now() - purged - 1);
     }
@@ -236,7 +236,7 @@
   Ms purged = std::floor(d.Now()) - 1100;
   d.Announce(PurgeNotice(d.last + 1, purged));
   Ms before = d.Now();
-  SendLeg attempt = d.Request("7f3a");
+  SendAttempt attempt = d.Request("7f3a");
   CHECK(attempt.oldest >= before - purged - 1);
 }
 
@@ -295,8 +295,9 @@
 TEST_CASE(
     "rules that are turned over know purges and starts by when they were told, not by their "
     "stamps") {
-  auto known = [](const std::string& notices, std::uint64_t rev) {
-    auto value = json::Read("{\"notices\":[" + notices + "],\"rev\":" + std::to_string(rev) + "}");
+  auto known = [](const std::string& watch_events, std::uint64_t rev) {
+    auto value =
+        json::Read("{\"notices\":[" + watch_events + "],\"rev\":" + std::to_string(rev) + "}");
     REQUIRE(value);
     return *value;
   };
@@ -304,24 +305,25 @@
     CAPTURE(skew);
     int warm = SentToWarm("s-new");
     loop::Loop loop;
-    generations::Generations rules(kit::Sheet(), 1);
-    exchange::Exchange exchange(
-        loop, kit::Sheet(), [&](Ms now, const Event& event) { return rules.Handle(now, event); });
+    generations::Generations rules(kit::Settings(), 1);
+    exchange::Exchange exchange(loop, kit::Settings(), [&](Ms now, const Event& event) {
+      return rules.Handle(now, event);
+    });
     Sent caches;
     exchange.Meet(caches);
     exchange.ListCame(
         true,
         Machines(
             {{"origin", {}}, {"s-0", {}}, {"s-1", {}}, {"s-2", {}}, {"s-3", {}}, {"s-4", {}}}));
-    board::Board board(loop, exchange, MakeTerms(), FreeAddress());
-    REQUIRE(board.begin(known("", 1)));
+    discovery::Discovery discovery(loop, exchange, MakeTerms(), FreeAddress());
+    REQUIRE(discovery.begin(known("", 1)));
     Ms purged = loop.now();
     std::string news =
         PurgeNotice(2, purged + skew) + "," + ServerNotice(3, "s-new", purged + skew);
-    REQUIRE(board.MoveTo(FreeAddress(), known(news, 3)));  // announced after the start
+    REQUIRE(discovery.MoveTo(FreeAddress(), known(news, 3)));  // announced after the start
     loop.Skip(500);
     std::vector<Action> out;
-    REQUIRE(rules.turn(loop.now(), kit::Sheet(), out) != 0);
+    REQUIRE(rules.turn(loop.now(), kit::Settings(), out) != 0);
     auto request = [&](const std::string& object) {
       static int asked = 0;
       Ask ask = AskFor("request-" + std::to_string(++asked));
@@ -331,11 +333,11 @@
       std::size_t before = caches.sent.size();
       std::uint32_t number = exchange.OnRequest(ask, client);
       REQUIRE(caches.sent.size() > before);
-      SendLeg attempt = caches.sent.back().how;
+      SendAttempt attempt = caches.sent.back().how;
       exchange.AnswerWhole({number, 0}, Said(Ending::kFinished, Remark::kHit));
       return attempt;
     };
-    SendLeg attempt = request("7f3a");
+    SendAttempt attempt = request("7f3a");
     CHECK(attempt.oldest >= 498);
     CHECK(attempt.oldest <= loop.now() - purged);
     auto sent = [&] {
@@ -396,7 +398,7 @@
     front.Handle(0, Owns{1});  // the owner's verdict needs no others
     Ms given = 1.76e12;
     front.Handle(0, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond, given, form});
-    Told lacks;
+    drift::ActiveReport lacks;
     lacks.version = 9;
     lacks.active = 1;
     lacks.approved = 1;
@@ -496,7 +498,7 @@
           for (const drift::Action& action : fronts.at(id).Handle(now, Tick{})) {
             const auto* tell = std::get_if<Tell>(&action);
             if (tell && fronts.count(tell->to))
-              fronts.at(tell->to).Handle(now, Hears{id, tell->told});
+              fronts.at(tell->to).Handle(now, Hears{id, tell->notified});
           }
         }
     };
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// The system's own environment, in which the first dial comes up when the test says so.
-class LateDial final : public loop::Ground {
+class LateDial final : public loop::Environment {
  public:
   void AllowDial() {
     held_ = kNone;
@@ -81,7 +81,7 @@
  private:
   static constexpr int kNone = -2;
   static constexpr int kIgnoredByPoll = -1;
-  loop::Ground& system_ = loop::MakeSystem();
+  loop::Environment& system_ = loop::MakeSystem();
   bool dialled_ = false;
   int held_ = kNone;
 };
@@ -129,10 +129,10 @@
     "a dial that comes up after its timeout carries nothing, and its request goes elsewhere once") {
   constexpr Ms kConnectWithin = 400;
   FarListener listeners[2];
-  LateDial ground;
-  loop::Loop loop(ground);
+  LateDial environment;
+  loop::Loop loop(environment);
   auto list = Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}});
-  exchange::Exchange exchange(loop, SheetWith(false), 1);
+  exchange::Exchange exchange(loop, SettingsWith(false), 1);
   caches::Caches caches(loop, exchange, MakeTerms(kConnectWithin), 8);
   exchange.Meet(caches);
   exchange.ListCame(true, list);
@@ -152,7 +152,7 @@
   });
   loop.Skip(kConnectWithin + 1);
   Until(loop, [&] { return exchange.counters.never_ran == 1; });
-  ground.AllowDial();
+  environment.AllowDial();
   Far server = other->Next(loop);
   Until(loop, [&] { return server.Hears(WantOf(1)); });
   Until(loop, [&] {
@@ -162,7 +162,7 @@
   CHECK(dialled.got.empty());
   CHECK(server.got.find(WantOf(1), server.got.find(WantOf(1)) + 1) == std::string::npos);
   server.Send(Hit(1));
-  Until(loop, [&] { return !client.told.empty(); });
+  Until(loop, [&] { return !client.notified.empty(); });
   CHECK(client.Is({"200 t"}));
 }
 
@@ -171,7 +171,7 @@
 TEST_CASE("a dial that is up in the turn of its timeout is used") {
   constexpr Ms kConnectWithin = 400;
   FarListener listener;
-  Road road(Machines({{"s-1", listener.at}}), SheetWith(false), MakeTerms(kConnectWithin));
+  Road road(Machines({{"s-1", listener.at}}), SettingsWith(false), MakeTerms(kConnectWithin));
   Asked client;
   road.exchange.OnRequest(AskAs(1), client);
   road.loop.Skip(kConnectWithin + 1);
@@ -179,9 +179,9 @@
   Far server = listener.Next(road.loop);
   Until(road.loop, [&] { return server.Hears(WantOf(1)); });
   CHECK(road.exchange.counters.never_ran == 0);
-  CHECK(road.exchange.counters.legs == 1);
+  CHECK(road.exchange.counters.attempts == 1);
   server.Send(Hit(1));
-  Until(road.loop, [&] { return !client.told.empty(); });
+  Until(road.loop, [&] { return !client.notified.empty(); });
   CHECK(client.Is({"200 t"}));
 }
 
@@ -232,13 +232,13 @@
     REQUIRE(again.fd);
     Until(road.loop, [&] { return again.Hears(WantOf(2)); });
     again.Send(Hit(2));
-    Until(road.loop, [&] { return !second.told.empty(); });
+    Until(road.loop, [&] { return !second.notified.empty(); });
     CHECK(second.Is({"200 t"}));
     CHECK_FALSE(server.Hears(WantOf(2)));
     for (; passed <= kExpiry; passed += kStep)
       trickle();
-    CHECK(first.told.size() == 1);
-    CHECK(first.told[0].substr(0, 3) != "200");
+    CHECK(first.notified.size() == 1);
+    CHECK(first.notified[0].substr(0, 3) != "200");
   }
 }
 
@@ -253,18 +253,18 @@
     Until(open.road.loop, [&] { return open.road.exchange.counters.late_answers == 1; });
     CHECK(open.second.Is({"200 t2"}));
     CHECK(open.second.body == "two");
-    CHECK(open.first.told.empty());
+    CHECK(open.first.notified.empty());
     if (own_answer_comes)
       open.server.Send(AnswerTo(1, "own"));
     else
       open.road.loop.Skip(60001);
-    Until(open.road.loop, [&] { return !open.first.told.empty(); });
-    CHECK(open.first.told.size() == 1);
+    Until(open.road.loop, [&] { return !open.first.notified.empty(); });
+    CHECK(open.first.notified.size() == 1);
     if (own_answer_comes)
       CHECK(open.first.body == "own");
     else
-      CHECK(open.first.told[0].substr(0, 3) == "503");
-    CHECK(open.second.told.size() == 1);
+      CHECK(open.first.notified[0].substr(0, 3) == "503");
+    CHECK(open.second.notified.size() == 1);
     CHECK(open.road.exchange.counters.bad_lines == 0);
   }
 }
@@ -274,14 +274,14 @@
     CAPTURE(spare);
     TwoOpen open;
     open.server.Send(AnswerTo(1, "one") + spare);
-    Until(open.road.loop, [&] { return !open.first.told.empty(); });
+    Until(open.road.loop, [&] { return !open.first.notified.empty(); });
     CHECK(open.first.Is({"200 t1"}));
     CHECK(open.first.body == "one");
     Far again = open.Next();  // the other request is asked again
     Until(open.road.loop, [&] { return again.Hears(WantOf(2)); });
     CHECK((open.server.Read(), open.server.over));
     again.Send(AnswerTo(2, "two"));
-    Until(open.road.loop, [&] { return !open.second.told.empty(); });
+    Until(open.road.loop, [&] { return !open.second.notified.empty(); });
     CHECK(open.second.Is({"200 t2"}));
     CHECK(open.second.body == "two");
   }
@@ -301,13 +301,14 @@
         asked[which - 1] |= server.Hears(WantOf(which));
     return asked[0] && asked[1];
   });
-  CHECK(open.first.told.empty());
+  CHECK(open.first.notified.empty());
   CHECK(open.road.exchange.counters.bad_lines == 1);
   for (int which : {1, 2})
     for (Far& server : again)
       if (server.Hears(WantOf(which)))
         server.Send(AnswerTo(which, which == 1 ? "one" : "two"));
-  Until(open.road.loop, [&] { return !open.first.told.empty() && !open.second.told.empty(); });
+  Until(open.road.loop,
+        [&] { return !open.first.notified.empty() && !open.second.notified.empty(); });
   CHECK(open.first.Is({"200 t1"}));
   CHECK(open.first.body == "one");
   CHECK(open.second.Is({"200 t2"}));
--- a/tests/upstream_fixture.hpp
+++ b/tests/upstream_fixture.hpp
@@ -13,8 +13,8 @@
   loop::Loop loop;
   exchange::Exchange exchange;
   caches::Caches caches;
-  explicit Road(const std::vector<exchange::Listed>& list, const StoreSheet& s = kit::Sheet(),
-                const sheet::RoadTerms& t = MakeTerms(20000), std::size_t most = 8)
+  explicit Road(const std::vector<exchange::Listed>& list, const StoreSettings& s = kit::Settings(),
+                const settings::RoadTerms& t = MakeTerms(20000), std::size_t most = 8)
       : exchange(loop, s, 1), caches(loop, exchange, t, most) {
     exchange.Meet(caches);
     exchange.ListCame(true, list);
@@ -25,18 +25,18 @@
   }
 };
 
-inline StoreSheet SheetWith(bool cancel, Effect effect = Effect::kRerunnable) {
-  StoreSheet s = kit::Sheet();
+inline StoreSettings SettingsWith(bool cancel, Effect effect = Effect::kIdempotent) {
+  StoreSettings s = kit::Settings();
   s.may.cancel = cancel;
-  s.offerings[kWrite].effect = effect;
+  s.request_classes[kWrite].effect = effect;
   return s;
 }
 
-inline Ask AskAs(int which, int offering = kVideo) {
+inline Ask AskAs(int which, int request_class = kVideo) {
   Ask a = AskFor("00000000000000a" + std::to_string(which));
-  a.offering_at = offering;
-  if (offering == kWrite) {
-    a.offering = "write";
+  a.request_class_at = request_class;
+  if (request_class == kWrite) {
+    a.request_class = "write";
     a.body = "x";
   }
   return a;
@@ -67,11 +67,12 @@
   Wait wait;
   int asked = 1;
 
-  Waiting(Wait how, StoreSheet s, std::vector<exchange::Listed> more = {}, int offering = kVideo)
+  Waiting(Wait how, StoreSettings s, std::vector<exchange::Listed> more = {},
+          int request_class = kVideo)
       : r(ListOf(far, more), s), wait(how) {
     if (how == kQueue)
       Fill();
-    request = r.exchange.OnRequest(AskAs(1, offering), client);
+    request = r.exchange.OnRequest(AskAs(1, request_class), client);
     if (how == kCheck) {
       peer = far.Next(r.loop);
       Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
@@ -92,7 +93,7 @@
     // More than the system holds for one connection, on both sides.
     for (int i = 1; i < 7; ++i) {  // seven share the connection with the one that waits
       Ask a = AskFor("00000000000000b" + std::to_string(i));
-      a.offering_at = kVideo;
+      a.request_class_at = kVideo;
       a.body.assign(4 << 20, 'x');
       r.exchange.OnRequest(a, others[static_cast<std::size_t>(i)]);
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -35,7 +35,7 @@
       "{\"zone\":1,\"azs\":[\"hub "
       "one\",\"e,1\"],\"tenants\":[],\"limits\":{\"connIdle\":30000.0,\"cancel\":true},"
       "\"classes\":[{\"aim\":200.0,\"name\":\"a\"},{\"aim\":100.0,\"name\":\"b\"}]}");
-  assert(sheet::Dotted(*v) ==
+  assert(settings::Dotted(*v) ==
          "zone=1\nazs=hub_one,e_1\ntenants=\nlimits.connIdle=30000.0\nlimits.cancel=true\nclasses."
          "count=2\n"
          "classes.0.aim=200.0\nclasses.0.name=a\nclasses.1.aim=100.0\nclasses.1.name=b\n");
@@ -93,10 +93,10 @@
 static void WantsCarryAllThatTheDecisionsName() {
   exchange::Ask ask;
   ask.id = "9b1f03aa5c7e2d41";
-  ask.offering = "video";
+  ask.request_class = "video";
   ask.object = "7f3a";
   ask.part = "3";
-  SendLeg how;
+  SendAttempt how;
   assert(caches::RequestLine(ask, how, "").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501 0\r\n\r\n");
   ask.tag = "4be0";
@@ -129,7 +129,7 @@
                  {"a SHED remark=no_place 0", Ending::kFull, Remark::kNoFillPlace, 0},
                  {"a FAULT remark=far_fault 0", Ending::kError, Remark::kOriginFailed, 0},
                  {"a FAULT later=field,remark=cut_off 0", Ending::kError, Remark::kSourceLost, 0},
-                 {"a LATE - 0", Ending::kMoot, Remark::kNone, 0}}) {
+                 {"a LATE - 0", Ending::kSuperseded, Remark::kNone, 0}}) {
     auto answer = caches::ReadAnswer(c.line, {});
     assert(answer && answer->id == "a" && !answer->probe && answer->length == c.length);
     assert(answer->word.ending == c.ending && answer->word.remark == c.remark);
@@ -148,13 +148,13 @@
     assert(!caches::ReadAnswer(bad, {}));
 }
 
-static const sheet::RoadTerms kTerms{{"video"}, {"hub", "e-1"}, {"box", "parent"}, {}, 400, 30000,
-                                     100};
+static const settings::RoadTerms kTerms{
+    {"video"}, {"hub", "e-1"}, {"box", "parent"}, {}, 400, 30000, 100};
 
-static void NoticesAreRead() {
+static void WatchEventsAreRead() {
   auto read = [](const char* text) {
     auto v = json::Read(text);
-    return v ? board::ReadNotice(*v, kTerms) : std::nullopt;
+    return v ? discovery::ReadNotice(*v, kTerms) : std::nullopt;
   };
   auto list = read(
       "{\"rev\":41,\"pool\":{\"version\":7,\"full\":false,\"servers\":[{\"id\":\"s-1\",\"addr\":"
@@ -206,19 +206,19 @@
 }
 
 static void EndsMeanWhatTheyProve() {
-  using loop::Parting;
+  using loop::DisconnectReason;
   struct Case {
-    Parting how;
+    DisconnectReason how;
     Ending whole;
     Ending part;
   };
-  for (Case c : {Case{Parting::kRefused, Ending::kNoConnection, Ending::kNoConnection},
-                 {Parting::kNeverUp, Ending::kNoConnection, Ending::kNoConnection},
-                 {Parting::kNoDescriptor, Ending::kNoConnection, Ending::kNoConnection},
-                 {Parting::kClosed, Ending::kBroken, Ending::kNoConnection},
-                 {Parting::kReset, Ending::kBroken, Ending::kNoConnection},
-                 {Parting::kMalformed, Ending::kBroken, Ending::kNoConnection},
-                 {Parting::kReplaced, Ending::kBroken, Ending::kNoConnection}}) {
+  for (Case c : {Case{DisconnectReason::kRefused, Ending::kNoConnection, Ending::kNoConnection},
+                 {DisconnectReason::kNeverUp, Ending::kNoConnection, Ending::kNoConnection},
+                 {DisconnectReason::kNoDescriptor, Ending::kNoConnection, Ending::kNoConnection},
+                 {DisconnectReason::kClosed, Ending::kBroken, Ending::kNoConnection},
+                 {DisconnectReason::kReset, Ending::kBroken, Ending::kNoConnection},
+                 {DisconnectReason::kMalformed, Ending::kBroken, Ending::kNoConnection},
+                 {DisconnectReason::kReplaced, Ending::kBroken, Ending::kNoConnection}}) {
     assert(exchange::EndingOf(c.how, true) == c.whole);
     assert(exchange::EndingOf(c.how, false) == c.part);
   }
@@ -241,7 +241,7 @@
     assert(!request.whole || request.request.size <= bytes.size());
     read += request.whole + caches::ReadAnswer(bytes, {"a"}).has_value();
     if (auto v = json::Read(bytes))
-      read += board::ReadNotice(*v, kTerms).has_value();
+      read += discovery::ReadNotice(*v, kTerms).has_value();
   }
   assert(read > 0);
 }
@@ -253,7 +253,7 @@
   BadRequestsGetTheirStatus();
   WantsCarryAllThatTheDecisionsName();
   AnswersAreRead();
-  NoticesAreRead();
+  WatchEventsAreRead();
   EndsMeanWhatTheyProve();
   JunkIsBorne();
 }
