--- a/src/front/parts_none.cpp
+++ b/src/front/parts_none.cpp
@@ -6,25 +6,25 @@
 
 namespace dunlinwick::front {
 
-bool partsBuilt() {
+bool PartsBuilt() {
   return false;
 }
-PeersTerms readPeers(const json::Value&) {
+PeersTerms ReadPeers(const json::Value&) {
   throw std::runtime_error(
       "peers: this build has no peers' socket; build with -DDUNLINWICK_OWNER=ON");
 }
-void readLayer(const json::Value& all, Configuration&) {
+void ReadLayer(const json::Value& all, Configuration&) {
   for (const char* block : {"record", "recovery", "rules"})
-    if (all.find(block))
+    if (all.Find(block))
       throw std::runtime_error(std::string(block) +
                                ": this build has no fleet layer; build with -DDUNLINWICK_OWNER=ON");
 }
-std::unique_ptr<Parts> makeParts(loop::Loop&, const Configuration&, failover::Health&, Fleet::Steer,
+std::unique_ptr<Parts> MakeParts(loop::Loop&, const Configuration&, failover::Health&, Fleet::Steer,
                                  exchange::Exchange&, const Deciding&) {
   return nullptr;
 }
-Deciding decidingFor(const Configuration& c) {
-  return {exchange::moduleFor(c.settings, c.seed), nullptr, nullptr};
+Deciding DecidingFor(const Configuration& c) {
+  return {exchange::ModuleFor(c.settings, c.seed), nullptr, nullptr};
 }
 
 }  // namespace dunlinwick::front
