--- a/src/drift/drift.hpp
+++ b/src/drift/drift.hpp
@@ -89,7 +89,7 @@
 std::string Refused(const Approval& a, Version current, bool wants_second);
 
 // ---- what fronts tell (Channel::rules)
-struct ActiveReport {       // each round to `fanout` fronts, all of it; news of others rides along
+struct ActiveReport {   // each round to `fanout` fronts, all of it; news of others rides along
   Version version = 0;  // that it believes approved
   std::uint64_t active = 0;
   std::uint64_t approved = 0;  // digests of all
--- a/src/drift/evidence.cpp
+++ b/src/drift/evidence.cpp
@@ -297,13 +297,13 @@
     if (a != ejected_of.end() && a->second.on && who != self)
       continue;
     ActiveReport::Case vote{who,
-                        static_cast<std::uint8_t>(h),
-                        s->second.changed,
-                        wanted[who].version,
-                        SpanOf(s->second.seq, s->second.changed, ids.size()),
-                        {Owning() ? mine : 0, {}, {}},
-                        {},
-                        {}};
+                            static_cast<std::uint8_t>(h),
+                            s->second.changed,
+                            wanted[who].version,
+                            SpanOf(s->second.seq, s->second.changed, ids.size()),
+                            {Owning() ? mine : 0, {}, {}},
+                            {},
+                            {}};
     std::size_t i = Index(self);
     vote.newest.voters.assign(i / 8 + 1, '\0');
     vote.newest.voters[i / 8] = static_cast<char>(1 << (i % 8));
--- a/src/drift/told.cpp
+++ b/src/drift/told.cpp
@@ -141,9 +141,9 @@
     if (!Fits(c.newest()) || !Fits(c.before()) || over(c.fields_size(), kMostOpened))
       return {};
     ActiveReport::Case k{c.who(),          static_cast<std::uint8_t>(c.standing()),
-                     c.changed(),      c.wanted(),
-                     c.span(),         Read(c.newest()),
-                     Read(c.before()), {}};
+                         c.changed(),      c.wanted(),
+                         c.span(),         Read(c.newest()),
+                         Read(c.before()), {}};
     for (const auto& f : c.fields()) {
       if (f.breaks() > 2 || f.section().size() > kMostValue || f.name().size() > kMostValue ||
           f.active().size() > kMostValue || f.approved().size() > kMostValue)
--- a/tests/drift_test.cpp
+++ b/tests/drift_test.cpp
@@ -585,7 +585,8 @@
       d.Handle(now, Tick{});
     return d.Rows().at(3).standing;
   };
-  const ActiveReport::Ballot none{}, two{0, "\x18", ""}, first{0, "\x08", ""}, second{0, "\x10", ""};
+  const ActiveReport::Ballot none{}, two{0, "\x18", ""}, first{0, "\x08", ""},
+      second{0, "\x10", ""};
   const ActiveReport::Ballot off{0, "\x10", "\x08"}, was{0, "\x18", "\x18"};
   CHECK(SpanOf(64, 1, 5) == 0);
   CHECK(SpanOf(65, 1, 5) == 1);
