--- a/tests/keepers_test.cpp
+++ b/tests/keepers_test.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr std::size_t mostStates = 4000;
+constexpr std::size_t kMostStates = 4000;
 #else
 constexpr std::size_t kMostStates = 40000;
 #endif
