--- a/tests/exposition_test.cpp
+++ b/tests/exposition_test.cpp
@@ -1,5 +1,5 @@
-// The counters as Prometheus reads them: every one told once, with its type and help, and its exact
-// number.
+// The counters in Prometheus' text format: each is exported once, with its type, help and exact
+// value.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -12,15 +12,15 @@
 
 using namespace dunlinwick;
 
-TEST_CASE("each counter is told once, with help and type before it") {
+TEST_CASE("each counter is exported once, after its help and type") {
   exchange::Counters c;
-  constexpr std::size_t kMany = sizeof c / sizeof(exchange::Counters::Count);
-  exchange::Counters::Count numbers[kMany];
-  for (std::size_t i = 0; i < kMany; ++i)
-    numbers[i] = 9007199254740000u + i;  // whole in a double, and each another's
+  constexpr std::size_t kCounters = sizeof c / sizeof(exchange::Counters::Count);
+  exchange::Counters::Count numbers[kCounters];
+  for (std::size_t i = 0; i < kCounters; ++i)
+    numbers[i] = 9007199254740000u + i;  // exact in a double, and all different
   std::memcpy(&c, numbers, sizeof c);
   std::istringstream text(front::Exposition(c));
-  std::map<std::string, double> notified;
+  std::map<std::string, double> exported;
   std::set<std::string> helped, typed;
   for (std::string line; std::getline(text, line);) {
     std::istringstream words(line);
@@ -35,19 +35,19 @@
     }
     double value = 0;
     REQUIRE((words >> value));
-    const std::string family = first.substr(0, first.find('{'));  // labels follow
+    const std::string family = first.substr(0, first.find('{'));  // the name without labels
     CHECK(helped.count(family) == 1);
     CHECK(typed.count(family) == 1);
-    CHECK(notified.emplace(first, value).second);
+    CHECK(exported.emplace(first, value).second);
   }
-  CHECK(notified.size() == kMany);
+  CHECK(exported.size() == kCounters);
   std::set<double> values;
-  for (auto& [name, value] : notified)
+  for (auto& [name, value] : exported)
     values.insert(value);
-  CHECK(values.size() == kMany);
+  CHECK(values.size() == kCounters);
   CHECK(*values.begin() == static_cast<double>(numbers[0]));
-  CHECK(*values.rbegin() == static_cast<double>(numbers[kMany - 1]));
-  CHECK(notified.at("dunlinwick_pulls_total") == static_cast<double>(c.requests));
-  CHECK(notified.at("dunlinwick_late_total") == static_cast<double>(c.late_answers));
-  CHECK(notified.at("dunlinwick_reloads_total") == static_cast<double>(c.reloads));
+  CHECK(*values.rbegin() == static_cast<double>(numbers[kCounters - 1]));
+  CHECK(exported.at("dunlinwick_pulls_total") == static_cast<double>(c.requests));
+  CHECK(exported.at("dunlinwick_late_total") == static_cast<double>(c.late_answers));
+  CHECK(exported.at("dunlinwick_reloads_total") == static_cast<double>(c.reloads));
 }
--- a/tests/front_terms_test.cpp
+++ b/tests/front_terms_test.cpp
@@ -1,5 +1,6 @@
-/// A whole front on the simulated network, in virtual time: whatever servers, discovery and other
-/// clients do, each request has one final answer in time, also those that come late in a stop.
+/// A whole front on the simulated network, in virtual time: whatever servers, the discovery service
+/// and other clients do, each request gets one final response in time, also one that arrives late
+/// while the front stops.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -12,7 +13,7 @@
 
 namespace {
 
-/// What 400 bad clients send, in turn; the last kind sends nothing.
+/// What 400 misbehaving clients send, in rotation; the last kind sends nothing.
 std::vector<std::string> BadBytes(Deployment& deployment) {
   std::string pipelined;
   for (int i = 0; i < 20; ++i)
@@ -28,7 +29,9 @@
 
 }  // namespace
 
-TEST_CASE("each request is answered in time while servers, discovery and other clients misbehave") {
+TEST_CASE(
+    "each request is answered in time while servers, the discovery service and other clients "
+    "misbehave") {
   for (ServerMode servers :
        {ServerMode::kAnswer, ServerMode::kHang, ServerMode::kRefuse, ServerMode::kReset}) {
     for (DiscoveryMode discovery : {DiscoveryMode::kMute, DiscoveryMode::kRefuse}) {
@@ -56,20 +59,20 @@
   }
 }
 
-TEST_CASE("each request is answered in time beside a crowd that fills the descriptors") {
+TEST_CASE("each request is answered in time beside clients that exhaust the descriptors") {
   for (const char* bytes :
        {"", "GET /ops/video/1 HTTP/1.1\r\nX-Request-Id: ", "GET /alive HTTP/1.1\r\n\r\n", "\x16"}) {
     for (std::size_t sockets : {64, 256}) {
       CAPTURE(bytes);
       CAPTURE(sockets);
       Deployment deployment(ServerMode::kHang, DiscoveryMode::kRefuse, sockets);
-      const int crowd = sockets == 64 ? 100 : 400;
-      for (int i = 0; i < crowd; ++i) {
+      const int connections = sockets == 64 ? 100 : 400;
+      for (int i = 0; i < connections; ++i) {
         Client& client = deployment.Connect();
         if (*bytes != 0)
           deployment.Send(client, bytes);
-        // Within 0.4 s. All in one moment would overflow the simulated listener's queue of 128, and
-        // their repeated dials come 1 s later.
+        // All connect within 0.4 s. At one instant they would overflow the simulated listener's
+        // queue of 128, and their repeated attempts come 1 s later.
         if (i % 40 == 39)
           deployment.RunFor(40);
       }
@@ -83,11 +86,11 @@
   }
 }
 
-TEST_CASE("requests of a stop are answered before the process may be killed") {
+TEST_CASE("requests that arrive during a stop are answered before the process may be killed") {
   for (ServerMode servers : {ServerMode::kAnswer, ServerMode::kHang, ServerMode::kRefuse}) {
-    for (Ms still : {0.0, 300.0}) {
+    for (Ms standstill : {0.0, 300.0}) {
       CAPTURE(static_cast<int>(servers));
-      CAPTURE(still);
+      CAPTURE(standstill);
       Deployment deployment(servers);
       std::vector<Client*> open;
       for (int i = 0; i < 8; ++i)
@@ -98,8 +101,8 @@
       std::size_t requests = 0;
       for (Ms after : {0.0, 200.0, 400.0, 550.0, 600.0, 640.0, 670.0, 695.0}) {
         deployment.net.RunUntil(stopped_at + after);
-        if (after == 550 && still > 0)
-          deployment.front_process.StandStill(deployment.net.now() + still);
+        if (after == 550 && standstill > 0)
+          deployment.front_process.StandStill(deployment.net.now() + standstill);
         deployment.Request(*open[requests / 2], kLongestDeadline);
         deployment.Request(kLongestDeadline);
         requests += 2;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,5 @@
-// What the readers make of bytes from outside, good and bad.
+// The parsers of bytes from clients, caches and the discovery service, with valid and invalid
+// input.
 #include <random>
 
 #include "board/notices.hpp"
@@ -8,7 +9,7 @@
 
 using namespace kit;
 
-static void JsonIsReadStrictly() {
+static void JsonIsParsedStrictly() {
   std::string deep(40, '['), shallow = std::string(20, '[') + std::string(20, ']');
   struct Case {
     std::string text;
@@ -30,7 +31,7 @@
          !v->number("t"));
 }
 
-static void SettingsAreLaidOutAsOnTheWire() {
+static void SettingsAreFlattenedAsOnTheWire() {
   auto v = json::Read(
       "{\"zone\":1,\"azs\":[\"hub "
       "one\",\"e,1\"],\"tenants\":[],\"limits\":{\"connIdle\":30000.0,\"cancel\":true},"
@@ -45,10 +46,10 @@
     "PUT /ops/handover/7f3a?part=3 HTTP/1.1\r\nHost: s\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\n"
     "content-length: 5\r\n\r\nab\r\n\x01";
 
-static void RequestsAreReadAtAnySplit() {
+static void RequestsAreParsedAtAnySplit() {
   for (std::size_t cut = 0; cut < kPut.size(); ++cut) {
-    auto part = clients::ReadRequest(std::string_view(kPut).substr(0, cut), 100);
-    assert(part.fault == 0 && !part.whole);
+    auto prefix = clients::ReadRequest(std::string_view(kPut).substr(0, cut), 100);
+    assert(prefix.fault == 0 && !prefix.whole);
   }
   std::string bytes = "\r\n" + kPut + "GET";
   auto all = clients::ReadRequest(bytes, 100);
@@ -58,7 +59,7 @@
   assert(all.request.header("x-REQUEST-id") == "9b1f03aa5c7e2d41");
 }
 
-static void BadRequestsGetTheirStatus() {
+static void InvalidRequestsGetTheirStatus() {
   struct Case {
     std::string bytes;
     int fault;
@@ -90,31 +91,31 @@
   assert(!clients::ReadRequest(get + "Connection: x, Close\r\n\r\n", 100).request.keep_alive);
 }
 
-static void WantsCarryAllThatTheDecisionsName() {
+static void RequestLinesCarryAllFieldsOfAnAttempt() {
   exchange::Ask ask;
   ask.id = "9b1f03aa5c7e2d41";
   ask.request_class = "video";
   ask.object = "7f3a";
   ask.part = "3";
-  SendAttempt how;
-  assert(caches::RequestLine(ask, how, "").WithTimeLeft(1500.2) ==
+  SendAttempt attempt;
+  assert(caches::RequestLine(ask, attempt, "").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501 0\r\n\r\n");
   ask.tag = "4be0";
   ask.body = "a\r\nb";
-  how.join = how.held_only = how.renew = true;
-  how.rank = 2;
-  how.oldest = 0.001;
-  // An age below a millisecond must not become 0, which would lift the cap after a purge.
-  assert(caches::RequestLine(ask, how, "s-2").WithTimeLeft(1500.2) ==
+  attempt.join = attempt.held_only = attempt.renew = true;
+  attempt.rank = 2;
+  attempt.oldest = 0.001;
+  // An age below a millisecond must not become 0, which would remove the age limit after a purge.
+  assert(caches::RequestLine(ask, attempt, "s-2").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501,miss=s-2,prio=2,within=1,"
          "f=coalesce+shallow+freshen,mine=4be0 4\r\na\r\nb\r\n");
-  ask.key = "k-17";  // as its client named it: repeats are known by it
-  assert(caches::RequestLine(ask, how, "s-2")
+  ask.key = "k-17";  // as the client named it: repeated requests are recognised by it
+  assert(caches::RequestLine(ask, attempt, "s-2")
              .WithTimeLeft(1500.2)
              .find(",mine=4be0,replay=k-17 4\r\n") != std::string::npos);
 }
 
-static void AnswersAreRead() {
+static void ResponsesAreParsed() {
   struct Case {
     const char* line;
     Ending ending;
@@ -148,13 +149,13 @@
     assert(!caches::ReadAnswer(bad, {}));
 }
 
-static const settings::RoadTerms kTerms{
+static const settings::RoadTerms kConnectionSettings{
     {"video"}, {"hub", "e-1"}, {"box", "parent"}, {}, 400, 30000, 100};
 
-static void WatchEventsAreRead() {
+static void UpdatesAreParsed() {
   auto read = [](const char* text) {
     auto v = json::Read(text);
-    return v ? discovery::ReadNotice(*v, kTerms) : std::nullopt;
+    return v ? discovery::ReadNotice(*v, kConnectionSettings) : std::nullopt;
   };
   auto list = read(
       "{\"rev\":41,\"pool\":{\"version\":7,\"full\":false,\"servers\":[{\"id\":\"s-1\",\"addr\":"
@@ -165,17 +166,17 @@
       "17}]}}");
   assert(list && list->rev == 41 && list->list && !list->whole && !list->purge &&
          list->entries.size() == 1);
-  const exchange::Listed& one = list->entries[0];
-  assert(one.id == "s-1" && ntohs(one.at.sin_port) == 5050 && one.entry.zone == 1 &&
-         one.entry.kind == 1);
-  assert(one.entry.standing == Standing::kDraining && one.entry.weight == 4 &&
-         one.entry.started_at == 17);
+  const exchange::Listed& listed = list->entries[0];
+  assert(listed.id == "s-1" && ntohs(listed.at.sin_port) == 5050 && listed.entry.zone == 1 &&
+         listed.entry.kind == 1);
+  assert(listed.entry.standing == Standing::kDraining && listed.entry.weight == 4 &&
+         listed.entry.started_at == 17);
   auto object = read("{\"rev\":42,\"flush\":{\"asset\":\"7f3a\",\"ms\":123}}");
   assert(object && object->purge && !object->whole_group && object->object == "7f3a" &&
          object->at == 123);
   auto group = read("{\"rev\":43,\"flush\":{\"collection\":17,\"ms\":480}}");
   assert(group && group->whole_group && group->group == 17);
-  assert(read("{\"rev\":44,\"news\":1}"));  // of a kind to come
+  assert(read("{\"rev\":44,\"news\":1}"));  // of a kind that later versions may add
   for (const char* bad :
        {"{}", "{\"rev\":0}", "{\"rev\":1.5}", "{\"rev\":\"1\"}", "{\"rev\":1,\"pool\":{}}", "[1]",
         "{\"rev\":1,\"pool\":{\"servers\":[{\"id\":\"s\",\"addr\":\"x\",\"state\":\"in_service\"}]}"
@@ -205,12 +206,12 @@
     assert(!entry(bad, ""));
 }
 
-static void EndsMeanWhatTheyProve() {
+static void DisconnectReasonsMapToAttemptResults() {
   using loop::DisconnectReason;
   struct Case {
-    DisconnectReason how;
-    Ending whole;
-    Ending part;
+    DisconnectReason reason;
+    Ending whole_request_written;
+    Ending part_of_request_written;
   };
   for (Case c : {Case{DisconnectReason::kRefused, Ending::kNoConnection, Ending::kNoConnection},
                  {DisconnectReason::kNeverUp, Ending::kNoConnection, Ending::kNoConnection},
@@ -219,41 +220,41 @@
                  {DisconnectReason::kReset, Ending::kBroken, Ending::kNoConnection},
                  {DisconnectReason::kMalformed, Ending::kBroken, Ending::kNoConnection},
                  {DisconnectReason::kReplaced, Ending::kBroken, Ending::kNoConnection}}) {
-    assert(exchange::EndingOf(c.how, true) == c.whole);
-    assert(exchange::EndingOf(c.how, false) == c.part);
+    assert(exchange::EndingOf(c.reason, true) == c.whole_request_written);
+    assert(exchange::EndingOf(c.reason, false) == c.part_of_request_written);
   }
 }
 
-// Bytes changed at random: the readers may say what they like, but stay in their bounds (sanitizers
-// look on).
-static void JunkIsBorne() {
-  std::knuth_b chance(7);
+// Bytes changed at random: the parsers may return any result, but must stay within their bounds
+// (checked by sanitizers).
+static void MalformedBytesAreHandled() {
+  std::knuth_b random_engine(7);
   const std::string samples[] = {kPut,
                                  "a HIT entity=x1,issued=17645,remark=local,report=a:1;b:2 24",
                                  "{\"rev\":42,\"flush\":{\"asset\":\"7f\\u00e9\",\"ms\":1.5e2}}"};
-  std::size_t read = 0;
+  std::size_t parsed = 0;
   for (int i = 0; i < 30000; ++i) {
     std::string bytes = samples[i % 3];
     for (int changes = 1 + i % 4; changes > 0; --changes)
-      bytes[chance() % bytes.size()] = static_cast<char>(chance());
-    bytes.resize(chance() % (bytes.size() + 1));
+      bytes[random_engine() % bytes.size()] = static_cast<char>(random_engine());
+    bytes.resize(random_engine() % (bytes.size() + 1));
     auto request = clients::ReadRequest(bytes, 100);
     assert(!request.whole || request.request.size <= bytes.size());
-    read += request.whole + caches::ReadAnswer(bytes, {"a"}).has_value();
+    parsed += request.whole + caches::ReadAnswer(bytes, {"a"}).has_value();
     if (auto v = json::Read(bytes))
-      read += discovery::ReadNotice(*v, kTerms).has_value();
+      parsed += discovery::ReadNotice(*v, kConnectionSettings).has_value();
   }
-  assert(read > 0);
+  assert(parsed > 0);
 }
 
 int main() {
-  JsonIsReadStrictly();
-  SettingsAreLaidOutAsOnTheWire();
-  RequestsAreReadAtAnySplit();
-  BadRequestsGetTheirStatus();
-  WantsCarryAllThatTheDecisionsName();
-  AnswersAreRead();
-  WatchEventsAreRead();
-  EndsMeanWhatTheyProve();
-  JunkIsBorne();
+  JsonIsParsedStrictly();
+  SettingsAreFlattenedAsOnTheWire();
+  RequestsAreParsedAtAnySplit();
+  InvalidRequestsGetTheirStatus();
+  RequestLinesCarryAllFieldsOfAnAttempt();
+  ResponsesAreParsed();
+  UpdatesAreParsed();
+  DisconnectReasonsMapToAttemptResults();
+  MalformedBytesAreHandled();
 }
