--- a/src/drill/scene.cpp
+++ b/src/drill/scene.cpp
@@ -39,7 +39,7 @@
   StagedFront(stage::Net& net, stage::Process& p, const std::string& text,
               std::unique_ptr<Break> broken)
       : net_(net), process_(p) {
-    front::Configuration configuration = front::ReadConfigurationText(text, p.Name(), "");
+    front::FrontConfiguration configuration = front::ParseConfiguration(text, p.Name(), "");
     exchange::Decider module = exchange::ModuleFor(configuration.settings, configuration.seed);
     if (broken) {
       std::shared_ptr<Break> shared = std::move(broken);
--- a/src/front/active.cpp
+++ b/src/front/active.cpp
@@ -4,21 +4,23 @@
 
 namespace {
 
-// A field that is added to one of these and not below would be a rule nobody sees drift: whoever
-// changes a struct is sent here by its size (x86-64, libstdc++), adds the field below, then counts
-// anew. tests/drift_test.cpp changes each field in turn.
+// A field that is added to one of these structs but not below would drift unseen. The size check
+// (x86-64, libstdc++) leads whoever changes a struct here: add the field below, then update the
+// size and the count. tests/drift_test.cpp changes each field in turn.
 #if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
-static_assert(sizeof(RequestClass) == 72, "Offering changed: tell its new field below (10 fields)");
-static_assert(sizeof(Permits) == 5, "Permits changed: tell its new field below (5 fields)");
-static_assert(sizeof(ColdTerms) == 24, "ColdTerms changed: tell its new field below (3 fields)");
+static_assert(sizeof(RequestClass) == 72,
+              "RequestClass changed: add its new field below (10 fields)");
+static_assert(sizeof(Permits) == 5, "permissions changed: add the new field below (5 fields)");
+static_assert(sizeof(ColdTerms) == 24,
+              "slow start settings changed: add the new field below (3 fields)");
 static_assert(sizeof(StoreSettings) == 176,
-              "StoreSheet changed: tell its new field below (21 fields)");
+              "deployment settings changed: add the new field below (21 fields)");
 static_assert(sizeof(settings::RoadTerms) == 120,
-              "RoadTerms changed: tell its new field below (8 fields)");
+              "connection settings changed: add the new field below (8 fields)");
 static_assert(sizeof(owner::Terms) == 32 && sizeof(owner::GroupTerms) == 24,
-              "owner terms changed: tell the new field below");
+              "owner settings changed: add the new field below");
 static_assert(sizeof(members::Terms) == 96 && sizeof(failover::Terms) == 56,
-              "fleet terms changed: tell the new field below");
+              "fleet settings changed: add the new field below");
 #endif
 
 std::string Text(bool v) {
@@ -51,41 +53,41 @@
   return v;
 }
 
-template <class V>
-std::string List(const V& values) {
+template <class Values>
+std::string JoinList(const Values& values) {
   std::string out;
   for (const auto& v : values) {
-    std::string one = Text(v);
+    std::string item = Text(v);
     if (!out.empty())
       out += ',';
-    out += std::to_string(one.size());
+    out += std::to_string(item.size());
     out += ':';
-    out += one;
+    out += item;
   }
   return out;
 }
-// Long lists: what stands for them has bounds, what they say is in the digest.
+// A long list is replaced by its length and digest.
 std::string Bounded(std::string value) {
   if (value.size() <= 512)
     return value;
-  Section whole{{"", value}};
-  return std::to_string(value.size()) + " bytes, digest " + std::to_string(Digest(whole));
+  Section digested{{"", value}};
+  return std::to_string(value.size()) + " bytes, digest " + std::to_string(Digest(digested));
 }
 
-Section RequestClass(const RequestClass& o) {
-  return {{"effect", Text(o.effect)},
-          {"span", Text(o.span)},
-          {"memory", Text(o.memory)},
-          {"agreed", Text(o.agreed)},
-          {"agreed_stretch", Text(o.agreed_stretch)},
-          {"expiry", Text(o.expiry)},
-          {"payoff", Text(o.payoff)},
-          {"streams", Text(o.streams)},
-          {"fresh_for", Text(o.fresh_for)},
-          {"never_kept", Text(o.never_kept)}};
+Section RequestClassSection(const RequestClass& request_class) {
+  return {{"effect", Text(request_class.effect)},
+          {"span", Text(request_class.span)},
+          {"memory", Text(request_class.memory)},
+          {"agreed", Text(request_class.agreed)},
+          {"agreed_stretch", Text(request_class.agreed_stretch)},
+          {"expiry", Text(request_class.expiry)},
+          {"payoff", Text(request_class.payoff)},
+          {"streams", Text(request_class.streams)},
+          {"fresh_for", Text(request_class.fresh_for)},
+          {"never_kept", Text(request_class.never_kept)}};
 }
 
-void Cold(Section& s, const std::string& name, const ColdTerms& c) {
+void AddSlowStart(Section& s, const std::string& name, const ColdTerms& c) {
   s[name + ".from"] = Text(c.from);
   s[name + ".multiple"] = Text(c.multiple);
   s[name + ".lasts"] = Text(c.lasts);
@@ -93,24 +95,25 @@
 
 }  // namespace
 
-Form ActiveForm(const StoreSettings& settings, const settings::RoadTerms& road,
-                const front::FleetTerms& fleet, const front::OwnerTerms& owner,
-                const std::string& build) {
+Form ActiveConfiguration(const StoreSettings& settings,
+                         const settings::RoadTerms& connection_settings,
+                         const front::FleetSettings& fleet, const front::OwnerSettings& owner,
+                         const std::string& build) {
   Form form;
   form["build"] = {{"version", build}};
 
   Section& request_classes = form["offerings"];
-  bool wide = settings.request_classes.size() > 25;  // 10 fields each
+  bool one_field_per_class = settings.request_classes.size() > 25;  // 10 fields each
   request_classes["count"] = Text(settings.request_classes.size());
   std::string rest;
   for (std::size_t i = 0; i < settings.request_classes.size(); ++i) {
-    Section row = RequestClass(settings.request_classes[i]);
-    std::string at = std::to_string(i);
-    if (!wide) {
+    Section row = RequestClassSection(settings.request_classes[i]);
+    std::string index = std::to_string(i);
+    if (!one_field_per_class) {
       for (auto& [name, value] : row)
-        request_classes[std::string(at).append(".").append(name)] = value;
+        request_classes[std::string(index).append(".").append(name)] = value;
     } else if (i < 250) {
-      request_classes[std::string(at).append(".row")] = Canonical(row);
+      request_classes[std::string(index).append(".row")] = Canonical(row);
     } else {
       rest += Canonical(row) + ";";
     }
@@ -139,71 +142,71 @@
                      {"two_legs_at_once", Text(settings.may.two_attempts_at_once)},
                      {"join", Text(settings.may.join)},
                      {"direct", Text(settings.may.direct)}};
-  Section& c = form["cold"];
-  Cold(c, "store", settings.cold_store);
-  Cold(c, "parent", settings.cold_parent);
-  c["window"] = Text(settings.cold_window);
+  Section& slow_start = form["cold"];
+  AddSlowStart(slow_start, "store", settings.cold_store);
+  AddSlowStart(slow_start, "parent", settings.cold_parent);
+  slow_start["window"] = Text(settings.cold_window);
 
-  form["road"] = {{"offerings", Bounded(List(road.request_classes))},
-                  {"zones", Bounded(List(road.zones))},
-                  {"kinds", Bounded(List(road.kinds))},
-                  {"reported", Bounded(List(road.reported))},
-                  {"connect_within", Text(road.connect_within)},
-                  {"idle_for", Text(road.idle_for)},
-                  {"legs_at_once", Text(road.attempts_at_once)},
-                  {"may_probe", Text(road.may_probe)}};
+  form["road"] = {{"offerings", Bounded(JoinList(connection_settings.request_classes))},
+                  {"zones", Bounded(JoinList(connection_settings.zones))},
+                  {"kinds", Bounded(JoinList(connection_settings.kinds))},
+                  {"reported", Bounded(JoinList(connection_settings.reported))},
+                  {"connect_within", Text(connection_settings.connect_within)},
+                  {"idle_for", Text(connection_settings.idle_for)},
+                  {"legs_at_once", Text(connection_settings.attempts_at_once)},
+                  {"may_probe", Text(connection_settings.may_probe)}};
 
-  if (fleet.on) {
+  if (fleet.enabled) {
     std::string members;
     for (const auto& m : fleet.members)
       members.append(std::to_string(m.id)).append("/").append(std::to_string(m.zone)).append(",");
-    const auto& s = fleet.swim;
-    const auto& v = fleet.verdict;
+    const auto& swim = fleet.swim;
+    const auto& failover = fleet.failover_settings;
     form["fleet"] = {{"members", Bounded(members)},
-                     {"zones", Bounded(List(fleet.zones))},
-                     {"zone_region", Bounded(List(fleet.zone_region))},
+                     {"zones", Bounded(JoinList(fleet.zones))},
+                     {"zone_region", Bounded(JoinList(fleet.zone_region))},
                      {"steer", Text(fleet.steer)},
-                     {"platform_zones", Text(fleet.platform_zones)},
-                     {"platform_zone", Bounded(List(fleet.platform_zone))},
-                     {"swim.period", Text(s.period)},
-                     {"swim.probe_timeout", Text(s.probe_timeout)},
-                     {"swim.indirect", Text(s.indirect)},
-                     {"swim.indirect_most", Text(s.indirect_most)},
-                     {"swim.tries", Text(s.tries)},
-                     {"swim.looks", Text(s.looks)},
-                     {"swim.alpha", Text(s.alpha)},
-                     {"swim.beta", Text(s.beta)},
-                     {"swim.confirmations", Text(s.confirmations)},
-                     {"swim.health_most", Text(s.health_most)},
-                     {"swim.retransmit", Text(s.retransmit)},
-                     {"swim.news_per_message", Text(s.news_per_message)},
-                     {"swim.notes_per_message", Text(s.notes_per_message)},
-                     {"swim.note_refresh", Text(s.note_refresh)},
-                     {"swim.reconnect", Text(s.reconnect)},
-                     {"verdict.quorum", Text(v.quorum)},
-                     {"verdict.hold_back", Text(v.hold_back)},
-                     {"verdict.lasting", Text(v.lasting)},
-                     {"verdict.overprovision", Text(v.overprovision)},
-                     {"verdict.panic", Text(v.panic)},
-                     {"verdict.alive_share", Text(v.alive_share)},
-                     {"verdict.together", Text(v.together)}};
+                     {"platform_zones", Text(fleet.platform_zone_count)},
+                     {"platform_zone", Bounded(JoinList(fleet.platform_zones))},
+                     {"swim.period", Text(swim.period)},
+                     {"swim.probe_timeout", Text(swim.probe_timeout)},
+                     {"swim.indirect", Text(swim.indirect)},
+                     {"swim.indirect_most", Text(swim.indirect_most)},
+                     {"swim.tries", Text(swim.tries)},
+                     {"swim.looks", Text(swim.looks)},
+                     {"swim.alpha", Text(swim.alpha)},
+                     {"swim.beta", Text(swim.beta)},
+                     {"swim.confirmations", Text(swim.confirmations)},
+                     {"swim.health_most", Text(swim.health_most)},
+                     {"swim.retransmit", Text(swim.retransmit)},
+                     {"swim.news_per_message", Text(swim.news_per_message)},
+                     {"swim.notes_per_message", Text(swim.notes_per_message)},
+                     {"swim.note_refresh", Text(swim.note_refresh)},
+                     {"swim.reconnect", Text(swim.reconnect)},
+                     {"verdict.quorum", Text(failover.quorum)},
+                     {"verdict.hold_back", Text(failover.hold_back)},
+                     {"verdict.lasting", Text(failover.lasting)},
+                     {"verdict.overprovision", Text(failover.overprovision)},
+                     {"verdict.panic", Text(failover.panic)},
+                     {"verdict.alive_share", Text(failover.alive_share)},
+                     {"verdict.together", Text(failover.together)}};
   }
-  if (owner.on) {
-    std::string group, works;
+  if (owner.enabled) {
+    std::string group, tasks;
     for (auto id : owner.group)
       group.append(std::to_string(id)).append(",");
-    for (const auto& w : owner.works) {
-      works.append(w.name)
+    for (const auto& task : owner.tasks) {
+      tasks.append(task.name)
           .append("/")
-          .append(std::to_string(w.steps))
+          .append(std::to_string(task.steps))
           .append("/")
-          .append(Text(w.each));
-      for (auto p : w.places)
-        works.append("/").append(std::to_string(p));
-      works += ",";
+          .append(Text(task.step_time));
+      for (auto executor : task.executors)
+        tasks.append("/").append(std::to_string(executor));
+      tasks += ",";
     }
     form["owner"] = {{"group", Bounded(group)},
-                     {"works", Bounded(works)},
+                     {"works", Bounded(tasks)},
                      {"lease", Text(owner.lease.lease)},
                      {"margin", Text(owner.lease.margin)},
                      {"drift", Text(owner.lease.drift)},
@@ -216,8 +219,8 @@
   return form;
 }
 
-Classes ActiveClasses() {
-  Classes c;
+Classes FieldImpacts() {
+  Classes impacts;
   for (const char* rule : {"offerings.effect",    "offerings.span",
                            "offerings.memory",    "offerings.expiry",
                            "offerings.fresh_for", "offerings.never_kept",
@@ -232,10 +235,10 @@
                            "owner.drift",         "owner.group",
                            "road.offerings",      "road.zones",
                            "road.kinds"})
-    c[rule] = Breaks::kRule;
+    impacts[rule] = Breaks::kRule;
   for (const char* none : {"build.version", "road.reported", "owner.tick"})
-    c[none] = Breaks::kNothing;
-  return c;
+    impacts[none] = Breaks::kNothing;
+  return impacts;
 }
 
 }  // namespace dunlinwick::drift
--- a/src/front/active.hpp
+++ b/src/front/active.hpp
@@ -1,10 +1,10 @@
-// What a front decides by, as it stands in its memory: read from the structs that are in use, never
-// from the file a front was started with. One section a struct; a list's rows are "0.effect",
-// "1.effect"... A list too long for a section of 256 fields is told row by row as one field each
-// (its digest and length), so that nothing is left out.
+// The active configuration in canonical form: what a front decides by, read from the structs in
+// use, never from the file it was started with. One section for each struct; a list's fields are
+// "0.effect", "1.effect"... A list too long for a section of 256 fields is given as one field per
+// row (bounded by length and digest), so that nothing is left out.
 //
-// Addresses, seeds and names of one front's own (its listening sockets, its store's folder) are no
-// rules and are not told.
+// Values of a single front (its addresses, seed and name, its store's folder) are not rules and are
+// left out.
 #pragma once
 #include "drift/drift.hpp"
 #include "front/charter.hpp"
@@ -12,13 +12,14 @@
 namespace dunlinwick::drift {
 
 // Sections: build, sheet, offerings, permits, cold, road, fleet, owner.
-Form ActiveForm(const StoreSettings& settings, const settings::RoadTerms& road,
-                const front::FleetTerms& fleet, const front::OwnerTerms& owner,
-                const std::string& build);
+Form ActiveConfiguration(const StoreSettings& settings,
+                         const settings::RoadTerms& connection_settings,
+                         const front::FleetSettings& fleet, const front::OwnerSettings& owner,
+                         const std::string& build);
 
-// What a field can break. Rules: effect, span, memory, agreed time's and expiry's terms, what a
-// front may do, cold terms, purge terms, what leases and clocks are trusted with. Nothing: names
-// and the build. All else: capacity.
-Classes ActiveClasses();
+// What a wrong value of each field can break. Rules: effect, deduplication scope and window,
+// latency objective and maximum deadline, permissions, slow start, purges, lease and clock
+// assumptions. Nothing: names and the build. All other fields: capacity.
+Classes FieldImpacts();
 
 }  // namespace dunlinwick::drift
--- a/src/front/charter.cpp
+++ b/src/front/charter.cpp
@@ -10,328 +10,340 @@
 using json::Kind;
 using json::Value;
 
-static const Value& Need(const Value& in, const char* name, Kind kind) {
-  const Value* v = in.Find(name, kind);
-  if (!v)
-    throw std::runtime_error(std::string("configuration lacks a usable ") + name);
-  return *v;
+static const Value& RequireField(const Value& object, const char* name, Kind kind) {
+  const Value* value = object.Find(name, kind);
+  if (!value)
+    throw std::runtime_error(std::string("configuration: missing or invalid ") + name);
+  return *value;
 }
 
-static loop::Address Address(const std::string& text, const char* name) {
-  auto at = loop::ReadAddress(text);
-  if (!at)
-    throw std::runtime_error(std::string(name) + " is no address: " + text);
-  return *at;
+static loop::Address RequireAddress(const std::string& text, const char* name) {
+  auto address = loop::ReadAddress(text);
+  if (!address)
+    throw std::runtime_error(std::string(name) + " is not an address: " + text);
+  return *address;
 }
 
-// Refused whole, with the field and the reason.
-static FleetTerms ReadFleet(const Value& f, const PeersTerms& peers,
-                            const std::vector<std::string>& platform, int own_zone) {
-  FleetTerms t;
-  t.on = true;
-  t.over_peers = peers.on && !f.Find("listen");
-  auto fault = [](const std::string& where, const std::string& why) {
+// Rejects the whole block when a field is invalid, naming the field and the reason.
+static FleetSettings ReadFleetSettings(const Value& block, const PeersSettings& peers,
+                                       const std::vector<std::string>& platform_zones,
+                                       int own_zone) {
+  FleetSettings settings;
+  settings.enabled = true;
+  settings.over_peers = peers.enabled && !block.Find("listen");
+  auto error = [](const std::string& where, const std::string& why) {
     return std::runtime_error("fleet." + where + ": " + why);
   };
-  auto whole = [&](const Value& in, const char* name, double least, double most) {
-    const Value* v = in.Find(name, Kind::kNumber);
+  auto integer = [&](const Value& object, const char* name, double min, double max) {
+    const Value* v = object.Find(name, Kind::kNumber);
     if (!v)
-      throw fault(name, "wanted, a number");
+      throw error(name, "missing or not a number");
     double n = v->AsNumber();
-    if (!(n >= least && n <= most) || n != static_cast<double>(static_cast<long long>(n)))
-      throw fault(name, "a whole number from " + std::to_string(static_cast<long long>(least)) +
-                            " to " + std::to_string(static_cast<long long>(most)) + " wanted");
+    if (!(n >= min && n <= max) || n != static_cast<double>(static_cast<long long>(n)))
+      throw error(name, "must be an integer in [" + std::to_string(static_cast<long long>(min)) +
+                            ", " + std::to_string(static_cast<long long>(max)) + "]");
     return n;
   };
-  auto ms = [&](const char* name, double& into, double least, double most) {
-    if (f.Find(name))
-      into = whole(f, name, least, most);
+  auto optional_ms = [&](const char* name, double& into, double min, double max) {
+    if (block.Find(name))
+      into = integer(block, name, min, max);
   };
-  const Value* zones = f.Find("zones", Kind::kList);
+  const Value* zones = block.Find("zones", Kind::kList);
   if (!zones || zones->items.empty() || zones->items.size() > 16)
-    throw fault("zones", "1 to 16 zones wanted");
+    throw error("zones", "must list 1 to 16 zones");
   std::vector<std::string> regions;
   for (std::size_t i = 0; i < zones->items.size(); ++i) {
-    const Value& z = zones->items[i];
+    const Value& item = zones->items[i];
     std::string where = "zones[" + std::to_string(i) + "]";
-    std::string name(z.word("name")), region(z.word("region"));
+    std::string name(item.word("name")), region(item.word("region"));
     if (name.empty() || region.empty())
-      throw fault(where, "a name and a region wanted");
-    if (std::find(t.zones.begin(), t.zones.end(), name) != t.zones.end())
-      throw fault(where, "named twice");
-    auto r = std::find(regions.begin(), regions.end(), region);
-    if (r == regions.end()) {
+      throw error(where, "must have a name and a region");
+    if (std::find(settings.zones.begin(), settings.zones.end(), name) != settings.zones.end())
+      throw error(where, "duplicate name");
+    auto known_region = std::find(regions.begin(), regions.end(), region);
+    if (known_region == regions.end()) {
       regions.push_back(region);
-      r = regions.end() - 1;
+      known_region = regions.end() - 1;
     }
-    t.zones.push_back(name);
-    t.zone_region.push_back(static_cast<int>(r - regions.begin()));
+    settings.zones.push_back(name);
+    settings.zone_region.push_back(static_cast<int>(known_region - regions.begin()));
   }
-  const Value* members = f.Find("members", Kind::kList);
+  const Value* members = block.Find("members", Kind::kList);
   if (!members || members->items.empty() || members->items.size() > 1000)
-    throw fault("members", "1 to 1000 members wanted");
-  t.self = static_cast<std::uint32_t>(whole(f, "self", 0, 1e9));
-  bool self = false;
+    throw error("members", "must list 1 to 1000 members");
+  settings.self = static_cast<std::uint32_t>(integer(block, "self", 0, 1e9));
+  bool has_self = false;
   for (std::size_t i = 0; i < members->items.size(); ++i) {
-    const Value& m = members->items[i];
+    const Value& item = members->items[i];
     std::string where = "members[" + std::to_string(i) + "]";
-    FleetMember one;
+    FleetMember member;
     try {
-      one.id = static_cast<std::uint32_t>(whole(m, "id", 0, 1e9));
+      member.id = static_cast<std::uint32_t>(integer(item, "id", 0, 1e9));
     } catch (const std::runtime_error&) {
-      throw fault(where + ".id", "a whole number wanted");
+      throw error(where + ".id", "must be an integer");
     }
-    if (t.over_peers) {
-      if (!peers.at.count(one.id))
-        throw fault(where + ".id", "not among peers.members, over whose socket the fleet runs");
-      if (m.Find("at"))
-        throw fault(where + ".at",
-                    "goes with a listen of the fleet's own; peers.members says where each is");
+    if (settings.over_peers) {
+      if (!peers.addresses.count(member.id))
+        throw error(where + ".id", "is not in peers.members, whose socket the fleet uses");
+      if (item.Find("at"))
+        throw error(where + ".at",
+                    "is allowed only with fleet.listen; addresses come from peers.members");
     } else {
-      auto at = loop::ReadAddress(m.word("at"));
-      if (!at)
-        throw fault(where + ".at", "an address such as 127.0.0.10:7400 wanted");
-      one.at = *at;
+      auto address = loop::ReadAddress(item.word("at"));
+      if (!address)
+        throw error(where + ".at", "must be an address such as 127.0.0.10:7400");
+      member.address = *address;
     }
-    auto z = std::find(t.zones.begin(), t.zones.end(), m.word("zone"));
-    if (z == t.zones.end())
-      throw fault(where + ".zone", "not among zones");
-    one.zone = static_cast<int>(z - t.zones.begin());
-    for (const FleetMember& other : t.members)
-      if (other.id == one.id)
-        throw fault(where + ".id", "given twice");
-    self |= one.id == t.self;
-    t.members.push_back(one);
+    auto zone = std::find(settings.zones.begin(), settings.zones.end(), item.word("zone"));
+    if (zone == settings.zones.end())
+      throw error(where + ".zone", "is not in zones");
+    member.zone = static_cast<int>(zone - settings.zones.begin());
+    for (const FleetMember& other : settings.members)
+      if (other.id == member.id)
+        throw error(where + ".id", "duplicate id");
+    has_self |= member.id == settings.self;
+    settings.members.push_back(member);
   }
-  if (!self)
-    throw fault("self", "not among members");
-  if (t.over_peers && t.self != peers.self)
-    throw fault("self", "another than peers.self, over whose socket the fleet runs");
-  auto listen = loop::ReadAddress(f.word("listen"));
-  if (!listen && !t.over_peers)
-    throw fault("listen", "an address such as 127.0.0.10:7400 wanted");
+  if (!has_self)
+    throw error("self", "is not in members");
+  if (settings.over_peers && settings.self != peers.self)
+    throw error("self", "must equal peers.self, whose socket the fleet uses");
+  auto listen = loop::ReadAddress(block.word("listen"));
+  if (!listen && !settings.over_peers)
+    throw error("listen", "must be an address such as 127.0.0.10:7400");
   if (listen)
-    t.listen = *listen;
-  ms("period_ms", t.swim.period, 50, 60000);
-  ms("probe_timeout_ms", t.swim.probe_timeout, 10, 60000);
-  ms("hold_back_ms", t.verdict.hold_back, 0, 600000);
-  if (!(t.swim.probe_timeout < t.swim.period))
-    throw fault("probe_timeout_ms", "shorter than period_ms wanted");
-  if (f.Find("quorum"))
-    t.verdict.quorum = static_cast<int>(whole(f, "quorum", 1, 1000));
-  if (t.verdict.quorum > static_cast<int>(t.members.size()))
-    throw fault("quorum", "more than the members");
-  if (2 * t.verdict.quorum <= static_cast<int>(t.members.size()) && t.verdict.quorum > 0)
-    throw fault("quorum", "half the members or fewer: both sides of a partition would decide");
-  ms("lasting_ms", t.verdict.lasting, 0, 600000);
-  if (const Value* steer = f.Find("steer")) {
+    settings.listen = *listen;
+  optional_ms("period_ms", settings.swim.period, 50, 60000);
+  optional_ms("probe_timeout_ms", settings.swim.probe_timeout, 10, 60000);
+  optional_ms("hold_back_ms", settings.failover_settings.hold_back, 0, 600000);
+  if (!(settings.swim.probe_timeout < settings.swim.period))
+    throw error("probe_timeout_ms", "must be shorter than period_ms");
+  if (block.Find("quorum"))
+    settings.failover_settings.quorum = static_cast<int>(integer(block, "quorum", 1, 1000));
+  if (settings.failover_settings.quorum > static_cast<int>(settings.members.size()))
+    throw error("quorum", "is greater than the number of members");
+  if (2 * settings.failover_settings.quorum <= static_cast<int>(settings.members.size()) &&
+      settings.failover_settings.quorum > 0)
+    throw error("quorum",
+                "must be more than half the members: otherwise both sides of a partition decide");
+  optional_ms("lasting_ms", settings.failover_settings.lasting, 0, 600000);
+  if (const Value* steer = block.Find("steer")) {
     if (steer->kind != Kind::kBoolean)
-      throw fault("steer", "true or false wanted");
-    t.steer = steer->text == "true";
+      throw error("steer", "must be true or false");
+    settings.steer = steer->text == "true";
   }
-  t.platform_zones = platform.size();
-  for (std::size_t z = 0; t.steer && z < t.zones.size(); ++z) {
-    auto at = std::find(platform.begin(), platform.end(), t.zones[z]);
-    if (at == platform.end())
-      throw fault("zones[" + std::to_string(z) + "]", "steer wants it among settings.azs");
-    t.platform_zone.push_back(static_cast<std::size_t>(at - platform.begin()));
+  settings.platform_zone_count = platform_zones.size();
+  for (std::size_t z = 0; settings.steer && z < settings.zones.size(); ++z) {
+    auto zone = std::find(platform_zones.begin(), platform_zones.end(), settings.zones[z]);
+    if (zone == platform_zones.end())
+      throw error("zones[" + std::to_string(z) + "]", "must be in settings.azs when steer is true");
+    settings.platform_zones.push_back(static_cast<std::size_t>(zone - platform_zones.begin()));
   }
-  for (const FleetMember& m : t.members)
-    if (t.steer && m.id == t.self &&
-        t.platform_zone[static_cast<std::size_t>(m.zone)] != static_cast<std::size_t>(own_zone))
-      throw fault("self", "steer wants this front's zone to be settings.zone");
-  return t;
+  for (const FleetMember& own : settings.members)
+    if (settings.steer && own.id == settings.self &&
+        settings.platform_zones[static_cast<std::size_t>(own.zone)] !=
+            static_cast<std::size_t>(own_zone))
+      throw error("self", "must be in the zone settings.zone when steer is true");
+  return settings;
 }
 
-static OwnerTerms ReadOwner(const Value& o, const PeersTerms& peers) {
-  OwnerTerms t;
-  t.on = true;
-  t.over_peers = peers.on && !o.Find("listen");
-  auto fault = [](const std::string& where, const std::string& why) {
+static OwnerSettings ReadOwnerSettings(const Value& block, const PeersSettings& peers) {
+  OwnerSettings settings;
+  settings.enabled = true;
+  settings.over_peers = peers.enabled && !block.Find("listen");
+  auto error = [](const std::string& where, const std::string& why) {
     return std::runtime_error("owner." + where + ": " + why);
   };
-  if (!PartsBuilt())
+  if (!HasFleetComponents())
     throw std::runtime_error("owner: this build has no libraft; build with -DDUNLINWICK_OWNER=ON");
-  auto whole = [&](const Value& in, const std::string& where, const char* name, double least,
-                   double most) {
-    const Value* v = in.Find(name, Kind::kNumber);
+  auto integer = [&](const Value& object, const std::string& where, const char* name, double min,
+                     double max) {
+    const Value* v = object.Find(name, Kind::kNumber);
     double n = v ? v->AsNumber() : -1;
-    if (!v || !(n >= least && n <= most) || n != static_cast<double>(static_cast<long long>(n)))
-      throw fault(where + name, "a whole number from " +
-                                    std::to_string(static_cast<long long>(least)) + " to " +
-                                    std::to_string(static_cast<long long>(most)) + " wanted");
+    if (!v || !(n >= min && n <= max) || n != static_cast<double>(static_cast<long long>(n)))
+      throw error(where + name, "must be an integer in [" +
+                                    std::to_string(static_cast<long long>(min)) + ", " +
+                                    std::to_string(static_cast<long long>(max)) + "]");
     return n;
   };
-  auto maybe = [&](const char* name, double& into, double least, double most) {
-    if (o.Find(name))
-      into = whole(o, "", name, least, most);
+  auto optional_integer = [&](const char* name, double& into, double min, double max) {
+    if (block.Find(name))
+      into = integer(block, "", name, min, max);
   };
-  t.self = static_cast<std::uint32_t>(whole(o, "", "self", 1, 1e9));
-  if (t.over_peers && t.self != peers.self)
-    throw fault("self", "another than peers.self, over whose socket the owner runs");
-  auto listen = loop::ReadAddress(o.word("listen"));
-  if (!listen && !t.over_peers)
-    throw fault("listen", "an address such as 127.0.0.10:7600 wanted");
+  settings.self = static_cast<std::uint32_t>(integer(block, "", "self", 1, 1e9));
+  if (settings.over_peers && settings.self != peers.self)
+    throw error("self", "must equal peers.self, whose socket the owner uses");
+  auto listen = loop::ReadAddress(block.word("listen"));
+  if (!listen && !settings.over_peers)
+    throw error("listen", "must be an address such as 127.0.0.10:7600");
   if (listen)
-    t.listen = *listen;
-  std::vector<std::uint32_t> known;
-  for (const char* list : {"members", "places"}) {
-    const Value* all = o.Find(list, Kind::kList);
-    if (!all && std::string_view(list) == "places")
-      continue;  // works that are carried out name them, and are refused without
-    if (!all || all->items.empty() || all->items.size() > 1000)
-      throw fault(list, "1 to 1000 wanted, each with id and at");
-    for (std::size_t i = 0; i < all->items.size(); ++i) {
-      std::string where = std::string(list) + "[" + std::to_string(i) + "].";
-      auto id = static_cast<std::uint32_t>(whole(all->items[i], where, "id", 1, 1e9));
-      if (std::find(known.begin(), known.end(), id) != known.end())
-        throw fault(where + "id", "given twice");
-      known.push_back(id);
-      if (t.over_peers && list == std::string("members")) {
-        if (!peers.at.count(id))
-          throw fault(where + "id", "not among peers.members, over whose socket the owner runs");
-        if (all->items[i].Find("at"))
-          throw fault(where + "at",
-                      "goes with a listen of the owner's own; peers.members says where each is");
+    settings.listen = *listen;
+  std::vector<std::uint32_t> ids;
+  for (const char* field : {"members", "places"}) {
+    const Value* list = block.Find(field, Kind::kList);
+    if (!list && std::string_view(field) == "places")
+      continue;  // tasks with steps name their executors, and are rejected without
+    if (!list || list->items.empty() || list->items.size() > 1000)
+      throw error(field, "must list 1 to 1000 objects, each with id and at");
+    for (std::size_t i = 0; i < list->items.size(); ++i) {
+      std::string where = std::string(field) + "[" + std::to_string(i) + "].";
+      auto id = static_cast<std::uint32_t>(integer(list->items[i], where, "id", 1, 1e9));
+      if (std::find(ids.begin(), ids.end(), id) != ids.end())
+        throw error(where + "id", "duplicate id");
+      ids.push_back(id);
+      if (settings.over_peers && field == std::string("members")) {
+        if (!peers.addresses.count(id))
+          throw error(where + "id", "is not in peers.members, whose socket the owner uses");
+        if (list->items[i].Find("at"))
+          throw error(where + "at",
+                      "is allowed only with owner.listen; addresses come from peers.members");
         continue;
       }
-      if (t.over_peers && peers.at.count(id))
-        throw fault(where + "id", "is a peer's");
-      auto at = loop::ReadAddress(all->items[i].word("at"));
-      if (!at)
-        throw fault(where + "at", "an address such as 127.0.0.10:7600 wanted");
-      t.at.emplace(id, *at);
+      if (settings.over_peers && peers.addresses.count(id))
+        throw error(where + "id", "is the id of a peer");
+      auto address = loop::ReadAddress(list->items[i].word("at"));
+      if (!address)
+        throw error(where + "at", "must be an address such as 127.0.0.10:7600");
+      settings.addresses.emplace(id, *address);
     }
   }
-  auto among = [](const Value* list, double id) {
+  auto has_id = [](const Value* list, double id) {
     return list && std::any_of(list->items.begin(), list->items.end(),
                                [&](const Value& v) { return v.number("id") == id; });
   };
-  const Value *members = o.Find("members"), *places = o.Find("places"),
-              *group = o.Find("group", Kind::kList);
-  if (!among(members, t.self))
-    throw fault("self", "not among members");
+  const Value *members = block.Find("members"), *places = block.Find("places"),
+              *group = block.Find("group", Kind::kList);
+  if (!has_id(members, settings.self))
+    throw error("self", "is not in members");
   if (!group || (group->items.size() != 3 && group->items.size() != 5))
-    throw fault("group", "3 or 5 of the members' ids wanted");
-  for (const Value& g : group->items) {
-    double id = g.kind == Kind::kNumber ? g.AsNumber() : 0;
-    if (!among(members, id))
-      throw fault("group", "holds what is not among members");
-    if (std::find(t.group.begin(), t.group.end(), static_cast<std::uint32_t>(id)) != t.group.end())
-      throw fault("group", "names one twice");
-    t.group.push_back(static_cast<std::uint32_t>(id));
+    throw error("group", "must list the ids of 3 or 5 members");
+  for (const Value& item : group->items) {
+    double id = item.kind == Kind::kNumber ? item.AsNumber() : 0;
+    if (!has_id(members, id))
+      throw error("group", "has an id that is not in members");
+    if (std::find(settings.group.begin(), settings.group.end(), static_cast<std::uint32_t>(id)) !=
+        settings.group.end())
+      throw error("group", "has a duplicate id");
+    settings.group.push_back(static_cast<std::uint32_t>(id));
   }
-  t.store = o.word("store");
-  maybe("lease_ms", t.lease.lease, 500, 600000);
-  maybe("margin_ms", t.lease.margin, 10, 60000);
-  maybe("renew_ms", t.lease.renew_every, 50, 200000);
-  maybe("election_ms", t.raft.election, 100, 60000);
-  if (const Value* d = o.Find("drift")) {
-    if (d->kind != Kind::kNumber || !(d->AsNumber() >= 0 && d->AsNumber() <= 0.2))
-      throw fault("drift", "a share from 0 to 0.2 wanted");
-    t.lease.drift = d->AsNumber();
+  settings.store = block.word("store");
+  optional_integer("lease_ms", settings.lease.lease, 500, 600000);
+  optional_integer("margin_ms", settings.lease.margin, 10, 60000);
+  optional_integer("renew_ms", settings.lease.renew_every, 50, 200000);
+  optional_integer("election_ms", settings.raft.election, 100, 60000);
+  if (const Value* drift = block.Find("drift")) {
+    if (drift->kind != Kind::kNumber || !(drift->AsNumber() >= 0 && drift->AsNumber() <= 0.2))
+      throw error("drift", "must be a number from 0 to 0.2");
+    settings.lease.drift = drift->AsNumber();
   }
-  t.raft.heartbeat = std::max(20.0, t.raft.election / 5);
-  double acts = t.lease.lease * (1 - t.lease.drift) - t.lease.margin;
-  if (!(3 * t.lease.renew_every <= acts))
-    throw fault("renew_ms", "a third at most of the " +
-                                std::to_string(static_cast<long long>(acts)) +
-                                " ms that an owner may act for: two renewals may be lost");
-  const Value* works = o.Find("works", Kind::kList);
-  if (!works || works->items.empty() || works->items.size() > owner::kMostWorks)
-    throw fault("works", "1 to 64 works wanted");
-  for (std::size_t i = 0; i < works->items.size(); ++i) {
-    const Value& one = works->items[i];
+  settings.raft.heartbeat = std::max(20.0, settings.raft.election / 5);
+  double usable = settings.lease.lease * (1 - settings.lease.drift) - settings.lease.margin;
+  if (!(3 * settings.lease.renew_every <= usable))
+    throw error("renew_ms",
+                "must be at most a third of the " + std::to_string(static_cast<long long>(usable)) +
+                    " ms for which a lease is usable, so that two renewals may be lost");
+  const Value* tasks = block.Find("works", Kind::kList);
+  if (!tasks || tasks->items.empty() || tasks->items.size() > owner::kMostWorks)
+    throw error("works", "must list 1 to 64 tasks");
+  for (std::size_t i = 0; i < tasks->items.size(); ++i) {
+    const Value& item = tasks->items[i];
     std::string where = "works[" + std::to_string(i) + "].";
-    OwnerTerms::Work w;
-    w.name = one.word("name");
-    if (!owner::GoodName(w.name))
-      throw fault(where + "name", "1 to 48 of a-z, 0-9 and dashes wanted");
-    for (const auto& other : t.works)
-      if (other.name == w.name)
-        throw fault(where + "name", "given twice");
-    if (const Value* standing = one.Find("standing")) {
+    OwnerSettings::LeasedTask task;
+    task.name = item.word("name");
+    if (!owner::GoodName(task.name))
+      throw error(where + "name", "must be 1 to 48 of a-z, 0-9 and dashes");
+    for (const auto& other : settings.tasks)
+      if (other.name == task.name)
+        throw error(where + "name", "duplicate name");
+    if (const Value* standing = item.Find("standing")) {
       if (standing->kind != Kind::kBoolean)
-        throw fault(where + "standing", "true or false wanted");
-      w.standing = standing->text == "true";
+        throw error(where + "standing", "must be true or false");
+      task.standing = standing->text == "true";
     }
-    if (w.standing) {
-      if (one.Find("steps") || one.Find("each_ms") || one.Find("places"))
-        throw fault(where + "standing", "goes without steps, each_ms and places");
-      t.works.push_back(std::move(w));
+    if (task.standing) {
+      if (item.Find("steps") || item.Find("each_ms") || item.Find("places"))
+        throw error(where + "standing", "does not combine with steps, each_ms and places");
+      settings.tasks.push_back(std::move(task));
       continue;
     }
-    w.steps = static_cast<std::uint64_t>(whole(one, where, "steps", 1, 1e9));
-    if (one.Find("each_ms"))
-      w.each = whole(one, where, "each_ms", 0, 3600000);
-    const Value* at = one.Find("places", Kind::kList);
-    if (!at || at->items.empty())
-      throw fault(where + "places", "the ids of those who carry it out wanted");
-    for (const Value& p : at->items) {
-      double id = p.kind == Kind::kNumber ? p.AsNumber() : 0;
-      if (!among(places, id))
-        throw fault(where + "places", "holds what is not among places");
-      w.places.push_back(static_cast<std::uint32_t>(id));
+    task.steps = static_cast<std::uint64_t>(integer(item, where, "steps", 1, 1e9));
+    if (item.Find("each_ms"))
+      task.step_time = integer(item, where, "each_ms", 0, 3600000);
+    const Value* executors = item.Find("places", Kind::kList);
+    if (!executors || executors->items.empty())
+      throw error(where + "places", "must list the ids of the task's executors");
+    for (const Value& executor : executors->items) {
+      double id = executor.kind == Kind::kNumber ? executor.AsNumber() : 0;
+      if (!has_id(places, id))
+        throw error(where + "places", "has an id that is not in owner.places");
+      task.executors.push_back(static_cast<std::uint32_t>(id));
     }
-    t.works.push_back(std::move(w));
+    settings.tasks.push_back(std::move(task));
   }
-  return t;
+  return settings;
 }
 
-Configuration ReadConfiguration(const std::string& path, const std::string& listen) {
+FrontConfiguration ReadConfiguration(const std::string& path, const std::string& listen) {
   std::ifstream file(path, std::ios::binary);
   std::stringstream text;
   if (!file || !(text << file.rdbuf()))
-    throw std::runtime_error("configuration cannot be read: " + path);
-  return ReadConfigurationText(text.str(), path, listen);
+    throw std::runtime_error("cannot read configuration: " + path);
+  return ParseConfiguration(text.str(), path, listen);
 }
 
-Configuration ReadConfigurationText(const std::string& text, const std::string& named,
-                                    const std::string& listen) {
-  auto all = json::Read(text);
-  if (!all || all->kind != Kind::kObject)
-    throw std::runtime_error("configuration is no JSON object: " + named);
-  Configuration c;
-  c.name = all->word("name");
-  c.listen = Address(listen.empty() ? Need(*all, "listen", Kind::kString).text : listen, "listen");
-  c.discovery_text = Need(*all, "board", Kind::kString).text;
-  c.discovery = Address(c.discovery_text, "board");
-  const std::string& seed = Need(*all, "seed", Kind::kString).text;
-  auto [end, fault] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
-  if (fault != std::errc{} || end != seed.data() + seed.size())
-    throw std::runtime_error("seed is no hexadecimal number: " + seed);
-  const Value& limits = Need(*all, "limits", Kind::kObject);
-  c.memory_mb = Need(limits, "memory_mb", Kind::kNumber).AsNumber();
-  double sockets = Need(limits, "sockets", Kind::kNumber).AsNumber();
-  if (!(c.memory_mb >= 32 && sockets >= kLeastDescriptors && sockets <= 1e6))
-    throw std::runtime_error("limits are too small to serve: 32 MB and 64 sockets are the least");
-  c.descriptors = static_cast<std::size_t>(sockets);
-  c.known = Need(*all, "known", Kind::kObject);
-  std::string settings = settings::Dotted(Need(*all, "settings", Kind::kObject));
-  c.settings = settings::ReadSettings(settings);
-  c.terms = settings::ReadRoadTerms(settings);
-  // The protocol: clients hold at most a third of the descriptor limit, and one request on each.
-  int third = static_cast<int>(c.descriptors / 3);
-  c.settings.places = c.settings.places > 0 ? std::min(c.settings.places, third) : third;
-  // A list of that name is the platform's own word for the fronts' addresses, and none of ours:
-  // taken for the block, it kept every front of the bench from starting.
-  if (const Value* peers = all->Find("peers"); peers && peers->kind != Kind::kList) {
+FrontConfiguration ParseConfiguration(const std::string& text, const std::string& source,
+                                      const std::string& listen) {
+  auto root = json::Read(text);
+  if (!root || root->kind != Kind::kObject)
+    throw std::runtime_error("configuration is not a JSON object: " + source);
+  FrontConfiguration configuration;
+  configuration.name = root->word("name");
+  configuration.listen = RequireAddress(
+      listen.empty() ? RequireField(*root, "listen", Kind::kString).text : listen, "listen");
+  configuration.discovery_text = RequireField(*root, "board", Kind::kString).text;
+  configuration.discovery = RequireAddress(configuration.discovery_text, "board");
+  const std::string& seed = RequireField(*root, "seed", Kind::kString).text;
+  auto [end, error] =
+      std::from_chars(seed.data(), seed.data() + seed.size(), configuration.seed, 16);
+  if (error != std::errc{} || end != seed.data() + seed.size())
+    throw std::runtime_error("seed is not a hexadecimal number: " + seed);
+  const Value& limits = RequireField(*root, "limits", Kind::kObject);
+  configuration.memory_mb = RequireField(limits, "memory_mb", Kind::kNumber).AsNumber();
+  double sockets = RequireField(limits, "sockets", Kind::kNumber).AsNumber();
+  if (!(configuration.memory_mb >= 32 && sockets >= kMinDescriptors && sockets <= 1e6))
+    throw std::runtime_error(
+        "limits are out of range: memory_mb must be at least 32, sockets in [64, 1000000]");
+  configuration.descriptors = static_cast<std::size_t>(sockets);
+  configuration.known_updates = RequireField(*root, "known", Kind::kObject);
+  std::string settings = settings::Dotted(RequireField(*root, "settings", Kind::kObject));
+  configuration.settings = settings::ReadSettings(settings);
+  configuration.connection_settings = settings::ReadRoadTerms(settings);
+  // By the protocol clients hold at most a third of the descriptor limit, with one request on each
+  // connection.
+  int third = static_cast<int>(configuration.descriptors / 3);
+  configuration.settings.places =
+      configuration.settings.places > 0 ? std::min(configuration.settings.places, third) : third;
+  // A list of that name is the platform's own field with the fronts' addresses, not the peers
+  // block: reading it as the block would keep fronts from starting on such a platform.
+  if (const Value* peers = root->Find("peers"); peers && peers->kind != Kind::kList) {
     if (peers->kind != Kind::kObject)
-      throw std::runtime_error("peers: an object wanted");
-    c.peers = ReadPeers(*peers);
+      throw std::runtime_error("peers: must be an object");
+    configuration.peers = ReadPeersSettings(*peers);
   }
-  if (const Value* fleet = all->Find("fleet")) {
+  if (const Value* fleet = root->Find("fleet")) {
     if (fleet->kind != Kind::kObject)
-      throw std::runtime_error("fleet: an object wanted");
-    c.fleet = ReadFleet(*fleet, c.peers, c.terms.zones, c.settings.zone);
+      throw std::runtime_error("fleet: must be an object");
+    configuration.fleet =
+        ReadFleetSettings(*fleet, configuration.peers, configuration.connection_settings.zones,
+                          configuration.settings.zone);
   }
-  if (const Value* owner = all->Find("owner")) {
+  if (const Value* owner = root->Find("owner")) {
     if (owner->kind != Kind::kObject)
-      throw std::runtime_error("owner: an object wanted");
-    c.owner = ReadOwner(*owner, c.peers);
+      throw std::runtime_error("owner: must be an object");
+    configuration.owner = ReadOwnerSettings(*owner, configuration.peers);
   }
-  ReadLayer(*all, c);
-  return c;
+  ReadFleetLayerSettings(*root, configuration);
+  return configuration;
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -1,4 +1,5 @@
-// What a front is told at its start: who it is, where it listens, whom it knows, and the sheet.
+// The front configuration, read at the start: the front's name, where it listens, which endpoints
+// it knows initially, the deployment settings and the blocks of the fleet layer.
 #pragma once
 #include <map>
 #include <string>
@@ -16,26 +17,26 @@
 
 namespace dunlinwick::front {
 
-// The peers block: one UDP socket for what fronts tell each other (src/peers/,
-// src/front/peers.hpp). Off where the configuration has none. Fleet and owner blocks without a
+// The peers block: one UDP socket for the messages between fronts (src/peers/,
+// src/front/peers.hpp). Disabled when the configuration has none. Fleet and owner blocks without a
 // `listen` of their own run over it, by its ids.
-struct PeersTerms {
-  bool on = false;
+struct PeersSettings {
+  bool enabled = false;
   std::uint32_t self = 0;
   loop::Address listen{};
-  std::map<std::uint32_t, loop::Address> at;  // self among them
+  std::map<std::uint32_t, loop::Address> addresses;  // self among them
 };
 
-// The fleet block: membership and the verdict in common among fronts (src/members/, src/failover/).
-// Off where the configuration has none. It opens one UDP socket, `listen`, or runs over the peers'
-// one.
+// The fleet block: membership among fronts and their common failover decision (src/members/,
+// src/failover/). Disabled when the configuration has none. It opens one UDP socket, `listen`, or
+// runs over the peers' socket.
 struct FleetMember {
   std::uint32_t id = 0;
-  loop::Address at{};  // where this front sends to reach it; over peers: unset
+  loop::Address address{};  // where this front sends to reach it; over the peers' socket: unset
   int zone = 0;
 };
-struct FleetTerms {
-  bool on = false;
+struct FleetSettings {
+  bool enabled = false;
   bool over_peers = false;
   std::uint32_t self = 0;
   loop::Address listen{};
@@ -43,68 +44,69 @@
   std::vector<std::string> zones;
   std::vector<int> zone_region;
   members::Terms swim;
-  failover::Terms verdict;
-  bool steer = false;  // whether pulls follow the verdict
-  std::size_t platform_zones =
+  failover::Terms failover_settings;
+  bool steer = false;  // whether requests follow the failover decision
+  std::size_t platform_zone_count =
       0;  // with steer: the platform's zones, and which of them each zone here is
-  std::vector<std::size_t> platform_zone;
+  std::vector<std::size_t> platform_zones;
 };
 
-// The owner block: one owner at a time for the fleet's work (src/owner/). Off where the
-// configuration has none. It opens one UDP socket, `listen`, and, in a member of the group with a
-// `store`, a folder there.
-struct OwnerTerms {
-  struct Work {
+// The owner block: one lease holder at a time for each task of the fleet's work (src/owner/).
+// Disabled when the configuration has none. It opens one UDP socket, `listen`, and, in a member of
+// the group with a `store`, a folder there.
+struct OwnerSettings {
+  struct LeasedTask {
     std::string name;
     std::uint64_t steps = 1;
-    double each = 50;
-    std::vector<std::uint32_t> places;
-    bool standing = false;  // held without steps: to own it is the work
+    double step_time = 50;
+    std::vector<std::uint32_t> executors;
+    bool standing = false;  // has no steps: holding its lease is the work
   };
-  bool on = false;
+  bool enabled = false;
   bool over_peers = false;
   std::uint32_t self = 0;
   loop::Address listen{};
-  std::map<std::uint32_t, loop::Address> at;  // fronts and places, by id; over peers: places
+  // By id: fronts and executors; over the peers' socket: executors only.
+  std::map<std::uint32_t, loop::Address> addresses;
   std::vector<std::uint32_t> group;
   std::string store;  // "": in memory
   owner::Terms lease;
   owner::GroupTerms raft;
-  std::vector<Work> works;
+  std::vector<LeasedTask> tasks;
 };
 
-constexpr std::size_t kLeastDescriptors = 64;  // with fewer there are none left for caches
+constexpr std::size_t kMinDescriptors = 64;  // with fewer there are none left for caches
 
-struct Configuration {
+struct FrontConfiguration {
   std::string name;
   std::string discovery_text;
   loop::Address listen{};
   loop::Address discovery{};
   std::uint64_t seed = 0;
-  std::size_t descriptors = 0;  // at least `leastDescriptors`
+  std::size_t descriptors = 0;  // at least `kMinDescriptors`
   double memory_mb = 0;
-  json::Value known;  // the notice board's events up to now
+  json::Value known_updates;  // the discovery service's updates up to the start
   StoreSettings settings;
-  settings::RoadTerms terms;
-  PeersTerms peers;
-  FleetTerms fleet;
-  OwnerTerms owner;
-  RecordTerms record;
-  RecoveryTerms recovery;
-  RulesTerms rules;
+  settings::RoadTerms connection_settings;
+  PeersSettings peers;
+  FleetSettings fleet;
+  OwnerSettings owner;
+  RecordSettings record;
+  RecoverySettings recovery;
+  RulesSettings rules;
 };
 
-// Whether this build has the peers' socket and ownership; else their blocks are refused.
-bool PartsBuilt();
-PeersTerms ReadPeers(const json::Value& block);  // throws, as below
-void ReadLayer(const json::Value& all,
-               Configuration& into);  // blocks record, recovery, rules; throws, as below
+// Whether this build has the peers' socket and the owner; if not, their blocks are rejected.
+bool HasFleetComponents();
+PeersSettings ReadPeersSettings(const json::Value& block);  // throws, as below
+void ReadFleetLayerSettings(const json::Value& root,
+                            FrontConfiguration& into);  // blocks record, recovery, rules; throws
 
-// Throws std::runtime_error with one line that says what is wrong. `listen`: in place of the
-// file's, if given.
-Configuration ReadConfiguration(const std::string& path, const std::string& listen);
-// The same of a text; `named` is what a fault calls it.
-Configuration ReadConfigurationText(const std::string& text, const std::string& named,
-                                    const std::string& listen);
+// Throws std::runtime_error with one line that names the fault. `listen` replaces the address in
+// the file, if it is not empty.
+FrontConfiguration ReadConfiguration(const std::string& path, const std::string& listen);
+// Parses a text; `source` names it in error messages.
+FrontConfiguration ParseConfiguration(const std::string& text, const std::string& source,
+                                      const std::string& listen);
 
 }  // namespace dunlinwick::front
--- a/src/front/charter_peers.cpp
+++ b/src/front/charter_peers.cpp
@@ -1,4 +1,5 @@
-// The peers block: refused whole, with the field and the reason.
+// Reads the peers block. A block with an invalid field is rejected as a whole, with the field and
+// the reason.
 #include <stdexcept>
 
 #include "front/charter.hpp"
@@ -8,43 +9,44 @@
 using json::Kind;
 using json::Value;
 
-PeersTerms ReadPeers(const Value& p) {
-  PeersTerms t;
-  t.on = true;
-  auto fault = [](const std::string& where, const std::string& why) {
+PeersSettings ReadPeersSettings(const Value& block) {
+  PeersSettings settings;
+  settings.enabled = true;
+  auto error = [](const std::string& where, const std::string& why) {
     return std::runtime_error("peers." + where + ": " + why);
   };
-  auto id = [&](const Value& in, const std::string& where, const char* name) {
-    const Value* v = in.Find(name, Kind::kNumber);
+  auto id = [&](const Value& object, const std::string& where, const char* name) {
+    const Value* v = object.Find(name, Kind::kNumber);
     double n = v ? v->AsNumber() : 0;
     if (!(n >= 1 && n <= 1e9) || n != static_cast<double>(static_cast<long long>(n)))
-      throw fault(where + name, "a whole number from 1 to 1000000000 wanted");
+      throw error(where + name, "must be an integer in [1, 1000000000]");
     return static_cast<std::uint32_t>(n);
   };
-  t.self = id(p, "", "self");
-  auto listen = loop::ReadAddress(p.word("listen"));
+  settings.self = id(block, "", "self");
+  auto listen = loop::ReadAddress(block.word("listen"));
   if (!listen)
-    throw fault("listen", "an address such as 127.0.0.10:7400 wanted");
-  t.listen = *listen;
-  const Value* members = p.Find("members", Kind::kList);
-  constexpr std::size_t kMost = peers::Terms{}.most_peers;
-  if (!members || members->items.empty() || members->items.size() > kMost)
-    throw fault("members", "1 to " + std::to_string(kMost) + " wanted, each with id and at");
+    throw error("listen", "must be an address such as 127.0.0.10:7400");
+  settings.listen = *listen;
+  const Value* members = block.Find("members", Kind::kList);
+  constexpr std::size_t kMaxMembers = peers::Terms{}.most_peers;
+  if (!members || members->items.empty() || members->items.size() > kMaxMembers)
+    throw error("members",
+                "must list 1 to " + std::to_string(kMaxMembers) + " objects, each with id and at");
   for (std::size_t i = 0; i < members->items.size(); ++i) {
-    const Value& m = members->items[i];
+    const Value& item = members->items[i];
     std::string where = "members[" + std::to_string(i) + "].";
-    if (m.kind != Kind::kObject)
-      throw fault("members[" + std::to_string(i) + "]", "an object with id and at wanted");
-    std::uint32_t one = id(m, where, "id");
-    auto at = loop::ReadAddress(m.word("at"));
-    if (!at)
-      throw fault(where + "at", "an address such as 127.0.0.10:7400 wanted");
-    if (!t.at.emplace(one, *at).second)
-      throw fault(where + "id", "given twice");
+    if (item.kind != Kind::kObject)
+      throw error("members[" + std::to_string(i) + "]", "must be an object with id and at");
+    std::uint32_t member = id(item, where, "id");
+    auto address = loop::ReadAddress(item.word("at"));
+    if (!address)
+      throw error(where + "at", "must be an address such as 127.0.0.10:7400");
+    if (!settings.addresses.emplace(member, *address).second)
+      throw error(where + "id", "duplicate id");
   }
-  if (!t.at.count(t.self))
-    throw fault("self", "not among members");
-  return t;
+  if (!settings.addresses.count(settings.self))
+    throw error("self", "is not in members");
+  return settings;
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/exposition.cpp
+++ b/src/front/exposition.cpp
@@ -11,13 +11,16 @@
 
 using exchange::Counters;
 
-struct Row {
+// Names and help texts are part of the exported metrics and stay as they are. In them a pull is a
+// client's request, a leg an attempt, a call a liveness check of a connection, a notice an update
+// of the discovery service, and the notice board that service.
+struct Metric {
   const char* name;
   const char* help;
   Counters::Count Counters::*count;
 };
 
-constexpr Row kRows[] = {
+constexpr Metric kMetrics[] = {
     {"pulls", "pulls taken from clients", &Counters::requests},
     {"finished", "pulls answered 200", &Counters::finished},
     {"unchanged", "pulls answered 304", &Counters::unchanged},
@@ -55,17 +58,17 @@
      &Counters::short_of_descriptors},
     {"reloads", "new configurations taken", &Counters::reloads},
 };
-static_assert(std::size(kRows) * sizeof(Counters::Count) + sizeof(Counters::refused) ==
+static_assert(std::size(kMetrics) * sizeof(Counters::Count) + sizeof(Counters::refused) ==
                   sizeof(Counters),
-              "each counter is told");
+              "each counter is exported");
 
-constexpr std::array<const char*, kRefusalReasons> kReasons{
+constexpr std::array<const char*, kRefusalReasons> kReasonLabels{
     "deadline",    "admission", "places",    "no_endpoint", "slow_start",
     "utilisation", "link",      "no_source", "attempts"};
-constexpr std::array<const char*, kSizeBands> kSizes{"small", "usual", "large"};
+constexpr std::array<const char*, kSizeBands> kSizeLabels{"small", "usual", "large"};
 
-// Only what was counted: most reasons never come.
-prometheus::MetricFamily Refused(const Counters& counters) {
+// Only combinations that occurred: most reasons never do.
+prometheus::MetricFamily RefusedFamily(const Counters& counters) {
   prometheus::MetricFamily family{"dunlinwick_refused_total",
                                   "pulls answered 503, by reason and by size beside their class's "
                                   "mean (large: over twice, small: under half)",
@@ -77,7 +80,7 @@
       if (count == 0)
         continue;
       prometheus::ClientMetric metric;
-      metric.label = {{"reason", kReasons[reason]}, {"size", kSizes[size]}};
+      metric.label = {{"reason", kReasonLabels[reason]}, {"size", kSizeLabels[size]}};
       metric.counter.value = static_cast<double>(count);
       family.metric.push_back(std::move(metric));
     }
@@ -85,20 +88,21 @@
   return family;
 }
 
-class Gathered final : public prometheus::Collectable {
+class CounterCollector final : public prometheus::Collectable {
  public:
-  explicit Gathered(const Counters& counters) : counters_(counters) {}
+  explicit CounterCollector(const Counters& counters) : counters_(counters) {}
   std::vector<prometheus::MetricFamily> Collect() const override {
-    std::vector<prometheus::MetricFamily> all;
-    all.reserve(std::size(kRows) + 1);
-    for (const Row& row : kRows) {
+    std::vector<prometheus::MetricFamily> families;
+    families.reserve(std::size(kMetrics) + 1);
+    for (const Metric& exported : kMetrics) {
       prometheus::ClientMetric metric;
-      metric.counter.value = static_cast<double>(counters_.*row.count);
-      std::string name = std::string("dunlinwick_").append(row.name).append("_total");
-      all.push_back({std::move(name), row.help, prometheus::MetricType::Counter, {metric}});
+      metric.counter.value = static_cast<double>(counters_.*exported.count);
+      std::string name = std::string("dunlinwick_").append(exported.name).append("_total");
+      families.push_back(
+          {std::move(name), exported.help, prometheus::MetricType::Counter, {metric}});
     }
-    all.push_back(Refused(counters_));
-    return all;
+    families.push_back(RefusedFamily(counters_));
+    return families;
   }
 
  private:
@@ -108,7 +112,7 @@
 }  // namespace
 
 std::string Exposition(const exchange::Counters& counters) {
-  return prometheus::TextSerializer().Serialize(Gathered(counters).Collect());
+  return prometheus::TextSerializer().Serialize(CounterCollector(counters).Collect());
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/exposition.hpp
+++ b/src/front/exposition.hpp
@@ -1,6 +1,6 @@
-// The counters for an operator's eyes and tools: Prometheus' text exposition, by prometheus-cpp.
-// Read where it is printed (SIGUSR1 and the end), never served: no listener, no thread, no
-// registry. Counting itself stays a plain addition.
+// The counters in Prometheus' text exposition format, by prometheus-cpp. They are printed on
+// SIGUSR1 and at the process's end, never served: no listener, no thread, no registry. Counting
+// itself is a plain addition.
 #pragma once
 #include <string>
 
@@ -8,7 +8,7 @@
 
 namespace dunlinwick::front {
 
-// Each counter as `dunlinwick_NAME_total`, with its help and type; ends with a line end.
+// Each counter as `dunlinwick_NAME_total`, with its help and type; ends with a newline.
 std::string Exposition(const exchange::Counters& counters);
 
 }  // namespace dunlinwick::front
--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -12,209 +12,221 @@
 
 namespace {
 
-std::vector<members::Id> Others(const FleetTerms& t) {
+std::vector<members::Id> Others(const FleetSettings& settings) {
   std::vector<members::Id> ids;
-  for (const FleetMember& m : t.members)
-    if (m.id != t.self)
-      ids.push_back(m.id);
+  for (const FleetMember& member : settings.members)
+    if (member.id != settings.self)
+      ids.push_back(member.id);
   return ids;
 }
 
-std::map<failover::Id, failover::Place> Places(const FleetTerms& t) {
-  std::map<failover::Id, failover::Place> all;
-  for (const FleetMember& m : t.members)
-    all[m.id] = {m.zone, t.zone_region[static_cast<std::size_t>(m.zone)]};
-  return all;
+// Each member's zone and region.
+std::map<failover::Id, failover::Place> Locations(const FleetSettings& settings) {
+  std::map<failover::Id, failover::Place> locations;
+  for (const FleetMember& member : settings.members)
+    locations[member.id] = {member.zone,
+                            settings.zone_region[static_cast<std::size_t>(member.zone)]};
+  return locations;
 }
 
-int Opened(loop::Loop& loop, const FleetTerms& t) {
-  int fd = loop.environment().OpenDatagrams(t.listen);
+int OpenSocket(loop::Loop& loop, const FleetSettings& settings) {
+  int fd = loop.environment().OpenDatagrams(settings.listen);
   if (fd < 0)
-    throw std::runtime_error("fleet.listen cannot be had: " + std::to_string(-fd));
+    throw std::runtime_error("cannot open the socket of fleet.listen: errno " +
+                             std::to_string(-fd));
   return fd;
 }
 
 }  // namespace
 
-// The start's incarnation is the clock in seconds: a front restarted under the same id is newer
-// than it was.
-Fleet::Fleet(loop::Loop& loop, const FleetTerms& terms, std::uint64_t seed,
-             failover::Health& health, Steer steer, Carrier* peers)
+// The first incarnation is the clock in seconds, so that a front restarted under the same id has a
+// higher one.
+MembershipComponent::MembershipComponent(loop::Loop& loop, const FleetSettings& settings,
+                                         std::uint64_t seed, failover::Health& health,
+                                         TrafficWeightsCallback set_traffic_weights,
+                                         MessageSender* peers)
     : loop_(loop),
-      terms_(terms),
+      settings_(settings),
       peers_(peers),
       socket_(peers ? loop::Descriptor()
-                    : loop::Descriptor(loop.environment(), Opened(loop, terms))),
-      swim_(terms.self, Others(terms), static_cast<std::uint32_t>(loop.now() / 1000), terms.swim,
-            seed, loop.now()),
-      verdicts_(terms.self, Places(terms), terms.zone_region, terms.verdict),
+                    : loop::Descriptor(loop.environment(), OpenSocket(loop, settings))),
+      swim_(settings.self, Others(settings), static_cast<std::uint32_t>(loop.now() / 1000),
+            settings.swim, seed, loop.now()),
+      failover_(settings.self, Locations(settings), settings.zone_region,
+                settings.failover_settings),
       health_(health),
-      steer_(std::move(steer)) {
+      set_traffic_weights_(std::move(set_traffic_weights)) {
   if (!peers_) {
     constexpr std::size_t kLongestDatagram = 1024;
-    auto take = [this](std::span<const char> datagram, const loop::Address& from) {
-      Took(datagram, from);
+    auto receive = [this](std::span<const char> datagram, const loop::Address& from) {
+      HandleDatagram(datagram, from);
     };
     auto after_turn = [this] {
-      Settle();
-      Arm();
+      Evaluate();
+      ArmTimer();
     };
-    reader_.emplace(loop_, socket_.Get(), kLongestDatagram, std::move(take), std::move(after_turn));
+    reader_.emplace(loop_, socket_.Get(), kLongestDatagram, std::move(receive),
+                    std::move(after_turn));
   }
-  log::Say("fleet member %u of %zu, zone %s, quorum %d", terms_.self, terms_.members.size(),
-           terms_.zones[static_cast<std::size_t>(Places(terms_).at(terms_.self).zone)].c_str(),
-           verdicts_.Quorum());
-  Settle();
-  Arm();
+  log::Say("fleet member %u of %zu, zone %s, quorum %d", settings_.self, settings_.members.size(),
+           settings_.zones[static_cast<std::size_t>(Locations(settings_).at(settings_.self).zone)]
+               .c_str(),
+           failover_.Quorum());
+  Evaluate();
+  ArmTimer();
 }
 
-Fleet::~Fleet() {
+MembershipComponent::~MembershipComponent() {
   loop_.Cancel(timer_);
 }
 
-Ms Fleet::WakeAt() const {
-  // Looked at least this often, so that the hysteresis of the verdict ends on time without
-  // messages.
-  constexpr loop::Ms kLongest = 100;
-  return std::min(swim_.WakeAt(), looked_at_ + kLongest);
+Ms MembershipComponent::NextTimerAt() const {
+  // Evaluated at least this often, so that the hysteresis of the failover decision ends on time
+  // without messages.
+  constexpr loop::Ms kMaxInterval = 100;
+  return std::min(swim_.WakeAt(), evaluated_at_ + kMaxInterval);
 }
 
-void Fleet::Arm() {
-  looked_at_ = loop_.now();
+void MembershipComponent::ArmTimer() {
+  evaluated_at_ = loop_.now();
   if (peers_)
-    return;  // it asks wakeAt()
+    return;  // the peers' socket calls NextTimerAt()
   loop_.Cancel(timer_);
-  timer_ = loop_.at(WakeAt(), [this] { Wake(); });
+  timer_ = loop_.at(NextTimerAt(), [this] { HandleTimer(); });
 }
 
-void Fleet::Wake() {
-  std::vector<members::Message> out;
-  swim_.Tick(loop_.now(), out);
-  Send(out);
-  Settle();
-  Arm();
+void MembershipComponent::HandleTimer() {
+  std::vector<members::Message> messages;
+  swim_.Tick(loop_.now(), messages);
+  Send(messages);
+  Evaluate();
+  ArmTimer();
 }
 
-void Fleet::Send(const std::vector<members::Message>& out) {
-  for (const members::Message& m : out)
-    for (const FleetMember& to : terms_.members)
-      if (to.id == m.to) {
-        std::string bytes = members::Encode(m);
+void MembershipComponent::Send(const std::vector<members::Message>& messages) {
+  for (const members::Message& message : messages)
+    for (const FleetMember& to : settings_.members)
+      if (to.id == message.to) {
+        std::string bytes = members::Encode(message);
         ++sent_;
         if (peers_)
           peers_->Send(peers::Channel::kMembers, to.id, std::move(bytes));
         else
-          loop_.environment().SendTo(socket_.Get(), bytes,
-                                     to.at);  // lost where the system can't take it: as on a wire
+          loop_.environment().SendTo(
+              socket_.Get(), bytes,
+              to.address);  // lost if the system refuses it, as on the network
       }
 }
 
-void Fleet::Took(std::span<const char> datagram, const loop::Address& from) {
+void MembershipComponent::HandleDatagram(std::span<const char> datagram,
+                                         const loop::Address& from) {
   if (members::IsViewRequest(datagram)) {
-    std::string text = view();
-    loop_.environment().SendTo(socket_.Get(), text, from);
+    std::string status = StatusJson();
+    loop_.environment().SendTo(socket_.Get(), status, from);
     return;
   }
-  auto m = members::Decode(datagram);
-  if (!m) {
-    ++refused_;  // a peer's bytes never throw, nor reach the log
+  auto message = members::Decode(datagram);
+  if (!message) {
+    ++malformed_;  // a peer's bytes never throw and never reach the log
     return;
   }
-  Take(*m);
+  Receive(*message);
 }
 
-void Fleet::Take(const members::Message& m) {
+void MembershipComponent::Receive(const members::Message& message) {
   ++received_;
-  std::vector<members::Message> out;
-  swim_.Receive(loop_.now(), m, out);
-  Send(out);
+  std::vector<members::Message> messages;
+  swim_.Receive(loop_.now(), message, messages);
+  Send(messages);
 }
 
-void Fleet::Heard(peers::Id from, std::span<const char> bytes) {
-  auto m = members::Decode(bytes);
-  if (!m || m->from != from)
-    return void(++refused_);
-  Take(*m);
-  Settle();
-  Arm();
+void MembershipComponent::HandleMessage(peers::Id from, std::span<const char> bytes) {
+  auto message = members::Decode(bytes);
+  if (!message || message->from != from)
+    return void(++malformed_);
+  Receive(*message);
+  Evaluate();
+  ArmTimer();
 }
 
-void Fleet::Settle() {
-  for (const members::Change& c : swim_.Changes())
-    if (!c.note_only)
-      log::Say("fleet member %u %s incarnation %u", c.who, members::ToString(c.state),
-               c.incarnation);
+void MembershipComponent::Evaluate() {
+  for (const members::Change& change : swim_.Changes())
+    if (!change.note_only)
+      log::Say("fleet member %u %s incarnation %u", change.who, members::ToString(change.state),
+               change.incarnation);
   bool changed = false;
-  failover::Opinion notified =
-      verdicts_.Look(loop_.now(), health_.Share(), failover::Living(swim_), changed);
+  failover::Opinion observation =
+      failover_.Look(loop_.now(), health_.Share(), failover::Living(swim_), changed);
   if (changed) {
-    const failover::Verdict& v = verdicts_.verdict();
-    std::string out, shares;
-    for (std::size_t z = 0; z < terms_.zones.size(); ++z) {
-      if (v.out >> z & 1)
-        out += (out.empty() ? "" : ",") + terms_.zones[z];
-      char share[64];
-      std::snprintf(share, sizeof share, "%s%s=%.2f", z ? "," : "", terms_.zones[z].c_str(),
-                    v.shares[z]);
-      shares += share;
+    const failover::Verdict& decision = failover_.verdict();
+    std::string zones_out, weights;
+    for (std::size_t z = 0; z < settings_.zones.size(); ++z) {
+      if (decision.out >> z & 1)
+        zones_out += (zones_out.empty() ? "" : ",") + settings_.zones[z];
+      char weight[64];
+      std::snprintf(weight, sizeof weight, "%s%s=%.2f", z ? "," : "", settings_.zones[z].c_str(),
+                    decision.shares[z]);
+      weights += weight;
     }
-    log::Say("fleet verdict epoch %u out %s shares %s%s at %.0f", v.epoch,
-             out.empty() ? "none" : out.c_str(), shares.c_str(), v.panic ? " panic" : "",
-             loop_.now());
-    if (terms_.steer) {
-      std::vector<double> by_platform(terms_.platform_zones, 0);
-      for (std::size_t z = 0; z < terms_.zones.size(); ++z)
-        by_platform[terms_.platform_zone[z]] += v.shares[z];
-      steer_(std::move(by_platform));
+    log::Say("fleet verdict epoch %u out %s shares %s%s at %.0f", decision.epoch,
+             zones_out.empty() ? "none" : zones_out.c_str(), weights.c_str(),
+             decision.panic ? " panic" : "", loop_.now());
+    if (settings_.steer) {
+      std::vector<double> by_platform(settings_.platform_zone_count, 0);
+      for (std::size_t z = 0; z < settings_.zones.size(); ++z)
+        by_platform[settings_.platform_zones[z]] += decision.shares[z];
+      set_traffic_weights_(std::move(by_platform));
     }
   }
-  swim_.Publish(loop_.now(), failover::Pack(notified));
+  swim_.Publish(loop_.now(), failover::Pack(observation));
 }
 
-std::string Fleet::view() const {
-  const failover::Verdict& v = verdicts_.verdict();
-  auto quarter = [](double x) {
+std::string MembershipComponent::StatusJson() const {
+  const failover::Verdict& decision = failover_.verdict();
+  auto two_decimals = [](double value) {
     char text[32];
-    std::snprintf(text, sizeof text, "%.2f", x);
+    std::snprintf(text, sizeof text, "%.2f", value);
     return std::string(text);
   };
-  std::string s = "{\"self\":" + std::to_string(terms_.self) + ",\"zone\":\"" +
-                  terms_.zones[static_cast<std::size_t>(Places(terms_).at(terms_.self).zone)] +
-                  "\",\"incarnation\":" + std::to_string(swim_.Incarnation()) +
-                  ",\"health\":" + std::to_string(swim_.health()) +
-                  ",\"epoch\":" + std::to_string(v.epoch) +
-                  ",\"panic\":" + (v.panic ? "true" : "false") +
-                  ",\"steers\":" + (terms_.steer ? "true" : "false") +
-                  ",\"caches\":" + quarter(health_.Share()) + ",\"sent\":" + std::to_string(sent_) +
-                  ",\"received\":" + std::to_string(received_) +
-                  ",\"refused\":" + std::to_string(refused_) + ",\"out\":[";
+  std::string json =
+      "{\"self\":" + std::to_string(settings_.self) + ",\"zone\":\"" +
+      settings_.zones[static_cast<std::size_t>(Locations(settings_).at(settings_.self).zone)] +
+      "\",\"incarnation\":" + std::to_string(swim_.Incarnation()) +
+      ",\"health\":" + std::to_string(swim_.health()) +
+      ",\"epoch\":" + std::to_string(decision.epoch) +
+      ",\"panic\":" + (decision.panic ? "true" : "false") +
+      ",\"steers\":" + (settings_.steer ? "true" : "false") +
+      ",\"caches\":" + two_decimals(health_.Share()) + ",\"sent\":" + std::to_string(sent_) +
+      ",\"received\":" + std::to_string(received_) + ",\"refused\":" + std::to_string(malformed_) +
+      ",\"out\":[";
   bool first = true;
-  for (std::size_t z = 0; z < terms_.zones.size(); ++z)
-    if (v.out >> z & 1) {
-      s += (first ? "\"" : ",\"") + terms_.zones[z] + "\"";
+  for (std::size_t z = 0; z < settings_.zones.size(); ++z)
+    if (decision.out >> z & 1) {
+      json += (first ? "\"" : ",\"") + settings_.zones[z] + "\"";
       first = false;
     }
-  s += "],\"zone_health\":{";
-  for (std::size_t z = 0; z < terms_.zones.size(); ++z)
-    s += (z ? ",\"" : "\"") + terms_.zones[z] +
-         "\":" + quarter(v.health[z] / static_cast<double>(failover::kSteps));
-  s += "},\"shares\":{";
-  for (std::size_t z = 0; z < terms_.zones.size(); ++z) {
-    s += (z ? ",\"" : "\"") + terms_.zones[z] + "\":" + quarter(v.shares[z]);
+  json += "],\"zone_health\":{";
+  for (std::size_t z = 0; z < settings_.zones.size(); ++z)
+    json += (z ? ",\"" : "\"") + settings_.zones[z] +
+            "\":" + two_decimals(decision.health[z] / static_cast<double>(failover::kSteps));
+  json += "},\"shares\":{";
+  for (std::size_t z = 0; z < settings_.zones.size(); ++z) {
+    json += (z ? ",\"" : "\"") + settings_.zones[z] + "\":" + two_decimals(decision.shares[z]);
   }
-  s += "},\"members\":[";
+  json += "},\"members\":[";
   first = true;
-  for (const auto& [id, m] : swim_.Members()) {
+  for (const auto& [id, member] : swim_.Members()) {
     std::string zone;
-    for (const FleetMember& f : terms_.members)
-      if (f.id == id)
-        zone = terms_.zones[static_cast<std::size_t>(f.zone)];
-    s += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) + ",\"state\":\"" +
-         members::ToString(m.state) + "\",\"incarnation\":" + std::to_string(m.incarnation) +
-         ",\"zone\":\"" + zone + "\"}";
+    for (const FleetMember& configured : settings_.members)
+      if (configured.id == id)
+        zone = settings_.zones[static_cast<std::size_t>(configured.zone)];
+    json += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) + ",\"state\":\"" +
+            members::ToString(member.state) +
+            "\",\"incarnation\":" + std::to_string(member.incarnation) + ",\"zone\":\"" + zone +
+            "\"}";
     first = false;
   }
-  return s + "]}";
+  return json + "]}";
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/fleet.hpp
+++ b/src/front/fleet.hpp
@@ -1,13 +1,15 @@
-// The fleet's part of a front: membership and the verdict in common, over one UDP socket on the
-// loop's ground or the peers' one. Thin: what it decides is in src/members/ and src/failover/; here
-// are the socket, the timer and the log.
+// The membership component of a front: membership among fronts and their common failover decision,
+// over a UDP socket of its own or the peers' socket. The decisions are made in src/members/ and
+// src/failover/; here are the socket, the timer and the log.
 //
-// It logs each change it sees, one line each, for operators and for the checker across processes:
+// It logs each change, one line each, for operators and for the invariant checker across processes:
 //   fleet member 3 dead incarnation 1764629600
 //   fleet verdict epoch 2 out b shares a=1.00,b=0.00,c=0.00 at 1764629612345
-// Where its terms say `steer`, each new verdict's shares go to the module, by the platform's zones.
-// It answers a view request ("DW?") from anywhere on loopback with its view as one JSON object.
-// Bounds: one datagram in, at most a few out, a turn; 64 datagrams are read a turn at most.
+// With `steer` in its settings, each new decision's traffic weights go to the router, by the
+// platform's zones. On a socket of its own it answers a status request ("DW?") with its status as
+// one JSON object.
+// Bounds: one datagram received leads to a few sent at most; at most 64 datagrams are read per turn
+// of the loop.
 #pragma once
 #include <functional>
 #include <memory>
@@ -23,46 +25,50 @@
 
 namespace dunlinwick::front {
 
-class Fleet final : public Part {
+class MembershipComponent final : public FleetComponent {
  public:
-  // Throws std::runtime_error where the socket can't be had.
-  // `steer`: called with each new verdict's shares by the platform's zones, where the terms steer.
-  using Steer = std::function<void(std::vector<double>)>;
-  Fleet(loop::Loop& loop, const FleetTerms& terms, std::uint64_t seed, failover::Health& health,
-        Steer steer,
-        Carrier* peers = nullptr);  // with it, no socket and no timer of its own
-  ~Fleet();
+  // Called with each new failover decision's traffic weights by the platform's zones, when the
+  // settings steer traffic.
+  using TrafficWeightsCallback = std::function<void(std::vector<double>)>;
+  // Throws std::runtime_error when the socket cannot be opened. With `peers` it opens no socket and
+  // no timer of its own.
+  MembershipComponent(loop::Loop& loop, const FleetSettings& settings, std::uint64_t seed,
+                      failover::Health& health, TrafficWeightsCallback set_traffic_weights,
+                      MessageSender* peers = nullptr);
+  ~MembershipComponent();
   peers::Channel channel() const override {
     return peers::Channel::kMembers;
   }
-  void Heard(peers::Id from, std::span<const char> message) override;
-  void Wake() override;
-  Ms WakeAt() const override;
-  std::string view() const override;  // JSON
-  const failover::Verdict& verdict() const {
-    return verdicts_.verdict();
+  void HandleMessage(peers::Id from, std::span<const char> message) override;
+  void HandleTimer() override;
+  Ms NextTimerAt() const override;
+  std::string StatusJson() const override;
+  const failover::Verdict& failover_decision() const {
+    return failover_.verdict();
   }
 
  private:
-  void Took(std::span<const char> datagram, const loop::Address& from);
-  void Take(const members::Message& message);
-  void Send(const std::vector<members::Message>& out);
-  void Settle();
-  void Arm();
+  void HandleDatagram(std::span<const char> datagram, const loop::Address& from);
+  void Receive(const members::Message& message);
+  void Send(const std::vector<members::Message>& messages);
+  // Logs membership changes, evaluates the failover decision and publishes this front's zone health
+  // observation.
+  void Evaluate();
+  void ArmTimer();
 
   loop::Loop& loop_;
-  FleetTerms terms_;
-  Carrier* peers_;
-  loop::Descriptor socket_;  // over peers: none
+  FleetSettings settings_;
+  MessageSender* peers_;
+  loop::Descriptor socket_;  // over the peers' socket: none
   members::Swim swim_;
-  failover::Verdicts verdicts_;
+  failover::Verdicts failover_;
   failover::Health& health_;
-  Steer steer_;
+  TrafficWeightsCallback set_traffic_weights_;
   std::uint64_t timer_ = 0;
-  Ms looked_at_ = 0;
+  Ms evaluated_at_ = 0;
   std::uint64_t sent_ = 0;
   std::uint64_t received_ = 0;
-  std::uint64_t refused_ = 0;
+  std::uint64_t malformed_ = 0;
   std::optional<loop::DatagramReader> reader_;  // of the socket
 };
 
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -16,201 +16,214 @@
 
 using loop::Ms;
 
-// Descriptors that are neither a client's nor a cache's: standard streams, listener, board,
-// signals, and some for what the system opens.
-constexpr std::size_t kEjected = 24;
-
-// The process may be held to fewer than the configuration says. Harm without the least: with none
-// left for caches the count of theirs wraps, and they take all.
-std::size_t Descriptors(const Configuration& c, loop::Loop& loop) {
-  std::size_t own = loop.environment().DescriptorLimit();
-  if (own < kLeastDescriptors)
-    throw std::runtime_error("the process may hold " + std::to_string(own) +
-                             " descriptors, at least " + std::to_string(kLeastDescriptors) +
-                             " are wanted");
-  return std::min(c.descriptors, own);
+// Descriptors that are neither a client's nor a cache's: standard streams, listener, discovery
+// service, signal pipe, and some for what the system libraries open.
+constexpr std::size_t kReservedDescriptors = 24;
+
+// The process may be limited to fewer descriptors than the configuration says. Without the minimum,
+// the number left for caches would wrap around, and caches could use them all.
+std::size_t UsableDescriptors(const FrontConfiguration& configuration, loop::Loop& loop) {
+  std::size_t limit = loop.environment().DescriptorLimit();
+  if (limit < kMinDescriptors)
+    throw std::runtime_error("the process may open " + std::to_string(limit) +
+                             " descriptors; at least " + std::to_string(kMinDescriptors) +
+                             " are required");
+  return std::min(configuration.descriptors, limit);
 }
 
-// Those that were ended from here and are read until the other side ends them too: out of the
-// clients' half.
-std::size_t MostLingering(const Configuration& c, loop::Loop& loop) {
-  return Descriptors(c, loop) / 16;
+// Connections that this side has closed and reads until the client closes them too. They count
+// against the clients' half.
+std::size_t MaxLingeringConnections(const FrontConfiguration& configuration, loop::Loop& loop) {
+  return UsableDescriptors(configuration, loop) / 16;
 }
 
-// Clients hold at most a third of the descriptors; half leaves room for those that are about to
-// close. Each may hold one answer of the largest size, here and in the system's buffers, which the
-// memory must bear.
-std::size_t MostClients(const Configuration& c, loop::Loop& loop) {
-  constexpr double kShare = 0.6, kEachMb = 0.25;
-  return std::min(Descriptors(c, loop) / 2 - MostLingering(c, loop),
-                  static_cast<std::size_t>(kShare * c.memory_mb / kEachMb));
+// By the protocol clients hold at most a third of the descriptors; half leaves room for connections
+// that are about to close. Each client may hold one response of the largest size, here and in the
+// system's buffers, so memory bounds their number too.
+std::size_t MaxClientConnections(const FrontConfiguration& configuration, loop::Loop& loop) {
+  constexpr double kMemoryShare = 0.6, kMbPerClient = 0.25;
+  return std::min(
+      UsableDescriptors(configuration, loop) / 2 - MaxLingeringConnections(configuration, loop),
+      static_cast<std::size_t>(kMemoryShare * configuration.memory_mb / kMbPerClient));
 }
 
-std::size_t ForCaches(const Configuration& c, loop::Loop& loop) {
-  return Descriptors(c, loop) - kEjected - MostClients(c, loop) - MostLingering(c, loop);
+std::size_t CacheDescriptors(const FrontConfiguration& configuration, loop::Loop& loop) {
+  return UsableDescriptors(configuration, loop) - kReservedDescriptors -
+         MaxClientConnections(configuration, loop) - MaxLingeringConnections(configuration, loop);
 }
 
-std::vector<bool> Written(const StoreSettings& settings) {
-  std::vector<bool> all;
-  for (const RequestClass& o : settings.request_classes)
-    all.push_back(o.never_kept);
-  return all;
+// Which request classes write, by number.
+std::vector<bool> WriteClasses(const StoreSettings& settings) {
+  std::vector<bool> writes;
+  for (const RequestClass& request_class : settings.request_classes)
+    writes.push_back(request_class.never_kept);
+  return writes;
 }
 
 }  // namespace
 
-Front::Front(loop::Loop& loop, const Configuration& c) : Front(loop, c, DecidingFor(c)) {}
+Front::Front(loop::Loop& loop, const FrontConfiguration& configuration)
+    : Front(loop, configuration, MakeRequestRouting(configuration)) {}
 
-Front::Front(loop::Loop& loop, const Configuration& c, exchange::Decider decides)
-    : Front(loop, c, Deciding{std::move(decides), nullptr, nullptr}) {}
+Front::Front(loop::Loop& loop, const FrontConfiguration& configuration, exchange::Decider router)
+    : Front(loop, configuration, RequestRouting{std::move(router), nullptr, nullptr}) {}
 
-Front::Front(loop::Loop& loop, const Configuration& c, Deciding deciding)
+Front::Front(loop::Loop& loop, const FrontConfiguration& configuration, RequestRouting routing)
     : loop_(loop),
-      health_(c.settings.zone, c.settings.parent_kind, c.settings.origin_kind),
-      exchange_(loop, c.settings, c.fleet.on ? Noting(deciding.decides) : deciding.decides),
-      caches_(loop, exchange_, c.terms, ForCaches(c, loop)),
-      discovery_(loop, exchange_, c.terms, c.discovery),
-      clients_(loop, exchange_, c.terms.request_classes, Written(c.settings), c.listen,
-               MostClients(c, loop), MostLingering(c, loop)) {
+      health_(configuration.settings.zone, configuration.settings.parent_kind,
+              configuration.settings.origin_kind),
+      exchange_(loop, configuration.settings,
+                configuration.fleet.enabled ? ObserveHealth(routing.router) : routing.router),
+      caches_(loop, exchange_, configuration.connection_settings,
+              CacheDescriptors(configuration, loop)),
+      discovery_(loop, exchange_, configuration.connection_settings, configuration.discovery),
+      clients_(loop, exchange_, configuration.connection_settings.request_classes,
+               WriteClasses(configuration.settings), configuration.listen,
+               MaxClientConnections(configuration, loop),
+               MaxLingeringConnections(configuration, loop)) {
   exchange_.Meet(caches_);
-  if (!discovery_.begin(c.known))
-    throw std::runtime_error("configuration lacks usable events under known");
+  if (!discovery_.begin(configuration.known_updates))
+    throw std::runtime_error("configuration has no valid updates under known");
   discovery_.Follow();
-  Fleet::Steer steer = [this](std::vector<double> shares) {
-    exchange_.SharesCame(std::move(shares));
-  };
-  if (c.fleet.on && !c.fleet.over_peers)
-    fleet_ = std::make_unique<Fleet>(loop, c.fleet, c.seed, health_, steer);
-  parts_ = MakeParts(loop, c, health_, std::move(steer), exchange_, deciding);
+  MembershipComponent::TrafficWeightsCallback set_traffic_weights =
+      [this](std::vector<double> weights) {
+        exchange_.SharesCame(std::move(weights));
+      };
+  if (configuration.fleet.enabled && !configuration.fleet.over_peers)
+    membership_ = std::make_unique<MembershipComponent>(
+        loop, configuration.fleet, configuration.seed, health_, set_traffic_weights);
+  components_ = MakeFleetComponents(loop, configuration, health_, std::move(set_traffic_weights),
+                                    exchange_, routing);
 }
 
-exchange::Decider Front::Noting(exchange::Decider decides) {
-  return [this, decides = std::move(decides)](Ms now, const Event& event) {
-    if (auto* news = std::get_if<ListNews>(&event))
-      health_.Take(*news);
-    std::vector<Action> todo = decides(now, event);
-    for (const Action& a : todo)
-      if (auto* notified = std::get_if<TellHealth>(&a))
-        health_.Take(*notified);
-    return todo;
+exchange::Decider Front::ObserveHealth(exchange::Decider router) {
+  return [this, router = std::move(router)](Ms now, const Event& event) {
+    if (auto* update = std::get_if<ListNews>(&event))
+      health_.Take(*update);
+    std::vector<Action> actions = router(now, event);
+    for (const Action& action : actions)
+      if (auto* report = std::get_if<TellHealth>(&action))
+        health_.Take(*report);
+    return actions;
   };
 }
 
-void Front::Follow(const Configuration& c) {
-  if (!discovery_.MoveTo(c.discovery, c.known))
-    throw std::runtime_error("configuration lacks usable events under known");
+void Front::Reload(const FrontConfiguration& configuration) {
+  if (!discovery_.MoveTo(configuration.discovery, configuration.known_updates))
+    throw std::runtime_error("configuration has no valid updates under known");
   ++exchange_.counters.reloads;
 }
 
 void Front::Stop() {
-  // New connections come for up to 0.4 s after the word to stop, and requests on open ones for 0.2
-  // s more.
-  constexpr Ms kClientsStillCome = 700;
+  // New connections arrive for up to 0.4 s after the signal to stop, and requests on open ones for
+  // 0.2 s more.
+  constexpr Ms kAcceptAfterStop = 700;
   if (std::exchange(stopping_, true))
     return;
-  log::Say("stopping: %zu pulls open", exchange_.OpenRequests());
+  log::Say("stopping: %zu requests open", exchange_.OpenRequests());
   clients_.Wind();
-  loop_.at(loop_.now() + kClientsStillCome, [this] { LeaveWhenDone(); });
+  loop_.at(loop_.now() + kAcceptAfterStop, [this] { StopWhenIdle(); });
 }
 
-void Front::LeaveWhenDone() {
-  constexpr Ms kLook = 10;
+void Front::StopWhenIdle() {
+  constexpr Ms kCheckEvery = 10;
   clients_.Leave();
   if (clients_.empty())
     return loop_.Stop();
-  loop_.at(loop_.now() + kLook, [this] { LeaveWhenDone(); });
+  loop_.at(loop_.now() + kCheckEvery, [this] { StopWhenIdle(); });
 }
 
 std::string Front::counters() const {
   return Exposition(exchange_.counters);
 }
 
-// ---- signals, by a pipe that the loop watches
+// ---- signals, through a pipe that the loop watches
 
 namespace {
 
-int signals_to = -1;
-void NoteSignal(int which) {
-  int kept = errno;
-  char byte = static_cast<char>(which);
-  [[maybe_unused]] ssize_t put = ::write(signals_to, &byte, 1);
-  errno = kept;
+int signal_pipe = -1;
+void ForwardSignal(int signal) {
+  int saved_errno = errno;
+  char byte = static_cast<char>(signal);
+  [[maybe_unused]] ssize_t written = ::write(signal_pipe, &byte, 1);
+  errno = saved_errno;
 }
 
-class Signals final : loop::Handler {
+class SignalReceiver final : loop::Handler {
  public:
-  // Before the front is there: a signal that comes while it starts is kept for it.
-  Signals(loop::Loop& loop, std::string path, std::string listen)
+  // Made before the front: a signal that arrives while the front starts waits in the pipe.
+  SignalReceiver(loop::Loop& loop, std::string path, std::string listen)
       : loop_(loop), path_(std::move(path)), listen_(std::move(listen)) {
     int ends[2];
     if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0)
-      throw std::runtime_error("no pipe for signals");
-    from_ = loop::Descriptor(ends[0]);
-    to_ = loop::Descriptor(ends[1]);
-    signals_to = to_.Get();
+      throw std::runtime_error("cannot create the pipe for signals");
+    read_end_ = loop::Descriptor(ends[0]);
+    write_end_ = loop::Descriptor(ends[1]);
+    signal_pipe = write_end_.Get();
     struct sigaction action {};
-    action.sa_handler = NoteSignal;
-    for (int which : kCaught)
-      ::sigaction(which, &action, nullptr);
+    action.sa_handler = ForwardSignal;
+    for (int signal : kHandledSignals)
+      ::sigaction(signal, &action, nullptr);
     ::signal(SIGPIPE, SIG_IGN);
   }
-  ~Signals() {
-    for (int which : kCaught)
-      ::signal(which, SIG_IGN);
-    loop_.Forget(from_.Get());
+  ~SignalReceiver() {
+    for (int signal : kHandledSignals)
+      ::signal(signal, SIG_IGN);
+    loop_.Forget(read_end_.Get());
   }
-  void Reach(Front& front) {
+  void Attach(Front& front) {
     front_ = &front;
-    loop_.WatchDescriptor(from_.Get(), *this, POLLIN);
+    loop_.WatchDescriptor(read_end_.Get(), *this, POLLIN);
   }
 
  private:
-  static constexpr int kCaught[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP};
+  static constexpr int kHandledSignals[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP};
 
   void Ready(short) override {
     char byte = 0;
-    bool again = false;
-    while (::read(from_.Get(), &byte, 1) == 1)
+    bool reload = false;
+    while (::read(read_end_.Get(), &byte, 1) == 1)
       if (byte == SIGUSR1)
         log::WriteToStandardError(front_->counters());
       else if (byte == SIGHUP)
-        again = true;  // several that wait are one: the file is read after all of them
+        reload = true;  // several that wait cause one: the file is read after all of them
       else
         front_->Stop();
-    if (again)
-      Reread();
+    if (reload)
+      ReloadConfiguration();
   }
-  // Guards against a file half written, or for somebody else: the front that serves goes on as it
-  // was.
-  void Reread() {
+  // A file that is half written or meant for another process changes nothing: the front serves on
+  // with its configuration.
+  void ReloadConfiguration() {
     try {
-      Configuration configuration = ReadConfiguration(path_, listen_);
-      front_->Follow(configuration);
-      log::Say("new configuration: the notice board is at %s",
+      FrontConfiguration configuration = ReadConfiguration(path_, listen_);
+      front_->Reload(configuration);
+      log::Say("configuration reloaded: the discovery service is at %s",
                configuration.discovery_text.c_str());
-    } catch (const std::exception& fault) {
-      log::Say("new configuration not taken, the old one stays: %s", fault.what());
+    } catch (const std::exception& error) {
+      log::Say("configuration not reloaded, the previous one stays in use: %s", error.what());
     }
   }
   loop::Loop& loop_;
   std::string path_;
   std::string listen_;
   Front* front_ = nullptr;
-  loop::Descriptor from_;
-  loop::Descriptor to_;
+  loop::Descriptor read_end_;
+  loop::Descriptor write_end_;
 };
 
 }  // namespace
 
 namespace {
 
-// A process may be started with standard streams closed. Their numbers would go to descriptors of
-// its own, and log lines with them: into the pipe for signals, each byte a signal, or to a peer.
+// A process may be started with standard streams closed. Its own descriptors would get their
+// numbers, and log lines would be written into them: into the signal pipe, each byte as a signal,
+// or to a peer.
 void OpenStandardStreams() {
   for (int fd : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO}) {
     if (::fcntl(fd, F_GETFD) >= 0)
       continue;
-    // open(2) takes the lowest number that is free, which is this one.
+    // open(2) returns the lowest free number, which is this one.
     if (::open("/dev/null", O_RDWR) != fd)
       throw std::runtime_error("a standard stream is closed and /dev/null cannot be opened");
   }
@@ -221,10 +234,10 @@
 int Serve(const std::string& path, const std::string& listen) {
   OpenStandardStreams();
   loop::Loop loop;
-  Signals signals(loop, path, listen);
-  Configuration configuration = ReadConfiguration(path, listen);
+  SignalReceiver signals(loop, path, listen);
+  FrontConfiguration configuration = ReadConfiguration(path, listen);
   Front front(loop, configuration);
-  signals.Reach(front);
+  signals.Attach(front);
   log::Say("%s serves", configuration.name.c_str());
   loop.Run();
   log::WriteToStandardError(front.counters());
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -1,4 +1,4 @@
-// One front: its parts wired together, from start to stop.
+// One front: its components wired together, from start to stop.
 #pragma once
 #include "board/board.hpp"
 #include "caches/caches.hpp"
@@ -13,20 +13,23 @@
 
 class Front {
  public:
-  Front(loop::Loop& loop, const Configuration& configuration);
-  Front(loop::Loop& loop, const Configuration& configuration, exchange::Decider decides);
-  Front(loop::Loop& loop, const Configuration& configuration, Deciding deciding);
-  // Turns to the notice board that a new configuration names. The rest of it holds for the life of
-  // a process: what differs there is passed over. Throws std::runtime_error, with nothing changed,
-  // where it is unusable.
-  void Follow(const Configuration& configuration);
-  void Stop();  // takes what still arrives, answers all it has taken, then ends the loop
+  Front(loop::Loop& loop, const FrontConfiguration& configuration);
+  Front(loop::Loop& loop, const FrontConfiguration& configuration, exchange::Decider router);
+  Front(loop::Loop& loop, const FrontConfiguration& configuration, RequestRouting routing);
+  // Switches to the discovery service that a reloaded configuration names. All other settings hold
+  // for the life of the process: differences in them are ignored. Throws std::runtime_error, with
+  // nothing changed, when the configuration is unusable.
+  void Reload(const FrontConfiguration& configuration);
+  // Keeps accepting what still arrives for a short while, answers every request taken, then ends
+  // the loop.
+  void Stop();
   std::string counters() const;
 
  private:
-  void LeaveWhenDone();
-  // The module, with what the fleet's opinion needs of its words noted on the way.
-  exchange::Decider Noting(exchange::Decider decides);
+  void StopWhenIdle();
+  // Wraps the router: endpoint list updates that it receives and endpoint health that it reports
+  // are also passed to `health_`, on which the fleet's failover decision is based.
+  exchange::Decider ObserveHealth(exchange::Decider router);
 
   loop::Loop& loop_;
   failover::Health health_;
@@ -34,13 +37,13 @@
   caches::Caches caches_;
   discovery::Discovery discovery_;
   clients::Clients clients_;
-  std::unique_ptr<Fleet> fleet_;  // with a fleet block that has a socket of its own
-  std::unique_ptr<Parts> parts_;  // with an owner or a peers block
+  std::unique_ptr<MembershipComponent> membership_;  // with a fleet block that has its own socket
+  std::unique_ptr<FleetComponents> components_;      // with an owner or a peers block
   bool stopping_ = false;
 };
 
-// Serves by the configuration at `path` until SIGTERM or SIGINT; SIGHUP reads it again, SIGUSR1
-// prints the counters. `listen` as with readCharter(). Returns the exit code.
+// Serves by the configuration at `path` until SIGTERM or SIGINT; SIGHUP reloads it, SIGUSR1 prints
+// the counters. `listen` as with ReadConfiguration(). Returns the exit code.
 int Serve(const std::string& path, const std::string& listen);
 
 }  // namespace dunlinwick::front
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -15,51 +15,52 @@
 namespace dunlinwick::front {
 
 namespace {
-constexpr const char* kTheWork = "record";
+constexpr const char* kRecordTask = "record";
 }
 
-struct Layer::Inner {
+struct FleetLayer::Impl {
   loop::Loop& loop;
-  Configuration configuration;
-  Ways ways;
-  std::unique_ptr<store::LastingFloors> lasting_floors;  // none where no folder is configured
-  store::KeptFloors current;                             // what this process knows and wants kept
-  std::unique_ptr<Record> record;
-  std::unique_ptr<Rules> rules;
-  std::unique_ptr<Recovering> recovering;
+  FrontConfiguration configuration;
+  Dependencies dependencies;
+  std::unique_ptr<store::LastingFloors> minimums_store;  // none if no folder is configured
+  store::KeptFloors minimums;                            // current ones, to be persisted
+  std::unique_ptr<RecordComponent> record;
+  std::unique_ptr<RulesComponent> rules;
+  std::unique_ptr<RecoveryComponent> recovery;
   bool ejected = false;
-  bool serves = true;
+  bool may_serve = true;
   LetIn admitted;
-  // A front whose drift can break a rule takes no pull at all: each is declined at once.
+  // A front whose drift can break a rule takes no requests: each is rejected at once.
   void ApplyAdmission() {
-    if (serves)
-      ways.exchange->Admit(admitted.by_request_class, admitted.come_back);
+    if (may_serve)
+      dependencies.exchange->Admit(admitted.by_request_class, admitted.come_back);
     else
-      ways.exchange->Admit(std::vector<double>(configuration.settings.request_classes.size(), 0.0),
-                           std::max(admitted.come_back, configuration.rules.terms.repair_within));
+      dependencies.exchange->Admit(
+          std::vector<double>(configuration.settings.request_classes.size(), 0.0),
+          std::max(admitted.come_back, configuration.rules.policy.repair_within));
   }
-  std::uint64_t said =
-      0;  // of what is behind: full answers and time-outs, as counted at the last look
-  struct Window {
-    Ms at = 0;
+  std::uint64_t overload_count =
+      0;  // of the caches: full responses and time-outs, as counted at the last update
+  struct RequestWindow {
+    Ms begins_at = 0;
     std::uint64_t requests = 0;
     std::uint64_t abandoned = 0;
     std::uint64_t declined = 0;
-    drift::Requests share;
+    drift::Requests shares;
   } window;
-  std::map<std::string, Recall> standing;  // recalls in force: as many as the record holds
+  std::map<std::string, Recall> active_recalls;  // as many as the record holds
 
-  Inner(loop::Loop& l, const Configuration& c, Ways w)
-      : loop(l), configuration(c), ways(std::move(w)) {}
+  Impl(loop::Loop& l, const FrontConfiguration& c, Dependencies d)
+      : loop(l), configuration(c), dependencies(std::move(d)) {}
 
   std::uint32_t Self() const {
     return configuration.peers.self;
   }
-  drift::Form active() const {
+  drift::Form ActiveConfiguration() const {
     StoreSettings settings =
-        ways.generations ? ways.generations->settings() : configuration.settings;
-    return drift::ActiveForm(settings, configuration.terms, configuration.fleet,
-                             configuration.owner, DUNLINWICK_VERSION);
+        dependencies.generations ? dependencies.generations->settings() : configuration.settings;
+    return drift::ActiveConfiguration(settings, configuration.connection_settings,
+                                      configuration.fleet, configuration.owner, DUNLINWICK_VERSION);
   }
 
   recovery::StoreSeen CheckStore() {
@@ -68,18 +69,18 @@
     if (configuration.recovery.store.empty()) {
       seen.state = State::kNone;
     } else {
-      // A store that can't be opened or read is a spoilt one: the front starts without it, trusts
-      // nothing of it, says so, and tries again.
+      // A store that cannot be opened or read counts as corrupted: the front starts without it,
+      // trusts nothing in it, logs so, and tries again.
       store::KeptFloors found;
       auto open_disk = [folder =
                             configuration.recovery.store]() -> std::unique_ptr<store::FloorDisk> {
         return std::make_unique<store::FloorStore>(folder);
       };
-      auto say = [this](const std::string& line) {
+      auto log_line = [this](const std::string& line) {
         log::Say("%s at %.0f", line.c_str(), loop.now());
       };
-      lasting_floors = std::make_unique<store::LastingFloors>(open_disk, say);
-      switch (lasting_floors->Start(loop.now(), Self(), found)) {
+      minimums_store = std::make_unique<store::LastingFloors>(open_disk, log_line);
+      switch (minimums_store->Start(loop.now(), Self(), found)) {
         case store::FloorDisk::Found::kEmpty:
           seen.state = State::kEmpty;
           break;
@@ -95,9 +96,9 @@
                      found.rules_version};
       seen.witnessed = found.witnessed;
       if (seen.state == State::kGood)
-        current = found;
+        minimums = found;
     }
-    if (record && record->Keeps()) {
+    if (record && record->HasReplica()) {
       record::Head head = record->head();
       if (record->Corrupted() &&
           (seen.state == State::kGood || seen.state == State::kNone || seen.state == State::kEmpty))
@@ -105,296 +106,309 @@
       seen.floors.token = std::max(seen.floors.token, head.promised);
       seen.floors.offset = std::max(seen.floors.offset, head.committed);
     }
-    current.whose = Self();
-    current.incarnation = std::max(current.incarnation + 1, static_cast<std::uint64_t>(loop.now()));
-    Keep();
+    minimums.whose = Self();
+    minimums.incarnation =
+        std::max(minimums.incarnation + 1, static_cast<std::uint64_t>(loop.now()));
+    Persist();
     return seen;
   }
-  // Written before this front speaks, and as the floors rise; on a disk that fails the front serves
-  // on, and writes them once it can.
-  void Keep() {
-    if (lasting_floors)
-      lasting_floors->Keep(loop.now(), current);
+  // Persists the minimums before this front sends anything, and as they rise. If the disk fails the
+  // front serves on, and writes them once it can.
+  void Persist() {
+    if (minimums_store)
+      minimums_store->Keep(loop.now(), minimums);
   }
-  void Raise() {
-    if (ways.owner)
-      current.token = std::max(current.token, ways.owner->group().token);
+  void RaiseMinimums() {
+    if (dependencies.owner)
+      minimums.token = std::max(minimums.token, dependencies.owner->group_state().token);
     if (record) {
-      current.token = std::max(current.token, record->head().promised);
-      current.offset = std::max(current.offset, record->Committed());
+      minimums.token = std::max(minimums.token, record->head().promised);
+      minimums.offset = std::max(minimums.offset, record->Committed());
     }
-    if (rules && rules->enabled()) {
-      current.rules_digest = rules->Digest();
-      current.rules_version = rules->version();
+    if (rules && rules->HasApproval()) {
+      minimums.rules_digest = rules->Digest();
+      minimums.rules_version = rules->version();
     }
-    for (const auto& [id, incarnation] : heard_of) {
-      auto& seen = current.witnessed[id];
+    for (const auto& [id, incarnation] : received_incarnations) {
+      auto& seen = minimums.witnessed[id];
       seen = std::max(seen, incarnation);
     }
-    Keep();
+    Persist();
   }
-  // The incarnation of another front that this one is a witness of: only what lasts is told, where
-  // anything does.
+  // The highest incarnation of another front that this one has witnessed. Only the persisted value
+  // is reported, if this front persists any.
   std::uint64_t Witnessed(std::uint32_t front) const {
-    const store::KeptFloors& notified = lasting_floors ? lasting_floors->Lasting() : current;
-    auto at = notified.witnessed.find(front);
-    return at == notified.witnessed.end() ? 0 : at->second;
+    const store::KeptFloors& reported = minimums_store ? minimums_store->Lasting() : minimums;
+    auto witnessed = reported.witnessed.find(front);
+    return witnessed == reported.witnessed.end() ? 0 : witnessed->second;
   }
-  std::string FloorsView() const {
-    if (!lasting_floors)
+  std::string PersistenceStatus() const {
+    if (!minimums_store)
       return "\"none\"";
-    return lasting_floors->IsKept() ? "\"kept\"" : "\"not kept\"";
+    return minimums_store->IsKept() ? "\"kept\"" : "\"not kept\"";
   }
   std::map<std::uint32_t, std::uint64_t>
-      heard_of;  // incarnations that others told of themselves: one a front
+      received_incarnations;  // that other fronts reported of themselves: one per front
 
-  void Permit() {
-    if (ways.owner)
-      ways.owner->Permit(!ejected && (!recovering || recovering->MayOwn()));
+  void UpdateLeasePermission() {
+    if (dependencies.owner)
+      dependencies.owner->PermitLeases(!ejected && (!recovery || recovery->MayAcquireLeases()));
   }
 
-  Recovering::Now now() {
-    Recovering::Now n;
-    if (ways.owner) {
-      Owner::Group g = ways.owner->group();
-      n.group = {g.member, g.leader_known, g.founded, g.lost, g.token};
-      // Outside the group there is no log of it to be behind: a leader that answered this process
-      // is the present one, by its majority.
-      if (!g.in_group && recovering)
-        n.group.token = recovering->floors().token;
+  RecoveryComponent::State UpdateState() {
+    RecoveryComponent::State state;
+    if (dependencies.owner) {
+      OwnerComponent::GroupState group = dependencies.owner->group_state();
+      state.group = {group.member, group.leader_known, group.founded, group.lost, group.token};
+      // A front outside the group has no log of it that could be behind: a leader that answered
+      // this process is the current one, confirmed by its majority.
+      if (!group.in_group && recovery)
+        state.group.token = recovery->persisted_minimums().token;
     } else {
-      n.group = {false, true, true, false, 0};  // no group is set up: none to wait for
+      state.group = {false, true, true, false, 0};  // no group is configured: none to wait for
     }
     if (record)
-      n.record = {record->Position(), record->Committed(), record->CaughtUp(), record->GoodAt(),
-                  true};
+      state.record = {record->Position(), record->Committed(), record->CaughtUp(),
+                      record->CurrentAt(), true};
     if (rules)
-      n.rules = {rules->enabled(), rules->InStep(), rules->version(), rules->Digest()};
-    const exchange::Counters& c = ways.exchange->counters;
-    std::uint64_t bad = c.full + c.timed_out;
-    n.crowded = bad > said;
-    said = bad;
-    Permit();
-    Raise();
-    return n;
+      state.rules = {rules->HasApproval(), rules->MatchesApproval(), rules->version(),
+                     rules->Digest()};
+    const exchange::Counters& counters = dependencies.exchange->counters;
+    std::uint64_t overloads = counters.full + counters.timed_out;
+    state.overloaded = overloads > overload_count;
+    overload_count = overloads;
+    UpdateLeasePermission();
+    RaiseMinimums();
+    return state;
   }
 
-  drift::Requests requests() {
-    constexpr Ms kEach = 1000;
-    const exchange::Counters& c = ways.exchange->counters;
-    // What it declines because it may not serve, or is still letting in, says nothing of the rules:
-    // counted, the repair that mends it would be taken for the harm (seen between processes:
-    // repairs stopped by the front that they had just mended).
-    if (!serves || !admitted.by_request_class.empty()) {
-      window.at = loop.now() - kEach;
-      window.requests = c.requests;
-      window.abandoned = c.abandoned;
-      window.declined = c.declined;
+  drift::Requests UpdateRequestShares() {
+    constexpr Ms kWindow = 1000;
+    const exchange::Counters& counters = dependencies.exchange->counters;
+    // Requests that this front rejects because it may not serve, or because admission is still
+    // ramping up, say nothing about the rules. If they counted, the repair that corrects the front
+    // would be taken for the cause, and repairs would be stopped because of the front that they had
+    // just corrected.
+    if (!may_serve || !admitted.by_request_class.empty()) {
+      window.begins_at = loop.now() - kWindow;
+      window.requests = counters.requests;
+      window.abandoned = counters.abandoned;
+      window.declined = counters.declined;
     }
-    if (loop.now() >= window.at + kEach) {
-      double came = static_cast<double>(c.requests - window.requests);
-      window.share =
-          came > 0 ? drift::Requests{static_cast<double>(c.abandoned - window.abandoned) / came,
-                                     static_cast<double>(c.declined - window.declined) / came}
-                   : drift::Requests{};
-      window.at = loop.now();
-      window.requests = c.requests;
-      window.abandoned = c.abandoned;
-      window.declined = c.declined;
+    if (loop.now() >= window.begins_at + kWindow) {
+      double arrived = static_cast<double>(counters.requests - window.requests);
+      window.shares =
+          arrived > 0
+              ? drift::Requests{static_cast<double>(counters.abandoned - window.abandoned) /
+                                    arrived,
+                                static_cast<double>(counters.declined - window.declined) / arrived}
+              : drift::Requests{};
+      window.begins_at = loop.now();
+      window.requests = counters.requests;
+      window.abandoned = counters.abandoned;
+      window.declined = counters.declined;
     }
-    return window.share;
+    return window.shares;
   }
 
-  void recall(const Recall& r) {
+  void HandleRecall(const Recall& recall) {
     int request_class = -1;
-    if (!r.request_class.empty()) {
-      const auto& names = configuration.terms.request_classes;
-      auto at = std::find(names.begin(), names.end(), r.request_class);
-      if (at == names.end())
-        return;  // not one of this front's
-      request_class = static_cast<int>(at - names.begin());
+    if (!recall.request_class.empty()) {
+      const auto& names = configuration.connection_settings.request_classes;
+      auto name = std::find(names.begin(), names.end(), recall.request_class);
+      if (name == names.end())
+        return;  // this front has no such class
+      request_class = static_cast<int>(name - names.begin());
     }
-    std::string key = !r.object.empty()    ? "o" + r.object
-                      : request_class >= 0 ? "f" + std::to_string(request_class)
-                                           : "g" + std::to_string(r.group);
-    if (r.lifted)
-      standing.erase(key);
+    std::string key = !recall.object.empty() ? "o" + recall.object
+                      : request_class >= 0   ? "f" + std::to_string(request_class)
+                                             : "g" + std::to_string(recall.group);
+    if (recall.lifted)
+      active_recalls.erase(key);
     else
-      standing[key] = r;
-    ways.exchange->RecallCame(r.object, r.group, request_class, r.lifted, r.ago);
+      active_recalls[key] = recall;
+    dependencies.exchange->RecallCame(recall.object, recall.group, request_class, recall.lifted,
+                                      recall.age);
   }
 };
 
-Layer::Layer(loop::Loop& loop, const Configuration& c, Ways ways)
-    : inner_(std::make_unique<Inner>(loop, c, std::move(ways))) {
-  Inner& in = *inner_;
+FleetLayer::FleetLayer(loop::Loop& loop, const FrontConfiguration& configuration,
+                       Dependencies dependencies)
+    : impl_(std::make_unique<Impl>(loop, configuration, std::move(dependencies))) {
+  Impl& impl = *impl_;
   std::map<peers::Id, int> zone_of;
   std::vector<peers::Id> fronts;
-  for (const auto& [id, at] : c.peers.at)
+  for (const auto& [id, address] : configuration.peers.addresses)
     fronts.push_back(id);
-  for (const FleetMember& m : c.fleet.members)
-    zone_of[m.id] = m.zone;
+  for (const FleetMember& member : configuration.fleet.members)
+    zone_of[member.id] = member.zone;
   for (peers::Id id : fronts)
     zone_of.try_emplace(id, 0);
-  auto owns = [&in]() -> std::pair<std::uint64_t, bool> {
-    return in.ways.owner ? in.ways.owner->Holds(kTheWork)
-                         : std::pair<std::uint64_t, bool>{0, false};
+  auto lease = [&impl]() -> std::pair<std::uint64_t, bool> {
+    return impl.dependencies.owner ? impl.dependencies.owner->HeldLease(kRecordTask)
+                                   : std::pair<std::uint64_t, bool>{0, false};
   };
-  if (c.rules.on) {
-    Rules::Ways w;
-    w.send = [&in](peers::Id to, std::string m) {
-      return in.ways.send(to, peers::Channel::kRules, std::move(m));
+  if (configuration.rules.enabled) {
+    RulesComponent::Callbacks callbacks;
+    callbacks.send = [&impl](peers::Id to, std::string message) {
+      return impl.dependencies.send(to, peers::Channel::kRules, std::move(message));
     };
-    w.active = [&in] {
-      return in.active();
+    callbacks.active_configuration = [&impl] {
+      return impl.ActiveConfiguration();
     };
-    w.take_up = [&in](const drift::Form& form) -> std::string {
-      if (!in.ways.generations)
-        return "this front turns no generation";
-      StoreSettings settings = in.ways.generations->settings();
-      std::string why = TakeUp(form, in.active(), settings);
+    callbacks.apply = [&impl](const drift::Form& form) -> std::string {
+      if (!impl.dependencies.generations)
+        return "this front cannot change its settings while it serves";
+      StoreSettings settings = impl.dependencies.generations->settings();
+      std::string why = ApplyConfiguration(form, impl.ActiveConfiguration(), settings);
       if (why.empty())
-        in.ways.turn(settings);
+        impl.dependencies.apply_settings(settings);
       return why;
     };
-    w.owns = owns;
-    w.requests = [&in] {
-      return in.requests();
+    callbacks.lease = lease;
+    callbacks.requests = [&impl] {
+      return impl.UpdateRequestShares();
     };
-    w.ejected = [&in](bool on) {
-      in.ejected = on;
-      in.Permit();
+    callbacks.set_ejected = [&impl](bool ejected) {
+      impl.ejected = ejected;
+      impl.UpdateLeasePermission();
     };
-    w.serves = [&in](bool may) {
-      in.serves = may;
-      in.ApplyAdmission();
+    callbacks.set_may_serve = [&impl](bool may_serve) {
+      impl.may_serve = may_serve;
+      impl.ApplyAdmission();
     };
-    RulesTerms terms = c.rules;
-    terms.terms.fronts = fronts.size();
-    in.rules = std::make_unique<Rules>(
-        loop, terms, in.Self(),
-        Rules::Fronts{zone_of,
-                      c.fleet.zones.empty() ? std::vector<std::string>{"all"} : c.fleet.zones},
-        drift::ActiveClasses(), c.seed, std::move(w));
+    RulesSettings settings = configuration.rules;
+    settings.policy.fronts = fronts.size();
+    impl.rules = std::make_unique<RulesComponent>(
+        loop, settings, impl.Self(),
+        RulesComponent::Fronts{zone_of, configuration.fleet.zones.empty()
+                                            ? std::vector<std::string>{"all"}
+                                            : configuration.fleet.zones},
+        drift::FieldImpacts(), configuration.seed, std::move(callbacks));
   }
-  if (c.record.on) {
-    Record::Ways w;
-    w.send = [&in](peers::Id to, std::string m) {
-      return in.ways.send(to, peers::Channel::kRecord, std::move(m));
+  if (configuration.record.enabled) {
+    RecordComponent::Callbacks callbacks;
+    callbacks.send = [&impl](peers::Id to, std::string message) {
+      return impl.dependencies.send(to, peers::Channel::kRecord, std::move(message));
     };
-    w.recall = [&in](const Recall& r) {
-      in.recall(r);
+    callbacks.recall = [&impl](const Recall& recall) {
+      impl.HandleRecall(recall);
     };
-    w.recalls_void = [&in] {
-      // What was told is told again from the beginning; what is not told again was lifted
-      // meanwhile.
-      auto before = std::move(in.standing);
-      in.standing.clear();
-      for (auto& [key, r] : before) {
-        Recall lifted = r;
+    callbacks.reset_recalls = [&impl] {
+      // The recalls in force are delivered again from the beginning; one that is not delivered
+      // again was lifted meanwhile.
+      auto before = std::move(impl.active_recalls);
+      impl.active_recalls.clear();
+      for (auto& [key, recall] : before) {
+        Recall lifted = recall;
         lifted.lifted = true;
-        in.recall(lifted);
+        impl.HandleRecall(lifted);
       }
-      if (in.rules)
-        in.rules->StartOver();
+      if (impl.rules)
+        impl.rules->Reset();
     };
-    w.other = [&in](const record::Entry& e) {
-      if (e.stream == record::Stream::kRules && in.rules)
-        in.rules->notified(e.offset, e.key, e.tombstone, e.value);
+    callbacks.entry = [&impl](const record::Entry& entry) {
+      if (entry.stream == record::Stream::kRules && impl.rules)
+        impl.rules->HandleEntry(entry.offset, entry.key, entry.tombstone, entry.value);
     };
-    w.no_older = [&in](Ms than) {
-      in.ways.exchange->LimitAge(than);
+    callbacks.limit_copy_age = [&impl](Ms max_age) {
+      impl.dependencies.exchange->LimitAge(max_age);
     };
-    w.refuses = [&in](record::Stream stream, const std::string& key, bool tombstone,
-                      const std::string& value) -> std::string {
+    callbacks.refusal_reason = [&impl](record::Stream stream, const std::string& key,
+                                       bool tombstone, const std::string& value) -> std::string {
       if (stream != record::Stream::kRules)
         return "";
-      if (!in.rules)
+      if (!impl.rules)
         return "this front has no rules block";
-      return tombstone ? "" : in.rules->Refuses(key, value);
+      return tombstone ? "" : impl.rules->RefusalReason(key, value);
     };
-    w.owns = owns;
-    w.owner = [&in]() -> peers::Id {
-      return in.ways.owner ? in.ways.owner->OwnerOf(kTheWork) : 0;
+    callbacks.lease = lease;
+    callbacks.lease_holder = [&impl]() -> peers::Id {
+      return impl.dependencies.owner ? impl.dependencies.owner->LeaseHolder(kRecordTask) : 0;
     };
-    in.record = std::make_unique<Record>(loop, c.record, in.Self(), c.seed, std::move(w));
+    impl.record = std::make_unique<RecordComponent>(loop, configuration.record, impl.Self(),
+                                                    configuration.seed, std::move(callbacks));
   }
-  if (c.recovery.on) {
-    Recovering::Ways w;
-    w.send = [&in](peers::Id to, std::string m) {
-      return in.ways.send(to, peers::Channel::kRecovery, std::move(m));
+  if (configuration.recovery.enabled) {
+    RecoveryComponent::Callbacks callbacks;
+    callbacks.send = [&impl](peers::Id to, std::string message) {
+      return impl.dependencies.send(to, peers::Channel::kRecovery, std::move(message));
     };
-    w.now = [&in] {
-      return in.now();
+    callbacks.state = [&impl] {
+      return impl.UpdateState();
     };
-    w.admit = [&in](std::vector<double> by_request_class, Ms come_back) {
-      in.admitted = {std::move(by_request_class), come_back};
-      in.ApplyAdmission();
+    callbacks.admit = [&impl](std::vector<double> by_request_class, Ms retry_after) {
+      impl.admitted = {std::move(by_request_class), retry_after};
+      impl.ApplyAdmission();
     };
-    w.heard = [&in](peers::Id from, std::uint64_t incarnation) {
-      in.heard_of[from] = std::max(in.heard_of[from], incarnation);
+    callbacks.incarnation_received = [&impl](peers::Id from, std::uint64_t incarnation) {
+      impl.received_incarnations[from] = std::max(impl.received_incarnations[from], incarnation);
     };
-    w.seen = [&in](peers::Id of) {
-      return in.Witnessed(of);
+    callbacks.witnessed_incarnation = [&impl](peers::Id of) {
+      return impl.Witnessed(of);
     };
-    RecoveryTerms terms = c.recovery;
+    RecoverySettings settings = configuration.recovery;
     std::set<int> zones;
     for (const auto& [id, zone] : zone_of)
       zones.insert(zone);
-    terms.terms.zones = static_cast<int>(std::max<std::size_t>(1, zones.size()));
-    terms.terms.zone = zone_of[in.Self()];
-    terms.terms.zone_replicas =
-        static_cast<int>(std::count_if(zone_of.begin(), zone_of.end(), [&](auto& one) {
-          return one.second == zone_of[in.Self()];
+    settings.policy.zones = static_cast<int>(std::max<std::size_t>(1, zones.size()));
+    settings.policy.zone = zone_of[impl.Self()];
+    settings.policy.zone_replicas =
+        static_cast<int>(std::count_if(zone_of.begin(), zone_of.end(), [&](auto& front) {
+          return front.second == zone_of[impl.Self()];
         }));
-    terms.terms.lease = c.owner.on ? c.owner.lease.lease : 0;
-    terms.terms.margin = c.owner.lease.margin;
-    terms.terms.drift = c.owner.lease.drift;
-    for (const RequestClass& o : c.settings.request_classes) {
-      terms.terms.payoff.push_back(o.payoff);
-      terms.terms.certain.push_back(o.never_kept);
+    settings.policy.lease = configuration.owner.enabled ? configuration.owner.lease.lease : 0;
+    settings.policy.margin = configuration.owner.lease.margin;
+    settings.policy.drift = configuration.owner.lease.drift;
+    for (const RequestClass& request_class : configuration.settings.request_classes) {
+      settings.policy.payoff.push_back(request_class.payoff);
+      settings.policy.certain.push_back(request_class.never_kept);
     }
-    recovery::StoreSeen store = in.CheckStore();
-    in.recovering = std::make_unique<Recovering>(loop, terms, in.Self(), fronts, store,
-                                                 in.current.incarnation, std::move(w));
-    in.Permit();
+    recovery::StoreSeen store = impl.CheckStore();
+    impl.recovery =
+        std::make_unique<RecoveryComponent>(loop, settings, impl.Self(), fronts, store,
+                                            impl.minimums.incarnation, std::move(callbacks));
+    impl.UpdateLeasePermission();
   }
 }
 
-Layer::~Layer() = default;
+FleetLayer::~FleetLayer() = default;
 
-std::vector<Part*> Layer::parts() {
-  std::vector<Part*> all;
-  for (Part* p : std::initializer_list<Part*>{inner_->recovering.get(), inner_->rules.get(),
-                                              inner_->record.get()})
-    if (p)
-      all.push_back(p);
-  return all;
+std::vector<FleetComponent*> FleetLayer::components() {
+  std::vector<FleetComponent*> present;
+  for (FleetComponent* component : std::initializer_list<FleetComponent*>{
+           impl_->recovery.get(), impl_->rules.get(), impl_->record.get()})
+    if (component)
+      present.push_back(component);
+  return present;
 }
 
-std::string Layer::status() const {
-  auto view = [](const Part* p) {
-    return p ? p->view() : std::string("null");
+std::string FleetLayer::status() const {
+  auto component_status = [](const FleetComponent* component) {
+    return component ? component->StatusJson() : std::string("null");
   };
-  std::string s =
-      "{\"self\":" + std::to_string(inner_->Self()) +
-      ",\"recovery\":" + view(inner_->recovering.get()) + ",\"floors\":" + inner_->FloorsView() +
-      ",\"record\":" + view(inner_->record.get()) + ",\"rules\":" + view(inner_->rules.get()) +
-      ",\"recalls\":" + std::to_string(inner_->standing.size()) + ",\"generations\":[";
-  if (inner_->ways.generations) {
+  std::string json = "{\"self\":" + std::to_string(impl_->Self()) +
+                     ",\"recovery\":" + component_status(impl_->recovery.get()) +
+                     ",\"floors\":" + impl_->PersistenceStatus() +
+                     ",\"record\":" + component_status(impl_->record.get()) +
+                     ",\"rules\":" + component_status(impl_->rules.get()) +
+                     ",\"recalls\":" + std::to_string(impl_->active_recalls.size()) +
+                     ",\"generations\":[";
+  if (impl_->dependencies.generations) {
     bool first = true;
-    for (const auto& row : inner_->ways.generations->alive()) {
-      s += std::string(first ? "" : ",") + "{\"number\":" + std::to_string(row.number) +
-           ",\"pulls\":" + std::to_string(row.requests) + "}";
+    for (const auto& generation : impl_->dependencies.generations->alive()) {
+      json += std::string(first ? "" : ",") + "{\"number\":" + std::to_string(generation.number) +
+              ",\"pulls\":" + std::to_string(generation.requests) + "}";
       first = false;
     }
   }
-  return s + "]}";
+  return json + "]}";
 }
 
-void Layer::Asked(std::span<const char> bytes, std::function<void(std::string)> reply) {
-  if (inner_->record)
-    inner_->record->Asked(bytes, std::move(reply));
+void FleetLayer::HandleOperatorRequest(std::span<const char> bytes,
+                                       std::function<void(std::string)> reply) {
+  if (impl_->record)
+    impl_->record->HandleOperatorRequest(bytes, std::move(reply));
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/layer.hpp
+++ b/src/front/layer.hpp
@@ -1,8 +1,9 @@
-// The fleet's layer in a front beyond members and owner: record, rules, recovery, made and wired
-// together. It is all that knows of several parts at once: the record's words reach the module
-// (recalls) and the rules; the rules turn the module's generation; recovery hears what the others
-// say and tells what is let in and who may own. A build without it (front/layer_none.cpp) refuses
-// the blocks where the configuration is read.
+// The fleet layer of a front beyond membership and owner: creates the components record, rules and
+// recovery and connects them. It alone knows several components at once: entries of the record
+// reach the router (recalls) and the rules; the rules switch the router's generation; recovery
+// receives the others' state and decides what share of requests is admitted and whether this front
+// may acquire leases. A build without it (front/parts_none.cpp) rejects the blocks when it reads
+// the configuration.
 #pragma once
 #include <memory>
 #include <vector>
@@ -18,26 +19,27 @@
 
 namespace dunlinwick::front {
 
-class Layer {
+class FleetLayer {
  public:
-  struct Ways {
+  struct Dependencies {
     std::function<bool(peers::Id to, peers::Channel channel, std::string message)> send;
     exchange::Exchange* exchange = nullptr;
     generations::Generations* generations =
-        nullptr;  // null: the rules can't be turned while it serves
-    std::function<void(const StoreSettings&)> turn;  // to a new generation, from the next event on
-    Owner* owner = nullptr;
+        nullptr;  // null: the settings cannot change while the front serves
+    std::function<void(const StoreSettings&)>
+        apply_settings;  // to a new generation, from the next event on
+    OwnerComponent* owner = nullptr;
   };
-  Layer(loop::Loop& loop, const Configuration& configuration, Ways ways);
-  ~Layer();
-  std::vector<Part*> parts();
+  FleetLayer(loop::Loop& loop, const FrontConfiguration& configuration, Dependencies dependencies);
+  ~FleetLayer();
+  std::vector<FleetComponent*> components();
   std::string status() const;  // JSON: record, recovery, rules
-  // An operator's datagram "DR" 1 | ...; reply may come later.
-  void Asked(std::span<const char> bytes, std::function<void(std::string)> reply);
+  // An operator's datagram "DR" 1 | ..., without its head; `reply` may be called later.
+  void HandleOperatorRequest(std::span<const char> bytes, std::function<void(std::string)> reply);
 
  private:
-  struct Inner;
-  std::unique_ptr<Inner> inner_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwick::front
--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -13,219 +13,230 @@
 
 namespace dunlinwick::front {
 
-struct Owner::Inner {
-  OwnerTerms terms;
-  Carrier* peers = nullptr;
-  loop::Descriptor socket;  // over peers: none
+struct OwnerComponent::Impl {
+  OwnerSettings settings;
+  MessageSender* peers = nullptr;
+  loop::Descriptor socket;  // over the peers' socket: none
   std::unique_ptr<owner::Node> node;
   std::unique_ptr<owner::Membership> membership;  // none outside the group
   std::uint64_t timer = 0;
   std::uint64_t sent = 0;
   std::uint64_t received = 0;
-  std::uint64_t strange = 0;
-  Ms tick_at = 0;
+  std::uint64_t malformed = 0;
+  Ms next_tick_at = 0;
   std::optional<loop::DatagramReader> reader;  // of the socket
 };
 
-Owner::Owner(loop::Loop& loop, const OwnerTerms& terms, std::uint64_t seed, Carrier* peers)
-    : loop_(loop), inner_(std::make_unique<Inner>()) {
-  Inner& in = *inner_;
-  in.terms = terms;
-  in.peers = peers;
+OwnerComponent::OwnerComponent(loop::Loop& loop, const OwnerSettings& settings, std::uint64_t seed,
+                               MessageSender* peers)
+    : loop_(loop), impl_(std::make_unique<Impl>()) {
+  Impl& impl = *impl_;
+  impl.settings = settings;
+  impl.peers = peers;
   if (!peers) {
-    int fd = loop.environment().OpenDatagrams(terms.listen);
+    int fd = loop.environment().OpenDatagrams(settings.listen);
     if (fd < 0)
-      throw std::runtime_error("owner.listen cannot be had: " + std::string(std::strerror(-fd)));
-    in.socket = loop::Descriptor(loop.environment(), fd);
+      throw std::runtime_error("cannot open the socket of owner.listen: " +
+                               std::string(std::strerror(-fd)));
+    impl.socket = loop::Descriptor(loop.environment(), fd);
   }
-  owner::NodeTerms t;
-  t.self = terms.self;
-  t.group = terms.group;
-  t.lease = terms.lease;
-  t.raft = terms.raft;
-  for (const OwnerTerms::Work& w : terms.works)
-    t.jobs.push_back({w.name, w.steps, w.each, w.places, w.standing});
-  bool member = std::find(terms.group.begin(), terms.group.end(), terms.self) != terms.group.end();
-  owner::Node::Ways ways;
-  ways.send = [this](owner::Id to, std::string bytes) {
-    auto at = inner_->terms.at.find(to);
-    if (inner_->peers) {
-      ++inner_->sent;
-      if (at == inner_->terms.at.end())
-        inner_->peers->Send(peers::Channel::kOwner, to, std::move(bytes));
+  owner::NodeTerms node_terms;
+  node_terms.self = settings.self;
+  node_terms.group = settings.group;
+  node_terms.lease = settings.lease;
+  node_terms.raft = settings.raft;
+  for (const OwnerSettings::LeasedTask& task : settings.tasks)
+    node_terms.jobs.push_back(
+        {task.name, task.steps, task.step_time, task.executors, task.standing});
+  bool member = std::find(settings.group.begin(), settings.group.end(), settings.self) !=
+                settings.group.end();
+  owner::Node::Ways callbacks;
+  callbacks.send = [this](owner::Id to, std::string bytes) {
+    auto address = impl_->settings.addresses.find(to);
+    if (impl_->peers) {
+      ++impl_->sent;
+      if (address == impl_->settings.addresses.end())
+        impl_->peers->Send(peers::Channel::kOwner, to, std::move(bytes));
       else
-        inner_->peers->SendRaw(at->second, bytes);  // a place
+        impl_->peers->SendDatagram(address->second, bytes);  // an executor
       return;
     }
-    if (at == inner_->terms.at.end())
+    if (address == impl_->settings.addresses.end())
       return;
-    ++inner_->sent;
-    loop_.environment().SendTo(inner_->socket.Get(), bytes,
-                               at->second);  // lost where the system can't take it: as on a wire
+    ++impl_->sent;
+    loop_.environment().SendTo(
+        impl_->socket.Get(), bytes,
+        address->second);  // lost if the system refuses it, as on the network
   };
-  ways.say = [this](const std::string& line) {
+  callbacks.say = [this](const std::string& line) {
     log::Say("%s at %.0f", line.c_str(), loop_.now());
   };
   auto now = loop.now();
-  in.node = std::make_unique<owner::Node>(std::move(t), nullptr, static_cast<std::uint64_t>(now),
-                                          seed, now, std::move(ways));
-  log::Say("owner: front %u, %s, %zu works%s", terms.self,
-           member ? "in the group" : "not in the group", terms.works.size(),
-           member && terms.store.empty()
+  impl.node =
+      std::make_unique<owner::Node>(std::move(node_terms), nullptr, static_cast<std::uint64_t>(now),
+                                    seed, now, std::move(callbacks));
+  log::Say("owner: front %u, %s, %zu tasks%s", settings.self,
+           member ? "in the group" : "not in the group", settings.tasks.size(),
+           member && settings.store.empty()
                ? "; in memory: a member that restarts is lost to the group"
                : "");
   if (member) {
-    auto open_store = [folder = terms.store]() -> std::unique_ptr<owner::Store> {
+    auto open_store = [folder = settings.store]() -> std::unique_ptr<owner::Store> {
       if (folder.empty())
         return std::make_unique<owner::MemoryStore>();
       return std::make_unique<store::LmdbStore>(folder);
     };
-    auto say = [this](const std::string& line) {
+    auto log_line = [this](const std::string& line) {
       log::Say("%s at %.0f", line.c_str(), loop_.now());
     };
-    in.membership = std::make_unique<owner::Membership>(*in.node, open_store, say);
-    in.membership->Tick(now);
+    impl.membership = std::make_unique<owner::Membership>(*impl.node, open_store, log_line);
+    impl.membership->Tick(now);
   }
   if (!peers) {
     constexpr std::size_t kLongestDatagram = 65536;
-    auto take = [this](std::span<const char> datagram, const loop::Address& from) {
-      Took(datagram, from);
+    auto receive = [this](std::span<const char> datagram, const loop::Address& from) {
+      HandleDatagram(datagram, from);
     };
-    in.reader.emplace(loop, in.socket.Get(), kLongestDatagram, std::move(take));
+    impl.reader.emplace(loop, impl.socket.Get(), kLongestDatagram, std::move(receive));
   }
-  Wake();
+  HandleTimer();
 }
 
-Owner::~Owner() {
-  loop_.Cancel(inner_->timer);
+OwnerComponent::~OwnerComponent() {
+  loop_.Cancel(impl_->timer);
 }
 
-void Owner::Wake() {
-  constexpr loop::Ms kEach = 20;
-  inner_->node->Tick(loop_.now());
-  if (inner_->membership)
-    inner_->membership->Tick(loop_.now());
-  inner_->tick_at = loop_.now() + kEach;
-  if (!inner_->peers)
-    inner_->timer = loop_.at(inner_->tick_at, [this] { Wake(); });
+void OwnerComponent::HandleTimer() {
+  constexpr loop::Ms kTickInterval = 20;
+  impl_->node->Tick(loop_.now());
+  if (impl_->membership)
+    impl_->membership->Tick(loop_.now());
+  impl_->next_tick_at = loop_.now() + kTickInterval;
+  if (!impl_->peers)
+    impl_->timer = loop_.at(impl_->next_tick_at, [this] { HandleTimer(); });
 }
 
-Ms Owner::WakeAt() const {
-  return inner_->tick_at;
+Ms OwnerComponent::NextTimerAt() const {
+  return impl_->next_tick_at;
 }
 
-void Owner::Heard(peers::Id from, std::span<const char> message) {
-  auto f = owner::ReadFrame(message);
-  if (!f || f->from != from)
-    return void(++inner_->strange);
-  ++inner_->received;
-  inner_->node->Receive(loop_.now(), message);
+void OwnerComponent::HandleMessage(peers::Id from, std::span<const char> message) {
+  auto frame = owner::ReadFrame(message);
+  if (!frame || frame->from != from)
+    return void(++impl_->malformed);
+  ++impl_->received;
+  impl_->node->Receive(loop_.now(), message);
 }
 
-void Owner::Raw(std::span<const char> datagram) {
-  auto f = owner::ReadFrame(datagram);
-  if (!f || f->kind != owner::Kind::kDid || !inner_->terms.at.count(f->from))
-    return void(++inner_->strange);
-  ++inner_->received;
-  inner_->node->Receive(loop_.now(), datagram);
+void OwnerComponent::HandleRawDatagram(std::span<const char> datagram) {
+  auto frame = owner::ReadFrame(datagram);
+  if (!frame || frame->kind != owner::Kind::kDid || !impl_->settings.addresses.count(frame->from))
+    return void(++impl_->malformed);
+  ++impl_->received;
+  impl_->node->Receive(loop_.now(), datagram);
 }
 
-void Owner::Took(std::span<const char> datagram, const loop::Address& from) {
-  constexpr std::string_view kViewRequest = "DO?";
-  if (std::string_view(datagram.data(), datagram.size()) == kViewRequest) {
-    std::string text = view();
-    loop_.environment().SendTo(inner_->socket.Get(), text, from);
+void OwnerComponent::HandleDatagram(std::span<const char> datagram, const loop::Address& from) {
+  constexpr std::string_view kStatusRequest = "DO?";
+  if (std::string_view(datagram.data(), datagram.size()) == kStatusRequest) {
+    std::string status = StatusJson();
+    loop_.environment().SendTo(impl_->socket.Get(), status, from);
     return;
   }
-  ++inner_->received;
-  inner_->node->Receive(loop_.now(), datagram);
+  ++impl_->received;
+  impl_->node->Receive(loop_.now(), datagram);
 }
 
-std::pair<std::uint64_t, bool> Owner::Holds(const std::string& work) const {
-  for (const auto& h : inner_->node->agent().held())
-    if (h.work == work)
-      return {h.token, loop_.now() < h.until};
+std::pair<std::uint64_t, bool> OwnerComponent::HeldLease(const std::string& task) const {
+  for (const auto& lease : impl_->node->agent().held())
+    if (lease.work == task)
+      return {lease.token, loop_.now() < lease.until};
   return {0, false};
 }
-std::uint32_t Owner::OwnerOf(const std::string& work) const {
-  if (Holds(work).second)
-    return inner_->terms.self;
-  owner::Group* g = inner_->node->group();
-  if (!g)
+std::uint32_t OwnerComponent::LeaseHolder(const std::string& task) const {
+  if (HeldLease(task).second)
+    return impl_->settings.self;
+  owner::Group* group = impl_->node->group();
+  if (!group)
     return 0;
-  auto at = g->table().Works().find(work);
-  return at == g->table().Works().end() ? 0 : at->second.owner;
+  auto entry = group->table().Works().find(task);
+  return entry == group->table().Works().end() ? 0 : entry->second.owner;
 }
-void Owner::Permit(bool may) {
-  inner_->node->agent().Permit(may);
+void OwnerComponent::PermitLeases(bool permitted) {
+  impl_->node->agent().Permit(permitted);
 }
-Owner::Group Owner::group() const {
-  Group now;
-  // A front outside the group knows it by its answers: what it holds, or that it was answered
-  // lately, is all it can tell.
-  owner::Group* g = inner_->node->group();
-  now.leader_known = inner_->node->agent().KnowsLeader();
-  // A member whose store failed is as one outside: the others' majority goes on without it.
-  bool takes_part = g && g->standing() != owner::Group::Standing::kFailed;
-  if (!takes_part) {
-    now.founded = now.leader_known;
-    return now;
+OwnerComponent::GroupState OwnerComponent::group_state() const {
+  GroupState state;
+  // A front outside the group knows the group by its answers only: the leases it holds, or that it
+  // was answered recently.
+  owner::Group* group = impl_->node->group();
+  state.leader_known = impl_->node->agent().KnowsLeader();
+  // A member whose store failed counts as outside: the others' majority goes on without it.
+  bool participates = group && group->standing() != owner::Group::Standing::kFailed;
+  if (!participates) {
+    state.founded = state.leader_known;
+    return state;
   }
-  now.in_group = true;
-  now.member = g->standing() == owner::Group::Standing::kMember;
-  now.lost = g->standing() == owner::Group::Standing::kLost;
-  now.leader_known |= g->Leads() || g->Leader() != 0;
-  now.founded = now.member;
-  now.token = g->table().LastToken();
-  return now;
+  state.in_group = true;
+  state.member = group->standing() == owner::Group::Standing::kMember;
+  state.lost = group->standing() == owner::Group::Standing::kLost;
+  state.leader_known |= group->Leads() || group->Leader() != 0;
+  state.founded = state.member;
+  state.token = group->table().LastToken();
+  return state;
 }
 
-std::string Owner::view() const {
-  const Inner& in = *inner_;
-  owner::Node& node = *in.node;
-  auto yes = [](bool b) {
-    return std::string(b ? "true" : "false");
+std::string OwnerComponent::StatusJson() const {
+  const Impl& impl = *impl_;
+  owner::Node& node = *impl.node;
+  auto boolean = [](bool value) {
+    return std::string(value ? "true" : "false");
   };
-  auto left = [&](owner::Ms until) {
+  auto time_left = [&](owner::Ms until) {
     return until > 1e200 ? std::string("null") : std::to_string(std::lround(until - loop_.now()));
   };
-  std::string s = "{\"self\":" + std::to_string(in.terms.self) +
-                  ",\"sent\":" + std::to_string(in.sent) +
-                  ",\"received\":" + std::to_string(in.received) +
-                  ",\"refused\":" + std::to_string(node.Refused() + in.strange);
-  if (owner::Group* g = node.group()) {
-    s += ",\"group\":\"" + std::string(MakeWord(g->standing())) + "\",\"why\":\"" + g->Why() +
-         "\",\"leads\":" + yes(g->Leads()) + ",\"leader\":" + std::to_string(g->Leader()) +
-         ",\"term\":" + std::to_string(g->Term()) + ",\"lasting\":" + yes(in.membership->Lasts()) +
-         ",\"last_token\":" + std::to_string(g->table().LastToken()) + ",\"works\":[";
+  std::string json = "{\"self\":" + std::to_string(impl.settings.self) +
+                     ",\"sent\":" + std::to_string(impl.sent) +
+                     ",\"received\":" + std::to_string(impl.received) +
+                     ",\"refused\":" + std::to_string(node.Refused() + impl.malformed);
+  if (owner::Group* group = node.group()) {
+    json += ",\"group\":\"" + std::string(MakeWord(group->standing())) + "\",\"why\":\"" +
+            group->Why() + "\",\"leads\":" + boolean(group->Leads()) +
+            ",\"leader\":" + std::to_string(group->Leader()) +
+            ",\"term\":" + std::to_string(group->Term()) +
+            ",\"lasting\":" + boolean(impl.membership->Lasts()) +
+            ",\"last_token\":" + std::to_string(group->table().LastToken()) + ",\"works\":[";
     bool first = true;
-    for (const auto& [name, w] : g->table().Works()) {
-      s += std::string(first ? "" : ",") + "{\"work\":\"" + name +
-           "\",\"owner\":" + std::to_string(w.owner) + ",\"token\":" + std::to_string(w.token) +
-           ",\"done\":" + std::to_string(w.done) + ",\"steps\":" + std::to_string(w.steps) +
-           ",\"state\":\"" +
-           (w.finished     ? "finished"
-            : w.abandoned  ? "abandoned"
-            : w.owner != 0 ? "owned"
-                           : "free") +
-           "\",\"lease_ends_in_ms\":" + (g->Leads() ? left(g->LeaseEnds(name)) : "null") + "}";
+    for (const auto& [name, task] : group->table().Works()) {
+      json += std::string(first ? "" : ",") + "{\"work\":\"" + name +
+              "\",\"owner\":" + std::to_string(task.owner) +
+              ",\"token\":" + std::to_string(task.token) +
+              ",\"done\":" + std::to_string(task.done) +
+              ",\"steps\":" + std::to_string(task.steps) + ",\"state\":\"" +
+              (task.finished     ? "finished"
+               : task.abandoned  ? "abandoned"
+               : task.owner != 0 ? "owned"
+                                 : "free") +
+              "\",\"lease_ends_in_ms\":" +
+              (group->Leads() ? time_left(group->LeaseEnds(name)) : "null") + "}";
       first = false;
     }
-    s += "]";
+    json += "]";
   } else {
-    s += ",\"group\":\"none\"";
-    if (in.membership && !in.membership->HasStore())
-      s += ",\"store\":\"not used\"";
+    json += ",\"group\":\"none\"";
+    if (impl.membership && !impl.membership->HasStore())
+      json += ",\"store\":\"not used\"";
   }
-  s += ",\"holds\":[";
+  json += ",\"holds\":[";
   bool first = true;
-  for (const auto& h : node.agent().held()) {
-    s += std::string(first ? "" : ",") + "{\"work\":\"" + h.work +
-         "\",\"token\":" + std::to_string(h.token) + ",\"done\":" + std::to_string(h.done) +
-         ",\"acts_for_ms\":" + left(h.until) + "}";
+  for (const auto& lease : node.agent().held()) {
+    json += std::string(first ? "" : ",") + "{\"work\":\"" + lease.work +
+            "\",\"token\":" + std::to_string(lease.token) +
+            ",\"done\":" + std::to_string(lease.done) +
+            ",\"acts_for_ms\":" + time_left(lease.until) + "}";
     first = false;
   }
-  return s + "]}";
+  return json + "]}";
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/parts.cpp
+++ b/src/front/parts.cpp
@@ -10,83 +10,91 @@
 
 namespace dunlinwick::front {
 
-bool PartsBuilt() {
+bool HasFleetComponents() {
   return true;
 }
 
 namespace {
-struct All final : Parts {
-  std::unique_ptr<Peers> peers;  // ends last: parts send through it
-  std::unique_ptr<Fleet> fleet;
-  std::unique_ptr<Owner> owner;
-  std::unique_ptr<Layer> layer;
+struct Components final : FleetComponents {
+  std::unique_ptr<PeerSocket> peers;  // destroyed last: the others send through it
+  std::unique_ptr<MembershipComponent> membership;
+  std::unique_ptr<OwnerComponent> owner;
+  std::unique_ptr<FleetLayer> layer;
 };
 }  // namespace
 
-Deciding DecidingFor(const Configuration& c) {
-  if (!c.rules.on)
-    return {exchange::ModuleFor(c.settings, c.seed), nullptr, nullptr};
-  Deciding d;
-  d.generations = std::make_shared<generations::Generations>(c.settings, c.seed);
-  d.next = std::make_shared<std::optional<StoreSettings>>();
-  d.decides = [all = d.generations, next = d.next](Ms now, const Event& event) {
-    std::vector<Action> todo;
-    if (std::optional<StoreSettings> settings = std::exchange(*next, std::nullopt);
-        settings && all->turn(now, *settings, todo) == 0)
-      todo.push_back(
-          WriteLine{"rules: not turned, as many generations serve as may; the drift stays and is "
-                    "repaired again"});
-    std::vector<Action> rest = all->Handle(now, event);
-    todo.insert(todo.end(), std::make_move_iterator(rest.begin()),
-                std::make_move_iterator(rest.end()));
-    return todo;
+RequestRouting MakeRequestRouting(const FrontConfiguration& configuration) {
+  if (!configuration.rules.enabled)
+    return {exchange::ModuleFor(configuration.settings, configuration.seed), nullptr, nullptr};
+  RequestRouting routing;
+  routing.generations =
+      std::make_shared<generations::Generations>(configuration.settings, configuration.seed);
+  routing.pending_settings = std::make_shared<std::optional<StoreSettings>>();
+  routing.router = [generations = routing.generations, pending = routing.pending_settings](
+                       Ms now, const Event& event) {
+    std::vector<Action> actions;
+    if (std::optional<StoreSettings> settings = std::exchange(*pending, std::nullopt);
+        settings && generations->turn(now, *settings, actions) == 0)
+      actions.push_back(WriteLine{
+          "rules: configuration not applied, the maximum number of generations is in use; "
+          "the drift stays and is repaired later"});
+    std::vector<Action> rest = generations->Handle(now, event);
+    actions.insert(actions.end(), std::make_move_iterator(rest.begin()),
+                   std::make_move_iterator(rest.end()));
+    return actions;
   };
-  return d;
+  return routing;
 }
 
-std::unique_ptr<Parts> MakeParts(loop::Loop& loop, const Configuration& c, failover::Health& health,
-                                 Fleet::Steer steer, exchange::Exchange& exchange,
-                                 const Deciding& deciding) {
-  if (!c.peers.on && !c.owner.on)
+std::unique_ptr<FleetComponents> MakeFleetComponents(
+    loop::Loop& loop, const FrontConfiguration& configuration, failover::Health& health,
+    MembershipComponent::TrafficWeightsCallback set_traffic_weights, exchange::Exchange& exchange,
+    const RequestRouting& routing) {
+  if (!configuration.peers.enabled && !configuration.owner.enabled)
     return nullptr;
-  auto all = std::make_unique<All>();
-  if (c.peers.on)
-    all->peers = std::make_unique<Peers>(loop, c.peers);
-  if (c.fleet.on && c.fleet.over_peers) {
-    all->fleet =
-        std::make_unique<Fleet>(loop, c.fleet, c.seed, health, std::move(steer), all->peers.get());
-    all->peers->Carry(*all->fleet);
+  auto components = std::make_unique<Components>();
+  if (configuration.peers.enabled)
+    components->peers = std::make_unique<PeerSocket>(loop, configuration.peers);
+  if (configuration.fleet.enabled && configuration.fleet.over_peers) {
+    components->membership = std::make_unique<MembershipComponent>(
+        loop, configuration.fleet, configuration.seed, health, std::move(set_traffic_weights),
+        components->peers.get());
+    components->peers->Register(*components->membership);
   }
-  if (c.owner.on) {
-    all->owner = std::make_unique<Owner>(loop, c.owner, c.seed,
-                                         c.owner.over_peers ? all->peers.get() : nullptr);
-    if (c.owner.over_peers)
-      all->peers->Carry(*all->owner);
+  if (configuration.owner.enabled) {
+    components->owner = std::make_unique<OwnerComponent>(
+        loop, configuration.owner, configuration.seed,
+        configuration.owner.over_peers ? components->peers.get() : nullptr);
+    if (configuration.owner.over_peers)
+      components->peers->Register(*components->owner);
   }
-  if (c.record.on || c.recovery.on || c.rules.on) {
-    Layer::Ways ways;
-    ways.send = [peers = all->peers.get()](peers::Id to, peers::Channel channel, std::string m) {
-      return peers->Sends(channel, to, std::move(m));
+  if (configuration.record.enabled || configuration.recovery.enabled ||
+      configuration.rules.enabled) {
+    FleetLayer::Dependencies dependencies;
+    dependencies.send = [socket = components->peers.get()](peers::Id to, peers::Channel channel,
+                                                           std::string message) {
+      return socket->TrySend(channel, to, std::move(message));
     };
-    ways.exchange = &exchange;
-    ways.generations = deciding.generations.get();
-    // Between two turns of the loop: the sheet is laid ready, and the next event (this one has no
-    // other meaning) turns to it.
-    ways.turn = [&exchange, next = deciding.next](const StoreSettings& settings) {
-      *next = settings;
-      exchange.Turned(settings);
-    };
-    ways.owner = all->owner.get();
-    all->layer = std::make_unique<Layer>(loop, c, std::move(ways));
-    for (Part* p : all->layer->parts())
-      all->peers->Carry(*p);
-    all->peers->operators(
-        [layer = all->layer.get()](std::span<const char> bytes, Peers::Reply reply) {
-          layer->Asked(bytes, std::move(reply));
+    dependencies.exchange = &exchange;
+    dependencies.generations = routing.generations.get();
+    // Between two turns of the loop: the settings are stored as pending, and the next event (the
+    // exchange's, sent only for this) makes the generations switch to them.
+    dependencies.apply_settings =
+        [&exchange, pending = routing.pending_settings](const StoreSettings& settings) {
+          *pending = settings;
+          exchange.Turned(settings);
+        };
+    dependencies.owner = components->owner.get();
+    components->layer = std::make_unique<FleetLayer>(loop, configuration, std::move(dependencies));
+    for (FleetComponent* component : components->layer->components())
+      components->peers->Register(*component);
+    components->peers->SetOperatorHandlers(
+        [layer = components->layer.get()](std::span<const char> bytes, PeerSocket::Reply reply) {
+          layer->HandleOperatorRequest(bytes, std::move(reply));
         },
-        [layer = all->layer.get()] { return layer->status(); });
+        [layer = components->layer.get()] { return layer->status(); });
   }
-  return all;
+  return components;
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/parts.hpp
+++ b/src/front/parts.hpp
@@ -1,6 +1,6 @@
-// The fleet layer's parts that only a full build has: the peers' socket with what runs over it, and
-// the owner. A build without them (src/front/parts_none.cpp, the operators') refuses their blocks
-// where the configuration is read.
+// The components of the fleet layer that only a full build has: the peers' socket with the
+// components that run over it, and the owner. A build without them (src/front/parts_none.cpp, the
+// default) rejects their blocks when it reads the configuration.
 #pragma once
 #include <memory>
 
@@ -14,21 +14,23 @@
 
 namespace dunlinwick::front {
 
-class Parts {
+class FleetComponents {
  public:
-  virtual ~Parts() = default;
+  virtual ~FleetComponents() = default;
 };
-// Nothing where the configuration asks for none. The members are among them where they run over the
-// peers' socket. Throws std::runtime_error where a socket can't be had. What decides on pulls: the
-// module, or, with a rules block, its generations, which the rules may turn to another sheet.
-struct Deciding {
-  exchange::Decider decides;
+// What routes requests: the router alone or, with a rules block, its generations, which an approved
+// configuration can switch to other deployment settings.
+struct RequestRouting {
+  exchange::Decider router;
   std::shared_ptr<generations::Generations> generations;
-  std::shared_ptr<std::optional<StoreSettings>> next;  // to be turned to with the next event
+  std::shared_ptr<std::optional<StoreSettings>> pending_settings;  // applied with the next event
 };
-Deciding DecidingFor(const Configuration& configuration);
-std::unique_ptr<Parts> MakeParts(loop::Loop& loop, const Configuration& configuration,
-                                 failover::Health& health, Fleet::Steer steer,
-                                 exchange::Exchange& exchange, const Deciding& deciding);
+RequestRouting MakeRequestRouting(const FrontConfiguration& configuration);
+// Null when the configuration asks for no component. Membership is among them when it runs over the
+// peers' socket. Throws std::runtime_error when a socket cannot be opened.
+std::unique_ptr<FleetComponents> MakeFleetComponents(
+    loop::Loop& loop, const FrontConfiguration& configuration, failover::Health& health,
+    MembershipComponent::TrafficWeightsCallback set_traffic_weights, exchange::Exchange& exchange,
+    const RequestRouting& routing);
 
 }  // namespace dunlinwick::front
--- a/src/front/parts_none.cpp
+++ b/src/front/parts_none.cpp
@@ -1,30 +1,32 @@
-// A build without the fleet layer's heavier parts: their blocks are refused where the configuration
-// is read, so nothing of them is ever made.
+// A build without the fleet layer's heavier components: their blocks are rejected when the
+// configuration is read, so none of them is ever created.
 #include <stdexcept>
 
 #include "front/parts.hpp"
 
 namespace dunlinwick::front {
 
-bool PartsBuilt() {
+bool HasFleetComponents() {
   return false;
 }
-PeersTerms ReadPeers(const json::Value&) {
+PeersSettings ReadPeersSettings(const json::Value&) {
   throw std::runtime_error(
       "peers: this build has no peers' socket; build with -DDUNLINWICK_OWNER=ON");
 }
-void ReadLayer(const json::Value& all, Configuration&) {
+void ReadFleetLayerSettings(const json::Value& root, FrontConfiguration&) {
   for (const char* block : {"record", "recovery", "rules"})
-    if (all.Find(block))
+    if (root.Find(block))
       throw std::runtime_error(std::string(block) +
                                ": this build has no fleet layer; build with -DDUNLINWICK_OWNER=ON");
 }
-std::unique_ptr<Parts> MakeParts(loop::Loop&, const Configuration&, failover::Health&, Fleet::Steer,
-                                 exchange::Exchange&, const Deciding&) {
+std::unique_ptr<FleetComponents> MakeFleetComponents(loop::Loop&, const FrontConfiguration&,
+                                                     failover::Health&,
+                                                     MembershipComponent::TrafficWeightsCallback,
+                                                     exchange::Exchange&, const RequestRouting&) {
   return nullptr;
 }
-Deciding DecidingFor(const Configuration& c) {
-  return {exchange::ModuleFor(c.settings, c.seed), nullptr, nullptr};
+RequestRouting MakeRequestRouting(const FrontConfiguration& configuration) {
+  return {exchange::ModuleFor(configuration.settings, configuration.seed), nullptr, nullptr};
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/peers.cpp
+++ b/src/front/peers.cpp
@@ -9,144 +9,152 @@
 namespace dunlinwick::front {
 
 namespace {
-int Opened(loop::Loop& loop, const PeersTerms& t) {
-  int fd = loop.environment().OpenDatagrams(t.listen);
+int OpenSocket(loop::Loop& loop, const PeersSettings& settings) {
+  int fd = loop.environment().OpenDatagrams(settings.listen);
   if (fd < 0)
-    throw std::runtime_error("peers.listen cannot be had: " + std::string(std::strerror(-fd)));
+    throw std::runtime_error("cannot open the socket of peers.listen: " +
+                             std::string(std::strerror(-fd)));
   return fd;
 }
-bool Is(std::span<const char> d, const char* three) {
-  return d.size() == 3 && std::memcmp(d.data(), three, 3) == 0;
+bool IsRequest(std::span<const char> datagram, const char* request) {
+  return datagram.size() == 3 && std::memcmp(datagram.data(), request, 3) == 0;
 }
 }  // namespace
 
-// The incarnation is the clock in milliseconds: a front that starts again is newer than it was.
-Peers::Peers(loop::Loop& loop, const PeersTerms& terms)
+// The incarnation is the clock in milliseconds, so that a restarted front has a higher one.
+PeerSocket::PeerSocket(loop::Loop& loop, const PeersSettings& settings)
     : loop_(loop),
-      self_(terms.self),
-      at_(terms.at),
-      socket_(loop.environment(), Opened(loop, terms)),
+      self_(settings.self),
+      addresses_(settings.addresses),
+      socket_(loop.environment(), OpenSocket(loop, settings)),
       peers_(
-          terms.self, {}, static_cast<std::uint64_t>(loop.now()), loop.now(),
-          [this](peers::Id to, std::string datagram) { SendRaw(at_.at(to), datagram); },
+          settings.self, {}, static_cast<std::uint64_t>(loop.now()), loop.now(),
+          [this](peers::Id to, std::string datagram) { SendDatagram(addresses_.at(to), datagram); },
           [this](peers::Id from, peers::Channel channel, std::span<const char> message) {
-            if (Part* p = part(channel))
-              p->Heard(from, message);
+            if (FleetComponent* component = ComponentOn(channel))
+              component->HandleMessage(from, message);
           }) {
   constexpr std::size_t kLongestDatagram = 65536;
-  auto take = [this](std::span<const char> datagram, const loop::Address& from) {
-    Took(datagram, from);
+  auto receive = [this](std::span<const char> datagram, const loop::Address& from) {
+    HandleDatagram(datagram, from);
   };
-  reader_.emplace(loop_, socket_.Get(), kLongestDatagram, std::move(take), [this] { Arm(); });
-  log::Say("peers: front %u of %zu on one socket", self_, at_.size());
+  reader_.emplace(loop_, socket_.Get(), kLongestDatagram, std::move(receive),
+                  [this] { ArmTimer(); });
+  log::Say("peers: front %u of %zu on one socket", self_, addresses_.size());
 }
 
-Peers::~Peers() {
+PeerSocket::~PeerSocket() {
   loop_.Cancel(timer_);
 }
 
-void Peers::Carry(Part& part) {
-  parts_.push_back(&part);
-  Arm();
+void PeerSocket::Register(FleetComponent& component) {
+  components_.push_back(&component);
+  ArmTimer();
 }
 
-Part* Peers::part(peers::Channel channel) const {
-  for (Part* p : parts_)
-    if (p->channel() == channel)
-      return p;
+FleetComponent* PeerSocket::ComponentOn(peers::Channel channel) const {
+  for (FleetComponent* component : components_)
+    if (component->channel() == channel)
+      return component;
   return nullptr;
 }
 
-void Peers::Send(peers::Channel channel, peers::Id to, std::string message) {
-  Sends(channel, to, std::move(message));
+void PeerSocket::Send(peers::Channel channel, peers::Id to, std::string message) {
+  TrySend(channel, to, std::move(message));
 }
-bool Peers::Sends(peers::Channel channel, peers::Id to, std::string message) {
-  bool sent = at_.count(to) && peers_.Send(loop_.now(), to, channel, std::move(message));
+bool PeerSocket::TrySend(peers::Channel channel, peers::Id to, std::string message) {
+  bool sent = addresses_.count(to) && peers_.Send(loop_.now(), to, channel, std::move(message));
   unsent_ += !sent;
   return sent;
 }
 
-void Peers::operators(std::function<void(std::span<const char>, Reply)> asked,
-                      std::function<std::string()> status) {
-  asked_ = std::move(asked);
+void PeerSocket::SetOperatorHandlers(
+    std::function<void(std::span<const char>, Reply)> handle_request,
+    std::function<std::string()> status) {
+  handle_request_ = std::move(handle_request);
   status_ = std::move(status);
 }
 
-void Peers::SendRaw(const loop::Address& to, const std::string& datagram) {
+void PeerSocket::SendDatagram(const loop::Address& to, const std::string& datagram) {
   if (loop_.environment().SendTo(socket_.Get(), datagram, to) < 0)
     ++unsent_;
 }
 
-void Peers::Arm() {
-  Ms first = peers_.WakeAt();
-  for (Part* p : parts_)
-    first = std::min(first, p->WakeAt());
+void PeerSocket::ArmTimer() {
+  Ms earliest = peers_.WakeAt();
+  for (FleetComponent* component : components_)
+    earliest = std::min(earliest, component->NextTimerAt());
   loop_.Cancel(timer_);
-  if (first < 1e299)
-    timer_ = loop_.at(first, [this] { Wake(); });
+  if (earliest < 1e299)
+    timer_ = loop_.at(earliest, [this] { HandleTimer(); });
 }
 
-void Peers::Wake() {
-  for (Part* p : parts_)
-    if (p->WakeAt() <= loop_.now())
-      p->Wake();
+void PeerSocket::HandleTimer() {
+  for (FleetComponent* component : components_)
+    if (component->NextTimerAt() <= loop_.now())
+      component->HandleTimer();
   if (peers_.WakeAt() <= loop_.now())
     peers_.Tick(loop_.now());
-  Arm();
+  ArmTimer();
 }
 
-void Peers::Took(std::span<const char> d, const loop::Address& from) {
-  if (Is(d, "DP?"))
-    return SendRaw(from, view());
-  if (Is(d, "DR?") && status_)
-    return SendRaw(from, status_());
-  if (asked_ && d.size() > 3 && d[0] == 'D' && d[1] == 'R' && d[2] == 1)
-    return asked_(d.subspan(3),
-                  [this, alive = std::weak_ptr<bool>(alive_), from](std::string answer) {
-                    if (!alive.expired())
-                      SendRaw(from, answer);
-                  });
-  for (auto [question, channel] :
+void PeerSocket::HandleDatagram(std::span<const char> datagram, const loop::Address& from) {
+  if (IsRequest(datagram, "DP?"))
+    return SendDatagram(from, StatusJson());
+  if (IsRequest(datagram, "DR?") && status_)
+    return SendDatagram(from, status_());
+  if (handle_request_ && datagram.size() > 3 && datagram[0] == 'D' && datagram[1] == 'R' &&
+      datagram[2] == 1)
+    return handle_request_(datagram.subspan(3),
+                           [this, alive = std::weak_ptr<bool>(alive_), from](std::string answer) {
+                             if (!alive.expired())
+                               SendDatagram(from, answer);
+                           });
+  for (auto [request, channel] :
        {std::pair("DW?", peers::Channel::kMembers), std::pair("DO?", peers::Channel::kOwner)})
-    if (Is(d, question)) {
-      if (Part* p = part(channel))
-        SendRaw(from, p->view());
+    if (IsRequest(datagram, request)) {
+      if (FleetComponent* component = ComponentOn(channel))
+        SendDatagram(from, component->StatusJson());
       return;
     }
-  if (auto head = peers::ReadHead(d)) {
-    if (head->from == self_ || !at_.count(head->from))
-      return void(++strangers_);
-    return peers_.Receive(loop_.now(), d);
+  if (auto head = peers::ReadHead(datagram)) {
+    if (head->from == self_ || !addresses_.count(head->from))
+      return void(++unknown_senders_);
+    return peers_.Receive(loop_.now(), datagram);
   }
-  Part* owner = part(peers::Channel::kOwner);
-  if (owner && d.size() > 3 && d[0] == 'D' && d[1] == 'O')
-    return owner->Raw(d);
-  ++other_;
+  FleetComponent* owner = ComponentOn(peers::Channel::kOwner);
+  if (owner && datagram.size() > 3 && datagram[0] == 'D' && datagram[1] == 'O')
+    return owner->HandleRawDatagram(datagram);
+  ++malformed_;
 }
 
-std::string Peers::view() const {
-  auto n = [](const char* name, std::uint64_t count) {
+std::string PeerSocket::StatusJson() const {
+  auto field = [](const char* name, std::uint64_t count) {
     return std::string(",\"") + name + "\":" + std::to_string(count);
   };
-  std::string s =
+  std::string json =
       "{\"self\":" + std::to_string(self_) + ",\"version\":" + std::to_string(peers::kVersion) +
-      n("peers", at_.size()) + n("held_bytes", peers_.Held()) + n("strangers", strangers_) +
-      n("junk", other_ + peers_.Junk()) + n("unsent", unsent_) + ",\"other_versions\":[";
+      field("peers", addresses_.size()) + field("held_bytes", peers_.Held()) +
+      field("strangers", unknown_senders_) + field("junk", malformed_ + peers_.Junk()) +
+      field("unsent", unsent_) + ",\"other_versions\":[";
   bool first = true;
-  for (const auto& [id, v] : peers_.Others()) {
-    s += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) + n("version", v) + "}";
+  for (const auto& [id, version] : peers_.Others()) {
+    json += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) +
+            field("version", version) + "}";
     first = false;
   }
-  s += "],\"channels\":[";
+  json += "],\"channels\":[";
   for (std::size_t i = 0; i < peers::kChannels; ++i) {
     auto channel = static_cast<peers::Channel>(i);
     const peers::Counters& c = peers_.counters(channel);
-    s += std::string(i ? "," : "") + "{\"channel\":\"" + peers::ToString(channel) + "\"" +
-         n("sent", c.sent) + n("sent_bytes", c.sent_bytes) + n("received", c.received) +
-         n("delivered", c.delivered) + n("sent_again", c.sent_again) + n("dropped", c.dropped) +
-         n("given_up", c.given_up) + n("junk", c.junk) + n("other_version", c.other_version) + "}";
+    json += std::string(i ? "," : "") + "{\"channel\":\"" + peers::ToString(channel) + "\"" +
+            field("sent", c.sent) + field("sent_bytes", c.sent_bytes) +
+            field("received", c.received) + field("delivered", c.delivered) +
+            field("sent_again", c.sent_again) + field("dropped", c.dropped) +
+            field("given_up", c.given_up) + field("junk", c.junk) +
+            field("other_version", c.other_version) + "}";
   }
-  return s + "]}";
+  return json + "]}";
 }
 
 }  // namespace dunlinwick::front
