--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -15,408 +15,420 @@
 using record::Entry;
 using record::Offset;
 
-std::optional<Recall> ReadRecall(const Entry& e) {
-  auto slash = e.key.find('/');
-  if (e.stream != record::Stream::kRecalls || slash == std::string::npos ||
-      slash + 1 == e.key.size())
+std::optional<Recall> ReadRecall(const Entry& entry) {
+  auto slash = entry.key.find('/');
+  if (entry.stream != record::Stream::kRecalls || slash == std::string::npos ||
+      slash + 1 == entry.key.size())
     return std::nullopt;
-  std::string kind = e.key.substr(0, slash), name = e.key.substr(slash + 1);
-  Recall r;
-  r.lifted = e.tombstone;
+  std::string kind = entry.key.substr(0, slash), name = entry.key.substr(slash + 1);
+  Recall recall;
+  recall.lifted = entry.tombstone;
   if (kind == "object") {
-    r.object = name;
+    recall.object = name;
   } else if (kind == "offering") {
-    r.request_class = name;
+    recall.request_class = name;
   } else if (kind == "group") {
-    auto [end, fault] = std::from_chars(name.data(), name.data() + name.size(), r.group);
-    if (fault != std::errc{} || end != name.data() + name.size() || r.group < 0)
+    auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), recall.group);
+    if (error != std::errc{} || end != name.data() + name.size() || recall.group < 0)
       return std::nullopt;
   } else {
     return std::nullopt;
   }
-  return r;
+  return recall;
 }
 
-// A start reads recalls of any age, so nothing but the writer's clock tells how old one is. Its
-// error is taken off: counted younger, a recall refuses copies too many and never one too few.
-// Harm: for an hour after a recall a start has what is recalled fetched once more.
+// A front that starts reads recalls of any age, so only the writer's clock tells how old one is.
+// The clock's largest error is subtracted: a recall that is taken for younger rejects too many
+// copies, never too few. Cost: a front that starts within an hour after a recall has the recalled
+// objects fetched once more.
 Ms RecallAge(WallTime written, Ms now, bool fresh) {
-  constexpr Ms kEarliest = 1e12;  // 2001: before it there was no writer
-  constexpr Ms kMostClockError =
-      61 * 60 * 1000;  // a step by an hour, as by a wrong time zone, and a minute
+  constexpr Ms kEarliest = 1e12;                 // 2001: no writer existed before
+  constexpr Ms kMaxClockError = 61 * 60 * 1000;  // an hour, as by a wrong time zone, and a minute
   if (fresh)
     return 0;
   Ms given = OnOwnClock(written, kEarliest, now);
-  return std::max(0.0, now - given - kMostClockError);
+  return std::max(0.0, now - given - kMaxClockError);
 }
 
-struct Record::Inner {
+struct RecordComponent::Impl {
   loop::Loop& loop;
-  RecordTerms terms;
+  RecordSettings settings;
   peers::Id self;
-  Ways ways;
-  std::unique_ptr<record::Replica> replica;  // none where this front is not among the replicas
+  Callbacks callbacks;
+  std::unique_ptr<record::Replica> replica;  // none if this front is not one of the replicas
   std::unique_ptr<record::Writer> writer;
   std::unique_ptr<record::Subscriber> subscriber;
-  // What is sent to oneself waits for the end of the call.
+  // Messages to this front itself wait for the end of the call.
   std::deque<std::string> to_self;
   bool draining = false;
-  bool said_serving = false;
+  bool logged_serving = false;
   bool behind = true;
-  bool said_caught_up = false;
-  Ms lease_at = 0;
-  Ms plan_at = 0;
-  Ms highest_at = 0;
-  Ms wake_at = 0;
-  struct Notified {
-    Ms at = 0;
+  bool logged_caught_up = false;
+  Ms next_lease_at = 0;
+  Ms next_plan_at = 0;
+  Ms latest_written_at = 0;
+  Ms next_timer_at = 0;
+  struct ReportedLease {
+    Ms received_at = 0;
     record::Lease lease;
   };
-  std::map<peers::Id, Notified> leases;  // by keeper: as many as there are
-  Ms writes_since = 0;
-  int under_way = 0;
-  int rules_under_way = 0;
+  std::map<peers::Id, ReportedLease> subscriber_leases;  // one per log replica
+  Ms writer_since = 0;
+  int writes_in_flight = 0;
+  int rules_writes_in_flight = 0;
 
-  Inner(loop::Loop& l, const RecordTerms& t, peers::Id s, Ways w)
-      : loop(l), terms(t), self(s), ways(std::move(w)) {}
+  Impl(loop::Loop& l, const RecordSettings& s, peers::Id id, Callbacks c)
+      : loop(l), settings(s), self(id), callbacks(std::move(c)) {}
 
-  void Pass(peers::Id to, std::string bytes) {
+  void SendMessage(peers::Id to, std::string bytes) {
     if (to == self)
       to_self.push_back(std::move(bytes));
     else
-      ways.send(to, std::move(bytes));
+      callbacks.send(to, std::move(bytes));
   }
-  record::Send Send() {
+  record::Send MakeSend() {
     return [this](record::Id to, const record::Message& m) {
-      Pass(to, record::Encode(m));
+      SendMessage(to, record::Encode(m));
     };
   }
-  record::Subscriber::Out out() {
-    return {[this](record::Id keeper, const record::Want& w) {
-              Pass(keeper, record::Encode(record::Saying(w)));
+  record::Subscriber::Out MakeOut() {
+    return {[this](record::Id log_replica, const record::Want& want) {
+              SendMessage(log_replica, record::Encode(record::Saying(want)));
             },
-            [this](const Entry& e) { Took(e); },
+            [this](const Entry& entry) { HandleEntry(entry); },
             [this] {
               log::Say("record starts over at %.0f", loop.now());
-              ways.recalls_void();
+              callbacks.reset_recalls();
             }};
   }
 
-  // A word of the record reaches its user here, in order. One of before it was not written after
-  // it, whatever their stamps say.
-  void Took(const Entry& e) {
-    highest_at = std::max(highest_at, e.at);
+  // Passes an entry of the record to its user, in order. An earlier entry was not written later,
+  // whatever the timestamps say, so an entry's time is the latest timestamp so far.
+  void HandleEntry(const Entry& entry) {
+    latest_written_at = std::max(latest_written_at, entry.at);
     log::Say("record read %llu %s %s%s token %llu at %.0f",
-             static_cast<unsigned long long>(e.offset), record::ToString(e.stream),
-             e.tombstone ? "without " : "", e.key.c_str(), static_cast<unsigned long long>(e.token),
-             loop.now());
-    if (e.stream != record::Stream::kRecalls)
-      return ways.other(e);
-    auto r = ReadRecall(e);
-    if (!r)
+             static_cast<unsigned long long>(entry.offset), record::ToString(entry.stream),
+             entry.tombstone ? "without " : "", entry.key.c_str(),
+             static_cast<unsigned long long>(entry.token), loop.now());
+    if (entry.stream != record::Stream::kRecalls)
+      return callbacks.entry(entry);
+    auto recall = ReadRecall(entry);
+    if (!recall)
       return;
-    r->ago = RecallAge(WallTime(highest_at), loop.now(), !behind);
-    ways.recall(*r);
+    recall->age = RecallAge(WallTime(latest_written_at), loop.now(), !behind);
+    callbacks.recall(*recall);
   }
 
-  void Look() {
+  void UpdateFreshness() {
     Ms now = loop.now();
-    bool good = subscriber->CaughtUp() && subscriber->GoodAt() >= 0 &&
-                now - subscriber->GoodAt() <= terms.stale_after;
-    if (good && behind) {
+    bool current = subscriber->CaughtUp() && subscriber->GoodAt() >= 0 &&
+                   now - subscriber->GoodAt() <= settings.stale_after;
+    if (current && behind) {
       behind = false;
-      ways.no_older(0);
+      callbacks.limit_copy_age(0);
       log::Say("record caught up to %llu at %.0f",
                static_cast<unsigned long long>(subscriber->Position()), now);
-    } else if (!good && !behind) {
+    } else if (!current && !behind) {
       behind = true;
-      ways.no_older(terms.stale_after);
+      callbacks.limit_copy_age(settings.stale_after);
       log::Say("record behind since %.0f at %.0f", subscriber->GoodAt(), now);
     }
-    if (writer && writer->phase() == record::Phase::kServing && !said_serving) {
-      said_serving = true;
+    if (writer && writer->phase() == record::Phase::kServing && !logged_serving) {
+      logged_serving = true;
       if (writer->Founded())
         log::Say(
-            "record founded anew: every keeper was empty; what was written before, if anything "
-            "was, is lost at %.0f",
+            "record founded from empty stores: every log replica was empty; anything written "
+            "before "
+            "is lost at %.0f",
             now);
-      log::Say("record owner token %llu serving from %llu at %.0f",
+      log::Say("record writer token %llu serving from %llu at %.0f",
                static_cast<unsigned long long>(writer->token()),
                static_cast<unsigned long long>(writer->Committed() + 1), now);
     }
   }
 
-  void Own() {
-    auto [token, may] = ways.owns();
-    if (writer && (token != writer->token() || !may || writer->phase() == record::Phase::kFenced)) {
-      log::Say("record owner over token %llu at %.0f",
+  // Starts a writer when this front gets the lease, and stops it when the lease is lost.
+  void UpdateWriter() {
+    auto [token, usable] = callbacks.lease();
+    if (writer &&
+        (token != writer->token() || !usable || writer->phase() == record::Phase::kFenced)) {
+      log::Say("record writer stopped token %llu at %.0f",
                static_cast<unsigned long long>(writer->token()), loop.now());
       writer->Stop();
       fenced_token = writer->phase() == record::Phase::kFenced ? writer->token() : fenced_token;
       writer.reset();
     }
-    if (!writer && token != 0 && may && token != fenced_token) {
-      writer = std::make_unique<record::Writer>(self, terms.keepers, terms.keeper, terms.log, token,
-                                                loop.now());
-      said_serving = false;
-      writes_since = loop.now();
-      leases.clear();
+    if (!writer && token != 0 && usable && token != fenced_token) {
+      writer = std::make_unique<record::Writer>(self, settings.keepers, settings.keeper,
+                                                settings.log, token, loop.now());
+      logged_serving = false;
+      writer_since = loop.now();
+      subscriber_leases.clear();
     }
   }
-  record::Token fenced_token = 0;  // one that was found fenced off is not tried again
+  record::Token fenced_token = 0;  // a token that was found fenced is not tried again
 
-  // The least position of living subscribers, by what each keeper tells; tombstones wait for it. A
-  // keeper that said nothing for a lease's time has none that live; before this owner has listened
-  // for so long it can't know, and lets nothing go.
-  Offset Passed() {
+  // The lowest position of live subscribers, as the log replicas report them; tombstones are kept
+  // until every subscriber has passed them. A replica that has not reported for a lease's time has
+  // no live subscribers; a writer that has not listened for that long cannot know, and releases
+  // none.
+  Offset LowestSubscriberPosition() {
     Ms now = loop.now();
-    if (now - writes_since < terms.subscriber.lease)
+    if (now - writer_since < settings.subscriber.lease)
       return 0;
-    Offset least = writer->Committed();
-    for (const auto& [keeper, notified] : leases)
-      if (now - notified.at <= terms.subscriber.lease)
-        for (const auto& [who, at] : notified.lease.positions)
-          least = std::min(least, at);
-    return least;
+    Offset lowest = writer->Committed();
+    for (const auto& [log_replica, reported] : subscriber_leases)
+      if (now - reported.received_at <= settings.subscriber.lease)
+        for (const auto& [subscriber_id, position] : reported.lease.positions)
+          lowest = std::min(lowest, position);
+    return lowest;
   }
 };
 
-Record::Record(loop::Loop& loop, const RecordTerms& terms, peers::Id self, std::uint64_t seed,
-               Ways ways)
-    : inner_(std::make_unique<Inner>(loop, terms, self, std::move(ways))) {
-  Inner& in = *inner_;
+RecordComponent::RecordComponent(loop::Loop& loop, const RecordSettings& settings, peers::Id self,
+                                 std::uint64_t seed, Callbacks callbacks)
+    : impl_(std::make_unique<Impl>(loop, settings, self, std::move(callbacks))) {
+  Impl& impl = *impl_;
   Ms now = loop.now();
-  if (std::find(terms.keepers.begin(), terms.keepers.end(), self) != terms.keepers.end()) {
-    std::uint64_t new_store = seed ^ static_cast<std::uint64_t>(now) << 20 ^ self;
-    auto open_disk = [folder = terms.store,
-                      map_bytes = 4 * terms.log.most_bytes]() -> std::unique_ptr<record::Disk> {
+  if (std::find(settings.keepers.begin(), settings.keepers.end(), self) != settings.keepers.end()) {
+    std::uint64_t new_store_id = seed ^ static_cast<std::uint64_t>(now) << 20 ^ self;
+    auto open_disk = [folder = settings.store,
+                      map_bytes = 4 * settings.log.most_bytes]() -> std::unique_ptr<record::Disk> {
       if (folder.empty())
         return std::make_unique<record::MemoryDisk>();
       return std::make_unique<store::RecordLmdb>(folder, map_bytes);
     };
-    // A store that is another's, or can't be read: this front keeps nothing, and says so; it serves
-    // on by the others' record.
-    auto say = [&in](const std::string& line) {
-      log::Say("%s at %.0f", line.c_str(), in.loop.now());
+    // With a store that is another front's or unreadable, this front is no log replica, and logs
+    // so; it serves on with the record of the others.
+    auto log_line = [&impl](const std::string& line) {
+      log::Say("%s at %.0f", line.c_str(), impl.loop.now());
     };
-    record::ReplicaTerms replica_terms{terms.keeper, terms.log, terms.subscriber};
-    in.replica = std::make_unique<record::Replica>(self, terms.keepers, replica_terms, open_disk,
-                                                   new_store, now, say);
+    record::ReplicaTerms replica_terms{settings.keeper, settings.log, settings.subscriber};
+    impl.replica = std::make_unique<record::Replica>(self, settings.keepers, replica_terms,
+                                                     open_disk, new_store_id, now, log_line);
   }
-  // Asked of itself first where it keeps: no way to go. From nothing at each start: what a front
-  // knows of recalls is in memory.
-  std::vector<record::Id> from = terms.keepers;
-  if (Keeps())
-    std::stable_partition(from.begin(), from.end(), [&](record::Id k) { return k == self; });
-  in.subscriber = std::make_unique<record::Subscriber>(self, static_cast<std::uint64_t>(now), from,
-                                                       terms.subscriber, 0, seed, now);
-  in.ways.no_older(terms.stale_after);
-  log::Say("record: front %u, %s, %zu keepers%s", self, Keeps() ? "keeps" : "follows",
-           terms.keepers.size(), Keeps() && terms.store.empty() ? "; in memory" : "");
+  // A log replica asks itself first, which needs no network. Each start reads from the beginning,
+  // as a front holds recalls in memory only.
+  std::vector<record::Id> log_replicas = settings.keepers;
+  if (HasReplica())
+    std::stable_partition(log_replicas.begin(), log_replicas.end(),
+                          [&](record::Id id) { return id == self; });
+  impl.subscriber = std::make_unique<record::Subscriber>(
+      self, static_cast<std::uint64_t>(now), log_replicas, settings.subscriber, 0, seed, now);
+  impl.callbacks.limit_copy_age(settings.stale_after);
+  log::Say("record: front %u, %s, %zu log replicas%s", self,
+           HasReplica() ? "log replica" : "subscriber only", settings.keepers.size(),
+           HasReplica() && settings.store.empty() ? "; in memory" : "");
 }
 
-Record::~Record() = default;
+RecordComponent::~RecordComponent() = default;
 
-void Record::Heard(peers::Id from, std::span<const char> bytes) {
-  Inner& in = *inner_;
-  Ms now = in.loop.now();
-  if (auto m = record::Decode(bytes)) {
-    bool to_writer = std::holds_alternative<record::Tail>(*m) ||
-                     std::holds_alternative<record::Kept>(*m) ||
-                     std::holds_alternative<record::Fetched>(*m);
-    if (to_writer && in.writer)
-      in.writer->Receive(now, from, *m, in.Send());
-    if (in.replica && !std::holds_alternative<record::Tail>(*m) &&
-        !std::holds_alternative<record::Kept>(*m))
-      in.replica->Receive(now, from, *m, in.Send());
-  } else if (auto s = record::DecodeSaying(bytes)) {
-    if (auto* want = std::get_if<record::Want>(&*s)) {
-      if (in.replica)
-        if (auto piece = in.replica->Wants(now, *want))
-          in.Pass(from, record::Encode(record::Saying(*piece)));
-    } else if (auto* piece = std::get_if<record::Piece>(&*s)) {
-      in.subscriber->Receive(now, from, *piece, in.out());
-    } else if (auto* lease = std::get_if<record::Lease>(&*s)) {
-      if (std::count(in.terms.keepers.begin(), in.terms.keepers.end(), from))
-        in.leases[from] = {now, *lease};
+void RecordComponent::HandleMessage(peers::Id from, std::span<const char> bytes) {
+  Impl& impl = *impl_;
+  Ms now = impl.loop.now();
+  if (auto message = record::Decode(bytes)) {
+    bool to_writer = std::holds_alternative<record::Tail>(*message) ||
+                     std::holds_alternative<record::Kept>(*message) ||
+                     std::holds_alternative<record::Fetched>(*message);
+    if (to_writer && impl.writer)
+      impl.writer->Receive(now, from, *message, impl.MakeSend());
+    if (impl.replica && !std::holds_alternative<record::Tail>(*message) &&
+        !std::holds_alternative<record::Kept>(*message))
+      impl.replica->Receive(now, from, *message, impl.MakeSend());
+  } else if (auto subscription = record::DecodeSaying(bytes)) {
+    if (auto* want = std::get_if<record::Want>(&*subscription)) {
+      if (impl.replica)
+        if (auto piece = impl.replica->Wants(now, *want))
+          impl.SendMessage(from, record::Encode(record::Saying(*piece)));
+    } else if (auto* piece = std::get_if<record::Piece>(&*subscription)) {
+      impl.subscriber->Receive(now, from, *piece, impl.MakeOut());
+    } else if (auto* lease = std::get_if<record::Lease>(&*subscription)) {
+      if (std::count(impl.settings.keepers.begin(), impl.settings.keepers.end(), from))
+        impl.subscriber_leases[from] = {now, *lease};
     }
   }
-  if (in.draining)
+  if (impl.draining)
     return;
-  in.draining = true;
-  // Bounded: what a call to oneself may start off. The rest waits for the next wake.
-  for (int n = 0; n < 4096 && !in.to_self.empty(); ++n) {
-    std::string one = std::move(in.to_self.front());
-    in.to_self.pop_front();
-    Heard(in.self, one);
+  impl.draining = true;
+  // Bounds the messages to itself that one call may cause. The rest waits for the next timer.
+  for (int n = 0; n < 4096 && !impl.to_self.empty(); ++n) {
+    std::string next = std::move(impl.to_self.front());
+    impl.to_self.pop_front();
+    HandleMessage(impl.self, next);
   }
-  in.draining = false;
-  in.Look();
+  impl.draining = false;
+  impl.UpdateFreshness();
 }
 
-void Record::Wake() {
-  Inner& in = *inner_;
-  Ms now = in.loop.now();
-  constexpr Ms kEach = 20;
-  in.wake_at = now + kEach;
-  in.Own();
-  if (in.writer) {
-    in.writer->Tick(now, in.Send());
-    if (now >= in.plan_at) {
-      in.plan_at = now + 1000;
-      in.writer->Passed(now, in.Passed());
+void RecordComponent::HandleTimer() {
+  Impl& impl = *impl_;
+  Ms now = impl.loop.now();
+  constexpr Ms kTickInterval = 20;
+  impl.next_timer_at = now + kTickInterval;
+  impl.UpdateWriter();
+  if (impl.writer) {
+    impl.writer->Tick(now, impl.MakeSend());
+    if (now >= impl.next_plan_at) {
+      impl.next_plan_at = now + 1000;
+      impl.writer->Passed(now, impl.LowestSubscriberPosition());
     }
   }
-  if (in.replica)
-    in.replica->Tick(now, in.Send());
-  in.subscriber->Tick(now, in.out());
-  if (Keeps() && in.replica->LastWriter() != 0 && now >= in.lease_at) {
-    in.lease_at = now + 1000;
-    in.Pass(in.replica->LastWriter(),
-            record::Encode(record::Saying(in.replica->server()->Living(now))));
+  if (impl.replica)
+    impl.replica->Tick(now, impl.MakeSend());
+  impl.subscriber->Tick(now, impl.MakeOut());
+  if (HasReplica() && impl.replica->LastWriter() != 0 && now >= impl.next_lease_at) {
+    impl.next_lease_at = now + 1000;
+    impl.SendMessage(impl.replica->LastWriter(),
+                     record::Encode(record::Saying(impl.replica->server()->Living(now))));
   }
-  Heard(0, {});  // drains what was said to itself
+  HandleMessage(0, {});  // delivers the messages to itself
 }
 
-Ms Record::WakeAt() const {
-  return inner_->wake_at;
+Ms RecordComponent::NextTimerAt() const {
+  return impl_->next_timer_at;
 }
-bool Record::CaughtUp() const {
-  return !inner_->behind;
+bool RecordComponent::CaughtUp() const {
+  return !impl_->behind;
 }
-record::Offset Record::Position() const {
-  return inner_->subscriber->Position();
+record::Offset RecordComponent::Position() const {
+  return impl_->subscriber->Position();
 }
-record::Offset Record::Committed() const {
-  return std::max(inner_->subscriber->Committed(),
-                  inner_->replica ? inner_->replica->Committed() : 0);
+record::Offset RecordComponent::Committed() const {
+  return std::max(impl_->subscriber->Committed(), impl_->replica ? impl_->replica->Committed() : 0);
 }
-Ms Record::GoodAt() const {
-  return inner_->subscriber->GoodAt();
+Ms RecordComponent::CurrentAt() const {
+  return impl_->subscriber->GoodAt();
 }
-bool Record::Keeps() const {
-  return inner_->replica && inner_->replica->IsOpen();
+bool RecordComponent::HasReplica() const {
+  return impl_->replica && impl_->replica->IsOpen();
 }
-bool Record::Corrupted() const {
-  return inner_->replica && (!Keeps() || !inner_->replica->log()->Holes(1).empty());
+bool RecordComponent::Corrupted() const {
+  return impl_->replica && (!HasReplica() || !impl_->replica->log()->Holes(1).empty());
 }
-record::Head Record::head() const {
-  return inner_->replica ? inner_->replica->HeadAtOpening() : record::Head{};
+record::Head RecordComponent::head() const {
+  return impl_->replica ? impl_->replica->HeadAtOpening() : record::Head{};
 }
-bool Record::Writes() const {
-  return inner_->writer && inner_->writer->phase() == record::Phase::kServing;
+bool RecordComponent::Writes() const {
+  return impl_->writer && impl_->writer->phase() == record::Phase::kServing;
 }
 
-void Record::Asked(std::span<const char> bytes, Reply reply) {
-  Inner& in = *inner_;
-  constexpr int kMostUnderWay = 32;
+void RecordComponent::HandleOperatorRequest(std::span<const char> bytes, Reply reply) {
+  Impl& impl = *impl_;
+  constexpr int kMaxWritesInFlight = 32;
   proto::record::PutBatch batch;
   proto::record::PutAnswer answer;
-  auto say = [&](unsigned outcome, const char* why) {
+  auto answer_with = [&](unsigned outcome, const char* why) {
     answer.set_outcome(outcome);
     answer.set_why(why);
-    answer.set_owner(in.ways.owner());
+    answer.set_owner(impl.callbacks.lease_holder());
     reply(answer.SerializeAsString());
   };
-  // Outcomes: 0 acknowledged, 1 lost, 2 unsure (as Writer::Outcome), 3 not here or not yet (asked
-  // again), 4 refused.
+  // Outcomes: 0 acknowledged, 1 lost, 2 unknown (as Writer::Outcome), 3 not here or not yet (the
+  // operator's tool retries), 4 refused.
   if (!batch.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return;
   answer.set_number(batch.number());
-  if (!in.writer || in.writer->phase() != record::Phase::kServing)
-    return say(3, "this front does not own the record, or not yet");
+  if (!impl.writer || impl.writer->phase() != record::Phase::kServing)
+    return answer_with(3, "this front does not hold the record's lease, or does not serve yet");
   std::vector<record::Writer::Put> puts;
-  bool of_rules = false;
+  bool changes_rules = false;
   if (batch.puts_size() > 1)
-    for (const auto& p : batch.puts())
-      if (p.stream() == static_cast<unsigned>(record::Stream::kRules))
-        return say(4, "a change of the rules goes alone");
-  for (const auto& p : batch.puts()) {
-    if (p.key().empty() || p.key().size() > record::kLongestKey ||
-        p.value().size() > record::kLongestValue || p.stream() >= record::kStreams)
-      return say(4, "a key of 1 to 200 bytes, a value of 60,000 at most and a known stream wanted");
-    for (char c : p.key())
+    for (const auto& put : batch.puts())
+      if (put.stream() == static_cast<unsigned>(record::Stream::kRules))
+        return answer_with(4, "a change of the rules must be the only write of its batch");
+  for (const auto& put : batch.puts()) {
+    if (put.key().empty() || put.key().size() > record::kLongestKey ||
+        put.value().size() > record::kLongestValue || put.stream() >= record::kStreams)
+      return answer_with(4,
+                         "a write needs a key of 1 to 200 bytes, a value of at most 60,000 bytes "
+                         "and a known stream");
+    for (char c : put.key())
       if (c < '!' || c > '~')
-        return say(4, "a key of printable letters without spaces wanted");
-    Entry e;
-    e.stream = static_cast<record::Stream>(p.stream());
-    e.key = p.key();
-    e.tombstone = p.tombstone();
-    if (e.stream == record::Stream::kRecalls && !ReadRecall(e))
-      return say(4, "a recall's key is object/NAME, group/NUMBER or offering/NAME");
-    if (e.stream == record::Stream::kRules) {
-      // Compare and set: what is compared is what this front has read, so it must have read all,
-      // and one is written at a time.
-      if (in.behind || in.subscriber->Position() < in.writer->Committed() || in.rules_under_way > 0)
-        return say(3, "another change of the rules is under way, or not read here yet");
-      if (std::string why = in.ways.refuses(e.stream, e.key, e.tombstone, p.value()); !why.empty())
-        return say(4, why.c_str());
-      of_rules = true;
+        return answer_with(4, "a key must be printable ASCII without spaces");
+    Entry entry;
+    entry.stream = static_cast<record::Stream>(put.stream());
+    entry.key = put.key();
+    entry.tombstone = put.tombstone();
+    if (entry.stream == record::Stream::kRecalls && !ReadRecall(entry))
+      return answer_with(4, "a recall's key must be object/NAME, group/NUMBER or offering/NAME");
+    if (entry.stream == record::Stream::kRules) {
+      // Compare and set: the new approval is compared with what this front has read, so it must
+      // have read all, and one change is written at a time.
+      if (impl.behind || impl.subscriber->Position() < impl.writer->Committed() ||
+          impl.rules_writes_in_flight > 0)
+        return answer_with(3, "another change of the rules is in progress, or not read here yet");
+      if (std::string why =
+              impl.callbacks.refusal_reason(entry.stream, entry.key, entry.tombstone, put.value());
+          !why.empty())
+        return answer_with(4, why.c_str());
+      changes_rules = true;
     }
-    puts.push_back({e.stream, p.key(), p.tombstone(), p.value()});
+    puts.push_back({entry.stream, put.key(), put.tombstone(), put.value()});
   }
-  if (puts.empty() || in.under_way >= kMostUnderWay)
-    return say(4, puts.empty() ? "nothing to write" : "too many writes under way");
-  ++in.under_way;
-  in.rules_under_way += of_rules;
-  std::size_t many = puts.size();
-  bool taken = in.writer->Write(
-      in.loop.now(), puts,
-      [&in, reply, answer, many, of_rules, token = in.writer->token()](record::Writer::Outcome o,
-                                                                       Offset first) mutable {
-        --in.under_way;
-        in.rules_under_way -= of_rules;
-        if (o == record::Writer::Outcome::kAcknowledged)
+  if (puts.empty() || impl.writes_in_flight >= kMaxWritesInFlight)
+    return answer_with(4, puts.empty() ? "nothing to write" : "too many writes in flight");
+  ++impl.writes_in_flight;
+  impl.rules_writes_in_flight += changes_rules;
+  std::size_t count = puts.size();
+  bool accepted = impl.writer->Write(
+      impl.loop.now(), puts,
+      [&impl, reply, answer, count, changes_rules, token = impl.writer->token()](
+          record::Writer::Outcome outcome, Offset first) mutable {
+        --impl.writes_in_flight;
+        impl.rules_writes_in_flight -= changes_rules;
+        if (outcome == record::Writer::Outcome::kAcknowledged)
           log::Say("record put %llu acknowledged %zu token %llu at %.0f",
-                   static_cast<unsigned long long>(first), many,
-                   static_cast<unsigned long long>(token), in.loop.now());
-        answer.set_outcome(static_cast<unsigned>(o));
+                   static_cast<unsigned long long>(first), count,
+                   static_cast<unsigned long long>(token), impl.loop.now());
+        answer.set_outcome(static_cast<unsigned>(outcome));
         answer.set_first(first);
-        answer.set_owner(in.self);
+        answer.set_owner(impl.self);
         reply(answer.SerializeAsString());
       },
-      in.Send(), in.loop.now());
-  if (!taken) {
-    --in.under_way;
-    in.rules_under_way -= of_rules;
-    return say(4, "too much under way");
+      impl.MakeSend(), impl.loop.now());
+  if (!accepted) {
+    --impl.writes_in_flight;
+    impl.rules_writes_in_flight -= changes_rules;
+    return answer_with(4, "the writer accepts no more writes now");
   }
-  Heard(0, {});
+  HandleMessage(0, {});
 }
 
-std::string Record::view() const {
-  const Inner& in = *inner_;
-  auto n = [](double v) {
-    return std::to_string(static_cast<unsigned long long>(v < 0 ? 0 : v));
+std::string RecordComponent::StatusJson() const {
+  const Impl& impl = *impl_;
+  auto non_negative = [](double value) {
+    return std::to_string(static_cast<unsigned long long>(value < 0 ? 0 : value));
   };
-  std::string s = "{\"self\":" + std::to_string(in.self) +
-                  ",\"keeps\":" + (Keeps() ? "true" : "false") +
-                  ",\"position\":" + std::to_string(in.subscriber->Position()) +
-                  ",\"committed\":" + std::to_string(Committed()) +
-                  ",\"caught_up\":" + (in.behind ? "false" : "true") +
-                  ",\"owner\":" + std::to_string(in.ways.owner());
-  if (Keeps()) {
-    const record::Log& log = *in.replica->log();
-    const record::Head& h = log.head();
-    s += ",\"last\":" + std::to_string(log.Last()) + ",\"entries\":" + std::to_string(log.size()) +
-         ",\"bytes\":" + std::to_string(log.bytes()) +
-         ",\"dead_bytes\":" + std::to_string(log.DeadBytes()) +
-         ",\"cleaned\":" + std::to_string(h.cleaned) +
-         ",\"forgotten\":" + std::to_string(h.forgotten) +
-         ",\"promised\":" + std::to_string(h.promised) + ",\"starts\":" + std::to_string(h.starts) +
-         ",\"holes\":" + std::to_string(log.Holes(1000).size()) +
-         ",\"failed\":false,\"subscribers\":" +
-         std::to_string(in.replica->server()->Living(in.loop.now()).positions.size());
+  std::string json = "{\"self\":" + std::to_string(impl.self) +
+                     ",\"keeps\":" + (HasReplica() ? "true" : "false") +
+                     ",\"position\":" + std::to_string(impl.subscriber->Position()) +
+                     ",\"committed\":" + std::to_string(Committed()) +
+                     ",\"caught_up\":" + (impl.behind ? "false" : "true") +
+                     ",\"owner\":" + std::to_string(impl.callbacks.lease_holder());
+  if (HasReplica()) {
+    const record::Log& log = *impl.replica->log();
+    const record::Head& head = log.head();
+    json += ",\"last\":" + std::to_string(log.Last()) +
+            ",\"entries\":" + std::to_string(log.size()) +
+            ",\"bytes\":" + std::to_string(log.bytes()) +
+            ",\"dead_bytes\":" + std::to_string(log.DeadBytes()) +
+            ",\"cleaned\":" + std::to_string(head.cleaned) +
+            ",\"forgotten\":" + std::to_string(head.forgotten) +
+            ",\"promised\":" + std::to_string(head.promised) +
+            ",\"starts\":" + std::to_string(head.starts) +
+            ",\"holes\":" + std::to_string(log.Holes(1000).size()) +
+            ",\"failed\":false,\"subscribers\":" +
+            std::to_string(impl.replica->server()->Living(impl.loop.now()).positions.size());
   }
-  if (in.replica && !Keeps())
-    s += ",\"store\":\"not used\"";
-  if (in.writer)
-    s += ",\"writes\":\"" + std::string(record::ToString(in.writer->phase())) +
-         "\",\"token\":" + std::to_string(in.writer->token());
-  s += ",\"good_ms_ago\":" + (in.subscriber->GoodAt() < 0
-                                  ? std::string("null")
-                                  : n(in.loop.now() - in.subscriber->GoodAt()));
-  return s + "}";
+  if (impl.replica && !HasReplica())
+    json += ",\"store\":\"not used\"";
+  if (impl.writer)
+    json += ",\"writes\":\"" + std::string(record::ToString(impl.writer->phase())) +
+            "\",\"token\":" + std::to_string(impl.writer->token());
+  json += ",\"good_ms_ago\":" + (impl.subscriber->GoodAt() < 0
+                                     ? std::string("null")
+                                     : non_negative(impl.loop.now() - impl.subscriber->GoodAt()));
+  return json + "}";
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -1,19 +1,20 @@
-// The record's part of a front: a keeper where it is among them (log on disk, server of
-// subscribers), the writer while it owns the standing work "record", and its own subscription, by
-// which recalls reach the module and approved rules the rules' part. Thin: what it decides is in
-// src/record/.
+// The record component of a front: a log replica, when this front is one of the replicas (log on
+// disk, subscribers' server); the writer, while this front holds the lease of the standing task
+// "record"; and this front's own subscription, through which recalls reach the router and approved
+// configurations the rules component. The decisions are made in src/record/.
 //
 // It logs, one line each, for operators and the checker:
-//   record owner token 114085068801048577 serving from 41 at 1764629612345
-//   record owner over token 114085068801048577 at ...
-//   record put 42 acknowledged 1 token 114085068801048577 at ...      (first offset, how many)
-//   record read 42 recalls object/7f token 1140... at ...             (by its own subscription, in
-//   order) record starts over at ... ; record caught up to 42 at ... ; record behind since ... at
-//   ... record keeper failed: ... at ... ; record store not used: ... at ... ; record store used
-//   again at ...
-// Operators' writes come as datagrams "DR" 1 | proto PutBatch and are answered by proto PutAnswer;
-// one that does not own the record says so, with the owner's number where it knows it. Bounds: 32
-// writes of operators under way.
+//   record writer token 114085068801048577 serving from 41 at 1764629612345
+//   record writer stopped token 114085068801048577 at ...
+//   record put 42 acknowledged 1 token 114085068801048577 at ...  (first offset, number of entries)
+//   record read 42 recalls object/7f token 1140... at ...         (by its own subscription, in
+//   order) record starts over at ... record caught up to 42 at ... record behind since ... at ...
+//   record keeper failed: ... at ...  (its log replica)
+//   record store not used: ... at ...
+//   record store used again at ...
+// Operators' writes arrive as datagrams "DR" 1 | proto PutBatch and are answered with proto
+// PutAnswer; a front that is not the record's lease holder answers so, with the holder's id if it
+// knows it. Bounds: 32 operators' writes in flight.
 #pragma once
 #include <deque>
 #include <memory>
@@ -26,65 +27,66 @@
 
 namespace dunlinwick::front {
 
-// What is recalled: a copy that was fetched before `at` is not current any more. Exactly one of the
-// three is set.
+// What is recalled: copies fetched before the recall are no longer current. Exactly one of
+// `object`, `group` and `request_class` is set.
 struct Recall {
   std::string object;
   int group = -1;
   std::string request_class;
-  bool lifted = false;  // a tombstone: no older copy can exist any more, or it was a mistake
-  Ms ago = 0;           // since it was given; 0: now, to be sure
+  // A tombstone lifts the recall: no older copy can exist any more, or it was a mistake.
+  bool lifted = false;
+  Ms age = 0;  // time since it was given; 0: counts as given now
 };
-// "object/NAME", "group/7", "offering/NAME"; nothing for any other key.
+// Reads the keys "object/NAME", "group/7" and "offering/NAME"; nothing for any other key.
 std::optional<Recall> ReadRecall(const record::Entry& entry);
 
-/// How long ago, at least, a recall was given that the record's writer stamped with `written`; 0
-/// where that can't be told. `fresh`: this front had read all before it, so it hears it as it is
-/// given.
+/// The least time since a recall was given that the record's writer stamped with `written`; 0 when
+/// that is unknown. `fresh`: this front had read all entries before it, so it reads the recall as
+/// it is given.
 Ms RecallAge(WallTime written, Ms now, bool fresh);
 
-class Record final : public Part {
+class RecordComponent final : public FleetComponent {
  public:
-  struct Ways {
+  struct Callbacks {
     std::function<bool(peers::Id to, std::string message)> send;
     std::function<void(const Recall&)> recall;
-    std::function<void()> recalls_void;  // all that was told before is void: started over
-    std::function<void(const record::Entry&)> other;  // of the other streams
-    // Why an operator's write can't be taken, or "".
+    std::function<void()> reset_recalls;  // the subscription starts over: all recalls are void
+    std::function<void(const record::Entry&)> entry;  // of the other streams
+    // Why an operator's write is refused, or "".
     std::function<std::string(record::Stream, const std::string& key, bool tombstone,
                               const std::string& value)>
-        refuses;
-    std::function<void(Ms)>
-        no_older;  // copies asked for from now on: no older than so many ms; 0: as usual
+        refusal_reason;
+    std::function<void(Ms)> limit_copy_age;  // of copies requested from now on; 0: no limit
     std::function<std::pair<record::Token, bool>()>
-        owns;                          // token and whether it may act now; 0: another owns it
-    std::function<peers::Id()> owner;  // as far as is known; 0: not
+        lease;  // its token and whether it may be used now; token 0: another front holds it
+    std::function<peers::Id()> lease_holder;  // 0: unknown
   };
-  // A store that can't be had is tried again: src/record/replica.hpp.
-  Record(loop::Loop& loop, const RecordTerms& terms, peers::Id self, std::uint64_t seed, Ways ways);
-  ~Record() override;
+  // A store that cannot be opened is tried again: src/record/replica.hpp.
+  RecordComponent(loop::Loop& loop, const RecordSettings& settings, peers::Id self,
+                  std::uint64_t seed, Callbacks callbacks);
+  ~RecordComponent() override;
   peers::Channel channel() const override {
     return peers::Channel::kRecord;
   }
-  void Heard(peers::Id from, std::span<const char> message) override;
-  void Wake() override;
-  Ms WakeAt() const override;
-  std::string view() const override;
-  // An operator's datagram, without its head. `reply` may come later, once at most.
+  void HandleMessage(peers::Id from, std::span<const char> message) override;
+  void HandleTimer() override;
+  Ms NextTimerAt() const override;
+  std::string StatusJson() const override;
+  // An operator's datagram, without its head. `reply` may be called later, at most once.
   using Reply = std::function<void(std::string)>;
-  void Asked(std::span<const char> bytes, Reply reply);
+  void HandleOperatorRequest(std::span<const char> bytes, Reply reply);
 
   bool CaughtUp() const;
   record::Offset Position() const, Committed() const;
-  Ms GoodAt() const;
-  bool Keeps() const;         // is a replica, and its store is open
-  bool Corrupted() const;     // its store has holes, or is not open
-  record::Head head() const;  // of its store, as it was when opened last
+  Ms CurrentAt() const;       // when the subscription was last confirmed as current; < 0: never
+  bool HasReplica() const;    // this front is a log replica, and its store is open
+  bool Corrupted() const;     // its store has gaps, or is not open
+  record::Head head() const;  // of its store, as it was when last opened
   bool Writes() const;
 
  private:
-  struct Inner;
-  std::unique_ptr<Inner> inner_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwick::front
--- a/src/front/recovery.cpp
+++ b/src/front/recovery.cpp
@@ -7,108 +7,110 @@
 namespace dunlinwick::front {
 
 namespace {
-const char* ToString(recovery::StoreSeen::State s) {
-  static const char* const kWords[] = {"none",    "empty", "good",  "holed",
+const char* ToString(recovery::StoreSeen::State state) {
+  static const char* const kNames[] = {"none",    "empty", "good",  "holed",
                                        "foreign", "older", "spoilt"};
-  return kWords[static_cast<int>(s)];
+  return kNames[static_cast<int>(state)];
 }
 }  // namespace
 
-Recovering::Recovering(loop::Loop& loop, const RecoveryTerms& terms, peers::Id self,
-                       std::vector<peers::Id> fronts, const recovery::StoreSeen& store,
-                       std::uint64_t incarnation, Ways ways)
-    : loop_(loop), ways_(std::move(ways)) {
+RecoveryComponent::RecoveryComponent(loop::Loop& loop, const RecoverySettings& settings,
+                                     peers::Id self, std::vector<peers::Id> fronts,
+                                     const recovery::StoreSeen& store, std::uint64_t incarnation,
+                                     Callbacks callbacks)
+    : loop_(loop), callbacks_(std::move(callbacks)) {
   recovery_ = std::make_unique<recovery::Recovery>(
-      self, std::move(fronts), terms.terms, static_cast<std::uint64_t>(loop.now()), loop.now());
+      self, std::move(fronts), settings.policy, static_cast<std::uint64_t>(loop.now()), loop.now());
   log::Say("recovery store %s token %llu offset %llu incarnation %llu at %.0f",
            ToString(store.state), static_cast<unsigned long long>(store.floors.token),
            static_cast<unsigned long long>(store.floors.offset),
            static_cast<unsigned long long>(store.floors.incarnation), loop.now());
-  Does(recovery_->Handle(loop.now(), recovery::Said{incarnation}));
-  Does(recovery_->Handle(loop.now(), recovery::StoreChecked{store}));
-  Does(recovery_->Handle(loop.now(), recovery::Tick{}));
+  Execute(recovery_->Handle(loop.now(), recovery::Said{incarnation}));
+  Execute(recovery_->Handle(loop.now(), recovery::StoreChecked{store}));
+  Execute(recovery_->Handle(loop.now(), recovery::Tick{}));
 }
 
-void Recovering::Does(const std::vector<recovery::Action>& actions) {
+void RecoveryComponent::Execute(const std::vector<recovery::Action>& actions) {
   for (const recovery::Action& a : actions) {
-    if (auto* say = std::get_if<recovery::Say>(&a)) {
-      recovery::Hello hello = say->hello;
-      hello.of_you = ways_.seen(say->to);
-      ways_.send(say->to, recovery::Encode(hello));
-    } else if (auto* in = std::get_if<recovery::Entered>(&a)) {
-      log::Say("recovery phase %s %s: %s at %.0f", recovery::ToString(in->phase),
-               in->by_time ? "by time" : "by condition", in->why.c_str(), loop_.now());
+    if (auto* send = std::get_if<recovery::Say>(&a)) {
+      recovery::Hello hello = send->hello;
+      hello.of_you = callbacks_.witnessed_incarnation(send->to);
+      callbacks_.send(send->to, recovery::Encode(hello));
+    } else if (auto* entered = std::get_if<recovery::Entered>(&a)) {
+      log::Say("recovery phase %s %s: %s at %.0f", recovery::ToString(entered->phase),
+               entered->by_time ? "by time" : "by condition", entered->why.c_str(), loop_.now());
     } else if (auto* admit = std::get_if<recovery::Admit>(&a)) {
-      // One line a second at most while shares grow; each change of what is served is said.
+      // Logged once a second at most while the shares grow; a change of what is served at once.
       if (admit->certain_only != certain_only_ || admit->by_request_class.empty() ||
-          loop_.now() - said_admit_ >= 1000) {
+          loop_.now() - admission_logged_at_ >= 1000) {
         std::string shares;
-        for (double s : admit->by_request_class) {
+        for (double share : admit->by_request_class) {
           char text[32];
-          std::snprintf(text, sizeof text, "%s%.3f", shares.empty() ? "" : ",", s);
+          std::snprintf(text, sizeof text, "%s%.3f", shares.empty() ? "" : ",", share);
           shares += text;
         }
-        log::Say("recovery lets in %s%s at %.0f", shares.empty() ? "all" : shares.c_str(),
+        log::Say("recovery admits %s%s at %.0f", shares.empty() ? "all" : shares.c_str(),
                  admit->certain_only ? " certain only" : "", loop_.now());
-        said_admit_ = loop_.now();
+        admission_logged_at_ = loop_.now();
       }
       certain_only_ = admit->certain_only;
-      ways_.admit(admit->by_request_class, admit->come_back);
+      callbacks_.admit(admit->by_request_class, admit->come_back);
     } else if (auto* loss = std::get_if<recovery::Loss>(&a)) {
-      log::Say("recovery loss %s back %d kept %d: %s at %.0f", loss->whole ? "whole" : "part",
-               loss->back, loss->kept, loss->lost.empty() ? "nothing was lost" : loss->lost.c_str(),
-               loop_.now());
+      log::Say("recovery loss %s restarted %d kept running %d: %s at %.0f",
+               loss->whole ? "whole" : "part", loss->back, loss->kept,
+               loss->lost.empty() ? "nothing was lost" : loss->lost.c_str(), loop_.now());
     } else if (auto* corrupted = std::get_if<recovery::Corrupted>(&a)) {
-      log::Say("recovery spoilt %u: %s at %.0f", corrupted->whose, corrupted->why.c_str(),
-               loop_.now());
+      log::Say("recovery corrupted store of front %u: %s at %.0f", corrupted->whose,
+               corrupted->why.c_str(), loop_.now());
     }
   }
 }
 
-void Recovering::Heard(peers::Id from, std::span<const char> message) {
-  auto h = recovery::Decode(message);
-  if (!h)
+void RecoveryComponent::HandleMessage(peers::Id from, std::span<const char> message) {
+  auto hello = recovery::Decode(message);
+  if (!hello)
     return;
-  ways_.heard(from, h->floors.incarnation);
-  Does(recovery_->Handle(loop_.now(), recovery::Heard{from, *h}));
+  callbacks_.incarnation_received(from, hello->floors.incarnation);
+  Execute(recovery_->Handle(loop_.now(), recovery::Heard{from, *hello}));
 }
 
-void Recovering::Wake() {
-  Now n = ways_.now();
+void RecoveryComponent::HandleTimer() {
+  State state = callbacks_.state();
   for (const recovery::Event& e :
-       {recovery::Event(n.group), recovery::Event(n.record), recovery::Event(n.rules),
-        recovery::Event(recovery::Behind{n.crowded, std::nullopt}),
+       {recovery::Event(state.group), recovery::Event(state.record), recovery::Event(state.rules),
+        recovery::Event(recovery::Behind{state.overloaded, std::nullopt}),
         recovery::Event(recovery::Tick{})})
-    Does(recovery_->Handle(loop_.now(), e));
-  // What the other parts say is looked at this often; never twice in one turn of the loop.
-  constexpr Ms kLongest = 100, kLeast = 10;
-  wake_at_ = std::max(loop_.now() + kLeast, std::min(recovery_->WakeAt(), loop_.now() + kLongest));
+    Execute(recovery_->Handle(loop_.now(), e));
+  // The other components' state is read at these intervals; never twice in one turn of the loop.
+  constexpr Ms kMaxInterval = 100, kMinInterval = 10;
+  next_timer_at_ = std::max(loop_.now() + kMinInterval,
+                            std::min(recovery_->WakeAt(), loop_.now() + kMaxInterval));
 }
 
-Ms Recovering::WakeAt() const {
-  return wake_at_;
+Ms RecoveryComponent::NextTimerAt() const {
+  return next_timer_at_;
 }
-bool Recovering::MayOwn() const {
+bool RecoveryComponent::MayAcquireLeases() const {
   return recovery_->MayOwn(loop_.now());
 }
-recovery::Phase Recovering::phase() const {
+recovery::Phase RecoveryComponent::phase() const {
   return recovery_->phase();
 }
-recovery::Floors Recovering::floors() const {
+recovery::Floors RecoveryComponent::persisted_minimums() const {
   return recovery_->floors();
 }
 
-std::string Recovering::view() const {
-  recovery::Floors f = recovery_->floors();
-  char carries[32];
-  std::snprintf(carries, sizeof carries, "%.3f", recovery_->Carries());
+std::string RecoveryComponent::StatusJson() const {
+  recovery::Floors minimums = recovery_->floors();
+  char share[32];
+  std::snprintf(share, sizeof share, "%.3f", recovery_->Carries());
   return "{\"phase\":\"" + std::string(recovery::ToString(recovery_->phase())) +
          "\",\"since_ms\":" +
          std::to_string(static_cast<long long>(loop_.now() - recovery_->Since())) +
-         ",\"carries\":" + carries + ",\"certain_only\":" + (certain_only_ ? "true" : "false") +
-         ",\"may_own\":" + (MayOwn() ? "true" : "false") +
-         ",\"token_floor\":" + std::to_string(f.token) +
-         ",\"offset_floor\":" + std::to_string(f.offset) + "}";
+         ",\"carries\":" + share + ",\"certain_only\":" + (certain_only_ ? "true" : "false") +
+         ",\"may_own\":" + (MayAcquireLeases() ? "true" : "false") +
+         ",\"token_floor\":" + std::to_string(minimums.token) +
+         ",\"offset_floor\":" + std::to_string(minimums.offset) + "}";
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/recovery.hpp
+++ b/src/front/recovery.hpp
@@ -1,11 +1,11 @@
-// Recovery's part of a front: says hello to the others while any of them is not whole, and turns
-// what its pure module (src/recovery/) decides into facts for the module that decides on pulls, and
-// into lines of the log:
+// The recovery component of a front: sends hello messages to the other fronts while any of them is
+// recovering, and turns the decisions of its pure module (src/recovery/) into facts for the router
+// and into log lines:
 //   recovery store good token 1140... offset 41 incarnation 1764... at 1764629612345
-//   recovery phase record by condition: a majority has been heard at ...       ("by time" where its
-//   time was over) recovery loss whole back 9 kept 0: nothing was lost at ... recovery spoilt 3:
-//   its floors are above what a majority knows at ... recovery lets in 0.10,0.05 certain only at
-//   ...
+//   recovery phase record by condition: REASON at ...  ("by time" when the phase's time ran out)
+//   recovery loss whole restarted 9 kept running 0: nothing was lost at ...
+//   recovery corrupted store of front 3: REASON at ...
+//   recovery admits 0.10,0.05 certain only at ...
 #pragma once
 #include <memory>
 
@@ -15,45 +15,46 @@
 
 namespace dunlinwick::front {
 
-class Recovering final : public Part {
+class RecoveryComponent final : public FleetComponent {
  public:
-  struct Now {  // what the other parts say, asked each wake
+  struct State {  // of the other components, asked for each time the timer fires
     recovery::GroupNow group;
     recovery::RecordNow record;
     recovery::RulesNow rules;
-    bool crowded = false;
+    bool overloaded = false;
   };
-  struct Ways {
+  struct Callbacks {
     std::function<bool(peers::Id to, std::string message)> send;
-    std::function<Now()> now;
-    std::function<void(std::vector<double> by_request_class, Ms come_back)>
-        admit;  // what may not be served while only what is certain is: 0
-    std::function<void(peers::Id from, std::uint64_t incarnation)> heard;
-    std::function<std::uint64_t(peers::Id of)>
-        seen;  // the incarnation that this front's disk has seen of another; 0: none
+    std::function<State()> state;
+    // Admitted share by request class; 0 for a class that may not be served while only certain ones
+    // are.
+    std::function<void(std::vector<double> by_request_class, Ms retry_after)> admit;
+    std::function<void(peers::Id from, std::uint64_t incarnation)> incarnation_received;
+    // The incarnation of another front that this front's disk has witnessed; 0: none.
+    std::function<std::uint64_t(peers::Id of)> witnessed_incarnation;
   };
-  Recovering(loop::Loop& loop, const RecoveryTerms& terms, peers::Id self,
-             std::vector<peers::Id> fronts, const recovery::StoreSeen& store,
-             std::uint64_t incarnation, Ways ways);
+  RecoveryComponent(loop::Loop& loop, const RecoverySettings& settings, peers::Id self,
+                    std::vector<peers::Id> fronts, const recovery::StoreSeen& store,
+                    std::uint64_t incarnation, Callbacks callbacks);
   peers::Channel channel() const override {
     return peers::Channel::kRecovery;
   }
-  void Heard(peers::Id from, std::span<const char> message) override;
-  void Wake() override;
-  Ms WakeAt() const override;
-  std::string view() const override;
-  bool MayOwn() const;
+  void HandleMessage(peers::Id from, std::span<const char> message) override;
+  void HandleTimer() override;
+  Ms NextTimerAt() const override;
+  std::string StatusJson() const override;
+  bool MayAcquireLeases() const;
   recovery::Phase phase() const;
-  recovery::Floors floors() const;
+  recovery::Floors persisted_minimums() const;
 
  private:
-  void Does(const std::vector<recovery::Action>& actions);
+  void Execute(const std::vector<recovery::Action>& actions);
   loop::Loop& loop_;
-  Ways ways_;
+  Callbacks callbacks_;
   std::unique_ptr<recovery::Recovery> recovery_;
   bool certain_only_ = true;
-  Ms said_admit_ = -1e15;
-  Ms wake_at_ = 0;
+  Ms admission_logged_at_ = -1e15;
+  Ms next_timer_at_ = 0;
 };
 
 }  // namespace dunlinwick::front
--- a/src/front/rules.cpp
+++ b/src/front/rules.cpp
@@ -8,12 +8,12 @@
 
 using drift::Form;
 
-struct Rules::Inner {
+struct RulesComponent::Impl {
   loop::Loop& loop;
-  RulesTerms terms;
+  RulesSettings settings;
   peers::Id self;
   Fronts fronts;
-  Ways ways;
+  Callbacks callbacks;
   drift::Drift drift;
   struct Approved {
     drift::Version version = 0;
@@ -21,18 +21,18 @@
     std::shared_ptr<const Form> form;
     std::uint64_t digest = 0;
   };
-  std::map<std::string, Approved> approved;  // by key: as many as the record holds of the stream
-  drift::Version mine = 0;                   // the approval for this front
-  Ms wake_at = 0;
+  std::map<std::string, Approved> approved;  // by key: as many as the record's stream holds
+  drift::Version own_version = 0;            // of the approval for this front
+  Ms next_timer_at = 0;
 
-  Inner(loop::Loop& l, const RulesTerms& t, peers::Id s, Fronts f, drift::Classes classes,
-        std::uint64_t seed, Ways w)
+  Impl(loop::Loop& l, const RulesSettings& s, peers::Id id, Fronts f, drift::Classes impacts,
+       std::uint64_t seed, Callbacks c)
       : loop(l),
-        terms(t),
-        self(s),
+        settings(s),
+        self(id),
         fronts(std::move(f)),
-        ways(std::move(w)),
-        drift(s, fronts.zone_of, std::move(classes), t.terms, seed, l.now(),
+        callbacks(std::move(c)),
+        drift(id, fronts.zone_of, std::move(impacts), s.policy, seed, l.now(),
               {static_cast<std::uint32_t>(l.now() / 1000), 0}) {}
 
   const Approved* ForFront(peers::Id id) const {
@@ -41,58 +41,63 @@
                                ? ""
                                : "zone/" + fronts.zones[static_cast<std::size_t>(zone->second)];
     for (const std::string& key : {"front/" + std::to_string(id), zone_key, std::string("fleet")})
-      if (auto at = approved.find(key); at != approved.end())
-        return &at->second;
+      if (auto approval = approved.find(key); approval != approved.end())
+        return &approval->second;
     return nullptr;
   }
 
-  // What is active of what the approval names: a field that nobody approved is nobody's drift.
-  Form active() const {
-    Form all = ways.active();
-    const Approved* a = ForFront(self);
-    if (!a)
-      return all;
-    for (auto& [name, section] : all)
-      if (auto at = a->form->find(name); at != a->form->end())
-        std::erase_if(section, [&](const auto& field) { return !at->second.count(field.first); });
-    return all;
+  // The active values of the fields that the approval names: a field without an approved value
+  // cannot drift.
+  Form ActiveOfApproved() const {
+    Form form = callbacks.active_configuration();
+    const Approved* approval = ForFront(self);
+    if (!approval)
+      return form;
+    for (auto& [name, section] : form)
+      if (auto approved_section = approval->form->find(name);
+          approved_section != approval->form->end())
+        std::erase_if(section, [&](const auto& field) {
+          return !approved_section->second.count(field.first);
+        });
+    return form;
   }
 
-  void TellAll() {
-    const Approved* a = ForFront(self);
-    mine = a ? a->version : 0;
-    Does(drift.Handle(loop.now(),
-                      drift::Approved{mine, a ? std::optional(a->approval) : std::nullopt}));
+  void UpdateApprovals() {
+    const Approved* approval = ForFront(self);
+    own_version = approval ? approval->version : 0;
+    Execute(drift.Handle(
+        loop.now(),
+        drift::Approved{own_version, approval ? std::optional(approval->approval) : std::nullopt}));
     for (const auto& [id, zone] : fronts.zone_of)
-      if (const Approved* one = ForFront(id))
-        Does(drift.Handle(loop.now(),
-                          drift::ApprovedFor{id, one->version, one->digest, one->approval.hold_by,
-                                             loop.now(), one->form}));
-    Does(drift.Handle(loop.now(), drift::Active{active()}));
+      if (const Approved* of_front = ForFront(id))
+        Execute(drift.Handle(loop.now(), drift::ApprovedFor{id, of_front->version, of_front->digest,
+                                                            of_front->approval.hold_by, loop.now(),
+                                                            of_front->form}));
+    Execute(drift.Handle(loop.now(), drift::Active{ActiveOfApproved()}));
   }
 
-  void Does(const std::vector<drift::Action>& actions) {
+  void Execute(const std::vector<drift::Action>& actions) {
     for (const drift::Action& a : actions) {
       Ms now = loop.now();
-      if (auto* tell = std::get_if<drift::Tell>(&a)) {
-        ways.send(tell->to, drift::Encode(tell->notified));
+      if (auto* report = std::get_if<drift::Tell>(&a)) {
+        callbacks.send(report->to, drift::Encode(report->notified));
       } else if (auto* repair = std::get_if<drift::Repair>(&a)) {
         log::Say("rules repair %u version %llu token %llu at %.0f", repair->front,
                  static_cast<unsigned long long>(repair->version),
                  static_cast<unsigned long long>(repair->token), now);
         if (repair->front == self)
-          Does(drift.RepairAsked(now, self, *repair));
+          Execute(drift.RepairAsked(now, self, *repair));
         else
-          ways.send(repair->front, drift::Encode(*repair));
-      } else if (auto* take = std::get_if<drift::TakeUp>(&a)) {
-        std::string why = ways.take_up(take->form);
+          callbacks.send(repair->front, drift::Encode(*repair));
+      } else if (auto* apply = std::get_if<drift::TakeUp>(&a)) {
+        std::string why = callbacks.apply(apply->form);
         if (why.empty())
-          log::Say("rules taken up %llu at %.0f", static_cast<unsigned long long>(take->version),
+          log::Say("rules taken up %llu at %.0f", static_cast<unsigned long long>(apply->version),
                    now);
         else
-          log::Say("rules can't take up %llu: %s at %.0f",
-                   static_cast<unsigned long long>(take->version), why.c_str(), now);
-        Does(drift.Handle(now, drift::Active{active()}));
+          log::Say("rules not taken up %llu: %s at %.0f",
+                   static_cast<unsigned long long>(apply->version), why.c_str(), now);
+        Execute(drift.Handle(now, drift::Active{ActiveOfApproved()}));
       } else if (auto* found = std::get_if<drift::Found>(&a)) {
         std::string fields;
         for (const drift::Difference& d : found->fields)
@@ -102,13 +107,13 @@
                  drift::ToString(found->standing), fields.c_str(), found->since, now);
       } else if (auto* may = std::get_if<drift::MayServe>(&a)) {
         log::Say("rules: this front %s at %.0f",
-                 may->may ? "may serve" : "may not serve what can break a rule", now);
-        ways.serves(may->may);
+                 may->may ? "may serve" : "may not serve: its drift can break a rule", now);
+        callbacks.set_may_serve(may->may);
       } else if (auto* ejected = std::get_if<drift::SetEjected>(&a)) {
-        log::Say("rules %s %u: %s at %.0f", ejected->on ? "set aside" : "takes back",
-                 ejected->front, ejected->why.c_str(), now);
+        log::Say("rules %s %u: %s at %.0f", ejected->on ? "ejected" : "readmitted", ejected->front,
+                 ejected->why.c_str(), now);
         if (ejected->front == self)
-          ways.ejected(ejected->on);
+          callbacks.set_ejected(ejected->on);
       } else if (auto* stopped = std::get_if<drift::Stopped>(&a)) {
         log::Say("rules stopped: %s at %.0f", stopped->why.c_str(), now);
       }
@@ -116,111 +121,113 @@
   }
 };
 
-Rules::Rules(loop::Loop& loop, const RulesTerms& terms, peers::Id self, Fronts fronts,
-             drift::Classes classes, std::uint64_t seed, Ways ways)
-    : inner_(std::make_unique<Inner>(loop, terms, self, std::move(fronts), std::move(classes), seed,
-                                     std::move(ways))) {}
-Rules::~Rules() = default;
-
-void Rules::Heard(peers::Id from, std::span<const char> message) {
-  Ms now = inner_->loop.now();
-  if (auto notified = drift::DecodeNotified(message))
-    inner_->Does(inner_->drift.Handle(now, drift::Hears{from, *notified}));
+RulesComponent::RulesComponent(loop::Loop& loop, const RulesSettings& settings, peers::Id self,
+                               Fronts fronts, drift::Classes impacts, std::uint64_t seed,
+                               Callbacks callbacks)
+    : impl_(std::make_unique<Impl>(loop, settings, self, std::move(fronts), std::move(impacts),
+                                   seed, std::move(callbacks))) {}
+RulesComponent::~RulesComponent() = default;
+
+void RulesComponent::HandleMessage(peers::Id from, std::span<const char> message) {
+  Ms now = impl_->loop.now();
+  if (auto report = drift::DecodeNotified(message))
+    impl_->Execute(impl_->drift.Handle(now, drift::Hears{from, *report}));
   else if (auto repair = drift::DecodeRepair(message))
-    inner_->Does(inner_->drift.RepairAsked(now, from, *repair));
+    impl_->Execute(impl_->drift.RepairAsked(now, from, *repair));
 }
 
-void Rules::notified(std::uint64_t offset, const std::string& key, bool tombstone,
-                     const std::string& value) {
-  Inner& in = *inner_;
+void RulesComponent::HandleEntry(std::uint64_t offset, const std::string& key, bool tombstone,
+                                 const std::string& value) {
+  Impl& impl = *impl_;
   if (tombstone) {
-    in.approved.erase(key);
-  } else if (auto a = drift::DecodeApproval(value)) {
-    auto form = std::make_shared<const Form>(a->form);
+    impl.approved.erase(key);
+  } else if (auto approval = drift::DecodeApproval(value)) {
+    auto form = std::make_shared<const Form>(approval->form);
     std::uint64_t digest = drift::Digest(*form);
     log::Say("rules approved %llu for %s by %s digest %016llx at %.0f",
-             static_cast<unsigned long long>(offset), key.c_str(), a->by.c_str(),
-             static_cast<unsigned long long>(digest), in.loop.now());
-    in.approved[key] = {offset, std::move(*a), std::move(form), digest};
+             static_cast<unsigned long long>(offset), key.c_str(), approval->by.c_str(),
+             static_cast<unsigned long long>(digest), impl.loop.now());
+    impl.approved[key] = {offset, std::move(*approval), std::move(form), digest};
   }
-  in.TellAll();
+  impl.UpdateApprovals();
 }
 
-void Rules::StartOver() {
-  inner_->approved.clear();
-  inner_->TellAll();
+void RulesComponent::Reset() {
+  impl_->approved.clear();
+  impl_->UpdateApprovals();
 }
 
-std::string Rules::Refuses(const std::string& key, const std::string& value) const {
+std::string RulesComponent::RefusalReason(const std::string& key, const std::string& value) const {
   bool known = key == "fleet";
-  for (const std::string& z : inner_->fronts.zones)
+  for (const std::string& z : impl_->fronts.zones)
     known |= key == "zone/" + z;
-  for (const auto& [id, zone] : inner_->fronts.zone_of)
+  for (const auto& [id, zone] : impl_->fronts.zone_of)
     known |= key == "front/" + std::to_string(id);
   if (!known)
-    return "a key of fleet, zone/NAME or front/ID wanted, of this fleet";
-  auto a = drift::DecodeApproval(value);
-  if (!a)
-    return "it is no approval";
-  auto at = inner_->approved.find(key);
-  return drift::Refused(*a, at == inner_->approved.end() ? 0 : at->second.version,
-                        inner_->terms.wants_second);
+    return "the key must be fleet, zone/NAME or front/ID, with a zone or front of this fleet";
+  auto approval = drift::DecodeApproval(value);
+  if (!approval)
+    return "the value is not an approval";
+  auto current = impl_->approved.find(key);
+  return drift::Refused(*approval, current == impl_->approved.end() ? 0 : current->second.version,
+                        impl_->settings.requires_second_approver);
 }
 
-void Rules::Wake() {
-  Inner& in = *inner_;
-  Ms now = in.loop.now();
-  auto [token, may] = in.ways.owns();
-  in.Does(in.drift.Handle(now, drift::Owns{may ? token : 0}));
-  in.Does(in.drift.Handle(now, in.ways.requests()));
-  in.Does(in.drift.Handle(now, drift::Active{in.active()}));
-  in.Does(in.drift.Handle(now, drift::Tick{}));
-  constexpr Ms kLongest = 200, kLeast = 20;
-  in.wake_at = std::max(now + kLeast, std::min(in.drift.WakeAt(), now + kLongest));
+void RulesComponent::HandleTimer() {
+  Impl& impl = *impl_;
+  Ms now = impl.loop.now();
+  auto [token, usable] = impl.callbacks.lease();
+  impl.Execute(impl.drift.Handle(now, drift::Owns{usable ? token : 0}));
+  impl.Execute(impl.drift.Handle(now, impl.callbacks.requests()));
+  impl.Execute(impl.drift.Handle(now, drift::Active{impl.ActiveOfApproved()}));
+  impl.Execute(impl.drift.Handle(now, drift::Tick{}));
+  constexpr Ms kMaxInterval = 200, kMinInterval = 20;
+  impl.next_timer_at =
+      std::max(now + kMinInterval, std::min(impl.drift.WakeAt(), now + kMaxInterval));
 }
-Ms Rules::WakeAt() const {
-  return inner_->wake_at;
+Ms RulesComponent::NextTimerAt() const {
+  return impl_->next_timer_at;
 }
 
-bool Rules::enabled() const {
-  return inner_->mine != 0;
+bool RulesComponent::HasApproval() const {
+  return impl_->own_version != 0;
 }
-bool Rules::InStep() const {
-  const Inner::Approved* a = inner_->ForFront(inner_->self);
-  return !a || drift::Differences(inner_->active(), *a->form, {}).empty();
+bool RulesComponent::MatchesApproval() const {
+  const Impl::Approved* approval = impl_->ForFront(impl_->self);
+  return !approval || drift::Differences(impl_->ActiveOfApproved(), *approval->form, {}).empty();
 }
-drift::Version Rules::version() const {
-  return inner_->mine;
+drift::Version RulesComponent::version() const {
+  return impl_->own_version;
 }
-std::uint64_t Rules::Digest() const {
-  const Inner::Approved* a = inner_->ForFront(inner_->self);
-  return a ? a->digest : 0;
+std::uint64_t RulesComponent::Digest() const {
+  const Impl::Approved* approval = impl_->ForFront(impl_->self);
+  return approval ? approval->digest : 0;
 }
 
-std::string Rules::view() const {
-  const Inner& in = *inner_;
-  std::string s = "{\"version\":" + std::to_string(in.mine) +
-                  ",\"in_step\":" + (InStep() ? "true" : "false") +
-                  ",\"may_serve\":" + (in.drift.may_serve() ? "true" : "false") +
-                  ",\"stopped\":" + (in.drift.stopped() ? "true" : "false") + ",\"fronts\":[";
+std::string RulesComponent::StatusJson() const {
+  const Impl& impl = *impl_;
+  std::string json = "{\"version\":" + std::to_string(impl.own_version) +
+                     ",\"in_step\":" + (MatchesApproval() ? "true" : "false") +
+                     ",\"may_serve\":" + (impl.drift.may_serve() ? "true" : "false") +
+                     ",\"stopped\":" + (impl.drift.stopped() ? "true" : "false") + ",\"fronts\":[";
   bool first = true;
-  for (const auto& [id, row] : in.drift.Rows()) {
-    s += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) + ",\"standing\":\"" +
-         drift::ToString(row.standing) + "\",\"since_ms\":" +
-         (row.since > 0 ? std::to_string(static_cast<long long>(in.loop.now() - row.since))
-                        : "null") +
-         ",\"version\":" + std::to_string(row.version) +
-         ",\"aside\":" + (row.ejected ? "true" : "false") +
-         ",\"fields\":" + std::to_string(row.fields.size()) + "}";
+  for (const auto& [id, row] : impl.drift.Rows()) {
+    json += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) + ",\"standing\":\"" +
+            drift::ToString(row.standing) + "\",\"since_ms\":" +
+            (row.since > 0 ? std::to_string(static_cast<long long>(impl.loop.now() - row.since))
+                           : "null") +
+            ",\"version\":" + std::to_string(row.version) +
+            ",\"aside\":" + (row.ejected ? "true" : "false") +
+            ",\"fields\":" + std::to_string(row.fields.size()) + "}";
     first = false;
   }
-  s += "],\"approved\":{";
+  json += "],\"approved\":{";
   first = true;
-  for (const auto& [key, a] : in.approved) {
-    s += std::string(first ? "" : ",") + "\"" + key + "\":" + std::to_string(a.version);
+  for (const auto& [key, approval] : impl.approved) {
+    json += std::string(first ? "" : ",") + "\"" + key + "\":" + std::to_string(approval.version);
     first = false;
   }
-  return s + "}}";
+  return json + "}}";
 }
 
 }  // namespace dunlinwick::front
--- a/src/front/turning.cpp
+++ b/src/front/turning.cpp
@@ -8,112 +8,115 @@
 
 namespace {
 
-bool read(const std::string& text, double& into) {
-  auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), into);
-  return fault == std::errc{} && end == text.data() + text.size() && std::isfinite(into) &&
+bool Parse(const std::string& text, double& into) {
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), into);
+  return error == std::errc{} && end == text.data() + text.size() && std::isfinite(into) &&
          into >= 0;
 }
-bool read(const std::string& text, int& into) {
-  auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), into);
-  return fault == std::errc{} && end == text.data() + text.size();
+bool Parse(const std::string& text, int& into) {
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), into);
+  return error == std::errc{} && end == text.data() + text.size();
 }
-bool read(const std::string& text, bool& into) {
+bool Parse(const std::string& text, bool& into) {
   into = text == "true";
   return text == "true" || text == "false";
 }
-bool read(const std::string& text, Effect& into) {
+bool Parse(const std::string& text, Effect& into) {
   into = text == "rerunnable" ? Effect::kIdempotent
          : text == "ticketed" ? Effect::kIdempotentWithKey
                               : Effect::kExclusive;
   return text == "rerunnable" || text == "ticketed" || text == "exclusive";
 }
-bool read(const std::string& text, Span& into) {
+bool Parse(const std::string& text, Span& into) {
   into = text == "everywhere" ? Span::kEverywhere : text == "zone" ? Span::kZone : Span::kCell;
   return text == "everywhere" || text == "zone" || text == "cell";
 }
-bool read(const std::string& text, Weighing& into) {
-  static const std::map<std::string, Weighing> words{{"none", Weighing::kNone},
+bool Parse(const std::string& text, Weighing& into) {
+  static const std::map<std::string, Weighing> names{{"none", Weighing::kNone},
                                                      {"nominal", Weighing::kNominal},
                                                      {"rough", Weighing::kRough},
                                                      {"live", Weighing::kLive}};
-  auto at = words.find(text);
-  if (at != words.end())
+  auto at = names.find(text);
+  if (at != names.end())
     into = at->second;
-  return at != words.end();
+  return at != names.end();
 }
 
-using Set = std::function<bool(const std::string&)>;
+using FieldSetter = std::function<bool(const std::string&)>;
 template <class T>
-Set Into(T& field) {
+FieldSetter SetterOf(T& field) {
   return [&field](const std::string& text) {
-    return read(text, field);
+    return Parse(text, field);
   };
 }
-void Cold(std::map<std::string, Set>& all, const std::string& name, ColdTerms& c) {
-  all["cold." + name + ".from"] = Into(c.from);
-  all["cold." + name + ".multiple"] = Into(c.multiple);
-  all["cold." + name + ".lasts"] = Into(c.lasts);
+void AddSlowStart(std::map<std::string, FieldSetter>& setters, const std::string& name,
+                  ColdTerms& c) {
+  setters["cold." + name + ".from"] = SetterOf(c.from);
+  setters["cold." + name + ".multiple"] = SetterOf(c.multiple);
+  setters["cold." + name + ".lasts"] = SetterOf(c.lasts);
 }
 
-std::map<std::string, Set> Fields(StoreSettings& s) {
-  std::map<std::string, Set> all;
-  for (std::size_t i = 0; i < s.request_classes.size(); ++i) {
-    RequestClass& o = s.request_classes[i];
-    std::string at = "offerings." + std::to_string(i) + ".";
-    all[at + "effect"] = Into(o.effect);
-    all[at + "span"] = Into(o.span);
-    all[at + "memory"] = Into(o.memory);
-    all[at + "agreed"] = Into(o.agreed);
-    all[at + "agreed_stretch"] = Into(o.agreed_stretch);
-    all[at + "expiry"] = Into(o.expiry);
-    all[at + "payoff"] = Into(o.payoff);
-    all[at + "fresh_for"] = Into(o.fresh_for);  // streams, never_kept: of the process, since the
-                                                // exchange and the clients go by them
+std::map<std::string, FieldSetter> FieldSetters(StoreSettings& settings) {
+  std::map<std::string, FieldSetter> setters;
+  for (std::size_t i = 0; i < settings.request_classes.size(); ++i) {
+    RequestClass& request_class = settings.request_classes[i];
+    std::string prefix = "offerings." + std::to_string(i) + ".";
+    setters[prefix + "effect"] = SetterOf(request_class.effect);
+    setters[prefix + "span"] = SetterOf(request_class.span);
+    setters[prefix + "memory"] = SetterOf(request_class.memory);
+    setters[prefix + "agreed"] = SetterOf(request_class.agreed);
+    setters[prefix + "agreed_stretch"] = SetterOf(request_class.agreed_stretch);
+    setters[prefix + "expiry"] = SetterOf(request_class.expiry);
+    setters[prefix + "payoff"] = SetterOf(request_class.payoff);
+    // `streams` and `never_kept` hold for the life of the process: the exchange and the clients'
+    // side use them too.
+    setters[prefix + "fresh_for"] = SetterOf(request_class.fresh_for);
   }
-  all["permits.probe"] = Into(s.may.probe);
-  all["permits.cancel"] = Into(s.may.cancel);
-  all["permits.two_legs_at_once"] = Into(s.may.two_attempts_at_once);
-  all["permits.join"] = Into(s.may.join);
-  all["permits.direct"] = Into(s.may.direct);
-  Cold(all, "store", s.cold_store);
-  Cold(all, "parent", s.cold_parent);
-  all["cold.window"] = Into(s.cold_window);
-  all["sheet.fronts"] = Into(s.fronts);
-  all["sheet.crew"] = Into(s.zone_replicas);
-  all["sheet.weighing"] = Into(s.weighing);
-  all["sheet.longest_retry_after"] = Into(s.longest_retry_after);
-  all["sheet.most_legs"] = Into(s.most_attempts);
-  all["sheet.places"] = Into(s.places);
-  all["sheet.lateral"] = Into(s.lateral);
-  all["sheet.stream_kb_per_ms"] = Into(s.stream_kb_per_ms);
-  all["sheet.link_kb_per_ms"] = Into(s.link_kb_per_ms);
-  all["sheet.link_report"] = Into(s.link_report);
-  all["sheet.remarks"] = Into(s.remarks);
-  all["sheet.purge_done"] = Into(s.purge_done);
-  return all;
+  setters["permits.probe"] = SetterOf(settings.may.probe);
+  setters["permits.cancel"] = SetterOf(settings.may.cancel);
+  setters["permits.two_legs_at_once"] = SetterOf(settings.may.two_attempts_at_once);
+  setters["permits.join"] = SetterOf(settings.may.join);
+  setters["permits.direct"] = SetterOf(settings.may.direct);
+  AddSlowStart(setters, "store", settings.cold_store);
+  AddSlowStart(setters, "parent", settings.cold_parent);
+  setters["cold.window"] = SetterOf(settings.cold_window);
+  setters["sheet.fronts"] = SetterOf(settings.fronts);
+  setters["sheet.crew"] = SetterOf(settings.zone_replicas);
+  setters["sheet.weighing"] = SetterOf(settings.weighing);
+  setters["sheet.longest_retry_after"] = SetterOf(settings.longest_retry_after);
+  setters["sheet.most_legs"] = SetterOf(settings.most_attempts);
+  setters["sheet.places"] = SetterOf(settings.places);
+  setters["sheet.lateral"] = SetterOf(settings.lateral);
+  setters["sheet.stream_kb_per_ms"] = SetterOf(settings.stream_kb_per_ms);
+  setters["sheet.link_kb_per_ms"] = SetterOf(settings.link_kb_per_ms);
+  setters["sheet.link_report"] = SetterOf(settings.link_report);
+  setters["sheet.remarks"] = SetterOf(settings.remarks);
+  setters["sheet.purge_done"] = SetterOf(settings.purge_done);
+  return setters;
 }
 
 }  // namespace
 
-std::string TakeUp(const drift::Form& approved, const drift::Form& active,
-                   StoreSettings& settings) {
+std::string ApplyConfiguration(const drift::Form& approved, const drift::Form& active,
+                               StoreSettings& settings) {
   StoreSettings next = settings;
-  auto all = Fields(next);
+  auto setters = FieldSetters(next);
   for (const auto& [section, rows] : approved) {
-    auto at = active.find(section);
+    auto active_section = active.find(section);
     for (const auto& [name, value] : rows) {
-      if (at != active.end())
-        if (auto is = at->second.find(name); is != at->second.end() && is->second == value)
+      if (active_section != active.end())
+        if (auto current = active_section->second.find(name);
+            current != active_section->second.end() && current->second == value)
           continue;
-      auto set = all.find(section + "." + name);
-      if (set == all.end())
-        return section + "." + name + " holds for the life of a process";
-      if (!set->second(value))
-        return section + "." + name + " can't be " + value.substr(0, 64);
+      auto setter = setters.find(section + "." + name);
+      if (setter == setters.end())
+        return section + "." + name + " cannot change while the process runs";
+      if (!setter->second(value))
+        return section + "." + name + " cannot be " + value.substr(0, 64);
     }
   }
-  // An offering whose effect changes under open pulls is one generation's each: nothing of the
-  // pulls under way turns with it.
+  // A request keeps the generation it began with, so a request class whose effect changes does so
+  // only for requests that begin later.
   settings = std::move(next);
   return "";
 }
--- a/src/front/turning.hpp
+++ b/src/front/turning.hpp
@@ -1,7 +1,8 @@
-// An approved form turned into the sheet of the module's next generation. Only what a generation
-// can carry is taken up while a front serves: sections offerings (by row), permits, cold, sheet.
-// All else (the road, members, owner, the build) holds for the life of a process, and is refused
-// with its name.
+// Applies an approved configuration: makes the deployment settings of the router's next generation
+// from it. While a front serves, only what a generation holds can change: the sections offerings
+// (request classes, by index), permits, cold (slow start) and sheet (deployment settings). All
+// other sections (road, fleet, owner, build) hold for the life of a process; a change in one is
+// rejected with the field's name.
 #pragma once
 #include <string>
 
@@ -10,8 +11,9 @@
 
 namespace dunlinwick::front {
 
-// "" and `sheet` changed, or the field and why it can't be taken up, with `sheet` as it was. Fields
-// that stand as approved already are passed over, whatever their section: `active` tells them.
-std::string TakeUp(const drift::Form& approved, const drift::Form& active, StoreSettings& settings);
+// Returns "" with `settings` changed, or the field and why it cannot be applied, with `settings` as
+// they were. Fields whose active value equals the approved one are skipped, whatever their section.
+std::string ApplyConfiguration(const drift::Form& approved, const drift::Form& active,
+                               StoreSettings& settings);
 
 }  // namespace dunlinwick::front
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -31,13 +31,16 @@
     }
     if (*serve)
       return front::Serve(file, listen);
-    front::Configuration configuration = front::ReadConfiguration(file, listen);
-    std::printf(
-        "%s: zone %s, %zu offerings, %d fronts, %zu events known\n", configuration.name.c_str(),
-        configuration.terms.zones.at(static_cast<std::size_t>(configuration.settings.zone)).c_str(),
-        configuration.settings.request_classes.size(), configuration.settings.fronts,
-        configuration.known.Find("notices") ? configuration.known.Find("notices")->items.size()
-                                            : 0);
+    front::FrontConfiguration configuration = front::ReadConfiguration(file, listen);
+    std::printf("%s: zone %s, %zu offerings, %d fronts, %zu events known\n",
+                configuration.name.c_str(),
+                configuration.connection_settings.zones
+                    .at(static_cast<std::size_t>(configuration.settings.zone))
+                    .c_str(),
+                configuration.settings.request_classes.size(), configuration.settings.fronts,
+                configuration.known_updates.Find("notices")
+                    ? configuration.known_updates.Find("notices")->items.size()
+                    : 0);
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "dunlinwick: %s\n", fault.what());
     return 1;
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -72,7 +72,7 @@
   // By the very reader that a front starts with.
   void Acceptable(const std::string& text, const char* when) const {
     try {
-      front::ReadConfigurationText(text, named_, "");
+      front::ParseConfiguration(text, named_, "");
     } catch (const std::exception& fault) {
       Refuse(when, fault.what());
     }
--- a/tests/datagram_failures_test.cpp
+++ b/tests/datagram_failures_test.cpp
@@ -1,6 +1,6 @@
-// The sockets between fronts while their system calls fail: two of them on the simulated network,
-// one on an environment whose calls fail by a plan, each call at every ordinal, then for a while.
-// What its channel promises arrives once; no spin, nothing open.
+// The sockets between fronts while their system calls fail: two fronts on the simulated network,
+// one on an environment whose calls fail by a plan: each call at every ordinal, then for a while.
+// Each message must arrive once; the loop must not spin, and no descriptor may stay open.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -22,28 +22,28 @@
 
 constexpr std::uint32_t kHosts[] = {0x0a000001, 0x0a000002};
 constexpr std::uint16_t kPort = 7400;
-constexpr std::size_t kMostIdleWaits = 100;
+constexpr std::size_t kMaxIdleWaits = 100;
 constexpr Call kDatagramCalls[] = {Call::kWait, Call::kSendTo, Call::kReceiveFrom};
 
-struct NotingPart final : front::Part {
+struct RecordingComponent final : front::FleetComponent {
   std::vector<std::string> received;
   peers::Channel channel() const override {
     return peers::Channel::kRecord;
   }
-  void Heard(peers::Id, std::span<const char> message) override {
+  void HandleMessage(peers::Id, std::span<const char> message) override {
     received.emplace_back(message.data(), message.size());
   }
-  void Wake() override {}
-  Ms WakeAt() const override {
+  void HandleTimer() override {}
+  Ms NextTimerAt() const override {
     return 1e300;
   }
-  std::string view() const override {
+  std::string StatusJson() const override {
     return "{}";
   }
 };
 
-/// Two fronts' sockets, the first on a failing environment. Each sends the other a message of many
-/// datagrams.
+/// The sockets of two fronts, the first on a failing environment. Each sends the other a message
+/// that takes many datagrams.
 class PeersScenario {
  public:
   explicit PeersScenario(FailingEnvironment::Plan plan = nullptr) {
@@ -51,8 +51,8 @@
     processes_[0]->UseEnvironment(environment);
     for (std::size_t i = 0; i < 2; ++i) {
       processes_[i]->Act([&] {
-        sockets_[i] = std::make_unique<front::Peers>(processes_[i]->loop(), Terms(i));
-        sockets_[i]->Carry(parts[i]);
+        sockets_[i] = std::make_unique<front::PeerSocket>(processes_[i]->loop(), Settings(i));
+        sockets_[i]->Register(components[i]);
       });
     }
   }
@@ -66,12 +66,12 @@
     net.RunUntil(net.now() + 5000);
   }
   void CheckInvariants() {
-    for (const NotingPart& part : parts) {
-      CHECK(part.received.size() == 1);
-      if (!part.received.empty())
-        CHECK(part.received.front() == message);
+    for (const RecordingComponent& component : components) {
+      CHECK(component.received.size() == 1);
+      if (!component.received.empty())
+        CHECK(component.received.front() == message);
     }
-    CHECK(environment.MostIdleWaits() < kMostIdleWaits);
+    CHECK(environment.MostIdleWaits() < kMaxIdleWaits);
     TakeDown();
     CHECK(environment.OpenDescriptors() == 0);
     CHECK(environment.StrangeCloses() == 0);
@@ -85,30 +85,30 @@
 
  public:
   FailingEnvironment environment{*processes_[0]};
-  NotingPart parts[2];
+  RecordingComponent components[2];
 
  private:
   static peers::Id IdOf(std::size_t index) {
     return static_cast<peers::Id>(index + 1);
   }
-  static front::PeersTerms Terms(std::size_t index) {
-    front::PeersTerms terms;
-    terms.on = true;
-    terms.self = IdOf(index);
-    terms.listen = stage::AddressOf(kHosts[index], kPort);
+  static front::PeersSettings Settings(std::size_t index) {
+    front::PeersSettings settings;
+    settings.enabled = true;
+    settings.self = IdOf(index);
+    settings.listen = stage::AddressOf(kHosts[index], kPort);
     for (std::size_t i = 0; i < 2; ++i)
-      terms.at[IdOf(i)] = stage::AddressOf(kHosts[i], kPort);
-    return terms;
+      settings.addresses[IdOf(i)] = stage::AddressOf(kHosts[i], kPort);
+    return settings;
   }
   void TakeDown() {
     for (std::size_t i = 0; i < 2; ++i)
       processes_[i]->Act([&] { sockets_[i].reset(); });
   }
 
-  std::unique_ptr<front::Peers> sockets_[2];
+  std::unique_ptr<front::PeerSocket> sockets_[2];
 };
 
-/// A fleet of two members on sockets of their own, the first on a failing environment.
+/// Two membership components on their own sockets, the first on a failing environment.
 class FleetScenario {
  public:
   explicit FleetScenario(FailingEnvironment::Plan plan = nullptr) {
@@ -116,8 +116,8 @@
     processes_[0]->UseEnvironment(environment);
     for (std::size_t i = 0; i < 2; ++i) {
       processes_[i]->Act([&] {
-        fleets_[i] = std::make_unique<front::Fleet>(processes_[i]->loop(), Terms(i), i, health_,
-                                                    [](std::vector<double>) {});
+        fleets_[i] = std::make_unique<front::MembershipComponent>(
+            processes_[i]->loop(), Settings(i), i, health_, [](std::vector<double>) {});
       });
     }
   }
@@ -135,27 +135,27 @@
   FailingEnvironment environment{*processes_[0]};
 
  private:
-  static front::FleetTerms Terms(std::size_t index) {
-    front::FleetTerms terms;
-    terms.on = true;
-    terms.self = static_cast<std::uint32_t>(index);
-    terms.listen = stage::AddressOf(kHosts[index], kPort);
+  static front::FleetSettings Settings(std::size_t index) {
+    front::FleetSettings settings;
+    settings.enabled = true;
+    settings.self = static_cast<std::uint32_t>(index);
+    settings.listen = stage::AddressOf(kHosts[index], kPort);
     for (std::uint32_t i = 0; i < 2; ++i) {
       front::FleetMember member;
       member.id = i;
-      member.at = stage::AddressOf(kHosts[i], kPort);
-      terms.members.push_back(member);
+      member.address = stage::AddressOf(kHosts[i], kPort);
+      settings.members.push_back(member);
     }
-    terms.zones = {"a"};
-    terms.zone_region = {0};
-    return terms;
+    settings.zones = {"a"};
+    settings.zone_region = {0};
+    return settings;
   }
 
   failover::Health health_{0, 1, 2};
-  std::unique_ptr<front::Fleet> fleets_[2];
+  std::unique_ptr<front::MembershipComponent> fleets_[2];
 };
 
-/// Calls of one kind fail with one error for so long from the start.
+/// Calls of one kind fail with one error for `lasting` ms from the start.
 FailingEnvironment::Plan FailFor(const stage::Net& net, Call failing, int error, Ms lasting) {
   return [&net, failing, error, ends = net.now() + lasting](Call call,
                                                             std::size_t) -> std::optional<Failure> {
@@ -166,12 +166,12 @@
 }
 
 TEST_CASE("every call on the peers' socket fails once at every ordinal") {
-  PeersScenario whole;
-  whole.Exchange();
+  PeersScenario without_failures;
+  without_failures.Exchange();
   std::size_t plans = 0;
   for (Call call : kDatagramCalls) {
-    REQUIRE(whole.environment.Calls(call) > 0);
-    for (std::size_t ordinal = 0; ordinal < whole.environment.Calls(call); ++ordinal) {
+    REQUIRE(without_failures.environment.Calls(call) > 0);
+    for (std::size_t ordinal = 0; ordinal < without_failures.environment.Calls(call); ++ordinal) {
       for (Failure failure : FailuresOf(call)) {
         CAPTURE(Name(call));
         CAPTURE(ordinal);
@@ -183,11 +183,11 @@
       }
     }
   }
-  whole.CheckInvariants();
+  without_failures.CheckInvariants();
   MESSAGE(plans << " plans");
 }
 
-TEST_CASE("want of buffers that lasts makes no socket between fronts spin") {
+TEST_CASE("a lasting shortage of buffers makes no socket between fronts spin") {
   constexpr Ms kLasting = 200;
   for (Call call : {Call::kSendTo, Call::kReceiveFrom}) {
     for (int error : {ENOBUFS, ENOMEM}) {
@@ -202,12 +202,12 @@
       fleet.environment.plan = FailFor(fleet.net, call, error, 3000);
       CHECK_NOTHROW(fleet.net.RunUntil(fleet.net.now() + 6000));
       CHECK(fleet.environment.Failures() > 0);
-      CHECK(fleet.environment.MostIdleWaits() < kMostIdleWaits);
+      CHECK(fleet.environment.MostIdleWaits() < kMaxIdleWaits);
     }
   }
 }
 
-TEST_CASE("a socket between fronts that cannot be opened is told at the start") {
+TEST_CASE("a socket between fronts that cannot be opened is reported at the start") {
   for (Failure failure : FailuresOf(Call::kOpenDatagrams)) {
     CAPTURE(failure.error);
     CHECK_THROWS_AS(PeersScenario(FailOnce(Call::kOpenDatagrams, 0, failure)), std::runtime_error);
--- a/tests/drift_test.cpp
+++ b/tests/drift_test.cpp
@@ -172,11 +172,11 @@
   settings.request_classes.resize(2);
   settings::RoadTerms road;
   road.request_classes = {"a", "b"};
-  front::FleetTerms fleet;
-  front::OwnerTerms owner;
-  fleet.on = owner.on = true;
+  front::FleetSettings fleet;
+  front::OwnerSettings owner;
+  fleet.enabled = owner.enabled = true;
   auto form = [&](const StoreSettings& s) {
-    return ActiveForm(s, road, fleet, owner, "1");
+    return ActiveConfiguration(s, road, fleet, owner, "1");
   };
   const Form base = form(settings);
   struct Change {
@@ -244,14 +244,14 @@
     Form f = form(s);
     for (const auto& [name, section] : base)
       CHECK((Digest(f.at(name)) != Digest(section)) == (name == c.section));
-    auto d = Differences(f, base, ActiveClasses());
+    auto d = Differences(f, base, FieldImpacts());
     REQUIRE(d.size() == 1);
     CHECK(d[0].field.name == c.name);
   }
   auto breaks = [&](const std::string& section, const std::string& name) {
     Form f = base;
     f[section][name] = "?";
-    return Differences(f, base, ActiveClasses())[0].breaks;
+    return Differences(f, base, FieldImpacts())[0].breaks;
   };
   for (auto [section, name] :
        std::vector<std::pair<std::string, std::string>>{{"offerings", "0.effect"},
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -43,7 +43,7 @@
                      [&](const migrate::Note& n) { return n.field == field; });
 }
 StoreSettings SettingsOf(const std::string& text) {
-  return front::ReadConfigurationText(text, "new", "").settings;
+  return front::ParseConfiguration(text, "new", "").settings;
 }
 
 void TheNewShapeIsWhatTheModuleReads() {
@@ -100,7 +100,7 @@
   Target none;
   for (const Case& c :
        {Case{"", "f:1: "}, Case{"{\n\"name\": \"x\",\n}", "f:3: "}, Case{example + "x", "f:"},
-        Case{"[]", "no JSON object"}, Case{"{}", "listen"},
+        Case{"[]", "not a JSON object"}, Case{"{}", "listen"},
         Case{With(example, "\"pipeKbPerS\": [0, 120000]", "\"pipeKbPerS\": [0, \"wide\"]"),
              "familyInfo.pipeKbPerS is no number: wide"},
         Case{With(example, "\"repeatable\"", "\"twice\""),
--- a/tests/owner_storage_test.cpp
+++ b/tests/owner_storage_test.cpp
@@ -1,6 +1,6 @@
-// The owners' group on disks that fail: three nodes in virtual time over stores that fail, by plan,
-// at every call in turn, or end with the process there; then the front's owner part on a real
-// folder that can't be opened.
+// The owner's group on disks that fail: three nodes in virtual time, over stores that fail at every
+// call in turn, or where the process is killed at that call; then the front's owner component with
+// a real folder that cannot be opened.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -23,11 +23,11 @@
 
 namespace {
 
-constexpr const char* kWork = "record";
+constexpr const char* kTask = "record";
 constexpr owner::Id kGroupSize = 3;
 
-// Three members, all of which try for one standing work. A message takes a millisecond; every node
-// ticks each 20 ms.
+// Three members that compete for the lease of one standing task. A message takes a millisecond;
+// each node ticks every 20 ms.
 class Cluster {
  public:
   std::map<owner::Id, StoreDisk> disks;
@@ -46,7 +46,7 @@
     terms.self = id;
     terms.group = {1, 2, 3};
     owner::Job job;
-    job.work = kWork;
+    job.work = kTask;
     job.standing = true;
     terms.jobs = {job};
     owner::Node::Ways ways;
@@ -80,7 +80,7 @@
       Deliver();
       if (std::fmod(now_, kTick) == 0)
         TickAll();
-      Look();
+      CheckHolders();
     }
   }
   Ms now() const {
@@ -95,14 +95,15 @@
   bool HasStore(owner::Id id) {
     return processes_[id].membership->HasStore();
   }
-  // Who may act under the work just now; 0: nobody.
+  // Which member may act under the task's lease now; 0: none.
   owner::Id holder() {
     for (auto& [id, process] : processes_)
       if (process.node && ActsAt(*process.node))
         return id;
     return 0;
   }
-  bool IsWhole() {
+  // All run as members with equal tables, and one holds the lease.
+  bool IsComplete() {
     std::set<std::string> tables;
     for (owner::Id id = 1; id <= kGroupSize; ++id) {
       if (!Runs(id))
@@ -120,8 +121,8 @@
       sum += disk.votes_changed;
     return sum;
   }
-  std::size_t two_acted = 0;
-  std::size_t tokens_repeated = 0;
+  std::size_t two_holders = 0;
+  std::size_t repeated_tokens = 0;
   std::vector<std::string> lines;
 
  private:
@@ -146,7 +147,7 @@
     if (std::sscanf(line.c_str(), "owner of record token %llu", &token) != 1)
       return;
     if (token <= highest_token_)
-      ++tokens_repeated;
+      ++repeated_tokens;
     highest_token_ = std::max<std::uint64_t>(highest_token_, token);
   }
   void Deliver() {
@@ -165,12 +166,12 @@
       process.membership->Tick(now_);
     }
   }
-  void Look() {
+  void CheckHolders() {
     int acting = 0;
     for (auto& [id, process] : processes_)
       acting += process.node && ActsAt(*process.node);
     if (acting > 1)
-      ++two_acted;
+      ++two_holders;
   }
 
   std::map<owner::Id, Process> processes_;
@@ -179,16 +180,17 @@
   std::uint64_t highest_token_ = 0;
 };
 
-constexpr Ms kLeaseTime = 5000;   // above what a lease lasts by the leader's clock
+constexpr Ms kLeaseTime = 5000;   // longer than a lease lasts by the leader's clock
 constexpr Ms kFailingFor = 4000;  // a disk without space
 constexpr Ms kSettleTime = 60000;
 
-// How many calls member 1's disk sees while all is well: each of them is made to fail below.
-std::uint64_t CallsOfAQuietRun() {
+// The number of calls to member 1's disk in a run without failures: each of them is made to fail
+// below.
+std::uint64_t CallsWithoutFailures() {
   Cluster cluster;
   cluster.StartAll();
-  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-  REQUIRE(cluster.IsWhole());
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+  REQUIRE(cluster.IsComplete());
   cluster.Run(cluster.now() + 3000);
   return cluster.disks[1].calls;
 }
@@ -196,8 +198,9 @@
 }  // namespace
 
 TEST_CASE(
-    "a member whose disk fails at any call for a while takes part again once there is space") {
-  std::uint64_t calls = CallsOfAQuietRun();
+    "a member whose disk fails for a while from any call on participates again once there is "
+    "space") {
+  std::uint64_t calls = CallsWithoutFailures();
   REQUIRE(calls >= 8);
   std::size_t failures = 0;
   for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
@@ -216,18 +219,19 @@
       cluster.Run(cluster.now() + kSettleTime, [&] { return fails_until >= 0; });
       REQUIRE(fails_until >= 0);
       cluster.Run(fails_until);
-      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-      CHECK(cluster.IsWhole());
+      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+      CHECK(cluster.IsComplete());
       CHECK(cluster.VotesChanged() == 0);
-      CHECK(cluster.two_acted == 0);
-      CHECK(cluster.tokens_repeated == 0);
+      CHECK(cluster.two_holders == 0);
+      CHECK(cluster.repeated_tokens == 0);
       CHECK(cluster.disks[1].most_open == 1);
     }
   CHECK(failures >= 2 * calls);
 }
 
-TEST_CASE("a member killed within any call, whether the write landed or not, takes part again") {
-  std::uint64_t calls = CallsOfAQuietRun();
+TEST_CASE(
+    "a member killed within any call, whether the write was stored or not, participates again") {
+  std::uint64_t calls = CallsWithoutFailures();
   for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
     for (std::uint64_t call = 1; call <= calls; ++call) {
       CAPTURE(call);
@@ -243,18 +247,18 @@
       cluster.Stop(1);
       cluster.Run(cluster.now() + 300);
       cluster.Start(1);
-      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-      // A founder that is killed before its own disk has the founding can't show that it promised
-      // nothing: it is lost, and says so.
+      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+      // A founder that is killed before its own disk holds the founding cannot prove that it
+      // promised nothing: it is lost to the group, and reports so.
       Group* group = cluster.Node(1).group();
       bool is_lost = group && group->standing() == Group::Standing::kLost;
-      CHECK((cluster.IsWhole() || is_lost));
+      CHECK((cluster.IsComplete() || is_lost));
       if (is_lost)
         CHECK(cluster.disks[1].calls <= 4);
       CHECK(cluster.holder() != 0);
       CHECK(cluster.VotesChanged() == 0);
-      CHECK(cluster.two_acted == 0);
-      CHECK(cluster.tokens_repeated == 0);
+      CHECK(cluster.two_holders == 0);
+      CHECK(cluster.repeated_tokens == 0);
     }
 }
 
@@ -265,7 +269,7 @@
   std::set<owner::Id> founded;
   for (owner::Id id = 1; id <= kGroupSize; ++id)
     cluster.disks[id].fate = [&, id](std::uint64_t) {
-      // All that follows the founding fails until the kill.
+      // Every call after the founding fails until the kill.
       if (!cluster.disks[id].kept.load().founding.empty())
         founded.insert(id);
       return founded.count(id) != 0 ? Fate::kFailsBefore : Fate::kWorks;
@@ -279,18 +283,18 @@
     CHECK(cluster.disks[id].kept.load().entries.empty());
   }
   cluster.StartAll();
-  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-  CHECK(cluster.IsWhole());
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+  CHECK(cluster.IsComplete());
 }
 
 TEST_CASE(
-    "a lease holder that no majority can write for gives up in time, and the work is owned again "
-    "once there "
-    "is space") {
+    "a lease holder without a majority that can write gives up in time, and the lease is held "
+    "again "
+    "once there is space") {
   Cluster cluster;
   cluster.StartAll();
-  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-  REQUIRE(cluster.IsWhole());
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+  REQUIRE(cluster.IsComplete());
   owner::Id holder = cluster.holder();
   bool full = true;
   for (owner::Id id = 1; id <= kGroupSize; ++id)
@@ -303,18 +307,18 @@
   for (owner::Id id = 1; id <= kGroupSize; ++id)
     CHECK_FALSE(cluster.HasStore(id));
   full = false;
-  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-  CHECK(cluster.IsWhole());
-  CHECK(cluster.two_acted == 0);
-  CHECK(cluster.tokens_repeated == 0);
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+  CHECK(cluster.IsComplete());
+  CHECK(cluster.two_holders == 0);
+  CHECK(cluster.repeated_tokens == 0);
   CHECK(cluster.VotesChanged() == 0);
 }
 
-TEST_CASE("a store that comes back empty does not pass for the one that had promised") {
+TEST_CASE("a store that comes back empty is not taken for the one that had promised") {
   Cluster cluster;
   cluster.StartAll();
-  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-  REQUIRE(cluster.IsWhole());
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+  REQUIRE(cluster.IsComplete());
   bool failed = false;
   cluster.disks[1].fate = [&](std::uint64_t) {
     if (failed)
@@ -335,11 +339,11 @@
 
 namespace {
 
-// Three owner parts of a front on loopback, each with its folder.
+// The owner components of three fronts on loopback, each with its folder.
 struct Fronts {
   loop::Loop loop;
   std::string folder;
-  std::map<owner::Id, std::unique_ptr<front::Owner>> parts;
+  std::map<owner::Id, std::unique_ptr<front::OwnerComponent>> components;
   int port = 20000 + ::getpid() % 20000;
 
   Fronts() {
@@ -347,47 +351,47 @@
     REQUIRE(::mkdtemp(folder.data()) != nullptr);
   }
   ~Fronts() {
-    parts.clear();
+    components.clear();
     std::filesystem::remove_all(folder);
   }
   std::string Store(owner::Id id) const {
     return folder + "/" + std::to_string(id);
   }
-  loop::Address at(owner::Id id) const {
+  loop::Address AddressOf(owner::Id id) const {
     return *loop::ReadAddress("127.0.0." + std::to_string(40 + id) + ":" + std::to_string(port));
   }
   void Start(owner::Id id) {
-    front::OwnerTerms terms;
-    terms.on = true;
-    terms.self = id;
-    terms.listen = at(id);
-    terms.store = Store(id);
-    terms.group = {1, 2, 3};
+    front::OwnerSettings settings;
+    settings.enabled = true;
+    settings.self = id;
+    settings.listen = AddressOf(id);
+    settings.store = Store(id);
+    settings.group = {1, 2, 3};
     for (owner::Id other = 1; other <= kGroupSize; ++other)
-      terms.at[other] = at(other);
-    front::OwnerTerms::Work standing;
-    standing.name = kWork;
+      settings.addresses[other] = AddressOf(other);
+    front::OwnerSettings::LeasedTask standing;
+    standing.name = kTask;
     standing.standing = true;
-    terms.works = {standing};
-    terms.lease.lease = 900;
-    terms.lease.margin = 60;
-    terms.lease.renew_every = 200;
-    terms.raft.election = 200;
-    terms.raft.heartbeat = 50;
-    parts[id] = std::make_unique<front::Owner>(loop, terms, id);
+    settings.tasks = {standing};
+    settings.lease.lease = 900;
+    settings.lease.margin = 60;
+    settings.lease.renew_every = 200;
+    settings.raft.election = 200;
+    settings.raft.heartbeat = 50;
+    components[id] = std::make_unique<front::OwnerComponent>(loop, settings, id);
   }
   bool Until(const std::function<bool()>& holds) {
-    constexpr Ms kAtMost = 30000;
-    for (Ms end = loop.now() + kAtMost; loop.now() < end && !holds();)
+    constexpr Ms kTimeout = 30000;
+    for (Ms end = loop.now() + kTimeout; loop.now() < end && !holds();)
       loop.turn(20);
     return holds();
   }
   bool Shows(owner::Id id, const std::string& text) {
-    return parts[id]->view().find(text) != std::string::npos;
+    return components[id]->StatusJson().find(text) != std::string::npos;
   }
-  bool IsOwned() {
-    for (auto& [id, part] : parts)
-      if (part->Holds(kWork).second)
+  bool IsLeaseHeld() {
+    for (auto& [id, component] : components)
+      if (component->HeldLease(kTask).second)
         return true;
     return false;
   }
@@ -396,23 +400,24 @@
 }  // namespace
 
 TEST_CASE(
-    "a front whose owner's store can't be opened starts without it, says so, and uses it once it "
+    "a front whose owner store cannot be opened starts without it, reports so, and uses it once it "
     "can") {
   Fronts fronts;
   for (owner::Id id = 1; id <= kGroupSize; ++id)
     fronts.Start(id);
-  REQUIRE(fronts.Until([&] { return fronts.IsOwned(); }));
-  fronts.parts.erase(1);
-  std::string ejected = fronts.folder + "/aside";
-  std::filesystem::rename(fronts.Store(1), ejected);
+  REQUIRE(fronts.Until([&] { return fronts.IsLeaseHeld(); }));
+  fronts.components.erase(1);
+  std::string moved_store = fronts.folder + "/aside";
+  std::filesystem::rename(fronts.Store(1), moved_store);
   std::ofstream(fronts.Store(1)) << "not a folder";
   fronts.Start(1);
   CHECK(fronts.Shows(1, "\"group\":\"none\",\"store\":\"not used\""));
-  CHECK(fronts.Until([&] { return fronts.parts[1]->group().leader_known && fronts.IsOwned(); }));
-  CHECK_FALSE(fronts.parts[1]->group().lost);
-  CHECK_FALSE(fronts.parts[1]->group().in_group);
+  CHECK(fronts.Until(
+      [&] { return fronts.components[1]->group_state().leader_known && fronts.IsLeaseHeld(); }));
+  CHECK_FALSE(fronts.components[1]->group_state().lost);
+  CHECK_FALSE(fronts.components[1]->group_state().in_group);
   std::filesystem::remove(fronts.Store(1));
-  std::filesystem::rename(ejected, fronts.Store(1));
+  std::filesystem::rename(moved_store, fronts.Store(1));
   CHECK(fronts.Until([&] { return fronts.Shows(1, "\"group\":\"member\""); }));
   CHECK_FALSE(fronts.Shows(1, "\"store\":\"not used\""));
 }
--- a/tests/peers_front_test.cpp
+++ b/tests/peers_front_test.cpp
@@ -1,6 +1,7 @@
-// The peers' socket of a front on loopback, and what of its block is refused: two sockets in one
-// process with parts that note what they hear; a 300 KB message, view requests, strangers, junk, a
-// place's word; and each fault of a configuration by field and reason.
+// The peers' socket of a front on loopback, and the validation of its configuration block: two
+// sockets in one process with components that record what they receive; a 300 KB message, status
+// requests, unknown senders, malformed datagrams, an executor's report; and each configuration
+// error by field and reason.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -17,108 +18,111 @@
 
 namespace {
 
-struct Notes final : front::Part {
-  peers::Channel on;
-  std::vector<std::pair<peers::Id, std::string>> came;
-  std::vector<std::string> raws;
-  int woken = 0;
-  explicit Notes(peers::Channel c) : on(c) {}
+struct RecordingComponent final : front::FleetComponent {
+  peers::Channel its_channel;
+  std::vector<std::pair<peers::Id, std::string>> messages;
+  std::vector<std::string> raw_datagrams;
+  int timers = 0;
+  explicit RecordingComponent(peers::Channel c) : its_channel(c) {}
   peers::Channel channel() const override {
-    return on;
+    return its_channel;
   }
-  void Heard(peers::Id from, std::span<const char> m) override {
-    came.emplace_back(from, std::string(m.data(), m.size()));
+  void HandleMessage(peers::Id from, std::span<const char> message) override {
+    messages.emplace_back(from, std::string(message.data(), message.size()));
   }
-  void Raw(std::span<const char> d) override {
-    raws.emplace_back(d.data(), d.size());
+  void HandleRawDatagram(std::span<const char> datagram) override {
+    raw_datagrams.emplace_back(datagram.data(), datagram.size());
   }
-  void Wake() override {
-    ++woken;
+  void HandleTimer() override {
+    ++timers;
   }
-  front::Ms WakeAt() const override {
+  front::Ms NextTimerAt() const override {
     return 1e300;
   }
-  std::string view() const override {
-    return std::string("{\"part\":\"") + peers::ToString(on) + "\"}";
+  std::string StatusJson() const override {
+    return std::string("{\"part\":\"") + peers::ToString(its_channel) + "\"}";
   }
 };
 
-loop::Address At(int last, int port) {
-  return *loop::ReadAddress("127.0.0." + std::to_string(last) + ":" + std::to_string(port));
+loop::Address LoopbackAddress(int last_byte, int port) {
+  return *loop::ReadAddress("127.0.0." + std::to_string(last_byte) + ":" + std::to_string(port));
 }
 
-std::string Refusal(const std::string& blocks) {
+// Why the example configuration with `blocks` is rejected, or "".
+std::string ErrorOf(const std::string& blocks) {
   std::ifstream file(EXAMPLE);
   std::stringstream text;
   text << file.rdbuf();
-  std::string all = text.str();
-  all.insert(all.find('{') + 1, blocks + ",");
+  std::string configuration = text.str();
+  configuration.insert(configuration.find('{') + 1, blocks + ",");
   try {
-    front::ReadConfigurationText(all, "test", "");
-  } catch (const std::exception& fault) {
-    return fault.what();
+    front::ParseConfiguration(configuration, "test", "");
+  } catch (const std::exception& error) {
+    return error.what();
   }
   return "";
 }
 
-const std::string kGood =
+const std::string kPeersBlock =
     R"("peers": {"self": 2, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "127.0.0.100:7401"}, {"id": 2, "at": "127.0.0.10:7400"}]})";
-std::string FleetOf(const std::string& self, const std::string& listen,
-                    const std::string& members) {
-  return kGood + R"(, "fleet": {"self": )" + self + listen +
+std::string WithFleet(const std::string& self, const std::string& listen,
+                      const std::string& members) {
+  return kPeersBlock + R"(, "fleet": {"self": )" + self + listen +
          R"(, "zones": [{"name": "a", "region": "n"}], "members": [)" + members + "]}";
 }
-std::string OwnerOf(const std::string& members, const std::string& places) {
-  return kGood + R"(, "owner": {"self": 2, "members": [)" + members + R"(], "places": [)" + places +
-         R"(], "group": [1, 2, 3], "works": []})";
+std::string WithOwner(const std::string& members, const std::string& executors) {
+  return kPeersBlock + R"(, "owner": {"self": 2, "members": [)" + members + R"(], "places": [)" +
+         executors + R"(], "group": [1, 2, 3], "works": []})";
 }
 
 }  // namespace
 
-TEST_CASE("a large message, views, strangers and junk on loopback") {
+TEST_CASE("a large message, status requests, unknown senders and malformed datagrams on loopback") {
   loop::Loop loop;
   int port = 20000 + ::getpid() % 20000;
-  front::PeersTerms one, two;
-  one.on = two.on = true;
-  one.self = 1;
-  two.self = 2;
-  one.listen = At(31, port);
-  two.listen = At(32, port);
-  one.at = two.at = {{1, one.listen}, {2, two.listen}};
-  front::Peers a(loop, one), b(loop, two);
-  Notes record(peers::Channel::kRecord), owner(peers::Channel::kOwner),
+  front::PeersSettings first, second;
+  first.enabled = second.enabled = true;
+  first.self = 1;
+  second.self = 2;
+  first.listen = LoopbackAddress(31, port);
+  second.listen = LoopbackAddress(32, port);
+  first.addresses = second.addresses = {{1, first.listen}, {2, second.listen}};
+  front::PeerSocket a(loop, first), b(loop, second);
+  RecordingComponent record(peers::Channel::kRecord), owner(peers::Channel::kOwner),
       members(peers::Channel::kMembers);
-  b.Carry(record);
-  b.Carry(owner);
-  b.Carry(members);
-  std::string bulk;
+  b.Register(record);
+  b.Register(owner);
+  b.Register(members);
+  std::string large;
   for (std::uint32_t i = 0; i < 300000; ++i)
-    bulk += static_cast<char>(i * i >> 7);
-  a.Send(peers::Channel::kRecord, 2, bulk);
+    large += static_cast<char>(i * i >> 7);
+  a.Send(peers::Channel::kRecord, 2, large);
   a.Send(peers::Channel::kMembers, 2, "probe");
   a.Send(peers::Channel::kMembers, 9, "to nobody");
-  loop::Descriptor other(loop.environment(), loop.environment().OpenDatagrams(At(33, port)));
-  auto say = [&](const std::string& d) {
-    loop.environment().SendTo(other.Get(), d, two.listen);
+  loop::Descriptor other(loop.environment(),
+                         loop.environment().OpenDatagrams(LoopbackAddress(33, port)));
+  auto send = [&](const std::string& datagram) {
+    loop.environment().SendTo(other.Get(), datagram, second.listen);
   };
-  say(peers::Encode(peers::Channel::kMembers, 7, peers::Kind::kWhole, std::string("a stranger")));
-  say(peers::Encode(peers::Channel::kMembers, 2, peers::Kind::kWhole, std::string("oneself")));
-  say("DO\x01 what a place did");
-  say("junk");
-  say("");
-  say("DP");
-  say(std::string(3000, 'D'));
-  for (const char* q : {"DW?", "DO?", "DP?"})
-    say(q);
-  for (double end = loop.now() + 20000; loop.now() < end && record.came.empty();)
+  send(peers::Encode(peers::Channel::kMembers, 7, peers::Kind::kWhole,
+                     std::string("an unknown sender")));
+  send(peers::Encode(peers::Channel::kMembers, 2, peers::Kind::kWhole, std::string("oneself")));
+  send("DO\x01 an executor's report");
+  send("junk");
+  send("");
+  send("DP");
+  send(std::string(3000, 'D'));
+  for (const char* request : {"DW?", "DO?", "DP?"})
+    send(request);
+  for (double end = loop.now() + 20000; loop.now() < end && record.messages.empty();)
     loop.turn(20);
-  REQUIRE(record.came.size() == 1);
-  CHECK(record.came[0].first == 1);
-  CHECK(record.came[0].second == bulk);
-  REQUIRE(members.came.size() == 1);
-  CHECK(members.came[0] == std::pair<peers::Id, std::string>(1, "probe"));
-  CHECK(owner.raws.size() == 1);
-  CHECK(owner.came.empty());
+  REQUIRE(record.messages.size() == 1);
+  CHECK(record.messages[0].first == 1);
+  CHECK(record.messages[0].second == large);
+  REQUIRE(members.messages.size() == 1);
+  CHECK(members.messages[0] == std::pair<peers::Id, std::string>(1, "probe"));
+  CHECK(owner.raw_datagrams.size() == 1);
+  CHECK(owner.messages.empty());
   std::vector<std::string> answers;
   char buffer[4096];
   loop::Address from{};
@@ -129,67 +133,66 @@
   CHECK(answers[1] == "{\"part\":\"owner\"}");
   auto v = json::Read(answers[2]);
   REQUIRE(v);
-  auto now = json::Read(b.view());
-  REQUIRE(now);
-  CHECK(now->number("strangers") == 2.0);
-  CHECK(now->number("junk") == 4.0);
-  CHECK(json::Read(a.view())->number("unsent") == 1.0);
+  auto status = json::Read(b.StatusJson());
+  REQUIRE(status);
+  CHECK(status->number("strangers") == 2.0);
+  CHECK(status->number("junk") == 4.0);
+  CHECK(json::Read(a.StatusJson())->number("unsent") == 1.0);
 }
 
-TEST_CASE("a peers block is refused whole, with field and reason") {
-  CHECK(Refusal(kGood) == "");
-  CHECK(Refusal(R"("peers": 7)") == "peers: an object wanted");
-  CHECK(Refusal(R"("peers": ["10.3.0.1:7946"])") ==
-        "");  // the platform's own word for the addresses, no block of ours
-  CHECK(Refusal(R"("peers": {})") == "peers.self: a whole number from 1 to 1000000000 wanted");
-  CHECK(Refusal(R"("peers": {"self": 0})") ==
-        "peers.self: a whole number from 1 to 1000000000 wanted");
-  CHECK(Refusal(R"("peers": {"self": 1})") ==
-        "peers.listen: an address such as 127.0.0.10:7400 wanted");
-  CHECK(Refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": []})") ==
-        "peers.members: 1 to 128 wanted, each with id and at");
+TEST_CASE("an invalid peers block is rejected with the field and the reason") {
+  CHECK(ErrorOf(kPeersBlock) == "");
+  CHECK(ErrorOf(R"("peers": 7)") == "peers: must be an object");
+  CHECK(ErrorOf(R"("peers": ["10.3.0.1:7946"])") ==
+        "");  // the platform's own field with the fronts' addresses, not the block
+  CHECK(ErrorOf(R"("peers": {})") == "peers.self: must be an integer in [1, 1000000000]");
+  CHECK(ErrorOf(R"("peers": {"self": 0})") == "peers.self: must be an integer in [1, 1000000000]");
+  CHECK(ErrorOf(R"("peers": {"self": 1})") ==
+        "peers.listen: must be an address such as 127.0.0.10:7400");
+  CHECK(ErrorOf(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": []})") ==
+        "peers.members: must list 1 to 128 objects, each with id and at");
   CHECK(
-      Refusal(
+      ErrorOf(
           R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 2, "at": "127.0.0.1:1"}]})") ==
-      "peers.self: not among members");
+      "peers.self: is not in members");
   CHECK(
-      Refusal(
+      ErrorOf(
           R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "x"}]})") ==
-      "peers.members[0].at: an address such as 127.0.0.10:7400 wanted");
+      "peers.members[0].at: must be an address such as 127.0.0.10:7400");
   CHECK(
-      Refusal(
+      ErrorOf(
           R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [{"id": 1, "at": "127.0.0.1:1"}, {"id": 1, "at": "127.0.0.1:2"}]})") ==
-      "peers.members[1].id: given twice");
-  CHECK(Refusal(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [3]})") ==
-        "peers.members[0]: an object with id and at wanted");
+      "peers.members[1].id: duplicate id");
+  CHECK(ErrorOf(R"("peers": {"self": 1, "listen": "127.0.0.10:7400", "members": [3]})") ==
+        "peers.members[0]: must be an object with id and at");
 }
 
 TEST_CASE(
-    "the fleet and the owner over peers go by its ids; with a listen of their own they go as "
-    "before") {
-  CHECK(Refusal(FleetOf("2", "", R"({"id": 1, "zone": "a"}, {"id": 2, "zone": "a"})")) == "");
-  CHECK(Refusal(FleetOf("1", "", R"({"id": 1, "zone": "a"})")) ==
-        "fleet.self: another than peers.self, over whose socket the fleet runs");
-  CHECK(Refusal(FleetOf("2", "", R"({"id": 3, "zone": "a"}, {"id": 2, "zone": "a"})")) ==
-        "fleet.members[0].id: not among peers.members, over whose socket the fleet runs");
-  CHECK(Refusal(FleetOf("2", "", R"({"id": 2, "at": "127.0.0.1:1", "zone": "a"})")) ==
-        "fleet.members[0].at: goes with a listen of the fleet's own; peers.members says where each "
-        "is");
-  CHECK(Refusal(FleetOf("0", R"(, "listen": "127.0.0.10:7500")",
-                        R"({"id": 0, "at": "127.0.0.1:1", "zone": "a"})")) == "");
+    "the fleet and owner blocks use the peers' ids; with a listen of their own they use their own "
+    "addresses") {
+  CHECK(ErrorOf(WithFleet("2", "", R"({"id": 1, "zone": "a"}, {"id": 2, "zone": "a"})")) == "");
+  CHECK(ErrorOf(WithFleet("1", "", R"({"id": 1, "zone": "a"})")) ==
+        "fleet.self: must equal peers.self, whose socket the fleet uses");
+  CHECK(ErrorOf(WithFleet("2", "", R"({"id": 3, "zone": "a"}, {"id": 2, "zone": "a"})")) ==
+        "fleet.members[0].id: is not in peers.members, whose socket the fleet uses");
+  CHECK(ErrorOf(WithFleet("2", "", R"({"id": 2, "at": "127.0.0.1:1", "zone": "a"})")) ==
+        "fleet.members[0].at: is allowed only with fleet.listen; addresses come from "
+        "peers.members");
+  CHECK(ErrorOf(WithFleet("0", R"(, "listen": "127.0.0.10:7500")",
+                          R"({"id": 0, "at": "127.0.0.1:1", "zone": "a"})")) == "");
   CHECK(
-      Refusal(
+      ErrorOf(
           R"("fleet": {"self": 0, "zones": [{"name": "a", "region": "n"}], "members": [{"id": 0, "at": "127.0.0.1:1", "zone": "a"}]})") ==
-      "fleet.listen: an address such as 127.0.0.10:7400 wanted");
-  CHECK(Refusal(OwnerOf(R"({"id": 1}, {"id": 2}, {"id": 3})",
-                        R"({"id": 1000, "at": "127.0.0.1:1"})")) ==
-        "owner.members[2].id: not among peers.members, over whose socket the owner runs");
-  CHECK(Refusal(OwnerOf(R"({"id": 1, "at": "127.0.0.1:1"}, {"id": 2})",
-                        R"({"id": 1000, "at": "127.0.0.1:1"})")) ==
-        "owner.members[0].at: goes with a listen of the owner's own; peers.members says where each "
-        "is");
-  CHECK(Refusal(OwnerOf(R"({"id": 1}, {"id": 2})", R"({"id": 2, "at": "127.0.0.1:1"})")) ==
-        "owner.places[0].id: given twice");
-  CHECK(Refusal(OwnerOf(R"({"id": 2})", R"({"id": 1, "at": "127.0.0.1:1"})")) ==
-        "owner.places[0].id: is a peer's");
+      "fleet.listen: must be an address such as 127.0.0.10:7400");
+  CHECK(ErrorOf(WithOwner(R"({"id": 1}, {"id": 2}, {"id": 3})",
+                          R"({"id": 1000, "at": "127.0.0.1:1"})")) ==
+        "owner.members[2].id: is not in peers.members, whose socket the owner uses");
+  CHECK(ErrorOf(WithOwner(R"({"id": 1, "at": "127.0.0.1:1"}, {"id": 2})",
+                          R"({"id": 1000, "at": "127.0.0.1:1"})")) ==
+        "owner.members[0].at: is allowed only with owner.listen; addresses come from "
+        "peers.members");
+  CHECK(ErrorOf(WithOwner(R"({"id": 1}, {"id": 2})", R"({"id": 2, "at": "127.0.0.1:1"})")) ==
+        "owner.places[0].id: duplicate id");
+  CHECK(ErrorOf(WithOwner(R"({"id": 2})", R"({"id": 1, "at": "127.0.0.1:1"})")) ==
+        "owner.places[0].id: is the id of a peer");
 }
--- a/tests/support/simulated_front.hpp
+++ b/tests/support/simulated_front.hpp
@@ -1,5 +1,5 @@
 /// A whole front on the simulated network, in virtual time, between fake servers and clients that
-/// note when each answer came. For tests of what the front promises on the wire.
+/// record when each response arrived. For tests of the front's guarantees on the wire.
 #pragma once
 #include <doctest/doctest.h>
 
@@ -23,13 +23,13 @@
 constexpr std::uint32_t kDiscoveryHost = 0x0a000004;
 constexpr std::uint16_t kFirstServerPort = 7001;
 constexpr int kServers = 3;
-constexpr Ms kTooLate = 500;  ///< after its deadline an answer counts as lost
+constexpr Ms kTooLate = 500;  ///< a response this long after its deadline counts as lost
 constexpr Ms kLongestDeadline = 3000;
-constexpr Ms kKillAfter = kLongestDeadline + 700;  ///< after the word to stop
+constexpr Ms kKillAfter = kLongestDeadline + 700;  ///< after the signal to stop
 
 enum class ServerMode {
   kAnswer,
-  kAnswerFirst,  ///< the first attempt after `FakeServers::kFirstAnswerAfter`, all others never
+  kAnswerFirst,  ///< answers the first attempt after `FakeServers::kFirstAnswerAfter`, no other
   kHang,
   kRefuse,
   kReset
@@ -43,10 +43,10 @@
 struct ReceivedAttempt {
   std::string id;
   Ms received_at = 0;
-  Ms deadline = 0;  ///< as passed on in `max`
+  Ms deadline = 0;  ///< as the front sent it in `max`
 };
 
-/// Servers, each on a port of its own, that all do the same.
+/// Servers, each on its own port, that all behave the same.
 class FakeServers {
  public:
   static constexpr Ms kFirstAnswerAfter = 1000;
@@ -77,10 +77,10 @@
 
  private:
   struct Peer final : loop::Connection::Owner {
-    FakeServers& all;
+    FakeServers& servers;
     loop::Connection connection;
-    Peer(FakeServers& servers, loop::Descriptor fd)
-        : all(servers), connection(servers.process_.loop(), *this, std::move(fd)) {}
+    Peer(FakeServers& owner, loop::Descriptor fd)
+        : servers(owner), connection(owner.process_.loop(), *this, std::move(fd)) {}
     void Came() override {
       std::string_view bytes = connection.in.bytes();
       std::size_t end = bytes.find("\r\n");
@@ -97,18 +97,18 @@
         return;
       line.remove_prefix(kRequest.size());
       const std::string id(line.substr(0, line.find(' ')));
-      loop::Loop& loop = all.process_.loop();
-      all.attempts_.push_back({id, loop.now(), DeadlineIn(line)});
+      loop::Loop& loop = servers.process_.loop();
+      servers.attempts_.push_back({id, loop.now(), DeadlineIn(line)});
       const std::string answer = id + " HIT entity=t,issued=1,remark=local 2\r\nok\r\n";
-      if (all.mode_ == ServerMode::kAnswer)
+      if (servers.mode_ == ServerMode::kAnswer)
         connection.Send(answer);
-      if (all.mode_ == ServerMode::kAnswerFirst && all.attempts_.size() == 1)
+      if (servers.mode_ == ServerMode::kAnswerFirst && servers.attempts_.size() == 1)
         AnswerLater(answer, kFirstAnswerAfter);
-      if (all.mode_ == ServerMode::kReset)
+      if (servers.mode_ == ServerMode::kReset)
         connection.EndAs(loop::DisconnectReason::kLetGo);
     }
     void AnswerLater(const std::string& answer, Ms after) {
-      loop::Loop& loop = all.process_.loop();
+      loop::Loop& loop = servers.process_.loop();
       answer_timers.push_back(
           loop.at(loop.now() + after, [this, answer] { connection.Send(answer); }));
     }
@@ -118,7 +118,7 @@
     }
     void Ended(loop::DisconnectReason) override {
       for (std::uint64_t timer : answer_timers)
-        all.process_.loop().Cancel(timer);
+        servers.process_.loop().Cancel(timer);
       connection.Close();
     }
     std::vector<std::uint64_t> answer_timers;
@@ -130,13 +130,13 @@
   std::vector<std::unique_ptr<Peer>> peers_;
 };
 
-/// One client connection, which never closes of itself unless told to.
+/// One client connection, which stays open until the test closes it.
 struct Client final : loop::Connection::Owner {
   std::string received;
   Ms sent_at = 0;
   Ms deadline = 0;  ///< from `sent_at`
   Ms answered_at = 0;
-  std::vector<Ms> answers_at;  ///< when each answer's head came
+  std::vector<Ms> answers_at;  ///< when the head of each response arrived
   bool ended_by_front = false;
   stage::Process* process = nullptr;
   std::unique_ptr<loop::Connection> connection;
@@ -149,8 +149,8 @@
     if (answered_at == 0 && !answers_at.empty())
       answered_at = answers_at.front();
   }
-  /// A request's time counts from when its last byte is written to a connection that was accepted
-  /// by the machine. A dial that finds the listener's queue full is repeated a second later.
+  /// A request's time counts from when its last byte is written to an accepted connection. A
+  /// connect that finds the listener's queue full is repeated a second later.
   void Drained() override {
     if (answers_at.empty())
       sent_at = std::max(sent_at, process->loop().now());
@@ -167,7 +167,7 @@
   }
 };
 
-inline std::string Configuration(std::size_t sockets) {
+inline std::string ConfigurationText(std::size_t sockets) {
   std::string servers;
   for (int i = 0; i < kServers; ++i) {
     servers += std::string(i > 0 ? "," : "") + R"({"id":"s-)" + std::to_string(i) +
@@ -204,7 +204,7 @@
     }
     front_process.Act([&] {
       front = std::make_unique<front::Front>(
-          front_process.loop(), front::ReadConfigurationText(Configuration(sockets), "test", ""));
+          front_process.loop(), front::ParseConfiguration(ConfigurationText(sockets), "test", ""));
     });
   }
   ~Deployment() {
@@ -234,7 +234,7 @@
   void Close(Client& client) {
     clients_.Act([&] { client.connection->Close(); });
   }
-  /// `headers`: further ones, each with its line end.
+  /// `headers`: additional headers, each with its line end.
   std::string NextRequest(Ms deadline, const std::string& headers = "") {
     char id[17];
     std::snprintf(id, sizeof id, "%016x", ++requests_);
@@ -252,7 +252,7 @@
   Client& Request(Ms deadline, const std::string& headers = "") {
     return Request(Connect(), deadline, headers);
   }
-  /// One answer each, no later than its deadline and what an answer may be late.
+  /// Each request has one response, at most `kTooLate` after its deadline.
   void CheckAnswers(std::size_t expected) const {
     std::size_t requests = 0;
     for (const auto& client : all) {
