--- a/src/failover/verdict.cpp
+++ b/src/failover/verdict.cpp
@@ -26,7 +26,7 @@
   if (zone_region_.empty() || zone_region_.size() > kMostZones)
     throw std::invalid_argument("1 to 16 zones");
   if (!fronts_.count(self_))
-    throw std::invalid_argument("this front is not among the fleet's");
+    throw std::invalid_argument("this front is not a member of the fleet");
   for (const auto& [id, p] : fronts_)
     if (p.zone < 0 || static_cast<std::size_t>(p.zone) >= zone_region_.size())
       throw std::invalid_argument("a front stands in a zone that is not configured");
--- a/src/rig/place.cpp
+++ b/src/rig/place.cpp
@@ -59,7 +59,7 @@
   owner::Id id = 0;
   std::vector<std::string> fronts;
   app.add_option("--listen", listen, "its UDP socket")->required();
-  app.add_option("--id", id, "its id among the owner block's places")->required();
+  app.add_option("--id", id, "the executor's id, one of the owner block's places")->required();
   app.add_option("--front", fronts, "ID=ADDRESS of a front; again for each")->required();
   CLI11_PARSE(app, argc, argv);
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
--- a/src/rig/recordsim.cpp
+++ b/src/rig/recordsim.cpp
@@ -317,8 +317,8 @@
     }
     // That a subscriber left behind starts over hides this from what it holds in the end.
     if (append && append->plan.up_to != 0 && append->plan.forget > passed_[append->plan.token])
-      judge_.Find("a plan forgets up to " + std::to_string(append->plan.forget) +
-                  ", and what lives was told to have passed " +
+      judge_.Find("a cleaning plan drops tombstones up to " + std::to_string(append->plan.forget) +
+                  ", beyond the lowest reported position of live subscribers, " +
                   std::to_string(passed_[append->plan.token]));
     std::uint64_t calls = f.disk->Calls();
     if (append && append->life == f.life) {
--- a/src/rig/script.cpp
+++ b/src/rig/script.cpp
@@ -165,7 +165,7 @@
       f.owner.works.push_back(one);
     }
     if (f.owner.group > f.fronts)
-      settings.Refuse("/owner/group", "is more than the fronts");
+      settings.Refuse("/owner/group", "is greater than the number of fronts");
   }
   if (f.layer) {
     if (!f.owner.on) {
@@ -174,15 +174,16 @@
     }
     f.peers = true;
     if (f.owner.group > f.fronts)
-      settings.Refuse("/layer", "wants three fronts at least: they keep the record");
+      settings.Refuse("/layer",
+                      "requires at least three fronts, which hold the record's log replicas");
   }
   if (!(f.swim.probe_timeout < f.swim.period))
     settings.Refuse("/probe_timeout_ms", "must be shorter than period_ms");
   if (f.verdict.quorum > f.fronts)
-    settings.Refuse("/quorum", "is more than the fronts");
+    settings.Refuse("/quorum", "is greater than the number of fronts");
   if (f.verdict.quorum > 0 && 2 * f.verdict.quorum <= f.fronts)
-    settings.Refuse("/quorum",
-                    "is half the fronts or fewer: both sides of a partition would decide");
+    settings.Refuse(
+        "/quorum", "must be more than half the fronts: otherwise both sides of a partition decide");
   if (f.caches_per_zone * static_cast<int>(f.zones.size()) > 62)
     settings.Refuse("/caches_per_zone", "62 caches in all at most");
   if (f.port > 64000)
