--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -17,542 +17,564 @@
 namespace {
 
 constexpr Ms kSecond = 1000;
-// For a request to come whole: a client is owed an end within 3 s, looked at four times a second.
-// Harm: one on so slow a way that a request takes as long. Those that close as well are sent again,
-// on a new connection.
-constexpr Ms kSlowestRequest = 2.5 * kSecond;
-// Bytes of a connection's input buffer: as much as the connection itself holds.
-constexpr std::size_t kMostHeld = 1 << 16;
-
-std::vector<Field> FieldsOf(const std::string& tag, bool bytes) {
-  std::vector<Field> fields;
-  if (bytes)
+// Time for a request to arrive completely: a client must see an end within 3 s, and timeouts are
+// checked four times a second. Cost: a client on so slow a link that a request takes as long is
+// rejected. Requests whose connection closes before are sent again, on a new connection.
+constexpr Ms kMaxRequestReadTime = 2.5 * kSecond;
+// Maximum bytes in a connection's input buffer: as much as the connection itself buffers.
+constexpr std::size_t kMaxInputBytes = 1 << 16;
+
+std::vector<HeaderField> ResponseHeaders(const std::string& entity_tag, bool has_body) {
+  std::vector<HeaderField> fields;
+  if (has_body)
     fields.push_back({"Content-Type", "application/octet-stream"});
-  if (!tag.empty())
-    fields.push_back({"ETag", '"' + tag + '"'});
+  if (!entity_tag.empty())
+    fields.push_back({"ETag", '"' + entity_tag + '"'});
   return fields;
 }
 
 }  // namespace
 
-class Clients::Client final : public loop::Connection::Owner, exchange::ResponseSink {
+class HttpServer::ClientConnection final : public loop::Connection::Owner, exchange::ResponseSink {
  public:
-  Client(Clients& all, std::uint64_t number, loop::Descriptor fd)
-      : all_(all),
+  ClientConnection(HttpServer& server, std::uint64_t number, loop::Descriptor fd)
+      : server_(server),
         number_(number),
         descriptor_(fd.Get()),
-        connection_(all.loop_, *this, std::move(fd)),
-        since_(all.loop_.now()) {}
+        connection_(server.loop_, *this, std::move(fd)),
+        last_activity_at_(server.loop_.now()) {}
 
-  Ms Since() const {
-    return since_;
+  Ms LastActivityAt() const {
+    return last_activity_at_;
   }
 
-  /// The one way in which the front ends this connection. False: it may not, by MayClose(), and
-  /// stays.
+  /// The only way in which the front closes this connection. False: MayClose() forbids it, and the
+  /// connection stays open.
   bool Close(CloseReason reason) {
-    if (!MayClose(reason, State()))
+    if (!MayClose(reason, GetState()))
       return false;
     const bool closes_idle = reason == CloseReason::kIdleTimeout ||
-                             reason == CloseReason::kMakeRoom ||
-                             reason == CloseReason::kServerStops;
+                             reason == CloseReason::kSlotNeeded || reason == CloseReason::kShutdown;
     if (closes_idle) {
-      // The poll of this turn may be older than a request: only what crosses the close itself stays
-      // unanswered.
-      ReadArrived();
-      if (!MayClose(reason, State()))
+      // A request may have arrived after the poll of this iteration: only one that crosses the
+      // close itself stays unanswered.
+      ReceiveAvailable();
+      if (!MayClose(reason, GetState()))
         return false;
     }
-    // Where nothing was answered no answer can be lost to a reset, and a request that crosses the
+    // Where nothing was answered no response can be lost to a reset, and a request that crosses the
     // close stays unread.
-    if ((closes_idle && served_) || reason == CloseReason::kLastAnswerSent)
+    if ((closes_idle && has_served_) || reason == CloseReason::kFinalResponseSent)
       HalfClose();
     else
-      Drop();
+      CloseNow();
     return true;
   }
 
-  /// Gives its place to others where a part of a request has waited for the rest. False: it stays.
-  bool GiveWay() {
-    return MayRefuseForRoom(State()) && RefuseHalfRequest(503);
+  /// Rejects a partial request that has waited for its remainder, to free a connection slot. False:
+  /// the connection stays open.
+  bool RejectPartialToFreeSlot() {
+    return MayRejectPartialRequest(GetState()) && RejectPartialRequest(503);
   }
 
-  /// Ends it where it has been idle, half read, or not been taking its answer for too long.
-  void Sweep(Ms now) {
-    if (open_ || connection_.IsOver())
+  /// Closes the connection where it has been idle, has held a partial request, or has not read its
+  /// response for too long.
+  void CheckTimeouts(Ms now) {
+    if (request_open_ || connection_.IsOver())
       return;
     if (half_closed_) {
-      Close(CloseReason::kDrainOver);
+      Close(CloseReason::kLingerTimeout);
       return;
     }
-    if (Close(CloseReason::kAnswerNotTaken) || Close(CloseReason::kIdleTimeout))
+    if (Close(CloseReason::kWriteStalled) || Close(CloseReason::kIdleTimeout))
       return;
-    if (connection_.DrainedOut() && connection_.in.size() > 0 && now - since_ >= kSlowestRequest)
-      RefuseHalfRequest(408);
+    if (connection_.DrainedOut() && connection_.in.size() > 0 &&
+        now - last_activity_at_ >= kMaxRequestReadTime)
+      RejectPartialRequest(408);
   }
-  /// In a stop: what is open gets its answer first, half a request its refusal, which is harmless
-  /// to repeat.
-  void Leave() {
+  /// During shutdown: open requests get their response first; a partial request is rejected with
+  /// 503, so that it is safe to repeat.
+  void ContinueShutdown() {
     if (connection_.IsOver())
       return;
     if (half_closed_) {
-      Close(CloseReason::kDrainOverInStop);
+      Close(CloseReason::kLingerTimeoutInShutdown);
       return;
     }
-    ReadOn();
-    // Guards the exit against who takes nothing any more: it would wait longer than a stop may
-    // last.
-    if (Close(CloseReason::kAnswerNotTakenInStop))
+    ProcessInput();
+    // Bounds the shutdown where a client does not read its response: waiting for it would exceed
+    // the time limit of a shutdown.
+    if (Close(CloseReason::kWriteStalledInShutdown))
       return;
-    if (open_ || closing_ || !connection_.DrainedOut())
+    if (request_open_ || closing_ || !connection_.DrainedOut())
       return;
     if (connection_.in.size() == 0)
-      Close(CloseReason::kServerStops);
+      Close(CloseReason::kShutdown);
     else
-      RefuseHalfRequest(503);
+      RejectPartialRequest(503);
   }
 
   void Came() override {
-    NoteRead();
-    const bool is_held_back = open_ || !connection_.DrainedOut() || !waiting_.IsEmpty();
+    RecordArrival();
+    const bool is_held_back = request_open_ || !connection_.DrainedOut() || !pipelined_.IsEmpty();
     if (is_held_back && !closing_) {
-      NoteWaiting();
-      LimitOpenRequest();
+      RecordPipelinedRequests();
+      ShortenOpenRequestDeadline();
     }
-    ReadOn();
-    if (connection_.in.size() >= kMostHeld && !unread_since_)
-      unread_since_ = all_.loop_.now();
+    ProcessInput();
+    if (connection_.in.size() >= kMaxInputBytes && !input_blocked_since_)
+      input_blocked_since_ = server_.loop_.now();
   }
   void Drained() override {
-    since_ = all_.loop_.now();
+    last_activity_at_ = server_.loop_.now();
     if (closing_)
-      Close(CloseReason::kLastAnswerSent);
+      Close(CloseReason::kFinalResponseSent);
     else
-      ReadOn();
+      ProcessInput();
   }
   void Ended(DisconnectReason) override {
-    if (open_)
-      all_.exchange_.OnClientDisconnected(request_);
-    else if (!closing_ && !last_empty_)
-      NoteBad("it left within a request");
-    Close(CloseReason::kClientLeft);
+    if (request_open_)
+      server_.exchange_.OnClientDisconnected(request_id_);
+    else if (!closing_ && !at_request_boundary_)
+      LogBadRequest("disconnected in the middle of a request");
+    Close(CloseReason::kClientDisconnected);
   }
 
   bool HasClientDisconnected() override {
     if (connection_.IsOver())
       return true;
-    pollfd leaving{descriptor_, POLLRDHUP, 0};
-    return all_.loop_.environment().Wait({&leaving, 1}, 0) > 0;
+    pollfd hangup_poll{descriptor_, POLLRDHUP, 0};
+    return server_.loop_.environment().Wait({&hangup_poll, 1}, 0) > 0;
   }
 
-  // ---- answers
-  void OnResponse(const std::string& tag, std::string body) override {
-    answer(200, std::move(body), FieldsOf(tag, true));
+  // ---- responses
+  void OnResponse(const std::string& entity_tag, std::string body) override {
+    SendResponse(200, std::move(body), ResponseHeaders(entity_tag, true));
   }
-  void OnNotModified(const std::string& tag) override {
-    answer(304, {}, FieldsOf(tag, false));
+  void OnNotModified(const std::string& entity_tag) override {
+    SendResponse(304, {}, ResponseHeaders(entity_tag, false));
   }
   void OnRejected(Ms retry_after) override {
-    // Whole milliseconds, up: the client is to stay away for at least the time named.
-    std::vector<Field> fields;
+    // Rounded up to whole milliseconds: the client must stay away for at least this time.
+    std::vector<HeaderField> fields;
     if (retry_after > 0)
       fields.push_back({"Retry-After-Ms", std::to_string(std::lround(std::ceil(retry_after)))});
-    answer(503, {}, fields);
+    SendResponse(503, {}, fields);
   }
   void OnFailed() override {
-    answer(502, {}, {});
+    SendResponse(502, {}, {});
   }
-  void OnResponseStarted(const std::string& tag, std::size_t length) override {
-    answer_keeps_ = Stays();
-    connection_.Send(AnswerHead(200, length, answer_keeps_, FieldsOf(tag, true)));
+  void OnResponseStarted(const std::string& entity_tag, std::size_t length) override {
+    response_keeps_connection_ = KeepsConnection();
+    connection_.Send(FormatResponseHead(200, length, response_keeps_connection_,
+                                        ResponseHeaders(entity_tag, true)));
   }
-  void OnResponseData(std::string_view bytes) override {
-    connection_.Send(std::string(bytes));
+  void OnResponseData(std::string_view data) override {
+    connection_.Send(std::string(data));
   }
   void OnResponseComplete() override {
-    Done();
+    FinishResponse();
   }
-  // Fewer bytes than the head promised, then the end: the client can tell.
+  // Closes after fewer bytes than Content-Length announced, so that the client detects the
+  // truncation.
   void OnResponseAborted() override {
-    open_ = false;
+    request_open_ = false;
     connection_.BePatient(false);
     closing_ = true;
-    since_ = all_.loop_.now();
-    Close(CloseReason::kLastAnswerSent);
+    last_activity_at_ = server_.loop_.now();
+    Close(CloseReason::kFinalResponseSent);
   }
 
  private:
-  ConnectionState State() const {
-    const Ms now = all_.loop_.now();
-    return {.request_open = open_,
-            .bytes_unanswered = connection_.in.size() > 0,
+  ConnectionState GetState() const {
+    const Ms now = server_.loop_.now();
+    return {.request_open = request_open_,
+            .has_unprocessed_input = connection_.in.size() > 0,
             .output_pending = !connection_.DrainedOut(),
-            .last_answer_said = closing_,
+            .close_announced = closing_,
             .half_closed = half_closed_,
-            .served = served_,
-            .quiet_for = now - since_,
-            .overdue_for = now - wanted_until_};
+            .has_served = has_served_,
+            .since_last_activity = now - last_activity_at_,
+            .overdue_for = now - deadline_at_};
   }
-  /// Says no more, and reads on for a while. No request that is read from now on is sent on.
+  /// Shuts down the sending direction and keeps reading for a while. Requests read from now on are
+  /// not forwarded.
   void HalfClose() {
     closing_ = true;
-    DropInput();
+    DiscardInput();
     if (std::exchange(half_closed_, true))
       return;
-    since_ = all_.loop_.now();
+    last_activity_at_ = server_.loop_.now();
     connection_.SayNoMore();
-    all_.Lingers(number_);
+    server_.OnLingering(number_);
   }
-  /// Ends it at once.
-  void Drop() {
+  /// Closes the connection in both directions at once.
+  void CloseNow() {
     connection_.Close();
-    all_.Gone(number_);
+    server_.RemoveConnection(number_);
   }
-  void DropInput() {
+  void DiscardInput() {
     connection_.in.Release();
-    waiting_.Clear();
-  }
-  /// Notes when the bytes that were read just now came. They may have waited in the system: for
-  /// this connection to be accepted, for room in the buffer, for a process that stood still.
-  void NoteRead() {
-    const Ms now = all_.loop_.now();
-    last_arrival_ = now - all_.loop_.environment().SinceLastArrival(descriptor_);
-    // Of what came while nothing was read the system tells the last byte only: the earliest moment
-    // stands in for the others.
-    if (unread_since_)
-      last_arrival_ = std::min(last_arrival_, *unread_since_);
+    pipelined_.Clear();
+  }
+  /// Records when the bytes that were just read arrived. They may have waited in the kernel: for
+  /// this connection to be accepted, for space in the buffer, or while the process was suspended.
+  void RecordArrival() {
+    const Ms now = server_.loop_.now();
+    last_arrival_at_ = now - server_.loop_.environment().SinceLastArrival(descriptor_);
+    // If bytes arrived while nothing was read, the kernel reports the arrival of the last byte
+    // only; the earliest possible time is used for all of them.
+    if (input_blocked_since_)
+      last_arrival_at_ = std::min(last_arrival_at_, *input_blocked_since_);
     if (connection_.HasReadAll())
-      unread_since_.reset();
+      input_blocked_since_.reset();
   }
-  /// The whole requests in the buffer wait from now on.
-  void NoteWaiting() {
-    waiting_.Update(connection_.in.bytes().substr(current_size_), last_arrival_);
+  /// Records the complete requests in the buffer, which wait from now on.
+  void RecordPipelinedRequests() {
+    pipelined_.Update(connection_.in.bytes().substr(current_request_size_), last_arrival_at_);
   }
-  /// Answers go out in the order of the requests: an open one that lasts longer than the time of
-  /// one behind it would make that one's answer late, which counts as lost.
-  void LimitOpenRequest() {
-    const Ms earliest = waiting_.EarliestDeadline();
-    if (!open_ || earliest >= wanted_until_)
+  /// Responses are sent in the order of the requests. An open request that lasts beyond the
+  /// deadline of a pipelined one would make that one's response late, which counts as lost.
+  void ShortenOpenRequestDeadline() {
+    const Ms earliest = pipelined_.EarliestDeadline();
+    if (!request_open_ || earliest >= deadline_at_)
       return;
-    wanted_until_ = earliest;
-    all_.exchange_.ShortenDeadline(request_, earliest);
+    deadline_at_ = earliest;
+    server_.exchange_.ShortenDeadline(request_id_, earliest);
   }
-  /// Takes into the buffer what has arrived by now, and has it looked at after the next poll, which
-  /// shows a client that has left.
-  void ReadArrived() {
+  /// Reads what has arrived into the buffer, to be processed after the next poll, which shows
+  /// whether the client has disconnected.
+  void ReceiveAvailable() {
     constexpr std::size_t kChunk = 1 << 14;
     const std::size_t before = connection_.in.size();
-    while (connection_.in.size() < kMostHeld) {
-      std::span<char> room = connection_.in.room(kChunk);
-      ssize_t got = all_.loop_.environment().receive(descriptor_, room.first(kChunk));
-      if (got <= 0)
-        break;  // an end or a fault shows in the next poll as well
-      connection_.in.Wrote(static_cast<std::size_t>(got));
+    while (connection_.in.size() < kMaxInputBytes) {
+      std::span<char> space = connection_.in.room(kChunk);
+      ssize_t received = server_.loop_.environment().receive(descriptor_, space.first(kChunk));
+      if (received <= 0)
+        break;  // the next poll reports a close or an error as well
+      connection_.in.Wrote(static_cast<std::size_t>(received));
     }
     if (connection_.in.size() == before)
       return;
-    NoteRead();
-    NoteWaiting();
-    ReadOnAfterNextPoll();
-  }
-  void ReadOnAfterNextPoll() {
-    all_.AfterNextPoll([&all = all_, number = number_] {
-      auto found = all.open_.find(number);
-      if (found != all.open_.end())
-        found->second->ReadOn();
+    RecordArrival();
+    RecordPipelinedRequests();
+    ProcessInputAfterNextPoll();
+  }
+  void ProcessInputAfterNextPoll() {
+    server_.AfterNextPoll([&server = server_, number = number_] {
+      auto it = server.connections_.find(number);
+      if (it != server.connections_.end())
+        it->second->ProcessInput();
     });
   }
-  /// False: the rest of it has arrived by now, and it is served. A 503 is harmless to repeat, and
-  /// no fault of the client.
-  bool RefuseHalfRequest(int status) {
-    ReadArrived();
-    const Reading reading = ReadRequest(connection_.in.bytes(), exchange::kMaxRequestBodyBytes);
-    if (reading.whole)
+  /// False: the remainder has arrived by now, and the request is served. A 503 is safe to repeat,
+  /// and not logged as a client error.
+  bool RejectPartialRequest(int status) {
+    ReceiveAvailable();
+    const ParseResult parsed = ParseRequest(connection_.in.bytes(), exchange::kMaxRequestBodyBytes);
+    if (parsed.is_complete)
       return false;
     if (status == 503) {
       keep_alive_ = false;
-      DropInput();
-      answer(status, {}, {});
+      DiscardInput();
+      SendResponse(status, {}, {});
     } else {
-      Refuse(status);
+      RejectRequest(status);
     }
     return true;
   }
-  /// A whole request lies behind the one that is being answered: it is owed an answer too.
+  /// A complete request follows the one that is being answered: it must be answered too.
   bool HasNextRequest() {
-    ReadArrived();
-    return ReadRequest(connection_.in.bytes().substr(current_size_), exchange::kMaxRequestBodyBytes)
-        .whole;
+    ReceiveAvailable();
+    return ParseRequest(connection_.in.bytes().substr(current_request_size_),
+                        exchange::kMaxRequestBodyBytes)
+        .is_complete;
   }
-  /// The connection is kept after the answer to the present request.
-  bool Stays() {
-    return keep_alive_ && (!all_.leaving_ || HasNextRequest());
+  /// Whether the connection stays open after the response to the present request.
+  bool KeepsConnection() {
+    return keep_alive_ && (!server_.shutting_down_ || HasNextRequest());
   }
-  void Done() {
-    open_ = false;
+  void FinishResponse() {
+    request_open_ = false;
     connection_.BePatient(false);
-    since_ = all_.loop_.now();
-    if (!answer_keeps_)
+    last_activity_at_ = server_.loop_.now();
+    if (!response_keeps_connection_)
       closing_ = true;
-    if (!Close(CloseReason::kLastAnswerSent) && !closing_)
-      all_.Spare();
-    // What waits in the buffer is read not from within an answer, but after the next poll, which
-    // shows whether the client is still there: it was watched patiently. Harm without: a request is
-    // sent on for somebody seen to have left.
-    if (!closing_ && !reading_ && connection_.in.size() > 0)
-      ReadOnAfterNextPoll();
-  }
-  void answer(int status, std::string body, const std::vector<Field>& fields) {
-    answer_keeps_ = Stays();
-    connection_.Send(AnswerHead(status, body.size(), answer_keeps_, fields), !body.empty());
+    if (!Close(CloseReason::kFinalResponseSent) && !closing_)
+      server_.OnConnectionIdle();
+    // Buffered input is processed not from within a response, but after the next poll, which shows
+    // whether the client is still connected: while a request is open, its connection is polled only
+    // every few milliseconds. Otherwise a request would be forwarded for a client known to have
+    // disconnected.
+    if (!closing_ && !processing_input_ && connection_.in.size() > 0)
+      ProcessInputAfterNextPoll();
+  }
+  void SendResponse(int status, std::string body, const std::vector<HeaderField>& fields) {
+    response_keeps_connection_ = KeepsConnection();
+    connection_.Send(FormatResponseHead(status, body.size(), response_keeps_connection_, fields),
+                     !body.empty());
     if (!body.empty())
       connection_.Send(std::move(body));
-    Done();
+    FinishResponse();
   }
-  void NoteBad(const std::string& what) {
-    ++all_.exchange_.counters.bad_requests;
-    log::Say("client %llu: %s", static_cast<unsigned long long>(number_), what.c_str());
+  void LogBadRequest(const std::string& message) {
+    ++server_.exchange_.counters.bad_requests;
+    log::Say("client %llu: %s", static_cast<unsigned long long>(number_), message.c_str());
   }
-  void Refuse(int status) {
-    NoteBad("request refused with " + std::to_string(status));
-    // Where the request was read to its end, another one behind it is answered as well.
-    if (current_size_ == 0 || !keep_alive_ || !HasNextRequest()) {
+  void RejectRequest(int status) {
+    LogBadRequest("request rejected with status " + std::to_string(status));
+    // Where the request was parsed to its end, the next one in the buffer is answered as well.
+    if (current_request_size_ == 0 || !keep_alive_ || !HasNextRequest()) {
       keep_alive_ = false;
-      current_size_ = 0;
-      DropInput();
+      current_request_size_ = 0;
+      DiscardInput();
     }
-    answer(status, {},
-           status == 405 ? std::vector<Field>{{"Allow", "GET, PUT"}} : std::vector<Field>{});
+    SendResponse(status, {},
+                 status == 405 ? std::vector<HeaderField>{{"Allow", "GET, PUT"}}
+                               : std::vector<HeaderField>{});
   }
 
-  void ReadOn() {
-    if (reading_)
+  void ProcessInput() {
+    if (processing_input_)
       return;
-    reading_ = true;
-    // One request at a time, and none while the last answer is still going out: that bounds what is
-    // held.
-    while (!open_ && !closing_ && connection_.DrainedOut() && connection_.in.size() > 0 &&
-           ReadOne()) {
+    processing_input_ = true;
+    // One request at a time, and none while the last response is still being written: this bounds
+    // the memory in use.
+    while (!request_open_ && !closing_ && connection_.DrainedOut() && connection_.in.size() > 0 &&
+           ProcessNextRequest()) {
     }
     if (closing_)
-      DropInput();  // lingers: what still comes is not looked at
-    reading_ = false;
+      DiscardInput();  // lingering: further input is not processed
+    processing_input_ = false;
   }
 
-  bool ReadOne() {
-    if (last_empty_ && served_)
-      since_ = all_.loop_.now();  // the first counts from the connection's start
-    Reading reading = ReadRequest(connection_.in.bytes(), exchange::kMaxRequestBodyBytes);
-    if (reading.fault != 0) {
-      Refuse(reading.fault);
+  bool ProcessNextRequest() {
+    if (at_request_boundary_ && has_served_)
+      last_activity_at_ = server_.loop_.now();  // for the first request the time counts from when
+                                                // the connection was accepted
+    ParseResult parsed = ParseRequest(connection_.in.bytes(), exchange::kMaxRequestBodyBytes);
+    if (parsed.error_status != 0) {
+      RejectRequest(parsed.error_status);
       return false;
     }
-    last_empty_ = reading.whole;
-    if (!reading.whole) {
-      if (reading.wants_continue && !std::exchange(continued_, true))
+    at_request_boundary_ = parsed.is_complete;
+    if (!parsed.is_complete) {
+      if (parsed.expects_continue && !std::exchange(continue_sent_, true))
         connection_.Send("HTTP/1.1 100 Continue\r\n\r\n");
       return false;
     }
-    continued_ = false;
-    served_ = true;
-    keep_alive_ = reading.request.keep_alive;
-    current_size_ = reading.request.size;
-    const Ms arrived_at = waiting_.IsEmpty() ? last_arrival_ : waiting_.First().arrived_at;
-    if (!waiting_.IsEmpty())
-      waiting_.RemoveFirst();
-    Take(reading.request, arrived_at);
-    current_size_ = 0;
+    continue_sent_ = false;
+    has_served_ = true;
+    keep_alive_ = parsed.request.keep_alive;
+    current_request_size_ = parsed.request.size;
+    const Ms arrived_at = pipelined_.IsEmpty() ? last_arrival_at_ : pipelined_.First().arrived_at;
+    if (!pipelined_.IsEmpty())
+      pipelined_.RemoveFirst();
+    HandleRequest(parsed.request, arrived_at);
+    current_request_size_ = 0;
     if (!closing_)
-      connection_.in.Consume(reading.request.size);
-    if (open_ && connection_.in.size() > 0) {
-      NoteWaiting();
-      LimitOpenRequest();
+      connection_.in.Consume(parsed.request.size);
+    if (request_open_ && connection_.in.size() > 0) {
+      RecordPipelinedRequests();
+      ShortenOpenRequestDeadline();
     }
     return true;
   }
 
-  // What `r` points at may move as soon as an answer is given.
-  void Take(const Request& r, Ms arrived_at) {
-    if (r.path == "/alive") {
-      if (r.method != "GET")
-        return Refuse(405);
-      return answer(all_.exchange_.IsReady() && !all_.winding_ ? 200 : 503, {}, {});
+  // The views in `request` may become invalid as soon as a response is sent.
+  void HandleRequest(const Request& request, Ms arrived_at) {
+    if (request.path == "/alive") {
+      if (request.method != "GET")
+        return RejectRequest(405);
+      return SendResponse(server_.exchange_.IsReady() && !server_.shutdown_announced_ ? 200 : 503,
+                          {}, {});
     }
     RequestMetadata metadata;
-    if (int status = ReadRequestMetadata(r, all_.request_classes_, metadata); status != 0)
-      return Refuse(status);
-    // Ids are new with every request. Two open ones under one id could get each other's answer, or
+    if (int status = ReadRequestMetadata(request, server_.request_classes_, metadata); status != 0)
+      return RejectRequest(status);
+    // Every request has a new id. Two open requests with one id could get each other's response, or
     // run twice.
-    if (all_.exchange_.IsOpen(metadata.id))
-      return Refuse(409);
-    // Its client left with its last words: no answer is owed, and an attempt begun long after it
-    // left breaks a rule.
+    if (server_.exchange_.IsOpen(metadata.id))
+      return RejectRequest(409);
+    // The client closed the connection right after this request: no response is due, and an attempt
+    // started long after the client left violates an invariant.
     if (connection_.PeerDone())
       return HalfClose();
-    // What is taken late in a stop must have its answer before the process may be killed.
-    const Ms waited = all_.loop_.now() - arrived_at;
-    metadata.ttl -= waited + all_.LateInStop(arrived_at);
+    // A request that is accepted late in a shutdown must have its response before the process may
+    // be killed.
+    const Ms waited = server_.loop_.now() - arrived_at;
+    metadata.ttl -= waited + server_.TimePastShutdownGrace(arrived_at);
     if (metadata.ttl < 0)
-      return answer(503, {}, {});
-    open_ = true;
-    wanted_until_ = all_.loop_.now() + metadata.ttl;
+      return SendResponse(503, {}, {});
+    request_open_ = true;
+    deadline_at_ = server_.loop_.now() + metadata.ttl;
     connection_.BePatient(true);
-    std::uint32_t request = all_.exchange_.OnRequest(std::move(metadata), *this);
-    request_ = request;
+    std::uint32_t request_id = server_.exchange_.OnRequest(std::move(metadata), *this);
+    request_id_ = request_id;
   }
 
-  Clients& all_;
+  HttpServer& server_;
   std::uint64_t number_;
-  int descriptor_;  // the connection's, which owns it
+  int descriptor_;  // owned by `connection_`
   loop::Connection connection_;
-  bool open_ = false;         // a pull is owed its answer
-  bool closing_ = false;      // said all: what goes out is the last
-  bool half_closed_ = false;  // that is out, and the way out is shut
-  bool answer_keeps_ = true;  // the last answer did not announce the close
+  bool request_open_ = false;  // a request has no final response yet
+  bool closing_ =
+      false;  // the response that is being written, or was written last, is the last one
+  bool half_closed_ =
+      false;  // the last response is written, and the sending direction is shut down
+  bool response_keeps_connection_ = true;  // the last response did not announce the close
   bool keep_alive_ = true;
-  bool reading_ = false;
-  bool continued_ = false;
-  bool last_empty_ = true;
-  bool served_ = false;           // a whole request has come
-  std::size_t current_size_ = 0;  // of the request at the buffer's front while it is being taken
-  std::uint32_t request_ = 0;
-  WaitingRequests waiting_{exchange::kMaxRequestBodyBytes};
-  Ms last_arrival_ = 0;             // of the bytes that were read last
-  std::optional<Ms> unread_since_;  // since when bytes may have waited for room in the buffer
-  Ms since_;                        // the last request's or answer's end
-  Ms wanted_until_ = 0;             // the last request's deadline
+  bool processing_input_ = false;
+  bool continue_sent_ = false;
+  bool at_request_boundary_ = true;
+  bool has_served_ = false;  // a complete request has arrived
+  std::size_t current_request_size_ =
+      0;  // of the request at the front of the buffer while it is being handled
+  std::uint32_t request_id_ = 0;
+  PipelinedRequests pipelined_{exchange::kMaxRequestBodyBytes};
+  Ms last_arrival_at_ = 0;  // of the bytes that were read last
+  std::optional<Ms>
+      input_blocked_since_;  // since when bytes may have waited for space in the buffer
+  Ms last_activity_at_;      // when the last request arrived or the last response ended
+  Ms deadline_at_ = 0;       // the last request's deadline
 };
 
-Clients::Clients(loop::Loop& loop, exchange::Exchange& exchange,
-                 const std::vector<std::string>& request_classes, std::vector<bool> written,
-                 const loop::Address& at, std::size_t most, std::size_t most_lingering)
+HttpServer::HttpServer(loop::Loop& loop, exchange::Exchange& exchange,
+                       const std::vector<std::string>& request_classes, std::vector<bool> writes,
+                       const loop::Address& listen_address, std::size_t max_connections,
+                       std::size_t max_lingering)
     : loop_(loop),
       exchange_(exchange),
-      request_classes_{request_classes, std::move(written)},
-      most_(most),
-      most_lingering_(std::max<std::size_t>(1, most_lingering)),
-      listener_(loop, at, [this](loop::Descriptor fd) { Taken(std::move(fd)); }) {
-  Sweep();
+      request_classes_{request_classes, std::move(writes)},
+      max_connections_(max_connections),
+      max_lingering_(std::max<std::size_t>(1, max_lingering)),
+      listener_(loop, listen_address, [this](loop::Descriptor fd) { OnAccepted(std::move(fd)); }) {
+  CheckTimeouts();
 }
 
-Clients::~Clients() {
-  loop_.Cancel(sweep_);
-  loop_.Cancel(room_timer_);
+HttpServer::~HttpServer() {
+  loop_.Cancel(timeout_timer_);
+  loop_.Cancel(slot_timer_);
 }
 
-Ms Clients::LateInStop(Ms arrived_at) const {
-  constexpr Ms kTakenInFull =
-      650;  // of the 0.7 s in which requests still come; the rest is left for the answer to go out
-  return winding_ ? std::max(0.0, arrived_at - winding_since_ - kTakenInFull) : 0;
+Ms HttpServer::TimePastShutdownGrace(Ms arrived_at) const {
+  constexpr Ms kFullDeadlineWindow =
+      650;  // of the 0.7 s in which requests still arrive; the rest is left to send the response
+  return shutdown_announced_
+             ? std::max(0.0, arrived_at - shutdown_announced_at_ - kFullDeadlineWindow)
+             : 0;
 }
 
-// A timer set by a timer runs in the next turn, after its poll.
-void Clients::AfterNextPoll(std::function<void()> what) {
-  loop_.at(loop_.now(), [&loop = loop_, what = std::move(what)] { loop.at(loop.now(), what); });
+// A timer set by a timer fires in the next iteration, after its poll.
+void HttpServer::AfterNextPoll(std::function<void()> callback) {
+  loop_.at(loop_.now(),
+           [&loop = loop_, callback = std::move(callback)] { loop.at(loop.now(), callback); });
 }
 
-void Clients::Taken(loop::Descriptor fd) {
+void HttpServer::OnAccepted(loop::Descriptor fd) {
   ++exchange_.counters.client_connections;
-  std::uint64_t number = ++last_;
-  open_[number] = std::make_shared<Client>(*this, number, std::move(fd));
-  if (leaving_ || Live() <= most_)
+  std::uint64_t number = ++last_number_;
+  connections_[number] = std::make_shared<ClientConnection>(*this, number, std::move(fd));
+  if (shutting_down_ || LiveCount() <= max_connections_)
     return;
-  // Beyond the limit the longest idle one makes room; if none is, new ones wait in the backlog
-  // until one is. Who is idle shows after the next poll: those just accepted have a request in
-  // their buffer that nobody has looked at.
+  // Above the limit the connection that has been idle longest is closed; if none is idle, new ones
+  // wait in the backlog until one is. Which are idle is known after the next poll only: those just
+  // accepted have a request in their buffer that has not been processed.
   listener_.Pause();
-  if (!std::exchange(making_room_, true))
-    AfterNextPoll([this] { MakeRoom(); });
+  if (!std::exchange(slot_check_pending_, true))
+    AfterNextPoll([this] { FreeConnectionSlot(); });
 }
 
-void Clients::MakeRoom() {
-  making_room_ = false;
-  if (leaving_)
+void HttpServer::FreeConnectionSlot() {
+  slot_check_pending_ = false;
+  if (shutting_down_)
     return;
-  if (Live() <= most_ || DropIdle())
+  if (LiveCount() <= max_connections_ || CloseLongestIdle())
     return listener_.Resume();
-  // Who was spared for now, since its request may be on its way, is asked again.
-  if (room_timer_ != 0)
+  // Connections that were kept because their request may be in transit are checked again.
+  if (slot_timer_ != 0)
     return;
-  room_timer_ = loop_.at(loop_.now() + kNewcomerGrace, [this] {
-    room_timer_ = 0;
-    if (!making_room_)
-      MakeRoom();
+  slot_timer_ = loop_.at(loop_.now() + kNewConnectionGrace, [this] {
+    slot_timer_ = 0;
+    if (!slot_check_pending_)
+      FreeConnectionSlot();
   });
 }
 
-bool Clients::DropIdle() {
-  std::vector<std::shared_ptr<Client>> longest_first;
-  for (auto& [number, client] : open_)
-    longest_first.push_back(client);
-  std::sort(longest_first.begin(), longest_first.end(),
-            [](auto& a, auto& b) { return a->Since() < b->Since(); });
-  return std::any_of(longest_first.begin(), longest_first.end(),
-                     [](auto& client) { return client->Close(CloseReason::kMakeRoom); }) ||
-         std::any_of(longest_first.begin(), longest_first.end(),
-                     [](auto& client) { return client->GiveWay(); });
+bool HttpServer::CloseLongestIdle() {
+  std::vector<std::shared_ptr<ClientConnection>> longest_idle_first;
+  for (auto& [number, client] : connections_)
+    longest_idle_first.push_back(client);
+  std::sort(longest_idle_first.begin(), longest_idle_first.end(),
+            [](auto& a, auto& b) { return a->LastActivityAt() < b->LastActivityAt(); });
+  return std::any_of(longest_idle_first.begin(), longest_idle_first.end(),
+                     [](auto& client) { return client->Close(CloseReason::kSlotNeeded); }) ||
+         std::any_of(longest_idle_first.begin(), longest_idle_first.end(),
+                     [](auto& client) { return client->RejectPartialToFreeSlot(); });
 }
 
-// One has nothing open any more: where new ones wait, it may make room.
-void Clients::Spare() {
-  if (!leaving_ && !making_room_ && Live() > most_)
+// A connection has no open request any more: where new ones wait, it may be closed to free its
+// slot.
+void HttpServer::OnConnectionIdle() {
+  if (!shutting_down_ && !slot_check_pending_ && LiveCount() > max_connections_)
     listener_.Resume();
 }
 
-// Those that linger take no place of a live one, and have a bound of their own: the longest makes
-// room.
-void Clients::Lingers(std::uint64_t number) {
+// Lingering connections don't count towards the connection limit and have a limit of their own:
+// above it the one that has lingered longest is closed.
+void HttpServer::OnLingering(std::uint64_t number) {
   lingering_.push_back(number);
-  if (lingering_.size() > most_lingering_)
-    open_.at(lingering_.front())->Close(CloseReason::kTooManyDraining);
-  if (!leaving_ && !making_room_)
+  if (lingering_.size() > max_lingering_)
+    connections_.at(lingering_.front())->Close(CloseReason::kTooManyLingering);
+  if (!shutting_down_ && !slot_check_pending_)
     listener_.Resume();
 }
 
-void Clients::Gone(std::uint64_t number) {
-  auto at = open_.find(number);
-  if (at == open_.end())
+void HttpServer::RemoveConnection(std::uint64_t number) {
+  auto it = connections_.find(number);
+  if (it == connections_.end())
     return;
-  loop_.Bury(std::move(at->second));
-  open_.erase(at);
+  loop_.Bury(std::move(it->second));
+  connections_.erase(it);
   bool was_live = std::erase(lingering_, number) == 0;
-  if (was_live && !leaving_ && !making_room_)
+  if (was_live && !shutting_down_ && !slot_check_pending_)
     listener_.Resume();
 }
 
-void Clients::Sweep() {
+void HttpServer::CheckTimeouts() {
   Ms now = loop_.now();
-  std::vector<std::shared_ptr<Client>> all;
-  for (auto& [number, client] : open_)
-    all.push_back(client);
-  for (auto& client : all)
-    client->Sweep(now);
-  // The process is out of descriptors before the places are: one is given back for those who wait.
-  if (auto times = std::exchange(listener_.short_of_descriptors, 0); times > 0) {
-    exchange_.counters.descriptor_shortages += times;
+  std::vector<std::shared_ptr<ClientConnection>> connections;
+  for (auto& [number, client] : connections_)
+    connections.push_back(client);
+  for (auto& client : connections)
+    client->CheckTimeouts(now);
+  // The process can run out of descriptors before it reaches the connection limit: one is freed for
+  // the connections in the backlog.
+  if (auto shortages = std::exchange(listener_.short_of_descriptors, 0); shortages > 0) {
+    exchange_.counters.descriptor_shortages += shortages;
     if (!lingering_.empty())
-      open_.at(lingering_.front())->Close(CloseReason::kTooManyDraining);
+      connections_.at(lingering_.front())->Close(CloseReason::kTooManyLingering);
     else
-      DropIdle();
+      CloseLongestIdle();
   }
-  sweep_ = loop_.at(now + kSecond / 4, [this] { Sweep(); });
+  timeout_timer_ = loop_.at(now + kSecond / 4, [this] { CheckTimeouts(); });
 }
 
-void Clients::Leave() {
-  leaving_ = true;
-  // All who wait are accepted first, also beyond the limit. Harm without: the listener's close
-  // resets them.
+void HttpServer::ContinueShutdown() {
+  shutting_down_ = true;
+  // First all connections in the backlog are accepted, also beyond the limit: closing the listener
+  // would reset them.
   if (listener_.Drain())
     listener_.Close();
-  // Only those that were here at the last call: a poll since then has shown what had come from
+  // Only those that existed at the last call: a poll since then has shown what had arrived from
   // them, and it was read.
-  std::vector<std::shared_ptr<Client>> all;
-  for (auto& [number, client] : open_)
-    if (number <= known_)
-      all.push_back(client);
-  known_ = last_;
-  for (auto& client : all)
-    client->Leave();
+  std::vector<std::shared_ptr<ClientConnection>> connections;
+  for (auto& [number, client] : connections_)
+    if (number <= last_polled_number_)
+      connections.push_back(client);
+  last_polled_number_ = last_number_;
+  for (auto& client : connections)
+    client->ContinueShutdown();
 }
 
 }  // namespace dunlinwick::clients
--- a/src/clients/clients.hpp
+++ b/src/clients/clients.hpp
@@ -1,4 +1,5 @@
-// The clients' side: accepts their connections, turns requests into pulls and answers them.
+// HTTP server for clients: accepts their connections, passes their requests to the Exchange and
+// sends its responses. One per front.
 #pragma once
 #include <deque>
 #include <functional>
@@ -13,60 +14,64 @@
 
 using loop::Ms;
 
-class Clients {
+class HttpServer {
  public:
-  // Throws std::system_error where the address can't be had. `most`: connections at once, but for
-  // one. Beside them so many linger: ended from here, and read until the other side's end.
-  Clients(loop::Loop& loop, exchange::Exchange& exchange,
-          const std::vector<std::string>& request_classes, std::vector<bool> written,
-          const loop::Address& at, std::size_t most, std::size_t most_lingering = 8);
-  ~Clients();
-  // Called again and again, with a turn of the loop between: those who wait are accepted, then none
-  // is, answers close their connection, and those with nothing open that were here at the call
-  // before go.
-  void Leave();
-  // A stop is coming: /alive says so, and requests that are taken late get less time.
-  void Wind() {
-    winding_ = true;
-    winding_since_ = loop_.now();
+  // Throws std::system_error if it can't listen on the address. At most `max_connections` + 1
+  // connections are open at a time. Beside them at most `max_lingering` connections linger: the
+  // server has closed its direction and reads until the client closes the other.
+  HttpServer(loop::Loop& loop, exchange::Exchange& exchange,
+             const std::vector<std::string>& request_classes, std::vector<bool> writes,
+             const loop::Address& listen_address, std::size_t max_connections,
+             std::size_t max_lingering = 8);
+  ~HttpServer();
+  // To be called repeatedly, with an iteration of the event loop between calls. Accepts the
+  // connections in the backlog, then no more; responses announce the close; connections that
+  // existed at the previous call and have no open request are closed.
+  void ContinueShutdown();
+  // Announces the shutdown: /alive responds 503, and requests that arrive late get a shorter
+  // deadline.
+  void AnnounceShutdown() {
+    shutdown_announced_ = true;
+    shutdown_announced_at_ = loop_.now();
   }
   bool empty() const {
-    return open_.empty();
+    return connections_.empty();
   }
 
  private:
-  class Client;
-  friend class Client;
-  void Taken(loop::Descriptor fd);
-  void Gone(std::uint64_t number);
-  void Lingers(std::uint64_t number);
-  std::size_t Live() const {
-    return open_.size() - lingering_.size();
+  class ClientConnection;
+  friend class ClientConnection;
+  void OnAccepted(loop::Descriptor fd);
+  void RemoveConnection(std::uint64_t number);
+  void OnLingering(std::uint64_t number);
+  std::size_t LiveCount() const {
+    return connections_.size() - lingering_.size();
   }
-  void AfterNextPoll(std::function<void()> what);
-  void Spare();
-  void MakeRoom();
-  bool DropIdle();
-  void Sweep();
-  /// By how much a request that arrived then comes after those for which a stop leaves their whole
-  /// deadline.
-  Ms LateInStop(Ms arrived_at) const;
+  void AfterNextPoll(std::function<void()> callback);
+  void OnConnectionIdle();
+  void FreeConnectionSlot();
+  bool CloseLongestIdle();
+  void CheckTimeouts();
+  /// How long after the period in which requests keep their whole deadline, after the announcement
+  /// of a shutdown, a request arrived; 0 if it arrived within it.
+  Ms TimePastShutdownGrace(Ms arrived_at) const;
 
   loop::Loop& loop_;
   exchange::Exchange& exchange_;
   RequestClasses request_classes_;
-  std::size_t most_;
-  std::size_t most_lingering_;
-  bool winding_ = false;
-  bool leaving_ = false;
-  bool making_room_ = false;
-  std::uint64_t last_ = 0;
-  std::uint64_t known_ = 0;  // the last one accepted; in a stop, the last one that a poll has shown
-  Ms winding_since_ = 0;
-  std::uint64_t sweep_ = 0;
-  std::uint64_t room_timer_ = 0;
-  std::deque<std::uint64_t> lingering_;                    // the longest first; emptied as they end
-  std::map<std::uint64_t, std::shared_ptr<Client>> open_;  // emptied as they end
+  std::size_t max_connections_;
+  std::size_t max_lingering_;
+  bool shutdown_announced_ = false;
+  bool shutting_down_ = false;
+  bool slot_check_pending_ = false;
+  std::uint64_t last_number_ = 0;
+  std::uint64_t last_polled_number_ =
+      0;  // number of the last connection that the last poll before ContinueShutdown() covered
+  Ms shutdown_announced_at_ = 0;
+  std::uint64_t timeout_timer_ = 0;
+  std::uint64_t slot_timer_ = 0;
+  std::deque<std::uint64_t> lingering_;  // longest lingering first; removed when they end
+  std::map<std::uint64_t, std::shared_ptr<ClientConnection>> connections_;  // removed when they end
   loop::Listener listener_;
 };
 
--- a/src/clients/close_policy.cpp
+++ b/src/clients/close_policy.cpp
@@ -3,27 +3,28 @@
 namespace dunlinwick::clients {
 namespace {
 
-// Clients close connections idle for 4 s; later than that, so that no request crosses a close of
-// ours.
+// Clients close connections that were idle for 4 s. The front waits longer, so that no request
+// crosses a close by the front.
 constexpr Ms kIdleTimeout = 10000;
-// For the first request of a connection: a client is owed an end within 3 s, looked at four times a
-// second.
+// For the first request of a connection: a client must see an end within 3 s, and timeouts are
+// checked four times a second.
 constexpr Ms kFirstRequestTimeout = 2500;
-// For an answer to be taken: no request lasts as long, and a dead peer must go.
-constexpr Ms kAnswerTimeout = 15000;
-// After its deadline an answer counts as lost.
-constexpr Ms kAnswerTooLate = 500;
-// Harm without reading on: a close over unread bytes resets the connection, and takes with it the
-// answer that still lies in the system's buffers. In a stop shorter, since the exit has a bound; a
-// request that crosses a close of ours does so within 50 ms.
-constexpr Ms kDrainTime = 1000;
-constexpr Ms kDrainTimeInStop = 200;
-// For the rest of a request while others wait for a place.
-constexpr Ms kHalfRequestGrace = 100;
+// For a client to read its response: longer than any request lasts, and bounded so that connections
+// to dead peers end.
+constexpr Ms kWriteTimeout = 15000;
+// A response that comes this long after its deadline counts as lost.
+constexpr Ms kResponseTooLate = 500;
+// How long a half-closed connection is read. Closing with unread bytes resets the connection and
+// discards the response that is still in the kernel's buffers. Shorter in a shutdown, whose
+// duration is bounded; a request that crosses a close by the front does so within 50 ms.
+constexpr Ms kLingerTime = 1000;
+constexpr Ms kLingerTimeInShutdown = 200;
+// For the remainder of a request while other connections wait for a slot.
+constexpr Ms kPartialRequestGrace = 100;
 
 bool IsIdle(const ConnectionState& state) {
-  return !state.request_open && !state.bytes_unanswered && !state.output_pending &&
-         !state.last_answer_said;
+  return !state.request_open && !state.has_unprocessed_input && !state.output_pending &&
+         !state.close_announced;
 }
 
 bool IsStalled(const ConnectionState& state) {
@@ -34,35 +35,36 @@
 
 bool MayClose(CloseReason reason, const ConnectionState& state) {
   switch (reason) {
-    case CloseReason::kClientLeft:
+    case CloseReason::kClientDisconnected:
       return true;
-    case CloseReason::kLastAnswerSent:
-      return state.last_answer_said && !state.request_open && !state.output_pending;
+    case CloseReason::kFinalResponseSent:
+      return state.close_announced && !state.request_open && !state.output_pending;
     case CloseReason::kIdleTimeout:
       return IsIdle(state) &&
-             state.quiet_for >= (state.served ? kIdleTimeout : kFirstRequestTimeout);
-    case CloseReason::kMakeRoom:
-      return IsIdle(state) && (state.served || state.quiet_for >= kNewcomerGrace);
-    case CloseReason::kServerStops:
+             state.since_last_activity >= (state.has_served ? kIdleTimeout : kFirstRequestTimeout);
+    case CloseReason::kSlotNeeded:
+      return IsIdle(state) &&
+             (state.has_served || state.since_last_activity >= kNewConnectionGrace);
+    case CloseReason::kShutdown:
       return IsIdle(state);
-    case CloseReason::kAnswerNotTaken:
-      return IsStalled(state) && state.quiet_for >= kAnswerTimeout;
-    case CloseReason::kAnswerNotTakenInStop:
-      return IsStalled(state) && state.overdue_for > kAnswerTooLate;
-    case CloseReason::kDrainOver:
-      return state.half_closed && state.quiet_for >= kDrainTime;
-    case CloseReason::kDrainOverInStop:
-      return state.half_closed && state.quiet_for >= kDrainTimeInStop;
-    case CloseReason::kTooManyDraining:
+    case CloseReason::kWriteStalled:
+      return IsStalled(state) && state.since_last_activity >= kWriteTimeout;
+    case CloseReason::kWriteStalledInShutdown:
+      return IsStalled(state) && state.overdue_for > kResponseTooLate;
+    case CloseReason::kLingerTimeout:
+      return state.half_closed && state.since_last_activity >= kLingerTime;
+    case CloseReason::kLingerTimeoutInShutdown:
+      return state.half_closed && state.since_last_activity >= kLingerTimeInShutdown;
+    case CloseReason::kTooManyLingering:
       return state.half_closed;
   }
   return false;
 }
 
-bool MayRefuseForRoom(const ConnectionState& state) {
-  const bool is_half_request = state.bytes_unanswered && !state.request_open &&
-                               !state.output_pending && !state.last_answer_said;
-  return is_half_request && state.quiet_for >= kHalfRequestGrace;
+bool MayRejectPartialRequest(const ConnectionState& state) {
+  const bool is_partial_request = state.has_unprocessed_input && !state.request_open &&
+                                  !state.output_pending && !state.close_announced;
+  return is_partial_request && state.since_last_activity >= kPartialRequestGrace;
 }
 
 }  // namespace dunlinwick::clients
--- a/src/clients/close_policy.hpp
+++ b/src/clients/close_policy.hpp
@@ -1,6 +1,6 @@
-/// Whether the front may end a client's connection. A request that was read and then got no answer
-/// counts as lost, so this is the one place that decides it: a pure function of the connection's
-/// state.
+/// Decides whether the front may close a client's connection. A request that was read and gets no
+/// response counts as lost, so this is the only place that decides it: a pure function of the
+/// connection's state.
 #pragma once
 #include "loop/ground.hpp"
 
@@ -8,46 +8,46 @@
 
 using loop::Ms;
 
-/// Every reason for which the front ends a client's connection.
+/// Every reason for which the front closes a client's connection.
 enum class CloseReason {
-  kClientLeft,            ///< the client closed it, or it broke: nobody is there to answer
-  kLastAnswerSent,        ///< the answer that announced the close, or broke off, is out
-  kIdleTimeout,           ///< nothing came for too long
-  kMakeRoom,              ///< others wait for a place or a descriptor
-  kServerStops,           ///< the front stops
-  kAnswerNotTaken,        ///< the client takes nothing of an answer
-  kAnswerNotTakenInStop,  ///< the same while the front stops
-  kDrainOver,             ///< half-closed, and read on for long enough
-  kDrainOverInStop,       ///< the same while the front stops
-  kTooManyDraining,       ///< half-closed, and a newer one takes its place
+  kClientDisconnected,  ///< the client closed it, or it broke: nobody would receive a response
+  kFinalResponseSent,   ///< the response that announced the close, or was aborted, has been sent
+  kIdleTimeout,         ///< no request arrived for too long
+  kSlotNeeded,          ///< new connections wait for a connection slot or a file descriptor
+  kShutdown,            ///< the front shuts down
+  kWriteStalled,        ///< the client does not read its response
+  kWriteStalledInShutdown,   ///< the same during shutdown
+  kLingerTimeout,            ///< half-closed, and the linger time is over
+  kLingerTimeoutInShutdown,  ///< the same during shutdown
+  kTooManyLingering,         ///< half-closed, and a newer one needs its lingering slot
 };
 
-/// What a connection still owes and is owed.
+/// What is outstanding on a connection in either direction.
 struct ConnectionState {
-  bool request_open = false;  ///< a request has no final answer yet
-  bool bytes_unanswered =
-      false;  ///< a request, or a part of one, was read and not looked at to its end
-  bool output_pending = false;  ///< bytes of an answer are not written yet
-  bool last_answer_said =
-      false;                 ///< the answer in `output_pending`, or before it, announced the close
-  bool half_closed = false;  ///< the way out is shut
-  bool served = false;       ///< a whole request has come on it
-  Ms quiet_for =
-      0;  ///< since it was accepted, its last request came, or its last answer was written
+  bool request_open = false;  ///< a request has no final response yet
+  bool has_unprocessed_input =
+      false;                    ///< a request, or a part of one, was read and not fully processed
+  bool output_pending = false;  ///< bytes of a response are not written yet
+  bool close_announced =
+      false;  ///< the response that is being written, or was written last, announced the close
+  bool half_closed = false;  ///< the sending direction is shut down
+  bool has_served = false;   ///< a complete request has arrived on it
+  Ms since_last_activity =
+      0;  ///< since it was accepted, its last request arrived, or its last response was written
   Ms overdue_for = 0;  ///< since the deadline of its last request
 };
 
-/// True where an end for this reason takes no answer from a request that was read. Ask again after
-/// reading what has arrived.
+/// True if closing for this reason deprives no request that was read of its response. Call it again
+/// after reading what has arrived.
 [[nodiscard]] bool MayClose(CloseReason reason, const ConnectionState& state);
 
-/// True where a part of a request has waited so long for the rest that, for want of places, it may
-/// be refused with an answer.
-[[nodiscard]] bool MayRefuseForRoom(const ConnectionState& state);
+/// True if a partial request has waited so long for its remainder that it may be rejected with a
+/// response, to free a connection slot.
+[[nodiscard]] bool MayRejectPartialRequest(const ConnectionState& state);
 
-/// How long a connection that has carried no request yet is spared when room is made: its request
-/// may be on its way. As long as a request takes that crosses a close; a crowd of silent clients
-/// keeps the others waiting for no longer than this, place by place.
-constexpr Ms kNewcomerGrace = 50;
+/// How long a connection that has carried no request yet is kept when a connection slot is needed:
+/// its request may be in transit. As long as a request that crosses a close takes; many silent
+/// clients delay each waiting connection by no more than this.
+constexpr Ms kNewConnectionGrace = 50;
 
 }  // namespace dunlinwick::clients
--- a/src/clients/http.cpp
+++ b/src/clients/http.cpp
@@ -6,15 +6,15 @@
 namespace dunlinwick::clients {
 namespace {
 
-char Lower(char c) {
+char ToLower(char c) {
   return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
 }
 
 bool IsLetterOrDigit(char c) {
-  return (Lower(c) >= 'a' && Lower(c) <= 'z') || (c >= '0' && c <= '9');
+  return (ToLower(c) >= 'a' && ToLower(c) <= 'z') || (c >= '0' && c <= '9');
 }
 
-// RFC 9110's tchar.
+// A token as in RFC 9110 (tchar).
 bool IsFieldName(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return IsLetterOrDigit(c) ||
@@ -22,13 +22,13 @@
   });
 }
 
-bool IsPlain(std::string_view text) {  // no control bytes but the tab
+bool HasNoControlBytes(std::string_view text) {  // except for the tab
   return std::all_of(text.begin(), text.end(), [](char c) {
     return (static_cast<unsigned char>(c) >= ' ' && c != 127) || c == '\t';
   });
 }
 
-std::string_view Trimmed(std::string_view text) {
+std::string_view TrimWhitespace(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
     text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
@@ -36,17 +36,17 @@
   return text;
 }
 
-bool Lists(std::string_view list, std::string_view word) {
+bool ListContains(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     std::size_t end = list.find(',');
-    if (SameLetters(Trimmed(list.substr(0, end)), word))
+    if (EqualsIgnoreCase(TrimWhitespace(list.substr(0, end)), word))
       return true;
     list = end == list.npos ? std::string_view{} : list.substr(end + 1);
   }
   return false;
 }
 
-const char* Reason(int status) {
+const char* ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -78,25 +78,26 @@
   return "Status";
 }
 
-// The request line and header lines; a fault's status, or 0.
-int ReadHead(std::string_view head, Request& r) {
+// Parses the request line and the header fields. Returns the status of an error, or 0.
+int ParseHead(std::string_view head, Request& request) {
   std::size_t end = head.find("\r\n");
   std::string_view line = head.substr(0, end);
   head.remove_prefix(end + 2);
-  std::size_t one = line.find(' '), two = line.rfind(' ');
-  if (one == line.npos || one == two || !IsPlain(line))
+  std::size_t first_space = line.find(' '), last_space = line.rfind(' ');
+  if (first_space == line.npos || first_space == last_space || !HasNoControlBytes(line))
     return 400;
-  r.method = line.substr(0, one);
-  std::string_view target = line.substr(one + 1, two - one - 1), version = line.substr(two + 1);
-  if (!IsFieldName(r.method) || target.empty() || target[0] != '/' ||
+  request.method = line.substr(0, first_space);
+  std::string_view target = line.substr(first_space + 1, last_space - first_space - 1),
+                   version = line.substr(last_space + 1);
+  if (!IsFieldName(request.method) || target.empty() || target[0] != '/' ||
       target.find(' ') != target.npos)
     return 400;
   if (version != "HTTP/1.1" && version != "HTTP/1.0")
     return 400;
   std::size_t query = target.find('?');
-  r.path = target.substr(0, query);
+  request.path = target.substr(0, query);
   if (query != target.npos)
-    r.query = target.substr(query + 1);
+    request.query = target.substr(query + 1);
   while (!head.empty()) {
     end = head.find("\r\n");
     line = head.substr(0, end);
@@ -104,20 +105,21 @@
     std::size_t colon = line.find(':');
     if (colon == line.npos)
       return 400;
-    std::string_view name = line.substr(0, colon), value = Trimmed(line.substr(colon + 1));
-    if (!IsFieldName(name) || !IsPlain(value))
+    std::string_view name = line.substr(0, colon), value = TrimWhitespace(line.substr(colon + 1));
+    if (!IsFieldName(name) || !HasNoControlBytes(value))
       return 400;
-    r.headers.emplace_back(name, value);
+    request.headers.emplace_back(name, value);
   }
-  r.keep_alive = version == "HTTP/1.1" && !Lists(r.header("connection"), "close");
+  request.keep_alive =
+      version == "HTTP/1.1" && !ListContains(request.header("connection"), "close");
   return 0;
 }
 
 }  // namespace
 
-bool SameLetters(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return Lower(x) == Lower(y); });
+                    [](char x, char y) { return ToLower(x) == ToLower(y); });
 }
 
 bool IsToken(std::string_view text) {
@@ -128,79 +130,80 @@
 
 std::string_view Request::header(std::string_view name) const {
   for (auto& [key, value] : headers)
-    if (SameLetters(key, name))
+    if (EqualsIgnoreCase(key, name))
       return value;
   return {};
 }
 
-bool Request::Has(std::string_view name) const {
+bool Request::HasHeader(std::string_view name) const {
   return std::any_of(headers.begin(), headers.end(),
-                     [&](auto& h) { return SameLetters(h.first, name); });
+                     [&](auto& header) { return EqualsIgnoreCase(header.first, name); });
 }
 
-bool Request::Repeats(std::initializer_list<std::string_view> names) const {
+bool Request::HasRepeatedHeader(std::initializer_list<std::string_view> names) const {
   return std::any_of(names.begin(), names.end(), [&](std::string_view name) {
     return std::count_if(headers.begin(), headers.end(),
-                         [&](auto& h) { return SameLetters(h.first, name); }) > 1;
+                         [&](auto& header) { return EqualsIgnoreCase(header.first, name); }) > 1;
   });
 }
 
-Reading ReadRequest(std::string_view bytes, std::size_t most_body) {
-  constexpr std::size_t kMostHead =
-      8192;  // the protocol's requests have some 300 bytes; common servers' limit
-  Reading reading;
-  Request& r = reading.request;
+ParseResult ParseRequest(std::string_view bytes, std::size_t max_body) {
+  constexpr std::size_t kMaxHeadBytes =
+      8192;  // clients' requests have some 300 bytes; 8 KB is the limit of common servers
+  ParseResult parsed;
+  Request& request = parsed.request;
   std::size_t skipped = 0;
   while (bytes.substr(skipped).starts_with("\r\n"))
-    skipped += 2;  // RFC 9112 2.2: empty lines before it
+    skipped += 2;  // RFC 9112, section 2.2: empty lines before the request line
   std::string_view rest = bytes.substr(skipped);
-  std::size_t end = rest.substr(0, kMostHead).find("\r\n\r\n");
-  if (skipped > kMostHead || (end == rest.npos && rest.size() >= kMostHead))
-    reading.fault = 431;
-  if (end == rest.npos && reading.fault == 0) {
-    // What can't become a request is told at once: its first byte already shows TLS or other junk.
+  std::size_t end = rest.substr(0, kMaxHeadBytes).find("\r\n\r\n");
+  if (skipped > kMaxHeadBytes || (end == rest.npos && rest.size() >= kMaxHeadBytes))
+    parsed.error_status = 431;
+  if (end == rest.npos && parsed.error_status == 0) {
+    // Rejects at once what can't become a request: its first byte shows TLS or other foreign data.
     if (!rest.empty() && !IsLetterOrDigit(rest[0]) && rest[0] != '\r')
-      reading.fault = 400;
+      parsed.error_status = 400;
   }
-  if (reading.fault != 0 || end == rest.npos)
-    return reading;
-  if ((reading.fault = ReadHead(rest.substr(0, end + 2), r)) != 0)
-    return reading;
+  if (parsed.error_status != 0 || end == rest.npos)
+    return parsed;
+  if ((parsed.error_status = ParseHead(rest.substr(0, end + 2), request)) != 0)
+    return parsed;
 
   std::size_t length = 0;
-  int lengths = 0;
-  for (auto& [name, value] : r.headers) {
-    if (!SameLetters(name, "content-length"))
+  int length_count = 0;
+  for (auto& [name, value] : request.headers) {
+    if (!EqualsIgnoreCase(name, "content-length"))
       continue;
-    auto [stop, bad] = std::from_chars(value.data(), value.data() + value.size(), length);
-    if (bad == std::errc::result_out_of_range)
-      return reading.fault = 413, reading;
-    if (bad != std::errc{} || stop != value.data() + value.size() || ++lengths > 1)
-      return reading.fault = 400, reading;
+    auto [end_of_number, error] =
+        std::from_chars(value.data(), value.data() + value.size(), length);
+    if (error == std::errc::result_out_of_range)
+      return parsed.error_status = 413, parsed;
+    if (error != std::errc{} || end_of_number != value.data() + value.size() || ++length_count > 1)
+      return parsed.error_status = 400, parsed;
   }
-  if (r.Has("transfer-encoding"))
-    return reading.fault = lengths > 0 ? 400 : 411, reading;
-  if (length > most_body)
-    return reading.fault = 413, reading;
-  if (r.method == "PUT" && lengths == 0)
-    return reading.fault = 411, reading;
-  if (r.Has("expect") && !SameLetters(r.header("expect"), "100-continue"))
-    return reading.fault = 417, reading;
+  if (request.HasHeader("transfer-encoding"))
+    return parsed.error_status = length_count > 0 ? 400 : 411, parsed;
+  if (length > max_body)
+    return parsed.error_status = 413, parsed;
+  if (request.method == "PUT" && length_count == 0)
+    return parsed.error_status = 411, parsed;
+  if (request.HasHeader("expect") && !EqualsIgnoreCase(request.header("expect"), "100-continue"))
+    return parsed.error_status = 417, parsed;
   std::size_t body_at = skipped + end + 4;
-  reading.whole = bytes.size() >= body_at + length;
-  reading.wants_continue = !reading.whole && r.Has("expect");
-  if (!reading.whole)
-    return reading;
-  r.body = bytes.substr(body_at, length);
-  r.size = body_at + length;
-  return reading;
+  parsed.is_complete = bytes.size() >= body_at + length;
+  parsed.expects_continue = !parsed.is_complete && request.HasHeader("expect");
+  if (!parsed.is_complete)
+    return parsed;
+  request.body = bytes.substr(body_at, length);
+  request.size = body_at + length;
+  return parsed;
 }
 
-std::string AnswerHead(int status, std::size_t length, bool keep_alive,
-                       const std::vector<Field>& fields) {
-  std::string head = "HTTP/1.1 " + std::to_string(status) + ' ' + Reason(status) + "\r\n";
-  for (const Field& f : fields)
-    head.append(f.name).append(": ").append(f.value).append("\r\n");
+std::string FormatResponseHead(int status, std::size_t length, bool keep_alive,
+                               const std::vector<HeaderField>& fields) {
+  std::string head = "HTTP/1.1 " + std::to_string(status) + ' ' + ReasonPhrase(status) + "\r\n";
+  for (const HeaderField& field : fields)
+    head.append(field.name).append(": ").append(field.value).append("\r\n");
   if (status != 304)
     head += "Content-Length: " + std::to_string(length) + "\r\n";
   if (!keep_alive)
--- a/src/clients/waiting_requests.cpp
+++ b/src/clients/waiting_requests.cpp
@@ -13,32 +13,32 @@
 constexpr Ms kNever = std::numeric_limits<Ms>::infinity();
 }
 
-void WaitingRequests::Update(std::string_view buffer, Ms arrived_at) {
+void PipelinedRequests::Update(std::string_view buffer, Ms arrived_at) {
   while (size_ < buffer.size()) {
-    const Reading reading = ReadRequest(buffer.substr(size_), most_body_);
-    if (!reading.whole)
-      return;  // more is to come, or it is refused when its turn comes
-    const std::optional<Ms> timeout = ReadTimeout(reading.request);
-    requests_.push_back({.size = reading.request.size,
+    const ParseResult parsed = ParseRequest(buffer.substr(size_), max_body_);
+    if (!parsed.is_complete)
+      return;  // incomplete, or malformed and rejected when it is processed
+    const std::optional<Ms> timeout = ReadTimeout(parsed.request);
+    requests_.push_back({.size = parsed.request.size,
                          .arrived_at = arrived_at,
                          .deadline_at = timeout ? arrived_at + *timeout : kNever});
-    size_ += reading.request.size;
+    size_ += parsed.request.size;
   }
 }
 
-void WaitingRequests::RemoveFirst() {
+void PipelinedRequests::RemoveFirst() {
   size_ -= requests_.front().size;
   requests_.pop_front();
 }
 
-void WaitingRequests::Clear() {
+void PipelinedRequests::Clear() {
   requests_.clear();
   size_ = 0;
 }
 
-Ms WaitingRequests::EarliestDeadline() const {
+Ms PipelinedRequests::EarliestDeadline() const {
   Ms earliest = kNever;
-  for (const WaitingRequest& request : requests_)
+  for (const PipelinedRequest& request : requests_)
     earliest = std::min(earliest, request.deadline_at);
   return earliest;
 }
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -109,13 +109,13 @@
   if (std::exchange(stopping_, true))
     return;
   log::Say("stopping: %zu pulls open", exchange_.OpenRequestCount());
-  clients_.Wind();
+  clients_.AnnounceShutdown();
   loop_.at(loop_.now() + kClientsStillCome, [this] { LeaveWhenDone(); });
 }
 
 void Front::LeaveWhenDone() {
   constexpr Ms kLook = 10;
-  clients_.Leave();
+  clients_.ContinueShutdown();
   if (clients_.empty())
     return loop_.Stop();
   loop_.at(loop_.now() + kLook, [this] { LeaveWhenDone(); });
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -33,7 +33,7 @@
   exchange::Exchange exchange_;
   caches::Caches caches_;
   discovery::Discovery discovery_;
-  clients::Clients clients_;
+  clients::HttpServer clients_;
   std::unique_ptr<Fleet> fleet_;  // with a fleet block that has a socket of its own
   std::unique_ptr<Parts> parts_;  // with an owner or a peers block
   bool stopping_ = false;
--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -111,7 +111,7 @@
   exchange::Exchange exchange;
   caches::Caches caches;
   loop::Address front_address = FreeAddress();
-  clients::Clients clients;
+  clients::HttpServer clients;
   Far client;
   Far first;
   Far second;
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -14,7 +14,7 @@
 struct Counter {  // clients on real sockets, with noted caches
   Desk d;
   loop::Address at = FreeAddress();
-  clients::Clients clients;
+  clients::HttpServer clients;
   explicit Counter(std::size_t most = 50, StoreSettings s = kit::Settings())
       : d(s), clients(d.loop, d.exchange, MakeTerms().request_classes, {false, true}, at, most) {}
   Far Come() {
@@ -28,7 +28,7 @@
   // Turns on until all have gone that a stop lets go.
   void leave() {
     Until(d.loop, [&] {
-      clients.Leave();
+      clients.ContinueShutdown();
       return clients.empty();
     });
   }
@@ -499,7 +499,7 @@
       waits[static_cast<std::size_t>(i - 2)].Send(GetAs(i));
     std::size_t all = before.size() + waits.size();
     Until(c.d.loop, [&] {
-      c.clients.Leave();
+      c.clients.ContinueShutdown();
       return c.d.caches.sent.size() == all;
     });
     for (std::size_t i = 0; i < all; ++i)
@@ -524,7 +524,7 @@
     c.d.loop.turn(0);
   f.Send(GetAs(1));
   Until(c.d.loop, [&] {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     return c.d.caches.sent.size() == 1;
   });
   c.Finish(c.attempt(0), Said(Ending::kFinished), "ok");
@@ -538,12 +538,12 @@
 void ARequestThatComesBeforeTheShutdownInAStopIsServed() {
   Counter c;
   Slow slow(c);
-  c.clients.Leave();
+  c.clients.ContinueShutdown();
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
   Meanwhile now(c.d.loop, [&] {
     slow.far.Send(GetAs(2));
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
   });
   c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
@@ -561,11 +561,11 @@
 void ARequestThatCrossesTheShutdownInAStopTakesNoAnswerWithIt() {
   Counter c;
   Slow slow(c);
-  c.clients.Leave();
+  c.clients.ContinueShutdown();
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
   Meanwhile now(c.d.loop, [&] {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     slow.far.Send(GetAs(2));
   });
   Until(c.d.loop, [&] { return slow.HasAll(); });
@@ -586,7 +586,7 @@
   c.attempt(0);
   for (std::size_t i = 0; i < 3; ++i) {
     for (int turns = 0; turns < 3; ++turns) {
-      c.clients.Leave();
+      c.clients.ContinueShutdown();
       c.d.loop.turn(0);
     }
     c.Finish(c.attempt(i), Said(Ending::kFinished), "body" + std::to_string(i));
@@ -679,7 +679,7 @@
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
   Until(c.d.loop, [&] {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     return f.Hears("\r\n\r\n");
   });
   assert(f.Hears("HTTP/1.1 503 ") && f.Hears("Connection: close\r\n"));
@@ -715,13 +715,13 @@
     c.Finish(c.attempt(which), Said(Ending::kFinished), body);
   }
   for (int i = 0; i < 3; ++i) {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     c.d.loop.turn(0);
   }
   assert(!c.clients.empty());
   c.d.loop.Skip(3100);
   for (int i = 0; i < 3; ++i) {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     c.d.loop.turn(0);
   }
   assert(c.clients.empty());
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -281,7 +281,7 @@
   Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}),
          SettingsWith(true, Effect::kIdempotentWithKey));
   loop::Address at = FreeAddress();
-  clients::Clients clients(r.loop, r.exchange, MakeTerms().request_classes, {false, true}, at, 50);
+  clients::HttpServer clients(r.loop, r.exchange, MakeTerms().request_classes, {false, true}, at, 50);
   Far client = Far::To(at);
   client.Send("PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
               "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nIdempotency-Key: "
@@ -342,7 +342,7 @@
   FarListener listeners[2];
   Road road{Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}}), SettingsWith(false)};
   loop::Address at = FreeAddress();
-  clients::Clients clients{road.loop, road.exchange, MakeTerms().request_classes, {false, true}, at,
+  clients::HttpServer clients{road.loop, road.exchange, MakeTerms().request_classes, {false, true}, at,
                            50};
   Far servers[2];
   Far client;
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -28,7 +28,7 @@
   stage::Process &peers, &front;
   Sent caches;
   std::unique_ptr<exchange::Exchange> exchange;
-  std::unique_ptr<clients::Clients> clients;
+  std::unique_ptr<clients::HttpServer> clients;
   std::vector<std::unique_ptr<Peer>> all;
 
   Tier(std::size_t descriptors, std::size_t most)
@@ -39,7 +39,7 @@
       exchange->SetUpstreamTransport(caches);
       exchange->OnListUpdate(true, Machines({{"origin", {}}, {"s-0", {}}}));
       clients =
-          std::make_unique<clients::Clients>(front.loop(), *exchange, MakeTerms().request_classes,
+          std::make_unique<clients::HttpServer>(front.loop(), *exchange, MakeTerms().request_classes,
                                              std::vector<bool>{false, true}, kThere, most);
     });
   }
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -478,7 +478,7 @@
       exchange->SetUpstreamTransport(*caches_);
       exchange->OnListUpdate(
           true, kit::Machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
-      clients_ = std::make_unique<clients::Clients>(
+      clients_ = std::make_unique<clients::HttpServer>(
           front_.loop(), *exchange, kit::MakeTerms().request_classes,
           std::vector<bool>{false, true}, kFrontAddress, 50);
     });
@@ -575,7 +575,7 @@
   }
 
   std::unique_ptr<caches::Caches> caches_;
-  std::unique_ptr<clients::Clients> clients_;
+  std::unique_ptr<clients::HttpServer> clients_;
   std::vector<std::string> written_;
   int last_request_ = 0;
 };
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -47,12 +47,12 @@
 
 static void RequestsAreReadAtAnySplit() {
   for (std::size_t cut = 0; cut < kPut.size(); ++cut) {
-    auto part = clients::ReadRequest(std::string_view(kPut).substr(0, cut), 100);
-    assert(part.fault == 0 && !part.whole);
+    auto part = clients::ParseRequest(std::string_view(kPut).substr(0, cut), 100);
+    assert(part.error_status == 0 && !part.is_complete);
   }
   std::string bytes = "\r\n" + kPut + "GET";
-  auto all = clients::ReadRequest(bytes, 100);
-  assert(all.whole && all.request.size == kPut.size() + 2 && all.request.body == "ab\r\n\x01");
+  auto all = clients::ParseRequest(bytes, 100);
+  assert(all.is_complete && all.request.size == kPut.size() + 2 && all.request.body == "ab\r\n\x01");
   assert(all.request.path == "/ops/handover/7f3a" && all.request.query == "part=3" &&
          all.request.keep_alive);
   assert(all.request.header("x-REQUEST-id") == "9b1f03aa5c7e2d41");
@@ -85,9 +85,9 @@
                         {get + "Expect: magic\r\n\r\n", 417},
                         {"PUT / HTTP/1.1\r\n\r\n", 411},
                         {get + "A: " + std::string(9000, 'x'), 431}})
-    assert(clients::ReadRequest(c.bytes, 100).fault == c.fault);
-  assert(!clients::ReadRequest("GET / HTTP/1.0\r\n\r\n", 100).request.keep_alive);
-  assert(!clients::ReadRequest(get + "Connection: x, Close\r\n\r\n", 100).request.keep_alive);
+    assert(clients::ParseRequest(c.bytes, 100).error_status == c.fault);
+  assert(!clients::ParseRequest("GET / HTTP/1.0\r\n\r\n", 100).request.keep_alive);
+  assert(!clients::ParseRequest(get + "Connection: x, Close\r\n\r\n", 100).request.keep_alive);
 }
 
 static void WantsCarryAllThatTheDecisionsName() {
@@ -238,9 +238,9 @@
     for (int changes = 1 + i % 4; changes > 0; --changes)
       bytes[chance() % bytes.size()] = static_cast<char>(chance());
     bytes.resize(chance() % (bytes.size() + 1));
-    auto request = clients::ReadRequest(bytes, 100);
-    assert(!request.whole || request.request.size <= bytes.size());
-    read += request.whole + caches::ReadAnswer(bytes, {"a"}).has_value();
+    auto request = clients::ParseRequest(bytes, 100);
+    assert(!request.is_complete || request.request.size <= bytes.size());
+    read += request.is_complete + caches::ReadAnswer(bytes, {"a"}).has_value();
     if (auto v = json::Read(bytes))
       read += discovery::ReadNotice(*v, kTerms).has_value();
   }
