--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -1,6 +1,7 @@
-// The moment an attempt's first byte is written: the deadline its server is told is what the client
-// has left then, and nothing is begun for a client that has left, whatever the attempt waited for.
-// On loopback sockets; the loop's clock is skipped, and the figures are read on the wire.
+// Tests of the time at which an attempt's first byte is written: the deadline sent to the server is
+// the client's time left then, and no attempt starts for a client that has disconnected, whatever
+// the attempt waited for. On loopback sockets; the loop's clock is advanced by the tests, and
+// deadlines are read from the bytes on the wire.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -17,7 +18,7 @@
 
 const std::string kCheckAnswer = "call PONG - 0\r\n\r\n";
 
-/// The deadline in milliseconds that the request line of `which` names; -1 where there is no such
+/// The deadline in milliseconds in the request line of request `which`; -1 where there is no such
 /// line.
 long long NotifiedDeadline(const std::string& bytes, int which) {
   std::size_t line = bytes.find(WantOf(which));
@@ -35,13 +36,13 @@
   return settings;
 }
 
-/// Bounds on the moment at which a request's client gives up, by the loop's clock.
+/// Bounds on the time at which a request's client gives up, by the loop's clock.
 struct Deadline {
   Ms earliest = 0;
   Ms latest = 0;
 };
 
-/// What was told lies between the time left before and after the write, rounded up to whole
+/// The deadline sent lies between the time left before and after the write, rounded up to whole
 /// milliseconds.
 void CheckNotified(long long notified, const Deadline& deadline, Ms before, Ms after) {
   CHECK(notified >= 1);
@@ -49,9 +50,9 @@
   CHECK(static_cast<double>(notified) >= std::floor(deadline.earliest - after));
 }
 
-/// Servers that are asked in turn by a router that forgets nothing and asks nobody whether the
-/// client is still there: the second attempt comes after the first one's failure, some time after
-/// it, or beside it.
+/// Servers used alternately by a router that keeps every request and does not check whether the
+/// client is still connected: the second attempt follows the first one's failure, some time after
+/// it, or runs beside it.
 enum class Further {
   kRetry,
   kRetryAfterBackoff,
@@ -62,7 +63,7 @@
 
 struct Script {
   Further further = Further::kRetry;
-  bool proven = false;  // the further attempt waits for its connection's check
+  bool proven = false;  // the further attempt waits for its connection's liveness check
   std::vector<std::uint32_t> servers;
   std::uint32_t request = 0;
 
@@ -95,7 +96,7 @@
   }
 };
 
-/// What the further attempt waits for when its client leaves.
+/// What the further attempt waits for when its client disconnects.
 enum class Pause {
   kBackoff,
   kDial,
@@ -144,8 +145,8 @@
     for (int i = 0; i < count; ++i)
       loop.turn(1);
   }
-  /// Until the second server, which reads nothing, takes no more; what it is asked for is not of
-  /// any client.
+  /// Fills the connection to the second server, which reads nothing, until it accepts no more
+  /// bytes; these requests belong to no client.
   void FillSecond() {
     SendAttempt how;
     how.cache = script->servers.at(1);
@@ -159,7 +160,7 @@
     second = second_listener.Next(loop);
     Turns(3);
   }
-  /// Until the further attempt waits as said.
+  /// Runs until the further attempt waits for `pause`.
   void ReachPause(Pause pause) {
     if (script->further != Further::kHedged) {
       first.Send("00000000000000f1 FAULT - 0\r\n\r\n");
@@ -175,7 +176,7 @@
     second = second_listener.Next(loop);
     Until(loop, [&] { return second.Hears("there call\r\n"); });
   }
-  /// Lets what waits go.
+  /// Ends that wait.
   void Release(Pause pause) {
     if (pause == Pause::kCheck)
       second.Send(kCheckAnswer);
@@ -214,7 +215,7 @@
 }  // namespace
 
 TEST_CASE(
-    "the deadline told is what the client has left at the write, whatever the first attempt waited "
+    "the deadline sent is the client's time left at the write, whatever the first attempt waited "
     "for") {
   struct Case {
     Ms expiry;
@@ -235,7 +236,7 @@
     }
 }
 
-TEST_CASE("an attempt that moves to another connection tells what is left then") {
+TEST_CASE("an attempt that moves to another connection forwards the time left then") {
   Ms before = loop::MakeSystem().now();
   Waiting waiting(kCheck, SettingsWithExpiry(5000), {}, kWrite);
   Deadline deadline{before + 5000, waiting.r.loop.now() + 5000};
@@ -252,7 +253,7 @@
 }
 
 TEST_CASE(
-    "with a few milliseconds left the deadline told is never 0, and with nothing left nothing is "
+    "with a few milliseconds left the deadline sent is never 0, and with no time left nothing is "
     "written") {
   constexpr Ms kExpiry = 5000;
   for (Wait wait : {kDial, kCheck})
@@ -263,7 +264,7 @@
       Waiting waiting(wait, SettingsWithExpiry(kExpiry), {}, wait == kCheck ? kWrite : kVideo);
       Deadline deadline{before + kExpiry, waiting.r.loop.now() + kExpiry};
       if (wait == kCheck)
-        waiting.peer.Send(kCheckAnswer);  // read in the turn in which time is up
+        waiting.peer.Send(kCheckAnswer);  // read in the iteration in which the time is up
       waiting.r.loop.Skip(deadline.latest - left - waiting.r.loop.now());
       Ms skipped = waiting.r.loop.now();
       waiting.r.Turns();
@@ -277,12 +278,12 @@
         CheckNotified(notified, deadline, skipped, waiting.r.loop.now());
       Until(waiting.r.loop, [&] {
         return !waiting.client.notified.empty();
-      });  // and its client is answered once its time is up
+      });  // and its client gets its response when its time is up
       CHECK(waiting.client.notified.size() == 1);
     }
 }
 
-TEST_CASE("the line names whole milliseconds, rounded up, and at least 1") {
+TEST_CASE("the request line states whole milliseconds, rounded up, and at least 1") {
   struct Case {
     Ms left;
     std::string notified;
@@ -300,7 +301,7 @@
   }
 }
 
-TEST_CASE("a further attempt tells what the client has left at its own write") {
+TEST_CASE("a further attempt forwards the time left at its own write") {
   for (const Crossing& crossing : kCrossings) {
     if (crossing.pause == Pause::kBackoff)
       continue;
@@ -319,7 +320,7 @@
   }
 }
 
-TEST_CASE("an attempt's own timeout bounds the deadline told") {
+TEST_CASE("an attempt's own timeout bounds the deadline sent") {
   FarListener listener;
   Script script;
   loop::Loop loop;
@@ -345,9 +346,9 @@
   CheckNotified(NotifiedDeadline(server.got, 1), timeout, skipped, loop.now());
 }
 
-// The client's close lies unread when what the attempt waited for comes: both are found in one
-// turn, long after.
-TEST_CASE("no further attempt begins for a client that closed, whatever it waits for") {
+// The client's close is unread when what the attempt waited for occurs: both are found in one
+// iteration, long after.
+TEST_CASE("no further attempt starts for a disconnected client, whatever the attempt waits for") {
   for (const Crossing& crossing : kCrossings) {
     CAPTURE(static_cast<int>(crossing.further));
     CAPTURE(static_cast<int>(crossing.pause));
@@ -363,7 +364,7 @@
       servers.Drain();
     servers.Turns();
     if (!servers.second
-             .fd) {  // a connection that was on its way may have come up, and carries nothing
+             .fd) {  // a connection that was being opened may be established, and carries nothing
       int accepted = ::accept4(servers.second_listener.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
       CHECK((accepted < 0 || crossing.pause == Pause::kDial));
       if (accepted >= 0)
@@ -373,16 +374,16 @@
       CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
     CHECK_FALSE(servers.second.got.find("never_mind") != std::string::npos);
     CHECK(servers.exchange.counters.lost_unsent == 0);
-    // A router that still asks for one in a backoff is told that it came to nothing; no other ever
-    // is.
+    // A router that still requests an attempt after a backoff is told that it was superseded; no
+    // other router requests one.
     CHECK(servers.exchange.counters.attempts <=
           attempts + (crossing.pause == Pause::kBackoff ? 1 : 0));
   }
 }
 
-// Nothing waits: the connection is up and has just carried, so an attempt goes out within the call
-// that chose it.
-TEST_CASE("on a connection that is up no further attempt begins for a client that closed") {
+// Nothing is pending: the connection is open and has just received data, so an attempt is sent
+// within the call that chose it.
+TEST_CASE("on an open connection no further attempt starts for a disconnected client") {
   for (Further further : {Further::kRetry, Further::kRetryAfterBackoff, Further::kHedged}) {
     CAPTURE(static_cast<int>(further));
     TwoServers servers(further, Pause::kDial);
@@ -400,8 +401,8 @@
     if (further == Further::kRetryAfterBackoff)
       servers.ReachPause(Pause::kBackoff);
     servers.client.fd.Reset();
-    servers.loop.Skip(200);  // the backoff ends, the client's close and the first server's answer
-                             // are there: one turn
+    servers.loop.Skip(200);  // the backoff ends, the client's close and the first server's response
+                             // have arrived: one iteration
     Until(servers.loop, [&] { return servers.exchange.counters.client_disconnects == 1; });
     servers.Turns();
     CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
--- a/tests/caches_test.cpp
+++ b/tests/caches_test.cpp
@@ -1,4 +1,5 @@
-// The caches' side on sockets, with an exchange that decides, beside a far side of plain bytes.
+// Tests of the upstream connection pool on loopback sockets, with an Exchange that routes requests
+// and servers that exchange plain bytes.
 #include "caches/caches.hpp"
 
 #include <poll.h>
@@ -9,7 +10,7 @@
 
 namespace {
 
-struct Road {  // caches on real sockets, an exchange that decides
+struct Road {  // a connection pool on loopback sockets, with an Exchange that routes requests
   loop::Loop loop;
   exchange::Exchange exchange;
   caches::UpstreamConnectionPool caches;
@@ -22,7 +23,8 @@
   }
 };
 
-struct Find final : exchange::UpstreamTransport {  // the number under which the exchange knows it
+struct Find final
+    : exchange::UpstreamTransport {  // the number under which the Exchange knows the endpoint
   std::uint32_t number = 0;
   std::uint64_t Send(AttemptKey, const RequestMetadata&, const SendAttempt& how,
                      const std::vector<std::uint64_t>&) override {
@@ -46,7 +48,7 @@
   }
 };
 
-void AnswersComeInAnyOrderAndPieces() {
+void ResponsesArriveInAnyOrderAndPieces() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
   Asked one, two;
@@ -73,7 +75,8 @@
   assert(r.exchange.counters.late_responses == 1);
 }
 
-// Two legs of a pull share its id: the second must not take the first one's answer for its own.
+// Two attempts of a request share its id: the second must not take the first one's response for its
+// own.
 void AttemptsOfOneRequestAreKeptApart() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
@@ -83,14 +86,15 @@
   how.cache = how.source = cache;
   how.timeout = 60000;
   std::uint64_t first = r.caches.Send({1, 0}, AskFor(), how, {});
-  std::uint64_t second = r.caches.Send({1, 1}, AskFor(), how, {});  // while the first is out
+  std::uint64_t second = r.caches.Send({1, 1}, AskFor(), how, {});  // while the first is in flight
   assert(first != second);
   r.caches.Cancel({1, 0}, AskFor(), cache);
   assert(r.caches.Send({1, 2}, AskFor(), how, {first, second}) >
-         second);  // its answer may be on the way
+         second);  // its response may be in transit
   Far one = far.Next(r.loop), two = far.Next(r.loop), three = far.Next(r.loop);
   Until(r.loop, [&] { return two.Hears("want ") && three.Hears("want "); });
-  // Given up before it was up: it never left, and there is nothing to call off.
+  // Cancelled before the connection was established: it was never sent, so no cancel message is
+  // due.
   assert(!one.Hears("want ") && !one.Hears("never_mind"));
   r.caches.Cancel({1, 1}, AskFor(), cache);
   Until(r.loop, [&] { return two.Hears("never_mind " + kId + "\r\n"); });
@@ -109,7 +113,7 @@
   for (Way way : {kRefused, kNeverUp, kClosed, kReset, kMalformed, kImpossible, kReplaced}) {
     FarListener far(way == kNeverUp ? 0 : 16), silent;
     loop::Address at = way == kRefused ? FreeAddress() : far.at;
-    std::vector<Far> fill;  // takes the backlog, so that nobody else comes up
+    std::vector<Far> fill;  // fills the backlog, so that no other connection is established
     if (way == kNeverUp)
       fill.push_back(Far::To(far.at));
     Road r(Machines({{"s-1", at}}), MakeTerms(way == kNeverUp ? 60 : 1000));
@@ -137,21 +141,21 @@
     assert(n.lost_unsent == (way <= kNeverUp ? 1u : 0u) &&
            n.lost_after_send == (way > kNeverUp ? 1u : 0u));
     assert(n.malformed_responses == (way == kMalformed || way == kImpossible ? 1u : 0u));
-    // With its only cache failed the pull is declined at once, not held.
+    // With its only cache failed the request is rejected at once, not held.
     assert(r.client.notified.size() == 1 && r.client.notified[0].substr(0, 3) == "503");
   }
 }
 
-// What stops short ends its connection soon, though it stays open and the pulls have minutes: the
-// one whose answer it was moves on to another cache, one that only fell with it is asked there
-// again, and the machine stays in use. Before a line is whole, too. The copy of an answer is
-// nobody's.
-void WhatStopsShortHoldsUpNobody() {
+// A truncated response ends its connection soon, though the connection stays open and the requests
+// have minutes: the request whose response it was is sent to another cache, one that was only lost
+// with the connection is sent to the same cache again, and the cache stays in use. Also where the
+// response line is incomplete. The duplicate of a response belongs to no request.
+void TruncatedResponsesDelayNoOthers() {
   for (const char* part : {" HIT entity=t,issued=1,remark=local 9\r\nhalf", " HIT entity=t,iss"}) {
     FarListener one, other;
     Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}));
     std::vector<Asked> clients(9);
-    for (std::size_t i = 0; i < 9; ++i)  // of one object, so of one home
+    for (std::size_t i = 0; i < 9; ++i)  // of one object, and so with one home cache
       r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)), clients[i]);
     bool at_one = false;
     Until(r.loop, [&] {
@@ -174,10 +178,10 @@
   }
 }
 
-// A connection that carries nothing more, though it stays open: called, it does not answer, and
-// what is open on it is asked again on another, minutes before its time is up. One that answers the
-// call is waited for.
-void ConnectionsThatCarryNothingEnd() {
+// A connection that stays open but carries nothing more does not answer a liveness check; what is
+// in flight on it is sent again on another connection, minutes before its deadline. One that
+// answers the check is kept.
+void DeadConnectionsAreClosed() {
   for (bool carries : {false, true}) {
     FarListener far;
     settings::RoadTerms t = MakeTerms();
@@ -203,10 +207,10 @@
   }
 }
 
-// What may run once waits until its connection has shown that it carries: one that breaks under the
-// call, as idle or new ones may, has taken nothing with it, and the next one is tried, a few times.
-// Given up while it waits, it never left.
-void ExclusiveAttemptsGoWhereItCarries() {
+// An attempt that may run only once waits until its connection has answered a liveness check: if it
+// breaks during the check, as an idle or new connection may, nothing was sent on it, and the next
+// one is tried, a few times. If it is cancelled while it waits, it was never sent.
+void ExclusiveAttemptsWaitForALiveConnection() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
   AttemptKey key{1, 0};
@@ -242,7 +246,8 @@
   assert(!peer.Hears("want") && !peer.Hears("never_mind"));
 }
 
-// Few legs share a connection while there are descriptors for more; then all share what there is.
+// Few attempts share a connection while there are descriptors for more; then all share the
+// connections there are.
 void AttemptsAreSpreadOverConnections() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}), MakeTerms(), 2);
@@ -256,7 +261,7 @@
   assert(r.exchange.counters.lost_unsent == 0);
 }
 
-void ASilentMachineHoldsUpNobody() {
+void ASilentServerDelaysNoOthers() {
   FarListener mute, good;
   Road r(Machines({{"s-1", mute.at}, {"s-2", good.at}}));
   std::vector<Asked> clients(40);
@@ -272,9 +277,9 @@
   Until(r.loop, [&] { return r.exchange.counters.succeeded == 1; });
 }
 
-// A connection that the peer may be about to close as idle is not used again: a request crossing
-// the close would count as one that may have run.
-void IdleConnectionsAreLeftInTime() {
+// A connection that the server may be about to close as idle is not used again: a request that
+// crosses the close would count as one that may have run.
+void IdleConnectionsAreNotReusedNearTheirTimeout() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}), MakeTerms(400, 50));
   r.exchange.OnRequest(AskFor(), r.client);
@@ -289,12 +294,12 @@
   Until(r.loop, [&] { return second.Hears("want 00000000000000aa"); });
 }
 
-void ProbesEndOneWayOrAnother() {
+void EveryProbeEnds() {
   for (const char* word : {"PONG", "SICK", "", "close"}) {
     FarListener far;
     Road r(Machines({{"s-1", far.at}}), MakeTerms(*word ? 10000 : 100));
     auto& n = r.exchange.counters;
-    // Two broken legs set the cache aside; the module probes it after a moment.
+    // Two broken attempts eject the cache; the router probes it after a moment.
     for (int i = 0; i < 2; ++i) {
       Asked client;
       r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)), client);
@@ -314,25 +319,25 @@
     std::uint64_t before = n.probes;
     Until(r.loop, [&] {
       return n.probes_answered + n.probes > before;
-    });  // the next one follows from its end
+    });  // the next one follows when this one ends
     assert((n.probes_answered > 0) == (say == "PONG"));
   }
 }
 
-// A new machine at the address of one that is still listed: what is meant for the old one does not
-// reach it.
-void NothingReachesAnotherUnderAnOldId() {
+// A new endpoint at the address of one that is still listed: attempts for the old one do not reach
+// it.
+void NothingReachesANewEndpointAtAnOldAddress() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
   r.exchange.OnRequest(AskFor(), r.client);
   Far old = far.Next(r.loop);
   Until(r.loop, [&] { return old.Hears("want "); });
   auto fresh = Machines({{"s-2", far.at}});
-  fresh[0].entry.standing = Standing::kDraining;  // takes nothing itself yet
+  fresh[0].entry.standing = Standing::kDraining;  // does not take requests yet
   r.exchange.OnListUpdate(false, fresh);
   assert(!(old.Read(), old.over));
   fresh[0].entry.standing = Standing::kReady;
-  fresh[0].entry.weight = 1e-9;  // nobody's home
+  fresh[0].entry.weight = 1e-9;  // the home cache of no object
   r.exchange.OnListUpdate(false, fresh);
   Until(r.loop, [&] {
     old.Read();
@@ -344,7 +349,7 @@
   assert(r.exchange.counters.lost_unsent > before);  // at once, with nothing written
 }
 
-void ConnectionsToCachesAreBudgeted() {
+void UpstreamConnectionsAreLimited() {
   FarListener far;
   settings::RoadTerms one = MakeTerms();
   one.attempts_at_once = 1;
@@ -364,18 +369,21 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"answers come in any order and pieces", AnswersComeInAnyOrderAndPieces},
-                 {"legs of one pull are kept apart", AttemptsOfOneRequestAreKeptApart},
-                 {"ends of connections end their legs", EndsOfConnectionsEndTheirAttempts},
-                 {"what stops short holds up nobody", WhatStopsShortHoldsUpNobody},
-                 {"connections that carry nothing end", ConnectionsThatCarryNothingEnd},
-                 {"exclusive legs go where it carries", ExclusiveAttemptsGoWhereItCarries},
-                 {"legs are spread over connections", AttemptsAreSpreadOverConnections},
-                 {"a silent machine holds up nobody", ASilentMachineHoldsUpNobody},
-                 {"idle connections are left in time", IdleConnectionsAreLeftInTime},
-                 {"probes end one way or another", ProbesEndOneWayOrAnother},
-                 {"nothing reaches another under an old id", NothingReachesAnotherUnderAnOldId},
-                 {"connections to caches are budgeted", ConnectionsToCachesAreBudgeted}}) {
+  for (Case c :
+       {Case{"responses arrive in any order and pieces", ResponsesArriveInAnyOrderAndPieces},
+        {"attempts of one request are kept apart", AttemptsOfOneRequestAreKeptApart},
+        {"ends of connections end their attempts", EndsOfConnectionsEndTheirAttempts},
+        {"truncated responses delay no others", TruncatedResponsesDelayNoOthers},
+        {"dead connections are closed", DeadConnectionsAreClosed},
+        {"exclusive attempts wait for a live connection", ExclusiveAttemptsWaitForALiveConnection},
+        {"attempts are spread over connections", AttemptsAreSpreadOverConnections},
+        {"a silent server delays no others", ASilentServerDelaysNoOthers},
+        {"idle connections are not reused near their timeout",
+         IdleConnectionsAreNotReusedNearTheirTimeout},
+        {"every probe ends", EveryProbeEnds},
+        {"nothing reaches a new endpoint at an old address",
+         NothingReachesANewEndpointAtAnOldAddress},
+        {"upstream connections are limited", UpstreamConnectionsAreLimited}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -1,4 +1,5 @@
-// The clients' side on sockets, with noted caches, beside a far side of plain bytes.
+// Tests of the HTTP server on loopback sockets, with a recording transport in place of the caches
+// and clients that exchange plain bytes.
 #include "clients/clients.hpp"
 
 #include <fcntl.h>
@@ -11,7 +12,7 @@
 
 namespace {
 
-struct Counter {  // clients on real sockets, with noted caches
+struct Counter {  // an HTTP server on loopback sockets, with a recording transport
   Desk d;
   loop::Address at = FreeAddress();
   clients::HttpServer clients;
@@ -25,7 +26,7 @@
   void Hear(Far& f, std::string_view text) {
     Until(d.loop, [&] { return f.Hears(text); });
   }
-  // Turns on until all have gone that a stop lets go.
+  // Runs the loop until all connections are closed that a shutdown closes.
   void leave() {
     Until(d.loop, [&] {
       clients.ContinueShutdown();
@@ -43,7 +44,7 @@
   }
 };
 
-// Does something in the middle of a turn: after its poll, before its timers.
+// Runs a function in the middle of a loop iteration: after its poll, before its timers.
 struct Meanwhile final : loop::Handler {
   loop::Loop& loop;
   std::function<void()> what;
@@ -70,8 +71,8 @@
   return one.revents & POLLERR;
 }
 
-// A client that takes slowly: when all its answer has left the front, most of it lies in the
-// system's buffers.
+// A client that reads slowly: when its whole response has left the front, most of it is still in
+// the kernel's buffers.
 struct Slow {
   Far far{loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0))};
   std::string body = std::string(200000, 'x');
@@ -90,7 +91,7 @@
   }
 };
 
-void ClientsAreAnswered() {
+void ClientsGetResponses() {
   Counter c;
   Far f = c.Come();
   for (char one : Get("If-None-Match: \"4be0\"\r\nX-Memory-Kb: 412.5\r\n")) {
@@ -121,7 +122,7 @@
   });
 }
 
-void BigAnswersWaitForSlowClients() {
+void LargeResponsesWaitForSlowClients() {
   Counter c;
   Far f = Far::To(c.at);
   int small = 1 << 15;
@@ -129,7 +130,7 @@
   std::string body(exchange::kMaxObjectBytes, 'x');
   for (std::size_t i = 0; i < body.size(); ++i)
     body[i] = static_cast<char>(i * 7);
-  f.Send(Get() + Get());  // the second waits until the first is out
+  f.Send(Get() + Get());  // the second waits until the first is written
   c.Finish(c.attempt(0), Said(Ending::kFinished), body);
   Until(c.d.loop, [&] { return f.Read(1000).size() > 100000; });
   Until(c.d.loop, [&] {
@@ -141,7 +142,7 @@
   assert(f.got.find(body) != std::string::npos);
 }
 
-void BadRequestsAreRefusedAlone() {
+void BadRequestsAreRejectedIndividually() {
   struct Case {
     std::string request;
     std::string status;
@@ -154,7 +155,7 @@
   const std::string own = "X-Request-Id: 00000000000000aa\r\n";
   for (const Case& one :
        {Case{"\x16\x03\x01", "400"},
-        {Get("", "/ops/video/0000"), "409"},  // the id of the open one
+        {Get("", "/ops/video/0000"), "409"},  // the id of the open request
         {head + own + own + "X-Timeout-Ms: 9\r\nX-Group: 1\r\n\r\n", "400"},
         {head + own + "X-Timeout-Ms: 1e3\r\nX-Group: 1\r\n\r\n", "400"},
         {head + own + "X-Timeout-Ms: -0\r\nX-Group: 1\r\n\r\n", "400"},
@@ -196,9 +197,9 @@
   c.Hear(good, "still here");
 }
 
-// Who says nothing, or half a request, is told so by a word or a close in 3 s, and others notice
-// nothing; an idle client that has been served keeps its connection.
-void WhoSaysNothingGoes() {
+// A client that sends nothing, or a partial request, gets a status or a close within 3 s, and no
+// other client is affected; an idle client that has been served keeps its connection.
+void SilentClientsAreDisconnected() {
   Counter c;
   Far served = c.Come(), silent = c.Come(), half = c.Come();
   served.Send("GET /alive HTTP/1.1\r\n\r\n");
@@ -215,8 +216,8 @@
   assert(silent.got.empty() && !(served.Read(), served.over));
 }
 
-// How a client leaves. The end of its way out alone counts as a leave too: what follows a
-// half-close is never an answer.
+// How a client disconnects. Closing its sending direction alone counts as a disconnect too: no
+// response is sent on a half-closed connection.
 enum class Leave {
   kClose,
   kReset,
@@ -233,7 +234,7 @@
     ::shutdown(f.fd.Get(), SHUT_WR);
 }
 
-void WhoClosesIsOwedNothing() {
+void ClosingClientsGetNoResponse() {
   for (Leave how : kLeaves) {
     Counter c;
     Far f = c.Come();
@@ -246,9 +247,9 @@
   }
 }
 
-// The close was there before the request was looked at: nothing is owed, and an attempt would begin
-// after its client left.
-void ARequestThatCameWithItsCloseIsNotSentOn() {
+// The close arrived before the request was processed: no response is due, and an attempt would
+// start after its client disconnected.
+void ARequestThatArrivesWithItsCloseIsNotForwarded() {
   std::string big = "PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
                     "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nContent-Length: 48000\r\n\r\n" +
                     std::string(48000, 'p');
@@ -265,9 +266,9 @@
       }
 }
 
-// Its client goes as the first is answered, in one turn: the next poll shows that, and the second
-// is not sent on.
-void ASecondRequestIsNotSentOnWhenItsClientHasLeft() {
+// The client closes as the first request is answered, in one iteration: the next poll shows that,
+// and the second request is not forwarded.
+void ASecondRequestIsNotForwardedAfterItsClientDisconnected() {
   for (Leave how : kLeaves) {
     Counter c;
     Far f = c.Come();
@@ -282,9 +283,9 @@
   }
 }
 
-// It comes behind the open one after the front has begun to wait for that alone, and the close with
-// it.
-void ARequestBehindAnOpenOneIsNotSentOnAfterItsClose() {
+// It arrives behind the open request, together with the close, after the front has begun to poll
+// the connection lazily.
+void APipelinedRequestIsNotForwardedAfterItsClose() {
   for (Leave how : kLeaves) {
     Counter c;
     Far f = c.Come();
@@ -300,9 +301,9 @@
   }
 }
 
-// A request on a resting connection comes after the poll of the turn that would end it: it is read
-// before the close, and served. A close would be a reset, and take the last answer with it.
-void ARequestThatComesBeforeTheSweepsCloseIsServed() {
+// A request on an idle connection arrives after the poll of the iteration that would close it: it
+// is read before the close, and served. Closing would be a reset and discard the last response.
+void ARequestThatArrivesBeforeTheIdleCloseIsServed() {
   Counter c;
   Slow slow(c);
   c.d.loop.Skip(20000);
@@ -314,13 +315,13 @@
   assert(c.d.caches.sent.size() == 2 && !slow.far.over);
 }
 
-// It comes after the shutdown: the answer before it arrives whole, without a reset, and it is not
-// sent on.
-void ARequestThatCrossesTheSweepTakesNoAnswerWithIt() {
+// It arrives after the half-close: the response before it arrives whole, without a reset, and it is
+// not forwarded.
+void ARequestThatCrossesTheIdleCloseLosesNoResponse() {
   Counter c;
   Slow slow(c);
   c.d.loop.Skip(20000);
-  c.d.loop.turn(0);  // the sweep is due
+  c.d.loop.turn(0);  // the timeout check is due
   slow.far.Send(GetAs(2));
   Until(c.d.loop, [&] { return slow.HasAll(); });
   Until(c.d.loop, [&] {
@@ -332,9 +333,9 @@
   Until(c.d.loop, [&] { return c.clients.empty(); });
 }
 
-// The same where room is made for a newcomer. Here the request was there first: it is read, and its
-// client has no longer rested.
-void ARequestThatComesAsRoomIsMadeIsServed() {
+// The same where a slot is freed for a new connection. Here the request arrived first: it is read,
+// and its connection is not idle any more.
+void ARequestThatArrivesBeforeASlotIsFreedIsServed() {
   Counter c(1);
   Slow slow(c);
   slow.far.Send(GetAs(2));
@@ -345,8 +346,8 @@
   Until(c.d.loop, [&] { return slow.far.Hears("\r\n\r\nsecond"); });
 }
 
-// Many come at once, each with its request: nobody is put out before it was read.
-void WhoComesWithARequestIsNotPutOutUnread() {
+// Many connect at once, each with a request: none is closed before its request was read.
+void NewConnectionsAreNotClosedUnread() {
   Counter c(3);
   std::vector<Far> all;
   for (int i = 0; i < 8; ++i) {
@@ -362,9 +363,9 @@
     c.Hear(f, "\r\n\r\nok");
 }
 
-// Refused ones that never close: they keep no live client out, and the longest goes where they
-// become too many.
-void WhoLingersTakesNoPlace() {
+// Connections of rejected clients that never close: they keep no live client out, and the one that
+// has lingered longest is closed when there are too many.
+void LingeringConnectionsTakeNoSlot() {
   Counter c(3);
   std::vector<Far> bad, good;
   for (int i = 0; i < 12; ++i) {
@@ -380,7 +381,7 @@
     c.d.loop.turn(0);
   assert(c.d.caches.sent.size() == 3);
   bad[0].Send("x");
-  Until(c.d.loop, [&] { return IsReset(bad[0]); });  // closed outright
+  Until(c.d.loop, [&] { return IsReset(bad[0]); });  // closed at once
   c.d.loop.Skip(2000);
   for (Far& f : bad)
     Until(c.d.loop, [&] {
@@ -389,9 +390,9 @@
     });
 }
 
-// Each bad client gets a status or a close, one line of the log with none of its bytes, and is
-// counted; an open request of another client notices nothing.
-void BadClientsEndAlone() {
+// Each bad client gets a status or a close, one line in the log with none of its bytes, and is
+// counted; an open request of another client is not affected.
+void BadClientsAffectNoOthers() {
   enum {
     kStays,
     kCloses,
@@ -399,10 +400,10 @@
   };
   struct Case {
     std::string bytes;
-    std::string status;  // none: it is gone before one could come
+    std::string status;  // empty: the client is gone before a status could arrive
     int then;
     std::uint64_t bad;
-    std::size_t most;  // of its requests that may be sent on
+    std::size_t most;  // how many of its requests may be forwarded
   };
   std::string many;
   for (int i = 100; i < 500; ++i) {
@@ -419,7 +420,7 @@
         {many, "", kCloses, 0, 1},
         {many, "", kResets, 0, 1},
         {both, "400", kStays, 1, 0},
-        {Get("Odd: zebra\r\n"), "409", kStays, 1, 0},  // the id of the open one
+        {Get("Odd: zebra\r\n"), "409", kStays, 1, 0},  // the id of the open request
         {"GET /alive HTTP/1.1\r\nzebra: " + std::string(60000, 'z'), "431", kStays, 1, 0},
         {std::string(1, 0) + "zebra\n\x1b[31m", "400", kStays, 1, 0}}) {
     std::vector<std::string> lines;
@@ -442,7 +443,7 @@
         f.Read();
         return f.over;
       });
-      c.d.loop.Skip(2000);  // though it never closes
+      c.d.loop.Skip(2000);  // though the client never closes
     }
     c.Finish(key, Said(Ending::kFinished), "still here");
     c.Hear(good, "still here");
@@ -455,8 +456,9 @@
   }
 }
 
-// Its header never ends: refused, read on for a bounded time and discarded, then closed.
-void AnEndlessHeaderIsBounded() {
+// A request whose header never ends: it is rejected, its input is read and discarded for a limited
+// time, then the connection is closed.
+void AnEndlessHeaderIsLimited() {
   Counter c;
   Far f = c.Come();
   f.Send("GET /alive HTTP/1.1\r\n");
@@ -468,9 +470,9 @@
   assert(c.d.exchange.counters.bad_requests == 1 && c.d.caches.sent.empty());
 }
 
-// ---- a stop
+// ---- shutdown
 
-void TheBacklogIsAnsweredInAStop() {
+void TheBacklogIsServedDuringShutdown() {
   enum {
     kWaiting,
     kPaused,
@@ -516,8 +518,9 @@
   }
 }
 
-// Bytes of it are in the system's buffers as the stop begins: looked at once more, and answered.
-void ARequestThatCrossesTheStopIsAnswered() {
+// Bytes of the request are in the kernel's buffers when the shutdown starts: they are read once
+// more, and answered.
+void ARequestThatCrossesTheShutdownIsServed() {
   Counter c;
   Far f = c.Come();
   for (int i = 0; i < 3; ++i)
@@ -533,9 +536,9 @@
   c.leave();
 }
 
-// It comes after the poll of the turn that would shut the connection: it is read before that, and
-// served.
-void ARequestThatComesBeforeTheShutdownInAStopIsServed() {
+// The request arrives after the poll of the iteration that would half-close the connection: it is
+// read before that, and served.
+void ARequestThatArrivesBeforeTheHalfCloseInShutdownIsServed() {
   Counter c;
   Slow slow(c);
   c.clients.ContinueShutdown();
@@ -554,11 +557,12 @@
     return slow.far.over;
   });
   assert(!IsReset(slow.far));
-  c.leave();  // though it never closes
+  c.leave();  // though the client never closes
 }
 
-// It comes after the shutdown: the answer before it arrives whole, it is not sent on.
-void ARequestThatCrossesTheShutdownInAStopTakesNoAnswerWithIt() {
+// The request arrives after the half-close: the response before it arrives whole, and the request
+// is not forwarded.
+void ARequestThatCrossesTheHalfCloseInShutdownLosesNoResponse() {
   Counter c;
   Slow slow(c);
   c.clients.ContinueShutdown();
@@ -574,12 +578,12 @@
     return slow.far.over;
   });
   assert(!IsReset(slow.far) && c.d.caches.sent.size() == 1);
-  c.leave();  // though it never closes
+  c.leave();  // though the client never closes
 }
 
-// Whole requests that were read behind an open one when the stop comes: each has its answer, and
-// the last one announces the close.
-void PipelinedRequestsAreAnsweredInAStop() {
+// Complete requests that were read behind an open one when the shutdown starts: each gets its
+// response, and the last response announces the close.
+void PipelinedRequestsAreServedDuringShutdown() {
   Counter c;
   Far f = c.Come();
   f.Send(GetAs(1) + GetAs(2) + GetAs(3) + GetAs(4).substr(0, 60));
@@ -601,9 +605,9 @@
   assert(c.d.caches.sent.size() == 3);
 }
 
-// Each whole request that was read has an answer, also behind one that is refused for what it asks;
-// behind one whose end can't be told nothing is a request.
-void WhatLiesBehindARefusedRequestIsAnswered() {
+// Each complete request that was read gets a response, also behind one that is rejected for its
+// content; behind one whose end can't be determined nothing counts as a request.
+void RequestsBehindARejectedOneAreServed() {
   Counter c;
   Far f = c.Come();
   f.Send(Get("", "/odd") + GetAs(1));
@@ -620,9 +624,9 @@
   assert(c.d.exchange.counters.bad_requests == 2);
 }
 
-// All places are taken and a newcomer's request is on its way as another one comes: the newcomer is
-// spared for a moment.
-void ANewcomersRequestOnItsWayIsAwaited() {
+// All slots are taken and the request of a new connection is in transit when another client
+// connects: the new connection is kept for a moment.
+void ANewConnectionHasTimeForItsRequest() {
   Counter c(2);
   Far busy = c.Come(), served = c.Come();
   busy.Send(GetAs(0));
@@ -643,8 +647,9 @@
   c.attempt(2);
 }
 
-// One that says nothing keeps its place no longer than that, also where nobody else rests.
-void ASilentNewcomerMakesRoomInTheEnd() {
+// A connection without a request keeps its slot no longer than that, also where no other connection
+// is idle.
+void ASilentNewConnectionIsClosedForItsSlot() {
   Counter c(1);
   Far busy = c.Come();
   busy.Send(GetAs(0));
@@ -659,9 +664,9 @@
   assert(silent.got.empty());
 }
 
-// Its connection has carried no request: it is closed outright, so that what crosses the close
-// stays unread and takes no place.
-void WhoNeverSpokeDoesNotLinger() {
+// The connection has carried no request: it is closed in both directions, so that a request that
+// crosses the close stays unread, and the connection does not linger.
+void ConnectionsWithoutARequestDoNotLinger() {
   Counter c;
   Far silent = c.Come();
   c.d.loop.Skip(2600);
@@ -672,7 +677,7 @@
   assert(c.clients.empty());
 }
 
-void HalfARequestIsRefusedInAStop() {
+void APartialRequestIsRejectedDuringShutdown() {
   Counter c;
   Far f = c.Come();
   f.Send(Get().substr(0, 40));
@@ -692,9 +697,9 @@
   assert(c.d.caches.sent.empty() && c.d.exchange.counters.bad_requests == 0);
 }
 
-// Answers go out to a client that takes nothing until the system's buffers are full. In a stop that
-// is waited for no longer than anybody wants the answer; no exit waits for a dead client.
-void WhoTakesNothingHoldsNoStopUp() {
+// Responses are written to a client that does not read until the kernel's buffers are full. A
+// shutdown waits for it no longer than the response is wanted, and never for a dead client.
+void ClientsThatDoNotReadDoNotDelayShutdown() {
   Counter c;
   Far f(loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0)));
   int small = 1 << 12;
@@ -727,7 +732,7 @@
   assert(c.clients.empty());
 }
 
-void ABrokenStreamCanBeNotified() {
+void AnAbortedStreamIsDetectable() {
   StoreSettings s = kit::Settings();
   s.request_classes[0].streams = true;
   Counter c(50, s);
@@ -744,7 +749,7 @@
   assert(f.Hears("Content-Length: 10\r\n") && f.got.ends_with("\r\n\r\nhalf"));
 }
 
-void IdleClientsMakeRoom() {
+void IdleConnectionsAreClosedForTheirSlots() {
   Counter c(3);
   Far one = c.Come(), two = c.Come();
   one.Send(GetAs(1));
@@ -757,7 +762,7 @@
   four.Send(GetAs(2));
   c.attempt(1);
   assert(!(one.Read(), one.over));
-  // With all places taken a newcomer waits, until one of them has its answer.
+  // With all slots taken a new connection waits until one of them has its response.
   three.Send(GetAs(3));
   c.attempt(2);
   Far five = c.Come(), six = c.Come();
@@ -771,7 +776,7 @@
   c.attempt(4);
 }
 
-void NoDescriptorsIsNoSpin() {
+void DescriptorExhaustionDoesNotSpin() {
   Counter c;
   Far f(loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0)));
   rlimit before{}, none{};
@@ -784,54 +789,55 @@
   Until(c.d.loop, [&] { return c.d.exchange.counters.descriptor_shortages > 0; });
   ::setrlimit(RLIMIT_NOFILE, &before);
   f.Send(Get());
-  c.attempt(0);  // served once there are some again
+  c.attempt(0);  // served once there are descriptors again
   assert(c.d.exchange.counters.descriptor_shortages < 20);
 }
 
 }  // namespace
 
-int main(int count, char** words) {  // all, or the one named
+int main(int count, char** words) {  // runs all cases, or the named one
   struct Case {
     const char* name;
     void (*run)();
   };
   for (Case c :
-       {Case{"clients are answered", ClientsAreAnswered},
-        {"big answers wait for slow clients", BigAnswersWaitForSlowClients},
-        {"bad requests are refused alone", BadRequestsAreRefusedAlone},
-        {"who says nothing goes", WhoSaysNothingGoes},
-        {"who closes is owed nothing", WhoClosesIsOwedNothing},
-        {"a request that came with its close is not sent on",
-         ARequestThatCameWithItsCloseIsNotSentOn},
-        {"a second request is not sent on when its client has left",
-         ASecondRequestIsNotSentOnWhenItsClientHasLeft},
-        {"a request behind an open one is not sent on after its close",
-         ARequestBehindAnOpenOneIsNotSentOnAfterItsClose},
-        {"a request that comes before the sweep's close is served",
-         ARequestThatComesBeforeTheSweepsCloseIsServed},
-        {"a request that crosses the sweep takes no answer with it",
-         ARequestThatCrossesTheSweepTakesNoAnswerWithIt},
-        {"a request that comes as room is made is served", ARequestThatComesAsRoomIsMadeIsServed},
-        {"who comes with a request is not put out unread", WhoComesWithARequestIsNotPutOutUnread},
-        {"who lingers takes no place", WhoLingersTakesNoPlace},
-        {"bad clients end alone", BadClientsEndAlone},
-        {"an endless header is bounded", AnEndlessHeaderIsBounded},
-        {"the backlog is answered in a stop", TheBacklogIsAnsweredInAStop},
-        {"a request that crosses the stop is answered", ARequestThatCrossesTheStopIsAnswered},
-        {"a request that comes before the shutdown in a stop is served",
-         ARequestThatComesBeforeTheShutdownInAStopIsServed},
-        {"a request that crosses the shutdown in a stop takes no answer with it",
-         ARequestThatCrossesTheShutdownInAStopTakesNoAnswerWithIt},
-        {"pipelined requests are answered in a stop", PipelinedRequestsAreAnsweredInAStop},
-        {"what lies behind a refused request is answered", WhatLiesBehindARefusedRequestIsAnswered},
-        {"a newcomer's request on its way is awaited", ANewcomersRequestOnItsWayIsAwaited},
-        {"a silent newcomer makes room in the end", ASilentNewcomerMakesRoomInTheEnd},
-        {"who never spoke does not linger", WhoNeverSpokeDoesNotLinger},
-        {"half a request is refused in a stop", HalfARequestIsRefusedInAStop},
-        {"who takes nothing holds no stop up", WhoTakesNothingHoldsNoStopUp},
-        {"a broken stream can be told", ABrokenStreamCanBeNotified},
-        {"idle clients make room", IdleClientsMakeRoom},
-        {"no descriptors is no spin", NoDescriptorsIsNoSpin}}) {
+       {Case{"clients get responses", ClientsGetResponses},
+        {"large responses wait for slow clients", LargeResponsesWaitForSlowClients},
+        {"bad requests are rejected individually", BadRequestsAreRejectedIndividually},
+        {"silent clients are disconnected", SilentClientsAreDisconnected},
+        {"closing clients get no response", ClosingClientsGetNoResponse},
+        {"a request that arrives with its close is not forwarded",
+         ARequestThatArrivesWithItsCloseIsNotForwarded},
+        {"a second request is not forwarded after its client disconnected",
+         ASecondRequestIsNotForwardedAfterItsClientDisconnected},
+        {"a pipelined request is not forwarded after its close",
+         APipelinedRequestIsNotForwardedAfterItsClose},
+        {"a request that arrives before the idle close is served",
+         ARequestThatArrivesBeforeTheIdleCloseIsServed},
+        {"a request that crosses the idle close loses no response",
+         ARequestThatCrossesTheIdleCloseLosesNoResponse},
+        {"a request that arrives before a slot is freed is served",
+         ARequestThatArrivesBeforeASlotIsFreedIsServed},
+        {"new connections are not closed unread", NewConnectionsAreNotClosedUnread},
+        {"lingering connections take no slot", LingeringConnectionsTakeNoSlot},
+        {"bad clients affect no others", BadClientsAffectNoOthers},
+        {"an endless header is limited", AnEndlessHeaderIsLimited},
+        {"the backlog is served during shutdown", TheBacklogIsServedDuringShutdown},
+        {"a request that crosses the shutdown is served", ARequestThatCrossesTheShutdownIsServed},
+        {"a request that arrives before the half-close in shutdown is served",
+         ARequestThatArrivesBeforeTheHalfCloseInShutdownIsServed},
+        {"a request that crosses the half-close in shutdown loses no response",
+         ARequestThatCrossesTheHalfCloseInShutdownLosesNoResponse},
+        {"pipelined requests are served during shutdown", PipelinedRequestsAreServedDuringShutdown},
+        {"requests behind a rejected one are served", RequestsBehindARejectedOneAreServed},
+        {"a new connection has time for its request", ANewConnectionHasTimeForItsRequest},
+        {"a silent new connection is closed for its slot", ASilentNewConnectionIsClosedForItsSlot},
+        {"connections without a request do not linger", ConnectionsWithoutARequestDoNotLinger},
+        {"a partial request is rejected during shutdown", APartialRequestIsRejectedDuringShutdown},
+        {"clients that do not read do not delay shutdown", ClientsThatDoNotReadDoNotDelayShutdown},
+        {"an aborted stream is detectable", AnAbortedStreamIsDetectable},
+        {"idle connections are closed for their slots", IdleConnectionsAreClosedForTheirSlots},
+        {"descriptor exhaustion does not spin", DescriptorExhaustionDoesNotSpin}}) {
     if (count > 1 && std::string_view(words[1]) != c.name)
       continue;
     std::puts(c.name);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,6 +1,6 @@
-// Crossings on the caches' side: an event that falls between the choice of an attempt and its
-// writing, or between two lines of what a cache says. On loopback sockets, beside a far side that
-// says each byte when it is told to.
+// Races between the front and its caches: an event that occurs between the choice of an attempt and
+// its write, or between two lines of a response. On loopback sockets, with a server that sends each
+// byte when the test says so.
 #include <algorithm>
 
 #include "clients/clients.hpp"
@@ -10,9 +10,9 @@
 
 namespace {
 
-// The client has left: what has not left this process never does, whether or not the settings allow
-// cancelling, whatever it waits for; what comes after it goes on.
-void WhoLeftIsNotAskedFor() {
+// The client has disconnected: what has not left this process is never sent, whether or not the
+// settings allow cancelling, whatever it waits for; later requests are sent.
+void NothingIsSentForADisconnectedClient() {
   for (Wait how : {kDial, kQueue, kCheck})
     for (bool cancel : {true, false}) {
       bool once = how == kCheck;
@@ -32,9 +32,9 @@
     }
 }
 
-// The deadline passes while the loop stands still: in its next turn the connection is up before any
-// timer is looked at.
-void OverdueAttemptsDoNotGo() {
+// The deadline passes while the loop is suspended: in its next iteration the connection is
+// established before any timer is run.
+void OverdueAttemptsAreNotSent() {
   for (Wait how : {kDial, kCheck}) {
     Waiting w(how, SettingsWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
     if (how == kCheck)
@@ -48,9 +48,9 @@
   }
 }
 
-// A repeat that its window no longer covers when the connection is up is not begun; its client is
-// told at once.
-void RepeatsStayWithinTheirWindow() {
+// A retry that its deduplication window no longer covers when the connection is established is not
+// started; its client gets its response at once.
+void RetriesStayWithinTheDeduplicationWindow() {
   StoreSettings s = SettingsWith(true, Effect::kIdempotentWithKey);
   s.request_classes[kWrite].memory = 500;
   s.request_classes[kWrite].expiry = 60000;
@@ -75,7 +75,7 @@
     Until(r.loop, [&] { return first.Hears(WantOf(1)); });
     first.Send("00000000000000a1 FAULT - 0\r\n\r\n");
     Until(r.loop, [&] { return r.exchange.counters.errors == 1; });
-    // The repeat is on its way to a connection that is not up yet: no turn has passed since.
+    // The retry waits for a connection that is not established yet: no iteration has run since.
     assert(r.exchange.counters.attempts == 2 && client.notified.empty());
     if (late)
       r.loop.Skip(501);
@@ -89,9 +89,9 @@
   }
 }
 
-// Told between the choice and the writing: a drain of the cache or of the source, a purge of the
-// object or its group.
-void NewsBindsWhatStillWaits() {
+// Updates announced between the choice of an attempt and its write: a drain of the cache or of the
+// source, a purge of the object or its group.
+void UpdatesApplyToQueuedAttempts() {
   enum News {
     kDrained,
     kSourceDrained,
@@ -137,13 +137,13 @@
       assert(line.find("miss=p-") == line.npos);
     else
       assert(line.find(",within=") != line.npos);
-    assert(w.peer.got.find(WantOf(1), 10) == w.peer.got.npos);  // once
+    assert(w.peer.got.find(WantOf(1), 10) == w.peer.got.npos);  // sent once
   }
 }
 
-// A purge of something else leaves what waits alone, and what has gone out is never sent a second
-// time for it.
-void NewsOfOthersChangesNothing() {
+// A purge of something else does not change queued attempts, and an attempt that was sent is never
+// sent a second time for it.
+void UnrelatedUpdatesChangeNothing() {
   for (bool gone : {false, true}) {
     Waiting w(kDial, SettingsWith(false));
     if (gone)
@@ -159,8 +159,8 @@
   }
 }
 
-// A machine replaced at the same address while an attempt waits to be written there.
-void NothingWaitingReachesAReplacement() {
+// An endpoint is replaced at the same address while an attempt waits to be written there.
+void NoQueuedAttemptReachesAReplacement() {
   for (Wait how : {kDial, kCheck}) {
     Waiting w(how, SettingsWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
     auto fresh = Machines({{"s-2", w.far.at}});
@@ -178,9 +178,9 @@
   }
 }
 
-// The answer to the check and the peer's close in one write: what may run once goes over another
-// connection.
-void ACheckAnsweredWithACloseCarriesNothing() {
+// The response to the liveness check and the server's close arrive in one write: a request that may
+// run only once is sent on another connection.
+void NothingIsSentAfterALivenessResponseWithAClose() {
   Waiting w(kCheck, SettingsWith(true, Effect::kExclusive), {}, kWrite);
   w.peer.Send("call PONG - 0\r\n\r\n");
   w.peer.fd.Reset();
@@ -193,10 +193,10 @@
   assert(w.client.Is({"200 t"}) && w.r.exchange.counters.lost_after_send == 0);
 }
 
-// Exclusive: a byte may have gone out, so there is no second attempt: reset under the request,
-// after the first byte of its answer, in the middle of it; and an answer that comes late or twice
-// is nobody's.
-void WhatMayRunOnceRunsOnce() {
+// An exclusive request of which a byte may have been sent gets no second attempt: reset during the
+// request, after the first byte of its response, in the middle of it. A late or duplicate response
+// belongs to no request.
+void ExclusiveRequestsRunOnce() {
   for (const char* said : {"", "0", "00000000000000a1 HIT - 2\r\no"}) {
     Waiting w(kCheck, SettingsWith(true, Effect::kExclusive), {}, kWrite);
     w.peer.Send("call PONG - 0\r\n\r\n");
@@ -208,19 +208,19 @@
     assert(w.client.Is({"502"}) && w.r.exchange.counters.attempts == 1);
     w.r.Turns();
     int got = ::accept4(w.far.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-    assert(got < 0);  // nobody came to ask again
+    assert(got < 0);  // no second connection was opened
   }
 }
 
-// An attempt that waited was moved, with its connection's number: an earlier answer to its request
-// may still come there, so the next attempt of the request goes elsewhere, and the duplicate is
-// nobody's.
+// A queued attempt was moved, with the number of its connection: a response to an earlier attempt
+// of its request may still arrive there, so the request's next attempt uses another connection, and
+// the duplicate belongs to no request.
 void MovedAttemptsAreKeptApart() {
   StoreSettings s = SettingsWith(true, Effect::kExclusive);
   s.may.direct = false;
   std::vector<exchange::ListedEndpoint> origin = Machines({{"origin", {}}});
   Waiting w(kCheck, s, origin, kWrite);
-  w.peer.Reset();  // under the check: it moves
+  w.peer.Reset();  // during the check: the attempt moves
   Far second = w.far.Next(w.r.loop);
   Until(w.r.loop, [&] { return second.Hears("there call\r\n"); });
   second.Send("call PONG - 0\r\n\r\n");
@@ -235,9 +235,9 @@
   assert(w.r.exchange.counters.misses == 1);
 }
 
-// The answer had come when the connection broke under the next request: it is read before the break
-// is told.
-void AnswersBeforeABreakAreRead() {
+// The response had arrived when the connection broke under the next request: it is read before the
+// break is reported.
+void ResponsesBeforeAResetAreRead() {
   FarListener far;
   Road r(Machines({{"s-1", far.at}}));
   Asked one, two;
@@ -246,14 +246,15 @@
   Until(r.loop, [&] { return peer.Hears(WantOf(1)); });
   peer.Send(Hit(1));
   peer.Reset();
-  r.exchange.OnRequest(AskAs(2), two);  // written into the break
+  r.exchange.OnRequest(AskAs(2), two);  // written to the broken connection
   Until(r.loop, [&] { return !one.notified.empty(); });
   assert(one.Is({"200 t"}));
   Until(r.loop, [&] { return !two.notified.empty() || r.exchange.counters.attempts > 2; });
 }
 
-// No descriptor for a connection is this front's own want: the caches stay in use.
-void WantOfDescriptorsIsNoSignOfTheCache() {
+// A front without a free descriptor for a connection has a shortage of its own: the caches stay in
+// use.
+void AConnectionShortageDoesNotBlameTheCache() {
   FarListener far;
   settings::RoadTerms t = MakeTerms(20000);
   t.attempts_at_once = 1;
@@ -275,13 +276,14 @@
   assert(r.exchange.counters.probes == 0);
 }
 
-// The client's idempotency key goes on with each attempt, as the client worded it.
-void KeysGoOnWithEachAttempt() {
+// The client's idempotency key is forwarded unchanged with each attempt.
+void IdempotencyKeysAreForwarded() {
   FarListener one, other;
   Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}),
          SettingsWith(true, Effect::kIdempotentWithKey));
   loop::Address at = FreeAddress();
-  clients::HttpServer clients(r.loop, r.exchange, MakeTerms().request_classes, {false, true}, at, 50);
+  clients::HttpServer clients(r.loop, r.exchange, MakeTerms().request_classes, {false, true}, at,
+                              50);
   Far client = Far::To(at);
   client.Send("PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
               "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nIdempotency-Key: "
@@ -297,10 +299,11 @@
   assert(peer.got.find(",replay=5c.k-17 1\r\nx\r\n") != std::string::npos);
 }
 
-// Deadline, leaving and answer in one turn, in each order: one final answer at most, one end of the
-// attempt, nothing sent after.
-void OneTurnInEachOrder() {
-  std::vector<int> order{0, 1, 2, 3};  // the deadline; the client leaves; the answer; its duplicate
+// Deadline, disconnect and response in one iteration, in each order: at most one final response,
+// one end of the attempt, nothing sent afterwards.
+void CoincidingEventsInEachOrder() {
+  std::vector<int> order{0, 1, 2,
+                         3};  // the deadline; the client disconnects; the response; its duplicate
   do {
     for (bool waiting : {false, true})
       for (bool cancel : {false, true}) {
@@ -336,14 +339,14 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-// A client whose request is out at one of two servers, with connections up to both. Every client's
-// descriptor lies above theirs.
+// A client whose request is in flight to one of two servers, with open connections to both. Every
+// client's descriptor number is higher than theirs.
 struct TwoServers {
   FarListener listeners[2];
   Road road{Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}}), SettingsWith(false)};
   loop::Address at = FreeAddress();
-  clients::HttpServer clients{road.loop, road.exchange, MakeTerms().request_classes, {false, true}, at,
-                           50};
+  clients::HttpServer clients{
+      road.loop, road.exchange, MakeTerms().request_classes, {false, true}, at, 50};
   Far servers[2];
   Far client;
   Far* home = nullptr;   // has the request
@@ -363,7 +366,7 @@
     });
     other = home == &servers[0] ? &servers[1] : &servers[0];
   }
-  // One request, answered by the server that its object leads to.
+  // One request, answered by the home server of its object.
   void Answer(const std::string& id, const std::string& object) {
     RequestMetadata ask = AskFor(id);
     ask.object = object;
@@ -385,23 +388,24 @@
   }
 };
 
-// The cache's refusal and the client's close in one turn, the cache's descriptor the lower: no
-// further attempt begins.
-void WhoLeavesIsHeardFirst() {
+// The cache's rejection and the client's close arrive in one iteration, on a cache descriptor with
+// the lower number: no further attempt starts.
+void ClientDisconnectsAreHandledFirst() {
   TwoServers t;
   auto attempts = t.road.exchange.counters.attempts;
   t.home->Send(kId + " SHED - 0\r\n\r\n");
   t.client.fd.Reset();
-  t.road.loop.Skip(10);  // as after a standstill: all are looked at
+  t.road.loop.Skip(10);  // as after a pause: all descriptors are polled
   Until(t.road.loop, [&] { return t.road.exchange.counters.shed == 1; });
   assert(t.road.exchange.counters.attempts == attempts &&
          t.road.exchange.counters.client_disconnects == 1);
 }
 
-// Symptom: an attempt began for a client that had left 0.3 s before. The process stood still in the
-// middle of a turn: the poll before it showed no leaving, and nobody was looked at again before the
-// write. Where the last wait is so long ago, the client's connection is looked at once more.
-void WhoLeavesInAStandstillWithinATurnIsNotAskedFor() {
+// Guards against an attempt that starts for a client that disconnected 0.3 s before. The process
+// was suspended in the middle of an iteration: the poll before it showed no disconnect, and the
+// client was not polled again before the write. If the last poll was that long ago, the client's
+// connection is checked once more.
+void NoAttemptStartsAfterADisconnectDuringAPause() {
   struct Standstill final : loop::Handler {
     int ends[2];
     std::function<void()> what;
@@ -417,7 +421,7 @@
         std::exchange(what, nullptr)();
     }
   };
-  Standstill standstill;  // its descriptor is the lowest, so it is handled first
+  Standstill standstill;  // its descriptor has the lowest number, so it is handled first
   TwoServers t;
   standstill.what = [&] {
     t.client.fd.Reset();
@@ -433,8 +437,8 @@
   assert(!t.other->Hears("want " + kId));
 }
 
-// A ground of two descriptors and a clock that goes on by a millisecond a wait: 1 is always
-// readable, 2 ends at a set time.
+// An environment with two descriptors and a clock that advances by a millisecond per wait: 1 is
+// always readable, 2 is closed at a set time.
 struct Bare final : loop::Environment {
   Ms clock = 1000;
   Ms ends_at = 1e18;
@@ -488,9 +492,9 @@
   }
 };
 
-// A connection that is looked at patiently: its close is seen within some milliseconds, however
-// busy the others are, and before what the others bring in that turn. In virtual time.
-void APatientCloseIsSeenSoonAndFirst() {
+// The close of a lazily polled connection is seen within some milliseconds, however busy the others
+// are, and before the events of the others in that iteration. In virtual time.
+void ALazilyPolledCloseIsSeenSoonAndFirst() {
   struct Note final : loop::Handler {
     std::vector<int>& order;
     int which;
@@ -521,30 +525,31 @@
 
 }  // namespace
 
-// With an argument: only the cases whose names hold it.
+// With an argument: only the cases whose names contain it.
 int main(int argc, char** argv) {
   struct Case {
     const char* name;
     void (*run)();
   };
   for (Case c :
-       {Case{"who left is not asked for", WhoLeftIsNotAskedFor},
-        {"overdue attempts do not go", OverdueAttemptsDoNotGo},
-        {"repeats stay within their window", RepeatsStayWithinTheirWindow},
-        {"news binds what still waits", NewsBindsWhatStillWaits},
-        {"news of others changes nothing", NewsOfOthersChangesNothing},
-        {"nothing waiting reaches a replacement", NothingWaitingReachesAReplacement},
-        {"a check answered with a close carries nothing", ACheckAnsweredWithACloseCarriesNothing},
-        {"what may run once runs once", WhatMayRunOnceRunsOnce},
+       {Case{"nothing is sent for a disconnected client", NothingIsSentForADisconnectedClient},
+        {"overdue attempts are not sent", OverdueAttemptsAreNotSent},
+        {"retries stay within the deduplication window", RetriesStayWithinTheDeduplicationWindow},
+        {"updates apply to queued attempts", UpdatesApplyToQueuedAttempts},
+        {"unrelated updates change nothing", UnrelatedUpdatesChangeNothing},
+        {"no queued attempt reaches a replacement", NoQueuedAttemptReachesAReplacement},
+        {"nothing is sent after a liveness response with a close",
+         NothingIsSentAfterALivenessResponseWithAClose},
+        {"exclusive requests run once", ExclusiveRequestsRunOnce},
         {"moved attempts are kept apart", MovedAttemptsAreKeptApart},
-        {"answers before a break are read", AnswersBeforeABreakAreRead},
-        {"want of descriptors is no sign of the cache", WantOfDescriptorsIsNoSignOfTheCache},
-        {"keys go on with each attempt", KeysGoOnWithEachAttempt},
-        {"one turn in each order", OneTurnInEachOrder},
-        {"who leaves is heard first", WhoLeavesIsHeardFirst},
-        {"who leaves in a standstill within a turn is not asked for",
-         WhoLeavesInAStandstillWithinATurnIsNotAskedFor},
-        {"a patient close is seen soon and first", APatientCloseIsSeenSoonAndFirst}}) {
+        {"responses before a reset are read", ResponsesBeforeAResetAreRead},
+        {"a connection shortage does not blame the cache", AConnectionShortageDoesNotBlameTheCache},
+        {"idempotency keys are forwarded", IdempotencyKeysAreForwarded},
+        {"coinciding events in each order", CoincidingEventsInEachOrder},
+        {"client disconnects are handled first", ClientDisconnectsAreHandledFirst},
+        {"no attempt starts after a disconnect during a pause",
+         NoAttemptStartsAfterADisconnectDuringAPause},
+        {"a lazily polled close is seen soon and first", ALazilyPolledCloseIsSeenSoonAndFirst}}) {
     if (argc > 1 && std::string(c.name).find(argv[1]) == std::string::npos)
       continue;
     std::puts(c.name);
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -1,5 +1,5 @@
-// The clients' side at its limits, on the staged ground: time is virtual there, and every wake-up
-// is counted.
+// Tests of the HTTP server at its limits, on the simulated network: time is virtual there, and
+// every wake-up is counted.
 #include "clients/clients.hpp"
 #include "sides.hpp"
 #include "stage/stage.hpp"
@@ -38,9 +38,9 @@
       exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::Settings(), 1);
       exchange->SetUpstreamTransport(caches);
       exchange->OnListUpdate(true, Machines({{"origin", {}}, {"s-0", {}}}));
-      clients =
-          std::make_unique<clients::HttpServer>(front.loop(), *exchange, MakeTerms().request_classes,
-                                             std::vector<bool>{false, true}, kThere, most);
+      clients = std::make_unique<clients::HttpServer>(front.loop(), *exchange,
+                                                      MakeTerms().request_classes,
+                                                      std::vector<bool>{false, true}, kThere, most);
     });
   }
   ~Tier() {
@@ -65,10 +65,11 @@
   }
 };
 
-// The process is out of descriptors long before the places are: no wake-up but for the listener's
-// rests and the sweep, and who rests longest makes room, so that all are served.
-void OutOfDescriptorsAllAreServedWithoutSpinning() {
-  Tier t(8, 50);  // three for the system, one listens: four clients
+// The process runs out of descriptors long before the connection limit: it wakes up only for the
+// listener's pauses and the timeout checks, and the connection that has been idle longest is closed
+// for its slot, so that all clients are served.
+void WithoutFreeDescriptorsAllAreServedWithoutSpinning() {
+  Tier t(8, 50);  // three for the system, one for the listener: four clients
   for (int i = 0; i < 10; ++i)
     t.Come("GET /alive HTTP/1.1\r\n\r\n");
   std::uint64_t events = t.EventsIn(6000);
@@ -78,9 +79,10 @@
     assert(p->got.starts_with("HTTP/1.1 200"));
 }
 
-// All places are taken by open requests, others wait in the backlog: the listener is left alone,
-// and only the look at who still waits, every 5 ms, wakes the front.
-void AllPlacesTakenIsNoSpin() {
+// All connection slots are taken by open requests and other clients wait in the backlog: the
+// listener is not polled, and only the check every 5 ms whether a client still waits wakes the
+// front.
+void FullConnectionLimitDoesNotSpin() {
   Tier t(100, 2);
   for (int i = 0; i < 8; ++i) {
     t.Come(GetAs(i));
@@ -91,9 +93,9 @@
   assert(t.caches.sent.size() == 3 && events < 900);
 }
 
-// A request waits in the backlog for two of its three seconds, until a place is free: what is
-// passed on is what its client has left.
-void ARequestThatWaitedToBeAcceptedTellsWhatItsClientHasLeft() {
+// A request waits in the backlog for two of its three seconds, until a slot is free: the time left
+// to its client is forwarded.
+void ARequestThatWaitedInTheBacklogForwardsTheTimeLeft() {
   constexpr Ms kWaits = 2000;
   constexpr Ms kSlack = 150;
   const std::string deadline = "X-Timeout-Ms: 60000", shorter = "X-Timeout-Ms: 3000";
@@ -113,11 +115,11 @@
   assert(t.caches.sent[3].how.timeout <= 3000 - kWaits + kSlack);
 }
 
-// The same for one that waits until its client has taken the answer before it.
-void ARequestThatWaitedForAnAnswerToGoOutTellsWhatItsClientHasLeft() {
+// The same for a request that waits until its client has read the previous response.
+void ARequestThatWaitedForAResponseForwardsTheTimeLeft() {
   constexpr Ms kWaits = 2000;
   constexpr Ms kSlack = 150;
-  constexpr std::size_t kMuch = 200000;  // more than the network holds
+  constexpr std::size_t kMuch = 200000;  // more than the network buffers
   const std::string deadline = "X-Timeout-Ms: 60000", shorter = "X-Timeout-Ms: 3000";
   Tier t(100, 2);
   std::string second = GetAs(2);
@@ -141,18 +143,18 @@
 
 }  // namespace
 
-int main(int count, char** words) {  // all, or the one named
+int main(int count, char** words) {  // runs all cases, or the named one
   struct Case {
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"out of descriptors, all are served without spinning",
-                      OutOfDescriptorsAllAreServedWithoutSpinning},
-                 {"all places taken is no spin", AllPlacesTakenIsNoSpin},
-                 {"a request that waited to be accepted tells what its client has left",
-                  ARequestThatWaitedToBeAcceptedTellsWhatItsClientHasLeft},
-                 {"a request that waited for an answer to go out tells what its client has left",
-                  ARequestThatWaitedForAnAnswerToGoOutTellsWhatItsClientHasLeft}}) {
+  for (Case c : {Case{"without free descriptors all are served without spinning",
+                      WithoutFreeDescriptorsAllAreServedWithoutSpinning},
+                 {"a full connection limit does not spin", FullConnectionLimitDoesNotSpin},
+                 {"a request that waited in the backlog forwards the time left",
+                  ARequestThatWaitedInTheBacklogForwardsTheTimeLeft},
+                 {"a request that waited for a response forwards the time left",
+                  ARequestThatWaitedForAResponseForwardsTheTimeLeft}}) {
     if (count > 1 && std::string_view(words[1]) != c.name)
       continue;
     std::puts(c.name);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -1,4 +1,5 @@
-// The exchange between noted sides: one answer a pull, whatever its legs come to.
+// Tests of the Exchange between a recording response sink and a recording transport: every request
+// gets one final response, whatever the results of its attempts.
 #include <algorithm>
 #include <unordered_map>
 
@@ -8,7 +9,7 @@
 
 namespace {
 
-void EveryRequestGetsOneAnswer() {
+void EveryRequestGetsOneResponse() {
   struct Case {
     Ending ending;
     std::vector<std::string> notified;
@@ -27,16 +28,16 @@
     d.exchange.OnAttemptResponseComplete(key, Said(c.ending));
     assert(client.Is(c.notified) && d.caches.sent.size() == c.attempts);
     assert(c.notified.empty() || client.body == "a\rb");
-    d.exchange.OnAttemptResponseComplete(key, Said(Ending::kFinished));  // late, or twice
+    d.exchange.OnAttemptResponseComplete(key, Said(Ending::kFinished));  // late, or a duplicate
     d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
     assert(client.Is(c.notified) &&
            d.exchange.OpenRequestCount() == (c.notified.empty() ? 1u : 0u));
   }
 }
 
-// An exclusive pull whose leg was written whole and broke may have run: it is abandoned. Not
-// written whole, or never up: it goes out again.
-void ExclusiveRequestsGoByWhatIsProven() {
+// An exclusive request whose attempt was fully written when the connection broke may have run, so
+// it fails. If it was not fully written, or never connected, it is sent again.
+void ExclusiveRequestsAreRepeatedOnlyIfUnsent() {
   for (bool whole : {false, true}) {
     Desk d;
     Asked client;
@@ -51,10 +52,9 @@
   }
 }
 
-// A cache that calls the client's copy the one, where the client has told of none, is in error.
-// Nor is an object passed on without the tag and the age that belong to it; a write's answer has
-// neither.
-void NoCopyIsConfirmedThatNobodyHas() {
+// A cache that confirms the client's copy although the client named none is in error. An object is
+// not passed on without its entity tag and age either; the response to a write has neither.
+void InvalidCacheResponsesAreErrors() {
   struct Case {
     const char *held, *tag;
     bool dated;
@@ -87,7 +87,7 @@
   }
 }
 
-void WhoLeavesIsOwedNothing() {
+void DisconnectedClientsGetNoResponse() {
   Desk d;
   Asked client;
   std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
@@ -97,7 +97,7 @@
   assert(client.notified.empty());
 }
 
-void OverdueRequestsAreAnswered() {
+void OverdueRequestsAreRejected() {
   Desk d;
   Asked client;
   RequestMetadata a = AskFor();
@@ -108,7 +108,7 @@
          d.exchange.OpenRequestCount() == 0);
 }
 
-void StreamsArePassedOnAsTheyCome() {
+void StreamsAreForwardedAsTheyArrive() {
   StoreSettings s = kit::Settings();
   s.request_classes[0].streams = true;
   for (int end = 0; end < 3; ++end) {
@@ -131,9 +131,9 @@
   }
 }
 
-// A machine keeps its number while it is listed; some minutes after it has left, told so or lacking
-// from a whole list, nothing of it is kept.
-void MachinesThatLeftAreForgotten() {
+// An endpoint keeps its number while it is listed. Some minutes after it was listed as gone, or was
+// missing from a complete list, nothing of it is kept.
+void RemovedEndpointsAreForgotten() {
   for (bool notified : {true, false}) {
     Desk d(kit::Settings(), 2);
     auto two = Machines({{"s-0", {}}, {"s-1", {}}});
@@ -153,9 +153,9 @@
   }
 }
 
-// The numbers as they are to come out at all replicas: the id's hash, and past those that are
-// taken, looked for one by one.
-struct NumberedInTurn {
+// The numbers that all replicas must compute: the hash of the id or, if that is taken, the next
+// free number.
+struct ExpectedNumbers {
   std::map<std::string, std::uint32_t> numbers;
   static std::uint32_t HashOf(std::string_view name) {
     std::uint64_t h = 0xcbf29ce484222325ull;
@@ -184,7 +184,7 @@
   std::unordered_map<std::uint32_t, std::string> by_hash;
   for (int i = 0; found.size() < pairs; ++i) {
     std::string name = "node-" + std::to_string(i);
-    auto [first, isNew] = by_hash.emplace(NumberedInTurn::HashOf(name), name);
+    auto [first, isNew] = by_hash.emplace(ExpectedNumbers::HashOf(name), name);
     if (!isNew)
       found.emplace_back(first->second, name);
   }
@@ -201,8 +201,8 @@
   d.exchange.OnListUpdate(false, entries);
 }
 
-// Replicas that read the same list come to the same numbers, also where the hashes of ids collide.
-void NumbersAreGivenInTurn() {
+// Replicas that read the same list compute the same numbers, also where hashes of ids collide.
+void NumbersAreAssignedInOrder() {
   auto pairs = CollidingIds(6);
   std::vector<std::string> names;
   for (auto& [first, second] : pairs) {
@@ -216,39 +216,39 @@
     if (backwards)
       std::reverse(names.begin(), names.end());
     Desk d;
-    NumberedInTurn expected;
+    ExpectedNumbers expected;
     for (auto& [name, number] : d.caches.numbers)
       expected.Add(name);
     assert(d.caches.numbers == expected.numbers);
     for (const std::string& name : names)
       expected.Add(name);
     ListAll(d, names);
-    ListAll(d, names);  // once more: nothing changes
+    ListAll(d, names);  // listed again: nothing changes
     assert(d.caches.numbers == expected.numbers);
     for (auto& [first, second] : pairs)
-      assert(d.caches.numbers[backwards ? first : second] == NumberedInTurn::HashOf(first) + 1);
+      assert(d.caches.numbers[backwards ? first : second] == ExpectedNumbers::HashOf(first) + 1);
   }
 }
 
-// The number of a server that left long ago is free for another one; that of a server that is
-// listed stays taken.
-void NumbersOfThoseLongGoneAreFree() {
+// The number of an endpoint that was removed long ago can be used for another one; the number of a
+// listed endpoint stays taken.
+void NumbersOfForgottenEndpointsAreReused() {
   constexpr Ms kLongAfter = 200000;
   auto [first, second] = CollidingIds(1).front();
-  std::uint32_t number = NumberedInTurn::HashOf(first);
+  std::uint32_t number = ExpectedNumbers::HashOf(first);
   Desk d;
   ListAll(d, {first, second});
   assert(d.caches.numbers[first] == number && d.caches.numbers[second] == number + 1);
   ListAll(d, {first}, Standing::kGone);
   ListAll(d, {second}, Standing::kGone);
-  ListAll(d, {second});  // it is back before it is forgotten
+  ListAll(d, {second});  // it is listed again before it is forgotten
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});
   assert(d.caches.forgotten == std::vector<std::uint32_t>{number} &&
          d.caches.numbers[second] == number + 1);
   ListAll(d, {second}, Standing::kGone);
   d.loop.Skip(kLongAfter);
-  ListAll(d, {second});  // forgotten and new in one
+  ListAll(d, {second});  // forgotten and added in one call
   assert(d.caches.forgotten.size() == 2 && d.caches.numbers[second] == number);
   ListAll(d, {first});
   assert(d.caches.numbers[first] == number + 1);
@@ -261,15 +261,17 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"every pull gets one answer", EveryRequestGetsOneAnswer},
-                 {"exclusive pulls go by what is proven", ExclusiveRequestsGoByWhatIsProven},
-                 {"no copy is confirmed that nobody has", NoCopyIsConfirmedThatNobodyHas},
-                 {"who leaves is owed nothing", WhoLeavesIsOwedNothing},
-                 {"overdue pulls are answered", OverdueRequestsAreAnswered},
-                 {"streams are passed on as they come", StreamsArePassedOnAsTheyCome},
-                 {"machines that left are forgotten", MachinesThatLeftAreForgotten},
-                 {"numbers are given in turn", NumbersAreGivenInTurn},
-                 {"numbers of those long gone are free", NumbersOfThoseLongGoneAreFree}}) {
+  for (Case c :
+       {Case{"every request gets one response", EveryRequestGetsOneResponse},
+        {"exclusive requests are repeated only if unsent",
+         ExclusiveRequestsAreRepeatedOnlyIfUnsent},
+        {"invalid cache responses are errors", InvalidCacheResponsesAreErrors},
+        {"disconnected clients get no response", DisconnectedClientsGetNoResponse},
+        {"overdue requests are rejected", OverdueRequestsAreRejected},
+        {"streams are forwarded as they arrive", StreamsAreForwardedAsTheyArrive},
+        {"removed endpoints are forgotten", RemovedEndpointsAreForgotten},
+        {"numbers are assigned in order", NumbersAreAssignedInOrder},
+        {"numbers of forgotten endpoints are reused", NumbersOfForgottenEndpointsAreReused}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/pipelined_requests_test.cpp
+++ b/tests/pipelined_requests_test.cpp
@@ -1,14 +1,11 @@
-/// Requests that wait in the front before it looks at them, on the simulated network.
+/// Requests that wait in the front before it processes them, on the simulated network.
 ///
-/// Symptom: of two requests in one write, with 4000 and 2000 ms, the first answered by its server
-/// after 1 s and the second never, the second went to its server a second after its client had sent
-/// it with `max=2000`, and its final answer came a second after its time.
-///
-/// Cause: the front counted a request's deadline from the moment in which it took the request up,
-/// not from when it had come, and knew nothing of the deadlines of those that waited behind an open
-/// one. Evidence: on the wire the second request's `max` exceeded what its client had left by as
-/// long as it had waited (1,013 ms on sockets, 1,002 here), in every kind of wait; with
-/// the time of its last byte noted as it is read, all of them agree.
+/// Guards against a front that counts a request's deadline from when it takes the request up
+/// instead of from its arrival, and that ignores the deadlines of requests pipelined behind an open
+/// one. Two requests in one write, with 4000 and 2000 ms, the first answered by its server after 1
+/// s and the second never: the second was forwarded a second after its client had sent it with
+/// `max=2000`, and its final response was a second late. On the wire its `max` exceeded the time
+/// left by as long as it had waited (1,013 ms on sockets, 1,002 ms here).
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -22,9 +19,9 @@
 
 namespace {
 
-/// By how much any time limit may be passed on sockets.
+/// By how much any time limit may be exceeded on sockets.
 constexpr Ms kSlack = 50;
-/// By how much the deadline passed on may exceed what the client has left.
+/// By how much the forwarded deadline may exceed the client's time left.
 constexpr Ms kPassedOnSlack = 150;
 
 struct SentRequest {
@@ -33,7 +30,7 @@
   Ms deadline = 0;
 };
 
-/// Requests that one client sends without waiting for the answers.
+/// Requests that one client sends without waiting for the responses.
 class Pipeline {
  public:
   explicit Pipeline(Deployment& deployment)
@@ -56,7 +53,7 @@
       CHECK(client_.answers_at[i] - requests_[i].sent_at <= requests_[i].deadline + kSlack);
     }
   }
-  /// Of every attempt that servers received for these requests.
+  /// For every attempt that servers received for these requests.
   void CheckDeadlinesPassedOn() const {
     for (const ReceivedAttempt& attempt : deployment_.servers.Attempts()) {
       auto request = std::find_if(requests_.begin(), requests_.end(),
@@ -80,7 +77,7 @@
 
 }  // namespace
 
-TEST_CASE("a request behind another one is answered within its own time") {
+TEST_CASE("a pipelined request is answered within its own deadline") {
   Deployment deployment(ServerMode::kAnswerFirst);
   Pipeline pipeline(deployment);
   pipeline.Add(4000);
@@ -92,7 +89,7 @@
   pipeline.CheckDeadlinesPassedOn();
 }
 
-TEST_CASE("a request behind one that is never answered is answered within its own time") {
+TEST_CASE("a request pipelined behind one without a response is answered within its own deadline") {
   for (const std::vector<Ms>& deadlines :
        {std::vector<Ms>{3000, 1000}, {3000, 2500, 400}, {2000, 2000, 2000}, {1000, 3000}}) {
     for (Ms between : {0.0, 120.0}) {
@@ -115,8 +112,8 @@
   }
 }
 
-TEST_CASE("requests beyond what a connection holds are answered within their own time") {
-  // A request is refused from 8 KiB on; a connection holds 64 KiB.
+TEST_CASE("requests beyond the size of the input buffer are answered within their own deadlines") {
+  // A request head is rejected from 8 KiB on; a connection buffers 64 KiB.
   const std::string padding = "X-Padding: " + std::string(7000, 'x') + "\r\n";
   constexpr int kRequests = 14;
   Deployment deployment(ServerMode::kAnswerFirst);
@@ -129,7 +126,7 @@
   pipeline.CheckDeadlinesPassedOn();
 }
 
-TEST_CASE("a request that came while the process stood still tells what its client has left") {
+TEST_CASE("a request that arrived while the process was suspended forwards the time left") {
   constexpr Ms kStandstill = 400;
   Deployment deployment(ServerMode::kAnswer);
   Client& idle = deployment.Connect();
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -1,5 +1,5 @@
-// Sides of an exchange that note what they are told, for the tests of the exchange and of the
-// sides.
+// A recording response sink and a recording transport, for tests of the Exchange, the HTTP server
+// and the connection pool.
 #pragma once
 #include <map>
 
@@ -30,7 +30,7 @@
   return a;
 }
 
-// A client side that notes what it is told.
+// A response sink that records what it receives.
 struct Asked final : exchange::ResponseSink {
   std::vector<std::string> notified;
   std::string body;
@@ -64,7 +64,7 @@
   }
 };
 
-// A caches' side that notes what it is asked for.
+// A transport that records what it is asked to do.
 struct Sent final : exchange::UpstreamTransport {
   struct One {
     AttemptKey key;
@@ -81,7 +81,7 @@
   void Cancel(AttemptKey key, const RequestMetadata&, std::uint32_t) override {
     given_up.push_back(key);
   }
-  bool waiting = false;  // nothing has left yet
+  bool waiting = false;  // whether attempts are still unsent
   std::vector<AttemptKey> taken_back;
   bool CancelUnsent(AttemptKey key, const RequestMetadata&, std::uint32_t) override {
     if (waiting)
@@ -89,7 +89,7 @@
     return waiting;
   }
   void Probe(std::uint32_t) override {}
-  std::map<std::string, std::uint32_t> numbers;  // of all machines ever listed, by id
+  std::map<std::string, std::uint32_t> numbers;  // of all endpoints ever listed, by id
   void UpdateEndpoint(const ListEntry& one, const std::string& machine,
                       const loop::Address&) override {
     numbers[machine] = one.cache;
@@ -117,7 +117,7 @@
   return all;
 }
 
-struct Desk {  // an exchange between noted sides
+struct Desk {  // an Exchange between a recording transport and the test's response sinks
   loop::Loop loop;
   exchange::Exchange exchange;
   Sent caches;
@@ -136,7 +136,7 @@
          "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\n" + more + "\r\n";
 }
 
-inline std::string GetAs(int which) {  // under an id of its own
+inline std::string GetAs(int which) {  // with an id of its own
   std::string text = Get();
   return text.replace(text.find(kId), kId.size(), "00000000000000f" + std::to_string(which));
 }
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -474,7 +474,8 @@
     }
     front_.Act([&] {
       exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Settings(), 1);
-      caches_ = std::make_unique<caches::UpstreamConnectionPool>(front_.loop(), *exchange, kit::MakeTerms(), 8);
+      caches_ = std::make_unique<caches::UpstreamConnectionPool>(front_.loop(), *exchange,
+                                                                 kit::MakeTerms(), 8);
       exchange->SetUpstreamTransport(*caches_);
       exchange->OnListUpdate(
           true, kit::Machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -1,5 +1,5 @@
-// Crossings of answers and dials on a connection to a server: a dial that comes up after its
-// timeout, an answer that trickles on, one under another request's id, spare bytes after an answer.
+// Races on a connection to a server: a connection established after its connect timeout, a response
+// that trickles in, one under another request's id, extra bytes after a response.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The system's own environment, in which the first dial comes up when the test says so.
+/// The POSIX environment, except that the first connection is established when the test allows it.
 class LateDial final : public loop::Environment {
  public:
   void AllowDial() {
@@ -94,7 +94,7 @@
          std::to_string(body.size()) + "\r\n" + body + "\r\n";
 }
 
-/// Two requests open on one connection, and a second server beside the one that they went to.
+/// Two requests in flight on one connection, and a second server beside the one that has them.
 struct TwoOpen {
   FarListener listeners[2];
   Road road{Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}})};
@@ -108,7 +108,7 @@
     server = Next();
     Until(road.loop, [&] { return server.Hears(WantOf(1)) && server.Hears(WantOf(2)); });
   }
-  /// The next connection to come, at whichever server.
+  /// The next connection to arrive, at whichever server.
   Far Next() {
     Far next;
     Until(road.loop, [&] {
@@ -126,7 +126,8 @@
 }  // namespace
 
 TEST_CASE(
-    "a dial that comes up after its timeout carries nothing, and its request goes elsewhere once") {
+    "a connection established after its connect timeout carries nothing, and its request is sent "
+    "elsewhere once") {
   constexpr Ms kConnectWithin = 400;
   FarListener listeners[2];
   LateDial environment;
@@ -139,7 +140,7 @@
   Asked client;
   exchange.OnRequest(AskAs(1), client);
   FarListener* other = nullptr;
-  Far dialled;  // up for the system, and not yet for the front
+  Far dialled;  // established in the kernel, and not yet in the front
   Until(loop, [&] {
     for (int i = 0; i < 2 && !other; ++i) {
       int accepted = ::accept4(listeners[i].fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
@@ -166,9 +167,9 @@
   CHECK(client.Is({"200 t"}));
 }
 
-// The dial's event and its timeout in one turn, after a standstill: it came up in time, and what
-// waited goes out, once.
-TEST_CASE("a dial that is up in the turn of its timeout is used") {
+// The connection and its timeout in one iteration, after a pause: it was established in time, and
+// the queued attempt is sent, once.
+TEST_CASE("a connection established in the iteration of its connect timeout is used") {
   constexpr Ms kConnectWithin = 400;
   FarListener listener;
   Road road(Machines({{"s-1", listener.at}}), SettingsWith(false), MakeTerms(kConnectWithin));
@@ -185,10 +186,10 @@
   CHECK(client.Is({"200 t"}));
 }
 
-// Every byte shows that the connection carries, so no silence ends it. Its request's client is
-// answered by its deadline, and who comes later does not wait behind it, neither while it is
-// awaited nor once it is given up.
-TEST_CASE("an answer that trickles on for ever holds up nobody but its own request") {
+// Every byte shows that the connection is alive, so it never counts as silent. The client of its
+// request gets its response by its deadline, and later requests do not wait behind it, neither
+// while it is awaited nor once it is cancelled.
+TEST_CASE("an endlessly trickling response delays only its own request") {
   constexpr Ms kExpiry = 5000;
   constexpr Ms kStep = 50;
   struct Case {
@@ -207,7 +208,7 @@
     road.exchange.OnRequest(AskAs(1), first);
     Far server = listener.Next(road.loop);
     Until(road.loop, [&] { return server.Hears(WantOf(1)); });
-    std::size_t sent = 60;  // into the body, or still in the line
+    std::size_t sent = 60;  // in the body, or still in the response line
     server.Send(c.answer.substr(0, sent));
     auto trickle = [&] {
       bool is_over = (server.Read(), server.over);
@@ -242,11 +243,12 @@
   }
 }
 
-// The id is all by which answers are told apart: the first one under it is that request's, any
-// other is nobody's, and the request that got none is answered by its own, or at its deadline.
+// Responses are told apart by their id only: the first one with a request's id is that request's,
+// any other belongs to none, and the request that got no response gets its own, or a rejection at
+// its deadline.
 TEST_CASE(
-    "an answer under the id of another open request is taken once, and the other waits for its "
-    "own") {
+    "a response under the id of another open request is taken once, and the other request waits "
+    "for its own") {
   for (bool own_answer_comes : {true, false}) {
     TwoOpen open;
     open.server.Send(AnswerTo(2, "two") + AnswerTo(2, "one"));
@@ -269,7 +271,7 @@
   }
 }
 
-TEST_CASE("spare bytes after an answer end the connection and reach nobody") {
+TEST_CASE("extra bytes after a response close the connection and reach no request") {
   for (const std::string spare : {"\r\n", "spare\r\n", "spare", "two spare words\r\n"}) {
     CAPTURE(spare);
     TwoOpen open;
@@ -277,7 +279,7 @@
     Until(open.road.loop, [&] { return !open.first.notified.empty(); });
     CHECK(open.first.Is({"200 t1"}));
     CHECK(open.first.body == "one");
-    Far again = open.Next();  // the other request is asked again
+    Far again = open.Next();  // the other request is sent again
     Until(open.road.loop, [&] { return again.Hears(WantOf(2)); });
     CHECK((open.server.Read(), open.server.over));
     again.Send(AnswerTo(2, "two"));
@@ -287,13 +289,14 @@
   }
 }
 
-TEST_CASE("an answer longer than its length reaches nobody") {
+TEST_CASE("a response longer than its stated length reaches no request") {
   TwoOpen open;
   std::string answer = AnswerTo(1, "one");
   answer.insert(answer.size() - 2, "more");
   open.server.Send(answer);
-  Far again[2] = {open.Next(),
-                  open.Next()};  // the one whose answer it was moves on, the other is asked again
+  Far again[2] = {
+      open.Next(),
+      open.Next()};  // the request whose response it was moves on, the other is sent again
   bool asked[2] = {false, false};
   Until(open.road.loop, [&] {
     for (int which : {1, 2})
--- a/tests/upstream_fixture.hpp
+++ b/tests/upstream_fixture.hpp
@@ -1,5 +1,5 @@
-// The upstream side between an exchange that decides and far sides that say each byte when they are
-// told to; and an attempt that waits to be written, for whatever reason.
+// A connection pool between an Exchange that routes requests and servers that send each byte when
+// the test says so; and an attempt that waits to be written, for a given reason.
 #pragma once
 #include "caches/caches.hpp"
 #include "sides.hpp"
@@ -9,7 +9,7 @@
 constexpr int kVideo = 0;
 constexpr int kWrite = 1;
 
-struct Road {  // caches on real sockets, an exchange that decides
+struct Road {  // a connection pool on loopback sockets, with an Exchange that routes requests
   loop::Loop loop;
   exchange::Exchange exchange;
   caches::UpstreamConnectionPool caches;
@@ -50,14 +50,14 @@
          " HIT entity=t,issued=1,remark=local 2\r\nok\r\n";
 }
 
-// What the attempt waits for when something happens.
+// What the attempt waits for when an event occurs.
 enum Wait {
   kDial,
   kQueue,
   kCheck
 };
 
-// A road whose attempt of request 1 waits; the far side that would get it.
+// A pool in which the attempt of request 1 waits, and the server that would get it.
 struct Waiting {
   FarListener far;
   Road r;
@@ -85,13 +85,13 @@
     all.insert(all.end(), more.begin(), more.end());
     return all;
   }
-  // Writes until the far side, which reads nothing, takes no more.
+  // Writes until the server, which reads nothing, accepts no more.
   void Fill() {
     RequestMetadata first = AskAs(0);
     r.exchange.OnRequest(first, others[0]);
     peer = far.Next(r.loop);
     Until(r.loop, [&] { return peer.Hears(WantOf(0)); });
-    // More than the system holds for one connection, on both sides.
+    // More than the kernel buffers for one connection, on both sides.
     for (int i = 1; i < 7; ++i) {  // seven share the connection with the one that waits
       RequestMetadata a = AskFor("00000000000000b" + std::to_string(i));
       a.request_class_index = kVideo;
@@ -100,7 +100,7 @@
     }
     r.Turns(3);
   }
-  // Lets what waits go, as far as it still goes.
+  // Ends the wait, so that the attempt is sent if it still may be.
   void LetGo() {
     if (wait == kCheck)
       peer.Send("call PONG - 0\r\n\r\n");
@@ -114,7 +114,7 @@
       });
     r.Turns();
   }
-  // Nothing more came in some turns.
+  // No more bytes arrived in some iterations.
   bool Quiet() {
     for (int i = 0; i < 20; ++i) {
       std::size_t before = peer.got.size();
