--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -20,8 +20,8 @@
 
 /// The deadline in milliseconds in the request line of request `which`; -1 where there is no such
 /// line.
-long long NotifiedDeadline(const std::string& bytes, int which) {
-  std::size_t line = bytes.find(WantOf(which));
+long long SentDeadline(const std::string& bytes, int which) {
+  std::size_t line = bytes.find(RequestPrefix(which));
   if (line == std::string::npos)
     return -1;
   std::size_t deadline = bytes.find(",max=", line);
@@ -44,7 +44,7 @@
 
 /// The deadline sent lies between the time left before and after the write, rounded up to whole
 /// milliseconds.
-void CheckNotified(long long notified, const Deadline& deadline, Ms before, Ms after) {
+void CheckSentDeadline(long long notified, const Deadline& deadline, Ms before, Ms after) {
   CHECK(notified >= 1);
   CHECK(static_cast<double>(notified) <= std::ceil(deadline.latest - before));
   CHECK(static_cast<double>(notified) >= std::floor(deadline.earliest - after));
@@ -53,7 +53,7 @@
 /// Servers used alternately by a router that keeps every request and does not check whether the
 /// client is still connected: the second attempt follows the first one's failure, some time after
 /// it, or runs beside it.
-enum class Further {
+enum class FurtherAttempt {
   kRetry,
   kRetryAfterBackoff,
   kHedged
@@ -61,8 +61,8 @@
 constexpr Ms kBackoff = 50;
 constexpr std::uint64_t kWakeUp = 1;
 
-struct Script {
-  Further further = Further::kRetry;
+struct ScriptedRouter {
+  FurtherAttempt further = FurtherAttempt::kRetry;
   bool proven = false;  // the further attempt waits for its connection's liveness check
   std::vector<std::uint32_t> servers;
   std::uint32_t request = 0;
@@ -81,14 +81,14 @@
         servers.push_back(entry.cache);
     if (auto* came = std::get_if<RequestCame>(&event)) {
       request = came->request;
-      if (further != Further::kHedged)
+      if (further != FurtherAttempt::kHedged)
         return {Attempt(0)};
       return {Attempt(0), WakeMe{now + kBackoff, kWakeUp}};
     }
     auto* ended = std::get_if<AttemptEnded>(&event);
-    if (ended && ended->attempt == 0 && further == Further::kRetry)
+    if (ended && ended->attempt == 0 && further == FurtherAttempt::kRetry)
       return {Attempt(1)};
-    if (ended && ended->attempt == 0 && further == Further::kRetryAfterBackoff)
+    if (ended && ended->attempt == 0 && further == FurtherAttempt::kRetryAfterBackoff)
       return {WakeMe{now + kBackoff, kWakeUp}};
     if (std::holds_alternative<WakeUp>(event))
       return {Attempt(1)};
@@ -97,17 +97,17 @@
 };
 
 /// What the further attempt waits for when its client disconnects.
-enum class Pause {
+enum class AttemptWait {
   kBackoff,
-  kDial,
-  kQueue,
-  kCheck
+  kConnecting,
+  kWriteBuffer,
+  kLivenessCheck
 };
 
 struct TwoServers {
   FarListener first_listener;
   FarListener second_listener;
-  std::shared_ptr<Script> script = std::make_shared<Script>();
+  std::shared_ptr<ScriptedRouter> script = std::make_shared<ScriptedRouter>();
   loop::Loop loop;
   exchange::Exchange exchange;
   caches::UpstreamConnectionPool caches;
@@ -118,21 +118,22 @@
   Far second;
   Deadline deadline;
 
-  TwoServers(Further further, Pause pause, Ms expiry = 60000)
+  TwoServers(FurtherAttempt further, AttemptWait pause, Ms expiry = 60000)
       : exchange(loop, SettingsWithExpiry(expiry),
                  [s = script](Ms now, const Event& event) { return s->Decide(now, event); }),
-        caches(loop, exchange, MakeTerms(20000), 8),
-        clients(loop, exchange, MakeTerms().request_classes, {false, true}, front_address, 50) {
+        caches(loop, exchange, MakeConnectionSettings(20000), 8),
+        clients(loop, exchange, MakeConnectionSettings().request_classes, {false, true},
+                front_address, 50) {
     script->further = further;
-    script->proven = pause == Pause::kCheck;
+    script->proven = pause == AttemptWait::kLivenessCheck;
     exchange.SetUpstreamTransport(caches);
-    exchange.OnListUpdate(true,
-                          Machines({{"s-1", first_listener.at}, {"s-2", second_listener.at}}));
-    if (pause == Pause::kQueue)
+    exchange.OnListUpdate(
+        true, MakeEndpointList({{"s-1", first_listener.at}, {"s-2", second_listener.at}}));
+    if (pause == AttemptWait::kWriteBuffer)
       FillSecond();
     Ms before = loop.now();
     client = Far::To(front_address);
-    client.Send(GetAs(1));
+    client.Send(GetWithId(1));
     first = first_listener.Next(loop);
     Until(loop, [&] { return first.Hears(WantLine()); });
     deadline = {before + expiry, loop.now() + expiry};
@@ -141,7 +142,7 @@
   static std::string WantLine() {
     return "want 00000000000000f1 ";
   }
-  void Turns(int count = 20) {
+  void RunIterations(int count = 20) {
     for (int i = 0; i < count; ++i)
       loop.turn(1);
   }
@@ -153,38 +154,38 @@
     how.source = how.cache;
     how.timeout = 60000;
     for (int i = 0; i < 7; ++i) {
-      RequestMetadata big = AskFor("00000000000000b" + std::to_string(i));
+      RequestMetadata big = MakeRequest("00000000000000b" + std::to_string(i));
       big.body.assign(4 << 20, 'x');
       caches.Send({1000000u + static_cast<std::uint32_t>(i), 0}, big, how, {});
     }
     second = second_listener.Next(loop);
-    Turns(3);
+    RunIterations(3);
   }
   /// Runs until the further attempt waits for `pause`.
-  void ReachPause(Pause pause) {
-    if (script->further != Further::kHedged) {
+  void ReachWait(AttemptWait pause) {
+    if (script->further != FurtherAttempt::kHedged) {
       first.Send("00000000000000f1 FAULT - 0\r\n\r\n");
       Until(loop, [&] { return exchange.counters.errors == 1; });
     }
-    if (pause == Pause::kBackoff)
+    if (pause == AttemptWait::kBackoff)
       return;
-    if (script->further != Further::kRetry)
+    if (script->further != FurtherAttempt::kRetry)
       loop.Skip(kBackoff + 1);
     Until(loop, [&] { return exchange.counters.attempts == 2; });
-    if (pause != Pause::kCheck)
+    if (pause != AttemptWait::kLivenessCheck)
       return;
     second = second_listener.Next(loop);
     Until(loop, [&] { return second.Hears("there call\r\n"); });
   }
   /// Ends that wait.
-  void Release(Pause pause) {
-    if (pause == Pause::kCheck)
+  void Release(AttemptWait pause) {
+    if (pause == AttemptWait::kLivenessCheck)
       second.Send(kCheckAnswer);
-    if (pause == Pause::kDial)
+    if (pause == AttemptWait::kConnecting)
       second = second_listener.Next(loop);
-    if (pause == Pause::kQueue)
+    if (pause == AttemptWait::kWriteBuffer)
       Drain();
-    Turns();
+    RunIterations();
   }
   void Drain() {
     int quiet_turns = 0;
@@ -198,19 +199,20 @@
   }
 };
 
-struct Crossing {
-  Further further;
-  Pause pause;
+struct RaceCase {
+  FurtherAttempt further;
+  AttemptWait pause;
 };
-const std::vector<Crossing> kCrossings{{Further::kRetry, Pause::kDial},
-                                       {Further::kRetry, Pause::kQueue},
-                                       {Further::kRetry, Pause::kCheck},
-                                       {Further::kRetryAfterBackoff, Pause::kBackoff},
-                                       {Further::kRetryAfterBackoff, Pause::kDial},
-                                       {Further::kHedged, Pause::kBackoff},
-                                       {Further::kHedged, Pause::kDial},
-                                       {Further::kHedged, Pause::kQueue},
-                                       {Further::kHedged, Pause::kCheck}};
+const std::vector<RaceCase> kRaceCases{
+    {FurtherAttempt::kRetry, AttemptWait::kConnecting},
+    {FurtherAttempt::kRetry, AttemptWait::kWriteBuffer},
+    {FurtherAttempt::kRetry, AttemptWait::kLivenessCheck},
+    {FurtherAttempt::kRetryAfterBackoff, AttemptWait::kBackoff},
+    {FurtherAttempt::kRetryAfterBackoff, AttemptWait::kConnecting},
+    {FurtherAttempt::kHedged, AttemptWait::kBackoff},
+    {FurtherAttempt::kHedged, AttemptWait::kConnecting},
+    {FurtherAttempt::kHedged, AttemptWait::kWriteBuffer},
+    {FurtherAttempt::kHedged, AttemptWait::kLivenessCheck}};
 
 }  // namespace
 
@@ -221,62 +223,66 @@
     Ms expiry;
     Ms waited;
   };
-  for (Wait wait : {kDial, kQueue, kCheck})
+  for (WaitReason wait : {kConnecting, kWriteBuffer, kLivenessCheck})
     for (Case c : {Case{5000, 1229}, {2500, 1021}, {5000, 0}}) {
       CAPTURE(static_cast<int>(wait));
       CAPTURE(c.waited);
       Ms before = loop::MakeSystem().now();
-      Waiting waiting(wait, SettingsWithExpiry(c.expiry), {}, wait == kCheck ? kWrite : kVideo);
-      Deadline deadline{before + c.expiry, waiting.r.loop.now() + c.expiry};
-      waiting.r.loop.Skip(c.waited);
-      Ms skipped = waiting.r.loop.now();
-      waiting.LetGo();
-      Until(waiting.r.loop, [&] { return waiting.Began(); });
-      CheckNotified(NotifiedDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
+      QueuedAttemptFixture waiting(wait, SettingsWithExpiry(c.expiry), {},
+                                   wait == kLivenessCheck ? kWrite : kVideo);
+      Deadline deadline{before + c.expiry, waiting.fixture.loop.now() + c.expiry};
+      waiting.fixture.loop.Skip(c.waited);
+      Ms skipped = waiting.fixture.loop.now();
+      waiting.EndWait();
+      Until(waiting.fixture.loop, [&] { return waiting.HasStarted(); });
+      CheckSentDeadline(SentDeadline(waiting.peer.got, 1), deadline, skipped,
+                        waiting.fixture.loop.now());
     }
 }
 
 TEST_CASE("an attempt that moves to another connection forwards the time left then") {
   Ms before = loop::MakeSystem().now();
-  Waiting waiting(kCheck, SettingsWithExpiry(5000), {}, kWrite);
-  Deadline deadline{before + 5000, waiting.r.loop.now() + 5000};
+  QueuedAttemptFixture waiting(kLivenessCheck, SettingsWithExpiry(5000), {}, kWrite);
+  Deadline deadline{before + 5000, waiting.fixture.loop.now() + 5000};
   for (Ms waited : {700, 600}) {
     waiting.peer.Reset();
-    waiting.peer = waiting.far.Next(waiting.r.loop);
-    Until(waiting.r.loop, [&] { return waiting.peer.Hears("there call\r\n"); });
-    waiting.r.loop.Skip(waited);
+    waiting.peer = waiting.far.Next(waiting.fixture.loop);
+    Until(waiting.fixture.loop, [&] { return waiting.peer.Hears("there call\r\n"); });
+    waiting.fixture.loop.Skip(waited);
   }
-  Ms skipped = waiting.r.loop.now();
-  waiting.LetGo();
-  Until(waiting.r.loop, [&] { return waiting.Began(); });
-  CheckNotified(NotifiedDeadline(waiting.peer.got, 1), deadline, skipped, waiting.r.loop.now());
+  Ms skipped = waiting.fixture.loop.now();
+  waiting.EndWait();
+  Until(waiting.fixture.loop, [&] { return waiting.HasStarted(); });
+  CheckSentDeadline(SentDeadline(waiting.peer.got, 1), deadline, skipped,
+                    waiting.fixture.loop.now());
 }
 
 TEST_CASE(
     "with a few milliseconds left the deadline sent is never 0, and with no time left nothing is "
     "written") {
   constexpr Ms kExpiry = 5000;
-  for (Wait wait : {kDial, kCheck})
+  for (WaitReason wait : {kConnecting, kLivenessCheck})
     for (Ms left : {40.0, 3.0, 0.4, -1.0}) {
       CAPTURE(static_cast<int>(wait));
       CAPTURE(left);
       Ms before = loop::MakeSystem().now();
-      Waiting waiting(wait, SettingsWithExpiry(kExpiry), {}, wait == kCheck ? kWrite : kVideo);
-      Deadline deadline{before + kExpiry, waiting.r.loop.now() + kExpiry};
-      if (wait == kCheck)
+      QueuedAttemptFixture waiting(wait, SettingsWithExpiry(kExpiry), {},
+                                   wait == kLivenessCheck ? kWrite : kVideo);
+      Deadline deadline{before + kExpiry, waiting.fixture.loop.now() + kExpiry};
+      if (wait == kLivenessCheck)
         waiting.peer.Send(kCheckAnswer);  // read in the iteration in which the time is up
-      waiting.r.loop.Skip(deadline.latest - left - waiting.r.loop.now());
-      Ms skipped = waiting.r.loop.now();
-      waiting.r.Turns();
-      if (wait == kDial)
-        waiting.peer = waiting.far.Next(waiting.r.loop);
-      waiting.r.Turns();
-      long long notified = waiting.Began() ? NotifiedDeadline(waiting.peer.got, 1) : -1;
+      waiting.fixture.loop.Skip(deadline.latest - left - waiting.fixture.loop.now());
+      Ms skipped = waiting.fixture.loop.now();
+      waiting.fixture.RunIterations();
+      if (wait == kConnecting)
+        waiting.peer = waiting.far.Next(waiting.fixture.loop);
+      waiting.fixture.RunIterations();
+      long long notified = waiting.HasStarted() ? SentDeadline(waiting.peer.got, 1) : -1;
       if (left < 0)
         CHECK(notified == -1);
       if (notified != -1)
-        CheckNotified(notified, deadline, skipped, waiting.r.loop.now());
-      Until(waiting.r.loop, [&] {
+        CheckSentDeadline(notified, deadline, skipped, waiting.fixture.loop.now());
+      Until(waiting.fixture.loop, [&] {
         return !waiting.client.notified.empty();
       });  // and its client gets its response when its time is up
       CHECK(waiting.client.notified.size() == 1);
@@ -295,34 +301,35 @@
                         {999.99, "1000"},
                         {5000, "5000"},
                         {5000.0002, "5000"}}) {
-    std::string bytes = caches::UpstreamRequest(AskFor(), SendAttempt{}, "").WithTimeLeft(c.left);
+    std::string bytes =
+        caches::UpstreamRequest(MakeRequest(), SendAttempt{}, "").WithTimeLeft(c.left);
     CHECK(bytes ==
           "want " + kId + " profile=video,thing=7f3a,nth=0,max=" + c.notified + " 0\r\n\r\n");
   }
 }
 
 TEST_CASE("a further attempt forwards the time left at its own write") {
-  for (const Crossing& crossing : kCrossings) {
-    if (crossing.pause == Pause::kBackoff)
+  for (const RaceCase& race : kRaceCases) {
+    if (race.pause == AttemptWait::kBackoff)
       continue;
-    CAPTURE(static_cast<int>(crossing.further));
-    CAPTURE(static_cast<int>(crossing.pause));
-    TwoServers servers(crossing.further, crossing.pause, 5000);
+    CAPTURE(static_cast<int>(race.further));
+    CAPTURE(static_cast<int>(race.pause));
+    TwoServers servers(race.further, race.pause, 5000);
     servers.loop.Skip(800);
-    servers.ReachPause(crossing.pause);
+    servers.ReachWait(race.pause);
     servers.loop.Skip(1229);
     Ms skipped = servers.loop.now();
-    servers.Release(crossing.pause);
+    servers.Release(race.pause);
     Until(servers.loop, [&] { return servers.second.Hears(TwoServers::WantLine()); });
     std::string line = servers.second.got.substr(servers.second.got.find(TwoServers::WantLine()));
     long long notified = std::stoll(line.substr(line.find(",max=") + 5));
-    CheckNotified(notified, servers.deadline, skipped, servers.loop.now());
+    CheckSentDeadline(notified, servers.deadline, skipped, servers.loop.now());
   }
 }
 
 TEST_CASE("an attempt's own timeout bounds the deadline sent") {
   FarListener listener;
-  Script script;
+  ScriptedRouter script;
   loop::Loop loop;
   exchange::Exchange exchange(loop, SettingsWithExpiry(5000),
                               [&script](Ms now, const Event& event) {
@@ -332,41 +339,41 @@
                                     attempt->timeout = 1500;
                                 return actions;
                               });
-  caches::UpstreamConnectionPool caches(loop, exchange, MakeTerms(20000), 8);
+  caches::UpstreamConnectionPool caches(loop, exchange, MakeConnectionSettings(20000), 8);
   exchange.SetUpstreamTransport(caches);
-  exchange.OnListUpdate(true, Machines({{"s-1", listener.at}}));
-  Asked client;
+  exchange.OnListUpdate(true, MakeEndpointList({{"s-1", listener.at}}));
+  RecordingResponseSink client;
   Ms before = loop.now();
-  exchange.OnRequest(AskAs(1), client);
+  exchange.OnRequest(MakeNumberedRequest(1), client);
   Deadline timeout{before + 1500, loop.now() + 1500};
   loop.Skip(700);
   Ms skipped = loop.now();
   Far server = listener.Next(loop);
-  Until(loop, [&] { return server.Hears(WantOf(1)); });
-  CheckNotified(NotifiedDeadline(server.got, 1), timeout, skipped, loop.now());
+  Until(loop, [&] { return server.Hears(RequestPrefix(1)); });
+  CheckSentDeadline(SentDeadline(server.got, 1), timeout, skipped, loop.now());
 }
 
 // The client's close is unread when what the attempt waited for occurs: both are found in one
 // iteration, long after.
 TEST_CASE("no further attempt starts for a disconnected client, whatever the attempt waits for") {
-  for (const Crossing& crossing : kCrossings) {
-    CAPTURE(static_cast<int>(crossing.further));
-    CAPTURE(static_cast<int>(crossing.pause));
-    TwoServers servers(crossing.further, crossing.pause);
-    servers.ReachPause(crossing.pause);
+  for (const RaceCase& race : kRaceCases) {
+    CAPTURE(static_cast<int>(race.further));
+    CAPTURE(static_cast<int>(race.pause));
+    TwoServers servers(race.further, race.pause);
+    servers.ReachWait(race.pause);
     std::size_t attempts = servers.exchange.counters.attempts;
     servers.client.fd.Reset();
-    if (crossing.pause == Pause::kCheck)
+    if (race.pause == AttemptWait::kLivenessCheck)
       servers.second.Send(kCheckAnswer);
     servers.loop.Skip(200);
     Until(servers.loop, [&] { return servers.exchange.counters.client_disconnects == 1; });
-    if (crossing.pause == Pause::kQueue)
+    if (race.pause == AttemptWait::kWriteBuffer)
       servers.Drain();
-    servers.Turns();
+    servers.RunIterations();
     if (!servers.second
              .fd) {  // a connection that was being opened may be established, and carries nothing
       int accepted = ::accept4(servers.second_listener.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-      CHECK((accepted < 0 || crossing.pause == Pause::kDial));
+      CHECK((accepted < 0 || race.pause == AttemptWait::kConnecting));
       if (accepted >= 0)
         servers.second = Far(loop::Descriptor(accepted));
     }
@@ -377,34 +384,35 @@
     // A router that still requests an attempt after a backoff is told that it was superseded; no
     // other router requests one.
     CHECK(servers.exchange.counters.attempts <=
-          attempts + (crossing.pause == Pause::kBackoff ? 1 : 0));
+          attempts + (race.pause == AttemptWait::kBackoff ? 1 : 0));
   }
 }
 
 // Nothing is pending: the connection is open and has just received data, so an attempt is sent
 // within the call that chose it.
 TEST_CASE("on an open connection no further attempt starts for a disconnected client") {
-  for (Further further : {Further::kRetry, Further::kRetryAfterBackoff, Further::kHedged}) {
+  for (FurtherAttempt further :
+       {FurtherAttempt::kRetry, FurtherAttempt::kRetryAfterBackoff, FurtherAttempt::kHedged}) {
     CAPTURE(static_cast<int>(further));
-    TwoServers servers(further, Pause::kDial);
+    TwoServers servers(further, AttemptWait::kConnecting);
     SendAttempt how;
     how.cache = servers.script->servers.at(1);
     how.source = how.cache;
     how.timeout = 60000;
-    servers.caches.Send({1000000, 0}, AskFor(), how, {});
+    servers.caches.Send({1000000, 0}, MakeRequest(), how, {});
     servers.second = servers.second_listener.Next(servers.loop);
     Until(servers.loop, [&] { return servers.second.Hears(kId); });
     servers.second.Send(kId + " HIT entity=t,issued=1,remark=local 0\r\n\r\n");
-    servers.Turns();
-    if (further == Further::kRetry)
+    servers.RunIterations();
+    if (further == FurtherAttempt::kRetry)
       servers.first.Send("00000000000000f1 FAULT - 0\r\n\r\n");
-    if (further == Further::kRetryAfterBackoff)
-      servers.ReachPause(Pause::kBackoff);
+    if (further == FurtherAttempt::kRetryAfterBackoff)
+      servers.ReachWait(AttemptWait::kBackoff);
     servers.client.fd.Reset();
     servers.loop.Skip(200);  // the backoff ends, the client's close and the first server's response
                              // have arrived: one iteration
     Until(servers.loop, [&] { return servers.exchange.counters.client_disconnects == 1; });
-    servers.Turns();
+    servers.RunIterations();
     CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
   }
 }
--- a/tests/board_test.cpp
+++ b/tests/board_test.cpp
@@ -62,14 +62,14 @@
 // A board that has event 1 and follows, and what it logged.
 struct Watch {
   std::vector<std::string> said;
-  Desk d;
+  ExchangeFixture d;
   log::Log log{[this] { return d.loop.now(); },
                [this](std::string_view line) {
                  said.emplace_back(line);
                }};
   log::Use use{log};
   FarListener far;
-  discovery::Discovery b{d.loop, d.exchange, MakeTerms(), far.at};
+  discovery::Discovery b{d.loop, d.exchange, MakeConnectionSettings(), far.at};
   exchange::Counters& counters = d.exchange.counters;
   Far peer;
 
@@ -125,9 +125,9 @@
 };
 
 void TheDiscoveryIsFollowedWithoutGapOrRepeat() {
-  Desk d;
+  ExchangeFixture d;
   FarListener far;
-  discovery::Discovery b(d.loop, d.exchange, MakeTerms(), far.at);
+  discovery::Discovery b(d.loop, d.exchange, MakeConnectionSettings(), far.at);
   assert(!b.begin(*json::Read("{\"notices\":[{}],\"rev\":1}")) &&
          !b.begin(*json::Read("{\"rev\":1}")));
   assert(b.begin(
@@ -387,8 +387,8 @@
         // Beyond what is said to be the last: from which one would the board be asked?
         "{\"rev\":2,\"notices\":[" + Purge(2) + "," + Purge(3) + "]}"}) {
     assert(!w.b.MoveTo(other.at, *json::Read(bad)));
-    Desk fresh;
-    discovery::Discovery unborn(fresh.loop, fresh.exchange, MakeTerms(), other.at);
+    ExchangeFixture fresh;
+    discovery::Discovery unborn(fresh.loop, fresh.exchange, MakeConnectionSettings(), other.at);
     assert(!unborn.begin(*json::Read(bad)) && fresh.exchange.counters.purges == 0);
   }
   assert(w.b.Last() == 1 && w.counters.purges == 1);
@@ -476,9 +476,9 @@
   assert(w.counters.list_updates == lists && w.counters.purges == 2 &&
          w.counters.discovery_connections == 2);
   assert(noted.calls == 3 && noted.listed["s-a"].standing == Standing::kDraining);
-  std::vector<Asked> asked(20);
+  std::vector<RecordingResponseSink> asked(20);
   for (int i = 0; i < 20; ++i) {
-    RequestMetadata ask = AskFor("00000000000000" + std::to_string(10 + i));
+    RequestMetadata ask = MakeRequest("00000000000000" + std::to_string(10 + i));
     ask.object = "o" + std::to_string(i);
     w.d.exchange.OnRequest(ask, asked[static_cast<std::size_t>(i)]);
   }
@@ -622,8 +622,8 @@
     assert(w.said == std::vector<std::string>{"notice board: connection malformed after event 1"});
     assert(w.b.Last() == 1 && w.counters.purges == 1 && w.counters.list_updates == lists &&
            noted.calls == 0);
-    Asked asked;
-    w.d.exchange.OnRequest(AskFor(), asked);  // what stood still serves
+    RecordingResponseSink asked;
+    w.d.exchange.OnRequest(MakeRequest(), asked);  // what stood still serves
     assert(noted.sent.size() == 1);
     again.Send(Purge(2));
     w.Passed(2);
@@ -650,9 +650,9 @@
   assert(w.counters.bad_watch_events == 0 && w.said.empty() && noted.calls == 6 &&
          noted.listed.size() == 5);
   assert(noted.listed["s-twice"].standing == Standing::kDraining);  // the last word counts
-  std::vector<Asked> asked(40);
+  std::vector<RecordingResponseSink> asked(40);
   for (int i = 0; i < 40; ++i) {
-    RequestMetadata ask = AskFor("00000000000000" + std::to_string(10 + i));
+    RequestMetadata ask = MakeRequest("00000000000000" + std::to_string(10 + i));
     ask.object = "o" + std::to_string(i);
     w.d.exchange.OnRequest(ask, asked[static_cast<std::size_t>(i)]);
   }
--- a/tests/caches_test.cpp
+++ b/tests/caches_test.cpp
@@ -10,20 +10,22 @@
 
 namespace {
 
-struct Road {  // a connection pool on loopback sockets, with an Exchange that routes requests
+struct PoolFixture {  // a connection pool on loopback sockets, with an Exchange that routes
+                      // requests
   loop::Loop loop;
   exchange::Exchange exchange;
   caches::UpstreamConnectionPool caches;
-  Asked client;
-  explicit Road(const std::vector<exchange::ListedEndpoint>& list,
-                const settings::RoadTerms& t = MakeTerms(), std::size_t most = 8)
+  RecordingResponseSink client;
+  explicit PoolFixture(const std::vector<exchange::ListedEndpoint>& list,
+                       const settings::RoadTerms& t = MakeConnectionSettings(),
+                       std::size_t most = 8)
       : exchange(loop, kit::Settings(), 1), caches(loop, exchange, t, most) {
     exchange.SetUpstreamTransport(caches);
     exchange.OnListUpdate(true, list);
   }
 };
 
-struct Find final
+struct EndpointNumberFinder final
     : exchange::UpstreamTransport {  // the number under which the Exchange knows the endpoint
   std::uint32_t number = 0;
   std::uint64_t Send(AttemptKey, const RequestMetadata&, const SendAttempt& how,
@@ -40,24 +42,24 @@
     number = e.cache;
   }
   void RemoveEndpoint(std::uint32_t) override {}
-  std::uint32_t NumberIn(Road& r, const std::vector<exchange::ListedEndpoint>& list) {
-    r.exchange.SetUpstreamTransport(*this);
-    r.exchange.OnListUpdate(true, list);
-    r.exchange.SetUpstreamTransport(r.caches);
+  std::uint32_t NumberIn(PoolFixture& fixture, const std::vector<exchange::ListedEndpoint>& list) {
+    fixture.exchange.SetUpstreamTransport(*this);
+    fixture.exchange.OnListUpdate(true, list);
+    fixture.exchange.SetUpstreamTransport(fixture.caches);
     return number;
   }
 };
 
 void ResponsesArriveInAnyOrderAndPieces() {
   FarListener far;
-  Road r(Machines({{"s-1", far.at}}));
-  Asked one, two;
-  RequestMetadata held = AskFor();
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}));
+  RecordingResponseSink one, two;
+  RequestMetadata held = MakeRequest();
   held.entity_tag = "t1";
-  r.exchange.OnRequest(held, one);
-  r.exchange.OnRequest(AskFor("00000000000000aa"), two);
-  Far peer = far.Next(r.loop);
-  Until(r.loop, [&] { return peer.Hears("want 00000000000000aa "); });
+  fixture.exchange.OnRequest(held, one);
+  fixture.exchange.OnRequest(MakeRequest("00000000000000aa"), two);
+  Far peer = far.Next(fixture.loop);
+  Until(fixture.loop, [&] { return peer.Hears("want 00000000000000aa "); });
   assert(peer.got.find("want " + kId + " profile=video,thing=7f3a,nth=0,max=") == 0);
   std::string body(3000, 'b');
   body[7] = '\r';
@@ -68,36 +70,37 @@
       body + "\r\n" + kId + " VALID entity=t1,issued=1,remark=local 0\r\n\r\n";
   for (char c : all) {
     peer.Send(std::string_view(&c, 1));
-    r.loop.turn(0);
+    fixture.loop.turn(0);
   }
-  Until(r.loop, [&] { return !one.notified.empty(); });
+  Until(fixture.loop, [&] { return !one.notified.empty(); });
   assert(one.Is({"304 t1"}) && two.Is({"200 t2"}) && two.body == body);
-  assert(r.exchange.counters.late_responses == 1);
+  assert(fixture.exchange.counters.late_responses == 1);
 }
 
 // Two attempts of a request share its id: the second must not take the first one's response for its
 // own.
 void AttemptsOfOneRequestAreKeptApart() {
   FarListener far;
-  Road r(Machines({{"s-1", far.at}}));
-  Find find;
-  std::uint32_t cache = find.NumberIn(r, Machines({{"s-1", far.at}}));
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}));
+  EndpointNumberFinder find;
+  std::uint32_t cache = find.NumberIn(fixture, MakeEndpointList({{"s-1", far.at}}));
   SendAttempt how;
   how.cache = how.source = cache;
   how.timeout = 60000;
-  std::uint64_t first = r.caches.Send({1, 0}, AskFor(), how, {});
-  std::uint64_t second = r.caches.Send({1, 1}, AskFor(), how, {});  // while the first is in flight
+  std::uint64_t first = fixture.caches.Send({1, 0}, MakeRequest(), how, {});
+  std::uint64_t second =
+      fixture.caches.Send({1, 1}, MakeRequest(), how, {});  // while the first is in flight
   assert(first != second);
-  r.caches.Cancel({1, 0}, AskFor(), cache);
-  assert(r.caches.Send({1, 2}, AskFor(), how, {first, second}) >
+  fixture.caches.Cancel({1, 0}, MakeRequest(), cache);
+  assert(fixture.caches.Send({1, 2}, MakeRequest(), how, {first, second}) >
          second);  // its response may be in transit
-  Far one = far.Next(r.loop), two = far.Next(r.loop), three = far.Next(r.loop);
-  Until(r.loop, [&] { return two.Hears("want ") && three.Hears("want "); });
+  Far one = far.Next(fixture.loop), two = far.Next(fixture.loop), three = far.Next(fixture.loop);
+  Until(fixture.loop, [&] { return two.Hears("want ") && three.Hears("want "); });
   // Cancelled before the connection was established: it was never sent, so no cancel message is
   // due.
   assert(!one.Hears("want ") && !one.Hears("never_mind"));
-  r.caches.Cancel({1, 1}, AskFor(), cache);
-  Until(r.loop, [&] { return two.Hears("never_mind " + kId + "\r\n"); });
+  fixture.caches.Cancel({1, 1}, MakeRequest(), cache);
+  Until(fixture.loop, [&] { return two.Hears("never_mind " + kId + "\r\n"); });
 }
 
 void EndsOfConnectionsEndTheirAttempts() {
@@ -116,13 +119,14 @@
     std::vector<Far> fill;  // fills the backlog, so that no other connection is established
     if (way == kNeverUp)
       fill.push_back(Far::To(far.at));
-    Road r(Machines({{"s-1", at}}), MakeTerms(way == kNeverUp ? 60 : 1000));
-    r.exchange.OnRequest(AskFor(), r.client);
-    auto& n = r.exchange.counters;
+    PoolFixture fixture(MakeEndpointList({{"s-1", at}}),
+                        MakeConnectionSettings(way == kNeverUp ? 60 : 1000));
+    fixture.exchange.OnRequest(MakeRequest(), fixture.client);
+    auto& n = fixture.exchange.counters;
     Far peer;
     if (way > kNeverUp) {
-      peer = far.Next(r.loop);
-      Until(r.loop, [&] { return peer.Hears("want "); });
+      peer = far.Next(fixture.loop);
+      Until(fixture.loop, [&] { return peer.Hears("want "); });
     }
     if (way == kClosed)
       peer.fd.Reset();
@@ -133,16 +137,16 @@
     if (way == kImpossible)
       peer.Send(kId + " HIT - 240001\r\n");
     if (way == kReplaced) {
-      auto list = Machines({{"s-1", silent.at}});
+      auto list = MakeEndpointList({{"s-1", silent.at}});
       list[0].entry.started_at = 17;
-      r.exchange.OnListUpdate(false, list);
+      fixture.exchange.OnListUpdate(false, list);
     }
-    Until(r.loop, [&] { return n.lost_unsent + n.lost_after_send > 0; });
+    Until(fixture.loop, [&] { return n.lost_unsent + n.lost_after_send > 0; });
     assert(n.lost_unsent == (way <= kNeverUp ? 1u : 0u) &&
            n.lost_after_send == (way > kNeverUp ? 1u : 0u));
     assert(n.malformed_responses == (way == kMalformed || way == kImpossible ? 1u : 0u));
     // With its only cache failed the request is rejected at once, not held.
-    assert(r.client.notified.size() == 1 && r.client.notified[0].substr(0, 3) == "503");
+    assert(fixture.client.notified.size() == 1 && fixture.client.notified[0].substr(0, 3) == "503");
   }
 }
 
@@ -153,28 +157,30 @@
 void TruncatedResponsesDelayNoOthers() {
   for (const char* part : {" HIT entity=t,issued=1,remark=local 9\r\nhalf", " HIT entity=t,iss"}) {
     FarListener one, other;
-    Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}));
-    std::vector<Asked> clients(9);
+    PoolFixture fixture(MakeEndpointList({{"s-1", one.at}, {"s-2", other.at}}));
+    std::vector<RecordingResponseSink> clients(9);
     for (std::size_t i = 0; i < 9; ++i)  // of one object, and so with one home cache
-      r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)), clients[i]);
+      fixture.exchange.OnRequest(MakeRequest("00000000000000a" + std::to_string(i)), clients[i]);
     bool at_one = false;
-    Until(r.loop, [&] {
+    Until(fixture.loop, [&] {
       pollfd p[2] = {{one.fd.Get(), POLLIN, 0}, {other.fd.Get(), POLLIN, 0}};
       ::poll(p, 2, 0);
       at_one = p[0].revents != 0;
       return p[0].revents != 0 || p[1].revents != 0;
     });
     FarListener &home = at_one ? one : other, &away = at_one ? other : one;
-    Far peer = home.Next(r.loop);
-    Until(r.loop, [&] { return peer.Hears("want 00000000000000a0"); });
+    Far peer = home.Next(fixture.loop);
+    Until(fixture.loop, [&] { return peer.Hears("want 00000000000000a0"); });
     peer.Send("00000000000000a0" + std::string(part));
-    Far again = home.Next(r.loop), moved = away.Next(r.loop);
-    Until(r.loop, [&] { return again.Hears("want 00000000000000a1") && moved.Hears("want "); });
-    assert(r.exchange.counters.stalled_connections == 1 && (peer.Read(), peer.over));
+    Far again = home.Next(fixture.loop), moved = away.Next(fixture.loop);
+    Until(fixture.loop,
+          [&] { return again.Hears("want 00000000000000a1") && moved.Hears("want "); });
+    assert(fixture.exchange.counters.stalled_connections == 1 && (peer.Read(), peer.over));
     const std::string answer = "00000000000000a1 HIT entity=t,issued=1,remark=local 2\r\nok\r\n";
     again.Send(answer + answer);
-    Until(r.loop,
-          [&] { return !clients[1].notified.empty() && r.exchange.counters.late_responses == 1; });
+    Until(fixture.loop, [&] {
+      return !clients[1].notified.empty() && fixture.exchange.counters.late_responses == 1;
+    });
   }
 }
 
@@ -184,25 +190,25 @@
 void DeadConnectionsAreClosed() {
   for (bool carries : {false, true}) {
     FarListener far;
-    settings::RoadTerms t = MakeTerms();
+    settings::RoadTerms t = MakeConnectionSettings();
     t.may_probe = true;
-    Road r(Machines({{"s-1", far.at}}), t);
-    std::vector<Asked> clients(3);
+    PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}), t);
+    std::vector<RecordingResponseSink> clients(3);
     for (std::size_t i = 0; i < 3; ++i)
-      r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)), clients[i]);
-    Far peer = far.Next(r.loop);
-    Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
+      fixture.exchange.OnRequest(MakeRequest("00000000000000a" + std::to_string(i)), clients[i]);
+    Far peer = far.Next(fixture.loop);
+    Until(fixture.loop, [&] { return peer.Hears("there call\r\n"); });
     if (carries) {
       for (int i = 0; i < 3; ++i) {
         peer.got.clear();
         peer.Send("call PONG - 0\r\n\r\n");
-        Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
+        Until(fixture.loop, [&] { return peer.Hears("there call\r\n"); });
       }
     } else {
-      Far again = far.Next(r.loop);
-      Until(r.loop, [&] { return again.Hears("want 00000000000000a1 "); });
+      Far again = far.Next(fixture.loop);
+      Until(fixture.loop, [&] { return again.Hears("want 00000000000000a1 "); });
     }
-    assert(r.exchange.counters.silent_connections == (carries ? 0u : 1u) &&
+    assert(fixture.exchange.counters.silent_connections == (carries ? 0u : 1u) &&
            (peer.Read(), peer.over) == !carries);
   }
 }
@@ -212,37 +218,37 @@
 // one is tried, a few times. If it is cancelled while it waits, it was never sent.
 void ExclusiveAttemptsWaitForALiveConnection() {
   FarListener far;
-  Road r(Machines({{"s-1", far.at}}));
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}));
   AttemptKey key{1, 0};
   SendAttempt how;
-  Find find;
-  how.cache = how.source = find.NumberIn(r, Machines({{"s-1", far.at}}));
+  EndpointNumberFinder find;
+  how.cache = how.source = find.NumberIn(fixture, MakeEndpointList({{"s-1", far.at}}));
   how.timeout = 60000;
   how.proven = true;
   for (int broken : {0, 2}) {
-    r.caches.Send(key, AskFor(), how, {});
+    fixture.caches.Send(key, MakeRequest(), how, {});
     for (int i = 0; i < broken; ++i) {
-      Far peer = far.Next(r.loop);
-      Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
+      Far peer = far.Next(fixture.loop);
+      Until(fixture.loop, [&] { return peer.Hears("there call\r\n"); });
       assert(peer.got.find("want") == std::string::npos);
       peer.Reset();
     }
-    Far peer = far.Next(r.loop);
-    Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
+    Far peer = far.Next(fixture.loop);
+    Until(fixture.loop, [&] { return peer.Hears("there call\r\n"); });
     peer.Send("call PONG - 0\r\n\r\n");
-    Until(r.loop, [&] { return peer.Hears("want " + kId); });
+    Until(fixture.loop, [&] { return peer.Hears("want " + kId); });
     peer.Reset();
     for (int i = 0; i < 20; ++i)
-      r.loop.turn(1);
+      fixture.loop.turn(1);
   }
-  assert(r.exchange.counters.cache_connections == 4);
-  r.caches.Send(key, AskFor(), how, {});
-  Far peer = far.Next(r.loop);
-  Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
-  r.caches.Cancel(key, AskFor(), how.cache);
+  assert(fixture.exchange.counters.cache_connections == 4);
+  fixture.caches.Send(key, MakeRequest(), how, {});
+  Far peer = far.Next(fixture.loop);
+  Until(fixture.loop, [&] { return peer.Hears("there call\r\n"); });
+  fixture.caches.Cancel(key, MakeRequest(), how.cache);
   peer.Send("call PONG - 0\r\n\r\n");
   for (int i = 0; i < 20; ++i)
-    r.loop.turn(1);
+    fixture.loop.turn(1);
   assert(!peer.Hears("want") && !peer.Hears("never_mind"));
 }
 
@@ -250,66 +256,68 @@
 // connections there are.
 void AttemptsAreSpreadOverConnections() {
   FarListener far;
-  Road r(Machines({{"s-1", far.at}}), MakeTerms(), 2);
-  std::vector<Asked> clients(20);
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}), MakeConnectionSettings(), 2);
+  std::vector<RecordingResponseSink> clients(20);
   for (std::size_t i = 0; i < 20; ++i) {
-    r.exchange.OnRequest(AskFor("00000000000000" + std::to_string(10 + i)), clients[i]);
-    if (r.exchange.counters.attempts <= 8)
-      assert(r.exchange.counters.cache_connections == 1);
+    fixture.exchange.OnRequest(MakeRequest("00000000000000" + std::to_string(10 + i)), clients[i]);
+    if (fixture.exchange.counters.attempts <= 8)
+      assert(fixture.exchange.counters.cache_connections == 1);
   }
-  assert(r.exchange.counters.cache_connections == 2 && r.exchange.counters.attempts > 16);
-  assert(r.exchange.counters.lost_unsent == 0);
+  assert(fixture.exchange.counters.cache_connections == 2 &&
+         fixture.exchange.counters.attempts > 16);
+  assert(fixture.exchange.counters.lost_unsent == 0);
 }
 
 void ASilentServerDelaysNoOthers() {
   FarListener mute, good;
-  Road r(Machines({{"s-1", mute.at}, {"s-2", good.at}}));
-  std::vector<Asked> clients(40);
+  PoolFixture fixture(MakeEndpointList({{"s-1", mute.at}, {"s-2", good.at}}));
+  std::vector<RecordingResponseSink> clients(40);
   for (std::size_t i = 0; i < clients.size(); ++i) {
-    RequestMetadata a = AskFor("00000000000000" + std::to_string(10 + i));
+    RequestMetadata a = MakeRequest("00000000000000" + std::to_string(10 + i));
     a.object = "object" + std::to_string(i);
-    r.exchange.OnRequest(a, clients[i]);
+    fixture.exchange.OnRequest(a, clients[i]);
   }
-  Far peer = good.Next(r.loop);
-  Until(r.loop, [&] { return peer.Hears("\r\n\r\n"); });
+  Far peer = good.Next(fixture.loop);
+  Until(fixture.loop, [&] { return peer.Hears("\r\n\r\n"); });
   std::string asked = peer.got.substr(5, 16);
   peer.Send(asked + " HIT entity=t,issued=1,remark=local 2\r\nok\r\n");
-  Until(r.loop, [&] { return r.exchange.counters.succeeded == 1; });
+  Until(fixture.loop, [&] { return fixture.exchange.counters.succeeded == 1; });
 }
 
 // A connection that the server may be about to close as idle is not used again: a request that
 // crosses the close would count as one that may have run.
 void IdleConnectionsAreNotReusedNearTheirTimeout() {
   FarListener far;
-  Road r(Machines({{"s-1", far.at}}), MakeTerms(400, 50));
-  r.exchange.OnRequest(AskFor(), r.client);
-  Far first = far.Next(r.loop);
-  Until(r.loop, [&] { return first.Hears("want "); });
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}), MakeConnectionSettings(400, 50));
+  fixture.exchange.OnRequest(MakeRequest(), fixture.client);
+  Far first = far.Next(fixture.loop);
+  Until(fixture.loop, [&] { return first.Hears("want "); });
   first.Send(kId + " HIT entity=t,issued=1,remark=local 0\r\n\r\n");
-  Until(r.loop, [&] { return !r.client.notified.empty(); });
-  Ms end = r.loop.now() + 60;
-  Until(r.loop, [&] { return r.loop.now() > end; });
-  r.exchange.OnRequest(AskFor("00000000000000aa"), r.client);
-  Far second = far.Next(r.loop);
-  Until(r.loop, [&] { return second.Hears("want 00000000000000aa"); });
+  Until(fixture.loop, [&] { return !fixture.client.notified.empty(); });
+  Ms end = fixture.loop.now() + 60;
+  Until(fixture.loop, [&] { return fixture.loop.now() > end; });
+  fixture.exchange.OnRequest(MakeRequest("00000000000000aa"), fixture.client);
+  Far second = far.Next(fixture.loop);
+  Until(fixture.loop, [&] { return second.Hears("want 00000000000000aa"); });
 }
 
 void EveryProbeEnds() {
   for (const char* word : {"PONG", "SICK", "", "close"}) {
     FarListener far;
-    Road r(Machines({{"s-1", far.at}}), MakeTerms(*word ? 10000 : 100));
-    auto& n = r.exchange.counters;
+    PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}),
+                        MakeConnectionSettings(*word ? 10000 : 100));
+    auto& n = fixture.exchange.counters;
     // Two broken attempts eject the cache; the router probes it after a moment.
     for (int i = 0; i < 2; ++i) {
-      Asked client;
-      r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)), client);
-      Far peer = far.Next(r.loop);
-      Until(r.loop, [&] { return peer.Hears("want "); });
+      RecordingResponseSink client;
+      fixture.exchange.OnRequest(MakeRequest("00000000000000a" + std::to_string(i)), client);
+      Far peer = far.Next(fixture.loop);
+      Until(fixture.loop, [&] { return peer.Hears("want "); });
       peer.Reset();
-      Until(r.loop, [&] { return !client.notified.empty(); });
+      Until(fixture.loop, [&] { return !client.notified.empty(); });
     }
-    Far peer = far.Next(r.loop);
-    Until(r.loop,
+    Far peer = far.Next(fixture.loop);
+    Until(fixture.loop,
           [&] { return peer.Hears("busy ") && peer.got.find("\r\n") != std::string::npos; });
     std::string tag = peer.got.substr(5, peer.got.find("\r\n") - 5), say = word;
     if (say == "close")
@@ -317,7 +325,7 @@
     else if (!say.empty())
       peer.Send(tag + ' ' + say + " report=util:0.5 0\r\n\r\n");
     std::uint64_t before = n.probes;
-    Until(r.loop, [&] {
+    Until(fixture.loop, [&] {
       return n.probes_answered + n.probes > before;
     });  // the next one follows when this one ends
     assert((n.probes_answered > 0) == (say == "PONG"));
@@ -328,37 +336,38 @@
 // it.
 void NothingReachesANewEndpointAtAnOldAddress() {
   FarListener far;
-  Road r(Machines({{"s-1", far.at}}));
-  r.exchange.OnRequest(AskFor(), r.client);
-  Far old = far.Next(r.loop);
-  Until(r.loop, [&] { return old.Hears("want "); });
-  auto fresh = Machines({{"s-2", far.at}});
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}));
+  fixture.exchange.OnRequest(MakeRequest(), fixture.client);
+  Far old = far.Next(fixture.loop);
+  Until(fixture.loop, [&] { return old.Hears("want "); });
+  auto fresh = MakeEndpointList({{"s-2", far.at}});
   fresh[0].entry.standing = Standing::kDraining;  // does not take requests yet
-  r.exchange.OnListUpdate(false, fresh);
+  fixture.exchange.OnListUpdate(false, fresh);
   assert(!(old.Read(), old.over));
   fresh[0].entry.standing = Standing::kReady;
   fresh[0].entry.weight = 1e-9;  // the home cache of no object
-  r.exchange.OnListUpdate(false, fresh);
-  Until(r.loop, [&] {
+  fixture.exchange.OnListUpdate(false, fresh);
+  Until(fixture.loop, [&] {
     old.Read();
     return old.over;
   });
-  std::uint64_t before = r.exchange.counters.lost_unsent;
-  Asked other;
-  r.exchange.OnRequest(AskFor("00000000000000aa"), other);
-  assert(r.exchange.counters.lost_unsent > before);  // at once, with nothing written
+  std::uint64_t before = fixture.exchange.counters.lost_unsent;
+  RecordingResponseSink other;
+  fixture.exchange.OnRequest(MakeRequest("00000000000000aa"), other);
+  assert(fixture.exchange.counters.lost_unsent > before);  // at once, with nothing written
 }
 
 void UpstreamConnectionsAreLimited() {
   FarListener far;
-  settings::RoadTerms one = MakeTerms();
+  settings::RoadTerms one = MakeConnectionSettings();
   one.attempts_at_once = 1;
-  Road r(Machines({{"s-1", far.at}}), one, 2);
-  std::vector<Asked> clients(3);
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}), one, 2);
+  std::vector<RecordingResponseSink> clients(3);
   for (int i = 0; i < 3; ++i)
-    r.exchange.OnRequest(AskFor("00000000000000a" + std::to_string(i)),
-                         clients[static_cast<std::size_t>(i)]);
-  assert(r.exchange.counters.cache_connections == 2 && r.exchange.counters.lost_unsent == 1);
+    fixture.exchange.OnRequest(MakeRequest("00000000000000a" + std::to_string(i)),
+                               clients[static_cast<std::size_t>(i)]);
+  assert(fixture.exchange.counters.cache_connections == 2 &&
+         fixture.exchange.counters.lost_unsent == 1);
   assert(clients[2].notified.size() == 1 && clients[1].notified.empty());
 }
 
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -12,22 +12,24 @@
 
 namespace {
 
-struct Counter {  // an HTTP server on loopback sockets, with a recording transport
-  Desk d;
+struct ServerFixture {  // an HTTP server on loopback sockets, with a recording transport
+  ExchangeFixture d;
   loop::Address at = FreeAddress();
   clients::HttpServer clients;
-  explicit Counter(std::size_t most = 50, StoreSettings s = kit::Settings())
-      : d(s), clients(d.loop, d.exchange, MakeTerms().request_classes, {false, true}, at, most) {}
-  Far Come() {
+  explicit ServerFixture(std::size_t most = 50, StoreSettings s = kit::Settings())
+      : d(s),
+        clients(d.loop, d.exchange, MakeConnectionSettings().request_classes, {false, true}, at,
+                most) {}
+  Far Connect() {
     Far f = Far::To(at);
     d.loop.turn(1);
     return f;
   }
-  void Hear(Far& f, std::string_view text) {
+  void WaitFor(Far& f, std::string_view text) {
     Until(d.loop, [&] { return f.Hears(text); });
   }
   // Runs the loop until all connections are closed that a shutdown closes.
-  void leave() {
+  void RunShutdown() {
     Until(d.loop, [&] {
       clients.ContinueShutdown();
       return clients.empty();
@@ -45,16 +47,16 @@
 };
 
 // Runs a function in the middle of a loop iteration: after its poll, before its timers.
-struct Meanwhile final : loop::Handler {
+struct MidIteration final : loop::Handler {
   loop::Loop& loop;
   std::function<void()> what;
   int ends[2];
-  Meanwhile(loop::Loop& l, std::function<void()> w) : loop(l), what(std::move(w)) {
+  MidIteration(loop::Loop& l, std::function<void()> w) : loop(l), what(std::move(w)) {
     assert(::pipe(ends) == 0 && ::write(ends[1], "x", 1) == 1);
     loop.WatchDescriptor(ends[0], *this, POLLIN);
     Until(loop, [&] { return !what; });
   }
-  ~Meanwhile() {
+  ~MidIteration() {
     loop.Forget(ends[0]);
     ::close(ends[0]);
     ::close(ends[1]);
@@ -73,16 +75,16 @@
 
 // A client that reads slowly: when its whole response has left the front, most of it is still in
 // the kernel's buffers.
-struct Slow {
+struct SlowClient {
   Far far{loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0))};
   std::string body = std::string(200000, 'x');
-  Slow(Counter& c) {
+  SlowClient(ServerFixture& c) {
     int small = 1 << 12;
     ::setsockopt(far.fd.Get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
     assert(::connect(far.fd.Get(), reinterpret_cast<const sockaddr*>(&c.at), sizeof c.at) == 0);
     ::fcntl(far.fd.Get(), F_SETFL, O_NONBLOCK);
-    far.Send(GetAs(1));
-    c.Finish(c.attempt(0), Said(Ending::kFinished), body);
+    far.Send(GetWithId(1));
+    c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), body);
     for (int i = 0; i < 3; ++i)
       c.d.loop.turn(0);
   }
@@ -92,22 +94,22 @@
 };
 
 void ClientsGetResponses() {
-  Counter c;
-  Far f = c.Come();
+  ServerFixture c;
+  Far f = c.Connect();
   for (char one : Get("If-None-Match: \"4be0\"\r\nX-Memory-Kb: 412.5\r\n")) {
     f.Send(std::string_view(&one, 1));
     c.d.loop.turn(0);
   }
-  c.Finish(c.attempt(0), Said(Ending::kFinished), "a\r\n\r\nb");
-  c.Hear(f, "\r\n\r\na\r\n\r\nb");
+  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), "a\r\n\r\nb");
+  c.WaitFor(f, "\r\n\r\na\r\n\r\nb");
   assert(f.Hears("HTTP/1.1 200 OK\r\n") && f.Hears("ETag: \"t1\"\r\n") &&
          f.Hears("Content-Length: 6\r\n"));
   f.got.clear();
   f.Send(Get("If-None-Match: \"t1\"\r\n"));  // the connection is kept
-  exchange::ResponseHead valid = Said(Ending::kFinished);
+  exchange::ResponseHead valid = MakeResponseHead(Ending::kFinished);
   valid.not_modified = true;
   c.Finish(c.attempt(1), valid);
-  c.Hear(f, "HTTP/1.1 304 Not Modified\r\nETag: \"t1\"\r\n\r\n");
+  c.WaitFor(f, "HTTP/1.1 304 Not Modified\r\nETag: \"t1\"\r\n\r\n");
   f.got.clear();
   std::string body(48000, 'p');
   f.Send("PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
@@ -115,7 +117,7 @@
          "48000\r\n\r\n" +
          body);
   c.d.exchange.OnAttemptDisconnected(c.attempt(2), loop::DisconnectReason::kReset, true);
-  c.Hear(f, "HTTP/1.1 502 ");
+  c.WaitFor(f, "HTTP/1.1 502 ");
   Until(c.d.loop, [&] {
     f.Read();
     return f.over;
@@ -123,7 +125,7 @@
 }
 
 void LargeResponsesWaitForSlowClients() {
-  Counter c;
+  ServerFixture c;
   Far f = Far::To(c.at);
   int small = 1 << 15;
   ::setsockopt(f.fd.Get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
@@ -131,14 +133,14 @@
   for (std::size_t i = 0; i < body.size(); ++i)
     body[i] = static_cast<char>(i * 7);
   f.Send(Get() + Get());  // the second waits until the first is written
-  c.Finish(c.attempt(0), Said(Ending::kFinished), body);
+  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), body);
   Until(c.d.loop, [&] { return f.Read(1000).size() > 100000; });
   Until(c.d.loop, [&] {
     f.Read();
     return c.d.caches.sent.size() == 2;
   });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "end");
-  c.Hear(f, "\r\n\r\nend");
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "end");
+  c.WaitFor(f, "\r\n\r\nend");
   assert(f.got.find(body) != std::string::npos);
 }
 
@@ -147,8 +149,8 @@
     std::string request;
     std::string status;
   };
-  Counter c;
-  Far good = c.Come();
+  ServerFixture c;
+  Far good = c.Connect();
   good.Send(Get());
   AttemptKey key = c.attempt(0);
   const std::string head = "GET /ops/video/7f3a HTTP/1.1\r\n";
@@ -183,9 +185,9 @@
         {"PUT /ops/write/7f3a HTTP/1.1\r\nContent-Length: 48001\r\n\r\n" + std::string(48001, 'x'),
          "413"},
         {head + "A: " + std::string(9000, 'x'), "431"}}) {
-    Far f = c.Come();
+    Far f = c.Connect();
     f.Send(one.request);
-    c.Hear(f, "HTTP/1.1 " + one.status);
+    c.WaitFor(f, "HTTP/1.1 " + one.status);
     assert(f.Hears("Connection: close\r\n"));
     Until(c.d.loop, [&] {
       f.Read();
@@ -193,22 +195,22 @@
     });
   }
   assert(c.d.exchange.counters.bad_requests == 28 && c.d.caches.sent.size() == 1);
-  c.Finish(key, Said(Ending::kFinished), "still here");
-  c.Hear(good, "still here");
+  c.Finish(key, MakeResponseHead(Ending::kFinished), "still here");
+  c.WaitFor(good, "still here");
 }
 
 // A client that sends nothing, or a partial request, gets a status or a close within 3 s, and no
 // other client is affected; an idle client that has been served keeps its connection.
 void SilentClientsAreDisconnected() {
-  Counter c;
-  Far served = c.Come(), silent = c.Come(), half = c.Come();
+  ServerFixture c;
+  Far served = c.Connect(), silent = c.Connect(), half = c.Connect();
   served.Send("GET /alive HTTP/1.1\r\n\r\n");
-  c.Hear(served, "HTTP/1.1 200");
+  c.WaitFor(served, "HTTP/1.1 200");
   half.Send("GET /alive HTTP/1.1\r\nA: ");
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(1);
   c.d.loop.Skip(2600);
-  c.Hear(half, "HTTP/1.1 408");
+  c.WaitFor(half, "HTTP/1.1 408");
   Until(c.d.loop, [&] {
     silent.Read();
     return silent.over;
@@ -218,32 +220,33 @@
 
 // How a client disconnects. Closing its sending direction alone counts as a disconnect too: no
 // response is sent on a half-closed connection.
-enum class Leave {
+enum class DisconnectKind {
   kClose,
   kReset,
   kHalfClose
 };
-constexpr Leave kLeaves[] = {Leave::kClose, Leave::kReset, Leave::kHalfClose};
+constexpr DisconnectKind kDisconnectKinds[] = {DisconnectKind::kClose, DisconnectKind::kReset,
+                                               DisconnectKind::kHalfClose};
 
-void LeaveBy(Far& f, Leave how) {
-  if (how == Leave::kClose)
+void Disconnect(Far& f, DisconnectKind how) {
+  if (how == DisconnectKind::kClose)
     f.fd.Reset();
-  if (how == Leave::kReset)
+  if (how == DisconnectKind::kReset)
     f.Reset();
-  if (how == Leave::kHalfClose)
+  if (how == DisconnectKind::kHalfClose)
     ::shutdown(f.fd.Get(), SHUT_WR);
 }
 
 void ClosingClientsGetNoResponse() {
-  for (Leave how : kLeaves) {
-    Counter c;
-    Far f = c.Come();
+  for (DisconnectKind how : kDisconnectKinds) {
+    ServerFixture c;
+    Far f = c.Connect();
     f.Send(Get());
     c.attempt(0);
-    LeaveBy(f, how);
+    Disconnect(f, how);
     Until(c.d.loop, [&] { return c.d.exchange.counters.client_disconnects == 1; });
-    assert(c.d.caches.given_up.size() == 1 && c.clients.empty());
-    assert(how != Leave::kHalfClose || (f.Read().empty() && f.over));
+    assert(c.d.caches.cancelled.size() == 1 && c.clients.empty());
+    assert(how != DisconnectKind::kHalfClose || (f.Read().empty() && f.over));
   }
 }
 
@@ -253,13 +256,13 @@
   std::string big = "PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
                     "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nContent-Length: 48000\r\n\r\n" +
                     std::string(48000, 'p');
-  for (const std::string& request : {Get(), big, GetAs(1) + GetAs(2)})
+  for (const std::string& request : {Get(), big, GetWithId(1) + GetWithId(2)})
     for (bool accepted : {false, true})
-      for (Leave how : kLeaves) {
-        Counter c;
-        Far f = accepted ? c.Come() : Far::To(c.at);
+      for (DisconnectKind how : kDisconnectKinds) {
+        ServerFixture c;
+        Far f = accepted ? c.Connect() : Far::To(c.at);
         f.Send(request);
-        LeaveBy(f, how);
+        Disconnect(f, how);
         Until(c.d.loop,
               [&] { return c.d.exchange.counters.client_connections == 1 && c.clients.empty(); });
         assert(c.d.caches.sent.empty());
@@ -269,14 +272,14 @@
 // The client closes as the first request is answered, in one iteration: the next poll shows that,
 // and the second request is not forwarded.
 void ASecondRequestIsNotForwardedAfterItsClientDisconnected() {
-  for (Leave how : kLeaves) {
-    Counter c;
-    Far f = c.Come();
-    f.Send(GetAs(1) + GetAs(2));
+  for (DisconnectKind how : kDisconnectKinds) {
+    ServerFixture c;
+    Far f = c.Connect();
+    f.Send(GetWithId(1) + GetWithId(2));
     AttemptKey key = c.attempt(0);
-    Meanwhile now(c.d.loop, [&] {
-      LeaveBy(f, how);
-      c.Finish(key, Said(Ending::kFinished), "ok");
+    MidIteration now(c.d.loop, [&] {
+      Disconnect(f, how);
+      c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
     });
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.caches.sent.size() == 1);
@@ -286,15 +289,15 @@
 // It arrives behind the open request, together with the close, after the front has begun to poll
 // the connection lazily.
 void APipelinedRequestIsNotForwardedAfterItsClose() {
-  for (Leave how : kLeaves) {
-    Counter c;
-    Far f = c.Come();
-    f.Send(GetAs(1));
+  for (DisconnectKind how : kDisconnectKinds) {
+    ServerFixture c;
+    Far f = c.Connect();
+    f.Send(GetWithId(1));
     AttemptKey key = c.attempt(0);
-    Meanwhile now(c.d.loop, [&] {
-      f.Send(GetAs(2));
-      LeaveBy(f, how);
-      c.Finish(key, Said(Ending::kFinished), "ok");
+    MidIteration now(c.d.loop, [&] {
+      f.Send(GetWithId(2));
+      Disconnect(f, how);
+      c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
     });
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.caches.sent.size() == 1);
@@ -304,11 +307,11 @@
 // A request on an idle connection arrives after the poll of the iteration that would close it: it
 // is read before the close, and served. Closing would be a reset and discard the last response.
 void ARequestThatArrivesBeforeTheIdleCloseIsServed() {
-  Counter c;
-  Slow slow(c);
+  ServerFixture c;
+  SlowClient slow(c);
   c.d.loop.Skip(20000);
-  Meanwhile now(c.d.loop, [&] { slow.far.Send(GetAs(2)); });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  MidIteration now(c.d.loop, [&] { slow.far.Send(GetWithId(2)); });
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(!IsReset(slow.far) &&
          slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos);
@@ -318,11 +321,11 @@
 // It arrives after the half-close: the response before it arrives whole, without a reset, and it is
 // not forwarded.
 void ARequestThatCrossesTheIdleCloseLosesNoResponse() {
-  Counter c;
-  Slow slow(c);
+  ServerFixture c;
+  SlowClient slow(c);
   c.d.loop.Skip(20000);
   c.d.loop.turn(0);  // the timeout check is due
-  slow.far.Send(GetAs(2));
+  slow.far.Send(GetWithId(2));
   Until(c.d.loop, [&] { return slow.HasAll(); });
   Until(c.d.loop, [&] {
     slow.far.Read();
@@ -336,46 +339,46 @@
 // The same where a slot is freed for a new connection. Here the request arrived first: it is read,
 // and its connection is not idle any more.
 void ARequestThatArrivesBeforeASlotIsFreedIsServed() {
-  Counter c(1);
-  Slow slow(c);
-  slow.far.Send(GetAs(2));
+  ServerFixture c(1);
+  SlowClient slow(c);
+  slow.far.Send(GetWithId(2));
   Far other = Far::To(c.at);
   c.attempt(1);
   Until(c.d.loop, [&] { return slow.HasAll(); });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Hears("\r\n\r\nsecond"); });
 }
 
 // Many connect at once, each with a request: none is closed before its request was read.
 void NewConnectionsAreNotClosedUnread() {
-  Counter c(3);
+  ServerFixture c(3);
   std::vector<Far> all;
   for (int i = 0; i < 8; ++i) {
     all.push_back(Far::To(c.at));
-    all.back().Send(GetAs(i));
+    all.back().Send(GetWithId(i));
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
-    c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
+    c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "ok");
     for (int turns = 0; turns < 5; ++turns)
       c.d.loop.turn(0);
   }
   for (Far& f : all)
-    c.Hear(f, "\r\n\r\nok");
+    c.WaitFor(f, "\r\n\r\nok");
 }
 
 // Connections of rejected clients that never close: they keep no live client out, and the one that
 // has lingered longest is closed when there are too many.
 void LingeringConnectionsTakeNoSlot() {
-  Counter c(3);
+  ServerFixture c(3);
   std::vector<Far> bad, good;
   for (int i = 0; i < 12; ++i) {
-    bad.push_back(c.Come());
+    bad.push_back(c.Connect());
     bad.back().Send("\x16\x03\x01");
-    c.Hear(bad.back(), "HTTP/1.1 400");
+    c.WaitFor(bad.back(), "HTTP/1.1 400");
   }
   for (int i = 0; i < 3; ++i) {
     good.push_back(Far::To(c.at));
-    good.back().Send(GetAs(i));
+    good.back().Send(GetWithId(i));
   }
   for (int turns = 0; turns < 50; ++turns)
     c.d.loop.turn(0);
@@ -426,8 +429,8 @@
     std::vector<std::string> lines;
     log::Log to([] { return 0.0; }, [&](std::string_view line) { lines.emplace_back(line); });
     log::Use use(to);
-    Counter c;
-    Far good = c.Come(), f = c.Come();
+    ServerFixture c;
+    Far good = c.Connect(), f = c.Connect();
     good.Send(Get());
     AttemptKey key = c.attempt(0);
     f.Send(one.bytes);
@@ -438,15 +441,15 @@
     if (one.then == kResets)
       f.Reset();
     if (one.then == kStays) {
-      c.Hear(f, "HTTP/1.1 " + one.status);
+      c.WaitFor(f, "HTTP/1.1 " + one.status);
       Until(c.d.loop, [&] {
         f.Read();
         return f.over;
       });
       c.d.loop.Skip(2000);  // though the client never closes
     }
-    c.Finish(key, Said(Ending::kFinished), "still here");
-    c.Hear(good, "still here");
+    c.Finish(key, MakeResponseHead(Ending::kFinished), "still here");
+    c.WaitFor(good, "still here");
     good.fd.Reset();
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.exchange.counters.bad_requests == one.bad && lines.size() == one.bad);
@@ -459,8 +462,8 @@
 // A request whose header never ends: it is rejected, its input is read and discarded for a limited
 // time, then the connection is closed.
 void AnEndlessHeaderIsLimited() {
-  Counter c;
-  Far f = c.Come();
+  ServerFixture c;
+  Far f = c.Connect();
   f.Send("GET /alive HTTP/1.1\r\n");
   std::string more = "A: " + std::string(2000, 'x') + "\r\n";
   Until(c.d.loop, [&] {
@@ -479,11 +482,11 @@
     kResting
   };
   for (int listener : {kWaiting, kPaused, kResting}) {
-    Counter c(listener == kPaused ? 1 : 50);
+    ServerFixture c(listener == kPaused ? 1 : 50);
     std::vector<Far> before, waits;
     for (int i = 0; listener == kPaused && i < 2; ++i) {
-      before.push_back(c.Come());
-      before.back().Send(GetAs(i));
+      before.push_back(c.Connect());
+      before.back().Send(GetWithId(i));
       c.attempt(static_cast<std::size_t>(i));
     }
     for (int i = 2; i < 5; ++i)
@@ -498,57 +501,57 @@
       ::setrlimit(RLIMIT_NOFILE, &full);
     }
     for (int i = 2; i < 5; ++i)
-      waits[static_cast<std::size_t>(i - 2)].Send(GetAs(i));
+      waits[static_cast<std::size_t>(i - 2)].Send(GetWithId(i));
     std::size_t all = before.size() + waits.size();
     Until(c.d.loop, [&] {
       c.clients.ContinueShutdown();
       return c.d.caches.sent.size() == all;
     });
     for (std::size_t i = 0; i < all; ++i)
-      c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
+      c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "ok");
     for (Far& f : waits) {
-      c.Hear(f, "\r\n\r\nok");
+      c.WaitFor(f, "\r\n\r\nok");
       assert(f.Hears("Connection: close\r\n"));
       Until(c.d.loop, [&] {
         f.Read();
         return f.over;
       });
     }
-    c.leave();
+    c.RunShutdown();
   }
 }
 
 // Bytes of the request are in the kernel's buffers when the shutdown starts: they are read once
 // more, and answered.
 void ARequestThatCrossesTheShutdownIsServed() {
-  Counter c;
-  Far f = c.Come();
+  ServerFixture c;
+  Far f = c.Connect();
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
-  f.Send(GetAs(1));
+  f.Send(GetWithId(1));
   Until(c.d.loop, [&] {
     c.clients.ContinueShutdown();
     return c.d.caches.sent.size() == 1;
   });
-  c.Finish(c.attempt(0), Said(Ending::kFinished), "ok");
-  c.Hear(f, "\r\n\r\nok");
+  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), "ok");
+  c.WaitFor(f, "\r\n\r\nok");
   assert(f.Hears("Connection: close\r\n"));
-  c.leave();
+  c.RunShutdown();
 }
 
 // The request arrives after the poll of the iteration that would half-close the connection: it is
 // read before that, and served.
 void ARequestThatArrivesBeforeTheHalfCloseInShutdownIsServed() {
-  Counter c;
-  Slow slow(c);
+  ServerFixture c;
+  SlowClient slow(c);
   c.clients.ContinueShutdown();
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
-  Meanwhile now(c.d.loop, [&] {
-    slow.far.Send(GetAs(2));
+  MidIteration now(c.d.loop, [&] {
+    slow.far.Send(GetWithId(2));
     c.clients.ContinueShutdown();
   });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos &&
          slow.far.Hears("Connection: close\r\n"));
@@ -557,20 +560,20 @@
     return slow.far.over;
   });
   assert(!IsReset(slow.far));
-  c.leave();  // though the client never closes
+  c.RunShutdown();  // though the client never closes
 }
 
 // The request arrives after the half-close: the response before it arrives whole, and the request
 // is not forwarded.
 void ARequestThatCrossesTheHalfCloseInShutdownLosesNoResponse() {
-  Counter c;
-  Slow slow(c);
+  ServerFixture c;
+  SlowClient slow(c);
   c.clients.ContinueShutdown();
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
-  Meanwhile now(c.d.loop, [&] {
+  MidIteration now(c.d.loop, [&] {
     c.clients.ContinueShutdown();
-    slow.far.Send(GetAs(2));
+    slow.far.Send(GetWithId(2));
   });
   Until(c.d.loop, [&] { return slow.HasAll(); });
   Until(c.d.loop, [&] {
@@ -578,45 +581,45 @@
     return slow.far.over;
   });
   assert(!IsReset(slow.far) && c.d.caches.sent.size() == 1);
-  c.leave();  // though the client never closes
+  c.RunShutdown();  // though the client never closes
 }
 
 // Complete requests that were read behind an open one when the shutdown starts: each gets its
 // response, and the last response announces the close.
 void PipelinedRequestsAreServedDuringShutdown() {
-  Counter c;
-  Far f = c.Come();
-  f.Send(GetAs(1) + GetAs(2) + GetAs(3) + GetAs(4).substr(0, 60));
+  ServerFixture c;
+  Far f = c.Connect();
+  f.Send(GetWithId(1) + GetWithId(2) + GetWithId(3) + GetWithId(4).substr(0, 60));
   c.attempt(0);
   for (std::size_t i = 0; i < 3; ++i) {
     for (int turns = 0; turns < 3; ++turns) {
       c.clients.ContinueShutdown();
       c.d.loop.turn(0);
     }
-    c.Finish(c.attempt(i), Said(Ending::kFinished), "body" + std::to_string(i));
-    c.Hear(f, "\r\n\r\nbody" + std::to_string(i));
+    c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "body" + std::to_string(i));
+    c.WaitFor(f, "\r\n\r\nbody" + std::to_string(i));
     assert(f.Hears("Connection: close\r\n") == (i == 2));
   }
   Until(c.d.loop, [&] {
     f.Read();
     return f.over;
   });
-  c.leave();
+  c.RunShutdown();
   assert(c.d.caches.sent.size() == 3);
 }
 
 // Each complete request that was read gets a response, also behind one that is rejected for its
 // content; behind one whose end can't be determined nothing counts as a request.
 void RequestsBehindARejectedOneAreServed() {
-  Counter c;
-  Far f = c.Come();
-  f.Send(Get("", "/odd") + GetAs(1));
+  ServerFixture c;
+  Far f = c.Connect();
+  f.Send(Get("", "/odd") + GetWithId(1));
   AttemptKey key = c.attempt(0);
-  c.Hear(f, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-  c.Finish(key, Said(Ending::kFinished), "ok");
-  c.Hear(f, "\r\n\r\nok");
+  c.WaitFor(f, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+  c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
+  c.WaitFor(f, "\r\n\r\nok");
   f.Send(Get("", "/odd"));
-  c.Hear(f, "Connection: close\r\n\r\n");
+  c.WaitFor(f, "Connection: close\r\n\r\n");
   Until(c.d.loop, [&] {
     f.Read();
     return f.over;
@@ -627,35 +630,35 @@
 // All slots are taken and the request of a new connection is in transit when another client
 // connects: the new connection is kept for a moment.
 void ANewConnectionHasTimeForItsRequest() {
-  Counter c(2);
-  Far busy = c.Come(), served = c.Come();
-  busy.Send(GetAs(0));
+  ServerFixture c(2);
+  Far busy = c.Connect(), served = c.Connect();
+  busy.Send(GetWithId(0));
   c.attempt(0);
   served.Send("GET /alive HTTP/1.1\r\n\r\n");
-  c.Hear(served, "HTTP/1.1 200");
-  Far newcomer = c.Come(), next = c.Come();
+  c.WaitFor(served, "HTTP/1.1 200");
+  Far newcomer = c.Connect(), next = c.Connect();
   Until(c.d.loop, [&] {
     served.Read();
     return served.over;
   });
   for (int turns = 0; turns < 5; ++turns)
     c.d.loop.turn(0);
-  newcomer.Send(GetAs(1));
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "ok");
-  c.Hear(newcomer, "\r\n\r\nok");
-  next.Send(GetAs(2));
+  newcomer.Send(GetWithId(1));
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "ok");
+  c.WaitFor(newcomer, "\r\n\r\nok");
+  next.Send(GetWithId(2));
   c.attempt(2);
 }
 
 // A connection without a request keeps its slot no longer than that, also where no other connection
 // is idle.
 void ASilentNewConnectionIsClosedForItsSlot() {
-  Counter c(1);
-  Far busy = c.Come();
-  busy.Send(GetAs(0));
+  ServerFixture c(1);
+  Far busy = c.Connect();
+  busy.Send(GetWithId(0));
   c.attempt(0);
-  Far silent = c.Come(), next = c.Come();
-  next.Send(GetAs(1));
+  Far silent = c.Connect(), next = c.Connect();
+  next.Send(GetWithId(1));
   c.attempt(1);
   Until(c.d.loop, [&] {
     silent.Read();
@@ -667,8 +670,8 @@
 // The connection has carried no request: it is closed in both directions, so that a request that
 // crosses the close stays unread, and the connection does not linger.
 void ConnectionsWithoutARequestDoNotLinger() {
-  Counter c;
-  Far silent = c.Come();
+  ServerFixture c;
+  Far silent = c.Connect();
   c.d.loop.Skip(2600);
   Until(c.d.loop, [&] {
     silent.Read();
@@ -678,8 +681,8 @@
 }
 
 void APartialRequestIsRejectedDuringShutdown() {
-  Counter c;
-  Far f = c.Come();
+  ServerFixture c;
+  Far f = c.Connect();
   f.Send(Get().substr(0, 40));
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
@@ -693,14 +696,14 @@
     f.Read();
     return f.over;
   });
-  c.leave();
+  c.RunShutdown();
   assert(c.d.caches.sent.empty() && c.d.exchange.counters.bad_requests == 0);
 }
 
 // Responses are written to a client that does not read until the kernel's buffers are full. A
 // shutdown waits for it no longer than the response is wanted, and never for a dead client.
 void ClientsThatDoNotReadDoNotDelayShutdown() {
-  Counter c;
+  ServerFixture c;
   Far f(loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0)));
   int small = 1 << 12;
   ::setsockopt(f.fd.Get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
@@ -717,7 +720,7 @@
   std::size_t which = 0;
   for (f.Send(request); sent_on(which); ++which, f.Send(request)) {
     assert(which < 200);
-    c.Finish(c.attempt(which), Said(Ending::kFinished), body);
+    c.Finish(c.attempt(which), MakeResponseHead(Ending::kFinished), body);
   }
   for (int i = 0; i < 3; ++i) {
     c.clients.ContinueShutdown();
@@ -735,11 +738,11 @@
 void AnAbortedStreamIsDetectable() {
   StoreSettings s = kit::Settings();
   s.request_classes[0].streams = true;
-  Counter c(50, s);
-  Far f = c.Come();
+  ServerFixture c(50, s);
+  Far f = c.Connect();
   f.Send(Get());
   AttemptKey key = c.attempt(0);
-  c.d.exchange.OnAttemptResponseStarted(key, Said(Ending::kFinished), 10);
+  c.d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(Ending::kFinished), 10);
   c.d.exchange.OnAttemptResponseData(key, "half");
   c.d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
   Until(c.d.loop, [&] {
@@ -750,34 +753,34 @@
 }
 
 void IdleConnectionsAreClosedForTheirSlots() {
-  Counter c(3);
-  Far one = c.Come(), two = c.Come();
-  one.Send(GetAs(1));
+  ServerFixture c(3);
+  Far one = c.Connect(), two = c.Connect();
+  one.Send(GetWithId(1));
   c.attempt(0);
-  Far three = c.Come(), four = c.Come();  // two has been idle longest
+  Far three = c.Connect(), four = c.Connect();  // two has been idle longest
   Until(c.d.loop, [&] {
     two.Read();
     return two.over;
   });
-  four.Send(GetAs(2));
+  four.Send(GetWithId(2));
   c.attempt(1);
   assert(!(one.Read(), one.over));
   // With all slots taken a new connection waits until one of them has its response.
-  three.Send(GetAs(3));
+  three.Send(GetWithId(3));
   c.attempt(2);
-  Far five = c.Come(), six = c.Come();
-  five.Send(GetAs(4));
+  Far five = c.Connect(), six = c.Connect();
+  five.Send(GetWithId(4));
   c.attempt(3);
-  six.Send(GetAs(5));
+  six.Send(GetWithId(5));
   for (int i = 0; i < 20; ++i)
     c.d.loop.turn(1);
   assert(c.d.caches.sent.size() == 4);
-  c.Finish(c.attempt(0), Said(Ending::kFinished));
+  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished));
   c.attempt(4);
 }
 
 void DescriptorExhaustionDoesNotSpin() {
-  Counter c;
+  ServerFixture c;
   Far f(loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0)));
   rlimit before{}, none{};
   ::getrlimit(RLIMIT_NOFILE, &before);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -13,38 +13,40 @@
 // The client has disconnected: what has not left this process is never sent, whether or not the
 // settings allow cancelling, whatever it waits for; later requests are sent.
 void NothingIsSentForADisconnectedClient() {
-  for (Wait how : {kDial, kQueue, kCheck})
+  for (WaitReason how : {kConnecting, kWriteBuffer, kLivenessCheck})
     for (bool cancel : {true, false}) {
-      bool once = how == kCheck;
-      Waiting w(how, SettingsWith(cancel, Effect::kExclusive), {}, once ? kWrite : kVideo);
-      w.r.exchange.OnClientDisconnected(w.request);
-      w.LetGo();
-      assert(!w.Began() && !w.peer.Hears("never_mind 00000000000000a1"));
-      assert(w.client.notified.empty() && w.r.exchange.counters.lost_unsent == 0);
-      Asked next;
-      w.r.exchange.OnRequest(AskAs(2), next);
-      if (how != kQueue) {
-        Until(w.r.loop, [&] { return w.peer.Hears(WantOf(2)); });
-        w.peer.Send(Hit(2));
-        Until(w.r.loop, [&] { return !next.notified.empty(); });
+      bool once = how == kLivenessCheck;
+      QueuedAttemptFixture w(how, SettingsWith(cancel, Effect::kExclusive), {},
+                             once ? kWrite : kVideo);
+      w.fixture.exchange.OnClientDisconnected(w.request);
+      w.EndWait();
+      assert(!w.HasStarted() && !w.peer.Hears("never_mind 00000000000000a1"));
+      assert(w.client.notified.empty() && w.fixture.exchange.counters.lost_unsent == 0);
+      RecordingResponseSink next;
+      w.fixture.exchange.OnRequest(MakeNumberedRequest(2), next);
+      if (how != kWriteBuffer) {
+        Until(w.fixture.loop, [&] { return w.peer.Hears(RequestPrefix(2)); });
+        w.peer.Send(HitResponse(2));
+        Until(w.fixture.loop, [&] { return !next.notified.empty(); });
       }
-      assert(w.r.exchange.counters.malformed_responses == 0 && !w.Began());
+      assert(w.fixture.exchange.counters.malformed_responses == 0 && !w.HasStarted());
     }
 }
 
 // The deadline passes while the loop is suspended: in its next iteration the connection is
 // established before any timer is run.
 void OverdueAttemptsAreNotSent() {
-  for (Wait how : {kDial, kCheck}) {
-    Waiting w(how, SettingsWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
-    if (how == kCheck)
+  for (WaitReason how : {kConnecting, kLivenessCheck}) {
+    QueuedAttemptFixture w(how, SettingsWith(false, Effect::kExclusive), {},
+                           how == kLivenessCheck ? kWrite : kVideo);
+    if (how == kLivenessCheck)
       w.peer.Send("call PONG - 0\r\n\r\n");
-    w.r.loop.Skip(61000);
-    w.r.Turns();
-    if (how == kDial)
-      w.peer = w.far.Next(w.r.loop);
-    w.r.Turns();
-    assert(!w.Began() && w.client.notified.size() == 1);
+    w.fixture.loop.Skip(61000);
+    w.fixture.RunIterations();
+    if (how == kConnecting)
+      w.peer = w.far.Next(w.fixture.loop);
+    w.fixture.RunIterations();
+    assert(!w.HasStarted() && w.client.notified.size() == 1);
   }
 }
 
@@ -56,12 +58,12 @@
   s.request_classes[kWrite].expiry = 60000;
   for (bool late : {false, true}) {
     FarListener one, other;
-    Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}), s);
-    Asked client;
-    r.exchange.OnRequest(AskAs(1, kWrite), client);
+    PoolFixture fixture(MakeEndpointList({{"s-1", one.at}, {"s-2", other.at}}), s);
+    RecordingResponseSink client;
+    fixture.exchange.OnRequest(MakeNumberedRequest(1, kWrite), client);
     Far first;
     FarListener *home = nullptr, *next = nullptr;
-    Until(r.loop, [&] {
+    Until(fixture.loop, [&] {
       for (FarListener* l : {&one, &other}) {
         int got = ::accept4(l->fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
         if (got >= 0) {
@@ -72,72 +74,72 @@
       return home != nullptr;
     });
     next = home == &one ? &other : &one;
-    Until(r.loop, [&] { return first.Hears(WantOf(1)); });
+    Until(fixture.loop, [&] { return first.Hears(RequestPrefix(1)); });
     first.Send("00000000000000a1 FAULT - 0\r\n\r\n");
-    Until(r.loop, [&] { return r.exchange.counters.errors == 1; });
+    Until(fixture.loop, [&] { return fixture.exchange.counters.errors == 1; });
     // The retry waits for a connection that is not established yet: no iteration has run since.
-    assert(r.exchange.counters.attempts == 2 && client.notified.empty());
+    assert(fixture.exchange.counters.attempts == 2 && client.notified.empty());
     if (late)
-      r.loop.Skip(501);
-    r.Turns();
-    Far second = next->Next(r.loop);
+      fixture.loop.Skip(501);
+    fixture.RunIterations();
+    Far second = next->Next(fixture.loop);
     if (!late)
-      Until(r.loop, [&] { return second.Hears(WantOf(1)); });
+      Until(fixture.loop, [&] { return second.Hears(RequestPrefix(1)); });
     if (late)
-      Until(r.loop, [&] { return client.notified.size() == 1; });
-    assert(second.Hears(WantOf(1)) == !late);
+      Until(fixture.loop, [&] { return client.notified.size() == 1; });
+    assert(second.Hears(RequestPrefix(1)) == !late);
   }
 }
 
 // Updates announced between the choice of an attempt and its write: a drain of the cache or of the
 // source, a purge of the object or its group.
 void UpdatesApplyToQueuedAttempts() {
-  enum News {
+  enum Update {
     kDrained,
     kSourceDrained,
     kPurged,
     kGroupPurged,
     kRecalled,
-    kNoOlder
+    kMaxAge
   };
-  for (News news : {kDrained, kSourceDrained, kPurged, kGroupPurged, kRecalled, kNoOlder}) {
-    std::vector<exchange::ListedEndpoint> parents = Machines({{"p-1", {}}, {"p-2", {}}});
+  for (Update update : {kDrained, kSourceDrained, kPurged, kGroupPurged, kRecalled, kMaxAge}) {
+    std::vector<exchange::ListedEndpoint> parents = MakeEndpointList({{"p-1", {}}, {"p-2", {}}});
     for (auto& one : parents) {
       one.entry.kind = kParentKind;
       one.entry.zone = 0;
       one.entry.weight = 30;
     }
-    Waiting w(kDial, SettingsWith(false), parents);
-    assert(w.r.exchange.counters.attempts == 1);
-    auto s1 = Machines({{"s-1", w.far.at}});
+    QueuedAttemptFixture w(kConnecting, SettingsWith(false), parents);
+    assert(w.fixture.exchange.counters.attempts == 1);
+    auto s1 = MakeEndpointList({{"s-1", w.far.at}});
     s1[0].entry.standing = Standing::kDraining;
-    if (news == kDrained)
-      w.r.exchange.OnListUpdate(false, s1);
-    if (news == kSourceDrained) {
+    if (update == kDrained)
+      w.fixture.exchange.OnListUpdate(false, s1);
+    if (update == kSourceDrained) {
       parents[0].entry.standing = Standing::kDraining;
       parents[1].entry.standing = Standing::kDraining;
-      w.r.exchange.OnListUpdate(false, parents);
+      w.fixture.exchange.OnListUpdate(false, parents);
     }
-    if (news == kPurged)
-      w.r.exchange.OnPurge(false, "7f3a", 0, w.r.loop.now());
-    if (news == kGroupPurged)
-      w.r.exchange.OnPurge(true, "", 0, w.r.loop.now());
-    if (news == kRecalled)
-      w.r.exchange.OnRecall("", 0, kVideo, false, 0);
-    if (news == kNoOlder)
-      w.r.exchange.SetMaxCopyAge(5);
-    w.LetGo();
-    if (news == kDrained) {
-      assert(!w.Began() && w.client.notified.size() == 1);
+    if (update == kPurged)
+      w.fixture.exchange.OnPurge(false, "7f3a", 0, w.fixture.loop.now());
+    if (update == kGroupPurged)
+      w.fixture.exchange.OnPurge(true, "", 0, w.fixture.loop.now());
+    if (update == kRecalled)
+      w.fixture.exchange.OnRecall("", 0, kVideo, false, 0);
+    if (update == kMaxAge)
+      w.fixture.exchange.SetMaxCopyAge(5);
+    w.EndWait();
+    if (update == kDrained) {
+      assert(!w.HasStarted() && w.client.notified.size() == 1);
       continue;
     }
-    Until(w.r.loop, [&] { return w.peer.Hears("\r\n\r\n"); });
+    Until(w.fixture.loop, [&] { return w.peer.Hears("\r\n\r\n"); });
     std::string line = w.peer.got.substr(0, w.peer.got.find("\r\n"));
-    if (news == kSourceDrained)
+    if (update == kSourceDrained)
       assert(line.find("miss=p-") == line.npos);
     else
       assert(line.find(",within=") != line.npos);
-    assert(w.peer.got.find(WantOf(1), 10) == w.peer.got.npos);  // sent once
+    assert(w.peer.got.find(RequestPrefix(1), 10) == w.peer.got.npos);  // sent once
   }
 }
 
@@ -145,32 +147,33 @@
 // sent a second time for it.
 void UnrelatedUpdatesChangeNothing() {
   for (bool gone : {false, true}) {
-    Waiting w(kDial, SettingsWith(false));
+    QueuedAttemptFixture w(kConnecting, SettingsWith(false));
     if (gone)
-      w.LetGo();
-    w.r.exchange.OnPurge(false, gone ? "7f3a" : "0000", 9, w.r.loop.now());
-    w.r.exchange.OnPurge(true, "", gone ? 0 : 9, w.r.loop.now());
+      w.EndWait();
+    w.fixture.exchange.OnPurge(false, gone ? "7f3a" : "0000", 9, w.fixture.loop.now());
+    w.fixture.exchange.OnPurge(true, "", gone ? 0 : 9, w.fixture.loop.now());
     if (!gone)
-      w.LetGo();
-    Until(w.r.loop, [&] { return w.Began(); });
-    w.r.Turns();
-    assert(w.peer.Read().find(WantOf(1), 10) == std::string::npos &&
-           w.r.exchange.counters.attempts == 1);
+      w.EndWait();
+    Until(w.fixture.loop, [&] { return w.HasStarted(); });
+    w.fixture.RunIterations();
+    assert(w.peer.Read().find(RequestPrefix(1), 10) == std::string::npos &&
+           w.fixture.exchange.counters.attempts == 1);
   }
 }
 
 // An endpoint is replaced at the same address while an attempt waits to be written there.
 void NoQueuedAttemptReachesAReplacement() {
-  for (Wait how : {kDial, kCheck}) {
-    Waiting w(how, SettingsWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
-    auto fresh = Machines({{"s-2", w.far.at}});
+  for (WaitReason how : {kConnecting, kLivenessCheck}) {
+    QueuedAttemptFixture w(how, SettingsWith(false, Effect::kExclusive), {},
+                           how == kLivenessCheck ? kWrite : kVideo);
+    auto fresh = MakeEndpointList({{"s-2", w.far.at}});
     fresh[0].entry.weight = 1e-9;
-    w.r.exchange.OnListUpdate(false, fresh);
-    if (how == kCheck)
+    w.fixture.exchange.OnListUpdate(false, fresh);
+    if (how == kLivenessCheck)
       w.peer.Send("call PONG - 0\r\n\r\n");
-    w.r.Turns();
-    Far old = how == kCheck ? std::move(w.peer) : w.far.Next(w.r.loop);
-    Until(w.r.loop, [&] {
+    w.fixture.RunIterations();
+    Far old = how == kLivenessCheck ? std::move(w.peer) : w.far.Next(w.fixture.loop);
+    Until(w.fixture.loop, [&] {
       old.Read();
       return old.over;
     });
@@ -181,16 +184,16 @@
 // The response to the liveness check and the server's close arrive in one write: a request that may
 // run only once is sent on another connection.
 void NothingIsSentAfterALivenessResponseWithAClose() {
-  Waiting w(kCheck, SettingsWith(true, Effect::kExclusive), {}, kWrite);
+  QueuedAttemptFixture w(kLivenessCheck, SettingsWith(true, Effect::kExclusive), {}, kWrite);
   w.peer.Send("call PONG - 0\r\n\r\n");
   w.peer.fd.Reset();
-  Far again = w.far.Next(w.r.loop);
-  Until(w.r.loop, [&] { return again.Hears("there call\r\n"); });
+  Far again = w.far.Next(w.fixture.loop);
+  Until(w.fixture.loop, [&] { return again.Hears("there call\r\n"); });
   again.Send("call PONG - 0\r\n\r\n");
-  Until(w.r.loop, [&] { return again.Hears(WantOf(1)); });
-  again.Send(Hit(1));
-  Until(w.r.loop, [&] { return !w.client.notified.empty(); });
-  assert(w.client.Is({"200 t"}) && w.r.exchange.counters.lost_after_send == 0);
+  Until(w.fixture.loop, [&] { return again.Hears(RequestPrefix(1)); });
+  again.Send(HitResponse(1));
+  Until(w.fixture.loop, [&] { return !w.client.notified.empty(); });
+  assert(w.client.Is({"200 t"}) && w.fixture.exchange.counters.lost_after_send == 0);
 }
 
 // An exclusive request of which a byte may have been sent gets no second attempt: reset during the
@@ -198,15 +201,15 @@
 // belongs to no request.
 void ExclusiveRequestsRunOnce() {
   for (const char* said : {"", "0", "00000000000000a1 HIT - 2\r\no"}) {
-    Waiting w(kCheck, SettingsWith(true, Effect::kExclusive), {}, kWrite);
+    QueuedAttemptFixture w(kLivenessCheck, SettingsWith(true, Effect::kExclusive), {}, kWrite);
     w.peer.Send("call PONG - 0\r\n\r\n");
-    Until(w.r.loop, [&] { return w.Began(); });
+    Until(w.fixture.loop, [&] { return w.HasStarted(); });
     if (*said)
       w.peer.Send(said);
     w.peer.Reset();
-    Until(w.r.loop, [&] { return !w.client.notified.empty(); });
-    assert(w.client.Is({"502"}) && w.r.exchange.counters.attempts == 1);
-    w.r.Turns();
+    Until(w.fixture.loop, [&] { return !w.client.notified.empty(); });
+    assert(w.client.Is({"502"}) && w.fixture.exchange.counters.attempts == 1);
+    w.fixture.RunIterations();
     int got = ::accept4(w.far.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
     assert(got < 0);  // no second connection was opened
   }
@@ -218,84 +221,86 @@
 void MovedAttemptsAreKeptApart() {
   StoreSettings s = SettingsWith(true, Effect::kExclusive);
   s.may.direct = false;
-  std::vector<exchange::ListedEndpoint> origin = Machines({{"origin", {}}});
-  Waiting w(kCheck, s, origin, kWrite);
+  std::vector<exchange::ListedEndpoint> origin = MakeEndpointList({{"origin", {}}});
+  QueuedAttemptFixture w(kLivenessCheck, s, origin, kWrite);
   w.peer.Reset();  // during the check: the attempt moves
-  Far second = w.far.Next(w.r.loop);
-  Until(w.r.loop, [&] { return second.Hears("there call\r\n"); });
+  Far second = w.far.Next(w.fixture.loop);
+  Until(w.fixture.loop, [&] { return second.Hears("there call\r\n"); });
   second.Send("call PONG - 0\r\n\r\n");
-  Until(w.r.loop, [&] { return second.Hears(WantOf(1)); });
+  Until(w.fixture.loop, [&] { return second.Hears(RequestPrefix(1)); });
   second.Send("00000000000000a1 NONE remark=not_there 0\r\n\r\n");
-  Until(w.r.loop, [&] { return w.r.exchange.counters.misses == 1; });
-  assert(w.r.exchange.counters.attempts == 2);
+  Until(w.fixture.loop, [&] { return w.fixture.exchange.counters.misses == 1; });
+  assert(w.fixture.exchange.counters.attempts == 2);
   second.Send("00000000000000a1 NONE remark=not_there 0\r\n\r\n");
-  Far third = w.far.Next(w.r.loop);
-  Until(w.r.loop, [&] { return third.Hears("there call\r\n"); });
-  w.r.Turns();
-  assert(w.r.exchange.counters.misses == 1);
+  Far third = w.far.Next(w.fixture.loop);
+  Until(w.fixture.loop, [&] { return third.Hears("there call\r\n"); });
+  w.fixture.RunIterations();
+  assert(w.fixture.exchange.counters.misses == 1);
 }
 
 // The response had arrived when the connection broke under the next request: it is read before the
 // break is reported.
 void ResponsesBeforeAResetAreRead() {
   FarListener far;
-  Road r(Machines({{"s-1", far.at}}));
-  Asked one, two;
-  r.exchange.OnRequest(AskAs(1), one);
-  Far peer = far.Next(r.loop);
-  Until(r.loop, [&] { return peer.Hears(WantOf(1)); });
-  peer.Send(Hit(1));
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}));
+  RecordingResponseSink one, two;
+  fixture.exchange.OnRequest(MakeNumberedRequest(1), one);
+  Far peer = far.Next(fixture.loop);
+  Until(fixture.loop, [&] { return peer.Hears(RequestPrefix(1)); });
+  peer.Send(HitResponse(1));
   peer.Reset();
-  r.exchange.OnRequest(AskAs(2), two);  // written to the broken connection
-  Until(r.loop, [&] { return !one.notified.empty(); });
+  fixture.exchange.OnRequest(MakeNumberedRequest(2), two);  // written to the broken connection
+  Until(fixture.loop, [&] { return !one.notified.empty(); });
   assert(one.Is({"200 t"}));
-  Until(r.loop, [&] { return !two.notified.empty() || r.exchange.counters.attempts > 2; });
+  Until(fixture.loop,
+        [&] { return !two.notified.empty() || fixture.exchange.counters.attempts > 2; });
 }
 
 // A front without a free descriptor for a connection has a shortage of its own: the caches stay in
 // use.
 void AConnectionShortageDoesNotBlameTheCache() {
   FarListener far;
-  settings::RoadTerms t = MakeTerms(20000);
+  settings::RoadTerms t = MakeConnectionSettings(20000);
   t.attempts_at_once = 1;
-  Road r(Machines({{"s-1", far.at}}), kit::Settings(), t, 1);
-  Asked first;
-  r.exchange.OnRequest(AskAs(0), first);
-  Far peer = far.Next(r.loop);
-  Until(r.loop, [&] { return peer.Hears(WantOf(0)); });
-  std::vector<Asked> turned_away(4);
+  PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}), kit::Settings(), t, 1);
+  RecordingResponseSink first;
+  fixture.exchange.OnRequest(MakeNumberedRequest(0), first);
+  Far peer = far.Next(fixture.loop);
+  Until(fixture.loop, [&] { return peer.Hears(RequestPrefix(0)); });
+  std::vector<RecordingResponseSink> turned_away(4);
   for (int i = 0; i < 4; ++i) {
-    r.exchange.OnRequest(AskAs(i + 1), turned_away[static_cast<std::size_t>(i)]);
+    fixture.exchange.OnRequest(MakeNumberedRequest(i + 1),
+                               turned_away[static_cast<std::size_t>(i)]);
     assert(turned_away[static_cast<std::size_t>(i)].notified.size() == 1);
   }
-  peer.Send(Hit(0));
-  Until(r.loop, [&] { return !first.notified.empty(); });
-  Asked last;
-  r.exchange.OnRequest(AskAs(9), last);
-  Until(r.loop, [&] { return peer.Hears(WantOf(9)); });
-  assert(r.exchange.counters.probes == 0);
+  peer.Send(HitResponse(0));
+  Until(fixture.loop, [&] { return !first.notified.empty(); });
+  RecordingResponseSink last;
+  fixture.exchange.OnRequest(MakeNumberedRequest(9), last);
+  Until(fixture.loop, [&] { return peer.Hears(RequestPrefix(9)); });
+  assert(fixture.exchange.counters.probes == 0);
 }
 
 // The client's idempotency key is forwarded unchanged with each attempt.
 void IdempotencyKeysAreForwarded() {
   FarListener one, other;
-  Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}),
-         SettingsWith(true, Effect::kIdempotentWithKey));
+  PoolFixture fixture(MakeEndpointList({{"s-1", one.at}, {"s-2", other.at}}),
+                      SettingsWith(true, Effect::kIdempotentWithKey));
   loop::Address at = FreeAddress();
-  clients::HttpServer clients(r.loop, r.exchange, MakeTerms().request_classes, {false, true}, at,
-                              50);
+  clients::HttpServer clients(fixture.loop, fixture.exchange,
+                              MakeConnectionSettings().request_classes, {false, true}, at, 50);
   Far client = Far::To(at);
   client.Send("PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
               "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nIdempotency-Key: "
               "5c.k-17\r\nContent-Length: 1\r\n\r\nx");
   Far peer;
-  Until(r.loop, [&] {
+  Until(fixture.loop, [&] {
     for (FarListener* l : {&one, &other})
       if (int got = ::accept4(l->fd.Get(), nullptr, nullptr, SOCK_NONBLOCK); got >= 0)
         peer = Far(loop::Descriptor(got));
     return static_cast<bool>(peer.fd);
   });
-  Until(r.loop, [&] { return peer.Hears("\r\nx\r\n"); });
+  Until(fixture.loop, [&] { return peer.Hears("\r\nx\r\n"); });
   assert(peer.got.find(",replay=5c.k-17 1\r\nx\r\n") != std::string::npos);
 }
 
@@ -305,12 +310,12 @@
   std::vector<int> order{0, 1, 2,
                          3};  // the deadline; the client disconnects; the response; its duplicate
   do {
-    for (bool waiting : {false, true})
+    for (bool unsent : {false, true})
       for (bool cancel : {false, true}) {
-        Desk d(SettingsWith(cancel));
-        d.caches.waiting = waiting;
-        Asked client;
-        RequestMetadata a = AskAs(1);
+        ExchangeFixture d(SettingsWith(cancel));
+        d.caches.unsent = unsent;
+        RecordingResponseSink client;
+        RequestMetadata a = MakeNumberedRequest(1);
         a.ttl = 100;
         std::uint32_t request = d.exchange.OnRequest(a, client);
         AttemptKey key = d.caches.sent.at(0).key;
@@ -326,8 +331,8 @@
             left = true;
           }
           if (what >= 2) {
-            d.exchange.OnAttemptResponseStarted(key, Said(Ending::kFinished), 0);
-            d.exchange.OnAttemptResponseComplete(key, Said(Ending::kFinished));
+            d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(Ending::kFinished), 0);
+            d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(Ending::kFinished));
           }
           assert(client.notified.size() <= 1 && (!left || client.notified.size() == notified));
         }
@@ -343,10 +348,11 @@
 // client's descriptor number is higher than theirs.
 struct TwoServers {
   FarListener listeners[2];
-  Road road{Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}}), SettingsWith(false)};
+  PoolFixture road{MakeEndpointList({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}}),
+                   SettingsWith(false)};
   loop::Address at = FreeAddress();
   clients::HttpServer clients{
-      road.loop, road.exchange, MakeTerms().request_classes, {false, true}, at, 50};
+      road.loop, road.exchange, MakeConnectionSettings().request_classes, {false, true}, at, 50};
   Far servers[2];
   Far client;
   Far* home = nullptr;   // has the request
@@ -368,9 +374,9 @@
   }
   // One request, answered by the home server of its object.
   void Answer(const std::string& id, const std::string& object) {
-    RequestMetadata ask = AskFor(id);
+    RequestMetadata ask = MakeRequest(id);
     ask.object = object;
-    Asked answered;
+    RecordingResponseSink answered;
     road.exchange.OnRequest(ask, answered);
     Until(road.loop, [&] {
       for (int k = 0; k < 2; ++k) {
@@ -406,13 +412,13 @@
 // client was not polled again before the write. If the last poll was that long ago, the client's
 // connection is checked once more.
 void NoAttemptStartsAfterADisconnectDuringAPause() {
-  struct Standstill final : loop::Handler {
+  struct Pause final : loop::Handler {
     int ends[2];
     std::function<void()> what;
-    Standstill() {
+    Pause() {
       assert(::pipe(ends) == 0);
     }
-    ~Standstill() {
+    ~Pause() {
       ::close(ends[0]);
       ::close(ends[1]);
     }
@@ -421,25 +427,25 @@
         std::exchange(what, nullptr)();
     }
   };
-  Standstill standstill;  // its descriptor has the lowest number, so it is handled first
+  Pause pause;  // its descriptor has the lowest number, so it is handled first
   TwoServers t;
-  standstill.what = [&] {
+  pause.what = [&] {
     t.client.fd.Reset();
     t.road.loop.Skip(300);
   };
-  t.road.loop.WatchDescriptor(standstill.ends[0], standstill, POLLIN);
+  t.road.loop.WatchDescriptor(pause.ends[0], pause, POLLIN);
   t.home->Send(kId + " SHED - 0\r\n\r\n");
-  assert(::write(standstill.ends[1], "x", 1) == 1);
+  assert(::write(pause.ends[1], "x", 1) == 1);
   Until(t.road.loop, [&] { return t.road.exchange.counters.client_disconnects == 1; });
-  t.road.loop.Forget(standstill.ends[0]);
-  t.road.Turns();
+  t.road.loop.Forget(pause.ends[0]);
+  t.road.RunIterations();
   assert(t.road.exchange.counters.shed == 1);
   assert(!t.other->Hears("want " + kId));
 }
 
 // An environment with two descriptors and a clock that advances by a millisecond per wait: 1 is
 // always readable, 2 is closed at a set time.
-struct Bare final : loop::Environment {
+struct FakeEnvironment final : loop::Environment {
   Ms clock = 1000;
   Ms ends_at = 1e18;
   Ms now() override {
@@ -504,7 +510,7 @@
     }
   };
   for (int phase = 0; phase < 10; ++phase) {
-    Bare environment;
+    FakeEnvironment environment;
     loop::Loop loop(environment);
     std::vector<int> order;
     Note busy(order, 1), resting(order, 2);
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -10,7 +10,7 @@
 
 const loop::Address kThere = stage::AddressOf(0x0a000002, 80);
 
-struct Peer final : loop::Connection::Owner {  // a client that never closes
+struct FakeClient final : loop::Connection::Owner {  // a client that never closes
   std::string got;
   bool over = false;
   std::unique_ptr<loop::Connection> connection;
@@ -23,37 +23,37 @@
   }
 };
 
-struct Tier {
+struct ServerFixture {
   stage::Net net{1};
   stage::Process &peers, &front;
-  Sent caches;
+  RecordingTransport caches;
   std::unique_ptr<exchange::Exchange> exchange;
   std::unique_ptr<clients::HttpServer> clients;
-  std::vector<std::unique_ptr<Peer>> all;
+  std::vector<std::unique_ptr<FakeClient>> all;
 
-  Tier(std::size_t descriptors, std::size_t most)
+  ServerFixture(std::size_t descriptors, std::size_t most)
       : peers(net.Start(0x0a000001, "clients")),
         front(net.Start(0x0a000002, "front", descriptors)) {
     front.Act([&] {
       exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::Settings(), 1);
       exchange->SetUpstreamTransport(caches);
-      exchange->OnListUpdate(true, Machines({{"origin", {}}, {"s-0", {}}}));
+      exchange->OnListUpdate(true, MakeEndpointList({{"origin", {}}, {"s-0", {}}}));
       clients = std::make_unique<clients::HttpServer>(front.loop(), *exchange,
-                                                      MakeTerms().request_classes,
+                                                      MakeConnectionSettings().request_classes,
                                                       std::vector<bool>{false, true}, kThere, most);
     });
   }
-  ~Tier() {
+  ~ServerFixture() {
     front.Act([&] {
       clients.reset();
       exchange.reset();
     });
     peers.Act([&] { all.clear(); });
   }
-  void Come(const std::string& request) {
+  void Connect(const std::string& request) {
     peers.Act([&] {
-      all.push_back(std::make_unique<Peer>());
-      Peer& p = *all.back();
+      all.push_back(std::make_unique<FakeClient>());
+      FakeClient& p = *all.back();
       p.connection = std::make_unique<loop::Connection>(peers.loop(), p, kThere, 60000);
       p.connection->Send(request);
     });
@@ -69,9 +69,9 @@
 // listener's pauses and the timeout checks, and the connection that has been idle longest is closed
 // for its slot, so that all clients are served.
 void WithoutFreeDescriptorsAllAreServedWithoutSpinning() {
-  Tier t(8, 50);  // three for the system, one for the listener: four clients
+  ServerFixture t(8, 50);  // three for the system, one for the listener: four clients
   for (int i = 0; i < 10; ++i)
-    t.Come("GET /alive HTTP/1.1\r\n\r\n");
+    t.Connect("GET /alive HTTP/1.1\r\n\r\n");
   std::uint64_t events = t.EventsIn(6000);
   std::printf("  %llu events\n", static_cast<unsigned long long>(events));
   assert(events < 600);
@@ -83,9 +83,9 @@
 // listener is not polled, and only the check every 5 ms whether a client still waits wakes the
 // front.
 void FullConnectionLimitDoesNotSpin() {
-  Tier t(100, 2);
+  ServerFixture t(100, 2);
   for (int i = 0; i < 8; ++i) {
-    t.Come(GetAs(i));
+    t.Connect(GetWithId(i));
     t.EventsIn(10);
   }
   std::uint64_t events = t.EventsIn(3000);
@@ -99,20 +99,21 @@
   constexpr Ms kWaits = 2000;
   constexpr Ms kSlack = 150;
   const std::string deadline = "X-Timeout-Ms: 60000", shorter = "X-Timeout-Ms: 3000";
-  Tier t(100, 2);
+  ServerFixture t(100, 2);
   for (int i = 0; i < 4; ++i) {
-    std::string request = GetAs(i);
-    t.Come(request.replace(request.find(deadline), deadline.size(), shorter));
+    std::string request = GetWithId(i);
+    t.Connect(request.replace(request.find(deadline), deadline.size(), shorter));
     t.EventsIn(10);
   }
   assert(t.caches.sent.size() == 3);
   t.EventsIn(kWaits);
   t.front.Act([&] {
-    t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key, Said(Ending::kFinished));
+    t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key,
+                                          MakeResponseHead(Ending::kFinished));
   });
   t.EventsIn(10);
   assert(t.caches.sent.size() == 4);
-  assert(t.caches.sent[3].how.timeout <= 3000 - kWaits + kSlack);
+  assert(t.caches.sent[3].action.timeout <= 3000 - kWaits + kSlack);
 }
 
 // The same for a request that waits until its client has read the previous response.
@@ -121,16 +122,17 @@
   constexpr Ms kSlack = 150;
   constexpr std::size_t kMuch = 200000;  // more than the network buffers
   const std::string deadline = "X-Timeout-Ms: 60000", shorter = "X-Timeout-Ms: 3000";
-  Tier t(100, 2);
-  std::string second = GetAs(2);
+  ServerFixture t(100, 2);
+  std::string second = GetWithId(2);
   second.replace(second.find(deadline), deadline.size(), shorter);
-  t.Come(GetAs(1) + second);
+  t.Connect(GetWithId(1) + second);
   t.peers.Act([&] { t.all[0]->connection->ReadUpTo(1); });
   t.EventsIn(10);
   assert(t.caches.sent.size() == 1);
   t.front.Act([&] {
     t.exchange->OnAttemptResponseData(t.caches.sent[0].key, std::string(kMuch, 'x'));
-    t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key, Said(Ending::kFinished));
+    t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key,
+                                          MakeResponseHead(Ending::kFinished));
   });
   t.peers.Act([&] { t.all[0]->connection->ReadUpTo(0); });
   t.EventsIn(kWaits);
@@ -138,7 +140,7 @@
   t.peers.Act([&] { t.all[0]->connection->ReadUpTo(kMuch); });
   t.EventsIn(100);
   assert(t.caches.sent.size() == 2);
-  assert(t.caches.sent[1].how.timeout <= 3000 - kWaits + kSlack);
+  assert(t.caches.sent[1].action.timeout <= 3000 - kWaits + kSlack);
 }
 
 }  // namespace
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -17,18 +17,19 @@
   };
   for (const Case& c :
        {Case{Ending::kFinished, {"200 t1"}, 1}, {Ending::kError, {}, 2}, {Ending::kFull, {}, 2}}) {
-    Desk d;
-    Asked client;
-    d.exchange.OnRequest(AskFor(), client);
+    ExchangeFixture d;
+    RecordingResponseSink client;
+    d.exchange.OnRequest(MakeRequest(), client);
     assert(d.caches.sent.size() == 1 && client.notified.empty());
     AttemptKey key = d.caches.sent[0].key;
-    d.exchange.OnAttemptResponseStarted(key, Said(c.ending), 3);
+    d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(c.ending), 3);
     d.exchange.OnAttemptResponseData(key, "a\r");
     d.exchange.OnAttemptResponseData(key, "b");
-    d.exchange.OnAttemptResponseComplete(key, Said(c.ending));
+    d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(c.ending));
     assert(client.Is(c.notified) && d.caches.sent.size() == c.attempts);
     assert(c.notified.empty() || client.body == "a\rb");
-    d.exchange.OnAttemptResponseComplete(key, Said(Ending::kFinished));  // late, or a duplicate
+    d.exchange.OnAttemptResponseComplete(
+        key, MakeResponseHead(Ending::kFinished));  // late, or a duplicate
     d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
     assert(client.Is(c.notified) &&
            d.exchange.OpenRequestCount() == (c.notified.empty() ? 1u : 0u));
@@ -39,9 +40,9 @@
 // it fails. If it was not fully written, or never connected, it is sent again.
 void ExclusiveRequestsAreRepeatedOnlyIfUnsent() {
   for (bool whole : {false, true}) {
-    Desk d;
-    Asked client;
-    RequestMetadata a = AskFor();
+    ExchangeFixture d;
+    RecordingResponseSink client;
+    RequestMetadata a = MakeRequest();
     a.request_class = "write";
     a.request_class_index = 1;
     a.body = "x";
@@ -68,16 +69,16 @@
                         {"", "t1", false, false, false, false},
                         {"", "t1", true, false, false, true},
                         {"", "", false, false, true, true}}) {
-    Desk d;
-    Asked client;
-    RequestMetadata a = AskFor();
+    ExchangeFixture d;
+    RecordingResponseSink client;
+    RequestMetadata a = MakeRequest();
     a.entity_tag = c.held;
     if (c.writes) {
       a.request_class = "write";
       a.request_class_index = 1;
     }
     d.exchange.OnRequest(a, client);
-    exchange::ResponseHead word = Said(Ending::kFinished);
+    exchange::ResponseHead word = MakeResponseHead(Ending::kFinished);
     word.not_modified = c.valid;
     word.entity_tag = c.tag;
     word.has_issue_time = c.dated;
@@ -88,23 +89,23 @@
 }
 
 void DisconnectedClientsGetNoResponse() {
-  Desk d;
-  Asked client;
-  std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
+  ExchangeFixture d;
+  RecordingResponseSink client;
+  std::uint32_t request = d.exchange.OnRequest(MakeRequest(), client);
   d.exchange.OnClientDisconnected(request);
-  assert(d.caches.given_up.size() == 1 && d.exchange.OpenRequestCount() == 0);
-  d.exchange.OnAttemptResponseComplete(d.caches.sent[0].key, Said(Ending::kFinished));
+  assert(d.caches.cancelled.size() == 1 && d.exchange.OpenRequestCount() == 0);
+  d.exchange.OnAttemptResponseComplete(d.caches.sent[0].key, MakeResponseHead(Ending::kFinished));
   assert(client.notified.empty());
 }
 
 void OverdueRequestsAreRejected() {
-  Desk d;
-  Asked client;
-  RequestMetadata a = AskFor();
+  ExchangeFixture d;
+  RecordingResponseSink client;
+  RequestMetadata a = MakeRequest();
   a.ttl = 30;
   d.exchange.OnRequest(a, client);
   Until(d.loop, [&] { return !client.notified.empty(); });
-  assert(client.notified[0].substr(0, 3) == "503" && d.caches.given_up.size() == 1 &&
+  assert(client.notified[0].substr(0, 3) == "503" && d.caches.cancelled.size() == 1 &&
          d.exchange.OpenRequestCount() == 0);
 }
 
@@ -112,22 +113,22 @@
   StoreSettings s = kit::Settings();
   s.request_classes[0].streams = true;
   for (int end = 0; end < 3; ++end) {
-    Desk d(s);
-    Asked client;
-    std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
+    ExchangeFixture d(s);
+    RecordingResponseSink client;
+    std::uint32_t request = d.exchange.OnRequest(MakeRequest(), client);
     AttemptKey key = d.caches.sent[0].key;
-    d.exchange.OnAttemptResponseStarted(key, Said(Ending::kFinished), 4);
+    d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(Ending::kFinished), 4);
     d.exchange.OnAttemptResponseData(key, "ab");
     assert(client.Is({"begun t1"}) && client.body == "ab");
     if (end == 0)
-      d.exchange.OnAttemptResponseComplete(key, Said(Ending::kFinished));
+      d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(Ending::kFinished));
     if (end == 1)
       d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
     if (end == 2)
       d.exchange.OnClientDisconnected(request);
     assert(client.notified.size() == (end == 2 ? 1u : 2u) && d.exchange.OpenRequestCount() == 0);
     assert(end == 2 || client.notified[1] == (end == 0 ? "completed" : "broke"));
-    assert(d.caches.given_up.size() == (end == 2 ? 1u : 0u));
+    assert(d.caches.cancelled.size() == (end == 2 ? 1u : 0u));
   }
 }
 
@@ -135,8 +136,8 @@
 // missing from a complete list, nothing of it is kept.
 void RemovedEndpointsAreForgotten() {
   for (bool notified : {true, false}) {
-    Desk d(kit::Settings(), 2);
-    auto two = Machines({{"s-0", {}}, {"s-1", {}}});
+    ExchangeFixture d(kit::Settings(), 2);
+    auto two = MakeEndpointList({{"s-0", {}}, {"s-1", {}}});
     if (notified)
       two[1].entry.standing = Standing::kGone;
     else
@@ -145,10 +146,10 @@
     d.loop.Skip(100000);
     two.resize(1);
     d.exchange.OnListUpdate(false, two);
-    assert(d.caches.forgotten.empty());
+    assert(d.caches.removed.empty());
     d.loop.Skip(100000);
     d.exchange.OnListUpdate(false, two);
-    assert(d.caches.forgotten.size() ==
+    assert(d.caches.removed.size() ==
            (notified ? 1u : 2u));  // the origin was not on the second list either
   }
 }
@@ -191,11 +192,12 @@
   return found;
 }
 
-void ListAll(Desk& d, const std::vector<std::string>& names, Standing standing = Standing::kReady) {
+void ListAll(ExchangeFixture& d, const std::vector<std::string>& names,
+             Standing standing = Standing::kReady) {
   std::vector<std::pair<std::string, loop::Address>> all;
   for (const std::string& name : names)
     all.push_back({name, {}});
-  auto entries = Machines(all);
+  auto entries = MakeEndpointList(all);
   for (exchange::ListedEndpoint& one : entries)
     one.entry.standing = standing;
   d.exchange.OnListUpdate(false, entries);
@@ -215,7 +217,7 @@
   for (bool backwards : {false, true}) {
     if (backwards)
       std::reverse(names.begin(), names.end());
-    Desk d;
+    ExchangeFixture d;
     ExpectedNumbers expected;
     for (auto& [name, number] : d.caches.numbers)
       expected.Add(name);
@@ -236,7 +238,7 @@
   constexpr Ms kLongAfter = 200000;
   auto [first, second] = CollidingIds(1).front();
   std::uint32_t number = ExpectedNumbers::HashOf(first);
-  Desk d;
+  ExchangeFixture d;
   ListAll(d, {first, second});
   assert(d.caches.numbers[first] == number && d.caches.numbers[second] == number + 1);
   ListAll(d, {first}, Standing::kGone);
@@ -244,12 +246,12 @@
   ListAll(d, {second});  // it is listed again before it is forgotten
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});
-  assert(d.caches.forgotten == std::vector<std::uint32_t>{number} &&
+  assert(d.caches.removed == std::vector<std::uint32_t>{number} &&
          d.caches.numbers[second] == number + 1);
   ListAll(d, {second}, Standing::kGone);
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});  // forgotten and added in one call
-  assert(d.caches.forgotten.size() == 2 && d.caches.numbers[second] == number);
+  assert(d.caches.removed.size() == 2 && d.caches.numbers[second] == number);
   ListAll(d, {first});
   assert(d.caches.numbers[first] == number + 1);
 }
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -391,7 +391,7 @@
     Far leaves = Far::To(at);
     leaves.Send(Get());
   });
-  other.Send(GetAs(2));
+  other.Send(GetWithId(2));
   Far cache = store.Next(loop);
   Until(loop, [&] { return cache.Hears("want 00000000000000f2 "); });
   assert(!cache.Hears(kId));
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -14,12 +14,12 @@
 
 inline const std::string kId = "9b1f03aa5c7e2d41";
 
-inline settings::RoadTerms MakeTerms(Ms within = 400, Ms idle = 30000) {
+inline settings::RoadTerms MakeConnectionSettings(Ms within = 400, Ms idle = 30000) {
   return {
       {"video", "write"}, {"hub", "e-1"}, {"box", "parent", "origin"}, {"util"}, within, idle, 100};
 }
 
-inline RequestMetadata AskFor(const std::string& name = kId) {
+inline RequestMetadata MakeRequest(const std::string& name = kId) {
   RequestMetadata a;
   a.id = name;
   a.request_class = "video";
@@ -31,7 +31,7 @@
 }
 
 // A response sink that records what it receives.
-struct Asked final : exchange::ResponseSink {
+struct RecordingResponseSink final : exchange::ResponseSink {
   std::vector<std::string> notified;
   std::string body;
   void OnResponse(const std::string& tag, std::string bytes) override {
@@ -65,42 +65,42 @@
 };
 
 // A transport that records what it is asked to do.
-struct Sent final : exchange::UpstreamTransport {
-  struct One {
+struct RecordingTransport final : exchange::UpstreamTransport {
+  struct SentAttempt {
     AttemptKey key;
-    SendAttempt how;
+    SendAttempt action;
     std::vector<std::uint64_t> avoid;
   };
-  std::vector<One> sent;
-  std::vector<AttemptKey> given_up;
-  std::uint64_t Send(AttemptKey key, const RequestMetadata&, const SendAttempt& how,
+  std::vector<SentAttempt> sent;
+  std::vector<AttemptKey> cancelled;
+  std::uint64_t Send(AttemptKey key, const RequestMetadata&, const SendAttempt& action,
                      const std::vector<std::uint64_t>& avoid) override {
-    sent.push_back({key, how, avoid});
+    sent.push_back({key, action, avoid});
     return sent.size();
   }
   void Cancel(AttemptKey key, const RequestMetadata&, std::uint32_t) override {
-    given_up.push_back(key);
+    cancelled.push_back(key);
   }
-  bool waiting = false;  // whether attempts are still unsent
-  std::vector<AttemptKey> taken_back;
+  bool unsent = false;  // whether attempts are still unsent
+  std::vector<AttemptKey> cancelled_unsent;
   bool CancelUnsent(AttemptKey key, const RequestMetadata&, std::uint32_t) override {
-    if (waiting)
-      taken_back.push_back(key);
-    return waiting;
+    if (unsent)
+      cancelled_unsent.push_back(key);
+    return unsent;
   }
   void Probe(std::uint32_t) override {}
   std::map<std::string, std::uint32_t> numbers;  // of all endpoints ever listed, by id
-  void UpdateEndpoint(const ListEntry& one, const std::string& machine,
+  void UpdateEndpoint(const ListEntry& entry, const std::string& id,
                       const loop::Address&) override {
-    numbers[machine] = one.cache;
+    numbers[id] = entry.cache;
   }
-  std::vector<std::uint32_t> forgotten;
+  std::vector<std::uint32_t> removed;
   void RemoveEndpoint(std::uint32_t cache) override {
-    forgotten.push_back(cache);
+    removed.push_back(cache);
   }
 };
 
-inline exchange::ResponseHead Said(Ending ending, Remark remark = Remark::kNone) {
+inline exchange::ResponseHead MakeResponseHead(Ending ending, Remark remark = Remark::kNone) {
   exchange::ResponseHead w;
   w.result = ending;
   w.cache_status = remark;
@@ -109,7 +109,7 @@
   return w;
 }
 
-inline std::vector<exchange::ListedEndpoint> Machines(
+inline std::vector<exchange::ListedEndpoint> MakeEndpointList(
     const std::vector<std::pair<std::string, loop::Address>>& stores) {
   std::vector<exchange::ListedEndpoint> all;
   for (auto& [name, at] : stores)
@@ -117,16 +117,17 @@
   return all;
 }
 
-struct Desk {  // an Exchange between a recording transport and the test's response sinks
+struct ExchangeFixture {  // an Exchange between a recording transport and the test's response sinks
   loop::Loop loop;
   exchange::Exchange exchange;
-  Sent caches;
-  explicit Desk(StoreSettings s = kit::Settings(), int stores = 4) : exchange(loop, s, 1) {
+  RecordingTransport caches;
+  explicit ExchangeFixture(StoreSettings s = kit::Settings(), int stores = 4)
+      : exchange(loop, s, 1) {
     exchange.SetUpstreamTransport(caches);
     std::vector<std::pair<std::string, loop::Address>> all{{"origin", {}}};
     for (int i = 0; i < stores; ++i)
       all.push_back({"s-" + std::to_string(i), {}});
-    exchange.OnListUpdate(true, Machines(all));
+    exchange.OnListUpdate(true, MakeEndpointList(all));
   }
 };
 
@@ -136,7 +137,7 @@
          "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\n" + more + "\r\n";
 }
 
-inline std::string GetAs(int which) {  // with an id of its own
+inline std::string GetWithId(int which) {  // with an id of its own
   std::string text = Get();
   return text.replace(text.find(kId), kId.size(), "00000000000000f" + std::to_string(which));
 }
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -475,12 +475,12 @@
     front_.Act([&] {
       exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Settings(), 1);
       caches_ = std::make_unique<caches::UpstreamConnectionPool>(front_.loop(), *exchange,
-                                                                 kit::MakeTerms(), 8);
+                                                                 kit::MakeConnectionSettings(), 8);
       exchange->SetUpstreamTransport(*caches_);
-      exchange->OnListUpdate(
-          true, kit::Machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
+      exchange->OnListUpdate(true, kit::MakeEndpointList({{"s-1", kServerAddresses[0]},
+                                                          {"s-2", kServerAddresses[1]}}));
       clients_ = std::make_unique<clients::HttpServer>(
-          front_.loop(), *exchange, kit::MakeTerms().request_classes,
+          front_.loop(), *exchange, kit::MakeConnectionSettings().request_classes,
           std::vector<bool>{false, true}, kFrontAddress, 50);
     });
   }
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -49,9 +49,9 @@
 // A front's discovery on a socket, with five servers listed that started long ago, and a client
 // that asks.
 struct Discovery {
-  Desk desk{kit::Settings(), 5};
+  ExchangeFixture desk{kit::Settings(), 5};
   FarListener listener;
-  discovery::Discovery discovery{desk.loop, desk.exchange, MakeTerms(), listener.at};
+  discovery::Discovery discovery{desk.loop, desk.exchange, MakeConnectionSettings(), listener.at};
   Far peer;
   std::uint64_t last = 1;
   int asked = 0;
@@ -90,16 +90,17 @@
   }
   // A request for a new object, or for the one that is purged; what a cache is then asked for.
   SendAttempt Request(const std::string& object) {
-    RequestMetadata ask = AskFor("request-" + std::to_string(++asked));
+    RequestMetadata ask = MakeRequest("request-" + std::to_string(++asked));
     ask.object = object;
     ask.ttl = 4 * kSecond;
-    Asked client;
+    RecordingResponseSink client;
     std::size_t before = desk.caches.sent.size();
     std::uint32_t request = desk.exchange.OnRequest(ask, client);
     SendAttempt attempt;
     if (desk.caches.sent.size() > before) {
-      attempt = desk.caches.sent.back().how;
-      desk.exchange.OnAttemptResponseComplete({request, 0}, Said(Ending::kFinished, Remark::kHit));
+      attempt = desk.caches.sent.back().action;
+      desk.exchange.OnAttemptResponseComplete({request, 0},
+                                              MakeResponseHead(Ending::kFinished, Remark::kHit));
     }
     return attempt;
   }
@@ -309,13 +310,13 @@
     exchange::Exchange exchange(loop, kit::Settings(), [&](Ms now, const Event& event) {
       return rules.Handle(now, event);
     });
-    Sent caches;
+    RecordingTransport caches;
     exchange.SetUpstreamTransport(caches);
     exchange.OnListUpdate(
         true,
-        Machines(
+        MakeEndpointList(
             {{"origin", {}}, {"s-0", {}}, {"s-1", {}}, {"s-2", {}}, {"s-3", {}}, {"s-4", {}}}));
-    discovery::Discovery discovery(loop, exchange, MakeTerms(), FreeAddress());
+    discovery::Discovery discovery(loop, exchange, MakeConnectionSettings(), FreeAddress());
     REQUIRE(discovery.begin(known("", 1)));
     Ms purged = loop.now();
     std::string news =
@@ -326,15 +327,16 @@
     REQUIRE(rules.turn(loop.now(), kit::Settings(), out) != 0);
     auto request = [&](const std::string& object) {
       static int asked = 0;
-      RequestMetadata ask = AskFor("request-" + std::to_string(++asked));
+      RequestMetadata ask = MakeRequest("request-" + std::to_string(++asked));
       ask.object = object;
       ask.ttl = 4 * kSecond;
-      Asked client;
+      RecordingResponseSink client;
       std::size_t before = caches.sent.size();
       std::uint32_t number = exchange.OnRequest(ask, client);
       REQUIRE(caches.sent.size() > before);
-      SendAttempt attempt = caches.sent.back().how;
-      exchange.OnAttemptResponseComplete({number, 0}, Said(Ending::kFinished, Remark::kHit));
+      SendAttempt attempt = caches.sent.back().action;
+      exchange.OnAttemptResponseComplete({number, 0},
+                                         MakeResponseHead(Ending::kFinished, Remark::kHit));
       return attempt;
     };
     SendAttempt attempt = request("7f3a");
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// The POSIX environment, except that the first connection is established when the test allows it.
-class LateDial final : public loop::Environment {
+class DelayedConnectEnvironment final : public loop::Environment {
  public:
-  void AllowDial() {
+  void AllowConnect() {
     held_ = kNone;
   }
   Ms now() override {
@@ -95,18 +95,19 @@
 }
 
 /// Two requests in flight on one connection, and a second server beside the one that has them.
-struct TwoOpen {
+struct TwoInFlight {
   FarListener listeners[2];
-  Road road{Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}})};
-  Asked first;
-  Asked second;
+  PoolFixture road{MakeEndpointList({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}})};
+  RecordingResponseSink first;
+  RecordingResponseSink second;
   Far server;
 
-  TwoOpen() {
-    road.exchange.OnRequest(AskAs(1), first);
-    road.exchange.OnRequest(AskAs(2), second);
+  TwoInFlight() {
+    road.exchange.OnRequest(MakeNumberedRequest(1), first);
+    road.exchange.OnRequest(MakeNumberedRequest(2), second);
     server = Next();
-    Until(road.loop, [&] { return server.Hears(WantOf(1)) && server.Hears(WantOf(2)); });
+    Until(road.loop,
+          [&] { return server.Hears(RequestPrefix(1)) && server.Hears(RequestPrefix(2)); });
   }
   /// The next connection to arrive, at whichever server.
   Far Next() {
@@ -130,15 +131,15 @@
     "elsewhere once") {
   constexpr Ms kConnectWithin = 400;
   FarListener listeners[2];
-  LateDial environment;
+  DelayedConnectEnvironment environment;
   loop::Loop loop(environment);
-  auto list = Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}});
+  auto list = MakeEndpointList({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}});
   exchange::Exchange exchange(loop, SettingsWith(false), 1);
-  caches::UpstreamConnectionPool caches(loop, exchange, MakeTerms(kConnectWithin), 8);
+  caches::UpstreamConnectionPool caches(loop, exchange, MakeConnectionSettings(kConnectWithin), 8);
   exchange.SetUpstreamTransport(caches);
   exchange.OnListUpdate(true, list);
-  Asked client;
-  exchange.OnRequest(AskAs(1), client);
+  RecordingResponseSink client;
+  exchange.OnRequest(MakeNumberedRequest(1), client);
   FarListener* other = nullptr;
   Far dialled;  // established in the kernel, and not yet in the front
   Until(loop, [&] {
@@ -153,16 +154,17 @@
   });
   loop.Skip(kConnectWithin + 1);
   Until(loop, [&] { return exchange.counters.lost_unsent == 1; });
-  environment.AllowDial();
+  environment.AllowConnect();
   Far server = other->Next(loop);
-  Until(loop, [&] { return server.Hears(WantOf(1)); });
+  Until(loop, [&] { return server.Hears(RequestPrefix(1)); });
   Until(loop, [&] {
     dialled.Read();
     return dialled.over;
   });
   CHECK(dialled.got.empty());
-  CHECK(server.got.find(WantOf(1), server.got.find(WantOf(1)) + 1) == std::string::npos);
-  server.Send(Hit(1));
+  CHECK(server.got.find(RequestPrefix(1), server.got.find(RequestPrefix(1)) + 1) ==
+        std::string::npos);
+  server.Send(HitResponse(1));
   Until(loop, [&] { return !client.notified.empty(); });
   CHECK(client.Is({"200 t"}));
 }
@@ -172,16 +174,17 @@
 TEST_CASE("a connection established in the iteration of its connect timeout is used") {
   constexpr Ms kConnectWithin = 400;
   FarListener listener;
-  Road road(Machines({{"s-1", listener.at}}), SettingsWith(false), MakeTerms(kConnectWithin));
-  Asked client;
-  road.exchange.OnRequest(AskAs(1), client);
+  PoolFixture road(MakeEndpointList({{"s-1", listener.at}}), SettingsWith(false),
+                   MakeConnectionSettings(kConnectWithin));
+  RecordingResponseSink client;
+  road.exchange.OnRequest(MakeNumberedRequest(1), client);
   road.loop.Skip(kConnectWithin + 1);
-  road.Turns();
+  road.RunIterations();
   Far server = listener.Next(road.loop);
-  Until(road.loop, [&] { return server.Hears(WantOf(1)); });
+  Until(road.loop, [&] { return server.Hears(RequestPrefix(1)); });
   CHECK(road.exchange.counters.lost_unsent == 0);
   CHECK(road.exchange.counters.attempts == 1);
-  server.Send(Hit(1));
+  server.Send(HitResponse(1));
   Until(road.loop, [&] { return !client.notified.empty(); });
   CHECK(client.Is({"200 t"}));
 }
@@ -203,11 +206,11 @@
     CAPTURE(c.answer.substr(0, 30));
     CAPTURE(c.second_comes);
     FarListener listener;
-    Road road(Machines({{"s-1", listener.at}}));
-    Asked first;
-    road.exchange.OnRequest(AskAs(1), first);
+    PoolFixture road(MakeEndpointList({{"s-1", listener.at}}));
+    RecordingResponseSink first;
+    road.exchange.OnRequest(MakeNumberedRequest(1), first);
     Far server = listener.Next(road.loop);
-    Until(road.loop, [&] { return server.Hears(WantOf(1)); });
+    Until(road.loop, [&] { return server.Hears(RequestPrefix(1)); });
     std::size_t sent = 60;  // in the body, or still in the response line
     server.Send(c.answer.substr(0, sent));
     auto trickle = [&] {
@@ -215,13 +218,13 @@
       if (!is_over && sent < c.answer.size())
         server.Send(c.answer.substr(sent++, 1));
       road.loop.Skip(kStep);
-      road.Turns(2);
+      road.RunIterations(2);
     };
     Ms passed = 0;
     for (; passed < c.second_comes; passed += kStep)
       trickle();
-    Asked second;
-    road.exchange.OnRequest(AskAs(2), second);
+    RecordingResponseSink second;
+    road.exchange.OnRequest(MakeNumberedRequest(2), second);
     Far again;
     for (int i = 0; i < 20 && !again.fd; ++i) {
       trickle();
@@ -231,11 +234,11 @@
         again = Far(loop::Descriptor(accepted));
     }
     REQUIRE(again.fd);
-    Until(road.loop, [&] { return again.Hears(WantOf(2)); });
-    again.Send(Hit(2));
+    Until(road.loop, [&] { return again.Hears(RequestPrefix(2)); });
+    again.Send(HitResponse(2));
     Until(road.loop, [&] { return !second.notified.empty(); });
     CHECK(second.Is({"200 t"}));
-    CHECK_FALSE(server.Hears(WantOf(2)));
+    CHECK_FALSE(server.Hears(RequestPrefix(2)));
     for (; passed <= kExpiry; passed += kStep)
       trickle();
     CHECK(first.notified.size() == 1);
@@ -250,7 +253,7 @@
     "a response under the id of another open request is taken once, and the other request waits "
     "for its own") {
   for (bool own_answer_comes : {true, false}) {
-    TwoOpen open;
+    TwoInFlight open;
     open.server.Send(AnswerTo(2, "two") + AnswerTo(2, "one"));
     Until(open.road.loop, [&] { return open.road.exchange.counters.late_responses == 1; });
     CHECK(open.second.Is({"200 t2"}));
@@ -274,13 +277,13 @@
 TEST_CASE("extra bytes after a response close the connection and reach no request") {
   for (const std::string spare : {"\r\n", "spare\r\n", "spare", "two spare words\r\n"}) {
     CAPTURE(spare);
-    TwoOpen open;
+    TwoInFlight open;
     open.server.Send(AnswerTo(1, "one") + spare);
     Until(open.road.loop, [&] { return !open.first.notified.empty(); });
     CHECK(open.first.Is({"200 t1"}));
     CHECK(open.first.body == "one");
     Far again = open.Next();  // the other request is sent again
-    Until(open.road.loop, [&] { return again.Hears(WantOf(2)); });
+    Until(open.road.loop, [&] { return again.Hears(RequestPrefix(2)); });
     CHECK((open.server.Read(), open.server.over));
     again.Send(AnswerTo(2, "two"));
     Until(open.road.loop, [&] { return !open.second.notified.empty(); });
@@ -290,7 +293,7 @@
 }
 
 TEST_CASE("a response longer than its stated length reaches no request") {
-  TwoOpen open;
+  TwoInFlight open;
   std::string answer = AnswerTo(1, "one");
   answer.insert(answer.size() - 2, "more");
   open.server.Send(answer);
@@ -301,14 +304,14 @@
   Until(open.road.loop, [&] {
     for (int which : {1, 2})
       for (Far& server : again)
-        asked[which - 1] |= server.Hears(WantOf(which));
+        asked[which - 1] |= server.Hears(RequestPrefix(which));
     return asked[0] && asked[1];
   });
   CHECK(open.first.notified.empty());
   CHECK(open.road.exchange.counters.malformed_responses == 1);
   for (int which : {1, 2})
     for (Far& server : again)
-      if (server.Hears(WantOf(which)))
+      if (server.Hears(RequestPrefix(which)))
         server.Send(AnswerTo(which, which == 1 ? "one" : "two"));
   Until(open.road.loop,
         [&] { return !open.first.notified.empty() && !open.second.notified.empty(); });
