--- a/src/clients/clients.hpp
+++ b/src/clients/clients.hpp
@@ -18,7 +18,7 @@
  public:
   // Throws std::system_error if it can't listen on the address. At most `max_connections` + 1
   // connections are open at a time. Beside them at most `max_lingering` connections linger: the
-  // server has closed its direction and reads until the client closes the other.
+  // server has shut down its sending direction and reads until the client closes the other one.
   HttpServer(loop::Loop& loop, exchange::Exchange& exchange,
              const std::vector<std::string>& request_classes, std::vector<bool> writes,
              const loop::Address& listen_address, std::size_t max_connections,
