--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -65,7 +65,8 @@
 Front::Front(loop::Loop& loop, const FrontConfiguration& configuration)
     : Front(loop, configuration, MakeRequestRouting(configuration)) {}
 
-Front::Front(loop::Loop& loop, const FrontConfiguration& configuration, exchange::Decider router)
+Front::Front(loop::Loop& loop, const FrontConfiguration& configuration,
+             exchange::RequestRouter router)
     : Front(loop, configuration, RequestRouting{std::move(router), nullptr, nullptr}) {}
 
 Front::Front(loop::Loop& loop, const FrontConfiguration& configuration, RequestRouting routing)
@@ -81,13 +82,13 @@
                WriteClasses(configuration.settings), configuration.listen,
                MaxClientConnections(configuration, loop),
                MaxLingeringConnections(configuration, loop)) {
-  exchange_.Meet(caches_);
+  exchange_.SetUpstreamTransport(caches_);
   if (!discovery_.begin(configuration.known_updates))
     throw std::runtime_error("configuration has no valid updates under known");
   discovery_.Follow();
   MembershipComponent::TrafficWeightsCallback set_traffic_weights =
       [this](std::vector<double> weights) {
-        exchange_.SharesCame(std::move(weights));
+        exchange_.OnZoneTrafficWeights(std::move(weights));
       };
   if (configuration.fleet.enabled && !configuration.fleet.over_peers)
     membership_ = std::make_unique<MembershipComponent>(
@@ -96,7 +97,7 @@
                                     exchange_, routing);
 }
 
-exchange::Decider Front::ObserveHealth(exchange::Decider router) {
+exchange::RequestRouter Front::ObserveHealth(exchange::RequestRouter router) {
   return [this, router = std::move(router)](Ms now, const Event& event) {
     if (auto* update = std::get_if<ListNews>(&event))
       health_.Take(*update);
@@ -111,7 +112,7 @@
 void Front::Reload(const FrontConfiguration& configuration) {
   if (!discovery_.MoveTo(configuration.discovery, configuration.known_updates))
     throw std::runtime_error("configuration has no valid updates under known");
-  ++exchange_.counters.reloads;
+  ++exchange_.counters.config_reloads;
 }
 
 void Front::Stop() {
@@ -120,14 +121,14 @@
   constexpr Ms kAcceptAfterStop = 700;
   if (std::exchange(stopping_, true))
     return;
-  log::Say("stopping: %zu requests open", exchange_.OpenRequests());
-  clients_.Wind();
+  log::Say("stopping: %zu requests open", exchange_.OpenRequestCount());
+  clients_.AnnounceShutdown();
   loop_.at(loop_.now() + kAcceptAfterStop, [this] { StopWhenIdle(); });
 }
 
 void Front::StopWhenIdle() {
   constexpr Ms kCheckEvery = 10;
-  clients_.Leave();
+  clients_.ContinueShutdown();
   if (clients_.empty())
     return loop_.Stop();
   loop_.at(loop_.now() + kCheckEvery, [this] { StopWhenIdle(); });
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -14,7 +14,7 @@
 class Front {
  public:
   Front(loop::Loop& loop, const FrontConfiguration& configuration);
-  Front(loop::Loop& loop, const FrontConfiguration& configuration, exchange::Decider router);
+  Front(loop::Loop& loop, const FrontConfiguration& configuration, exchange::RequestRouter router);
   Front(loop::Loop& loop, const FrontConfiguration& configuration, RequestRouting routing);
   // Switches to the discovery service that a reloaded configuration names. All other settings hold
   // for the life of the process: differences in them are ignored. Throws std::runtime_error, with
@@ -29,14 +29,14 @@
   void StopWhenIdle();
   // Wraps the router: endpoint list updates that it receives and endpoint health that it reports
   // are also passed to `health_`, on which the fleet's failover decision is based.
-  exchange::Decider ObserveHealth(exchange::Decider router);
+  exchange::RequestRouter ObserveHealth(exchange::RequestRouter router);
 
   loop::Loop& loop_;
   failover::Health health_;
   exchange::Exchange exchange_;
-  caches::Caches caches_;
+  caches::UpstreamConnectionPool caches_;
   discovery::Discovery discovery_;
-  clients::Clients clients_;
+  clients::HttpServer clients_;
   std::unique_ptr<MembershipComponent> membership_;  // with a fleet block that has its own socket
   std::unique_ptr<FleetComponents> components_;      // with an owner or a peers block
   bool stopping_ = false;
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -33,9 +33,9 @@
   // A front whose drift can break a rule takes no requests: each is rejected at once.
   void ApplyAdmission() {
     if (may_serve)
-      dependencies.exchange->Admit(admitted.by_request_class, admitted.come_back);
+      dependencies.exchange->SetAdmissionRamp(admitted.by_request_class, admitted.come_back);
     else
-      dependencies.exchange->Admit(
+      dependencies.exchange->SetAdmissionRamp(
           std::vector<double>(configuration.settings.request_classes.size(), 0.0),
           std::max(admitted.come_back, configuration.rules.policy.repair_within));
   }
@@ -174,7 +174,7 @@
       state.rules = {rules->HasApproval(), rules->MatchesApproval(), rules->version(),
                      rules->Digest()};
     const exchange::Counters& counters = dependencies.exchange->counters;
-    std::uint64_t overloads = counters.full + counters.timed_out;
+    std::uint64_t overloads = counters.shed + counters.timed_out;
     state.overloaded = overloads > overload_count;
     overload_count = overloads;
     UpdateLeasePermission();
@@ -192,21 +192,20 @@
     if (!may_serve || !admitted.by_request_class.empty()) {
       window.begins_at = loop.now() - kWindow;
       window.requests = counters.requests;
-      window.abandoned = counters.abandoned;
-      window.declined = counters.declined;
+      window.abandoned = counters.failed;
+      window.declined = counters.rejected;
     }
     if (loop.now() >= window.begins_at + kWindow) {
       double arrived = static_cast<double>(counters.requests - window.requests);
       window.shares =
           arrived > 0
-              ? drift::Requests{static_cast<double>(counters.abandoned - window.abandoned) /
-                                    arrived,
-                                static_cast<double>(counters.declined - window.declined) / arrived}
+              ? drift::Requests{static_cast<double>(counters.failed - window.abandoned) / arrived,
+                                static_cast<double>(counters.rejected - window.declined) / arrived}
               : drift::Requests{};
       window.begins_at = loop.now();
       window.requests = counters.requests;
-      window.abandoned = counters.abandoned;
-      window.declined = counters.declined;
+      window.abandoned = counters.failed;
+      window.declined = counters.rejected;
     }
     return window.shares;
   }
@@ -227,8 +226,8 @@
       active_recalls.erase(key);
     else
       active_recalls[key] = recall;
-    dependencies.exchange->RecallCame(recall.object, recall.group, request_class, recall.lifted,
-                                      recall.age);
+    dependencies.exchange->OnRecall(recall.object, recall.group, request_class, recall.lifted,
+                                    recall.age);
   }
 };
 
@@ -312,7 +311,7 @@
         impl.rules->HandleEntry(entry.offset, entry.key, entry.tombstone, entry.value);
     };
     callbacks.limit_copy_age = [&impl](Ms max_age) {
-      impl.dependencies.exchange->LimitAge(max_age);
+      impl.dependencies.exchange->SetMaxCopyAge(max_age);
     };
     callbacks.refusal_reason = [&impl](record::Stream stream, const std::string& key,
                                        bool tombstone, const std::string& value) -> std::string {
--- a/src/front/parts.cpp
+++ b/src/front/parts.cpp
@@ -25,7 +25,8 @@
 
 RequestRouting MakeRequestRouting(const FrontConfiguration& configuration) {
   if (!configuration.rules.enabled)
-    return {exchange::ModuleFor(configuration.settings, configuration.seed), nullptr, nullptr};
+    return {exchange::MakeRequestRouter(configuration.settings, configuration.seed), nullptr,
+            nullptr};
   RequestRouting routing;
   routing.generations =
       std::make_shared<generations::Generations>(configuration.settings, configuration.seed);
@@ -82,7 +83,7 @@
     dependencies.apply_settings =
         [&exchange, pending = routing.pending_settings](const StoreSettings& settings) {
           *pending = settings;
-          exchange.Turned(settings);
+          exchange.ApplySettings(settings);
         };
     dependencies.owner = components->owner.get();
     components->layer = std::make_unique<FleetLayer>(loop, configuration, std::move(dependencies));
--- a/src/front/parts.hpp
+++ b/src/front/parts.hpp
@@ -21,7 +21,7 @@
 // What routes requests: the router alone or, with a rules block, its generations, which an approved
 // configuration can switch to other deployment settings.
 struct RequestRouting {
-  exchange::Decider router;
+  exchange::RequestRouter router;
   std::shared_ptr<generations::Generations> generations;
   std::shared_ptr<std::optional<StoreSettings>> pending_settings;  // applied with the next event
 };
--- a/src/front/parts_none.cpp
+++ b/src/front/parts_none.cpp
@@ -26,7 +26,8 @@
   return nullptr;
 }
 RequestRouting MakeRequestRouting(const FrontConfiguration& configuration) {
-  return {exchange::ModuleFor(configuration.settings, configuration.seed), nullptr, nullptr};
+  return {exchange::MakeRequestRouter(configuration.settings, configuration.seed), nullptr,
+          nullptr};
 }
 
 }  // namespace dunlinwick::front
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -1,4 +1,5 @@
-// The clients' side on sockets, with noted caches, beside a far side of plain bytes.
+// Tests of the HTTP server on loopback sockets, with a recording transport in place of the caches
+// and clients that exchange plain bytes.
 #include "clients/clients.hpp"
 
 #include <fcntl.h>
@@ -11,24 +12,26 @@
 
 namespace {
 
-struct Counter {  // clients on real sockets, with noted caches
-  Desk d;
+struct ServerFixture {  // an HTTP server on loopback sockets, with a recording transport
+  ExchangeFixture d;
   loop::Address at = FreeAddress();
-  clients::Clients clients;
-  explicit Counter(std::size_t most = 50, StoreSettings s = kit::Settings())
-      : d(s), clients(d.loop, d.exchange, MakeTerms().request_classes, {false, true}, at, most) {}
-  Far Come() {
+  clients::HttpServer clients;
+  explicit ServerFixture(std::size_t most = 50, StoreSettings s = kit::Settings())
+      : d(s),
+        clients(d.loop, d.exchange, MakeConnectionSettings().request_classes, {false, true}, at,
+                most) {}
+  Far Connect() {
     Far f = Far::To(at);
     d.loop.turn(1);
     return f;
   }
-  void Hear(Far& f, std::string_view text) {
+  void WaitFor(Far& f, std::string_view text) {
     Until(d.loop, [&] { return f.Hears(text); });
   }
-  // Turns on until all have gone that a stop lets go.
-  void leave() {
+  // Runs the loop until all connections are closed that a shutdown closes.
+  void RunShutdown() {
     Until(d.loop, [&] {
-      clients.Leave();
+      clients.ContinueShutdown();
       return clients.empty();
     });
   }
@@ -36,24 +39,24 @@
     Until(d.loop, [&] { return d.caches.sent.size() > which; });
     return d.caches.sent[which].key;
   }
-  void Finish(AttemptKey key, const exchange::Word& word, std::string_view body = {}) {
-    d.exchange.AnswerBegun(key, word, body.size());
-    d.exchange.AnswerBytes(key, body);
-    d.exchange.AnswerWhole(key, word);
+  void Finish(AttemptKey key, const exchange::ResponseHead& word, std::string_view body = {}) {
+    d.exchange.OnAttemptResponseStarted(key, word, body.size());
+    d.exchange.OnAttemptResponseData(key, body);
+    d.exchange.OnAttemptResponseComplete(key, word);
   }
 };
 
-// Does something in the middle of a turn: after its poll, before its timers.
-struct Meanwhile final : loop::Handler {
+// Runs a function in the middle of a loop iteration: after its poll, before its timers.
+struct MidIteration final : loop::Handler {
   loop::Loop& loop;
   std::function<void()> what;
   int ends[2];
-  Meanwhile(loop::Loop& l, std::function<void()> w) : loop(l), what(std::move(w)) {
+  MidIteration(loop::Loop& l, std::function<void()> w) : loop(l), what(std::move(w)) {
     assert(::pipe(ends) == 0 && ::write(ends[1], "x", 1) == 1);
     loop.WatchDescriptor(ends[0], *this, POLLIN);
     Until(loop, [&] { return !what; });
   }
-  ~Meanwhile() {
+  ~MidIteration() {
     loop.Forget(ends[0]);
     ::close(ends[0]);
     ::close(ends[1]);
@@ -70,18 +73,18 @@
   return one.revents & POLLERR;
 }
 
-// A client that takes slowly: when all its answer has left the front, most of it lies in the
-// system's buffers.
-struct Slow {
+// A client that reads slowly: when its whole response has left the front, most of it is still in
+// the kernel's buffers.
+struct SlowClient {
   Far far{loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0))};
   std::string body = std::string(200000, 'x');
-  Slow(Counter& c) {
+  SlowClient(ServerFixture& c) {
     int small = 1 << 12;
     ::setsockopt(far.fd.Get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
     assert(::connect(far.fd.Get(), reinterpret_cast<const sockaddr*>(&c.at), sizeof c.at) == 0);
     ::fcntl(far.fd.Get(), F_SETFL, O_NONBLOCK);
-    far.Send(GetAs(1));
-    c.Finish(c.attempt(0), Said(Ending::kFinished), body);
+    far.Send(GetWithId(1));
+    c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), body);
     for (int i = 0; i < 3; ++i)
       c.d.loop.turn(0);
   }
@@ -90,71 +93,71 @@
   }
 };
 
-void ClientsAreAnswered() {
-  Counter c;
-  Far f = c.Come();
+void ClientsGetResponses() {
+  ServerFixture c;
+  Far f = c.Connect();
   for (char one : Get("If-None-Match: \"4be0\"\r\nX-Memory-Kb: 412.5\r\n")) {
     f.Send(std::string_view(&one, 1));
     c.d.loop.turn(0);
   }
-  c.Finish(c.attempt(0), Said(Ending::kFinished), "a\r\n\r\nb");
-  c.Hear(f, "\r\n\r\na\r\n\r\nb");
+  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), "a\r\n\r\nb");
+  c.WaitFor(f, "\r\n\r\na\r\n\r\nb");
   assert(f.Hears("HTTP/1.1 200 OK\r\n") && f.Hears("ETag: \"t1\"\r\n") &&
          f.Hears("Content-Length: 6\r\n"));
   f.got.clear();
   f.Send(Get("If-None-Match: \"t1\"\r\n"));  // the connection is kept
-  exchange::Word valid = Said(Ending::kFinished);
-  valid.unchanged = true;
+  exchange::ResponseHead valid = MakeResponseHead(Ending::kFinished);
+  valid.not_modified = true;
   c.Finish(c.attempt(1), valid);
-  c.Hear(f, "HTTP/1.1 304 Not Modified\r\nETag: \"t1\"\r\n\r\n");
+  c.WaitFor(f, "HTTP/1.1 304 Not Modified\r\nETag: \"t1\"\r\n\r\n");
   f.got.clear();
   std::string body(48000, 'p');
   f.Send("PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
          "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nConnection: close\r\nContent-Length: "
          "48000\r\n\r\n" +
          body);
-  c.d.exchange.AttemptLost(c.attempt(2), loop::DisconnectReason::kReset, true);
-  c.Hear(f, "HTTP/1.1 502 ");
+  c.d.exchange.OnAttemptDisconnected(c.attempt(2), loop::DisconnectReason::kReset, true);
+  c.WaitFor(f, "HTTP/1.1 502 ");
   Until(c.d.loop, [&] {
     f.Read();
     return f.over;
   });
 }
 
-void BigAnswersWaitForSlowClients() {
-  Counter c;
+void LargeResponsesWaitForSlowClients() {
+  ServerFixture c;
   Far f = Far::To(c.at);
   int small = 1 << 15;
   ::setsockopt(f.fd.Get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-  std::string body(exchange::kMostBytes, 'x');
+  std::string body(exchange::kMaxObjectBytes, 'x');
   for (std::size_t i = 0; i < body.size(); ++i)
     body[i] = static_cast<char>(i * 7);
-  f.Send(Get() + Get());  // the second waits until the first is out
-  c.Finish(c.attempt(0), Said(Ending::kFinished), body);
+  f.Send(Get() + Get());  // the second waits until the first is written
+  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), body);
   Until(c.d.loop, [&] { return f.Read(1000).size() > 100000; });
   Until(c.d.loop, [&] {
     f.Read();
     return c.d.caches.sent.size() == 2;
   });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "end");
-  c.Hear(f, "\r\n\r\nend");
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "end");
+  c.WaitFor(f, "\r\n\r\nend");
   assert(f.got.find(body) != std::string::npos);
 }
 
-void BadRequestsAreRefusedAlone() {
+void BadRequestsAreRejectedIndividually() {
   struct Case {
     std::string request;
     std::string status;
   };
-  Counter c;
-  Far good = c.Come();
+  ServerFixture c;
+  Far good = c.Connect();
   good.Send(Get());
   AttemptKey key = c.attempt(0);
   const std::string head = "GET /ops/video/7f3a HTTP/1.1\r\n";
   const std::string own = "X-Request-Id: 00000000000000aa\r\n";
   for (const Case& one :
        {Case{"\x16\x03\x01", "400"},
-        {Get("", "/ops/video/0000"), "409"},  // the id of the open one
+        {Get("", "/ops/video/0000"), "409"},  // the id of the open request
         {head + own + own + "X-Timeout-Ms: 9\r\nX-Group: 1\r\n\r\n", "400"},
         {head + own + "X-Timeout-Ms: 1e3\r\nX-Group: 1\r\n\r\n", "400"},
         {head + own + "X-Timeout-Ms: -0\r\nX-Group: 1\r\n\r\n", "400"},
@@ -182,9 +185,9 @@
         {"PUT /ops/write/7f3a HTTP/1.1\r\nContent-Length: 48001\r\n\r\n" + std::string(48001, 'x'),
          "413"},
         {head + "A: " + std::string(9000, 'x'), "431"}}) {
-    Far f = c.Come();
+    Far f = c.Connect();
     f.Send(one.request);
-    c.Hear(f, "HTTP/1.1 " + one.status);
+    c.WaitFor(f, "HTTP/1.1 " + one.status);
     assert(f.Hears("Connection: close\r\n"));
     Until(c.d.loop, [&] {
       f.Read();
@@ -192,22 +195,22 @@
     });
   }
   assert(c.d.exchange.counters.bad_requests == 28 && c.d.caches.sent.size() == 1);
-  c.Finish(key, Said(Ending::kFinished), "still here");
-  c.Hear(good, "still here");
+  c.Finish(key, MakeResponseHead(Ending::kFinished), "still here");
+  c.WaitFor(good, "still here");
 }
 
-// Who says nothing, or half a request, is told so by a word or a close in 3 s, and others notice
-// nothing; an idle client that has been served keeps its connection.
-void WhoSaysNothingGoes() {
-  Counter c;
-  Far served = c.Come(), silent = c.Come(), half = c.Come();
+// A client that sends nothing, or a partial request, gets a status or a close within 3 s, and no
+// other client is affected; an idle client that has been served keeps its connection.
+void SilentClientsAreDisconnected() {
+  ServerFixture c;
+  Far served = c.Connect(), silent = c.Connect(), half = c.Connect();
   served.Send("GET /alive HTTP/1.1\r\n\r\n");
-  c.Hear(served, "HTTP/1.1 200");
+  c.WaitFor(served, "HTTP/1.1 200");
   half.Send("GET /alive HTTP/1.1\r\nA: ");
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(1);
   c.d.loop.Skip(2600);
-  c.Hear(half, "HTTP/1.1 408");
+  c.WaitFor(half, "HTTP/1.1 408");
   Until(c.d.loop, [&] {
     silent.Read();
     return silent.over;
@@ -215,113 +218,114 @@
   assert(silent.got.empty() && !(served.Read(), served.over));
 }
 
-// How a client leaves. The end of its way out alone counts as a leave too: what follows a
-// half-close is never an answer.
-enum class Leave {
+// How a client disconnects. Closing its sending direction alone counts as a disconnect too: no
+// response is sent on a half-closed connection.
+enum class DisconnectKind {
   kClose,
   kReset,
   kHalfClose
 };
-constexpr Leave kLeaves[] = {Leave::kClose, Leave::kReset, Leave::kHalfClose};
+constexpr DisconnectKind kDisconnectKinds[] = {DisconnectKind::kClose, DisconnectKind::kReset,
+                                               DisconnectKind::kHalfClose};
 
-void LeaveBy(Far& f, Leave how) {
-  if (how == Leave::kClose)
+void Disconnect(Far& f, DisconnectKind how) {
+  if (how == DisconnectKind::kClose)
     f.fd.Reset();
-  if (how == Leave::kReset)
+  if (how == DisconnectKind::kReset)
     f.Reset();
-  if (how == Leave::kHalfClose)
+  if (how == DisconnectKind::kHalfClose)
     ::shutdown(f.fd.Get(), SHUT_WR);
 }
 
-void WhoClosesIsOwedNothing() {
-  for (Leave how : kLeaves) {
-    Counter c;
-    Far f = c.Come();
+void ClosingClientsGetNoResponse() {
+  for (DisconnectKind how : kDisconnectKinds) {
+    ServerFixture c;
+    Far f = c.Connect();
     f.Send(Get());
     c.attempt(0);
-    LeaveBy(f, how);
-    Until(c.d.loop, [&] { return c.d.exchange.counters.left == 1; });
-    assert(c.d.caches.given_up.size() == 1 && c.clients.empty());
-    assert(how != Leave::kHalfClose || (f.Read().empty() && f.over));
+    Disconnect(f, how);
+    Until(c.d.loop, [&] { return c.d.exchange.counters.client_disconnects == 1; });
+    assert(c.d.caches.cancelled.size() == 1 && c.clients.empty());
+    assert(how != DisconnectKind::kHalfClose || (f.Read().empty() && f.over));
   }
 }
 
-// The close was there before the request was looked at: nothing is owed, and an attempt would begin
-// after its client left.
-void ARequestThatCameWithItsCloseIsNotSentOn() {
+// The close arrived before the request was processed: no response is due, and an attempt would
+// start after its client disconnected.
+void ARequestThatArrivesWithItsCloseIsNotForwarded() {
   std::string big = "PUT /ops/write/7f3a?part=0 HTTP/1.1\r\nX-Request-Id: " + kId +
                     "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\nContent-Length: 48000\r\n\r\n" +
                     std::string(48000, 'p');
-  for (const std::string& request : {Get(), big, GetAs(1) + GetAs(2)})
+  for (const std::string& request : {Get(), big, GetWithId(1) + GetWithId(2)})
     for (bool accepted : {false, true})
-      for (Leave how : kLeaves) {
-        Counter c;
-        Far f = accepted ? c.Come() : Far::To(c.at);
+      for (DisconnectKind how : kDisconnectKinds) {
+        ServerFixture c;
+        Far f = accepted ? c.Connect() : Far::To(c.at);
         f.Send(request);
-        LeaveBy(f, how);
+        Disconnect(f, how);
         Until(c.d.loop,
               [&] { return c.d.exchange.counters.client_connections == 1 && c.clients.empty(); });
         assert(c.d.caches.sent.empty());
       }
 }
 
-// Its client goes as the first is answered, in one turn: the next poll shows that, and the second
-// is not sent on.
-void ASecondRequestIsNotSentOnWhenItsClientHasLeft() {
-  for (Leave how : kLeaves) {
-    Counter c;
-    Far f = c.Come();
-    f.Send(GetAs(1) + GetAs(2));
+// The client closes as the first request is answered, in one iteration: the next poll shows that,
+// and the second request is not forwarded.
+void ASecondRequestIsNotForwardedAfterItsClientDisconnected() {
+  for (DisconnectKind how : kDisconnectKinds) {
+    ServerFixture c;
+    Far f = c.Connect();
+    f.Send(GetWithId(1) + GetWithId(2));
     AttemptKey key = c.attempt(0);
-    Meanwhile now(c.d.loop, [&] {
-      LeaveBy(f, how);
-      c.Finish(key, Said(Ending::kFinished), "ok");
+    MidIteration now(c.d.loop, [&] {
+      Disconnect(f, how);
+      c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
     });
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.caches.sent.size() == 1);
   }
 }
 
-// It comes behind the open one after the front has begun to wait for that alone, and the close with
-// it.
-void ARequestBehindAnOpenOneIsNotSentOnAfterItsClose() {
-  for (Leave how : kLeaves) {
-    Counter c;
-    Far f = c.Come();
-    f.Send(GetAs(1));
+// It arrives behind the open request, together with the close, after the front has begun to poll
+// the connection lazily.
+void APipelinedRequestIsNotForwardedAfterItsClose() {
+  for (DisconnectKind how : kDisconnectKinds) {
+    ServerFixture c;
+    Far f = c.Connect();
+    f.Send(GetWithId(1));
     AttemptKey key = c.attempt(0);
-    Meanwhile now(c.d.loop, [&] {
-      f.Send(GetAs(2));
-      LeaveBy(f, how);
-      c.Finish(key, Said(Ending::kFinished), "ok");
+    MidIteration now(c.d.loop, [&] {
+      f.Send(GetWithId(2));
+      Disconnect(f, how);
+      c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
     });
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.caches.sent.size() == 1);
   }
 }
 
-// A request on a resting connection comes after the poll of the turn that would end it: it is read
-// before the close, and served. A close would be a reset, and take the last answer with it.
-void ARequestThatComesBeforeTheSweepsCloseIsServed() {
-  Counter c;
-  Slow slow(c);
+// A request on an idle connection arrives after the poll of the iteration that would close it: it
+// is read before the close, and served. Closing would be a reset and discard the last response.
+void ARequestThatArrivesBeforeTheIdleCloseIsServed() {
+  ServerFixture c;
+  SlowClient slow(c);
   c.d.loop.Skip(20000);
-  Meanwhile now(c.d.loop, [&] { slow.far.Send(GetAs(2)); });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  MidIteration now(c.d.loop, [&] { slow.far.Send(GetWithId(2)); });
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(!IsReset(slow.far) &&
          slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos);
   assert(c.d.caches.sent.size() == 2 && !slow.far.over);
 }
 
-// It comes after the shutdown: the answer before it arrives whole, without a reset, and it is not
-// sent on.
-void ARequestThatCrossesTheSweepTakesNoAnswerWithIt() {
-  Counter c;
-  Slow slow(c);
+// It arrives after the half-close: the response before it arrives whole, without a reset, and it is
+// not forwarded.
+void ARequestThatCrossesTheIdleCloseLosesNoResponse() {
+  ServerFixture c;
+  SlowClient slow(c);
   c.d.loop.Skip(20000);
-  c.d.loop.turn(0);  // the sweep is due
-  slow.far.Send(GetAs(2));
+  c.d.loop.turn(0);  // the timeout check is due
+  slow.far.Send(GetWithId(2));
   Until(c.d.loop, [&] { return slow.HasAll(); });
   Until(c.d.loop, [&] {
     slow.far.Read();
@@ -332,55 +336,55 @@
   Until(c.d.loop, [&] { return c.clients.empty(); });
 }
 
-// The same where room is made for a newcomer. Here the request was there first: it is read, and its
-// client has no longer rested.
-void ARequestThatComesAsRoomIsMadeIsServed() {
-  Counter c(1);
-  Slow slow(c);
-  slow.far.Send(GetAs(2));
+// The same where a slot is freed for a new connection. Here the request arrived first: it is read,
+// and its connection is not idle any more.
+void ARequestThatArrivesBeforeASlotIsFreedIsServed() {
+  ServerFixture c(1);
+  SlowClient slow(c);
+  slow.far.Send(GetWithId(2));
   Far other = Far::To(c.at);
   c.attempt(1);
   Until(c.d.loop, [&] { return slow.HasAll(); });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Hears("\r\n\r\nsecond"); });
 }
 
-// Many come at once, each with its request: nobody is put out before it was read.
-void WhoComesWithARequestIsNotPutOutUnread() {
-  Counter c(3);
+// Many connect at once, each with a request: none is closed before its request was read.
+void NewConnectionsAreNotClosedUnread() {
+  ServerFixture c(3);
   std::vector<Far> all;
   for (int i = 0; i < 8; ++i) {
     all.push_back(Far::To(c.at));
-    all.back().Send(GetAs(i));
+    all.back().Send(GetWithId(i));
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
-    c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
+    c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "ok");
     for (int turns = 0; turns < 5; ++turns)
       c.d.loop.turn(0);
   }
   for (Far& f : all)
-    c.Hear(f, "\r\n\r\nok");
+    c.WaitFor(f, "\r\n\r\nok");
 }
 
-// Refused ones that never close: they keep no live client out, and the longest goes where they
-// become too many.
-void WhoLingersTakesNoPlace() {
-  Counter c(3);
+// Connections of rejected clients that never close: they keep no live client out, and the one that
+// has lingered longest is closed when there are too many.
+void LingeringConnectionsTakeNoSlot() {
+  ServerFixture c(3);
   std::vector<Far> bad, good;
   for (int i = 0; i < 12; ++i) {
-    bad.push_back(c.Come());
+    bad.push_back(c.Connect());
     bad.back().Send("\x16\x03\x01");
-    c.Hear(bad.back(), "HTTP/1.1 400");
+    c.WaitFor(bad.back(), "HTTP/1.1 400");
   }
   for (int i = 0; i < 3; ++i) {
     good.push_back(Far::To(c.at));
-    good.back().Send(GetAs(i));
+    good.back().Send(GetWithId(i));
   }
   for (int turns = 0; turns < 50; ++turns)
     c.d.loop.turn(0);
   assert(c.d.caches.sent.size() == 3);
   bad[0].Send("x");
-  Until(c.d.loop, [&] { return IsReset(bad[0]); });  // closed outright
+  Until(c.d.loop, [&] { return IsReset(bad[0]); });  // closed at once
   c.d.loop.Skip(2000);
   for (Far& f : bad)
     Until(c.d.loop, [&] {
@@ -389,9 +393,9 @@
     });
 }
 
-// Each bad client gets a status or a close, one line of the log with none of its bytes, and is
-// counted; an open request of another client notices nothing.
-void BadClientsEndAlone() {
+// Each bad client gets a status or a close, one line in the log with none of its bytes, and is
+// counted; an open request of another client is not affected.
+void BadClientsAffectNoOthers() {
   enum {
     kStays,
     kCloses,
@@ -399,10 +403,10 @@
   };
   struct Case {
     std::string bytes;
-    std::string status;  // none: it is gone before one could come
+    std::string status;  // empty: the client is gone before a status could arrive
     int then;
     std::uint64_t bad;
-    std::size_t most;  // of its requests that may be sent on
+    std::size_t most;  // how many of its requests may be forwarded
   };
   std::string many;
   for (int i = 100; i < 500; ++i) {
@@ -419,14 +423,14 @@
         {many, "", kCloses, 0, 1},
         {many, "", kResets, 0, 1},
         {both, "400", kStays, 1, 0},
-        {Get("Odd: zebra\r\n"), "409", kStays, 1, 0},  // the id of the open one
+        {Get("Odd: zebra\r\n"), "409", kStays, 1, 0},  // the id of the open request
         {"GET /alive HTTP/1.1\r\nzebra: " + std::string(60000, 'z'), "431", kStays, 1, 0},
         {std::string(1, 0) + "zebra\n\x1b[31m", "400", kStays, 1, 0}}) {
     std::vector<std::string> lines;
     log::Log to([] { return 0.0; }, [&](std::string_view line) { lines.emplace_back(line); });
     log::Use use(to);
-    Counter c;
-    Far good = c.Come(), f = c.Come();
+    ServerFixture c;
+    Far good = c.Connect(), f = c.Connect();
     good.Send(Get());
     AttemptKey key = c.attempt(0);
     f.Send(one.bytes);
@@ -437,15 +441,15 @@
     if (one.then == kResets)
       f.Reset();
     if (one.then == kStays) {
-      c.Hear(f, "HTTP/1.1 " + one.status);
+      c.WaitFor(f, "HTTP/1.1 " + one.status);
       Until(c.d.loop, [&] {
         f.Read();
         return f.over;
       });
-      c.d.loop.Skip(2000);  // though it never closes
+      c.d.loop.Skip(2000);  // though the client never closes
     }
-    c.Finish(key, Said(Ending::kFinished), "still here");
-    c.Hear(good, "still here");
+    c.Finish(key, MakeResponseHead(Ending::kFinished), "still here");
+    c.WaitFor(good, "still here");
     good.fd.Reset();
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.exchange.counters.bad_requests == one.bad && lines.size() == one.bad);
@@ -455,10 +459,11 @@
   }
 }
 
-// Its header never ends: refused, read on for a bounded time and discarded, then closed.
-void AnEndlessHeaderIsBounded() {
-  Counter c;
-  Far f = c.Come();
+// A request whose header never ends: it is rejected, its input is read and discarded for a limited
+// time, then the connection is closed.
+void AnEndlessHeaderIsLimited() {
+  ServerFixture c;
+  Far f = c.Connect();
   f.Send("GET /alive HTTP/1.1\r\n");
   std::string more = "A: " + std::string(2000, 'x') + "\r\n";
   Until(c.d.loop, [&] {
@@ -468,20 +473,20 @@
   assert(c.d.exchange.counters.bad_requests == 1 && c.d.caches.sent.empty());
 }
 
-// ---- a stop
+// ---- shutdown
 
-void TheBacklogIsAnsweredInAStop() {
+void TheBacklogIsServedDuringShutdown() {
   enum {
     kWaiting,
     kPaused,
     kResting
   };
   for (int listener : {kWaiting, kPaused, kResting}) {
-    Counter c(listener == kPaused ? 1 : 50);
+    ServerFixture c(listener == kPaused ? 1 : 50);
     std::vector<Far> before, waits;
     for (int i = 0; listener == kPaused && i < 2; ++i) {
-      before.push_back(c.Come());
-      before.back().Send(GetAs(i));
+      before.push_back(c.Connect());
+      before.back().Send(GetWithId(i));
       c.attempt(static_cast<std::size_t>(i));
     }
     for (int i = 2; i < 5; ++i)
@@ -496,56 +501,57 @@
       ::setrlimit(RLIMIT_NOFILE, &full);
     }
     for (int i = 2; i < 5; ++i)
-      waits[static_cast<std::size_t>(i - 2)].Send(GetAs(i));
+      waits[static_cast<std::size_t>(i - 2)].Send(GetWithId(i));
     std::size_t all = before.size() + waits.size();
     Until(c.d.loop, [&] {
-      c.clients.Leave();
+      c.clients.ContinueShutdown();
       return c.d.caches.sent.size() == all;
     });
     for (std::size_t i = 0; i < all; ++i)
-      c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
+      c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "ok");
     for (Far& f : waits) {
-      c.Hear(f, "\r\n\r\nok");
+      c.WaitFor(f, "\r\n\r\nok");
       assert(f.Hears("Connection: close\r\n"));
       Until(c.d.loop, [&] {
         f.Read();
         return f.over;
       });
     }
-    c.leave();
+    c.RunShutdown();
   }
 }
 
-// Bytes of it are in the system's buffers as the stop begins: looked at once more, and answered.
-void ARequestThatCrossesTheStopIsAnswered() {
-  Counter c;
-  Far f = c.Come();
+// Bytes of the request are in the kernel's buffers when the shutdown starts: they are read once
+// more, and answered.
+void ARequestThatCrossesTheShutdownIsServed() {
+  ServerFixture c;
+  Far f = c.Connect();
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
-  f.Send(GetAs(1));
+  f.Send(GetWithId(1));
   Until(c.d.loop, [&] {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     return c.d.caches.sent.size() == 1;
   });
-  c.Finish(c.attempt(0), Said(Ending::kFinished), "ok");
-  c.Hear(f, "\r\n\r\nok");
+  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), "ok");
+  c.WaitFor(f, "\r\n\r\nok");
   assert(f.Hears("Connection: close\r\n"));
-  c.leave();
+  c.RunShutdown();
 }
 
-// It comes after the poll of the turn that would shut the connection: it is read before that, and
-// served.
-void ARequestThatComesBeforeTheShutdownInAStopIsServed() {
-  Counter c;
-  Slow slow(c);
-  c.clients.Leave();
+// The request arrives after the poll of the iteration that would half-close the connection: it is
+// read before that, and served.
+void ARequestThatArrivesBeforeTheHalfCloseInShutdownIsServed() {
+  ServerFixture c;
+  SlowClient slow(c);
+  c.clients.ContinueShutdown();
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
-  Meanwhile now(c.d.loop, [&] {
-    slow.far.Send(GetAs(2));
-    c.clients.Leave();
+  MidIteration now(c.d.loop, [&] {
+    slow.far.Send(GetWithId(2));
+    c.clients.ContinueShutdown();
   });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos &&
          slow.far.Hears("Connection: close\r\n"));
@@ -554,19 +560,20 @@
     return slow.far.over;
   });
   assert(!IsReset(slow.far));
-  c.leave();  // though it never closes
+  c.RunShutdown();  // though the client never closes
 }
 
-// It comes after the shutdown: the answer before it arrives whole, it is not sent on.
-void ARequestThatCrossesTheShutdownInAStopTakesNoAnswerWithIt() {
-  Counter c;
-  Slow slow(c);
-  c.clients.Leave();
+// The request arrives after the half-close: the response before it arrives whole, and the request
+// is not forwarded.
+void ARequestThatCrossesTheHalfCloseInShutdownLosesNoResponse() {
+  ServerFixture c;
+  SlowClient slow(c);
+  c.clients.ContinueShutdown();
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
-  Meanwhile now(c.d.loop, [&] {
-    c.clients.Leave();
-    slow.far.Send(GetAs(2));
+  MidIteration now(c.d.loop, [&] {
+    c.clients.ContinueShutdown();
+    slow.far.Send(GetWithId(2));
   });
   Until(c.d.loop, [&] { return slow.HasAll(); });
   Until(c.d.loop, [&] {
@@ -574,45 +581,45 @@
     return slow.far.over;
   });
   assert(!IsReset(slow.far) && c.d.caches.sent.size() == 1);
-  c.leave();  // though it never closes
+  c.RunShutdown();  // though the client never closes
 }
 
-// Whole requests that were read behind an open one when the stop comes: each has its answer, and
-// the last one announces the close.
-void PipelinedRequestsAreAnsweredInAStop() {
-  Counter c;
-  Far f = c.Come();
-  f.Send(GetAs(1) + GetAs(2) + GetAs(3) + GetAs(4).substr(0, 60));
+// Complete requests that were read behind an open one when the shutdown starts: each gets its
+// response, and the last response announces the close.
+void PipelinedRequestsAreServedDuringShutdown() {
+  ServerFixture c;
+  Far f = c.Connect();
+  f.Send(GetWithId(1) + GetWithId(2) + GetWithId(3) + GetWithId(4).substr(0, 60));
   c.attempt(0);
   for (std::size_t i = 0; i < 3; ++i) {
     for (int turns = 0; turns < 3; ++turns) {
-      c.clients.Leave();
+      c.clients.ContinueShutdown();
       c.d.loop.turn(0);
     }
-    c.Finish(c.attempt(i), Said(Ending::kFinished), "body" + std::to_string(i));
-    c.Hear(f, "\r\n\r\nbody" + std::to_string(i));
+    c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "body" + std::to_string(i));
+    c.WaitFor(f, "\r\n\r\nbody" + std::to_string(i));
     assert(f.Hears("Connection: close\r\n") == (i == 2));
   }
   Until(c.d.loop, [&] {
     f.Read();
     return f.over;
   });
-  c.leave();
+  c.RunShutdown();
   assert(c.d.caches.sent.size() == 3);
 }
 
-// Each whole request that was read has an answer, also behind one that is refused for what it asks;
-// behind one whose end can't be told nothing is a request.
-void WhatLiesBehindARefusedRequestIsAnswered() {
-  Counter c;
-  Far f = c.Come();
-  f.Send(Get("", "/odd") + GetAs(1));
+// Each complete request that was read gets a response, also behind one that is rejected for its
+// content; behind one whose end can't be determined nothing counts as a request.
+void RequestsBehindARejectedOneAreServed() {
+  ServerFixture c;
+  Far f = c.Connect();
+  f.Send(Get("", "/odd") + GetWithId(1));
   AttemptKey key = c.attempt(0);
-  c.Hear(f, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-  c.Finish(key, Said(Ending::kFinished), "ok");
-  c.Hear(f, "\r\n\r\nok");
+  c.WaitFor(f, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+  c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
+  c.WaitFor(f, "\r\n\r\nok");
   f.Send(Get("", "/odd"));
-  c.Hear(f, "Connection: close\r\n\r\n");
+  c.WaitFor(f, "Connection: close\r\n\r\n");
   Until(c.d.loop, [&] {
     f.Read();
     return f.over;
@@ -620,37 +627,38 @@
   assert(c.d.exchange.counters.bad_requests == 2);
 }
 
-// All places are taken and a newcomer's request is on its way as another one comes: the newcomer is
-// spared for a moment.
-void ANewcomersRequestOnItsWayIsAwaited() {
-  Counter c(2);
-  Far busy = c.Come(), served = c.Come();
-  busy.Send(GetAs(0));
+// All slots are taken and the request of a new connection is in transit when another client
+// connects: the new connection is kept for a moment.
+void ANewConnectionHasTimeForItsRequest() {
+  ServerFixture c(2);
+  Far busy = c.Connect(), served = c.Connect();
+  busy.Send(GetWithId(0));
   c.attempt(0);
   served.Send("GET /alive HTTP/1.1\r\n\r\n");
-  c.Hear(served, "HTTP/1.1 200");
-  Far newcomer = c.Come(), next = c.Come();
+  c.WaitFor(served, "HTTP/1.1 200");
+  Far newcomer = c.Connect(), next = c.Connect();
   Until(c.d.loop, [&] {
     served.Read();
     return served.over;
   });
   for (int turns = 0; turns < 5; ++turns)
     c.d.loop.turn(0);
-  newcomer.Send(GetAs(1));
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "ok");
-  c.Hear(newcomer, "\r\n\r\nok");
-  next.Send(GetAs(2));
+  newcomer.Send(GetWithId(1));
+  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "ok");
+  c.WaitFor(newcomer, "\r\n\r\nok");
+  next.Send(GetWithId(2));
   c.attempt(2);
 }
 
-// One that says nothing keeps its place no longer than that, also where nobody else rests.
-void ASilentNewcomerMakesRoomInTheEnd() {
-  Counter c(1);
-  Far busy = c.Come();
-  busy.Send(GetAs(0));
+// A connection without a request keeps its slot no longer than that, also where no other connection
+// is idle.
+void ASilentNewConnectionIsClosedForItsSlot() {
+  ServerFixture c(1);
+  Far busy = c.Connect();
+  busy.Send(GetWithId(0));
   c.attempt(0);
-  Far silent = c.Come(), next = c.Come();
-  next.Send(GetAs(1));
+  Far silent = c.Connect(), next = c.Connect();
+  next.Send(GetWithId(1));
   c.attempt(1);
   Until(c.d.loop, [&] {
     silent.Read();
@@ -659,11 +667,11 @@
   assert(silent.got.empty());
 }
 
-// Its connection has carried no request: it is closed outright, so that what crosses the close
-// stays unread and takes no place.
-void WhoNeverSpokeDoesNotLinger() {
-  Counter c;
-  Far silent = c.Come();
+// The connection has carried no request: it is closed in both directions, so that a request that
+// crosses the close stays unread, and the connection does not linger.
+void ConnectionsWithoutARequestDoNotLinger() {
+  ServerFixture c;
+  Far silent = c.Connect();
   c.d.loop.Skip(2600);
   Until(c.d.loop, [&] {
     silent.Read();
@@ -672,14 +680,14 @@
   assert(c.clients.empty());
 }
 
-void HalfARequestIsRefusedInAStop() {
-  Counter c;
-  Far f = c.Come();
+void APartialRequestIsRejectedDuringShutdown() {
+  ServerFixture c;
+  Far f = c.Connect();
   f.Send(Get().substr(0, 40));
   for (int i = 0; i < 3; ++i)
     c.d.loop.turn(0);
   Until(c.d.loop, [&] {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     return f.Hears("\r\n\r\n");
   });
   assert(f.Hears("HTTP/1.1 503 ") && f.Hears("Connection: close\r\n"));
@@ -688,14 +696,14 @@
     f.Read();
     return f.over;
   });
-  c.leave();
+  c.RunShutdown();
   assert(c.d.caches.sent.empty() && c.d.exchange.counters.bad_requests == 0);
 }
 
-// Answers go out to a client that takes nothing until the system's buffers are full. In a stop that
-// is waited for no longer than anybody wants the answer; no exit waits for a dead client.
-void WhoTakesNothingHoldsNoStopUp() {
-  Counter c;
+// Responses are written to a client that does not read until the kernel's buffers are full. A
+// shutdown waits for it no longer than the response is wanted, and never for a dead client.
+void ClientsThatDoNotReadDoNotDelayShutdown() {
+  ServerFixture c;
   Far f(loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0)));
   int small = 1 << 12;
   ::setsockopt(f.fd.Get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
@@ -703,7 +711,7 @@
   ::fcntl(f.fd.Get(), F_SETFL, O_NONBLOCK);
   std::string request = Get();
   request.replace(request.find("60000"), 5, "2500");
-  std::string body(exchange::kMostBytes, 'x');
+  std::string body(exchange::kMaxObjectBytes, 'x');
   auto sent_on = [&](std::size_t which) {
     for (int i = 0; i < 50 && c.d.caches.sent.size() <= which; ++i)
       c.d.loop.turn(1);
@@ -712,31 +720,31 @@
   std::size_t which = 0;
   for (f.Send(request); sent_on(which); ++which, f.Send(request)) {
     assert(which < 200);
-    c.Finish(c.attempt(which), Said(Ending::kFinished), body);
+    c.Finish(c.attempt(which), MakeResponseHead(Ending::kFinished), body);
   }
   for (int i = 0; i < 3; ++i) {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     c.d.loop.turn(0);
   }
   assert(!c.clients.empty());
   c.d.loop.Skip(3100);
   for (int i = 0; i < 3; ++i) {
-    c.clients.Leave();
+    c.clients.ContinueShutdown();
     c.d.loop.turn(0);
   }
   assert(c.clients.empty());
 }
 
-void ABrokenStreamCanBeNotified() {
+void AnAbortedStreamIsDetectable() {
   StoreSettings s = kit::Settings();
   s.request_classes[0].streams = true;
-  Counter c(50, s);
-  Far f = c.Come();
+  ServerFixture c(50, s);
+  Far f = c.Connect();
   f.Send(Get());
   AttemptKey key = c.attempt(0);
-  c.d.exchange.AnswerBegun(key, Said(Ending::kFinished), 10);
-  c.d.exchange.AnswerBytes(key, "half");
-  c.d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
+  c.d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(Ending::kFinished), 10);
+  c.d.exchange.OnAttemptResponseData(key, "half");
+  c.d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
   Until(c.d.loop, [&] {
     f.Read();
     return f.over;
@@ -744,35 +752,35 @@
   assert(f.Hears("Content-Length: 10\r\n") && f.got.ends_with("\r\n\r\nhalf"));
 }
 
-void IdleClientsMakeRoom() {
-  Counter c(3);
-  Far one = c.Come(), two = c.Come();
-  one.Send(GetAs(1));
+void IdleConnectionsAreClosedForTheirSlots() {
+  ServerFixture c(3);
+  Far one = c.Connect(), two = c.Connect();
+  one.Send(GetWithId(1));
   c.attempt(0);
-  Far three = c.Come(), four = c.Come();  // two has been idle longest
+  Far three = c.Connect(), four = c.Connect();  // two has been idle longest
   Until(c.d.loop, [&] {
     two.Read();
     return two.over;
   });
-  four.Send(GetAs(2));
+  four.Send(GetWithId(2));
   c.attempt(1);
   assert(!(one.Read(), one.over));
-  // With all places taken a newcomer waits, until one of them has its answer.
-  three.Send(GetAs(3));
+  // With all slots taken a new connection waits until one of them has its response.
+  three.Send(GetWithId(3));
   c.attempt(2);
-  Far five = c.Come(), six = c.Come();
-  five.Send(GetAs(4));
+  Far five = c.Connect(), six = c.Connect();
+  five.Send(GetWithId(4));
   c.attempt(3);
-  six.Send(GetAs(5));
+  six.Send(GetWithId(5));
   for (int i = 0; i < 20; ++i)
     c.d.loop.turn(1);
   assert(c.d.caches.sent.size() == 4);
-  c.Finish(c.attempt(0), Said(Ending::kFinished));
+  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished));
   c.attempt(4);
 }
 
-void NoDescriptorsIsNoSpin() {
-  Counter c;
+void DescriptorExhaustionDoesNotSpin() {
+  ServerFixture c;
   Far f(loop::Descriptor(::socket(AF_INET, SOCK_STREAM, 0)));
   rlimit before{}, none{};
   ::getrlimit(RLIMIT_NOFILE, &before);
@@ -781,57 +789,58 @@
   ::setrlimit(RLIMIT_NOFILE, &none);
   assert(::connect(f.fd.Get(), reinterpret_cast<const sockaddr*>(&c.at), sizeof c.at) == 0);
   ::fcntl(f.fd.Get(), F_SETFL, O_NONBLOCK);
-  Until(c.d.loop, [&] { return c.d.exchange.counters.short_of_descriptors > 0; });
+  Until(c.d.loop, [&] { return c.d.exchange.counters.descriptor_shortages > 0; });
   ::setrlimit(RLIMIT_NOFILE, &before);
   f.Send(Get());
-  c.attempt(0);  // served once there are some again
-  assert(c.d.exchange.counters.short_of_descriptors < 20);
+  c.attempt(0);  // served once there are descriptors again
+  assert(c.d.exchange.counters.descriptor_shortages < 20);
 }
 
 }  // namespace
 
-int main(int count, char** words) {  // all, or the one named
+int main(int count, char** words) {  // runs all cases, or the named one
   struct Case {
     const char* name;
     void (*run)();
   };
   for (Case c :
-       {Case{"clients are answered", ClientsAreAnswered},
-        {"big answers wait for slow clients", BigAnswersWaitForSlowClients},
-        {"bad requests are refused alone", BadRequestsAreRefusedAlone},
-        {"who says nothing goes", WhoSaysNothingGoes},
-        {"who closes is owed nothing", WhoClosesIsOwedNothing},
-        {"a request that came with its close is not sent on",
-         ARequestThatCameWithItsCloseIsNotSentOn},
-        {"a second request is not sent on when its client has left",
-         ASecondRequestIsNotSentOnWhenItsClientHasLeft},
-        {"a request behind an open one is not sent on after its close",
-         ARequestBehindAnOpenOneIsNotSentOnAfterItsClose},
-        {"a request that comes before the sweep's close is served",
-         ARequestThatComesBeforeTheSweepsCloseIsServed},
-        {"a request that crosses the sweep takes no answer with it",
-         ARequestThatCrossesTheSweepTakesNoAnswerWithIt},
-        {"a request that comes as room is made is served", ARequestThatComesAsRoomIsMadeIsServed},
-        {"who comes with a request is not put out unread", WhoComesWithARequestIsNotPutOutUnread},
-        {"who lingers takes no place", WhoLingersTakesNoPlace},
-        {"bad clients end alone", BadClientsEndAlone},
-        {"an endless header is bounded", AnEndlessHeaderIsBounded},
-        {"the backlog is answered in a stop", TheBacklogIsAnsweredInAStop},
-        {"a request that crosses the stop is answered", ARequestThatCrossesTheStopIsAnswered},
-        {"a request that comes before the shutdown in a stop is served",
-         ARequestThatComesBeforeTheShutdownInAStopIsServed},
-        {"a request that crosses the shutdown in a stop takes no answer with it",
-         ARequestThatCrossesTheShutdownInAStopTakesNoAnswerWithIt},
-        {"pipelined requests are answered in a stop", PipelinedRequestsAreAnsweredInAStop},
-        {"what lies behind a refused request is answered", WhatLiesBehindARefusedRequestIsAnswered},
-        {"a newcomer's request on its way is awaited", ANewcomersRequestOnItsWayIsAwaited},
-        {"a silent newcomer makes room in the end", ASilentNewcomerMakesRoomInTheEnd},
-        {"who never spoke does not linger", WhoNeverSpokeDoesNotLinger},
-        {"half a request is refused in a stop", HalfARequestIsRefusedInAStop},
-        {"who takes nothing holds no stop up", WhoTakesNothingHoldsNoStopUp},
-        {"a broken stream can be told", ABrokenStreamCanBeNotified},
-        {"idle clients make room", IdleClientsMakeRoom},
-        {"no descriptors is no spin", NoDescriptorsIsNoSpin}}) {
+       {Case{"clients get responses", ClientsGetResponses},
+        {"large responses wait for slow clients", LargeResponsesWaitForSlowClients},
+        {"bad requests are rejected individually", BadRequestsAreRejectedIndividually},
+        {"silent clients are disconnected", SilentClientsAreDisconnected},
+        {"closing clients get no response", ClosingClientsGetNoResponse},
+        {"a request that arrives with its close is not forwarded",
+         ARequestThatArrivesWithItsCloseIsNotForwarded},
+        {"a second request is not forwarded after its client disconnected",
+         ASecondRequestIsNotForwardedAfterItsClientDisconnected},
+        {"a pipelined request is not forwarded after its close",
+         APipelinedRequestIsNotForwardedAfterItsClose},
+        {"a request that arrives before the idle close is served",
+         ARequestThatArrivesBeforeTheIdleCloseIsServed},
+        {"a request that crosses the idle close loses no response",
+         ARequestThatCrossesTheIdleCloseLosesNoResponse},
+        {"a request that arrives before a slot is freed is served",
+         ARequestThatArrivesBeforeASlotIsFreedIsServed},
+        {"new connections are not closed unread", NewConnectionsAreNotClosedUnread},
+        {"lingering connections take no slot", LingeringConnectionsTakeNoSlot},
+        {"bad clients affect no others", BadClientsAffectNoOthers},
+        {"an endless header is limited", AnEndlessHeaderIsLimited},
+        {"the backlog is served during shutdown", TheBacklogIsServedDuringShutdown},
+        {"a request that crosses the shutdown is served", ARequestThatCrossesTheShutdownIsServed},
+        {"a request that arrives before the half-close in shutdown is served",
+         ARequestThatArrivesBeforeTheHalfCloseInShutdownIsServed},
+        {"a request that crosses the half-close in shutdown loses no response",
+         ARequestThatCrossesTheHalfCloseInShutdownLosesNoResponse},
+        {"pipelined requests are served during shutdown", PipelinedRequestsAreServedDuringShutdown},
+        {"requests behind a rejected one are served", RequestsBehindARejectedOneAreServed},
+        {"a new connection has time for its request", ANewConnectionHasTimeForItsRequest},
+        {"a silent new connection is closed for its slot", ASilentNewConnectionIsClosedForItsSlot},
+        {"connections without a request do not linger", ConnectionsWithoutARequestDoNotLinger},
+        {"a partial request is rejected during shutdown", APartialRequestIsRejectedDuringShutdown},
+        {"clients that do not read do not delay shutdown", ClientsThatDoNotReadDoNotDelayShutdown},
+        {"an aborted stream is detectable", AnAbortedStreamIsDetectable},
+        {"idle connections are closed for their slots", IdleConnectionsAreClosedForTheirSlots},
+        {"descriptor exhaustion does not spin", DescriptorExhaustionDoesNotSpin}}) {
     if (count > 1 && std::string_view(words[1]) != c.name)
       continue;
     std::puts(c.name);
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -1,5 +1,5 @@
-// The clients' side at its limits, on the staged ground: time is virtual there, and every wake-up
-// is counted.
+// Tests of the HTTP server at its limits, on the simulated network: time is virtual there, and
+// every wake-up is counted.
 #include "clients/clients.hpp"
 #include "sides.hpp"
 #include "stage/stage.hpp"
@@ -10,7 +10,7 @@
 
 const loop::Address kThere = stage::AddressOf(0x0a000002, 80);
 
-struct Peer final : loop::Connection::Owner {  // a client that never closes
+struct FakeClient final : loop::Connection::Owner {  // a client that never closes
   std::string got;
   bool over = false;
   std::unique_ptr<loop::Connection> connection;
@@ -23,37 +23,37 @@
   }
 };
 
-struct Tier {
+struct ServerFixture {
   stage::Net net{1};
   stage::Process &peers, &front;
-  Sent caches;
+  RecordingTransport caches;
   std::unique_ptr<exchange::Exchange> exchange;
-  std::unique_ptr<clients::Clients> clients;
-  std::vector<std::unique_ptr<Peer>> all;
+  std::unique_ptr<clients::HttpServer> clients;
+  std::vector<std::unique_ptr<FakeClient>> all;
 
-  Tier(std::size_t descriptors, std::size_t most)
+  ServerFixture(std::size_t descriptors, std::size_t most)
       : peers(net.Start(0x0a000001, "clients")),
         front(net.Start(0x0a000002, "front", descriptors)) {
     front.Act([&] {
       exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::Settings(), 1);
-      exchange->Meet(caches);
-      exchange->ListCame(true, Machines({{"origin", {}}, {"s-0", {}}}));
-      clients =
-          std::make_unique<clients::Clients>(front.loop(), *exchange, MakeTerms().request_classes,
-                                             std::vector<bool>{false, true}, kThere, most);
+      exchange->SetUpstreamTransport(caches);
+      exchange->OnListUpdate(true, MakeEndpointList({{"origin", {}}, {"s-0", {}}}));
+      clients = std::make_unique<clients::HttpServer>(front.loop(), *exchange,
+                                                      MakeConnectionSettings().request_classes,
+                                                      std::vector<bool>{false, true}, kThere, most);
     });
   }
-  ~Tier() {
+  ~ServerFixture() {
     front.Act([&] {
       clients.reset();
       exchange.reset();
     });
     peers.Act([&] { all.clear(); });
   }
-  void Come(const std::string& request) {
+  void Connect(const std::string& request) {
     peers.Act([&] {
-      all.push_back(std::make_unique<Peer>());
-      Peer& p = *all.back();
+      all.push_back(std::make_unique<FakeClient>());
+      FakeClient& p = *all.back();
       p.connection = std::make_unique<loop::Connection>(peers.loop(), p, kThere, 60000);
       p.connection->Send(request);
     });
@@ -65,12 +65,13 @@
   }
 };
 
-// The process is out of descriptors long before the places are: no wake-up but for the listener's
-// rests and the sweep, and who rests longest makes room, so that all are served.
-void OutOfDescriptorsAllAreServedWithoutSpinning() {
-  Tier t(8, 50);  // three for the system, one listens: four clients
+// The process runs out of descriptors long before the connection limit: it wakes up only for the
+// listener's pauses and the timeout checks, and the connection that has been idle longest is closed
+// for its slot, so that all clients are served.
+void WithoutFreeDescriptorsAllAreServedWithoutSpinning() {
+  ServerFixture t(8, 50);  // three for the system, one for the listener: four clients
   for (int i = 0; i < 10; ++i)
-    t.Come("GET /alive HTTP/1.1\r\n\r\n");
+    t.Connect("GET /alive HTTP/1.1\r\n\r\n");
   std::uint64_t events = t.EventsIn(6000);
   std::printf("  %llu events\n", static_cast<unsigned long long>(events));
   assert(events < 600);
@@ -78,12 +79,13 @@
     assert(p->got.starts_with("HTTP/1.1 200"));
 }
 
-// All places are taken by open requests, others wait in the backlog: the listener is left alone,
-// and only the look at who still waits, every 5 ms, wakes the front.
-void AllPlacesTakenIsNoSpin() {
-  Tier t(100, 2);
+// All connection slots are taken by open requests and other clients wait in the backlog: the
+// listener is not polled, and only the check every 5 ms whether a client still waits wakes the
+// front.
+void FullConnectionLimitDoesNotSpin() {
+  ServerFixture t(100, 2);
   for (int i = 0; i < 8; ++i) {
-    t.Come(GetAs(i));
+    t.Connect(GetWithId(i));
     t.EventsIn(10);
   }
   std::uint64_t events = t.EventsIn(3000);
@@ -91,42 +93,46 @@
   assert(t.caches.sent.size() == 3 && events < 900);
 }
 
-// A request waits in the backlog for two of its three seconds, until a place is free: what is
-// passed on is what its client has left.
-void ARequestThatWaitedToBeAcceptedTellsWhatItsClientHasLeft() {
+// A request waits in the backlog for two of its three seconds, until a slot is free: the time left
+// to its client is forwarded.
+void ARequestThatWaitedInTheBacklogForwardsTheTimeLeft() {
   constexpr Ms kWaits = 2000;
   constexpr Ms kSlack = 150;
   const std::string deadline = "X-Timeout-Ms: 60000", shorter = "X-Timeout-Ms: 3000";
-  Tier t(100, 2);
+  ServerFixture t(100, 2);
   for (int i = 0; i < 4; ++i) {
-    std::string request = GetAs(i);
-    t.Come(request.replace(request.find(deadline), deadline.size(), shorter));
+    std::string request = GetWithId(i);
+    t.Connect(request.replace(request.find(deadline), deadline.size(), shorter));
     t.EventsIn(10);
   }
   assert(t.caches.sent.size() == 3);
   t.EventsIn(kWaits);
-  t.front.Act([&] { t.exchange->AnswerWhole(t.caches.sent[0].key, Said(Ending::kFinished)); });
+  t.front.Act([&] {
+    t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key,
+                                          MakeResponseHead(Ending::kFinished));
+  });
   t.EventsIn(10);
   assert(t.caches.sent.size() == 4);
-  assert(t.caches.sent[3].how.timeout <= 3000 - kWaits + kSlack);
+  assert(t.caches.sent[3].action.timeout <= 3000 - kWaits + kSlack);
 }
 
-// The same for one that waits until its client has taken the answer before it.
-void ARequestThatWaitedForAnAnswerToGoOutTellsWhatItsClientHasLeft() {
+// The same for a request that waits until its client has read the previous response.
+void ARequestThatWaitedForAResponseForwardsTheTimeLeft() {
   constexpr Ms kWaits = 2000;
   constexpr Ms kSlack = 150;
-  constexpr std::size_t kMuch = 200000;  // more than the network holds
+  constexpr std::size_t kMuch = 200000;  // more than the network buffers
   const std::string deadline = "X-Timeout-Ms: 60000", shorter = "X-Timeout-Ms: 3000";
-  Tier t(100, 2);
-  std::string second = GetAs(2);
+  ServerFixture t(100, 2);
+  std::string second = GetWithId(2);
   second.replace(second.find(deadline), deadline.size(), shorter);
-  t.Come(GetAs(1) + second);
+  t.Connect(GetWithId(1) + second);
   t.peers.Act([&] { t.all[0]->connection->ReadUpTo(1); });
   t.EventsIn(10);
   assert(t.caches.sent.size() == 1);
   t.front.Act([&] {
-    t.exchange->AnswerBytes(t.caches.sent[0].key, std::string(kMuch, 'x'));
-    t.exchange->AnswerWhole(t.caches.sent[0].key, Said(Ending::kFinished));
+    t.exchange->OnAttemptResponseData(t.caches.sent[0].key, std::string(kMuch, 'x'));
+    t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key,
+                                          MakeResponseHead(Ending::kFinished));
   });
   t.peers.Act([&] { t.all[0]->connection->ReadUpTo(0); });
   t.EventsIn(kWaits);
@@ -134,23 +140,23 @@
   t.peers.Act([&] { t.all[0]->connection->ReadUpTo(kMuch); });
   t.EventsIn(100);
   assert(t.caches.sent.size() == 2);
-  assert(t.caches.sent[1].how.timeout <= 3000 - kWaits + kSlack);
+  assert(t.caches.sent[1].action.timeout <= 3000 - kWaits + kSlack);
 }
 
 }  // namespace
 
-int main(int count, char** words) {  // all, or the one named
+int main(int count, char** words) {  // runs all cases, or the named one
   struct Case {
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"out of descriptors, all are served without spinning",
-                      OutOfDescriptorsAllAreServedWithoutSpinning},
-                 {"all places taken is no spin", AllPlacesTakenIsNoSpin},
-                 {"a request that waited to be accepted tells what its client has left",
-                  ARequestThatWaitedToBeAcceptedTellsWhatItsClientHasLeft},
-                 {"a request that waited for an answer to go out tells what its client has left",
-                  ARequestThatWaitedForAnAnswerToGoOutTellsWhatItsClientHasLeft}}) {
+  for (Case c : {Case{"without free descriptors all are served without spinning",
+                      WithoutFreeDescriptorsAllAreServedWithoutSpinning},
+                 {"a full connection limit does not spin", FullConnectionLimitDoesNotSpin},
+                 {"a request that waited in the backlog forwards the time left",
+                  ARequestThatWaitedInTheBacklogForwardsTheTimeLeft},
+                 {"a request that waited for a response forwards the time left",
+                  ARequestThatWaitedForAResponseForwardsTheTimeLeft}}) {
     if (count > 1 && std::string_view(words[1]) != c.name)
       continue;
     std::puts(c.name);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -1,4 +1,5 @@
-// The exchange between noted sides: one answer a pull, whatever its legs come to.
+// Tests of the Exchange between a recording response sink and a recording transport: every request
+// gets one final response, whatever the results of its attempts.
 #include <algorithm>
 #include <unordered_map>
 
@@ -8,7 +9,7 @@
 
 namespace {
 
-void EveryRequestGetsOneAnswer() {
+void EveryRequestGetsOneResponse() {
   struct Case {
     Ending ending;
     std::vector<std::string> notified;
@@ -16,44 +17,45 @@
   };
   for (const Case& c :
        {Case{Ending::kFinished, {"200 t1"}, 1}, {Ending::kError, {}, 2}, {Ending::kFull, {}, 2}}) {
-    Desk d;
-    Asked client;
-    d.exchange.OnRequest(AskFor(), client);
+    ExchangeFixture d;
+    RecordingResponseSink client;
+    d.exchange.OnRequest(MakeRequest(), client);
     assert(d.caches.sent.size() == 1 && client.notified.empty());
     AttemptKey key = d.caches.sent[0].key;
-    d.exchange.AnswerBegun(key, Said(c.ending), 3);
-    d.exchange.AnswerBytes(key, "a\r");
-    d.exchange.AnswerBytes(key, "b");
-    d.exchange.AnswerWhole(key, Said(c.ending));
+    d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(c.ending), 3);
+    d.exchange.OnAttemptResponseData(key, "a\r");
+    d.exchange.OnAttemptResponseData(key, "b");
+    d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(c.ending));
     assert(client.Is(c.notified) && d.caches.sent.size() == c.attempts);
     assert(c.notified.empty() || client.body == "a\rb");
-    d.exchange.AnswerWhole(key, Said(Ending::kFinished));  // late, or twice
-    d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
-    assert(client.Is(c.notified) && d.exchange.OpenRequests() == (c.notified.empty() ? 1u : 0u));
+    d.exchange.OnAttemptResponseComplete(
+        key, MakeResponseHead(Ending::kFinished));  // late, or a duplicate
+    d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
+    assert(client.Is(c.notified) &&
+           d.exchange.OpenRequestCount() == (c.notified.empty() ? 1u : 0u));
   }
 }
 
-// An exclusive pull whose leg was written whole and broke may have run: it is abandoned. Not
-// written whole, or never up: it goes out again.
-void ExclusiveRequestsGoByWhatIsProven() {
+// An exclusive request whose attempt was fully written when the connection broke may have run, so
+// it fails. If it was not fully written, or never connected, it is sent again.
+void ExclusiveRequestsAreRepeatedOnlyIfUnsent() {
   for (bool whole : {false, true}) {
-    Desk d;
-    Asked client;
-    Ask a = AskFor();
+    ExchangeFixture d;
+    RecordingResponseSink client;
+    RequestMetadata a = MakeRequest();
     a.request_class = "write";
-    a.request_class_at = 1;
+    a.request_class_index = 1;
     a.body = "x";
     d.exchange.OnRequest(a, client);
-    d.exchange.AttemptLost(d.caches.sent[0].key, loop::DisconnectReason::kReset, whole);
+    d.exchange.OnAttemptDisconnected(d.caches.sent[0].key, loop::DisconnectReason::kReset, whole);
     assert(client.Is(whole ? std::vector<std::string>{"502"} : std::vector<std::string>{}) == true);
     assert(d.caches.sent.size() == (whole ? 1u : 2u));
   }
 }
 
-// A cache that calls the client's copy the one, where the client has told of none, is in error.
-// Nor is an object passed on without the tag and the age that belong to it; a write's answer has
-// neither.
-void NoCopyIsConfirmedThatNobodyHas() {
+// A cache that confirms the client's copy although the client named none is in error. An object is
+// not passed on without its entity tag and age either; the response to a write has neither.
+void InvalidCacheResponsesAreErrors() {
   struct Case {
     const char *held, *tag;
     bool dated;
@@ -67,94 +69,94 @@
                         {"", "t1", false, false, false, false},
                         {"", "t1", true, false, false, true},
                         {"", "", false, false, true, true}}) {
-    Desk d;
-    Asked client;
-    Ask a = AskFor();
-    a.tag = c.held;
+    ExchangeFixture d;
+    RecordingResponseSink client;
+    RequestMetadata a = MakeRequest();
+    a.entity_tag = c.held;
     if (c.writes) {
       a.request_class = "write";
-      a.request_class_at = 1;
+      a.request_class_index = 1;
     }
     d.exchange.OnRequest(a, client);
-    exchange::Word word = Said(Ending::kFinished);
-    word.unchanged = c.valid;
-    word.tag = c.tag;
-    word.dated = c.dated;
-    d.exchange.AnswerWhole(d.caches.sent[0].key, word);
+    exchange::ResponseHead word = MakeResponseHead(Ending::kFinished);
+    word.not_modified = c.valid;
+    word.entity_tag = c.tag;
+    word.has_issue_time = c.dated;
+    d.exchange.OnAttemptResponseComplete(d.caches.sent[0].key, word);
     assert(client.notified.size() == (c.fits ? 1u : 0u) &&
            d.caches.sent.size() == (c.fits ? 1u : 2u));
   }
 }
 
-void WhoLeavesIsOwedNothing() {
-  Desk d;
-  Asked client;
-  std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
-  d.exchange.OnClientLeft(request);
-  assert(d.caches.given_up.size() == 1 && d.exchange.OpenRequests() == 0);
-  d.exchange.AnswerWhole(d.caches.sent[0].key, Said(Ending::kFinished));
+void DisconnectedClientsGetNoResponse() {
+  ExchangeFixture d;
+  RecordingResponseSink client;
+  std::uint32_t request = d.exchange.OnRequest(MakeRequest(), client);
+  d.exchange.OnClientDisconnected(request);
+  assert(d.caches.cancelled.size() == 1 && d.exchange.OpenRequestCount() == 0);
+  d.exchange.OnAttemptResponseComplete(d.caches.sent[0].key, MakeResponseHead(Ending::kFinished));
   assert(client.notified.empty());
 }
 
-void OverdueRequestsAreAnswered() {
-  Desk d;
-  Asked client;
-  Ask a = AskFor();
+void OverdueRequestsAreRejected() {
+  ExchangeFixture d;
+  RecordingResponseSink client;
+  RequestMetadata a = MakeRequest();
   a.ttl = 30;
   d.exchange.OnRequest(a, client);
   Until(d.loop, [&] { return !client.notified.empty(); });
-  assert(client.notified[0].substr(0, 3) == "503" && d.caches.given_up.size() == 1 &&
-         d.exchange.OpenRequests() == 0);
+  assert(client.notified[0].substr(0, 3) == "503" && d.caches.cancelled.size() == 1 &&
+         d.exchange.OpenRequestCount() == 0);
 }
 
-void StreamsArePassedOnAsTheyCome() {
+void StreamsAreForwardedAsTheyArrive() {
   StoreSettings s = kit::Settings();
   s.request_classes[0].streams = true;
   for (int end = 0; end < 3; ++end) {
-    Desk d(s);
-    Asked client;
-    std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
+    ExchangeFixture d(s);
+    RecordingResponseSink client;
+    std::uint32_t request = d.exchange.OnRequest(MakeRequest(), client);
     AttemptKey key = d.caches.sent[0].key;
-    d.exchange.AnswerBegun(key, Said(Ending::kFinished), 4);
-    d.exchange.AnswerBytes(key, "ab");
+    d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(Ending::kFinished), 4);
+    d.exchange.OnAttemptResponseData(key, "ab");
     assert(client.Is({"begun t1"}) && client.body == "ab");
     if (end == 0)
-      d.exchange.AnswerWhole(key, Said(Ending::kFinished));
+      d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(Ending::kFinished));
     if (end == 1)
-      d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
+      d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
     if (end == 2)
-      d.exchange.OnClientLeft(request);
-    assert(client.notified.size() == (end == 2 ? 1u : 2u) && d.exchange.OpenRequests() == 0);
+      d.exchange.OnClientDisconnected(request);
+    assert(client.notified.size() == (end == 2 ? 1u : 2u) && d.exchange.OpenRequestCount() == 0);
     assert(end == 2 || client.notified[1] == (end == 0 ? "completed" : "broke"));
-    assert(d.caches.given_up.size() == (end == 2 ? 1u : 0u));
+    assert(d.caches.cancelled.size() == (end == 2 ? 1u : 0u));
   }
 }
 
-// A machine keeps its number while it is listed; some minutes after it has left, told so or lacking
-// from a whole list, nothing of it is kept.
-void MachinesThatLeftAreForgotten() {
+// An endpoint keeps its number while it is listed. Some minutes after it was listed as gone, or was
+// missing from a complete list, nothing of it is kept.
+void RemovedEndpointsAreForgotten() {
   for (bool notified : {true, false}) {
-    Desk d(kit::Settings(), 2);
-    auto two = Machines({{"s-0", {}}, {"s-1", {}}});
+    ExchangeFixture d(kit::Settings(), 2);
+    auto two = MakeEndpointList({{"s-0", {}}, {"s-1", {}}});
     if (notified)
       two[1].entry.standing = Standing::kGone;
     else
       two.pop_back();
-    d.exchange.ListCame(!notified, two);
+    d.exchange.OnListUpdate(!notified, two);
     d.loop.Skip(100000);
     two.resize(1);
-    d.exchange.ListCame(false, two);
-    assert(d.caches.forgotten.empty());
+    d.exchange.OnListUpdate(false, two);
+    assert(d.caches.removed.empty());
     d.loop.Skip(100000);
-    d.exchange.ListCame(false, two);
-    assert(d.caches.forgotten.size() ==
+    d.exchange.OnListUpdate(false, two);
+    assert(d.caches.removed.size() ==
            (notified ? 1u : 2u));  // the origin was not on the second list either
   }
 }
 
-// The numbers as they are to come out at all replicas: the id's hash, and past those that are
-// taken, looked for one by one.
-struct NumberedInTurn {
+// The numbers that all replicas must compute: the hash of the id or, if that is taken, the next
+// free number.
+struct ExpectedNumbers {
   std::map<std::string, std::uint32_t> numbers;
   static std::uint32_t HashOf(std::string_view name) {
     std::uint64_t h = 0xcbf29ce484222325ull;
@@ -183,25 +185,26 @@
   std::unordered_map<std::uint32_t, std::string> by_hash;
   for (int i = 0; found.size() < pairs; ++i) {
     std::string name = "node-" + std::to_string(i);
-    auto [first, isNew] = by_hash.emplace(NumberedInTurn::HashOf(name), name);
+    auto [first, isNew] = by_hash.emplace(ExpectedNumbers::HashOf(name), name);
     if (!isNew)
       found.emplace_back(first->second, name);
   }
   return found;
 }
 
-void ListAll(Desk& d, const std::vector<std::string>& names, Standing standing = Standing::kReady) {
+void ListAll(ExchangeFixture& d, const std::vector<std::string>& names,
+             Standing standing = Standing::kReady) {
   std::vector<std::pair<std::string, loop::Address>> all;
   for (const std::string& name : names)
     all.push_back({name, {}});
-  auto entries = Machines(all);
-  for (exchange::Listed& one : entries)
+  auto entries = MakeEndpointList(all);
+  for (exchange::ListedEndpoint& one : entries)
     one.entry.standing = standing;
-  d.exchange.ListCame(false, entries);
+  d.exchange.OnListUpdate(false, entries);
 }
 
-// Replicas that read the same list come to the same numbers, also where the hashes of ids collide.
-void NumbersAreGivenInTurn() {
+// Replicas that read the same list compute the same numbers, also where hashes of ids collide.
+void NumbersAreAssignedInOrder() {
   auto pairs = CollidingIds(6);
   std::vector<std::string> names;
   for (auto& [first, second] : pairs) {
@@ -214,41 +217,41 @@
   for (bool backwards : {false, true}) {
     if (backwards)
       std::reverse(names.begin(), names.end());
-    Desk d;
-    NumberedInTurn expected;
+    ExchangeFixture d;
+    ExpectedNumbers expected;
     for (auto& [name, number] : d.caches.numbers)
       expected.Add(name);
     assert(d.caches.numbers == expected.numbers);
     for (const std::string& name : names)
       expected.Add(name);
     ListAll(d, names);
-    ListAll(d, names);  // once more: nothing changes
+    ListAll(d, names);  // listed again: nothing changes
     assert(d.caches.numbers == expected.numbers);
     for (auto& [first, second] : pairs)
-      assert(d.caches.numbers[backwards ? first : second] == NumberedInTurn::HashOf(first) + 1);
+      assert(d.caches.numbers[backwards ? first : second] == ExpectedNumbers::HashOf(first) + 1);
   }
 }
 
-// The number of a server that left long ago is free for another one; that of a server that is
-// listed stays taken.
-void NumbersOfThoseLongGoneAreFree() {
+// The number of an endpoint that was removed long ago can be used for another one; the number of a
+// listed endpoint stays taken.
+void NumbersOfForgottenEndpointsAreReused() {
   constexpr Ms kLongAfter = 200000;
   auto [first, second] = CollidingIds(1).front();
-  std::uint32_t number = NumberedInTurn::HashOf(first);
-  Desk d;
+  std::uint32_t number = ExpectedNumbers::HashOf(first);
+  ExchangeFixture d;
   ListAll(d, {first, second});
   assert(d.caches.numbers[first] == number && d.caches.numbers[second] == number + 1);
   ListAll(d, {first}, Standing::kGone);
   ListAll(d, {second}, Standing::kGone);
-  ListAll(d, {second});  // it is back before it is forgotten
+  ListAll(d, {second});  // it is listed again before it is forgotten
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});
-  assert(d.caches.forgotten == std::vector<std::uint32_t>{number} &&
+  assert(d.caches.removed == std::vector<std::uint32_t>{number} &&
          d.caches.numbers[second] == number + 1);
   ListAll(d, {second}, Standing::kGone);
   d.loop.Skip(kLongAfter);
-  ListAll(d, {second});  // forgotten and new in one
-  assert(d.caches.forgotten.size() == 2 && d.caches.numbers[second] == number);
+  ListAll(d, {second});  // forgotten and added in one call
+  assert(d.caches.removed.size() == 2 && d.caches.numbers[second] == number);
   ListAll(d, {first});
   assert(d.caches.numbers[first] == number + 1);
 }
@@ -260,15 +263,17 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"every pull gets one answer", EveryRequestGetsOneAnswer},
-                 {"exclusive pulls go by what is proven", ExclusiveRequestsGoByWhatIsProven},
-                 {"no copy is confirmed that nobody has", NoCopyIsConfirmedThatNobodyHas},
-                 {"who leaves is owed nothing", WhoLeavesIsOwedNothing},
-                 {"overdue pulls are answered", OverdueRequestsAreAnswered},
-                 {"streams are passed on as they come", StreamsArePassedOnAsTheyCome},
-                 {"machines that left are forgotten", MachinesThatLeftAreForgotten},
-                 {"numbers are given in turn", NumbersAreGivenInTurn},
-                 {"numbers of those long gone are free", NumbersOfThoseLongGoneAreFree}}) {
+  for (Case c :
+       {Case{"every request gets one response", EveryRequestGetsOneResponse},
+        {"exclusive requests are repeated only if unsent",
+         ExclusiveRequestsAreRepeatedOnlyIfUnsent},
+        {"invalid cache responses are errors", InvalidCacheResponsesAreErrors},
+        {"disconnected clients get no response", DisconnectedClientsGetNoResponse},
+        {"overdue requests are rejected", OverdueRequestsAreRejected},
+        {"streams are forwarded as they arrive", StreamsAreForwardedAsTheyArrive},
+        {"removed endpoints are forgotten", RemovedEndpointsAreForgotten},
+        {"numbers are assigned in order", NumbersAreAssignedInOrder},
+        {"numbers of forgotten endpoints are reused", NumbersOfForgottenEndpointsAreReused}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
--- a/tests/exposition_test.cpp
+++ b/tests/exposition_test.cpp
@@ -48,6 +48,6 @@
   CHECK(*values.begin() == static_cast<double>(numbers[0]));
   CHECK(*values.rbegin() == static_cast<double>(numbers[kCounters - 1]));
   CHECK(exported.at("dunlinwick_pulls_total") == static_cast<double>(c.requests));
-  CHECK(exported.at("dunlinwick_late_total") == static_cast<double>(c.late_answers));
-  CHECK(exported.at("dunlinwick_reloads_total") == static_cast<double>(c.reloads));
+  CHECK(exported.at("dunlinwick_late_total") == static_cast<double>(c.late_responses));
+  CHECK(exported.at("dunlinwick_reloads_total") == static_cast<double>(c.config_reloads));
 }
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -395,7 +395,7 @@
     Far leaving = Far::To(at);
     leaving.Send(Get());
   });
-  other.Send(GetAs(2));
+  other.Send(GetWithId(2));
   Far cache = cache_server.Next(loop);
   Until(loop, [&] { return cache.Hears("want 00000000000000f2 "); });
   assert(!cache.Hears(kId));
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -1,5 +1,5 @@
-// Sides of an exchange that note what they are told, for the tests of the exchange and of the
-// sides.
+// A recording response sink and a recording transport, for tests of the Exchange, the HTTP server
+// and the connection pool.
 #pragma once
 #include <map>
 
@@ -9,18 +9,18 @@
 
 namespace kit {
 
-using exchange::Ask;
 using exchange::AttemptKey;
+using exchange::RequestMetadata;
 
 inline const std::string kId = "9b1f03aa5c7e2d41";
 
-inline settings::RoadTerms MakeTerms(Ms within = 400, Ms idle = 30000) {
+inline settings::RoadTerms MakeConnectionSettings(Ms within = 400, Ms idle = 30000) {
   return {
       {"video", "write"}, {"hub", "e-1"}, {"box", "parent", "origin"}, {"util"}, within, idle, 100};
 }
 
-inline Ask AskFor(const std::string& name = kId) {
-  Ask a;
+inline RequestMetadata MakeRequest(const std::string& name = kId) {
+  RequestMetadata a;
   a.id = name;
   a.request_class = "video";
   a.object = "7f3a";
@@ -30,33 +30,33 @@
   return a;
 }
 
-// A client side that notes what it is told.
-struct Asked final : exchange::ResponseSink {
+// A response sink that records what it receives.
+struct RecordingResponseSink final : exchange::ResponseSink {
   std::vector<std::string> notified;
   std::string body;
-  void Finished(const std::string& tag, std::string bytes) override {
+  void OnResponse(const std::string& tag, std::string bytes) override {
     notified.push_back("200 " + tag);
     body = bytes;
   }
-  void Unchanged(const std::string& tag) override {
+  void OnNotModified(const std::string& tag) override {
     notified.push_back("304 " + tag);
   }
-  void Declined(Ms retry_after) override {
+  void OnRejected(Ms retry_after) override {
     notified.push_back(retry_after > 0 ? "503 later" : "503");
   }
-  void Abandoned() override {
+  void OnFailed() override {
     notified.push_back("502");
   }
-  void Begun(const std::string& tag, std::size_t) override {
+  void OnResponseStarted(const std::string& tag, std::size_t) override {
     notified.push_back("begun " + tag);
   }
-  void More(std::string_view bytes) override {
+  void OnResponseData(std::string_view bytes) override {
     body += bytes;
   }
-  void Completed() override {
+  void OnResponseComplete() override {
     notified.push_back("completed");
   }
-  void BrokeOff() override {
+  void OnResponseAborted() override {
     notified.push_back("broke");
   }
   bool Is(const std::vector<std::string>& all) const {
@@ -64,68 +64,70 @@
   }
 };
 
-// A caches' side that notes what it is asked for.
-struct Sent final : exchange::CacheSide {
-  struct One {
+// A transport that records what it is asked to do.
+struct RecordingTransport final : exchange::UpstreamTransport {
+  struct SentAttempt {
     AttemptKey key;
-    SendAttempt how;
+    SendAttempt action;
     std::vector<std::uint64_t> avoid;
   };
-  std::vector<One> sent;
-  std::vector<AttemptKey> given_up;
-  std::uint64_t Send(AttemptKey key, const Ask&, const SendAttempt& how,
+  std::vector<SentAttempt> sent;
+  std::vector<AttemptKey> cancelled;
+  std::uint64_t Send(AttemptKey key, const RequestMetadata&, const SendAttempt& action,
                      const std::vector<std::uint64_t>& avoid) override {
-    sent.push_back({key, how, avoid});
+    sent.push_back({key, action, avoid});
     return sent.size();
   }
-  void GiveUp(AttemptKey key, const Ask&, std::uint32_t) override {
-    given_up.push_back(key);
+  void Cancel(AttemptKey key, const RequestMetadata&, std::uint32_t) override {
+    cancelled.push_back(key);
   }
-  bool waiting = false;  // nothing has left yet
-  std::vector<AttemptKey> taken_back;
-  bool TakeBack(AttemptKey key, const Ask&, std::uint32_t) override {
-    if (waiting)
-      taken_back.push_back(key);
-    return waiting;
+  bool unsent = false;  // whether attempts are still unsent
+  std::vector<AttemptKey> cancelled_unsent;
+  bool CancelUnsent(AttemptKey key, const RequestMetadata&, std::uint32_t) override {
+    if (unsent)
+      cancelled_unsent.push_back(key);
+    return unsent;
   }
   void Probe(std::uint32_t) override {}
-  std::map<std::string, std::uint32_t> numbers;  // of all machines ever listed, by id
-  void list(const ListEntry& one, const std::string& machine, const loop::Address&) override {
-    numbers[machine] = one.cache;
+  std::map<std::string, std::uint32_t> numbers;  // of all endpoints ever listed, by id
+  void UpdateEndpoint(const ListEntry& entry, const std::string& id,
+                      const loop::Address&) override {
+    numbers[id] = entry.cache;
   }
-  std::vector<std::uint32_t> forgotten;
-  void Forget(std::uint32_t cache) override {
-    forgotten.push_back(cache);
+  std::vector<std::uint32_t> removed;
+  void RemoveEndpoint(std::uint32_t cache) override {
+    removed.push_back(cache);
   }
 };
 
-inline exchange::Word Said(Ending ending, Remark remark = Remark::kNone) {
-  exchange::Word w;
-  w.ending = ending;
-  w.remark = remark;
-  w.tag = "t1";
-  w.dated = true;
+inline exchange::ResponseHead MakeResponseHead(Ending ending, Remark remark = Remark::kNone) {
+  exchange::ResponseHead w;
+  w.result = ending;
+  w.cache_status = remark;
+  w.entity_tag = "t1";
+  w.has_issue_time = true;
   return w;
 }
 
-inline std::vector<exchange::Listed> Machines(
+inline std::vector<exchange::ListedEndpoint> MakeEndpointList(
     const std::vector<std::pair<std::string, loop::Address>>& stores) {
-  std::vector<exchange::Listed> all;
+  std::vector<exchange::ListedEndpoint> all;
   for (auto& [name, at] : stores)
     all.push_back({MakeEntry(0, name[0] == 'o' ? kOriginKind : kStoreKind, 1), name, at});
   return all;
 }
 
-struct Desk {  // an exchange between noted sides
+struct ExchangeFixture {  // an Exchange between a recording transport and the test's response sinks
   loop::Loop loop;
   exchange::Exchange exchange;
-  Sent caches;
-  explicit Desk(StoreSettings s = kit::Settings(), int stores = 4) : exchange(loop, s, 1) {
-    exchange.Meet(caches);
+  RecordingTransport caches;
+  explicit ExchangeFixture(StoreSettings s = kit::Settings(), int stores = 4)
+      : exchange(loop, s, 1) {
+    exchange.SetUpstreamTransport(caches);
     std::vector<std::pair<std::string, loop::Address>> all{{"origin", {}}};
     for (int i = 0; i < stores; ++i)
       all.push_back({"s-" + std::to_string(i), {}});
-    exchange.ListCame(true, Machines(all));
+    exchange.OnListUpdate(true, MakeEndpointList(all));
   }
 };
 
@@ -135,7 +137,7 @@
          "\r\nX-Timeout-Ms: 60000\r\nX-Group: 17\r\n" + more + "\r\n";
 }
 
-inline std::string GetAs(int which) {  // under an id of its own
+inline std::string GetWithId(int which) {  // with an id of its own
   std::string text = Get();
   return text.replace(text.find(kId), kId.size(), "00000000000000f" + std::to_string(which));
 }
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -474,12 +474,13 @@
     }
     front_.Act([&] {
       exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Settings(), 1);
-      caches_ = std::make_unique<caches::Caches>(front_.loop(), *exchange, kit::MakeTerms(), 8);
-      exchange->Meet(*caches_);
-      exchange->ListCame(
-          true, kit::Machines({{"s-1", kServerAddresses[0]}, {"s-2", kServerAddresses[1]}}));
-      clients_ = std::make_unique<clients::Clients>(
-          front_.loop(), *exchange, kit::MakeTerms().request_classes,
+      caches_ = std::make_unique<caches::UpstreamConnectionPool>(front_.loop(), *exchange,
+                                                                 kit::MakeConnectionSettings(), 8);
+      exchange->SetUpstreamTransport(*caches_);
+      exchange->OnListUpdate(true, kit::MakeEndpointList({{"s-1", kServerAddresses[0]},
+                                                          {"s-2", kServerAddresses[1]}}));
+      clients_ = std::make_unique<clients::HttpServer>(
+          front_.loop(), *exchange, kit::MakeConnectionSettings().request_classes,
           std::vector<bool>{false, true}, kFrontAddress, 50);
     });
   }
@@ -529,7 +530,7 @@
         ran += server->executions[id];
       CHECK(ran <= 1);
     }
-    CHECK(exchange->OpenRequests() == 0);
+    CHECK(exchange->OpenRequestCount() == 0);
     CHECK(environment.MostIdleWaits() < kMostIdleWaits);
     TakeDown();
     CHECK(environment.OpenDescriptors() == 0);
@@ -574,8 +575,8 @@
            "\r\nX-Timeout-Ms: 4000\r\nX-Group: 17\r\nX-Memory-Kb: 100\r\n" + length + "\r\n" + body;
   }
 
-  std::unique_ptr<caches::Caches> caches_;
-  std::unique_ptr<clients::Clients> clients_;
+  std::unique_ptr<caches::UpstreamConnectionPool> caches_;
+  std::unique_ptr<clients::HttpServer> clients_;
   std::vector<std::string> written_;
   int last_request_ = 0;
 };
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -1,5 +1,5 @@
-// Crossings of answers and dials on a connection to a server: a dial that comes up after its
-// timeout, an answer that trickles on, one under another request's id, spare bytes after an answer.
+// Races on a connection to a server: a connection established after its connect timeout, a response
+// that trickles in, one under another request's id, extra bytes after a response.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// The system's own environment, in which the first dial comes up when the test says so.
-class LateDial final : public loop::Environment {
+/// The POSIX environment, except that the first connection is established when the test allows it.
+class DelayedConnectEnvironment final : public loop::Environment {
  public:
-  void AllowDial() {
+  void AllowConnect() {
     held_ = kNone;
   }
   Ms now() override {
@@ -94,21 +94,22 @@
          std::to_string(body.size()) + "\r\n" + body + "\r\n";
 }
 
-/// Two requests open on one connection, and a second server beside the one that they went to.
-struct TwoOpen {
+/// Two requests in flight on one connection, and a second server beside the one that has them.
+struct TwoInFlight {
   FarListener listeners[2];
-  Road road{Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}})};
-  Asked first;
-  Asked second;
+  PoolFixture road{MakeEndpointList({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}})};
+  RecordingResponseSink first;
+  RecordingResponseSink second;
   Far server;
 
-  TwoOpen() {
-    road.exchange.OnRequest(AskAs(1), first);
-    road.exchange.OnRequest(AskAs(2), second);
+  TwoInFlight() {
+    road.exchange.OnRequest(MakeNumberedRequest(1), first);
+    road.exchange.OnRequest(MakeNumberedRequest(2), second);
     server = Next();
-    Until(road.loop, [&] { return server.Hears(WantOf(1)) && server.Hears(WantOf(2)); });
+    Until(road.loop,
+          [&] { return server.Hears(RequestPrefix(1)) && server.Hears(RequestPrefix(2)); });
   }
-  /// The next connection to come, at whichever server.
+  /// The next connection to arrive, at whichever server.
   Far Next() {
     Far next;
     Until(road.loop, [&] {
@@ -126,20 +127,21 @@
 }  // namespace
 
 TEST_CASE(
-    "a dial that comes up after its timeout carries nothing, and its request goes elsewhere once") {
+    "a connection established after its connect timeout carries nothing, and its request is sent "
+    "elsewhere once") {
   constexpr Ms kConnectWithin = 400;
   FarListener listeners[2];
-  LateDial environment;
+  DelayedConnectEnvironment environment;
   loop::Loop loop(environment);
-  auto list = Machines({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}});
+  auto list = MakeEndpointList({{"s-1", listeners[0].at}, {"s-2", listeners[1].at}});
   exchange::Exchange exchange(loop, SettingsWith(false), 1);
-  caches::Caches caches(loop, exchange, MakeTerms(kConnectWithin), 8);
-  exchange.Meet(caches);
-  exchange.ListCame(true, list);
-  Asked client;
-  exchange.OnRequest(AskAs(1), client);
+  caches::UpstreamConnectionPool caches(loop, exchange, MakeConnectionSettings(kConnectWithin), 8);
+  exchange.SetUpstreamTransport(caches);
+  exchange.OnListUpdate(true, list);
+  RecordingResponseSink client;
+  exchange.OnRequest(MakeNumberedRequest(1), client);
   FarListener* other = nullptr;
-  Far dialled;  // up for the system, and not yet for the front
+  Far dialled;  // established in the kernel, and not yet in the front
   Until(loop, [&] {
     for (int i = 0; i < 2 && !other; ++i) {
       int accepted = ::accept4(listeners[i].fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
@@ -151,44 +153,46 @@
     return other != nullptr;
   });
   loop.Skip(kConnectWithin + 1);
-  Until(loop, [&] { return exchange.counters.never_ran == 1; });
-  environment.AllowDial();
+  Until(loop, [&] { return exchange.counters.lost_unsent == 1; });
+  environment.AllowConnect();
   Far server = other->Next(loop);
-  Until(loop, [&] { return server.Hears(WantOf(1)); });
+  Until(loop, [&] { return server.Hears(RequestPrefix(1)); });
   Until(loop, [&] {
     dialled.Read();
     return dialled.over;
   });
   CHECK(dialled.got.empty());
-  CHECK(server.got.find(WantOf(1), server.got.find(WantOf(1)) + 1) == std::string::npos);
-  server.Send(Hit(1));
+  CHECK(server.got.find(RequestPrefix(1), server.got.find(RequestPrefix(1)) + 1) ==
+        std::string::npos);
+  server.Send(HitResponse(1));
   Until(loop, [&] { return !client.notified.empty(); });
   CHECK(client.Is({"200 t"}));
 }
 
-// The dial's event and its timeout in one turn, after a standstill: it came up in time, and what
-// waited goes out, once.
-TEST_CASE("a dial that is up in the turn of its timeout is used") {
+// The connection and its timeout in one iteration, after a pause: it was established in time, and
+// the queued attempt is sent, once.
+TEST_CASE("a connection established in the iteration of its connect timeout is used") {
   constexpr Ms kConnectWithin = 400;
   FarListener listener;
-  Road road(Machines({{"s-1", listener.at}}), SettingsWith(false), MakeTerms(kConnectWithin));
-  Asked client;
-  road.exchange.OnRequest(AskAs(1), client);
+  PoolFixture road(MakeEndpointList({{"s-1", listener.at}}), SettingsWith(false),
+                   MakeConnectionSettings(kConnectWithin));
+  RecordingResponseSink client;
+  road.exchange.OnRequest(MakeNumberedRequest(1), client);
   road.loop.Skip(kConnectWithin + 1);
-  road.Turns();
+  road.RunIterations();
   Far server = listener.Next(road.loop);
-  Until(road.loop, [&] { return server.Hears(WantOf(1)); });
-  CHECK(road.exchange.counters.never_ran == 0);
+  Until(road.loop, [&] { return server.Hears(RequestPrefix(1)); });
+  CHECK(road.exchange.counters.lost_unsent == 0);
   CHECK(road.exchange.counters.attempts == 1);
-  server.Send(Hit(1));
+  server.Send(HitResponse(1));
   Until(road.loop, [&] { return !client.notified.empty(); });
   CHECK(client.Is({"200 t"}));
 }
 
-// Every byte shows that the connection carries, so no silence ends it. Its request's client is
-// answered by its deadline, and who comes later does not wait behind it, neither while it is
-// awaited nor once it is given up.
-TEST_CASE("an answer that trickles on for ever holds up nobody but its own request") {
+// Every byte shows that the connection is alive, so it never counts as silent. The client of its
+// request gets its response by its deadline, and later requests do not wait behind it, neither
+// while it is awaited nor once it is cancelled.
+TEST_CASE("an endlessly trickling response delays only its own request") {
   constexpr Ms kExpiry = 5000;
   constexpr Ms kStep = 50;
   struct Case {
@@ -202,25 +206,25 @@
     CAPTURE(c.answer.substr(0, 30));
     CAPTURE(c.second_comes);
     FarListener listener;
-    Road road(Machines({{"s-1", listener.at}}));
-    Asked first;
-    road.exchange.OnRequest(AskAs(1), first);
+    PoolFixture road(MakeEndpointList({{"s-1", listener.at}}));
+    RecordingResponseSink first;
+    road.exchange.OnRequest(MakeNumberedRequest(1), first);
     Far server = listener.Next(road.loop);
-    Until(road.loop, [&] { return server.Hears(WantOf(1)); });
-    std::size_t sent = 60;  // into the body, or still in the line
+    Until(road.loop, [&] { return server.Hears(RequestPrefix(1)); });
+    std::size_t sent = 60;  // in the body, or still in the response line
     server.Send(c.answer.substr(0, sent));
     auto trickle = [&] {
       bool is_over = (server.Read(), server.over);
       if (!is_over && sent < c.answer.size())
         server.Send(c.answer.substr(sent++, 1));
       road.loop.Skip(kStep);
-      road.Turns(2);
+      road.RunIterations(2);
     };
     Ms passed = 0;
     for (; passed < c.second_comes; passed += kStep)
       trickle();
-    Asked second;
-    road.exchange.OnRequest(AskAs(2), second);
+    RecordingResponseSink second;
+    road.exchange.OnRequest(MakeNumberedRequest(2), second);
     Far again;
     for (int i = 0; i < 20 && !again.fd; ++i) {
       trickle();
@@ -230,11 +234,11 @@
         again = Far(loop::Descriptor(accepted));
     }
     REQUIRE(again.fd);
-    Until(road.loop, [&] { return again.Hears(WantOf(2)); });
-    again.Send(Hit(2));
+    Until(road.loop, [&] { return again.Hears(RequestPrefix(2)); });
+    again.Send(HitResponse(2));
     Until(road.loop, [&] { return !second.notified.empty(); });
     CHECK(second.Is({"200 t"}));
-    CHECK_FALSE(server.Hears(WantOf(2)));
+    CHECK_FALSE(server.Hears(RequestPrefix(2)));
     for (; passed <= kExpiry; passed += kStep)
       trickle();
     CHECK(first.notified.size() == 1);
@@ -242,15 +246,16 @@
   }
 }
 
-// The id is all by which answers are told apart: the first one under it is that request's, any
-// other is nobody's, and the request that got none is answered by its own, or at its deadline.
+// Responses are told apart by their id only: the first one with a request's id is that request's,
+// any other belongs to none, and the request that got no response gets its own, or a rejection at
+// its deadline.
 TEST_CASE(
-    "an answer under the id of another open request is taken once, and the other waits for its "
-    "own") {
+    "a response under the id of another open request is taken once, and the other request waits "
+    "for its own") {
   for (bool own_answer_comes : {true, false}) {
-    TwoOpen open;
+    TwoInFlight open;
     open.server.Send(AnswerTo(2, "two") + AnswerTo(2, "one"));
-    Until(open.road.loop, [&] { return open.road.exchange.counters.late_answers == 1; });
+    Until(open.road.loop, [&] { return open.road.exchange.counters.late_responses == 1; });
     CHECK(open.second.Is({"200 t2"}));
     CHECK(open.second.body == "two");
     CHECK(open.first.notified.empty());
@@ -265,20 +270,20 @@
     else
       CHECK(open.first.notified[0].substr(0, 3) == "503");
     CHECK(open.second.notified.size() == 1);
-    CHECK(open.road.exchange.counters.bad_lines == 0);
+    CHECK(open.road.exchange.counters.malformed_responses == 0);
   }
 }
 
-TEST_CASE("spare bytes after an answer end the connection and reach nobody") {
+TEST_CASE("extra bytes after a response close the connection and reach no request") {
   for (const std::string spare : {"\r\n", "spare\r\n", "spare", "two spare words\r\n"}) {
     CAPTURE(spare);
-    TwoOpen open;
+    TwoInFlight open;
     open.server.Send(AnswerTo(1, "one") + spare);
     Until(open.road.loop, [&] { return !open.first.notified.empty(); });
     CHECK(open.first.Is({"200 t1"}));
     CHECK(open.first.body == "one");
-    Far again = open.Next();  // the other request is asked again
-    Until(open.road.loop, [&] { return again.Hears(WantOf(2)); });
+    Far again = open.Next();  // the other request is sent again
+    Until(open.road.loop, [&] { return again.Hears(RequestPrefix(2)); });
     CHECK((open.server.Read(), open.server.over));
     again.Send(AnswerTo(2, "two"));
     Until(open.road.loop, [&] { return !open.second.notified.empty(); });
@@ -287,25 +292,26 @@
   }
 }
 
-TEST_CASE("an answer longer than its length reaches nobody") {
-  TwoOpen open;
+TEST_CASE("a response longer than its stated length reaches no request") {
+  TwoInFlight open;
   std::string answer = AnswerTo(1, "one");
   answer.insert(answer.size() - 2, "more");
   open.server.Send(answer);
-  Far again[2] = {open.Next(),
-                  open.Next()};  // the one whose answer it was moves on, the other is asked again
+  Far again[2] = {
+      open.Next(),
+      open.Next()};  // the request whose response it was moves on, the other is sent again
   bool asked[2] = {false, false};
   Until(open.road.loop, [&] {
     for (int which : {1, 2})
       for (Far& server : again)
-        asked[which - 1] |= server.Hears(WantOf(which));
+        asked[which - 1] |= server.Hears(RequestPrefix(which));
     return asked[0] && asked[1];
   });
   CHECK(open.first.notified.empty());
-  CHECK(open.road.exchange.counters.bad_lines == 1);
+  CHECK(open.road.exchange.counters.malformed_responses == 1);
   for (int which : {1, 2})
     for (Far& server : again)
-      if (server.Hears(WantOf(which)))
+      if (server.Hears(RequestPrefix(which)))
         server.Send(AnswerTo(which, which == 1 ? "one" : "two"));
   Until(open.road.loop,
         [&] { return !open.first.notified.empty() && !open.second.notified.empty(); });
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -48,12 +48,13 @@
 
 static void RequestsAreParsedAtAnySplit() {
   for (std::size_t cut = 0; cut < kPut.size(); ++cut) {
-    auto prefix = clients::ReadRequest(std::string_view(kPut).substr(0, cut), 100);
-    assert(prefix.fault == 0 && !prefix.whole);
+    auto prefix = clients::ParseRequest(std::string_view(kPut).substr(0, cut), 100);
+    assert(prefix.error_status == 0 && !prefix.is_complete);
   }
   std::string bytes = "\r\n" + kPut + "GET";
-  auto all = clients::ReadRequest(bytes, 100);
-  assert(all.whole && all.request.size == kPut.size() + 2 && all.request.body == "ab\r\n\x01");
+  auto all = clients::ParseRequest(bytes, 100);
+  assert(all.is_complete && all.request.size == kPut.size() + 2 &&
+         all.request.body == "ab\r\n\x01");
   assert(all.request.path == "/ops/handover/7f3a" && all.request.query == "part=3" &&
          all.request.keep_alive);
   assert(all.request.header("x-REQUEST-id") == "9b1f03aa5c7e2d41");
@@ -86,31 +87,31 @@
                         {get + "Expect: magic\r\n\r\n", 417},
                         {"PUT / HTTP/1.1\r\n\r\n", 411},
                         {get + "A: " + std::string(9000, 'x'), 431}})
-    assert(clients::ReadRequest(c.bytes, 100).fault == c.fault);
-  assert(!clients::ReadRequest("GET / HTTP/1.0\r\n\r\n", 100).request.keep_alive);
-  assert(!clients::ReadRequest(get + "Connection: x, Close\r\n\r\n", 100).request.keep_alive);
+    assert(clients::ParseRequest(c.bytes, 100).error_status == c.fault);
+  assert(!clients::ParseRequest("GET / HTTP/1.0\r\n\r\n", 100).request.keep_alive);
+  assert(!clients::ParseRequest(get + "Connection: x, Close\r\n\r\n", 100).request.keep_alive);
 }
 
 static void RequestLinesCarryAllFieldsOfAnAttempt() {
-  exchange::Ask ask;
+  exchange::RequestMetadata ask;
   ask.id = "9b1f03aa5c7e2d41";
   ask.request_class = "video";
   ask.object = "7f3a";
   ask.part = "3";
   SendAttempt attempt;
-  assert(caches::RequestLine(ask, attempt, "").WithTimeLeft(1500.2) ==
+  assert(caches::UpstreamRequest(ask, attempt, "").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501 0\r\n\r\n");
-  ask.tag = "4be0";
+  ask.entity_tag = "4be0";
   ask.body = "a\r\nb";
   attempt.join = attempt.held_only = attempt.renew = true;
   attempt.rank = 2;
   attempt.oldest = 0.001;
   // An age below a millisecond must not become 0, which would remove the age limit after a purge.
-  assert(caches::RequestLine(ask, attempt, "s-2").WithTimeLeft(1500.2) ==
+  assert(caches::UpstreamRequest(ask, attempt, "s-2").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501,miss=s-2,prio=2,within=1,"
          "f=coalesce+shallow+freshen,mine=4be0 4\r\na\r\nb\r\n");
-  ask.key = "k-17";  // as the client named it: repeated requests are recognised by it
-  assert(caches::RequestLine(ask, attempt, "s-2")
+  ask.idempotency_key = "k-17";  // as the client named it: repeated requests are recognised by it
+  assert(caches::UpstreamRequest(ask, attempt, "s-2")
              .WithTimeLeft(1500.2)
              .find(",mine=4be0,replay=k-17 4\r\n") != std::string::npos);
 }
@@ -131,22 +132,24 @@
                  {"a FAULT remark=far_fault 0", Ending::kError, Remark::kOriginFailed, 0},
                  {"a FAULT later=field,remark=cut_off 0", Ending::kError, Remark::kSourceLost, 0},
                  {"a LATE - 0", Ending::kSuperseded, Remark::kNone, 0}}) {
-    auto answer = caches::ReadAnswer(c.line, {});
-    assert(answer && answer->id == "a" && !answer->probe && answer->length == c.length);
-    assert(answer->word.ending == c.ending && answer->word.remark == c.remark);
+    auto answer = caches::ParseResponseLine(c.line, {});
+    assert(answer && answer->id == "a" && !answer->is_probe && answer->body_length == c.length);
+    assert(answer->head.result == c.ending && answer->head.cache_status == c.remark);
   }
-  auto valid = caches::ReadAnswer("a VALID entity=x1,delay=2.5 0", {});
-  assert(valid->word.unchanged && valid->word.tag == "x1" && valid->word.waited == 2.5);
+  auto valid = caches::ParseResponseLine("a VALID entity=x1,delay=2.5 0", {});
+  assert(valid->head.not_modified && valid->head.entity_tag == "x1" &&
+         valid->head.queue_delay == 2.5);
   auto pong =
-      caches::ReadAnswer("p PONG report=util:0.61;inflight:7;odd:1 0", {"inflight", "util"});
-  assert(pong->probe && pong->well && pong->word.report[0] == 7 && pong->word.report[1] == 0.61f);
-  assert(!caches::ReadAnswer("p SICK - 0", {})->well);
+      caches::ParseResponseLine("p PONG report=util:0.61;inflight:7;odd:1 0", {"inflight", "util"});
+  assert(pong->is_probe && pong->is_healthy && pong->head.report[0] == 7 &&
+         pong->head.report[1] == 0.61f);
+  assert(!caches::ParseResponseLine("p SICK - 0", {})->is_healthy);
   for (const char* bad :
        {"", "a", "a HIT", "a HIT -", "a HIT - x", "a HIT - -1", "a HIT - 240001", "a HUT - 0",
         " HIT - 0", "a HIT  0", "a HIT remark=magic 0", "a HIT delay=x 0", "a HIT delay=-1 0",
         "a HIT =x 0", "a HIT entity=a\"b 0", "a HIT entity=a\tb 0", "a HIT report=x 0",
         "a HIT - 0 0", "a HIT - 99999999999999999999"})
-    assert(!caches::ReadAnswer(bad, {}));
+    assert(!caches::ParseResponseLine(bad, {}));
 }
 
 static const settings::RoadTerms kConnectionSettings{
@@ -166,8 +169,8 @@
       "17}]}}");
   assert(list && list->rev == 41 && list->list && !list->whole && !list->purge &&
          list->entries.size() == 1);
-  const exchange::Listed& listed = list->entries[0];
-  assert(listed.id == "s-1" && ntohs(listed.at.sin_port) == 5050 && listed.entry.zone == 1 &&
+  const exchange::ListedEndpoint& listed = list->entries[0];
+  assert(listed.id == "s-1" && ntohs(listed.address.sin_port) == 5050 && listed.entry.zone == 1 &&
          listed.entry.kind == 1);
   assert(listed.entry.standing == Standing::kDraining && listed.entry.weight == 4 &&
          listed.entry.started_at == 17);
@@ -220,8 +223,8 @@
                  {DisconnectReason::kReset, Ending::kBroken, Ending::kNoConnection},
                  {DisconnectReason::kMalformed, Ending::kBroken, Ending::kNoConnection},
                  {DisconnectReason::kReplaced, Ending::kBroken, Ending::kNoConnection}}) {
-    assert(exchange::EndingOf(c.reason, true) == c.whole_request_written);
-    assert(exchange::EndingOf(c.reason, false) == c.part_of_request_written);
+    assert(exchange::ToAttemptResult(c.reason, true) == c.whole_request_written);
+    assert(exchange::ToAttemptResult(c.reason, false) == c.part_of_request_written);
   }
 }
 
@@ -238,9 +241,9 @@
     for (int changes = 1 + i % 4; changes > 0; --changes)
       bytes[random_engine() % bytes.size()] = static_cast<char>(random_engine());
     bytes.resize(random_engine() % (bytes.size() + 1));
-    auto request = clients::ReadRequest(bytes, 100);
-    assert(!request.whole || request.request.size <= bytes.size());
-    parsed += request.whole + caches::ReadAnswer(bytes, {"a"}).has_value();
+    auto request = clients::ParseRequest(bytes, 100);
+    assert(!request.is_complete || request.request.size <= bytes.size());
+    parsed += request.is_complete + caches::ParseResponseLine(bytes, {"a"}).has_value();
     if (auto v = json::Read(bytes))
       parsed += discovery::ReadNotice(*v, kConnectionSettings).has_value();
   }
