--- a/bench/record.cpp
+++ b/bench/record.cpp
@@ -34,19 +34,19 @@
   return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
 }
 // Drops what it is given: the record's own cost, without a disk's.
-class NoDisk final : public Disk {
+class NoDisk final : public LogStorage {
  public:
-  bool Lasts() const override {
+  bool IsDurable() const override {
     return false;
   }
-  std::optional<Head> head() override {
+  std::optional<LogMetadata> metadata() override {
     return std::nullopt;
   }
-  void Each(const std::function<void(Offset, const Entry*)>&) override {}
-  void Write(const Head&) override {}
-  void append(Offset, const std::vector<Entry>&, const Head&) override {}
-  void Drop(const std::vector<Offset>&, const Head&) override {}
-  void Heal(const Entry&) override {}
+  void ForEachEntry(const std::function<void(Offset, const Entry*)>&) override {}
+  void WriteMetadata(const LogMetadata&) override {}
+  void AppendEntries(Offset, const std::vector<Entry>&, const LogMetadata&) override {}
+  void RemoveEntries(const std::vector<Offset>&, const LogMetadata&) override {}
+  void RestoreEntry(const Entry&) override {}
 };
 struct Join {
   double bytes = 0;
@@ -56,29 +56,30 @@
 };
 Join MakeJoin(Log& log) {
   Join j;
-  SubscriberTerms t;
-  Server server(log, t, 0);
-  std::optional<Want> want;
-  Subscriber::Out out{[&](Id, const Want& w) { want = w; }, [&](const Entry&) { ++j.entries; },
-                      [] {
-                      }};
+  SubscriberSettings t;
+  SubscriptionServer server(log, t, 0);
+  std::optional<SubscriptionRequest> want;
+  Subscriber::Callbacks out{[&](Id, const SubscriptionRequest& w) { want = w; },
+                            [&](const Entry&) { ++j.entries; },
+                            [] {
+                            }};
   double from = ToMs();
   Subscriber sub(1, 1, {1}, t, 0, 1, 0);
   sub.Tick(0, out);
-  while (!sub.CaughtUp()) {
-    std::string bytes = Encode(*server.Wants(0, *want));
+  while (!sub.IsCaughtUp()) {
+    std::string bytes = Encode(*server.HandleRequest(0, *want));
     j.bytes += static_cast<double>(bytes.size());
     ++j.pieces;
-    sub.Receive(0, 1, std::get<Piece>(*DecodeSaying(bytes)), out);
+    sub.Receive(0, 1, std::get<SubscriptionResponse>(*DecodeSubscriberMessage(bytes)), out);
   }
   j.time = ToMs() - from;
   return j;
 }
 
 void Run(std::size_t writes, std::size_t keys) {
-  LogTerms t;
-  t.most_bytes = std::size_t{2} << 30;
-  t.lag = 0;
+  LogSettings t;
+  t.max_bytes = std::size_t{2} << 30;
+  t.min_compaction_lag = 0;
   double before = ResidentMb();
   std::knuth_b chance(writes + keys);
   NoDisk none;
@@ -95,7 +96,7 @@
     e.value.assign(100, static_cast<char>('a' + n % 26));
     batch.push_back(std::move(e));
     if (batch.size() == 100 || n == writes) {
-      full.append(0, batch);
+      full.AppendEntries(0, batch);
       batch.clear();
     }
   }
@@ -103,14 +104,14 @@
   double full_mb = ResidentMb() - before;
   Join whole = MakeJoin(full);
   std::size_t full_bytes = full.bytes();
-  auto plan = full.Worth(1e9, writes, 1);
+  auto plan = full.ProposePlan(1e9, writes, 1);
   double most = 0, sum = 0;
   std::size_t steps = 0;
   if (plan) {
-    full.Take(*plan);
+    full.AcceptPlan(*plan);
     for (;;) {
       double from = ToMs();
-      if (!full.Step())
+      if (!full.CompactStep())
         break;
       double took = ToMs() - from;
       most = std::max(most, took);
@@ -143,9 +144,9 @@
       "\ngrowth over 1,000 keys, a plan whenever one is worth it, deadShare 0.5 (MB in memory by "
       "the log's own count)\n   writes  without     with   highest with\n");
   {
-    LogTerms t;
-    t.most_bytes = std::size_t{2} << 30;
-    t.lag = 0;
+    LogSettings t;
+    t.max_bytes = std::size_t{2} << 30;
+    t.min_compaction_lag = 0;
     NoDisk d1, d2;
     Log without(1, t, d1, 1), with(1, t, d2, 1);
     std::knuth_b chance(7);
@@ -156,12 +157,12 @@
       e.key = "object/" + std::to_string(chance() % 1000);
       e.value.assign(100, 'v');
       for (Log* l : {&without, &with}) {
-        l->append(0, {e});
+        l->AppendEntries(0, {e});
         l->Commit(n);
       }
-      if (auto p = with.Worth(1e9, n, 1))
-        with.Take(*p);
-      with.Step();
+      if (auto p = with.ProposePlan(1e9, n, 1))
+        with.AcceptPlan(*p);
+      with.CompactStep();
       most = std::max(most, with.bytes());
       if (n == 1000 || n == 10000 || n == 50000 || n == 200000)
         std::printf("%9zu %8.2f %8.2f %8.2f\n", static_cast<std::size_t>(n),
@@ -174,9 +175,9 @@
   if (::mkdtemp(folder.data()) == nullptr)
     return 1;
   {
-    dunlinwick::store::RecordLmdb disk(folder + "/a", 64 << 20);
-    LogTerms t;
-    t.lag = 0;
+    dunlinwick::store::LmdbLogStorage disk(folder + "/a", 64 << 20);
+    LogSettings t;
+    t.min_compaction_lag = 0;
     Log log(1, t, disk, 1);
     std::vector<double> appends, steps;
     for (Offset n = 1; n <= 2000; ++n) {
@@ -185,15 +186,15 @@
       e.key = "object/" + std::to_string(n % 100);
       e.value.assign(100, 'v');
       double from = ToMs();
-      log.append(0, {e});
+      log.AppendEntries(0, {e});
       appends.push_back(ToMs() - from);
     }
     log.Commit(2000);
     std::size_t pages = disk.PageBytes();
-    log.Take({1, 1999, 0});
+    log.AcceptPlan({1, 1999, 0});
     for (;;) {
       double from = ToMs();
-      if (!log.Step())
+      if (!log.CompactStep())
         break;
       steps.push_back(ToMs() - from);
     }
--- a/src/ctl/record.cpp
+++ b/src/ctl/record.cpp
@@ -128,7 +128,7 @@
     for (const std::string& key : keys) {
       auto* p = batch.add_puts();
       p->set_stream(static_cast<unsigned>(stream == "recalls" ? record::Stream::kRecalls
-                                                              : record::Stream::kTerms));
+                                                              : record::Stream::kSettings));
       p->set_key(key);
       p->set_value(value);
       p->set_tombstone(lift);
--- a/src/front/charter_layer.cpp
+++ b/src/front/charter_layer.cpp
@@ -87,16 +87,16 @@
       throw b.Fault("store", "a folder wanted");
     t.store = store->text;
   }
-  double mb = static_cast<double>(t.log.most_bytes) / (1 << 20);
+  double mb = static_cast<double>(t.log.max_bytes) / (1 << 20);
   b.number("most_mb", mb, 1, 1024, false);
-  t.log.most_bytes = static_cast<std::size_t>(mb * (1 << 20));
-  b.number("lag_ms", t.log.lag, 0, 1e10);
-  b.number("tombstone_term_ms", t.log.tombstone_term, 0, 1e11);
-  b.number("dead_share", t.log.dead_share, 0.01, 0.99, false);
+  t.log.max_bytes = static_cast<std::size_t>(mb * (1 << 20));
+  b.number("lag_ms", t.log.min_compaction_lag, 0, 1e10);
+  b.number("tombstone_term_ms", t.log.tombstone_retention, 0, 1e11);
+  b.number("dead_share", t.log.min_dead_ratio, 0.01, 0.99, false);
   b.number("lease_ms", t.subscriber.lease, 1000, 1e9);
-  b.number("ask_every_ms", t.subscriber.ask_every, 20, 10000);
+  b.number("ask_every_ms", t.subscriber.poll_interval, 20, 10000);
   b.number("stale_after_ms", t.stale_after, 100, 600000);
-  if (t.stale_after < 2 * t.subscriber.ask_every)
+  if (t.stale_after < 2 * t.subscriber.poll_interval)
     throw b.Fault("stale_after_ms",
                   "twice ask_every_ms at least wanted: one lost answer is no trouble");
   b.Over();
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -22,8 +22,8 @@
   loop::Loop& loop;
   Configuration configuration;
   Ways ways;
-  std::unique_ptr<store::LastingFloors> lasting_floors;  // none where no folder is configured
-  store::KeptFloors current;                             // what this process knows and wants kept
+  std::unique_ptr<store::DurableMinimums> lasting_floors;  // none where no folder is configured
+  store::PersistedMinimums current;                        // what this process knows and wants kept
   std::unique_ptr<Record> record;
   std::unique_ptr<Rules> rules;
   std::unique_ptr<Recovering> recovering;
@@ -70,42 +70,42 @@
     } else {
       // A store that can't be opened or read is a spoilt one: the front starts without it, trusts
       // nothing of it, says so, and tries again.
-      store::KeptFloors found;
-      auto open_disk = [folder =
-                            configuration.recovery.store]() -> std::unique_ptr<store::FloorDisk> {
-        return std::make_unique<store::FloorStore>(folder);
+      store::PersistedMinimums found;
+      auto open_disk =
+          [folder = configuration.recovery.store]() -> std::unique_ptr<store::MinimumsStorage> {
+        return std::make_unique<store::LmdbMinimumsStorage>(folder);
       };
       auto say = [this](const std::string& line) {
         log::Say("%s at %.0f", line.c_str(), loop.now());
       };
-      lasting_floors = std::make_unique<store::LastingFloors>(open_disk, say);
-      switch (lasting_floors->Start(loop.now(), Self(), found)) {
-        case store::FloorDisk::Found::kEmpty:
+      lasting_floors = std::make_unique<store::DurableMinimums>(open_disk, say);
+      switch (lasting_floors->Load(loop.now(), Self(), found)) {
+        case store::MinimumsStorage::ReadResult::kEmpty:
           seen.state = State::kEmpty;
           break;
-        case store::FloorDisk::Found::kCorrupted:
+        case store::MinimumsStorage::ReadResult::kCorrupted:
           seen.state = State::kCorrupted;
           break;
-        case store::FloorDisk::Found::kGood:
-          seen.state = found.whose == Self() ? State::kGood : State::kForeign;
+        case store::MinimumsStorage::ReadResult::kValid:
+          seen.state = found.front_id == Self() ? State::kGood : State::kForeign;
           break;
       }
-      seen.whose = found.whose;
+      seen.whose = found.front_id;
       seen.floors = {found.token, found.offset, found.incarnation, found.rules_digest,
                      found.rules_version};
-      seen.witnessed = found.witnessed;
+      seen.witnessed = found.witnessed_incarnations;
       if (seen.state == State::kGood)
         current = found;
     }
     if (record && record->Keeps()) {
-      record::Head head = record->head();
+      record::LogMetadata head = record->head();
       if (record->Corrupted() &&
           (seen.state == State::kGood || seen.state == State::kNone || seen.state == State::kEmpty))
         seen.state = State::kHoled;
-      seen.floors.token = std::max(seen.floors.token, head.promised);
+      seen.floors.token = std::max(seen.floors.token, head.promised_token);
       seen.floors.offset = std::max(seen.floors.offset, head.committed);
     }
-    current.whose = Self();
+    current.front_id = Self();
     current.incarnation = std::max(current.incarnation + 1, static_cast<std::uint64_t>(loop.now()));
     Keep();
     return seen;
@@ -114,13 +114,13 @@
   // on, and writes them once it can.
   void Keep() {
     if (lasting_floors)
-      lasting_floors->Keep(loop.now(), current);
+      lasting_floors->Persist(loop.now(), current);
   }
   void Raise() {
     if (ways.owner)
       current.token = std::max(current.token, ways.owner->group().token);
     if (record) {
-      current.token = std::max(current.token, record->head().promised);
+      current.token = std::max(current.token, record->head().promised_token);
       current.offset = std::max(current.offset, record->Committed());
     }
     if (rules && rules->enabled()) {
@@ -128,7 +128,7 @@
       current.rules_version = rules->version();
     }
     for (const auto& [id, incarnation] : heard_of) {
-      auto& seen = current.witnessed[id];
+      auto& seen = current.witnessed_incarnations[id];
       seen = std::max(seen, incarnation);
     }
     Keep();
@@ -136,14 +136,15 @@
   // The incarnation of another front that this one is a witness of: only what lasts is told, where
   // anything does.
   std::uint64_t Witnessed(std::uint32_t front) const {
-    const store::KeptFloors& notified = lasting_floors ? lasting_floors->Lasting() : current;
-    auto at = notified.witnessed.find(front);
-    return at == notified.witnessed.end() ? 0 : at->second;
+    const store::PersistedMinimums& notified =
+        lasting_floors ? lasting_floors->persisted() : current;
+    auto at = notified.witnessed_incarnations.find(front);
+    return at == notified.witnessed_incarnations.end() ? 0 : at->second;
   }
   std::string FloorsView() const {
     if (!lasting_floors)
       return "\"none\"";
-    return lasting_floors->IsKept() ? "\"kept\"" : "\"not kept\"";
+    return lasting_floors->IsPersisted() ? "\"kept\"" : "\"not kept\"";
   }
   std::map<std::uint32_t, std::uint64_t>
       heard_of;  // incarnations that others told of themselves: one a front
--- a/src/front/layer_terms.hpp
+++ b/src/front/layer_terms.hpp
@@ -18,9 +18,9 @@
   bool on = false;
   std::vector<record::Id> keepers;
   std::string store;  // "": in memory
-  record::LogTerms log;
-  record::KeeperTerms keeper;
-  record::SubscriberTerms subscriber;
+  record::LogSettings log;
+  record::LogReplicaSettings keeper;
+  record::SubscriberSettings subscriber;
   // A front that was not shown as caught up for so long asks for no copy older than so long: the
   // stated delay of a recall is this and the time from its acknowledgement to the keepers' answer.
   record::Ms stale_after = 10000;
--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -78,7 +78,7 @@
     auto open_store = [folder = terms.store]() -> std::unique_ptr<owner::Store> {
       if (folder.empty())
         return std::make_unique<owner::MemoryStore>();
-      return std::make_unique<store::LmdbStore>(folder);
+      return std::make_unique<store::LmdbOwnerStore>(folder);
     };
     auto say = [this](const std::string& line) {
       log::Say("%s at %.0f", line.c_str(), loop_.now());
--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -55,8 +55,8 @@
   RecordTerms terms;
   peers::Id self;
   Ways ways;
-  std::unique_ptr<record::Replica> replica;  // none where this front is not among the replicas
-  std::unique_ptr<record::Writer> writer;
+  std::unique_ptr<record::ReplicaHost> replica;  // none where this front is not among the replicas
+  std::unique_ptr<record::LeaderWriter> writer;
   std::unique_ptr<record::Subscriber> subscriber;
   // What is sent to oneself waits for the end of the call.
   std::deque<std::string> to_self;
@@ -70,7 +70,7 @@
   Ms wake_at = 0;
   struct Notified {
     Ms at = 0;
-    record::Lease lease;
+    record::LeasedPositions lease;
   };
   std::map<peers::Id, Notified> leases;  // by keeper: as many as there are
   Ms writes_since = 0;
@@ -86,14 +86,14 @@
     else
       ways.send(to, std::move(bytes));
   }
-  record::Send Send() {
+  record::SendMessage Send() {
     return [this](record::Id to, const record::Message& m) {
       Pass(to, record::Encode(m));
     };
   }
-  record::Subscriber::Out out() {
-    return {[this](record::Id keeper, const record::Want& w) {
-              Pass(keeper, record::Encode(record::Saying(w)));
+  record::Subscriber::Callbacks out() {
+    return {[this](record::Id keeper, const record::SubscriptionRequest& w) {
+              Pass(keeper, record::Encode(record::SubscriberMessage(w)));
             },
             [this](const Entry& e) { Took(e); },
             [this] {
@@ -105,7 +105,7 @@
   // A word of the record reaches its user here, in order. One of before it was not written after
   // it, whatever their stamps say.
   void Took(const Entry& e) {
-    highest_at = std::max(highest_at, e.at);
+    highest_at = std::max(highest_at, e.written_at);
     log::Say("record read %llu %s %s%s token %llu at %.0f",
              static_cast<unsigned long long>(e.offset), record::ToString(e.stream),
              e.tombstone ? "without " : "", e.key.c_str(), static_cast<unsigned long long>(e.token),
@@ -121,8 +121,8 @@
 
   void Look() {
     Ms now = loop.now();
-    bool good = subscriber->CaughtUp() && subscriber->GoodAt() >= 0 &&
-                now - subscriber->GoodAt() <= terms.stale_after;
+    bool good = subscriber->IsCaughtUp() && subscriber->CurrentAsOf() >= 0 &&
+                now - subscriber->CurrentAsOf() <= terms.stale_after;
     if (good && behind) {
       behind = false;
       ways.no_older(0);
@@ -131,11 +131,11 @@
     } else if (!good && !behind) {
       behind = true;
       ways.no_older(terms.stale_after);
-      log::Say("record behind since %.0f at %.0f", subscriber->GoodAt(), now);
+      log::Say("record behind since %.0f at %.0f", subscriber->CurrentAsOf(), now);
     }
     if (writer && writer->phase() == record::Phase::kServing && !said_serving) {
       said_serving = true;
-      if (writer->Founded())
+      if (writer->IsBootstrapped())
         log::Say(
             "record founded anew: every keeper was empty; what was written before, if anything "
             "was, is lost at %.0f",
@@ -156,8 +156,8 @@
       writer.reset();
     }
     if (!writer && token != 0 && may && token != fenced_token) {
-      writer = std::make_unique<record::Writer>(self, terms.keepers, terms.keeper, terms.log, token,
-                                                loop.now());
+      writer = std::make_unique<record::LeaderWriter>(self, terms.keepers, terms.keeper, terms.log,
+                                                      token, loop.now());
       said_serving = false;
       writes_since = loop.now();
       leases.clear();
@@ -189,19 +189,20 @@
   if (std::find(terms.keepers.begin(), terms.keepers.end(), self) != terms.keepers.end()) {
     std::uint64_t new_store = seed ^ static_cast<std::uint64_t>(now) << 20 ^ self;
     auto open_disk = [folder = terms.store,
-                      map_bytes = 4 * terms.log.most_bytes]() -> std::unique_ptr<record::Disk> {
+                      map_bytes =
+                          4 * terms.log.max_bytes]() -> std::unique_ptr<record::LogStorage> {
       if (folder.empty())
-        return std::make_unique<record::MemoryDisk>();
-      return std::make_unique<store::RecordLmdb>(folder, map_bytes);
+        return std::make_unique<record::MemoryLogStorage>();
+      return std::make_unique<store::LmdbLogStorage>(folder, map_bytes);
     };
     // A store that is another's, or can't be read: this front keeps nothing, and says so; it serves
     // on by the others' record.
     auto say = [&in](const std::string& line) {
       log::Say("%s at %.0f", line.c_str(), in.loop.now());
     };
-    record::ReplicaTerms replica_terms{terms.keeper, terms.log, terms.subscriber};
-    in.replica = std::make_unique<record::Replica>(self, terms.keepers, replica_terms, open_disk,
-                                                   new_store, now, say);
+    record::ReplicaHostSettings replica_terms{terms.keeper, terms.log, terms.subscriber};
+    in.replica = std::make_unique<record::ReplicaHost>(self, terms.keepers, replica_terms,
+                                                       open_disk, new_store, now, say);
   }
   // Asked of itself first where it keeps: no way to go. From nothing at each start: what a front
   // knows of recalls is in memory.
@@ -221,22 +222,22 @@
   Inner& in = *inner_;
   Ms now = in.loop.now();
   if (auto m = record::Decode(bytes)) {
-    bool to_writer = std::holds_alternative<record::Tail>(*m) ||
-                     std::holds_alternative<record::Kept>(*m) ||
-                     std::holds_alternative<record::Fetched>(*m);
+    bool to_writer = std::holds_alternative<record::PrepareResponse>(*m) ||
+                     std::holds_alternative<record::AppendResponse>(*m) ||
+                     std::holds_alternative<record::FetchResponse>(*m);
     if (to_writer && in.writer)
       in.writer->Receive(now, from, *m, in.Send());
-    if (in.replica && !std::holds_alternative<record::Tail>(*m) &&
-        !std::holds_alternative<record::Kept>(*m))
+    if (in.replica && !std::holds_alternative<record::PrepareResponse>(*m) &&
+        !std::holds_alternative<record::AppendResponse>(*m))
       in.replica->Receive(now, from, *m, in.Send());
-  } else if (auto s = record::DecodeSaying(bytes)) {
-    if (auto* want = std::get_if<record::Want>(&*s)) {
+  } else if (auto s = record::DecodeSubscriberMessage(bytes)) {
+    if (auto* want = std::get_if<record::SubscriptionRequest>(&*s)) {
       if (in.replica)
-        if (auto piece = in.replica->Wants(now, *want))
-          in.Pass(from, record::Encode(record::Saying(*piece)));
-    } else if (auto* piece = std::get_if<record::Piece>(&*s)) {
+        if (auto piece = in.replica->HandleSubscription(now, *want))
+          in.Pass(from, record::Encode(record::SubscriberMessage(*piece)));
+    } else if (auto* piece = std::get_if<record::SubscriptionResponse>(&*s)) {
       in.subscriber->Receive(now, from, *piece, in.out());
-    } else if (auto* lease = std::get_if<record::Lease>(&*s)) {
+    } else if (auto* lease = std::get_if<record::LeasedPositions>(&*s)) {
       if (std::count(in.terms.keepers.begin(), in.terms.keepers.end(), from))
         in.leases[from] = {now, *lease};
     }
@@ -264,16 +265,16 @@
     in.writer->Tick(now, in.Send());
     if (now >= in.plan_at) {
       in.plan_at = now + 1000;
-      in.writer->Passed(now, in.Passed());
+      in.writer->SetMinSubscriberPosition(now, in.Passed());
     }
   }
   if (in.replica)
     in.replica->Tick(now, in.Send());
   in.subscriber->Tick(now, in.out());
-  if (Keeps() && in.replica->LastWriter() != 0 && now >= in.lease_at) {
+  if (Keeps() && in.replica->LastLeader() != 0 && now >= in.lease_at) {
     in.lease_at = now + 1000;
-    in.Pass(in.replica->LastWriter(),
-            record::Encode(record::Saying(in.replica->server()->Living(now))));
+    in.Pass(in.replica->LastLeader(),
+            record::Encode(record::SubscriberMessage(in.replica->server()->ActivePositions(now))));
   }
   Heard(0, {});  // drains what was said to itself
 }
@@ -292,16 +293,16 @@
                   inner_->replica ? inner_->replica->Committed() : 0);
 }
 Ms Record::GoodAt() const {
-  return inner_->subscriber->GoodAt();
+  return inner_->subscriber->CurrentAsOf();
 }
 bool Record::Keeps() const {
   return inner_->replica && inner_->replica->IsOpen();
 }
 bool Record::Corrupted() const {
-  return inner_->replica && (!Keeps() || !inner_->replica->log()->Holes(1).empty());
+  return inner_->replica && (!Keeps() || !inner_->replica->log()->Gaps(1).empty());
 }
-record::Head Record::head() const {
-  return inner_->replica ? inner_->replica->HeadAtOpening() : record::Head{};
+record::LogMetadata Record::head() const {
+  return inner_->replica ? inner_->replica->MetadataAtOpening() : record::LogMetadata{};
 }
 bool Record::Writes() const {
   return inner_->writer && inner_->writer->phase() == record::Phase::kServing;
@@ -325,15 +326,15 @@
   answer.set_number(batch.number());
   if (!in.writer || in.writer->phase() != record::Phase::kServing)
     return say(3, "this front does not own the record, or not yet");
-  std::vector<record::Writer::Put> puts;
+  std::vector<record::LeaderWriter::Put> puts;
   bool of_rules = false;
   if (batch.puts_size() > 1)
     for (const auto& p : batch.puts())
       if (p.stream() == static_cast<unsigned>(record::Stream::kRules))
         return say(4, "a change of the rules goes alone");
   for (const auto& p : batch.puts()) {
-    if (p.key().empty() || p.key().size() > record::kLongestKey ||
-        p.value().size() > record::kLongestValue || p.stream() >= record::kStreams)
+    if (p.key().empty() || p.key().size() > record::kMaxKeyBytes ||
+        p.value().size() > record::kMaxValueBytes || p.stream() >= record::kStreamCount)
       return say(4, "a key of 1 to 200 bytes, a value of 60,000 at most and a known stream wanted");
     for (char c : p.key())
       if (c < '!' || c > '~')
@@ -362,11 +363,11 @@
   std::size_t many = puts.size();
   bool taken = in.writer->Write(
       in.loop.now(), puts,
-      [&in, reply, answer, many, of_rules, token = in.writer->token()](record::Writer::Outcome o,
-                                                                       Offset first) mutable {
+      [&in, reply, answer, many, of_rules, token = in.writer->token()](
+          record::LeaderWriter::Outcome o, Offset first) mutable {
         --in.under_way;
         in.rules_under_way -= of_rules;
-        if (o == record::Writer::Outcome::kAcknowledged)
+        if (o == record::LeaderWriter::Outcome::kAcknowledged)
           log::Say("record put %llu acknowledged %zu token %llu at %.0f",
                    static_cast<unsigned long long>(first), many,
                    static_cast<unsigned long long>(token), in.loop.now());
@@ -397,25 +398,27 @@
                   ",\"owner\":" + std::to_string(in.ways.owner());
   if (Keeps()) {
     const record::Log& log = *in.replica->log();
-    const record::Head& h = log.head();
-    s += ",\"last\":" + std::to_string(log.Last()) + ",\"entries\":" + std::to_string(log.size()) +
+    const record::LogMetadata& h = log.metadata();
+    s += ",\"last\":" + std::to_string(log.LastOffset()) +
+         ",\"entries\":" + std::to_string(log.size()) +
          ",\"bytes\":" + std::to_string(log.bytes()) +
          ",\"dead_bytes\":" + std::to_string(log.DeadBytes()) +
-         ",\"cleaned\":" + std::to_string(h.cleaned) +
-         ",\"forgotten\":" + std::to_string(h.forgotten) +
-         ",\"promised\":" + std::to_string(h.promised) + ",\"starts\":" + std::to_string(h.starts) +
-         ",\"holes\":" + std::to_string(log.Holes(1000).size()) +
+         ",\"cleaned\":" + std::to_string(h.compacted_up_to) +
+         ",\"forgotten\":" + std::to_string(h.tombstone_horizon) +
+         ",\"promised\":" + std::to_string(h.promised_token) +
+         ",\"starts\":" + std::to_string(h.start_count) +
+         ",\"holes\":" + std::to_string(log.Gaps(1000).size()) +
          ",\"failed\":false,\"subscribers\":" +
-         std::to_string(in.replica->server()->Living(in.loop.now()).positions.size());
+         std::to_string(in.replica->server()->ActivePositions(in.loop.now()).positions.size());
   }
   if (in.replica && !Keeps())
     s += ",\"store\":\"not used\"";
   if (in.writer)
     s += ",\"writes\":\"" + std::string(record::ToString(in.writer->phase())) +
          "\",\"token\":" + std::to_string(in.writer->token());
-  s += ",\"good_ms_ago\":" + (in.subscriber->GoodAt() < 0
+  s += ",\"good_ms_ago\":" + (in.subscriber->CurrentAsOf() < 0
                                   ? std::string("null")
-                                  : n(in.loop.now() - in.subscriber->GoodAt()));
+                                  : n(in.loop.now() - in.subscriber->CurrentAsOf()));
   return s + "}";
 }
 
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -77,9 +77,9 @@
   bool CaughtUp() const;
   record::Offset Position() const, Committed() const;
   Ms GoodAt() const;
-  bool Keeps() const;         // is a replica, and its store is open
-  bool Corrupted() const;     // its store has holes, or is not open
-  record::Head head() const;  // of its store, as it was when opened last
+  bool Keeps() const;                // is a replica, and its store is open
+  bool Corrupted() const;            // its store has holes, or is not open
+  record::LogMetadata head() const;  // of its store, as it was when opened last
   bool Writes() const;
 
  private:
--- a/src/record/disk.hpp
+++ b/src/record/disk.hpp
@@ -1,8 +1,8 @@
-// What a keeper must not forget. Each call lasts when it returns, or throws Failed, after which the
-// keeper takes no further part until its next start (a write that may or may not have landed is in
-// doubt). LMDB (src/store/record_lmdb.*) on machines; memory, with faults given by the test, in
-// rigs: every call may fail before or after it took effect, the store may be replaced by an older
-// copy, entries may be flipped.
+// Durable storage of a log replica. Each writing call is durable when it returns, or throws
+// StorageError; after that the replica takes no further part until it is restarted, because the
+// failed write may or may not have reached the disk. Implemented by LMDB (src/store/record_lmdb.*)
+// in production, and in memory with injected faults in tests: any call may fail before or after it
+// took effect, the contents may be replaced by an older copy, entries may be corrupted.
 #pragma once
 #include <functional>
 #include <optional>
@@ -12,43 +12,48 @@
 
 namespace dunlinwick::record {
 
-struct Failed : std::runtime_error {
+struct StorageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-struct Full : Failed {  // no room: nothing was written, the keeper goes on without taking entries
-  using Failed::Failed;
+// No space: nothing was written, and the replica goes on without accepting entries.
+struct StorageFullError : StorageError {
+  using StorageError::StorageError;
 };
 
-// All but the entries. `store`: drawn at founding, told apart from a swapped disk; `starts`: of
-// this store, counted.
-struct Head {
-  std::uint64_t store = 0;
-  std::uint64_t starts = 0;
-  Id keeper = 0;         // whose it is: a disk swapped between two fronts is found by it
-  Token promised = 0;    // no word of a lower token is taken
-  Offset committed = 0;  // known to be at a majority
-  Offset first = 1;      // nothing below it was ever here, or all of it was compacted
-  Offset cleaned = 0;    // compacted up to here: of each key only the latest at or below it is left
-  Offset forgotten = 0;  // the highest tombstone that was let go
-  std::optional<std::uint64_t> entries;  // how many are on disk: fewer at a start are lost, below
-                                         // `cleaned` too (nothing: not counted yet)
-  std::vector<std::pair<Id, Offset>>
-      seen;  // by other keeper: the highest offset that it was known to hold (witness)
-  bool operator==(const Head&) const = default;
+// Everything that is stored besides the entries. `store_id` is drawn when the storage is created
+// and reveals a swapped disk; `start_count` counts the starts on this storage.
+struct LogMetadata {
+  std::uint64_t store_id = 0;
+  std::uint64_t start_count = 0;
+  Id replica_id = 0;             // the owner of the disk: reveals a disk swapped between two fronts
+  Token promised_token = 0;      // no message with a lower token is accepted
+  Offset committed = 0;          // known to be stored by a majority
+  Offset first = 1;              // below it everything was compacted, or nothing was ever stored
+  Offset compacted_up_to = 0;    // at or below it only the latest entry of each key is left
+  Offset tombstone_horizon = 0;  // the highest offset of a removed tombstone
+  // The number of entries on disk. Fewer found at a start means that some were lost, also at or
+  // below `compacted_up_to`. Unset: not counted yet.
+  std::optional<std::uint64_t> entry_count;
+  // By other replica: the highest offset that it was known to hold.
+  std::vector<std::pair<Id, Offset>> witnessed;
+  bool operator==(const LogMetadata&) const = default;
 };
 
-class Disk {
+class LogStorage {
  public:
-  virtual ~Disk() = default;
-  virtual bool Lasts() const = 0;
-  virtual std::optional<Head> head() = 0;  // nothing: a new one
-  // In offset order; one whose digest does not fit is told as a hole (offset, nothing).
-  virtual void Each(const std::function<void(Offset, const Entry*)>& see) = 0;
-  virtual void Write(const Head& head) = 0;
-  // In one step: drops all at and above `from` (0: none), then adds, with the head.
-  virtual void append(Offset from, const std::vector<Entry>& entries, const Head& head) = 0;
-  virtual void Drop(const std::vector<Offset>& gone, const Head& head) = 0;  // of a compaction step
-  virtual void Heal(const Entry& entry) = 0;  // puts one back that was a hole
+  virtual ~LogStorage() = default;
+  virtual bool IsDurable() const = 0;
+  virtual std::optional<LogMetadata> metadata() = 0;  // unset for new storage
+  // Visits the entries in offset order; a null entry is one whose digest does not match.
+  virtual void ForEachEntry(const std::function<void(Offset, const Entry*)>& visit) = 0;
+  virtual void WriteMetadata(const LogMetadata& metadata) = 0;
+  // Atomically removes all entries at or above `from` (0: none), adds `entries` and writes the
+  // metadata.
+  virtual void AppendEntries(Offset from, const std::vector<Entry>& entries,
+                             const LogMetadata& metadata) = 0;
+  // One step of a compaction.
+  virtual void RemoveEntries(const std::vector<Offset>& removed, const LogMetadata& metadata) = 0;
+  virtual void RestoreEntry(const Entry& entry) = 0;  // puts back an entry that was a gap
 };
 
 }  // namespace dunlinwick::record
--- a/src/record/keepers_wire.cpp
+++ b/src/record/keepers_wire.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 namespace wire = dunlinwick::proto::record;
-constexpr int kMostListed = 4096;  // entries, holes, keepers in one message
+constexpr int kMaxListLength = 4096;  // entries, holes, keepers in one message
 
 template <class List>
-void PutEntries(List* list, const std::vector<Entry>& entries) {
+void EntriesToProto(List* list, const std::vector<Entry>& entries) {
   for (const Entry& e : entries) {
     auto* w = list->Add();
     w->set_offset(e.offset);
@@ -21,17 +21,17 @@
     w->set_key(e.key);
     w->set_tombstone(e.tombstone);
     w->set_value(e.value);
-    w->set_at(e.at);
+    w->set_at(e.written_at);
   }
 }
 template <class List>
-bool GetEntries(const List& list, std::vector<Entry>& out) {
-  if (list.size() > kMostListed)
+bool EntriesFromProto(const List& list, std::vector<Entry>& out) {
+  if (list.size() > kMaxListLength)
     return false;
   Offset before = 0;
   for (const auto& w : list) {
-    if (w.stream() >= kStreams || w.key().empty() || w.key().size() > kLongestKey ||
-        w.value().size() > kLongestValue || w.offset() <= before ||
+    if (w.stream() >= kStreamCount || w.key().empty() || w.key().size() > kMaxKeyBytes ||
+        w.value().size() > kMaxValueBytes || w.offset() <= before ||
         (w.tombstone() && !w.value().empty()) || !std::isfinite(w.at()))
       return false;
     before = w.offset();
@@ -41,7 +41,7 @@
   return true;
 }
 template <class List>
-void PutHeld(List* list, const std::vector<std::pair<Id, Offset>>& held) {
+void OffsetsByReplicaToProto(List* list, const std::vector<std::pair<Id, Offset>>& held) {
   for (auto [id, upTo] : held) {
     auto* w = list->Add();
     w->set_keeper(id);
@@ -49,115 +49,115 @@
   }
 }
 template <class List>
-bool GetHeld(const List& list, std::vector<std::pair<Id, Offset>>& out) {
-  if (list.size() > kMostListed)
+bool OffsetsByReplicaFromProto(const List& list, std::vector<std::pair<Id, Offset>>& out) {
+  if (list.size() > kMaxListLength)
     return false;
   for (const auto& w : list)
     out.emplace_back(w.keeper(), w.up_to());
   return true;
 }
 template <class List>
-bool GetOffsets(const List& list, std::vector<Offset>& out) {
-  if (list.size() > kMostListed)
+bool OffsetsFromProto(const List& list, std::vector<Offset>& out) {
+  if (list.size() > kMaxListLength)
     return false;
   out.assign(list.begin(), list.end());
   return true;
 }
-void PutPlan(wire::Plan* w, const Plan& p) {
+void PlanToProto(wire::Plan* w, const CompactionPlan& p) {
   w->set_token(p.token);
   w->set_up_to(p.up_to);
-  w->set_forget(p.forget);
+  w->set_forget(p.remove_tombstones_up_to);
 }
-Plan GetPlan(const wire::Plan& w) {
+CompactionPlan PlanFromProto(const wire::Plan& w) {
   return {w.token(), w.up_to(), w.forget()};
 }
 
-void fill(wire::Message& out, const Seek& m) {
+void FillProto(wire::Message& out, const PrepareRequest& m) {
   auto* w = out.mutable_seek();
   w->set_token(m.token);
   w->set_round(m.round);
 }
-void fill(wire::Message& out, const Tail& m) {
+void FillProto(wire::Message& out, const PrepareResponse& m) {
   auto* w = out.mutable_tail();
   w->set_token(m.token);
-  w->set_store(m.store);
-  w->set_starts(m.starts);
+  w->set_store(m.store_id);
+  w->set_starts(m.start_count);
   w->set_round(m.round);
-  w->set_life(m.life);
-  w->set_doubted(m.doubted);
-  w->set_unproved(m.unproved);
+  w->set_life(m.incarnation);
+  w->set_doubted(m.unconfirmed);
+  w->set_unproved(m.unconfirmed_on_disk);
   w->set_last(m.last);
   w->set_committed(m.committed);
   w->set_first(m.first);
-  w->set_cleaned(m.cleaned);
-  w->set_forgotten(m.forgotten);
+  w->set_cleaned(m.compacted_up_to);
+  w->set_forgotten(m.tombstone_horizon);
   w->set_last_token(m.last_token);
   w->set_spoilt(m.corrupted);
-  PutHeld(w->mutable_seen(), m.seen);
-  for (Offset o : m.holes)
+  OffsetsByReplicaToProto(w->mutable_seen(), m.witnessed);
+  for (Offset o : m.gaps)
     w->add_holes(o);
 }
-void fill(wire::Message& out, const Append& m) {
+void FillProto(wire::Message& out, const AppendRequest& m) {
   auto* w = out.mutable_append();
   w->set_token(m.token);
-  w->set_life(m.life);
+  w->set_life(m.incarnation);
   w->set_after(m.after);
   w->set_after_token(m.after_token);
   w->set_committed(m.committed);
-  w->set_anew(m.anew);
-  w->set_proves(m.proves);
-  w->set_cleaned(m.cleaned);
-  w->set_forgotten(m.forgotten);
-  w->set_passed(m.passed);
-  w->set_session(m.session);
+  w->set_anew(m.from_snapshot);
+  w->set_proves(m.confirms);
+  w->set_cleaned(m.compacted_up_to);
+  w->set_forgotten(m.tombstone_horizon);
+  w->set_passed(m.min_subscriber_position);
+  w->set_session(m.snapshot_session);
   w->set_spoilt(m.corrupted);
-  PutEntries(w->mutable_entries(), m.entries);
-  PutHeld(w->mutable_held(), m.held);
+  EntriesToProto(w->mutable_entries(), m.entries);
+  OffsetsByReplicaToProto(w->mutable_held(), m.match_offsets);
   if (m.plan.up_to != 0)
-    PutPlan(w->mutable_plan(), m.plan);
+    PlanToProto(w->mutable_plan(), m.plan);
 }
-void fill(wire::Message& out, const Kept& m) {
+void FillProto(wire::Message& out, const AppendResponse& m) {
   auto* w = out.mutable_kept();
   w->set_token(m.token);
-  w->set_life(m.life);
+  w->set_life(m.incarnation);
   w->set_up_to(m.up_to);
   w->set_refused(m.refused);
   w->set_full(m.full);
-  w->set_unsought(m.unsought);
-  w->set_stranded(m.stranded);
-  w->set_partial(m.partial);
+  w->set_unsought(m.unknown_incarnation);
+  w->set_stranded(m.needs_reset);
+  w->set_partial(m.incomplete);
   w->set_last(m.last);
-  w->set_hint(m.hint);
-  for (Offset o : m.holes)
+  w->set_hint(m.resume_after);
+  for (Offset o : m.gaps)
     w->add_holes(o);
   if (m.plan.up_to != 0)
-    PutPlan(w->mutable_plan(), m.plan);
+    PlanToProto(w->mutable_plan(), m.plan);
 }
-void fill(wire::Message& out, const Fetch& m) {
+void FillProto(wire::Message& out, const FetchRequest& m) {
   auto* w = out.mutable_fetch();
   w->set_after(m.after);
   w->set_up_to(m.up_to);
-  for (Offset o : m.only)
+  for (Offset o : m.offsets)
     w->add_only(o);
 }
-void fill(wire::Message& out, const Fetched& m) {
+void FillProto(wire::Message& out, const FetchResponse& m) {
   auto* w = out.mutable_fetched();
   w->set_after(m.after);
   w->set_up_to(m.up_to);
   w->set_after_token(m.after_token);
   w->set_committed(m.committed);
-  w->set_cleaned(m.cleaned);
-  w->set_forgotten(m.forgotten);
-  for (Offset o : m.only)
+  w->set_cleaned(m.compacted_up_to);
+  w->set_forgotten(m.tombstone_horizon);
+  for (Offset o : m.offsets)
     w->add_only(o);
-  PutEntries(w->mutable_entries(), m.entries);
+  EntriesToProto(w->mutable_entries(), m.entries);
 }
 
 }  // namespace
 
 std::string Encode(const Message& m) {
   wire::Message out;
-  std::visit([&](const auto& one) { fill(out, one); }, m);
+  std::visit([&](const auto& one) { FillProto(out, one); }, m);
   return out.SerializeAsString();
 }
 
@@ -167,46 +167,47 @@
     return std::nullopt;
   switch (in.kind_case()) {
     case wire::Message::kSeek:
-      return Seek{in.seek().token(), in.seek().round()};
+      return PrepareRequest{in.seek().token(), in.seek().round()};
     case wire::Message::kTail: {
       const auto& w = in.tail();
-      Tail m;
+      PrepareResponse m;
       m.token = w.token();
-      m.store = w.store();
-      m.starts = w.starts();
+      m.store_id = w.store();
+      m.start_count = w.starts();
       m.round = w.round();
-      m.life = w.life();
-      m.doubted = w.doubted();
-      m.unproved = w.unproved();
+      m.incarnation = w.life();
+      m.unconfirmed = w.doubted();
+      m.unconfirmed_on_disk = w.unproved();
       m.last = w.last();
       m.committed = w.committed();
       m.first = w.first();
-      m.cleaned = w.cleaned();
-      m.forgotten = w.forgotten();
+      m.compacted_up_to = w.cleaned();
+      m.tombstone_horizon = w.forgotten();
       m.last_token = w.last_token();
       m.corrupted = w.spoilt();
-      if (!GetHeld(w.seen(), m.seen) || !GetOffsets(w.holes(), m.holes))
+      if (!OffsetsByReplicaFromProto(w.seen(), m.witnessed) || !OffsetsFromProto(w.holes(), m.gaps))
         return std::nullopt;
       return m;
     }
     case wire::Message::kAppend: {
       const auto& w = in.append();
-      Append m;
+      AppendRequest m;
       m.token = w.token();
-      m.life = w.life();
+      m.incarnation = w.life();
       m.after = w.after();
       m.after_token = w.after_token();
       m.committed = w.committed();
-      m.anew = w.anew();
-      m.proves = w.proves();
-      m.cleaned = w.cleaned();
-      m.forgotten = w.forgotten();
-      m.passed = w.passed();
-      m.session = w.session();
+      m.from_snapshot = w.anew();
+      m.confirms = w.proves();
+      m.compacted_up_to = w.cleaned();
+      m.tombstone_horizon = w.forgotten();
+      m.min_subscriber_position = w.passed();
+      m.snapshot_session = w.session();
       m.corrupted = w.spoilt();
       if (w.has_plan())
-        m.plan = GetPlan(w.plan());
-      if (!GetEntries(w.entries(), m.entries) || !GetHeld(w.held(), m.held))
+        m.plan = PlanFromProto(w.plan());
+      if (!EntriesFromProto(w.entries(), m.entries) ||
+          !OffsetsByReplicaFromProto(w.held(), m.match_offsets))
         return std::nullopt;
       if (!m.entries.empty() && m.entries.front().offset <= m.after)
         return std::nullopt;
@@ -214,39 +215,39 @@
     }
     case wire::Message::kKept: {
       const auto& w = in.kept();
-      Kept m;
+      AppendResponse m;
       m.token = w.token();
-      m.life = w.life();
+      m.incarnation = w.life();
       m.up_to = w.up_to();
       m.refused = w.refused();
       m.full = w.full();
-      m.unsought = w.unsought();
-      m.partial = w.partial();
-      m.stranded = w.stranded();
+      m.unknown_incarnation = w.unsought();
+      m.incomplete = w.partial();
+      m.needs_reset = w.stranded();
       m.last = w.last();
-      m.hint = w.hint();
+      m.resume_after = w.hint();
       if (w.has_plan())
-        m.plan = GetPlan(w.plan());
-      if (!GetOffsets(w.holes(), m.holes))
+        m.plan = PlanFromProto(w.plan());
+      if (!OffsetsFromProto(w.holes(), m.gaps))
         return std::nullopt;
       return m;
     }
     case wire::Message::kFetch: {
-      Fetch m{in.fetch().after(), in.fetch().up_to(), {}};
-      if (!GetOffsets(in.fetch().only(), m.only))
+      FetchRequest m{in.fetch().after(), in.fetch().up_to(), {}};
+      if (!OffsetsFromProto(in.fetch().only(), m.offsets))
         return std::nullopt;
       return m;
     }
     case wire::Message::kFetched: {
       const auto& w = in.fetched();
-      Fetched m;
+      FetchResponse m;
       m.after = w.after();
       m.up_to = w.up_to();
       m.after_token = w.after_token();
       m.committed = w.committed();
-      m.cleaned = w.cleaned();
-      m.forgotten = w.forgotten();
-      if (!GetEntries(w.entries(), m.entries) || !GetOffsets(w.only(), m.only))
+      m.compacted_up_to = w.cleaned();
+      m.tombstone_horizon = w.forgotten();
+      if (!EntriesFromProto(w.entries(), m.entries) || !OffsetsFromProto(w.only(), m.offsets))
         return std::nullopt;
       return m;
     }
--- a/src/record/log.hpp
+++ b/src/record/log.hpp
@@ -1,22 +1,24 @@
-// A keeper's record in memory over its disk: append, read by offset, the latest of each key,
-// compaction in steps. Pure but for the disk it is given.
+// A replica's log in memory over its storage: append, read by offset, the latest entry of each key,
+// compaction in steps. Without side effects except on the storage.
 //
-// Compaction, as decision logic:
-// - Plan (made by the owner under its token, sent to all keepers, so that theirs stay alike): clean
-// up to `upTo`, let go
-//   of tombstones up to `forget`. Of each key the latest entry at or below `upTo` stays; nothing
-//   above it is touched. Entries younger than `lag` stay whole (`upTo` is below them). `forget` <=
-//   upTo, and below every living subscriber's position, and older than `tombstoneTerm`. A plan only
-//   ever moves forward; an older one is passed over.
-// - Worth doing once dead bytes exceed `deadShare` of what would be cleaned.
-// - Carried out in steps within a budget (entries a step); each step is one disk call; stoppable
-// and resumable at each: the
-//   head keeps how far (`cleaned`, `forgotten`), and a plan begun anew comes to the same end.
-//   Offsets never move. A step walks entries in offset order and drops the one before it of the
-//   same key: so what is left after a step is what a plan up to there would have left, and
-//   tombstones go last, once nothing is below them that they hide.
-// Bounds: `mostBytes` in memory, then append answers full. No entry is dropped but by a plan or by
-// truncate().
+// Compaction:
+// - A CompactionPlan is made by the leader writer under its token and sent to all replicas, so that
+//   their logs stay alike. It compacts entries up to `up_to` and removes tombstones up to
+//   `remove_tombstones_up_to`. Of each key the latest entry at or below `up_to` stays; no entry
+//   above it is touched. Entries younger than `min_compaction_lag` are not compacted (`up_to` is
+//   below them). `remove_tombstones_up_to` is at most `up_to`, below the position of every active
+//   subscriber, and older than `tombstone_retention`. Plans only move forward; an older one is
+//   ignored.
+// - A compaction is worthwhile once the dead bytes exceed `min_dead_ratio` of the bytes that it
+//   would cover.
+// - It is carried out in steps of at most `entries_per_step` entries; each step is one storage
+//   call. It can be stopped and resumed after any step: the metadata holds its progress
+//   (`compacted_up_to`, `tombstone_horizon`), and a plan that is started again reaches the same
+//   state. Offsets never change. A step walks the entries in offset order and removes the previous
+//   entry of the same key, so what is left after a step is what a plan up to that offset would have
+//   left. Tombstones are removed last, once nothing that they hide is left below them.
+// Bounds: `max_bytes` in memory; beyond that an append throws StorageFullError. Entries are removed
+// only by a plan or by truncation.
 #pragma once
 #include <deque>
 #include <map>
@@ -27,98 +29,109 @@
 
 namespace dunlinwick::record {
 
-// Broken on purpose in tests, to show that the checks see; all false in service.
-struct Breaks {
-  bool tombstone_early = false;     // let go whatever its term and whoever has not passed it
-  bool gap_after_snapshot = false;  // the tail begins at what is committed as the snapshot ends
-  bool resumed_forgotten = false;   // one behind `forgotten` is not told to start over
-  bool digest_unchecked = false;    // of a piece
+// Defects that tests inject to show that the checks detect them; all false in production.
+struct InjectedDefects {
+  bool drop_tombstones_early = false;  // regardless of retention and subscribers' positions
+  bool gap_after_snapshot = false;     // the tail begins at what is committed as the snapshot ends
+  bool resume_behind_horizon = false;  // a subscriber behind the horizon is not told to start over
+  bool skip_digest_check = false;      // of a SubscriptionResponse
 };
-struct LogTerms {
-  std::size_t most_bytes = 8 << 20;
-  Ms lag = 10 * 60 * 1000;
-  Ms tombstone_term = 24 * 60 * 60 * 1000.0;
-  double dead_share = 0.5;
-  std::size_t entries_a_step = 256;
-  Breaks breaks = {};
+struct LogSettings {
+  std::size_t max_bytes = 8 << 20;
+  Ms min_compaction_lag = 10 * 60 * 1000;
+  Ms tombstone_retention = 24 * 60 * 60 * 1000.0;
+  double min_dead_ratio = 0.5;
+  std::size_t entries_per_step = 256;
+  InjectedDefects defects = {};
 };
-struct Plan {
+struct CompactionPlan {
   Token token = 0;
   Offset up_to = 0;
-  Offset forget = 0;
-  bool operator==(const Plan&) const = default;
+  Offset remove_tombstones_up_to = 0;
+  bool operator==(const CompactionPlan&) const = default;
 };
-// How far the log was compacted that entries came from: gaps up to `cleaned` are no holes.
-struct Source {
-  Offset cleaned = 0;
-  Offset forgotten = 0;
+// How far the log that entries were read from was compacted: missing offsets up to
+// `compacted_up_to` are not gaps.
+struct CompactionProgress {
+  Offset compacted_up_to = 0;
+  Offset tombstone_horizon = 0;
 };
 
 class Log {
  public:
-  // Reads the disk, counts its start. `self`, `newStore` (of a new disk): a head of another keeper
-  // is refused (Failed: a swapped disk). Holes are kept as such: what does not fit its digest, and
-  // what is missing above `cleaned`. At or below it what is missing looks as if compacted; told by
-  // the count alone (Head::entries), it is one hole at the lowest gap, neither healed nor closed.
-  Log(Id self, LogTerms terms, Disk& disk, std::uint64_t new_store);
+  // Reads the storage and increments its start count. `new_store_id` identifies storage that is
+  // new. Metadata of another replica throws StorageError (a swapped disk). Entries whose digest
+  // does not match, and entries missing above `compacted_up_to`, are recorded as gaps. At or below
+  // `compacted_up_to` a missing entry looks like a compacted one. A loss there shows only in the
+  // count (LogMetadata::entry_count); it is recorded as a gap at the lowest missing offset, which
+  // can be neither repaired nor closed.
+  Log(Id self, LogSettings settings, LogStorage& storage, std::uint64_t new_store_id);
   ~Log();
-  const Head& head() const;
-  bool Lost() const;  // an entry at or below `cleaned` is gone, and which one nobody can tell: only
-                      // anew() mends it
-  bool has_failed() const;  // a call of the disk failed: each further writing call throws Failed
-  Offset Last() const;      // 0: none; never goes back by compaction
-  Token LastToken() const;  // 0: none, or a hole
-  std::optional<Token> TokenAt(Offset offset) const;  // nothing: compacted, a hole, or beyond
-  const Entry* at(Offset offset) const;
-  const Entry* Latest(Stream stream, const std::string& key)
-      const;  // at or below committed; tombstones told as such
-  // Entries above `after` and at or below `upTo`, in order, at most `bytes` of them (keys, values,
-  // 40 each) but at least one; never past a hole. `reached`: all up to it is told (upTo where
-  // nothing cut it short; `after` where a hole is next).
+  const LogMetadata& metadata() const;
+  // An entry at or below `compacted_up_to` was lost and cannot be identified: only
+  // ResetFromSnapshot() repairs that.
+  bool HasUnlocatedLoss() const;
+  // A storage call failed: each further writing call throws StorageError.
+  bool has_failed() const;
+  Offset LastOffset() const;  // 0: empty; compaction never lowers it
+  Token LastToken() const;    // 0: empty, or the last entry is a gap
+  // Unset: compacted, a gap, or beyond the end.
+  std::optional<Token> TokenAt(Offset offset) const;
+  const Entry* Find(Offset offset) const;
+  // The latest entry of the key at or below the committed offset; may be a tombstone.
+  const Entry* Latest(Stream stream, const std::string& key) const;
+  // Entries above `after` and at or below `up_to`, in order, at most `bytes` of them (keys, values,
+  // 40 each) but at least one; never past a gap. `reached`: the offset up to which the result is
+  // complete (`up_to` unless something cut it short; `after` where a gap is next).
   std::vector<Entry> Read(Offset after, Offset up_to, std::size_t bytes,
                           Offset* reached = nullptr) const;
-  // Whether what is served is a whole state: nothing above what is committed was compacted (a
-  // keeper being brought up is not).
-  bool Whole() const;
-  // The calls below write to the disk before memory; Full: nothing has changed. Failed: see
-  // failed(). from: as Disk::append; only above committed and cleaned. False, and nothing is
-  // changed: not in a row with what is here (gaps only up to `source.cleaned`), against the bounds
-  // of Entry, or below what was forgotten here or at the source, where the two have not forgotten
-  // the same (a value could be here whose tombstone is gone there; then only anew() brings it up).
-  bool append(Offset from, const std::vector<Entry>& entries, Source source = {});
-  // Begins anew from another's log: all here goes, committed included; the entries are its first
-  // ones, append() with the same source brings the rest.
-  bool Anew(const std::vector<Entry>& entries, Source source);
+  // Whether the log holds a complete state: nothing above the committed offset was compacted. False
+  // while a replica is being reset from a snapshot.
+  bool IsComplete() const;
+  // The calls below write to the storage before memory. StorageFullError: nothing has changed. Any
+  // other StorageError: see has_failed(). `from`: as in LogStorage::AppendEntries; only above
+  // `committed` and `compacted_up_to`. Returns false, and changes nothing, if the entries are not
+  // contiguous with the log (offsets may be missing only up to `source.compacted_up_to`), exceed
+  // the bounds of Entry, or lie below the tombstone horizon here or at the source while the two
+  // horizons differ: a value could still be here whose tombstone is gone at the source, so only
+  // ResetFromSnapshot() can bring this log up to date.
+  bool AppendEntries(Offset from, const std::vector<Entry>& entries,
+                     CompactionProgress source = {});
+  // Replaces the whole log, committed entries included, by the beginning of another replica's log;
+  // AppendEntries() with the same source adds the rest.
+  bool ResetFromSnapshot(const std::vector<Entry>& entries, CompactionProgress source);
   void Promise(Token token);
-  void Commit(Offset up_to);             // at most to last(); never back
-  void witness(Id other, Offset up_to);  // on disk with the next writing call, or keep()
-  void Keep();                           // writes the head, if it has changed
-  std::vector<Offset> Holes(std::size_t most) const;
-  bool Heal(const Entry& entry);  // false: not a hole
-  // Another keeper that is whole() has nothing there: it was compacted. Only the first hole, only
-  // what is committed here, and only above what the other forgot: a tombstone may have been there,
-  // and what it hid may still be here (then only anew() mends it). False else.
-  bool Close(Offset hole, Source source);
-  // What is worth cleaning now, if anything; `passed`: the least position of living subscribers. An
-  // entry is young if its time is within `lag` of `now`, on either side: one of a clock gone wrong
-  // does not stop compaction for ever.
-  std::optional<Plan> Worth(Ms now, Offset passed, Token token) const;
-  void Take(const Plan& plan);  // of a token at least as high as any before; else passed over. In
-                                // memory only
-  // One step of what was taken; false: nothing is left to do now. Not past what is committed here,
-  // not the last entry, and not while there is a hole in what would be cleaned (what is healed must
-  // not come back to life).
-  bool Step();
-  std::size_t bytes() const, DeadBytes() const,
-      size() const;  // in memory; dead: superseded by what is here
-  // Of what is live at or below `upTo` (latest of each key, tombstones up to `forgotten` left out,
-  // or up to own forgotten, if that is higher): the same at keepers that hold the same, whatever
-  // they compacted, for upTo >= cleaned of both.
-  std::uint64_t Digest(Offset up_to, Offset forgotten = 0) const;
+  void Commit(Offset up_to);  // at most LastOffset(); never moves back
+  // Written to disk with the next writing call, or by PersistMetadata().
+  void RecordWitnessed(Id other, Offset up_to);
+  void PersistMetadata();  // writes the metadata if it has changed
+  std::vector<Offset> Gaps(std::size_t max_count) const;
+  bool RepairGap(const Entry& entry);  // false: there is no gap at its offset
+  // Closes a gap at which another, complete replica has nothing, because the entry was compacted
+  // there. Only the first gap, only at or below the committed offset, and only above the other
+  // replica's tombstone horizon: below it a tombstone may have been there, and what it hid may
+  // still be here (then only ResetFromSnapshot() helps). Returns false otherwise.
+  bool CloseCompactedGap(Offset gap, CompactionProgress source);
+  // The compaction that is worthwhile now, if any. `min_position`: the lowest position of active
+  // subscribers. An entry is young if its time is within `min_compaction_lag` of `now` on either
+  // side, so that an entry with a time far in the future does not block compaction for ever.
+  std::optional<CompactionPlan> ProposePlan(Ms now, Offset min_position, Token token) const;
+  // Ignores a plan with a token lower than one accepted before. Kept in memory only.
+  void AcceptPlan(const CompactionPlan& plan);
+  // Runs one step of the accepted plan; returns false if nothing is left to do now. Does not go
+  // past the committed offset, keeps the last entry, and does not run while there is a gap in the
+  // range (a repaired entry must not reappear after its tombstone is gone).
+  bool CompactStep();
+  // In memory; dead bytes are those of entries superseded by a later one here.
+  std::size_t bytes() const, DeadBytes() const, size() const;
+  // Over the live entries at or below `up_to`: the latest of each key, without the tombstones up to
+  // the higher of `tombstone_horizon` and the log's own. Replicas that hold the same entries get
+  // the same digest however far each is compacted, for `up_to` >= `compacted_up_to` of both.
+  std::uint64_t Digest(Offset up_to, Offset tombstone_horizon = 0) const;
 
  private:
-  struct Inner;
-  std::unique_ptr<Inner> inner_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwick::record
--- a/src/record/memory_disk.hpp
+++ b/src/record/memory_disk.hpp
@@ -1,6 +1,6 @@
-// A disk in memory for rigs and tests. Faults, each given by the test: a writing call fails before
-// or after it took effect, or finds no room; an older copy is put back; entries are flipped or
-// gone. What it holds outlives the Log over it, as a disk does.
+// Log storage in memory for the simulator and tests, with faults that the test injects: a writing
+// call fails before or after it took effect, or finds no space; an older copy is restored; entries
+// are corrupted or lost. The contents outlive the Log above, as those of a disk do.
 #pragma once
 #include <map>
 
@@ -8,114 +8,117 @@
 
 namespace dunlinwick::record {
 
-class MemoryDisk final : public Disk {
+class MemoryLogStorage final : public LogStorage {
  public:
-  enum class Fate : std::uint8_t {
-    kWell,
-    kFailsBefore,
-    kFailsAfter,
+  enum class WriteFault : std::uint8_t {
+    kNone,
+    kFailBefore,
+    kFailAfter,
     kFull
   };
-  struct Copy {
-    std::optional<Head> head;
-    std::map<Offset, std::pair<Entry, std::uint64_t>>
-        entries;  // with the digest it was written with
+  struct Contents {
+    std::optional<LogMetadata> metadata;
+    // With the digest that each entry was written with.
+    std::map<Offset, std::pair<Entry, std::uint64_t>> entries;
   };
-  // Asked at each writing call with its number, from 1 over the disk's whole life.
-  std::function<Fate(std::uint64_t call)> fate;
-  std::size_t most_bytes = 0;  // of keys and values; 0: no bound
+  // Called for each writing call with its number, which counts from 1 over the storage's lifetime.
+  std::function<WriteFault(std::uint64_t call)> write_fault;
+  std::size_t max_bytes = 0;  // of keys and values; 0: unlimited
 
-  explicit MemoryDisk(bool lasts = true) : lasts_(lasts) {}
-  bool Lasts() const override {
-    return lasts_;
+  explicit MemoryLogStorage(bool is_durable = true) : is_durable_(is_durable) {}
+  bool IsDurable() const override {
+    return is_durable_;
   }
-  std::optional<Head> head() override {
-    return now_.head;
+  std::optional<LogMetadata> metadata() override {
+    return contents_.metadata;
   }
-  void Each(const std::function<void(Offset, const Entry*)>& see) override {
-    for (const auto& [offset, one] : now_.entries)
-      see(offset, Digest(one.first) == one.second ? &one.first : nullptr);
+  void ForEachEntry(const std::function<void(Offset, const Entry*)>& visit) override {
+    for (const auto& [offset, stored] : contents_.entries)
+      visit(offset, Digest(stored.first) == stored.second ? &stored.first : nullptr);
   }
-  void Write(const Head& head) override {
-    Call([&](Copy& c) { c.head = head; });
+  void WriteMetadata(const LogMetadata& metadata) override {
+    ApplyWrite([&](Contents& c) { c.metadata = metadata; });
   }
-  void append(Offset from, const std::vector<Entry>& entries, const Head& head) override {
-    std::size_t more = 0;
+  void AppendEntries(Offset from, const std::vector<Entry>& entries,
+                     const LogMetadata& metadata) override {
+    std::size_t added_bytes = 0;
     for (const Entry& e : entries)
-      more += e.key.size() + e.value.size();
-    if (most_bytes != 0 && bytes() + more > most_bytes)
-      throw Full("no room");
-    Call([&](Copy& c) {
+      added_bytes += e.key.size() + e.value.size();
+    if (max_bytes != 0 && UsedBytes() + added_bytes > max_bytes)
+      throw StorageFullError("no space left");
+    ApplyWrite([&](Contents& c) {
       if (from != 0)
         c.entries.erase(c.entries.lower_bound(from), c.entries.end());
       for (const Entry& e : entries)
         c.entries.insert_or_assign(c.entries.end(), e.offset, std::pair(e, Digest(e)));
-      c.head = head;
+      c.metadata = metadata;
     });
-    if (most_bytes != 0)
-      used_ = sum(now_);
-  }
-  void Drop(const std::vector<Offset>& gone, const Head& head) override {
-    Call([&](Copy& c) {
-      for (Offset o : gone)
-        c.entries.erase(o);
-      c.head = head;
+    if (max_bytes != 0)
+      used_bytes_ = SizeOf(contents_);
+  }
+  void RemoveEntries(const std::vector<Offset>& removed, const LogMetadata& metadata) override {
+    ApplyWrite([&](Contents& c) {
+      for (Offset offset : removed)
+        c.entries.erase(offset);
+      c.metadata = metadata;
     });
-    if (most_bytes != 0)
-      used_ = sum(now_);
+    if (max_bytes != 0)
+      used_bytes_ = SizeOf(contents_);
   }
-  void Heal(const Entry& entry) override {
-    Call([&](Copy& c) {
+  void RestoreEntry(const Entry& entry) override {
+    ApplyWrite([&](Contents& c) {
       c.entries.insert_or_assign(entry.offset, std::pair(entry, Digest(entry)));
     });
   }
 
-  std::uint64_t Calls() const {
-    return calls_;
+  std::uint64_t WriteCount() const {
+    return write_count_;
+  }
+  // Tracked only if there is a limit.
+  std::size_t UsedBytes() const {
+    return used_bytes_;
   }
-  std::size_t bytes() const {
-    return used_;
-  }  // kept only where there is a bound
-  Copy copy() const {
-    return now_;
+  Contents contents() const {
+    return contents_;
   }
-  void PutBack(Copy older) {
-    now_ = std::move(older);
-    used_ = sum(now_);
+  void RestoreContents(Contents older) {
+    contents_ = std::move(older);
+    used_bytes_ = SizeOf(contents_);
   }
   bool Has(Offset offset) const {
-    return now_.entries.count(offset) != 0;
+    return contents_.entries.count(offset) != 0;
   }
-  void Flip(Offset offset) {
-    if (auto i = now_.entries.find(offset); i != now_.entries.end())
+  void CorruptEntry(Offset offset) {
+    if (auto i = contents_.entries.find(offset); i != contents_.entries.end())
       i->second.second ^= 1;
   }
-  void Lose(Offset offset) {
-    now_.entries.erase(offset);
+  void LoseEntry(Offset offset) {
+    contents_.entries.erase(offset);
   }
 
  private:
-  template <class What>
-  void Call(What what) {
-    Fate f = fate ? fate(++calls_) : (++calls_, Fate::kWell);
-    if (f == Fate::kFull)
-      throw Full("no room");
-    if (f == Fate::kFailsBefore)
-      throw Failed("fails before it took effect");
-    what(now_);
-    if (f == Fate::kFailsAfter)
-      throw Failed("fails after it took effect");
-  }
-  static std::size_t sum(const Copy& c) {
-    std::size_t n = 0;
-    for (const auto& one : c.entries)
-      n += one.second.first.key.size() + one.second.first.value.size();
-    return n;
-  }
-  bool lasts_;
-  Copy now_;
-  std::uint64_t calls_ = 0;
-  std::size_t used_ = 0;
+  template <class Change>
+  void ApplyWrite(Change change) {
+    WriteFault fault =
+        write_fault ? write_fault(++write_count_) : (++write_count_, WriteFault::kNone);
+    if (fault == WriteFault::kFull)
+      throw StorageFullError("no space left");
+    if (fault == WriteFault::kFailBefore)
+      throw StorageError("injected failure before the write took effect");
+    change(contents_);
+    if (fault == WriteFault::kFailAfter)
+      throw StorageError("injected failure after the write took effect");
+  }
+  static std::size_t SizeOf(const Contents& c) {
+    std::size_t size = 0;
+    for (const auto& stored : c.entries)
+      size += stored.second.first.key.size() + stored.second.first.value.size();
+    return size;
+  }
+  bool is_durable_;
+  Contents contents_;
+  std::uint64_t write_count_ = 0;
+  std::size_t used_bytes_ = 0;
 };
 
 }  // namespace dunlinwick::record
--- a/src/record/replica.hpp
+++ b/src/record/replica.hpp
@@ -1,11 +1,12 @@
-/// A replica of the record over a disk that may fail: log, replication and the server of
-/// subscribers, opened and closed together. A store that can't be opened, or a write or sync that
-/// fails, closes them: this replica acknowledges nothing, promises nothing and serves no
-/// subscriber, so that writers count it as down and subscribers turn to another. The store is
-/// opened anew, by backoff, until it can be; what is on the disk is then read as at a start of the
-/// process, under another life, and proved by a writer. A disk without room (Full) closes nothing:
-/// the replica says so to the writer and serves what it has, but vouches for being current only as
-/// long as it holds all that the writer calls committed.
+/// Hosts a log replica on a disk that may fail: storage, log, replication and the subscribers'
+/// server, opened and closed together. Storage that cannot be opened, or a failed write or sync,
+/// closes them all: the replica then acknowledges nothing, promises nothing and serves no
+/// subscriber, so that leader writers count it as down and subscribers turn to another replica. The
+/// storage is reopened with backoff until that succeeds; its contents are then read as at a start
+/// of the process, under a new incarnation, and confirmed by a leader writer. A disk without space
+/// (StorageFullError) closes nothing: the replica reports it to the leader writer and serves what
+/// it has, but is taken for current only as long as it holds everything that the leader writer
+/// calls committed.
 #pragma once
 #include <functional>
 #include <memory>
@@ -18,75 +19,77 @@
 
 namespace dunlinwick::record {
 
-struct ReplicaTerms {
-  KeeperTerms keeper;
-  LogTerms log;
-  SubscriberTerms subscriber;
+struct ReplicaHostSettings {
+  LogReplicaSettings replica;
+  LogSettings log;
+  SubscriberSettings subscriber;
 };
 
-class Replica {
+class ReplicaHost {
  public:
-  /// Opens the disk; throws Failed where it can't.
-  using OpenDisk = std::function<std::unique_ptr<Disk>()>;
-  using Say = std::function<void(const std::string& line)>;
+  /// Opens the storage; throws StorageError if that fails.
+  using OpenStorage = std::function<std::unique_ptr<LogStorage>()>;
+  using LogLine = std::function<void(const std::string& line)>;
 
-  /// Tries to open the disk at once. `replicas`: all of the record, `self` among them. `newStore`
-  /// identifies a disk that is empty.
-  Replica(Id self, std::vector<Id> replicas, ReplicaTerms terms, OpenDisk open_disk,
-          std::uint64_t new_store, Ms now, Say say);
-  Replica(const Replica&) = delete;
-  Replica& operator=(const Replica&) = delete;
+  /// Tries to open the storage at once. `replicas`: all replicas of the record, including `self`.
+  /// `new_store_id` identifies storage that is empty.
+  ReplicaHost(Id self, std::vector<Id> replicas, ReplicaHostSettings settings,
+              OpenStorage open_storage, std::uint64_t new_store_id, Ms now, LogLine log_line);
+  ReplicaHost(const ReplicaHost&) = delete;
+  ReplicaHost& operator=(const ReplicaHost&) = delete;
 
-  /// A message of a writer or of another replica.
-  void Receive(Ms now, Id from, const Message& message, const Send& send);
-  /// Compaction, healing, and the next try to open the disk.
-  void Tick(Ms now, const Send& send);
-  /// The answer to a subscriber; nothing while closed.
-  std::optional<Piece> Wants(Ms now, const Want& want);
+  /// A message of a leader writer or of another replica.
+  void Receive(Ms now, Id from, const Message& message, const SendMessage& send);
+  /// Runs compaction and repairs, and retries to open the storage.
+  void Tick(Ms now, const SendMessage& send);
+  /// The response to a subscriber; unset while closed.
+  std::optional<SubscriptionResponse> HandleSubscription(Ms now,
+                                                         const SubscriptionRequest& request);
 
   bool IsOpen() const {
-    return keeper_ != nullptr;
+    return replica_ != nullptr;
   }
-  /// Of the store as it was read when it was opened last; empty before that.
-  const Head& HeadAtOpening() const {
-    return head_at_opening_;
+  /// As read when the storage was last opened; empty before that.
+  const LogMetadata& MetadataAtOpening() const {
+    return metadata_at_opening_;
   }
-  /// While open; nullptr else.
+  /// Null while closed.
   const Log* log() const {
     return log_.get();
   }
-  const Server* server() const {
+  const SubscriptionServer* server() const {
     return server_.get();
   }
-  /// The highest offset that this replica knew as committed, open or not.
+  /// The highest offset that this replica has known as committed, open or not.
   Offset Committed() const;
-  /// Who appended here last; 0: nobody yet.
-  Id LastWriter() const {
-    return last_writer_;
+  /// The leader writer that last appended here; 0: none yet.
+  Id LastLeader() const {
+    return last_leader_;
   }
 
  private:
   void Open(Ms now);
   void Close(Ms now, const std::string& line);
-  void HeardWriter(Ms now, Id from, const Append& append);
+  void NoteAppend(Ms now, Id from, const AppendRequest& append);
 
   Id self_;
   std::vector<Id> replicas_;
-  ReplicaTerms terms_;
-  OpenDisk open_disk_;
-  std::uint64_t new_store_;
-  Say say_;
-  std::unique_ptr<Disk> disk_;
+  ReplicaHostSettings settings_;
+  OpenStorage open_storage_;
+  std::uint64_t new_store_id_;
+  LogLine log_line_;
+  std::unique_ptr<LogStorage> storage_;
   std::unique_ptr<Log> log_;
-  std::unique_ptr<Keeper> keeper_;
-  std::unique_ptr<Server> server_;
+  std::unique_ptr<LogReplica> replica_;
+  std::unique_ptr<SubscriptionServer> server_;
   backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
-  bool said_failure_ = false;
-  Head head_at_opening_;
-  std::uint64_t life_ = 0;
-  Offset committed_before_ = 0;  // at the last closing
-  Id last_writer_ = 0;
-  Ms current_at_ = 0;  // the last word of a writer by which all that is committed is here
+  bool is_failure_logged_ = false;
+  LogMetadata metadata_at_opening_;
+  std::uint64_t incarnation_ = 0;
+  Offset committed_before_ = 0;  // when it was last closed
+  Id last_leader_ = 0;
+  // When a leader writer's last message showed that everything committed is here.
+  Ms current_at_ = 0;
 };
 
 }  // namespace dunlinwick::record
--- a/src/record/subscribers.hpp
+++ b/src/record/subscribers.hpp
@@ -1,18 +1,19 @@
-// Late joiners and followers of the record: a subscriber reads the compacted record in offset order
-// from any keeper, first what is at or below the offset S that was committed when it began (its
-// snapshot), then the tail; it holds a lease so that tombstones wait for it. Pure: time and
-// messages in, messages and facts out.
+// Subscribers of the record. A subscriber reads the compacted record in offset order from any
+// replica: first everything at or below the offset S that was committed when it began (its
+// snapshot), then the tail. It holds a lease, so that tombstones are kept until it has read them.
+// Driven only by time and messages; it outputs messages and entries.
 //
-// What it promises: no gap (at each position the subscriber has, of each key, the latest at or
-// below it, or a later one is on its way), no double and no older value after a newer one, whatever
-// is lost, late, doubled, compacted, resumed at another keeper or written meanwhile. Each piece
-// carries a digest and is asked again where it does not fit. One that was away past its lease and
-// is behind `forgotten` (and began before that was forgotten: Want::clean) is told to start over
-// (its state is void: a recalled object would come back to life), never silently resumed. A slow
-// one has one piece under way, so that nothing piles up for it; what it holds back is tombstones,
-// for as long as its lease runs. A keeper's start forgets its leases: the worst that comes of it is
-// a start-over. Bounds: `mostSubscribers` leases at the writer's front; one piece (pieceBytes)
-// under way a subscriber.
+// Guarantees: no gap (at each position the subscriber has, of each key, the latest entry at or
+// below it, or a later one is on its way), no duplicate and no older value after a newer one,
+// whatever is lost, delayed, duplicated, compacted, resumed at another replica or written
+// meanwhile. Each response carries a digest and is requested again if it does not match. A
+// subscriber that was away longer than its lease and is behind the tombstone horizon (and began
+// before those tombstones were removed: SubscriptionRequest::clean_horizon) is told to start over,
+// never silently resumed: its state is void, because a recalled object would reappear. A slow
+// subscriber has one request in flight, so nothing queues up for it; what it holds back is the
+// removal of tombstones, for as long as its lease runs. A restart of a replica drops its leases; at
+// worst that causes a start-over. Bounds: `max_subscribers` leases at a replica; one response
+// (`batch_bytes`) in flight per subscriber.
 #pragma once
 #include <functional>
 #include <map>
@@ -25,95 +26,101 @@
 
 namespace dunlinwick::record {
 
-struct SubscriberTerms {
+struct SubscriberSettings {
   Ms lease = 30000;
-  Ms ask_every = 200;
-  Ms again = 400;
-  std::size_t piece_bytes = 32 << 10;
-  std::size_t most_subscribers = 1024;
-  Ms stale_news =
-      1500;  // a keeper that has not heard a writer for so long is left for the next one
-  Breaks breaks = {};
+  Ms poll_interval = 200;
+  Ms retry_interval = 400;
+  std::size_t batch_bytes = 32 << 10;
+  std::size_t max_subscribers = 1024;
+  // A replica that has not heard from a leader writer for longer is left for the next one.
+  Ms max_leader_silence = 1500;
+  InjectedDefects defects = {};
 };
 
-struct Want {  // subscriber to keeper
+// Subscriber to replica.
+struct SubscriptionRequest {
   std::uint64_t subscriber = 0;
-  std::uint64_t life = 0;
-  std::uint64_t number = 0;
-  Offset after = 0;           // has all up to and with it; 0: begins
-  std::uint32_t streams = 7;  // a bit a stream
-  // The least `forgotten` of the keepers it read from since it began: no value that those
-  // tombstones hid is in it.
-  Offset clean = 0;
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence = 0;
+  Offset after = 0;               // everything up to it has been read; 0: begins
+  std::uint32_t stream_mask = 7;  // one bit per stream
+  // The lowest tombstone horizon of the replicas that it has read from since it began: its state
+  // holds no value that those tombstones hid.
+  Offset clean_horizon = 0;
 };
-struct Piece {
-  std::uint64_t number = 0;  // of the question
+struct SubscriptionResponse {
+  std::uint64_t sequence = 0;  // of the request
   Offset after = 0;
   Offset up_to = 0;
   Offset committed = 0;
-  Offset snapshot = 0;   // snapshot: S, while a join reads up to it
-  Offset forgotten = 0;  // of the keeper, as it answers
-  std::uint64_t age =
-      0;  // ms since the keeper last heard a writer: what it does not know may be so old
+  Offset snapshot_end = 0;       // S, while the subscriber is reading up to it
+  Offset tombstone_horizon = 0;  // of the replica at the time of the response
+  // Milliseconds since the replica last heard from a leader writer: what it does not know may be
+  // that old.
+  std::uint64_t leader_silence_ms = 0;
   bool start_over = false;
   std::vector<Entry> entries;
   std::uint64_t digest = 0;  // over all of the above
 };
-std::uint64_t Digest(const Piece& p);  // what Piece::digest must be
-struct Lease {  // keeper to the writer's front, gathered: positions of its living subscribers
+// The value that SubscriptionResponse::digest must have.
+std::uint64_t Digest(const SubscriptionResponse& p);
+// Replica to the leader writer's front: the positions of the replica's active subscribers.
+struct LeasedPositions {
   std::vector<std::pair<std::uint64_t, Offset>> positions;
 };
-using Saying = std::variant<Want, Piece, Lease>;
-std::string Encode(const Saying& s);
-// Nothing for anything that is not one of them, or is out of bounds. A piece's digest is looked at
-// by the subscriber.
-std::optional<Saying> DecodeSaying(std::span<const char> bytes);
+using SubscriberMessage = std::variant<SubscriptionRequest, SubscriptionResponse, LeasedPositions>;
+std::string Encode(const SubscriberMessage& s);
+// Unset for anything that is not one of these messages or exceeds a bound. The subscriber itself
+// verifies a response's digest.
+std::optional<SubscriberMessage> DecodeSubscriberMessage(std::span<const char> bytes);
 
-// A keeper's side: answers from its own log; what it holds of leases is told to the writer by
-// Lease. A subscriber's entry is emptied once its lease has run; an entry of a life is taken over
-// by a later life only.
-class Server {
+// A replica's side: answers from its own log; the leases that it holds are reported to the leader
+// writer as LeasedPositions. A subscription is removed once its lease has expired; only a later
+// incarnation of the subscriber replaces an earlier one.
+class SubscriptionServer {
  public:
-  Server(Log& log, SubscriberTerms terms, Ms now);
-  // Nothing: full of subscribers, a late copy of an earlier question, or this keeper is itself
-  // being brought up (Log::whole()). `age`: ms since this keeper last heard a writer.
-  std::optional<Piece> Wants(Ms now, const Want& want, std::uint64_t age = 0);
-  Lease Living(Ms now) const;
-  Offset Passed(Ms now)
-      const;  // least position of the living; the log's committed offset where there is none
+  SubscriptionServer(Log& log, SubscriberSettings settings, Ms now);
+  // Unset: too many subscribers, a delayed copy of an earlier request, or this replica is itself
+  // incomplete (Log::IsComplete()). `leader_silence_ms`: since this replica last heard from a
+  // leader writer.
+  std::optional<SubscriptionResponse> HandleRequest(Ms now, const SubscriptionRequest& request,
+                                                    std::uint64_t leader_silence_ms = 0);
+  LeasedPositions ActivePositions(Ms now) const;
+  // The lowest position of active subscribers; the log's committed offset if there are none.
+  Offset MinPosition(Ms now) const;
 
  private:
-  struct Inner;
-  std::shared_ptr<Inner> inner_;
+  struct Impl;
+  std::shared_ptr<Impl> impl_;
 };
 
 // The subscriber's side.
 class Subscriber {
  public:
-  struct Out {
-    std::function<void(Id keeper, const Want&)> ask;
-    std::function<void(const Entry&)> entry;  // in offset order, each once
-    std::function<void()> start_over;         // all that was told before is void
+  struct Callbacks {
+    std::function<void(Id replica, const SubscriptionRequest&)> send_request;
+    std::function<void(const Entry&)> on_entry;  // in offset order, each once
+    std::function<void()> on_start_over;         // everything delivered before is void
   };
-  // `at`: resumes from what was kept (0: from nothing).
-  Subscriber(std::uint64_t self, std::uint64_t life, std::vector<Id> keepers, SubscriberTerms terms,
-             Offset at, std::uint64_t seed, Ms now);
-  void Tick(Ms now, const Out& out);
-  void Receive(Ms now, Id from, const Piece& piece, const Out& out);
+  // `position`: resumes after this offset (0: reads from the start).
+  Subscriber(std::uint64_t self, std::uint64_t incarnation, std::vector<Id> replicas,
+             SubscriberSettings settings, Offset position, std::uint64_t seed, Ms now);
+  void Tick(Ms now, const Callbacks& callbacks);
+  void Receive(Ms now, Id from, const SubscriptionResponse& response, const Callbacks& callbacks);
   Offset Position() const;
-  Offset Committed() const;  // the highest told by a keeper
-  bool CaughtUp() const;     // position >= the highest told as committed, and past the snapshot
-  // As of when it was last shown caught up with a keeper not behind the highest told: when the
-  // question was asked, less the age of that keeper's own news of the writer; < 0: never. So a
-  // front whose keeper is cut off as well knows that it may have missed something.
-  Ms GoodAt() const;
-  std::uint64_t bytes() const;  // of keys and values told, and 40 for each entry
-  std::uint64_t Refused()
-      const;  // pieces that did not fit: digest, order, or another place than asked for
+  Offset Committed() const;  // the highest that a replica reported
+  bool IsCaughtUp() const;   // position >= Committed(), and past the snapshot
+  // As of when it was last known to be caught up with a replica that is not behind the highest
+  // reported offset: when the request was sent, less that replica's own leader silence; < 0: never.
+  // A front whose replica is cut off as well thus knows that it may have missed something.
+  Ms CurrentAsOf() const;
+  std::uint64_t ReceivedBytes() const;  // of keys and values, and 40 for each entry
+  // Responses that were rejected: digest, order, or another position than requested.
+  std::uint64_t RejectedResponses() const;
 
  private:
-  struct Inner;
-  std::shared_ptr<Inner> inner_;
+  struct Impl;
+  std::shared_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwick::record
--- a/src/record/wire.hpp
+++ b/src/record/wire.hpp
@@ -1,4 +1,4 @@
-// Entries as Protobuf messages, for what goes between fronts and what the store keeps.
+// Conversion of entries to and from Protobuf, for messages between fronts and for storage.
 #pragma once
 #include <cmath>
 #include <optional>
@@ -8,19 +8,19 @@
 
 namespace dunlinwick::record {
 
-inline void ToWire(const Entry& e, proto::record::Entry* w) {
+inline void ToProto(const Entry& e, proto::record::Entry* w) {
   w->set_offset(e.offset);
   w->set_token(e.token);
   w->set_stream(static_cast<std::uint32_t>(e.stream));
   w->set_key(e.key);
   w->set_tombstone(e.tombstone);
   w->set_value(e.value);
-  w->set_at(e.at);
+  w->set_at(e.written_at);
 }
-// Nothing where a bound of Entry does not hold.
-inline std::optional<Entry> FromWire(const proto::record::Entry& w) {
-  if (w.stream() >= kStreams || w.key().empty() || w.key().size() > kLongestKey ||
-      w.value().size() > kLongestValue || w.offset() == 0 || !std::isfinite(w.at()) ||
+// Unset if the message violates a bound of Entry.
+inline std::optional<Entry> FromProto(const proto::record::Entry& w) {
+  if (w.stream() >= kStreamCount || w.key().empty() || w.key().size() > kMaxKeyBytes ||
+      w.value().size() > kMaxValueBytes || w.offset() == 0 || !std::isfinite(w.at()) ||
       (w.tombstone() && !w.value().empty()))
     return std::nullopt;
   return Entry{w.offset(), w.token(), static_cast<Stream>(w.stream()), w.key(), w.tombstone(),
--- a/src/rig/recordsim.cpp
+++ b/src/rig/recordsim.cpp
@@ -18,11 +18,11 @@
 
 struct Front {
   Id id = 0;
-  std::unique_ptr<MemoryDisk> disk = std::make_unique<MemoryDisk>();
+  std::unique_ptr<MemoryLogStorage> disk = std::make_unique<MemoryLogStorage>();
   std::unique_ptr<Log> log;
-  std::unique_ptr<Keeper> keeper;
-  std::unique_ptr<Server> server;
-  std::unique_ptr<Writer> writer;
+  std::unique_ptr<LogReplica> keeper;
+  std::unique_ptr<SubscriptionServer> server;
+  std::unique_ptr<LeaderWriter> writer;
   Ms writer_since = 0;
   std::map<std::uint64_t, std::pair<Offset, Ms>>
       leases;  // at its writer: by subscriber, position and when heard
@@ -32,7 +32,7 @@
   Ms stops_at = 1e300;
   Ms clock = 0;
   Ms full_until = 0;
-  std::vector<std::pair<Ms, MemoryDisk::Copy>> copies;
+  std::vector<std::pair<Ms, MemoryLogStorage::Contents>> copies;
   // Damaged: until it has all that was acknowledged then, and is not doubted.
   bool damaged = false;
   Offset owes = 0;
@@ -62,18 +62,18 @@
  public:
   Sim(std::uint64_t seed, const RecordTerms& terms)
       : terms_(terms), chance_(seed * 2654435761u + 17) {
-    log_terms_.most_bytes = 1 << 20;
-    log_terms_.lag = 400;
-    log_terms_.tombstone_term = 600;
-    log_terms_.dead_share = 0.2;
-    log_terms_.entries_a_step = 8;
-    log_terms_.breaks.tombstone_early = terms.tombstone_early;
-    log_terms_.breaks.resumed_forgotten = terms.resumes_forgotten;
+    log_terms_.max_bytes = 1 << 20;
+    log_terms_.min_compaction_lag = 400;
+    log_terms_.tombstone_retention = 600;
+    log_terms_.min_dead_ratio = 0.2;
+    log_terms_.entries_per_step = 8;
+    log_terms_.defects.drop_tombstones_early = terms.tombstone_early;
+    log_terms_.defects.resume_behind_horizon = terms.resumes_forgotten;
     subscriber_terms_.lease = 1200;
-    subscriber_terms_.piece_bytes = 400;
-    subscriber_terms_.breaks.resumed_forgotten = terms.resumes_forgotten;
-    terms_.keeper.piece_bytes = 300;
-    terms_.keeper.most_window = 4000;
+    subscriber_terms_.batch_bytes = 400;
+    subscriber_terms_.defects.resume_behind_horizon = terms.resumes_forgotten;
+    terms_.keeper.batch_bytes = 300;
+    terms_.keeper.max_window_bytes = 4000;
     for (std::size_t i = 0; i < terms.keepers; ++i)
       ids_.push_back(static_cast<Id>(i + 1));
     fronts_.resize(terms.keepers);
@@ -102,7 +102,7 @@
     for (Front& f : fronts_) {
       f.paused_until = 0;
       f.full_until = 0;
-      f.disk->fate = nullptr;
+      f.disk->write_fault = nullptr;
       if (f.writer) {
         f.writer->Stop();
         f.writer.reset();
@@ -130,20 +130,22 @@
       std::string s = "does not come to rest:";
       for (Front& f : fronts_) {
         s += " [" + std::to_string(f.id) + (f.keeper->has_failed() ? " failed" : "") + " last " +
-             std::to_string(f.log->Last()) + " committed " +
-             std::to_string(f.log->head().committed) + " promised " +
-             std::to_string(f.log->head().promised) + " holes " +
-             std::to_string(f.log->Holes(100).size()) + (f.log->Whole() ? "" : " partial") + "]";
+             std::to_string(f.log->LastOffset()) + " committed " +
+             std::to_string(f.log->metadata().committed) + " promised " +
+             std::to_string(f.log->metadata().promised_token) + " holes " +
+             std::to_string(f.log->Gaps(100).size()) + (f.log->IsComplete() ? "" : " partial") +
+             "]";
         if (f.writer)
-          s += std::string(" writer ") + ToString(f.writer->phase()) + " " + f.writer->state();
+          s += std::string(" writer ") + ToString(f.writer->phase()) + " " + f.writer->StateText();
       }
       for (Follower& f : followers_)
         s += " (" + std::to_string(f.subscriber ? f.subscriber->Position() : 0) + ")";
       judge_.Find(s);
     }
     for (Front& f : fronts_) {
-      auto entries = f.log->Read(0, f.log->head().committed, SIZE_MAX);
-      judge_.InTheEnd(f.id, entries, f.log->head().committed, f.log->head().forgotten);
+      auto entries = f.log->Read(0, f.log->metadata().committed, SIZE_MAX);
+      judge_.InTheEnd(f.id, entries, f.log->metadata().committed,
+                      f.log->metadata().tombstone_horizon);
       if (rest && &f == &fronts_[0])
         for (Follower& s : followers_)
           judge_.SubscriberInTheEnd(s.id, entries);
@@ -185,7 +187,7 @@
       net_.emplace(std::pair(now_ + delay, ++number_), Packet{from, to, channel, bytes});
     }
   }
-  Send Sender(Id from) {
+  SendMessage Sender(Id from) {
     return [this, from](Id to, const Message& m) {
       Post(from, to, 0, Encode(m));
     };
@@ -193,30 +195,31 @@
 
   // ---- a front's life
   bool Start(Front& f) {
-    f.disk->fate = [this, &f](std::uint64_t) {
+    f.disk->write_fault = [this, &f](std::uint64_t) {
       if (now_ < f.full_until)
-        return MemoryDisk::Fate::kFull;
+        return MemoryLogStorage::WriteFault::kFull;
       if (f.start_at == -1 && Odds(0.3)) {
         f.start_at = 0;
-        return Odds(0.5) ? MemoryDisk::Fate::kFailsBefore : MemoryDisk::Fate::kFailsAfter;
+        return Odds(0.5) ? MemoryLogStorage::WriteFault::kFailBefore
+                         : MemoryLogStorage::WriteFault::kFailAfter;
       }
-      return MemoryDisk::Fate::kWell;
+      return MemoryLogStorage::WriteFault::kNone;
     };
     try {
       f.log = std::make_unique<Log>(f.id, log_terms_, *f.disk, ++stores_);
-    } catch (const Failed&) {
+    } catch (const StorageError&) {
       f.log.reset();
       return false;
     }
     f.life = ++lives_;
     Trace(f, "starts");
-    f.keeper = std::make_unique<Keeper>(f.id, ids_, terms_.keeper, *f.log, f.life);
-    f.server = std::make_unique<Server>(*f.log, subscriber_terms_, now_);
+    f.keeper = std::make_unique<LogReplica>(f.id, ids_, terms_.keeper, *f.log, f.life);
+    f.server = std::make_unique<SubscriptionServer>(*f.log, subscriber_terms_, now_);
     f.up = true;
-    f.cleaned = f.log->head().cleaned;
-    f.forgotten = f.log->head().forgotten;
+    f.cleaned = f.log->metadata().compacted_up_to;
+    f.forgotten = f.log->metadata().tombstone_horizon;
     f.notified = 0;
-    judge_.Replaced(f.id, f.log->head().promised);
+    judge_.Replaced(f.id, f.log->metadata().promised_token);
     judge_.MayClean(f.id, ~Token{0}, f.cleaned, f.forgotten);
     return true;
   }
@@ -232,7 +235,8 @@
       return;
     if (f.writer)
       f.writer->Stop();
-    f.writer = std::make_unique<Writer>(f.id, ids_, terms_.keeper, log_terms_, ++token_, now_);
+    f.writer =
+        std::make_unique<LeaderWriter>(f.id, ids_, terms_.keeper, log_terms_, ++token_, now_);
     f.writer_since = now_;
     f.leases.clear();
     f.stops_at = 1e300;
@@ -245,25 +249,25 @@
   void watch(Front& f) {
     if (!f.log)
       return;
-    const Head& h = f.log->head();
-    judge_.Promised(f.id, h.promised);
-    if (h.cleaned != f.cleaned || h.forgotten != f.forgotten) {
-      judge_.Cleaned(f.id, h.cleaned, h.forgotten);
-      if (h.cleaned > f.cleaned)
+    const LogMetadata& h = f.log->metadata();
+    judge_.Promised(f.id, h.promised_token);
+    if (h.compacted_up_to != f.cleaned || h.tombstone_horizon != f.forgotten) {
+      judge_.Cleaned(f.id, h.compacted_up_to, h.tombstone_horizon);
+      if (h.compacted_up_to > f.cleaned)
         ++out_.cleanings;
-      f.cleaned = h.cleaned;
-      f.forgotten = h.forgotten;
+      f.cleaned = h.compacted_up_to;
+      f.forgotten = h.tombstone_horizon;
     }
     if (h.committed < f.notified) {
       f.notified = 0;
       ++out_.anew;
     }
     for (Offset o = f.notified + 1; o <= h.committed; ++o)
-      if (const Entry* e = f.log->at(o))
+      if (const Entry* e = f.log->Find(o))
         judge_.CommittedAt(f.id, *e);
     f.notified = std::max(f.notified, h.committed);
     if (f.damaged && f.keeper && !f.keeper->has_failed() && h.committed >= f.owes &&
-        f.log->Whole() && f.log->Holes(1).empty() && !f.keeper->Doubted()) {
+        f.log->IsComplete() && f.log->Gaps(1).empty() && !f.keeper->IsUnconfirmed()) {
       f.damaged = false;
       Trace(f, "mended");
     }
@@ -272,8 +276,9 @@
     if (p.to >= kSubscriberIds) {
       for (Follower& s : followers_)
         if (s.id == p.to && s.subscriber)
-          if (auto m = DecodeSaying(p.bytes); m && std::holds_alternative<Piece>(*m))
-            s.subscriber->Receive(now_, p.from, std::get<Piece>(*m), out(s));
+          if (auto m = DecodeSubscriberMessage(p.bytes);
+              m && std::holds_alternative<SubscriptionResponse>(*m))
+            s.subscriber->Receive(now_, p.from, std::get<SubscriptionResponse>(*m), out(s));
       return;
     }
     Front& f = *front(p.to);
@@ -284,13 +289,13 @@
       return;
     }
     if (p.channel == 1) {
-      auto m = DecodeSaying(p.bytes);
+      auto m = DecodeSubscriberMessage(p.bytes);
       if (!m || f.keeper->has_failed())
         return;
-      if (auto* w = std::get_if<Want>(&*m)) {
-        if (auto piece = f.server->Wants(now_, *w))
-          Post(f.id, p.from, 1, Encode(Saying{*piece}));
-      } else if (auto* l = std::get_if<Lease>(&*m); l && f.writer) {
+      if (auto* w = std::get_if<SubscriptionRequest>(&*m)) {
+        if (auto piece = f.server->HandleRequest(now_, *w))
+          Post(f.id, p.from, 1, Encode(SubscriberMessage{*piece}));
+      } else if (auto* l = std::get_if<LeasedPositions>(&*m); l && f.writer) {
         for (auto [who, at] : l->positions)
           f.leases[who] = {at, now_};
       }
@@ -299,35 +304,37 @@
     auto m = Decode(p.bytes);
     if (!m)
       return judge_.Find("a message is not read back");
-    if (auto* fetched = std::get_if<Fetched>(&*m))
-      judge_.MayClean(f.id, ~Token{0}, fetched->cleaned, 0);  // a hole may be closed by it
-    auto* append = std::get_if<Append>(&*m);
+    if (auto* fetched = std::get_if<FetchResponse>(&*m))
+      judge_.MayClean(f.id, ~Token{0}, fetched->compacted_up_to, 0);  // a hole may be closed by it
+    auto* append = std::get_if<AppendRequest>(&*m);
     if (std::getenv("RECORD_TRACE") &&
         std::getenv("RECORD_TRACE")[0] - '0' == static_cast<int>(f.id) && append) {
       std::printf(
           "%8.0f  to %u append after %llu@%llu anew %d committed %llu cleaned %llu forgotten %llu:",
           now_, f.id, static_cast<unsigned long long>(append->after),
-          static_cast<unsigned long long>(append->after_token), append->anew,
+          static_cast<unsigned long long>(append->after_token), append->from_snapshot,
           static_cast<unsigned long long>(append->committed),
-          static_cast<unsigned long long>(append->cleaned),
-          static_cast<unsigned long long>(append->forgotten));
+          static_cast<unsigned long long>(append->compacted_up_to),
+          static_cast<unsigned long long>(append->tombstone_horizon));
       for (auto& e : append->entries)
         std::printf(" %llu", static_cast<unsigned long long>(e.offset));
       std::printf("\n");
     }
     // That a subscriber left behind starts over hides this from what it holds in the end.
-    if (append && append->plan.up_to != 0 && append->plan.forget > passed_[append->plan.token])
-      judge_.Find("a plan forgets up to " + std::to_string(append->plan.forget) +
+    if (append && append->plan.up_to != 0 &&
+        append->plan.remove_tombstones_up_to > passed_[append->plan.token])
+      judge_.Find("a plan forgets up to " + std::to_string(append->plan.remove_tombstones_up_to) +
                   ", and what lives was told to have passed " +
                   std::to_string(passed_[append->plan.token]));
-    std::uint64_t calls = f.disk->Calls();
-    if (append && append->life == f.life) {
+    std::uint64_t calls = f.disk->WriteCount();
+    if (append && append->incarnation == f.life) {
       if (append->plan.up_to != 0)
-        judge_.MayClean(f.id, append->token, append->plan.up_to, append->plan.forget);
-      judge_.MayClean(f.id, append->token, append->cleaned, append->forgotten);
+        judge_.MayClean(f.id, append->token, append->plan.up_to,
+                        append->plan.remove_tombstones_up_to);
+      judge_.MayClean(f.id, append->token, append->compacted_up_to, append->tombstone_horizon);
     }
     f.keeper->Receive(now_, p.from, *m, Sender(f.id));
-    if (append && f.disk->Calls() != calls)
+    if (append && f.disk->WriteCount() != calls)
       judge_.Landed(f.id, append->token);
     watch(f);
     if (!f.writer)
@@ -338,9 +345,9 @@
       Trace(f, (std::string(ToString(f.writer->phase())) + " " + std::to_string(f.writer->token()))
                    .c_str());
   }
-  Subscriber::Out out(Follower& s) {
-    return {[this, &s](Id keeper, const Want& w) {
-              Post(static_cast<Id>(s.id), keeper, 1, Encode(Saying{w}));
+  Subscriber::Callbacks out(Follower& s) {
+    return {[this, &s](Id keeper, const SubscriptionRequest& w) {
+              Post(static_cast<Id>(s.id), keeper, 1, Encode(SubscriberMessage{w}));
             },
             [this, &s](const Entry& e) { judge_.Given(s.id, e); },
             [this, &s] {
@@ -387,7 +394,7 @@
         f.writer->Tick(now_, Sender(f.id));
         if (was != f.writer->phase())
           Trace(f, ToString(f.writer->phase()));
-        if (f.writer->Founded() && f.writer->phase() == Phase::kServing && !was_founded_) {
+        if (f.writer->IsBootstrapped() && f.writer->phase() == Phase::kServing && !was_founded_) {
           ++out_.founded;
           was_founded_ = true;
         }
@@ -395,11 +402,11 @@
       if (static_cast<long>(now_) % 500 == 0)
         for (Front& g : fronts_)
           if (g.writer)
-            Post(f.id, g.id, 1, Encode(Saying{f.server->Living(now_)}));
+            Post(f.id, g.id, 1, Encode(SubscriberMessage{f.server->ActivePositions(now_)}));
       if (f.writer && (faults || final_puts_ < 20))
         Puts(f, faults);
       if (Odds(0.01)) {
-        f.copies.emplace_back(now_, f.disk->copy());
+        f.copies.emplace_back(now_, f.disk->contents());
         if (f.copies.size() > 4)
           f.copies.erase(f.copies.begin());
       }
@@ -446,16 +453,16 @@
         ++i;
       }
     }
-    f.writer->Passed(now_, least);
+    f.writer->SetMinSubscriberPosition(now_, least);
     passed_[f.writer->token()] = std::max(passed_[f.writer->token()], least);
   }
   void Puts(Front& f, bool faults) {
     if (!Odds(0.4) || f.writer->phase() != Phase::kServing)
       return;
-    std::vector<Writer::Put> batch;
+    std::vector<LeaderWriter::Put> batch;
     std::size_t n = Odds(0.15) ? 2 + Pick(4) : 1;
     for (std::size_t i = 0; i < n; ++i) {
-      Writer::Put p;
+      LeaderWriter::Put p;
       p.stream = static_cast<Stream>(Pick(2));
       p.key = "k" + std::to_string(Odds(0.6) ? Pick(8) : 8 + Pick(30));
       p.tombstone = Odds(0.3);
@@ -464,8 +471,8 @@
       batch.push_back(p);
     }
     Offset before = judge_.PutBegins();
-    auto done = [this, batch, before](Writer::Outcome o, Offset first) {
-      if (o != Writer::Outcome::kAcknowledged) {
+    auto done = [this, batch, before](LeaderWriter::Outcome o, Offset first) {
+      if (o != LeaderWriter::Outcome::kAcknowledged) {
         ++out_.unsure;
         return;
       }
@@ -483,17 +490,17 @@
   void Trace(const Front& f, const char* what) {
     if (!std::getenv("RECORD_TRACE"))
       return;
-    auto c = f.disk->copy();
+    auto c = f.disk->contents();
     std::printf(
         "%8.0f front %u %s: disk last %llu", now_, f.id, what,
         c.entries.empty() ? 0ull : static_cast<unsigned long long>(c.entries.rbegin()->first));
-    if (c.head) {
+    if (c.metadata) {
       std::printf(" committed %llu promised %llu cleaned %llu forgotten %llu seen",
-                  static_cast<unsigned long long>(c.head->committed),
-                  static_cast<unsigned long long>(c.head->promised),
-                  static_cast<unsigned long long>(c.head->cleaned),
-                  static_cast<unsigned long long>(c.head->forgotten));
-      for (auto [who, at] : c.head->seen)
+                  static_cast<unsigned long long>(c.metadata->committed),
+                  static_cast<unsigned long long>(c.metadata->promised_token),
+                  static_cast<unsigned long long>(c.metadata->compacted_up_to),
+                  static_cast<unsigned long long>(c.metadata->tombstone_horizon));
+      for (auto [who, at] : c.metadata->witnessed)
         std::printf(" %u:%llu", who, static_cast<unsigned long long>(at));
     }
     std::printf(" acked %llu\n", static_cast<unsigned long long>(judge_.AcknowledgedUpTo()));
@@ -510,15 +517,15 @@
     return n <= Minority();
   }
   // Found to be old for sure: every other keeper knows better.
-  bool Witnessed(const Front& f, const MemoryDisk::Copy& copy) const {
+  bool Witnessed(const Front& f, const MemoryLogStorage::Contents& copy) const {
     Offset last = copy.entries.empty() ? 0 : copy.entries.rbegin()->first;
     for (const Front& g : fronts_) {
       if (&g == &f)
         continue;
-      auto h = g.disk->copy().head;
+      auto h = g.disk->contents().metadata;
       bool more = false;
       if (h)
-        for (auto [who, upTo] : h->seen)
+        for (auto [who, upTo] : h->witnessed)
           more = more || (who == f.id && upTo > last);
       if (!more)
         return false;
@@ -552,7 +559,7 @@
           Stop(f);
           Damage(f);
           Trace(f, "wiped");
-          f.disk->PutBack({});
+          f.disk->RestoreContents({});
           f.copies.clear();
           f.start_at = now_ + Between(50, 3000);
         }
@@ -560,13 +567,13 @@
       case 4:
         if (f.up && !f.copies.empty() && MayDamage(f)) {
           auto copy = f.copies[Pick(f.copies.size())].second;
-          if (!terms_.keeper.doubt_restarts && !Witnessed(f, copy))
+          if (!terms_.keeper.distrust_restarted && !Witnessed(f, copy))
             break;
           ++out_.kills;
           Stop(f);
           Damage(f);
           Trace(f, "old");
-          f.disk->PutBack(copy);
+          f.disk->RestoreContents(copy);
           Trace(f, "to");
           f.start_at = now_ + Between(50, 1000);
         }
@@ -588,22 +595,22 @@
       }
       case 6:
         if (f.up && MayDamage(f) && f.log->size() > 0) {
-          auto copy = f.disk->copy();
+          auto copy = f.disk->contents();
           ++out_.kills;
           Stop(f);
           Damage(f);
           auto i = copy.entries.begin();
           std::advance(i, static_cast<long>(Pick(copy.entries.size())));
-          bool flips = Odds(0.8), loses = !flips && i->first <= copy.head->committed;
+          bool flips = Odds(0.8), loses = !flips && i->first <= copy.metadata->committed;
           Trace(f, ((flips   ? "flipped "
                      : loses ? "loses "
                              : "spared ") +
                     std::to_string(i->first))
                        .c_str());
           if (flips)
-            f.disk->Flip(i->first);
+            f.disk->CorruptEntry(i->first);
           if (loses)
-            f.disk->Lose(i->first);
+            f.disk->LoseEntry(i->first);
           f.start_at = now_ + Between(50, 1000);
         }
         break;
@@ -643,7 +650,7 @@
     if (final_puts_ < 20 || all == 0)
       return false;
     for (Front& f : fronts_)
-      if (f.log->head().committed != all || !f.log->Holes(1).empty() || !f.log->Whole())
+      if (f.log->metadata().committed != all || !f.log->Gaps(1).empty() || !f.log->IsComplete())
         return false;
     for (Follower& s : followers_)
       if (!s.subscriber || s.subscriber->Position() < all)
@@ -653,8 +660,8 @@
 
   RecordTerms terms_;
   std::knuth_b chance_;
-  LogTerms log_terms_;
-  SubscriberTerms subscriber_terms_;
+  LogSettings log_terms_;
+  SubscriberSettings subscriber_terms_;
   std::vector<Id> ids_;
   std::vector<Front> fronts_;
   std::vector<Follower> followers_;
@@ -696,7 +703,7 @@
 RecordTerms Drawn(std::uint64_t seed) {
   RecordTerms t;
   t.keepers = seed % 3 == 0 ? 5 : 3;
-  t.keeper.doubt_restarts = seed % 2 == 1;
+  t.keeper.distrust_restarted = seed % 2 == 1;
   return t;
 }
 RecordRun Run(std::uint64_t seed, const RecordTerms& terms) {
--- a/src/rig/recordsim.hpp
+++ b/src/rig/recordsim.hpp
@@ -18,8 +18,8 @@
   record::Ms settle = 60000;
   bool calm = false;  // no faults but changes of owner
   bool resumes_forgotten = false;
-  bool tombstone_early = false;  // broken variants of the log and its server
-  record::KeeperTerms keeper;    // with its broken variants
+  bool tombstone_early = false;       // broken variants of the log and its server
+  record::LogReplicaSettings keeper;  // with its broken variants
 };
 struct RecordRun {
   std::vector<std::string> findings;
--- a/src/store/environment.hpp
+++ b/src/store/environment.hpp
@@ -19,19 +19,19 @@
 };
 
 /// The readable text of an errno or a fault of LMDB.
-inline std::string FaultText(int code) {
+inline std::string ErrorText(int code) {
   return code > 0 ? std::strerror(code) : mdb_strerror(code);
 }
 
-class Environment {
+class LmdbEnvironment {
  public:
-  Environment() = default;
-  ~Environment() {
+  LmdbEnvironment() = default;
+  ~LmdbEnvironment() {
     if (env_ != nullptr)
       mdb_env_close(env_);
   }
-  Environment(const Environment&) = delete;
-  Environment& operator=(const Environment&) = delete;
+  LmdbEnvironment(const LmdbEnvironment&) = delete;
+  LmdbEnvironment& operator=(const LmdbEnvironment&) = delete;
 
   /// Makes the folder where it is not there. Called once; after a fault the object is of no further
   /// use.
@@ -41,7 +41,7 @@
       return {"can't be made", errno};
     if (int code = DiscardUnfinished(folder + "/data.mdb"); code != 0)
       return {"can't be looked at", code};
-    if (int code = ReserveLock(folder + "/lock.mdb"); code != 0)
+    if (int code = ReserveLockFile(folder + "/lock.mdb"); code != 0)
       return {"has no room for its lock", code};
     if (int code = mdb_env_create(&env_); code != 0)
       return {"no environment", code};
@@ -65,7 +65,7 @@
     }
     return {"can't be kept", mdb_txn_commit(txn)};
   }
-  MDB_env* Get() const {
+  MDB_env* handle() const {
     return env_;
   }
   MDB_dbi table() const {
@@ -85,7 +85,7 @@
   }
   /// LMDB maps its lock file; on a full disk the first touch of a page that has no block would end
   /// the process (SIGBUS).
-  static int ReserveLock(const std::string& path) {
+  static int ReserveLockFile(const std::string& path) {
     constexpr off_t kLockBytes = 8192;
     int descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (descriptor < 0)
--- a/src/store/floors.cpp
+++ b/src/store/floors.cpp
@@ -10,28 +10,29 @@
 
 namespace dunlinwick::store {
 
-struct FloorStore::Inner {
+struct LmdbMinimumsStorage::Impl {
   std::string folder;
-  Environment environment;
+  LmdbEnvironment environment;
   void Check(const char* what, int fault) const {
     if (fault != 0)
-      throw std::runtime_error(folder + ": " + what + ": " + FaultText(fault));
+      throw std::runtime_error(folder + ": " + what + ": " + ErrorText(fault));
   }
 };
 
-FloorStore::FloorStore(const std::string& folder) : inner_(std::make_unique<Inner>()) {
-  Inner& in = *inner_;
+LmdbMinimumsStorage::LmdbMinimumsStorage(const std::string& folder)
+    : impl_(std::make_unique<Impl>()) {
+  Impl& in = *impl_;
   in.folder = folder;
   constexpr std::size_t kMapBytes = 1 << 20;
   OpenResult opened = in.environment.Open(folder, kMapBytes);
   in.Check(opened.step, opened.code);
 }
-FloorStore::~FloorStore() = default;
+LmdbMinimumsStorage::~LmdbMinimumsStorage() = default;
 
-FloorDisk::Found FloorStore::Read(KeptFloors& into) {
-  Inner& in = *inner_;
+MinimumsStorage::ReadResult LmdbMinimumsStorage::Read(PersistedMinimums& into) {
+  Impl& in = *impl_;
   MDB_txn* txn = nullptr;
-  in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, MDB_RDONLY, &txn));
+  in.Check("no transaction", mdb_txn_begin(in.environment.handle(), nullptr, MDB_RDONLY, &txn));
   char name[] = "floors";
   MDB_val key{sizeof name - 1, name}, value{};
   int fault = mdb_get(txn, in.environment.table(), &key, &value);
@@ -40,34 +41,34 @@
     bytes.assign(static_cast<const char*>(value.mv_data), value.mv_size);
   mdb_txn_abort(txn);
   if (fault == MDB_NOTFOUND)
-    return Found::kEmpty;
+    return ReadResult::kEmpty;
   in.Check("can't be read", fault);
   proto::floors::Floors f;
   std::uint64_t digest = 0;
   if (bytes.size() < sizeof digest)
-    return Found::kCorrupted;
+    return ReadResult::kCorrupted;
   std::memcpy(&digest, bytes.data(), sizeof digest);
   const char* body = bytes.data() + sizeof digest;
   std::size_t size = bytes.size() - sizeof digest;
   if (XXH64(body, size, 0) != digest || !f.ParseFromArray(body, static_cast<int>(size)))
-    return Found::kCorrupted;
+    return ReadResult::kCorrupted;
   into = {f.whose(),        f.token(),         f.offset(), f.incarnation(),
           f.rules_digest(), f.rules_version(), {}};
   for (const auto& w : f.witnessed())
-    into.witnessed[w.front()] = w.incarnation();
-  return Found::kGood;
+    into.witnessed_incarnations[w.front()] = w.incarnation();
+  return ReadResult::kValid;
 }
 
-void FloorStore::Write(const KeptFloors& k) {
-  Inner& in = *inner_;
+void LmdbMinimumsStorage::Write(const PersistedMinimums& k) {
+  Impl& in = *impl_;
   proto::floors::Floors f;
-  f.set_whose(k.whose);
+  f.set_whose(k.front_id);
   f.set_token(k.token);
   f.set_offset(k.offset);
   f.set_incarnation(k.incarnation);
   f.set_rules_digest(k.rules_digest);
   f.set_rules_version(k.rules_version);
-  for (const auto& [id, incarnation] : k.witnessed) {
+  for (const auto& [id, incarnation] : k.witnessed_incarnations) {
     auto* w = f.add_witnessed();
     w->set_front(id);
     w->set_incarnation(incarnation);
@@ -80,7 +81,7 @@
   char name[] = "floors";
   MDB_val key{sizeof name - 1, name}, value{bytes.size(), bytes.data()};
   MDB_txn* txn = nullptr;
-  in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, 0, &txn));
+  in.Check("no transaction", mdb_txn_begin(in.environment.handle(), nullptr, 0, &txn));
   int fault = mdb_put(txn, in.environment.table(), &key, &value, 0);
   if (fault != 0)
     mdb_txn_abort(txn);
--- a/src/store/floors.hpp
+++ b/src/store/floors.hpp
@@ -1,7 +1,7 @@
-// The floors that a front keeps through a crash (src/recovery/), in LMDB: one value, one
-// transaction a write, on the disk when write() returns. A value whose digest does not fit, or
-// whose bytes can't be read, is told as such and never used. Throws std::runtime_error with the
-// path and the reason. Bound: 1 MB.
+// The minimums that a front persists across a crash (src/recovery/), in LMDB: one value, written in
+// one transaction, durable when Write() returns. A value whose digest does not match, or whose
+// bytes cannot be parsed, is reported as corrupted and never used. Throws std::runtime_error with
+// the path and the reason. Bound: 1 MB.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,45 +11,46 @@
 
 namespace dunlinwick::store {
 
-struct KeptFloors {
-  std::uint32_t whose = 0;
+struct PersistedMinimums {
+  std::uint32_t front_id = 0;
   std::uint64_t token = 0;
   std::uint64_t offset = 0;
   std::uint64_t incarnation = 0;
   std::uint64_t rules_digest = 0;
   std::uint64_t rules_version = 0;
-  std::map<std::uint32_t, std::uint64_t> witnessed;  // incarnations of other fronts; at most 1000
-  bool operator==(const KeptFloors&) const = default;
+  // Incarnations of other fronts; at most 1000.
+  std::map<std::uint32_t, std::uint64_t> witnessed_incarnations;
+  bool operator==(const PersistedMinimums&) const = default;
 };
 
-/// Where floors last: a folder on machines, memory with planned faults in tests.
-class FloorDisk {
+/// Where the minimums are stored: a folder in production, memory with injected faults in tests.
+class MinimumsStorage {
  public:
-  enum class Found {
+  enum class ReadResult {
     kEmpty,
-    kGood,
+    kValid,
     kCorrupted
   };
-  virtual ~FloorDisk() = default;
-  /// Reads what was written last. Throws std::runtime_error where it can't be read at all.
-  virtual Found Read(KeptFloors& into) = 0;
-  /// Lasts when it returns, or throws std::runtime_error; then the floors of before or these may be
-  /// on the disk.
-  virtual void Write(const KeptFloors& floors) = 0;
+  virtual ~MinimumsStorage() = default;
+  /// Reads what was last written. Throws std::runtime_error if it cannot be read at all.
+  virtual ReadResult Read(PersistedMinimums& into) = 0;
+  /// Durable when it returns. Throws std::runtime_error on failure; the disk then holds either the
+  /// previous minimums or these.
+  virtual void Write(const PersistedMinimums& minimums) = 0;
 };
 
-class FloorStore final : public FloorDisk {
+class LmdbMinimumsStorage final : public MinimumsStorage {
  public:
-  explicit FloorStore(const std::string& folder);  // made where it is not there
-  ~FloorStore() override;
-  FloorStore(const FloorStore&) = delete;
-  FloorStore& operator=(const FloorStore&) = delete;
-  Found Read(KeptFloors& into) override;
-  void Write(const KeptFloors& floors) override;
+  explicit LmdbMinimumsStorage(const std::string& folder);  // created if it does not exist
+  ~LmdbMinimumsStorage() override;
+  LmdbMinimumsStorage(const LmdbMinimumsStorage&) = delete;
+  LmdbMinimumsStorage& operator=(const LmdbMinimumsStorage&) = delete;
+  ReadResult Read(PersistedMinimums& into) override;
+  void Write(const PersistedMinimums& minimums) override;
 
  private:
-  struct Inner;
-  std::unique_ptr<Inner> inner_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwick::store
--- a/src/store/lasting_floors.cpp
+++ b/src/store/lasting_floors.cpp
@@ -6,71 +6,71 @@
 
 namespace dunlinwick::store {
 
-LastingFloors::LastingFloors(OpenDisk open_disk, Say say)
-    : open_disk_(std::move(open_disk)), say_(std::move(say)) {}
+DurableMinimums::DurableMinimums(OpenStorage open_disk, LogLine say)
+    : open_storage_(std::move(open_disk)), log_line_(std::move(say)) {}
 
-FloorDisk::Found LastingFloors::Start(Ms now, std::uint32_t self, KeptFloors& found) {
+MinimumsStorage::ReadResult DurableMinimums::Load(Ms now, std::uint32_t self, PersistedMinimums& found) {
   try {
-    disk_ = open_disk_();
-    FloorDisk::Found seen = disk_->Read(found);
-    if (seen == FloorDisk::Found::kGood && found.whose == self)
-      lasting_ = found;
+    storage_ = open_storage_();
+    MinimumsStorage::ReadResult seen = storage_->Read(found);
+    if (seen == MinimumsStorage::ReadResult::kValid && found.front_id == self)
+      persisted_ = found;
     return seen;
   } catch (const std::exception& fault) {
     found = {};
-    Failed(now, fault.what());
-    return FloorDisk::Found::kCorrupted;
+    HandleFailure(now, fault.what());
+    return MinimumsStorage::ReadResult::kCorrupted;
   }
 }
 
-void LastingFloors::Keep(Ms now, const KeptFloors& floors) {
-  if (is_kept_ && Raised(floors) == lasting_)
+void DurableMinimums::Persist(Ms now, const PersistedMinimums& floors) {
+  if (is_persisted_ && RaisedToStored(floors) == persisted_)
     return;
-  if (!disk_ && !retry_.IsDue(now))
+  if (!storage_ && !retry_.IsDue(now))
     return;
   try {
-    if (!disk_)
+    if (!storage_)
       Open();
-    disk_->Write(Raised(floors));
+    storage_->Write(RaisedToStored(floors));
   } catch (const std::exception& fault) {
-    return Failed(now, fault.what());
+    return HandleFailure(now, fault.what());
   }
-  lasting_ = Raised(floors);
-  is_kept_ = true;
-  if (std::exchange(said_failure_, false))
-    say_("recovery floors kept again");
+  persisted_ = RaisedToStored(floors);
+  is_persisted_ = true;
+  if (std::exchange(is_failure_logged_, false))
+    log_line_("recovery floors kept again");
 }
 
-void LastingFloors::Open() {
-  disk_ = open_disk_();
-  KeptFloors found;
-  if (disk_->Read(found) == FloorDisk::Found::kGood)
-    held_before_ = found;
+void DurableMinimums::Open() {
+  storage_ = open_storage_();
+  PersistedMinimums found;
+  if (storage_->Read(found) == MinimumsStorage::ReadResult::kValid)
+    previously_stored_ = found;
 }
 
-KeptFloors LastingFloors::Raised(KeptFloors floors) const {
-  if (held_before_.whose != floors.whose)
+PersistedMinimums DurableMinimums::RaisedToStored(PersistedMinimums floors) const {
+  if (previously_stored_.front_id != floors.front_id)
     return floors;
-  floors.token = std::max(floors.token, held_before_.token);
-  floors.offset = std::max(floors.offset, held_before_.offset);
-  floors.incarnation = std::max(floors.incarnation, held_before_.incarnation);
-  if (held_before_.rules_version > floors.rules_version) {
-    floors.rules_version = held_before_.rules_version;
-    floors.rules_digest = held_before_.rules_digest;
+  floors.token = std::max(floors.token, previously_stored_.token);
+  floors.offset = std::max(floors.offset, previously_stored_.offset);
+  floors.incarnation = std::max(floors.incarnation, previously_stored_.incarnation);
+  if (previously_stored_.rules_version > floors.rules_version) {
+    floors.rules_version = previously_stored_.rules_version;
+    floors.rules_digest = previously_stored_.rules_digest;
   }
-  for (const auto& [front, incarnation] : held_before_.witnessed) {
-    std::uint64_t& seen = floors.witnessed[front];
+  for (const auto& [front, incarnation] : previously_stored_.witnessed_incarnations) {
+    std::uint64_t& seen = floors.witnessed_incarnations[front];
     seen = std::max(seen, incarnation);
   }
   return floors;
 }
 
-void LastingFloors::Failed(Ms now, const std::string& reason) {
-  disk_.reset();
-  is_kept_ = false;
+void DurableMinimums::HandleFailure(Ms now, const std::string& reason) {
+  storage_.reset();
+  is_persisted_ = false;
   retry_.Failed(now);
-  if (!std::exchange(said_failure_, true))
-    say_("recovery floors not kept, tried again: " + reason);
+  if (!std::exchange(is_failure_logged_, true))
+    log_line_("recovery floors not kept, tried again: " + reason);
 }
 
 }  // namespace dunlinwick::store
--- a/src/store/lasting_floors.hpp
+++ b/src/store/lasting_floors.hpp
@@ -1,6 +1,6 @@
-/// Floors on a disk that may fail. What is asked to be kept is written at once; where that fails
-/// the disk is closed, opened anew by backoff, and written again as a whole. What has not been
-/// written does not last, and is not told as if it did.
+/// Persisted minimums on a disk that may fail. They are written at once; if that fails the storage
+/// is closed, reopened with backoff, and everything is written again. What has not been written is
+/// not reported as persisted.
 #pragma once
 #include <functional>
 #include <memory>
@@ -13,41 +13,41 @@
 
 using backoff::Ms;
 
-class LastingFloors {
+class DurableMinimums {
  public:
-  /// Opens the disk; throws std::runtime_error where it can't.
-  using OpenDisk = std::function<std::unique_ptr<FloorDisk>()>;
-  using Say = std::function<void(const std::string& line)>;
-  LastingFloors(OpenDisk open_disk, Say say);
-
-  /// Opens the disk and reads what is there, once, at the start of front `self`. A disk that can't
-  /// be opened or read is `spoilt`: nothing of it is trusted in this process.
-  FloorDisk::Found Start(Ms now, std::uint32_t self, KeptFloors& found);
-  /// Keeps `floors`, or tries to again where the time for it has come. Floors of the same front
-  /// that the disk holds since a start without it are never lowered.
-  void Keep(Ms now, const KeptFloors& floors);
-  /// What lasts: the floors of the last write that succeeded, or that were read.
-  const KeptFloors& Lasting() const {
-    return lasting_;
+  /// Opens the storage; throws std::runtime_error if that fails.
+  using OpenStorage = std::function<std::unique_ptr<MinimumsStorage>()>;
+  using LogLine = std::function<void(const std::string& line)>;
+  DurableMinimums(OpenStorage open_storage, LogLine log_line);
+
+  /// Opens the storage and reads it, once, when front `self` starts. Storage that cannot be opened
+  /// or read is reported as kCorrupted: this process trusts nothing of it.
+  MinimumsStorage::ReadResult Load(Ms now, std::uint32_t self, PersistedMinimums& found);
+  /// Writes `minimums`, or after a failure retries once the backoff has elapsed. If this process
+  /// started without the storage, minimums of the same front that it holds are never lowered.
+  void Persist(Ms now, const PersistedMinimums& minimums);
+  /// What is durable: the minimums of the last successful write, or those that were read.
+  const PersistedMinimums& persisted() const {
+    return persisted_;
   }
   /// Whether the last write succeeded.
-  bool IsKept() const {
-    return is_kept_;
+  bool IsPersisted() const {
+    return is_persisted_;
   }
 
  private:
   void Open();
-  KeptFloors Raised(KeptFloors floors) const;
-  void Failed(Ms now, const std::string& reason);
+  PersistedMinimums RaisedToStored(PersistedMinimums minimums) const;
+  void HandleFailure(Ms now, const std::string& reason);
 
-  OpenDisk open_disk_;
-  Say say_;
-  std::unique_ptr<FloorDisk> disk_;
+  OpenStorage open_storage_;
+  LogLine log_line_;
+  std::unique_ptr<MinimumsStorage> storage_;
   backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
-  KeptFloors lasting_;
-  KeptFloors held_before_;  // what the disk held of this front as it was opened late
-  bool is_kept_ = false;
-  bool said_failure_ = false;
+  PersistedMinimums persisted_;
+  PersistedMinimums previously_stored_;  // what the storage held when it was opened after the start
+  bool is_persisted_ = false;
+  bool is_failure_logged_ = false;
 };
 
 }  // namespace dunlinwick::store
--- a/src/store/lmdb.cpp
+++ b/src/store/lmdb.cpp
@@ -16,78 +16,78 @@
 using owner::StoredState;
 using owner::Writer;
 
-struct LmdbStore::Inner {
+struct LmdbOwnerStore::Impl {
   std::string folder;
-  Environment environment;
-  std::uint64_t first = 1;
-  std::uint64_t next = 1;  // of the log: its first entry, and the one after its last
+  LmdbEnvironment environment;
+  std::uint64_t first_index = 1;
+  std::uint64_t next_index = 1;  // of the log: its first entry, and the one after its last
 
-  [[noreturn]] void Fail(const std::string& what, int fault) const {
-    throw std::runtime_error(folder + ": " + what + ": " + FaultText(fault));
+  [[noreturn]] void ThrowError(const std::string& what, int fault) const {
+    throw std::runtime_error(folder + ": " + what + ": " + ErrorText(fault));
   }
   void Check(const char* what, int fault) const {
     if (fault != 0)
-      Fail(what, fault);
+      ThrowError(what, fault);
   }
-  struct Txn {
-    Inner& in;
+  struct Transaction {
+    Impl& impl;
     MDB_txn* txn = nullptr;
-    Txn(Inner& i, unsigned flags) : in(i) {
-      in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, flags, &txn));
+    Transaction(Impl& i, unsigned flags) : impl(i) {
+      impl.Check("no transaction", mdb_txn_begin(impl.environment.handle(), nullptr, flags, &txn));
     }
-    ~Txn() {
+    ~Transaction() {
       if (txn)
         mdb_txn_abort(txn);
     }
-    static MDB_val Val(const std::string& s) {
+    static MDB_val ToMdbValue(const std::string& s) {
       return {s.size(), const_cast<char*>(s.data())};
     }
     void Put(const std::string& key, const std::string& value) {
-      MDB_val k = Val(key), v = Val(value);
-      in.Check("can't be written", mdb_put(txn, in.environment.table(), &k, &v, 0));
+      MDB_val k = ToMdbValue(key), v = ToMdbValue(value);
+      impl.Check("can't be written", mdb_put(txn, impl.environment.table(), &k, &v, 0));
     }
-    void Drop(const std::string& key) {
-      MDB_val k = Val(key);
-      int fault = mdb_del(txn, in.environment.table(), &k, nullptr);
+    void Remove(const std::string& key) {
+      MDB_val k = ToMdbValue(key);
+      int fault = mdb_del(txn, impl.environment.table(), &k, nullptr);
       if (fault != MDB_NOTFOUND)
-        in.Check("can't be written", fault);
+        impl.Check("can't be written", fault);
     }
     bool Get(const std::string& key, std::string& into) {
-      MDB_val k = Val(key), v{};
-      int fault = mdb_get(txn, in.environment.table(), &k, &v);
+      MDB_val k = ToMdbValue(key), v{};
+      int fault = mdb_get(txn, impl.environment.table(), &k, &v);
       if (fault == MDB_NOTFOUND)
         return false;
-      in.Check("can't be read", fault);
+      impl.Check("can't be read", fault);
       into.assign(static_cast<const char*>(v.mv_data), v.mv_size);
       return true;
     }
     void Commit() {
-      in.Check("can't be kept", mdb_txn_commit(std::exchange(txn, nullptr)));
+      impl.Check("can't be kept", mdb_txn_commit(std::exchange(txn, nullptr)));
     }
   };
   // A transaction that fails leaves the bounds as they were, on the disk and here.
-  void Write(const std::function<void(Txn&)>& change) {
-    std::uint64_t first_before = first;
-    std::uint64_t next_before = next;
+  void Write(const std::function<void(Transaction&)>& change) {
+    std::uint64_t first_before = first_index;
+    std::uint64_t next_before = next_index;
     try {
-      Txn t(*this, 0);
+      Transaction t(*this, 0);
       change(t);
       t.Commit();
     } catch (...) {
-      first = first_before;
-      next = next_before;
+      first_index = first_before;
+      next_index = next_before;
       throw;
     }
   }
-  static std::string number(std::uint64_t v) {
+  static std::string EncodeNumber(std::uint64_t v) {
     Writer w;
     w.number(v, 8);
     return w.bytes;
   }
   static std::string EntryKey(std::uint64_t index) {
-    return "e" + number(index);
+    return "e" + EncodeNumber(index);
   }
-  std::uint64_t NumberOf(Txn& t, const char* key, std::uint64_t otherwise) {
+  std::uint64_t ReadNumber(Transaction& t, const char* key, std::uint64_t otherwise) {
     std::string v;
     if (!t.Get(key, v))
       return otherwise;
@@ -97,39 +97,39 @@
       throw std::runtime_error(folder + ": " + key + " can't be read");
     return n;
   }
-  void bounds(Txn& t) {
-    t.Put("first", number(first));
-    t.Put("next", number(next));
+  void WriteBounds(Transaction& t) {
+    t.Put("first", EncodeNumber(first_index));
+    t.Put("next", EncodeNumber(next_index));
   }
 };
 
-LmdbStore::LmdbStore(const std::string& folder) : inner_(std::make_unique<Inner>()) {
-  Inner& in = *inner_;
+LmdbOwnerStore::LmdbOwnerStore(const std::string& folder) : impl_(std::make_unique<Impl>()) {
+  Impl& in = *impl_;
   in.folder = folder;
   constexpr std::size_t kMapBytes = 16 << 20;
   OpenResult opened = in.environment.Open(folder, kMapBytes);
   in.Check(opened.step, opened.code);
   // Written anew at each opening: what a sync that failed left in the system's cache may be read
   // here, and is on the disk only once this transaction, which stands on it, is.
-  in.Write([&](Inner::Txn& t) {
-    in.first = in.NumberOf(t, "first", 1);
-    in.next = in.NumberOf(t, "next", in.first);
-    in.bounds(t);
+  in.Write([&](Impl::Transaction& t) {
+    in.first_index = in.ReadNumber(t, "first", 1);
+    in.next_index = in.ReadNumber(t, "next", in.first_index);
+    in.WriteBounds(t);
   });
 }
-LmdbStore::~LmdbStore() = default;
+LmdbOwnerStore::~LmdbOwnerStore() = default;
 
-StoredState LmdbStore::load() {
-  Inner& in = *inner_;
-  Inner::Txn t(in, MDB_RDONLY);
+StoredState LmdbOwnerStore::load() {
+  Impl& in = *impl_;
+  Impl::Transaction t(in, MDB_RDONLY);
   StoredState s;
-  s.term = in.NumberOf(t, "term", 0);
-  s.vote = in.NumberOf(t, "vote", 0);
-  s.first = in.first;
+  s.term = in.ReadNumber(t, "term", 0);
+  s.vote = in.ReadNumber(t, "vote", 0);
+  s.first = in.first_index;
   t.Get("founding", s.founding);
   std::string bytes;
-  for (std::uint64_t i = in.first; i < in.next; ++i) {
-    if (!t.Get(Inner::EntryKey(i), bytes))
+  for (std::uint64_t i = in.first_index; i < in.next_index; ++i) {
+    if (!t.Get(Impl::EntryKey(i), bytes))
       throw std::runtime_error(in.folder + ": entry " + std::to_string(i) +
                                " of the log is not there");
     Reader r(bytes);
@@ -157,45 +157,45 @@
   return s;
 }
 
-void LmdbStore::Found(const std::string& founding) {
-  inner_->Write([&](Inner::Txn& t) { t.Put("founding", founding); });
+void LmdbOwnerStore::Found(const std::string& founding) {
+  impl_->Write([&](Impl::Transaction& t) { t.Put("founding", founding); });
 }
-void LmdbStore::SetTerm(std::uint64_t term) {
-  inner_->Write([&](Inner::Txn& t) {
-    t.Put("term", Inner::number(term));
-    t.Put("vote", Inner::number(0));
+void LmdbOwnerStore::SetTerm(std::uint64_t term) {
+  impl_->Write([&](Impl::Transaction& t) {
+    t.Put("term", Impl::EncodeNumber(term));
+    t.Put("vote", Impl::EncodeNumber(0));
   });
 }
-void LmdbStore::SetVote(std::uint64_t vote) {
-  inner_->Write([&](Inner::Txn& t) { t.Put("vote", Inner::number(vote)); });
+void LmdbOwnerStore::SetVote(std::uint64_t vote) {
+  impl_->Write([&](Impl::Transaction& t) { t.Put("vote", Impl::EncodeNumber(vote)); });
 }
-void LmdbStore::Append(const std::vector<LogEntry>& entries) {
-  Inner& in = *inner_;
-  in.Write([&](Inner::Txn& t) {
+void LmdbOwnerStore::Append(const std::vector<LogEntry>& entries) {
+  Impl& in = *impl_;
+  in.Write([&](Impl::Transaction& t) {
     for (const LogEntry& e : entries) {
       Writer w;
       w.number(e.term, 8);
       w.number(e.type, 2);
       w.Text(e.bytes);
-      t.Put(Inner::EntryKey(in.next++), w.bytes);
+      t.Put(Impl::EntryKey(in.next_index++), w.bytes);
     }
-    in.bounds(t);
+    in.WriteBounds(t);
   });
 }
-void LmdbStore::Truncate(std::uint64_t from) {
-  Inner& in = *inner_;
-  in.Write([&](Inner::Txn& t) {
-    for (std::uint64_t i = std::max(from, in.first); i < in.next; ++i)
-      t.Drop(Inner::EntryKey(i));
-    if (from < in.first)
-      in.first = from;
-    in.next = std::min(in.next, from);
-    in.bounds(t);
+void LmdbOwnerStore::Truncate(std::uint64_t from) {
+  Impl& in = *impl_;
+  in.Write([&](Impl::Transaction& t) {
+    for (std::uint64_t i = std::max(from, in.first_index); i < in.next_index; ++i)
+      t.Remove(Impl::EntryKey(i));
+    if (from < in.first_index)
+      in.first_index = from;
+    in.next_index = std::min(in.next_index, from);
+    in.WriteBounds(t);
   });
 }
-void LmdbStore::Take(const StoredSnapshot& s, std::uint64_t trailing) {
-  Inner& in = *inner_;
-  in.Write([&](Inner::Txn& t) {
+void LmdbOwnerStore::Take(const StoredSnapshot& s, std::uint64_t trailing) {
+  Impl& in = *impl_;
+  in.Write([&](Impl::Transaction& t) {
     Writer w;
     w.number(s.index, 8);
     w.number(s.term, 8);
@@ -203,17 +203,17 @@
     w.Text(s.configuration);
     w.Text(s.data);
     t.Put("snapshot", w.bytes);
-    std::uint64_t first = in.first, next = in.next;
-    if (trailing == 0 || s.index >= in.next)
+    std::uint64_t first = in.first_index, next = in.next_index;
+    if (trailing == 0 || s.index >= in.next_index)
       first = next = s.index + 1;
-    else if (s.index > trailing && s.index - trailing >= in.first)
+    else if (s.index > trailing && s.index - trailing >= in.first_index)
       first = s.index - trailing + 1;
-    for (std::uint64_t i = in.first; i < in.next; ++i)
+    for (std::uint64_t i = in.first_index; i < in.next_index; ++i)
       if (i < first || i >= next)
-        t.Drop(Inner::EntryKey(i));
-    in.first = first;
-    in.next = next;
-    in.bounds(t);
+        t.Remove(Impl::EntryKey(i));
+    in.first_index = first;
+    in.next_index = next;
+    in.WriteBounds(t);
   });
 }
 
--- a/src/store/lmdb.hpp
+++ b/src/store/lmdb.hpp
@@ -1,7 +1,7 @@
-// The owner's store on disk, by LMDB: each call is one transaction that is on the disk when it
-// returns. A file that a crash tore can't be: LMDB switches between two whole states. One process
-// at a time. Throws std::runtime_error with the path and the reason. Bound: 16 MB, of which a group
-// of 64 works uses some kilobytes.
+// Durable storage of the lease group's member, by LMDB: each call is one transaction, on disk when
+// it returns. A crash cannot leave a torn file: LMDB switches between two complete states. One
+// process at a time. Throws std::runtime_error with the path and the reason. Bound: 16 MB, of which
+// a group with 64 leased tasks uses a few kilobytes.
 #pragma once
 #include <memory>
 
@@ -9,10 +9,10 @@
 
 namespace dunlinwick::store {
 
-class LmdbStore final : public owner::Store {
+class LmdbOwnerStore final : public owner::Store {
  public:
-  explicit LmdbStore(const std::string& folder);  // made where it is not there
-  ~LmdbStore() override;
+  explicit LmdbOwnerStore(const std::string& folder);  // created if it does not exist
+  ~LmdbOwnerStore() override;
   bool Lasts() const override {
     return true;
   }
@@ -25,8 +25,8 @@
   void Take(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override;
 
  private:
-  struct Inner;
-  std::unique_ptr<Inner> inner_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwick::store
--- a/src/store/record_lmdb.hpp
+++ b/src/store/record_lmdb.hpp
@@ -1,9 +1,9 @@
-// A keeper's record on disk, by LMDB: each writing call is one transaction that is on the disk when
-// it returns. Each entry, and the head, stands behind its digest: an entry that does not fit is
-// told as a hole, a head that does not fit is Failed. Full: appended entries would take more than
-// `mapBytes` in pages; a quarter more is kept back, so that compaction, heads and healing have room
-// to write the pages anew that they free others by. One process at a time. Failed with the path and
-// the reason.
+// A log replica's storage on disk, by LMDB: each writing call is one transaction, on disk when it
+// returns. Each entry, and the metadata, is stored behind its digest: an entry that does not match
+// is reported as a gap, metadata that does not match throws StorageError. StorageFullError:
+// appended entries would take more than `map_bytes` in pages. A quarter more is reserved, so that
+// compaction, metadata and repairs have room to rewrite the pages by which they free others. One
+// process at a time. StorageError carries the path and the reason.
 #pragma once
 #include <memory>
 #include <string>
@@ -12,27 +12,28 @@
 
 namespace dunlinwick::store {
 
-class RecordLmdb final : public record::Disk {
+class LmdbLogStorage final : public record::LogStorage {
  public:
-  explicit RecordLmdb(const std::string& folder,
-                      std::size_t map_bytes = 64
-                                              << 20);  // the folder is made where it is not there
-  ~RecordLmdb() override;
-  bool Lasts() const override {
+  // The folder is created if it does not exist.
+  explicit LmdbLogStorage(const std::string& folder, std::size_t map_bytes = 64 << 20);
+  ~LmdbLogStorage() override;
+  bool IsDurable() const override {
     return true;
   }
-  std::optional<record::Head> head() override;
-  void Each(const std::function<void(record::Offset, const record::Entry*)>& see) override;
-  void Write(const record::Head& head) override;
-  void append(record::Offset from, const std::vector<record::Entry>& entries,
-              const record::Head& head) override;
-  void Drop(const std::vector<record::Offset>& gone, const record::Head& head) override;
-  void Heal(const record::Entry& entry) override;
-  std::size_t PageBytes() const;  // in pages that hold entries and the head
+  std::optional<record::LogMetadata> metadata() override;
+  void ForEachEntry(
+      const std::function<void(record::Offset, const record::Entry*)>& visit) override;
+  void WriteMetadata(const record::LogMetadata& metadata) override;
+  void AppendEntries(record::Offset from, const std::vector<record::Entry>& entries,
+                     const record::LogMetadata& metadata) override;
+  void RemoveEntries(const std::vector<record::Offset>& removed,
+                     const record::LogMetadata& metadata) override;
+  void RestoreEntry(const record::Entry& entry) override;
+  std::size_t PageBytes() const;  // of the pages that hold entries and the metadata
 
  private:
-  struct Inner;
-  std::unique_ptr<Inner> inner_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwick::store
--- a/tests/keepers_explore.cpp
+++ b/tests/keepers_explore.cpp
@@ -17,14 +17,14 @@
 namespace {
 
 struct KeeperState {
-  MemoryDisk::Copy disk;
+  MemoryLogStorage::Contents disk;
   std::uint64_t life = 1;
   bool doubted = true;
 };
 struct State {
   KeeperState keepers[3];
-  std::vector<MemoryDisk::Copy> old;  // of keeper 1, as it was after each change
-  std::optional<Writer> writers[2];
+  std::vector<MemoryLogStorage::Contents> old;  // of keeper 1, as it was after each change
+  std::optional<LeaderWriter> writers[2];
   int puts_left[2] = {0, 0};
   int ticks_left[2] = {0, 0};
   bool crash_left = false;
@@ -40,17 +40,17 @@
 class Explorer {
  public:
   explicit Explorer(const ExploreTerms& t) : terms_(t) {
-    keeper_.again = keeper_.heartbeat = 0;
-    keeper_.doubt_restarts = t.doubt;
-    keeper_.break_rewrite = t.rewrite_all;
-    keeper_.break_majority = t.first_majority;
+    keeper_.retry_interval = keeper_.heartbeat_interval = 0;
+    keeper_.distrust_restarted = t.doubt;
+    keeper_.defect_rewrite_whole_tail = t.rewrite_all;
+    keeper_.defect_commit_without_majority = t.first_majority;
   }
   Explored Play() {
     State s;
     for (int i = 0; i < 2; ++i) {
       // The second is granted while the first may still believe itself owner: both may act at any
       // time.
-      s.writers[i].emplace(static_cast<Id>(i + 1), kIds, keeper_, LogTerms{},
+      s.writers[i].emplace(static_cast<Id>(i + 1), kIds, keeper_, LogSettings{},
                            static_cast<Token>(i + 1), 0);
       s.puts_left[i] = (terms_.puts + 1 - i) / 2;
       s.ticks_left[i] = terms_.ticks + 1;
@@ -58,9 +58,9 @@
     s.crash_left = terms_.crash;
     s.old_left = terms_.old_copy;
     for (Id id : kIds) {  // each has been started once
-      MemoryDisk d;
+      MemoryLogStorage d;
       Log log(id, {}, d, id);
-      s.keepers[id - 1].disk = d.copy();
+      s.keepers[id - 1].disk = d.contents();
     }
     Push(std::move(s));
     while (!queue_.empty() && out_.found.empty()) {
@@ -88,7 +88,7 @@
   static std::string Packet(Id from, Id to, const Message& m) {
     return std::string{static_cast<char>(from), static_cast<char>(to)} + Encode(m);
   }
-  Send Sender(State& s, Id from) {
+  SendMessage Sender(State& s, Id from) {
     return [&s, from](Id to, const Message& m) {
       s.net.insert(Packet(from, to, m));
     };
@@ -99,24 +99,25 @@
 
   // The keeper over its disk as it is: `how` acts on it, and its state is taken apart again.
   template <class How>
-  void WithKeeper(State& s, int i, How how, MemoryDisk::Fate fate = MemoryDisk::Fate::kWell) {
+  void WithKeeper(State& s, int i, How how,
+                  MemoryLogStorage::WriteFault fate = MemoryLogStorage::WriteFault::kNone) {
     KeeperState& k = s.keepers[i];
-    MemoryDisk d;
-    d.PutBack(k.disk);
+    MemoryLogStorage d;
+    d.RestoreContents(k.disk);
     Log log(static_cast<Id>(i + 1), {}, d, 0);
-    Keeper keeper(static_cast<Id>(i + 1), kIds, keeper_, log, k.life);
-    keeper.SetDoubted(k.doubted);
-    std::uint64_t start = d.Calls() + 1;
-    d.fate = [&, start](std::uint64_t n) {
-      return n == start ? fate : MemoryDisk::Fate::kWell;
+    LogReplica keeper(static_cast<Id>(i + 1), kIds, keeper_, log, k.life);
+    keeper.SetUnconfirmed(k.doubted);
+    std::uint64_t start = d.WriteCount() + 1;
+    d.write_fault = [&, start](std::uint64_t n) {
+      return n == start ? fate : MemoryLogStorage::WriteFault::kNone;
     };
     how(keeper);
-    auto starts = k.disk.head ? k.disk.head->starts : 0;
+    auto starts = k.disk.metadata ? k.disk.metadata->start_count : 0;
     bool failed = keeper.has_failed();
-    k.doubted = keeper.Doubted();
+    k.doubted = keeper.IsUnconfirmed();
     auto before = k.disk.entries.size();
-    k.disk = d.copy();
-    k.disk.head->starts = starts;
+    k.disk = d.contents();
+    k.disk.metadata->start_count = starts;
     if (failed)
       Restart(s, i);
     if (i == 0 && s.old_left && before != k.disk.entries.size())
@@ -125,17 +126,18 @@
   void Restart(State& s, int i) {
     ++s.keepers[i].life;
     s.keepers[i].doubted = true;
-    s.keepers[i].disk.head->starts++;
+    s.keepers[i].disk.metadata->start_count++;
   }
 
   void Expand(const State& s) {
     for (const std::string& p : s.net) {
       State n = Copy(s);
       n.net.erase(p);
-      Deliver(n, p, MemoryDisk::Fate::kWell);
+      Deliver(n, p, MemoryLogStorage::WriteFault::kNone);
       Push(std::move(n));
       if (s.crash_left) {
-        for (auto fate : {MemoryDisk::Fate::kFailsBefore, MemoryDisk::Fate::kFailsAfter}) {
+        for (auto fate : {MemoryLogStorage::WriteFault::kFailBefore,
+                          MemoryLogStorage::WriteFault::kFailAfter}) {
           State c = Copy(s);
           c.net.erase(p);
           c.crash_left = false;
@@ -159,8 +161,8 @@
         State n = Copy(s);
         --n.puts_left[i];
         std::string value = std::to_string(i) + "." + std::to_string(n.puts_left[i]);
-        auto done = [value](Writer::Outcome o, Offset at) {
-          if (o == Writer::Outcome::kAcknowledged)
+        auto done = [value](LeaderWriter::Outcome o, Offset at) {
+          if (o == LeaderWriter::Outcome::kAcknowledged)
             now_->acknowledged[at] = "k=" + value;
         };
         Act(n, [&] {
@@ -177,9 +179,9 @@
         n.rolled = 0;
         if (o == s.old.size()) {
           n.keepers[0].disk.entries.clear();
-          n.keepers[0].disk.head = Head{};
-          n.keepers[0].disk.head->store = 9;
-          n.keepers[0].disk.head->keeper = 1;
+          n.keepers[0].disk.metadata = LogMetadata{};
+          n.keepers[0].disk.metadata->store_id = 9;
+          n.keepers[0].disk.metadata->replica_id = 1;
         } else
           n.keepers[0].disk = s.old[o];
         n.old.clear();
@@ -190,7 +192,7 @@
   State Copy(const State& s) {
     State n = s;
     for (int i = 0; i < 2; ++i)
-      n.writers[i].emplace(s.writers[i]->copy());
+      n.writers[i].emplace(s.writers[i]->Clone());
     return n;
   }
   template <class How>
@@ -199,15 +201,15 @@
     how();
     now_ = nullptr;
   }
-  void Deliver(State& s, const std::string& p, MemoryDisk::Fate fate) {
+  void Deliver(State& s, const std::string& p, MemoryLogStorage::WriteFault fate) {
     Id from = static_cast<Id>(p[0]), to = static_cast<Id>(p[1]);
     auto m = Decode({p.data() + 2, p.size() - 2});
     if (!m)
       return void(out_.found = "a message is not read back");
     Act(s, [&] {
       WithKeeper(
-          s, static_cast<int>(to) - 1, [&](Keeper& k) { k.Receive(0, from, *m, Sender(s, to)); },
-          fate);
+          s, static_cast<int>(to) - 1,
+          [&](LogReplica& k) { k.Receive(0, from, *m, Sender(s, to)); }, fate);
       if (to <= 2)
         s.writers[to - 1]->Receive(0, from, *m, Sender(s, to));
     });
@@ -218,7 +220,7 @@
     // disk that was put back, and stays.
     for (int i = 0; i < 3; ++i)
       for (const auto& [o, e] : s.keepers[i].disk.entries)
-        if (o <= s.keepers[i].disk.head->committed) {
+        if (o <= s.keepers[i].disk.metadata->committed) {
           auto c = s.committed.emplace(o, Text(e.first)).first;
           if (c->second != Text(e.first))
             return void(out_.found = "offset " + std::to_string(o) + ": " + c->second + " and " +
@@ -243,8 +245,9 @@
     for (auto p = s.net.begin(); p != s.net.end();) {
       Id to = static_cast<Id>((*p)[1]);
       auto m = Decode({p->data() + 2, p->size() - 2});
-      bool answer = m && (std::holds_alternative<Tail>(*m) || std::holds_alternative<Kept>(*m) ||
-                          std::holds_alternative<Fetched>(*m));
+      bool answer = m && (std::holds_alternative<PrepareResponse>(*m) ||
+                          std::holds_alternative<AppendResponse>(*m) ||
+                          std::holds_alternative<FetchResponse>(*m));
       if (answer && (to > 2 || s.writers[to - 1]->phase() == Phase::kFenced))
         p = s.net.erase(p);
       else
@@ -257,10 +260,10 @@
       };
       add(k.life);
       add(k.doubted);
-      add(k.disk.head->promised);
-      add(k.disk.head->committed);
-      add(k.disk.head->cleaned);
-      for (auto [who, o] : k.disk.head->seen) {
+      add(k.disk.metadata->promised_token);
+      add(k.disk.metadata->committed);
+      add(k.disk.metadata->compacted_up_to);
+      for (auto [who, o] : k.disk.metadata->witnessed) {
         add(who);
         add(o);
       }
@@ -271,7 +274,7 @@
       print += '|';
     }
     for (int i = 0; i < 2; ++i)
-      print += s.writers[i]->state() + '|' + std::to_string(s.puts_left[i]) + ' ' +
+      print += s.writers[i]->StateText() + '|' + std::to_string(s.puts_left[i]) + ' ' +
                std::to_string(s.ticks_left[i]) + '|';
     for (const std::string& p : s.net)
       print += p;
@@ -288,7 +291,7 @@
   }
 
   ExploreTerms terms_;
-  KeeperTerms keeper_;
+  LogReplicaSettings keeper_;
   Explored out_;
   std::deque<std::shared_ptr<State>> queue_;
   std::set<std::pair<std::uint64_t, std::uint64_t>> seen_;
--- a/tests/keepers_test.cpp
+++ b/tests/keepers_test.cpp
@@ -123,72 +123,76 @@
 TEST_CASE("broken variants are caught") {
   if (SeedsToPlay() < 400)
     return;
-  CHECK(Caught("offset reused", 60, [](auto& t) { t.keeper.break_reuse = true; }) != "");
-  CHECK(Caught("own disk believed", 200, [](auto& t) { t.keeper.break_own_disk = true; }) != "");
-  CHECK(Caught("stale compactor not fenced", 400, [](auto& t) { t.keeper.break_fence = true; }) !=
+  CHECK(Caught("offset reused", 60, [](auto& t) { t.keeper.defect_reuse_offsets = true; }) != "");
+  CHECK(Caught("own disk believed", 200, [](auto& t) { t.keeper.defect_trust_own_disk = true; }) !=
         "");
+  CHECK(Caught("stale compactor not fenced", 400,
+               [](auto& t) { t.keeper.defect_skip_plan_fencing = true; }) != "");
   CHECK(Caught("acknowledged before a majority", 200,
-               [](auto& t) { t.keeper.break_majority = true; }) != "");
-  CHECK(Caught("tail by length", 1500, [](auto& t) { t.keeper.break_longest = true; }) != "");
+               [](auto& t) { t.keeper.defect_commit_without_majority = true; }) != "");
+  CHECK(Caught("tail by length", 1500,
+               [](auto& t) { t.keeper.defect_prefer_longest_tail = true; }) != "");
   CHECK(Caught("tombstone dropped early", 1500, [](auto& t) { t.tombstone_early = true; }) != "");
   CHECK(Caught("rejoin after long absence resumed", 1500,
                [](auto& t) { t.resumes_forgotten = true; }) != "");
-  CHECK(Caught("all written anew", 1500, [](auto& t) { t.keeper.break_rewrite = true; }) != "");
+  CHECK(Caught("all written anew", 1500,
+               [](auto& t) { t.keeper.defect_rewrite_whole_tail = true; }) != "");
 }
 
 TEST_CASE("messages are read back, and nothing else is") {
-  Tail t{.token = 7,
-         .store = 9,
-         .starts = 3,
-         .round = 2,
-         .life = 1ull << 63,
-         .doubted = true,
-         .unproved = true,
-         .last = 12,
-         .committed = 11,
-         .first = 2,
-         .cleaned = 5,
-         .forgotten = 4,
-         .last_token = 6,
-         .seen = {{0, 1}, {2, 8}},
-         .corrupted = true,
-         .holes = {3, 4}};
-  Append a;
+  PrepareResponse t{.token = 7,
+                    .store_id = 9,
+                    .start_count = 3,
+                    .round = 2,
+                    .incarnation = 1ull << 63,
+                    .unconfirmed = true,
+                    .unconfirmed_on_disk = true,
+                    .last = 12,
+                    .committed = 11,
+                    .first = 2,
+                    .compacted_up_to = 5,
+                    .tombstone_horizon = 4,
+                    .last_token = 6,
+                    .witnessed = {{0, 1}, {2, 8}},
+                    .corrupted = true,
+                    .gaps = {3, 4}};
+  AppendRequest a;
   a.token = 4;
-  a.life = 8;
+  a.incarnation = 8;
   a.after = 3;
   a.after_token = 2;
   a.committed = 3;
-  a.anew = true;
-  a.session = 5;
-  a.proves = true;
+  a.from_snapshot = true;
+  a.snapshot_session = 5;
+  a.confirms = true;
   a.corrupted = true;
-  a.cleaned = 2;
-  a.forgotten = 1;
-  a.passed = 3;
-  a.held = {{1, 3}};
+  a.compacted_up_to = 2;
+  a.tombstone_horizon = 1;
+  a.min_subscriber_position = 3;
+  a.match_offsets = {{1, 3}};
   a.plan = {4, 2, 1};
-  a.entries = {{4, 2, Stream::kTerms, std::string("k\0y", 3), false, std::string(60000, 'v'), 1.5},
-               {5, 2, Stream::kRules, "x", true, "", 0}};
-  Kept k;
+  a.entries = {
+      {4, 2, Stream::kSettings, std::string("k\0y", 3), false, std::string(60000, 'v'), 1.5},
+      {5, 2, Stream::kRules, "x", true, "", 0}};
+  AppendResponse k;
   k.token = 4;
-  k.life = 8;
+  k.incarnation = 8;
   k.up_to = 5;
-  k.refused = k.full = k.unsought = k.partial = true;
+  k.refused = k.full = k.unknown_incarnation = k.incomplete = true;
   k.last = 9;
-  k.hint = 2;
-  k.holes = {1};
+  k.resume_after = 2;
+  k.gaps = {1};
   k.plan = {1, 2, 1};
-  Fetched f{.after = 1,
-            .up_to = 5,
-            .after_token = 2,
-            .committed = 6,
-            .cleaned = 4,
-            .forgotten = 3,
-            .entries = a.entries,
-            .only = {}};
-  for (const Message& m : {Message{Seek{3, 4}}, Message{t}, Message{a}, Message{k},
-                           Message{Fetch{1, 2, {3}}}, Message{f}}) {
+  FetchResponse f{.after = 1,
+                  .up_to = 5,
+                  .after_token = 2,
+                  .committed = 6,
+                  .compacted_up_to = 4,
+                  .tombstone_horizon = 3,
+                  .entries = a.entries,
+                  .offsets = {}};
+  for (const Message& m : {Message{PrepareRequest{3, 4}}, Message{t}, Message{a}, Message{k},
+                           Message{FetchRequest{1, 2, {3}}}, Message{f}}) {
     std::string bytes = Encode(m);
     auto back = Decode(bytes);
     REQUIRE(back);
--- a/tests/record_storage_test.cpp
+++ b/tests/record_storage_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace dunlinwick::record;
 using dunlinwick::tests::OpenedDisk;
-using Fate = MemoryDisk::Fate;
+using WriteFault = MemoryLogStorage::WriteFault;
 
 namespace {
 
@@ -25,7 +25,7 @@
 
 class Cluster {
  public:
-  std::map<Id, MemoryDisk> disks;
+  std::map<Id, MemoryLogStorage> disks;
   std::map<Id, int> open;
   std::map<Offset, std::size_t> acknowledged;  // offset; on how many disks it was then
   std::size_t twice_open = 0;
@@ -36,13 +36,14 @@
       disks[id];
   }
   void Start(Id id) {
-    auto open_disk = [this, id]() -> std::unique_ptr<Disk> {
+    auto open_disk = [this, id]() -> std::unique_ptr<LogStorage> {
       return std::make_unique<OpenedDisk>(disks[id], open[id]);
     };
     auto say = [this](const std::string& line) {
       lines.push_back(line);
     };
-    replicas_[id] = std::make_unique<Replica>(id, Ids(), ReplicaTerms{}, open_disk, id, now_, say);
+    replicas_[id] =
+        std::make_unique<ReplicaHost>(id, Ids(), ReplicaHostSettings{}, open_disk, id, now_, say);
   }
   void Stop(Id id) {
     replicas_[id].reset();
@@ -50,7 +51,8 @@
   void StartAll() {
     for (Id id = 1; id <= kReplicas; ++id)
       Start(id);
-    writer_ = std::make_unique<Writer>(kWriterId, Ids(), KeeperTerms{}, LogTerms{}, 1000, now_);
+    writer_ = std::make_unique<LeaderWriter>(kWriterId, Ids(), LogReplicaSettings{}, LogSettings{},
+                                             1000, now_);
   }
   // One write is given each 100 ms while the writer serves.
   void Run(Ms until, const std::function<bool()>& holds = {}) {
@@ -70,10 +72,10 @@
   Ms now() const {
     return now_;
   }
-  Writer& writer() {
+  LeaderWriter& writer() {
     return *writer_;
   }
-  Replica& replica(Id id) {
+  ReplicaHost& replica(Id id) {
     return *replicas_[id];
   }
   bool IsServing() const {
@@ -87,9 +89,9 @@
       if (!replicas_[id] || !replicas_[id]->IsOpen())
         return false;
       const Log& log = *replicas_[id]->log();
-      if (log.Last() + 1 < writer_->Committed() || !log.Holes(1).empty() || !log.Whole())
+      if (log.LastOffset() + 1 < writer_->Committed() || !log.Gaps(1).empty() || !log.IsComplete())
         return false;
-      if (log.head().committed + 1 < writer_->Committed())
+      if (log.metadata().committed + 1 < writer_->Committed())
         return false;
     }
     return true;
@@ -119,7 +121,7 @@
   static std::vector<Id> Ids() {
     return {1, 2, 3};
   }
-  Send SendFrom(Id from) {
+  SendMessage SendFrom(Id from) {
     return [this, from](Id to, const Message& message) {
       wire_.push_back({now_ + 1, from, to, message});
     };
@@ -149,17 +151,17 @@
   void Write() {
     if (writer_->phase() != Phase::kServing)
       return;
-    Writer::Put put;
+    LeaderWriter::Put put;
     put.key = "object/" + std::to_string(++written_);
-    auto done = [this](Writer::Outcome outcome, Offset first) {
-      if (outcome == Writer::Outcome::kAcknowledged)
+    auto done = [this](LeaderWriter::Outcome outcome, Offset first) {
+      if (outcome == LeaderWriter::Outcome::kAcknowledged)
         acknowledged[first] = CopiesOf(first);
     };
     writer_->Write(now_, {put}, done, SendFrom(kWriterId));
   }
 
-  std::map<Id, std::unique_ptr<Replica>> replicas_;
-  std::unique_ptr<Writer> writer_;
+  std::map<Id, std::unique_ptr<ReplicaHost>> replicas_;
+  std::unique_ptr<LeaderWriter> writer_;
   std::deque<Sent> wire_;
   std::uint64_t written_ = 0;
   Ms now_ = 1e6;
@@ -171,7 +173,7 @@
   cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
   REQUIRE(cluster.IsWhole());
   cluster.Run(cluster.now() + 1000);
-  return cluster.disks[1].Calls();
+  return cluster.disks[1].WriteCount();
 }
 
 }  // namespace
@@ -182,16 +184,16 @@
     "itself") {
   std::uint64_t calls = CallsOfAQuietRun();
   REQUIRE(calls >= 10);
-  for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter, Fate::kFull})
+  for (WriteFault fault : {WriteFault::kFailBefore, WriteFault::kFailAfter, WriteFault::kFull})
     for (std::uint64_t call = 1; call <= calls; ++call) {
-      CAPTURE(static_cast<int>(fate));
+      CAPTURE(static_cast<int>(fault));
       CAPTURE(call);
       Cluster cluster;
       Ms fails_until = -1;
-      cluster.disks[1].fate = [&](std::uint64_t number) {
+      cluster.disks[1].write_fault = [&](std::uint64_t number) {
         if (number == call)
           fails_until = cluster.now() + kFailingFor;
-        return cluster.now() < fails_until ? fate : Fate::kWell;
+        return cluster.now() < fails_until ? fault : WriteFault::kNone;
       };
       cluster.StartAll();
       cluster.Run(cluster.now() + kSettleTime, [&] { return fails_until >= 0; });
@@ -213,15 +215,15 @@
     "a replica killed within any call, whether the write landed or not, owes nothing it "
     "acknowledged") {
   std::uint64_t calls = CallsOfAQuietRun();
-  for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
+  for (WriteFault fault : {WriteFault::kFailBefore, WriteFault::kFailAfter})
     for (std::uint64_t call = 1; call <= calls; ++call) {
-      CAPTURE(static_cast<int>(fate));
+      CAPTURE(static_cast<int>(fault));
       CAPTURE(call);
       Cluster cluster;
       bool killed = false;
-      cluster.disks[1].fate = [&](std::uint64_t number) {
+      cluster.disks[1].write_fault = [&](std::uint64_t number) {
         killed = killed || number == call;
-        return number == call ? fate : Fate::kWell;
+        return number == call ? fault : WriteFault::kNone;
       };
       cluster.StartAll();
       cluster.Run(cluster.now() + kSettleTime, [&] { return killed; });
@@ -239,9 +241,9 @@
 TEST_CASE(
     "with a majority of disks failing nothing is acknowledged, and all is again once there is "
     "space") {
-  for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter, Fate::kFull})
+  for (WriteFault fault : {WriteFault::kFailBefore, WriteFault::kFailAfter, WriteFault::kFull})
     for (Id failing : {Id{2}, Id{3}}) {
-      CAPTURE(static_cast<int>(fate));
+      CAPTURE(static_cast<int>(fault));
       CAPTURE(failing);
       Cluster cluster;
       cluster.StartAll();
@@ -249,8 +251,8 @@
       REQUIRE(cluster.IsWhole());
       bool fails = true;
       for (Id id = 1; id <= failing; ++id)
-        cluster.disks[id].fate = [&](std::uint64_t) {
-          return fails ? fate : Fate::kWell;
+        cluster.disks[id].write_fault = [&](std::uint64_t) {
+          return fails ? fault : WriteFault::kNone;
         };
       // What came to a disk before is acknowledged still; then nothing.
       cluster.Run(cluster.now() + 500);
@@ -268,27 +270,29 @@
 }
 
 TEST_CASE("a replica that has no room, or is closed, does not pass for current to a subscriber") {
-  for (Fate fate : {Fate::kFailsBefore, Fate::kFull}) {
-    CAPTURE(static_cast<int>(fate));
+  for (WriteFault fault : {WriteFault::kFailBefore, WriteFault::kFull}) {
+    CAPTURE(static_cast<int>(fault));
     Cluster cluster;
     cluster.StartAll();
     cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-    cluster.disks[1].fate = [&](std::uint64_t) {
-      return fate;
+    cluster.disks[1].write_fault = [&](std::uint64_t) {
+      return fault;
     };
     cluster.Run(cluster.now() + kFailingFor);
-    Want want;
+    SubscriptionRequest want;
     want.subscriber = 77;
-    want.number = 1;
-    std::optional<Piece> piece = cluster.replica(1).Wants(cluster.now(), want);
-    CHECK(piece.has_value() == (fate == Fate::kFull));
+    want.sequence = 1;
+    std::optional<SubscriptionResponse> piece =
+        cluster.replica(1).HandleSubscription(cluster.now(), want);
+    CHECK(piece.has_value() == (fault == WriteFault::kFull));
     if (piece) {
       CHECK(piece->committed < cluster.writer().Committed());
-      CHECK(piece->age > SubscriberTerms{}.stale_news);
+      CHECK(piece->leader_silence_ms > SubscriberSettings{}.max_leader_silence);
     }
-    std::optional<Piece> other = cluster.replica(2).Wants(cluster.now(), want);
+    std::optional<SubscriptionResponse> other =
+        cluster.replica(2).HandleSubscription(cluster.now(), want);
     REQUIRE(other);
-    CHECK(other->age <= SubscriberTerms{}.stale_news);
+    CHECK(other->leader_silence_ms <= SubscriberSettings{}.max_leader_silence);
   }
 }
 
@@ -299,8 +303,8 @@
   REQUIRE(cluster.IsWhole());
   cluster.Stop(1);
   bool down = true;
-  cluster.disks[1].fate = [&](std::uint64_t) {
-    return down ? Fate::kFailsBefore : Fate::kWell;
+  cluster.disks[1].write_fault = [&](std::uint64_t) {
+    return down ? WriteFault::kFailBefore : WriteFault::kNone;
   };
   cluster.Start(1);
   cluster.Run(cluster.now() + kFailingFor);
