--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -1,6 +1,6 @@
 // A keeper's log and its compaction, and subscribers: steps, hard cases, each disk call as a crash
-// point, and seeded random runs against a plain list. Broken variants (record::Breaks) are each
-// caught by the check they break.
+// point, and seeded random runs against a plain list. Broken variants (record::InjectedDefects) are
+// each caught by the check they break.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -28,37 +28,38 @@
   e.token = token;
   e.key = key;
   e.value = value;
-  e.at = at;
+  e.written_at = at;
   e.tombstone = value.empty();
   return e;
 }
-LogTerms MakeTerms(std::size_t entries_a_step = 256) {
-  LogTerms t;
-  t.lag = 0;
-  t.dead_share = 0;
-  t.entries_a_step = entries_a_step;
+LogSettings MakeTerms(std::size_t entries_a_step = 256) {
+  LogSettings t;
+  t.min_compaction_lag = 0;
+  t.min_dead_ratio = 0;
+  t.entries_per_step = entries_a_step;
   return t;
 }
 std::string Name(const char* what, std::uint64_t n) {
   return std::string(what).append(std::to_string(n));
 }
 std::vector<Entry> All(const Log& log) {
-  return log.Read(0, log.Last(), 1u << 30);
+  return log.Read(0, log.LastOffset(), 1u << 30);
 }
-void Compact(Log& log, const Plan& plan) {
-  log.Take(plan);
-  while (log.Step()) {
+void Compact(Log& log, const CompactionPlan& plan) {
+  log.AcceptPlan(plan);
+  while (log.CompactStep()) {
   }
 }
 // Of a list: what a plan leaves, by the words of log.hpp alone.
-std::vector<Entry> Left(const std::vector<Entry>& list, const Plan& plan) {
+std::vector<Entry> Left(const std::vector<Entry>& list, const CompactionPlan& plan) {
   std::vector<Entry> out;
   for (const Entry& e : list) {
     bool later = std::any_of(list.begin(), list.end(), [&](const Entry& o) {
       return o.offset > e.offset && o.offset <= plan.up_to && o.stream == e.stream &&
              o.key == e.key;
     });
-    if (e.offset <= plan.up_to && (later || (e.tombstone && e.offset <= plan.forget)))
+    if (e.offset <= plan.up_to &&
+        (later || (e.tombstone && e.offset <= plan.remove_tombstones_up_to)))
       continue;
     out.push_back(e);
   }
@@ -70,7 +71,7 @@
   for (Offset o = 1; o <= n; ++o) {
     Entry e = MakeEntry(o, Name("k", chance() % 7), chance() % 4 == 0 ? "" : Name("v", o),
                         static_cast<double>(o));
-    e.stream = static_cast<Stream>(chance() % kStreams);
+    e.stream = static_cast<Stream>(chance() % kStreamCount);
     out.push_back(e);
   }
   return out;
@@ -79,34 +80,34 @@
 }  // namespace
 
 TEST_CASE("latest of each key, offsets and order stay; the head younger than lag stays whole") {
-  MemoryDisk disk;
-  LogTerms t = MakeTerms(2);
-  t.lag = 1000;
+  MemoryLogStorage disk;
+  LogSettings t = MakeTerms(2);
+  t.min_compaction_lag = 1000;
   Log log(1, t, disk, 77);
   std::vector<Entry> entries;
   for (Offset o = 1; o <= 20; ++o)
     entries.push_back(MakeEntry(o, Name("k", o % 3), Name("v", o), 100.0 * static_cast<double>(o)));
-  CHECK(log.append(0, entries));
-  CHECK(!log.append(0, {MakeEntry(22, "gap", "x")}));
+  CHECK(log.AppendEntries(0, entries));
+  CHECK(!log.AppendEntries(0, {MakeEntry(22, "gap", "x")}));
   CHECK(!log.Latest(Stream::kRecalls, "k0"));
   log.Commit(20);
   CHECK(log.Latest(Stream::kRecalls, "k0")->offset == 18);
-  auto plan = log.Worth(2500, log.head().committed, 1);
+  auto plan = log.ProposePlan(2500, log.metadata().committed, 1);
   REQUIRE(plan);
   CHECK(plan->up_to == 15);
-  log.Take(*plan);
+  log.AcceptPlan(*plan);
   std::uint64_t before = log.Digest(20);
-  for (std::uint64_t calls = disk.Calls(); log.Step(); calls = disk.Calls())
-    CHECK(disk.Calls() <= calls + 1);
+  for (std::uint64_t calls = disk.WriteCount(); log.CompactStep(); calls = disk.WriteCount())
+    CHECK(disk.WriteCount() <= calls + 1);
   CHECK(log.Digest(20) == before);
   std::vector<Entry> left(entries.begin() + 12, entries.end());
   CHECK(All(log) == left);
-  CHECK(log.head().cleaned == 15);
+  CHECK(log.metadata().compacted_up_to == 15);
   Log again(1, t, disk, 78);
   CHECK(All(again) == left);
-  CHECK(again.head().store == 77);
-  CHECK(again.head().starts == 2);
-  CHECK_THROWS_AS(Log(2, t, disk, 79), Failed);
+  CHECK(again.metadata().store_id == 77);
+  CHECK(again.metadata().start_count == 2);
+  CHECK_THROWS_AS(Log(2, t, disk, 79), StorageError);
 }
 
 TEST_CASE(
@@ -116,27 +117,28 @@
     CAPTURE(seed);
     std::knuth_b chance(seed);
     auto list = Mixed(60, seed);
-    MemoryDisk one, two;
+    MemoryLogStorage one, two;
     Log a(1, MakeTerms(1 + chance() % 9), one, 1), b(2, MakeTerms(1 + chance() % 9), two, 2);
-    CHECK(a.append(0, list));
-    CHECK(b.append(0, list));
+    CHECK(a.AppendEntries(0, list));
+    CHECK(b.AppendEntries(0, list));
     a.Commit(60);
     b.Commit(60);
-    Plan early{1, 10 + chance() % 20, 0}, plan{1, 40 + chance() % 20, 0};
-    early.forget = chance() % (early.up_to + 1);
-    plan.forget = early.forget + chance() % (plan.up_to - early.forget + 1);
+    CompactionPlan early{1, 10 + chance() % 20, 0}, plan{1, 40 + chance() % 20, 0};
+    early.remove_tombstones_up_to = chance() % (early.up_to + 1);
+    plan.remove_tombstones_up_to =
+        early.remove_tombstones_up_to + chance() % (plan.up_to - early.remove_tombstones_up_to + 1);
     Compact(a, early);
     CHECK(All(a) == Left(list, early));
-    CHECK(a.head().cleaned == early.up_to);
-    a.Take(plan);
+    CHECK(a.metadata().compacted_up_to == early.up_to);
+    a.AcceptPlan(plan);
     for (std::size_t k = chance() % 8; k > 0; --k)
-      a.Step();
+      a.CompactStep();
     Log again(1, MakeTerms(3), one, 1);  // begun anew after a start
     Compact(again, plan);
     Compact(b, plan);
     CHECK(All(again) == Left(list, plan));
     CHECK(All(b) == Left(list, plan));
-    Offset forgotten = std::max(again.head().forgotten, b.head().forgotten);
+    Offset forgotten = std::max(again.metadata().tombstone_horizon, b.metadata().tombstone_horizon);
     CHECK(again.Digest(60, forgotten) == b.Digest(60, forgotten));
   }
 }
@@ -145,9 +147,9 @@
   auto list = Mixed(40, 9);
   auto drive = [&](Log& log) {
     auto up_to = [&](Offset n) {
-      while (log.Last() < n) {
-        auto from = list.begin() + static_cast<std::ptrdiff_t>(log.Last());
-        bool ok = log.append(0, {from, from + 5});
+      while (log.LastOffset() < n) {
+        auto from = list.begin() + static_cast<std::ptrdiff_t>(log.LastOffset());
+        bool ok = log.AppendEntries(0, {from, from + 5});
         CHECK(ok);
       }
       log.Commit(n);
@@ -159,20 +161,21 @@
     Compact(log, {3, 33, 12});
     Compact(log, {3, 39, 30});
   };
-  MemoryDisk calm;
+  MemoryLogStorage calm;
   Log whole(1, MakeTerms(4), calm, 1);
   drive(whole);
   CHECK(All(whole) == Left(list, {3, 39, 30}));
-  std::uint64_t calls = calm.Calls();
+  std::uint64_t calls = calm.WriteCount();
   CHECK(calls >= 25);
   for (std::uint64_t at = 1; at <= calls; ++at)
     for (auto fate :
-         {MemoryDisk::Fate::kFailsBefore, MemoryDisk::Fate::kFailsAfter, MemoryDisk::Fate::kFull}) {
+         {MemoryLogStorage::WriteFault::kFailBefore, MemoryLogStorage::WriteFault::kFailAfter,
+          MemoryLogStorage::WriteFault::kFull}) {
       CAPTURE(at);
       CAPTURE(static_cast<int>(fate));
-      MemoryDisk disk;
-      disk.fate = [&](std::uint64_t call) {
-        return call == at ? fate : MemoryDisk::Fate::kWell;
+      MemoryLogStorage disk;
+      disk.write_fault = [&](std::uint64_t call) {
+        return call == at ? fate : MemoryLogStorage::WriteFault::kNone;
       };
       std::unique_ptr<Log> log;
       int faults = 0;
@@ -182,109 +185,112 @@
             log = std::make_unique<Log>(1, MakeTerms(4), disk, 1);
           drive(*log);
           done = true;
-        } catch (const Full&) {
+        } catch (const StorageFullError&) {
           ++faults;
           if (log) {
             CHECK(!log->has_failed());
             Log other(1, MakeTerms(4), disk, 1);  // what is in memory is what is on disk
             CHECK(All(other) == All(*log));
           }
-        } catch (const Failed&) {
+        } catch (const StorageError&) {
           ++faults;
           if (log) {
             CHECK(log->has_failed());
-            CHECK_THROWS_AS(log->append(0, {MakeEntry(log->Last() + 1, "x", "y")}), Failed);
+            CHECK_THROWS_AS(log->AppendEntries(0, {MakeEntry(log->LastOffset() + 1, "x", "y")}),
+                            StorageError);
           }
           log.reset();
         }
       }
       CHECK(faults == 1);
       CHECK(All(*log) == All(whole));
-      CHECK(log->head().cleaned == whole.head().cleaned);
-      CHECK(log->head().promised == 3);
-      CHECK(log->Digest(40, whole.head().forgotten) == whole.Digest(40, log->head().forgotten));
-      CHECK(log->Holes(9).empty());
+      CHECK(log->metadata().compacted_up_to == whole.metadata().compacted_up_to);
+      CHECK(log->metadata().promised_token == 3);
+      CHECK(log->Digest(40, whole.metadata().tombstone_horizon) ==
+            whole.Digest(40, log->metadata().tombstone_horizon));
+      CHECK(log->Gaps(9).empty());
     }
 }
 
 TEST_CASE("tombstones: a term, the slowest subscriber, and one in the same batch as a new value") {
-  MemoryDisk disk;
-  LogTerms t = MakeTerms();
-  t.tombstone_term = kDay;
+  MemoryLogStorage disk;
+  LogSettings t = MakeTerms();
+  t.tombstone_retention = kDay;
   Log log(1, t, disk, 1);
-  CHECK(log.append(
+  CHECK(log.AppendEntries(
       0, {MakeEntry(1, "a", "old", 1), MakeEntry(2, "a", "", 2), MakeEntry(3, "b", "old", 3),
           MakeEntry(4, "b", "", 3), MakeEntry(5, "b", "new", 3), MakeEntry(6, "c", "x", 4),
           MakeEntry(7, "d", "x", 5)}));
   log.Commit(7);
-  auto plan = log.Worth(1000, 7, 1);
+  auto plan = log.ProposePlan(1000, 7, 1);
   REQUIRE(plan);
-  CHECK(plan->forget == 0);  // its term has not run
+  CHECK(plan->remove_tombstones_up_to == 0);  // its term has not run
   Compact(log, *plan);
-  CHECK(log.at(2)->tombstone);
-  CHECK(!log.at(4));
+  CHECK(log.Find(2)->tombstone);
+  CHECK(!log.Find(4));
   CHECK(log.Latest(Stream::kRecalls, "b")->value == "new");
-  CHECK(!log.Worth(2 * kDay, 1, 1));  // one living subscriber has not passed it
-  plan = log.Worth(2 * kDay, 2, 1);
+  CHECK(!log.ProposePlan(2 * kDay, 1, 1));  // one living subscriber has not passed it
+  plan = log.ProposePlan(2 * kDay, 2, 1);
   REQUIRE(plan);
-  CHECK(plan->forget == 2);
+  CHECK(plan->remove_tombstones_up_to == 2);
   Compact(log, *plan);
-  CHECK(!log.at(2));
-  CHECK(log.head().forgotten == 2);
+  CHECK(!log.Find(2));
+  CHECK(log.metadata().tombstone_horizon == 2);
   CHECK(!log.Latest(Stream::kRecalls, "a"));
-  CHECK(log.head().first == 5);
+  CHECK(log.metadata().first == 5);
   // A plan of a lower token, or further back, is passed over.
-  log.Take({9, 3, 0});
-  log.Take({8, 6, 6});
-  CHECK(!log.Step());
+  log.AcceptPlan({9, 3, 0});
+  log.AcceptPlan({8, 6, 6});
+  CHECK(!log.CompactStep());
 }
 
 TEST_CASE("clocks at 1970, and a century ahead") {
-  MemoryDisk disk;
-  LogTerms t = MakeTerms();
-  t.lag = 1000;
-  t.tombstone_term = kDay;
+  MemoryLogStorage disk;
+  LogSettings t = MakeTerms();
+  t.min_compaction_lag = 1000;
+  t.tombstone_retention = kDay;
   Log log(1, t, disk, 1);
   const Ms now = 56 * 365 * kDay, ahead = now + 36500 * kDay;
   // A stopped clock wrote at 1970; another at 2100; then right again.
-  CHECK(
-      log.append(0, {MakeEntry(1, "a", "1", 5), MakeEntry(2, "a", "2", 6), MakeEntry(3, "b", "", 7),
-                     MakeEntry(4, "c", "1", ahead), MakeEntry(5, "c", "", ahead),
-                     MakeEntry(6, "d", "1", now), MakeEntry(7, "d", "2", now)}));
+  CHECK(log.AppendEntries(
+      0, {MakeEntry(1, "a", "1", 5), MakeEntry(2, "a", "2", 6), MakeEntry(3, "b", "", 7),
+          MakeEntry(4, "c", "1", ahead), MakeEntry(5, "c", "", ahead), MakeEntry(6, "d", "1", now),
+          MakeEntry(7, "d", "2", now)}));
   log.Commit(7);
-  auto plan = log.Worth(now, 7, 1);
+  auto plan = log.ProposePlan(now, 7, 1);
   REQUIRE(plan);
-  CHECK(plan->up_to == 5);   // one century does not stop it; the young stay whole
-  CHECK(plan->forget == 3);  // the one ahead stays until its term has run: safe, and small
+  CHECK(plan->up_to == 5);  // one century does not stop it; the young stay whole
+  CHECK(plan->remove_tombstones_up_to ==
+        3);  // the one ahead stays until its term has run: safe, and small
   Compact(log, *plan);
   CHECK(All(log).size() == 4);
   // Now itself at 1970: what is of other times is old; no tombstone of a later time goes.
-  plan = log.Worth(0, 7, 1);
+  plan = log.ProposePlan(0, 7, 1);
   CHECK(!plan.has_value());
 }
 
 TEST_CASE("a write of the same key while a compaction is under way, and truncation above it") {
-  MemoryDisk disk;
+  MemoryLogStorage disk;
   Log log(1, MakeTerms(2), disk, 1);
   auto list = Mixed(30, 5);
-  CHECK(log.append(0, list));
+  CHECK(log.AppendEntries(0, list));
   log.Commit(25);
-  log.Take({1, 24, 10});
+  log.AcceptPlan({1, 24, 10});
   for (Offset o = 31; o <= 40; ++o) {
-    log.Step();
+    log.CompactStep();
     list.push_back(MakeEntry(o, list[o - 31].key, Name("n", o), 1));
-    CHECK(log.append(0, {list.back()}));
+    CHECK(log.AppendEntries(0, {list.back()}));
   }
-  CHECK(!log.append(25, {}));  // committed
-  CHECK(!log.append(20, {}));
-  CHECK(log.append(35, {MakeEntry(35, "z", "z", 1, 7)}));
+  CHECK(!log.AppendEntries(25, {}));  // committed
+  CHECK(!log.AppendEntries(20, {}));
+  CHECK(log.AppendEntries(35, {MakeEntry(35, "z", "z", 1, 7)}));
   list.resize(34);
   list.push_back(MakeEntry(35, "z", "z", 1, 7));
-  while (log.Step()) {
+  while (log.CompactStep()) {
   }
   CHECK(All(log) == Left(list, {1, 24, 10}));
   CHECK(log.LastToken() == 7);
-  CHECK(log.head().cleaned == 24);
+  CHECK(log.metadata().compacted_up_to == 24);
   // The index is as a fresh start would build it.
   Log again(1, MakeTerms(2), disk, 1);
   log.Commit(35);
@@ -299,12 +305,12 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     auto list = Mixed(40, seed);
-    MemoryDisk one, two;
+    MemoryLogStorage one, two;
     std::knuth_b chance(seed);
     {
       Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
-      CHECK(a.append(0, list));
-      CHECK(b.append(0, list));
+      CHECK(a.AppendEntries(0, list));
+      CHECK(b.AppendEntries(0, list));
       a.Commit(40);
       b.Commit(40);
       Compact(a, {1, 20, 10});
@@ -314,46 +320,48 @@
       Offset o = 1 + chance() % 40;
       if (!one.Has(o) || !bad.insert(o).second)
         continue;
-      one.Flip(o);
+      one.CorruptEntry(o);
     }
     if (one.Has(40)) {
-      one.Lose(40);
+      one.LoseEntry(40);
       bad.insert(40);
     }
     Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
-    auto holes = a.Holes(100);
+    auto holes = a.Gaps(100);
     CHECK(std::set<Offset>(holes.begin(), holes.end()) == bad);
-    CHECK(a.Last() == 40);
+    CHECK(a.LastOffset() == 40);
     Offset reached = 0;
     a.Read(0, 40, 1u << 20, &reached);
     CHECK(reached == *bad.begin() - 1);
-    Plan plan{1, 39, 30};
-    a.Take(plan);
-    while (a.Step())
-      CHECK(a.head().cleaned < *bad.begin());
-    CHECK(a.head().forgotten <= 10);
+    CompactionPlan plan{1, 39, 30};
+    a.AcceptPlan(plan);
+    while (a.CompactStep())
+      CHECK(a.metadata().compacted_up_to < *bad.begin());
+    CHECK(a.metadata().tombstone_horizon <= 10);
     if (chance() % 2)
       Compact(b, plan);
-    CHECK(!a.Heal(MakeEntry(41, "k", "v")));
-    Source source{b.head().cleaned, b.head().forgotten};
+    CHECK(!a.RepairGap(MakeEntry(41, "k", "v")));
+    CompactionProgress source{b.metadata().compacted_up_to, b.metadata().tombstone_horizon};
     for (Offset h : holes) {
-      if (const Entry* e = b.at(h)) {
-        CHECK(a.Heal(*e));
-      } else if (!a.Close(h, source)) {
-        CHECK(h <= source.forgotten);  // it may have been a tombstone, and what it hid may be here
-        CHECK(a.Anew(All(b), source));
+      if (const Entry* e = b.Find(h)) {
+        CHECK(a.RepairGap(*e));
+      } else if (!a.CloseCompactedGap(h, source)) {
+        CHECK(
+            h <=
+            source.tombstone_horizon);  // it may have been a tombstone, and what it hid may be here
+        CHECK(a.ResetFromSnapshot(All(b), source));
         a.Commit(40);
         break;
       }
     }
-    CHECK(!a.Close(40, {40, 0}));
+    CHECK(!a.CloseCompactedGap(40, {40, 0}));
     Compact(a, plan);
     Compact(b, plan);
     CHECK(All(a) == Left(list, plan));
-    Offset f = std::max(a.head().forgotten, b.head().forgotten);
+    Offset f = std::max(a.metadata().tombstone_horizon, b.metadata().tombstone_horizon);
     CHECK(a.Digest(40, f) == b.Digest(40, f));
     Log again(1, MakeTerms(), one, 1);
-    CHECK(again.Holes(9).empty());
+    CHECK(again.Gaps(9).empty());
     CHECK(All(again) == All(a));
   }
 }
@@ -364,163 +372,166 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     auto list = Mixed(40, seed);
-    MemoryDisk disk;
+    MemoryLogStorage disk;
     std::knuth_b chance(seed);
     {
       Log log(1, MakeTerms(3), disk, 1);
-      CHECK(log.append(0, list));
+      CHECK(log.AppendEntries(0, list));
       log.Commit(40);
       Compact(log, {1, 30, 10});
     }
     Log well(1, MakeTerms(), disk, 1);
-    CHECK(!well.Lost());
+    CHECK(!well.HasUnlocatedLoss());
     auto entries = All(well);
-    Source source{well.head().cleaned, well.head().forgotten};
+    CompactionProgress source{well.metadata().compacted_up_to, well.metadata().tombstone_horizon};
     std::vector<Offset> can;
     for (const Entry& e : entries)
       if (e.offset <= 30)
         can.push_back(e.offset);
     std::size_t n = 1 + chance() % 2;
     for (std::size_t k = 0; k < n; ++k)
-      disk.Lose(can[(chance() % (can.size() / 2)) * 2 + k]);
+      disk.LoseEntry(can[(chance() % (can.size() / 2)) * 2 + k]);
     bool flips = chance() % 2 != 0;
     if (flips)
-      disk.Flip(35);
+      disk.CorruptEntry(35);
     for (int start = 0; start < 3; ++start) {
       Log log(1, MakeTerms(), disk, 1);
-      CHECK(log.Lost());
-      auto holes = log.Holes(9);
+      CHECK(log.HasUnlocatedLoss());
+      auto holes = log.Gaps(9);
       REQUIRE(holes.size() == (flips && start == 0 ? 2 : 1));
       for (Offset after = 0; after < 30; ++after)
         CHECK(log.Read(after, 40, 1u << 20).empty());
-      CHECK(!log.Heal(list[holes.front() - 1]));
-      CHECK(!log.Close(holes.front(), {40, 0}));
+      CHECK(!log.RepairGap(list[holes.front() - 1]));
+      CHECK(!log.CloseCompactedGap(holes.front(), {40, 0}));
       if (start == 0)
-        CHECK(log.append(0, {MakeEntry(41, "x", "y")}));
+        CHECK(log.AppendEntries(0, {MakeEntry(41, "x", "y")}));
       if (start == 0 && flips)
-        CHECK(log.append(31, {list.begin() + 30, list.end()}) == false);
+        CHECK(log.AppendEntries(31, {list.begin() + 30, list.end()}) == false);
       if (start == 0 && flips)
-        CHECK(log.Holes(9).size() == 2);
+        CHECK(log.Gaps(9).size() == 2);
       flips = false;
-      disk.Heal(list[34]);
+      disk.RestoreEntry(list[34]);
     }
     Log log(1, MakeTerms(), disk, 1);
-    CHECK(log.Anew(entries, source));
-    CHECK(!log.Lost());
+    CHECK(log.ResetFromSnapshot(entries, source));
+    CHECK(!log.HasUnlocatedLoss());
     Log again(1, MakeTerms(), disk, 1);
-    CHECK(!again.Lost());
-    CHECK(again.Holes(9).empty());
+    CHECK(!again.HasUnlocatedLoss());
+    CHECK(again.Gaps(9).empty());
     CHECK(All(again) == entries);
   }
 }
 
 TEST_CASE("all before a hole at the end is let go") {
-  MemoryDisk disk;
+  MemoryLogStorage disk;
   {
     Log log(1, MakeTerms(), disk, 1);
-    CHECK(log.append(0, {MakeEntry(1, "a", ""), MakeEntry(2, "b", "x")}));
+    CHECK(log.AppendEntries(0, {MakeEntry(1, "a", ""), MakeEntry(2, "b", "x")}));
     log.Commit(2);
   }
-  disk.Flip(2);
+  disk.CorruptEntry(2);
   Log log(1, MakeTerms(), disk, 1);
   Compact(log, {1, 1, 1});
   CHECK(log.size() == 0);
-  CHECK(log.head().first == 2);
-  CHECK(log.Last() == 2);
-  CHECK(log.Holes(3) == std::vector<Offset>{2});
-  CHECK(log.Heal(MakeEntry(2, "b", "x")));
+  CHECK(log.metadata().first == 2);
+  CHECK(log.LastOffset() == 2);
+  CHECK(log.Gaps(3) == std::vector<Offset>{2});
+  CHECK(log.RepairGap(MakeEntry(2, "b", "x")));
   CHECK(Log(1, MakeTerms(), disk, 1).Latest(Stream::kRecalls, "b")->value == "x");
 }
 
 TEST_CASE("old disk, swapped disk, no room in memory or on disk, entries out of bounds") {
-  MemoryDisk disk;
-  LogTerms t = MakeTerms();
-  t.most_bytes = 40 * 300;
+  MemoryLogStorage disk;
+  LogSettings t = MakeTerms();
+  t.max_bytes = 40 * 300;
   Log log(1, t, disk, 5);
-  CHECK(log.append(0, Mixed(20, 3)));
+  CHECK(log.AppendEntries(0, Mixed(20, 3)));
   log.Commit(20);
-  auto older = disk.copy();
-  CHECK(log.append(0, {MakeEntry(21, "a", "b"), MakeEntry(22, "a", "c")}));
+  auto older = disk.contents();
+  CHECK(log.AppendEntries(0, {MakeEntry(21, "a", "b"), MakeEntry(22, "a", "c")}));
   log.Commit(22);
   bool full = false;
   while (!full) {
-    Offset n = log.Last();
+    Offset n = log.LastOffset();
     std::size_t bytes = log.bytes();
     try {
-      bool ok = log.append(0, {MakeEntry(n + 1, "a", "d")});
+      bool ok = log.AppendEntries(0, {MakeEntry(n + 1, "a", "d")});
       CHECK(ok);
-    } catch (const Full&) {
+    } catch (const StorageFullError&) {
       full = true;
-      CHECK(log.Last() == n);
+      CHECK(log.LastOffset() == n);
       CHECK(log.bytes() == bytes);
     }
   }
-  log.Commit(log.Last());
-  Compact(log, {1, log.Last() - 1, 0});
-  CHECK(log.append(0, {MakeEntry(log.Last() + 1, "a", "e")}));  // compaction has made room
-  disk.PutBack(older);
+  log.Commit(log.LastOffset());
+  Compact(log, {1, log.LastOffset() - 1, 0});
+  CHECK(log.AppendEntries(
+      0, {MakeEntry(log.LastOffset() + 1, "a", "e")}));  // compaction has made room
+  disk.RestoreContents(older);
   Log again(1, t, disk, 6);
-  CHECK(again.Last() == 20);
-  CHECK(again.head().store == 5);
-  CHECK_THROWS_AS(Log(2, t, disk, 6), Failed);
-  CHECK(!again.append(0, {MakeEntry(21, "", "x")}));
-  CHECK(!again.append(0, {MakeEntry(21, std::string(kLongestKey + 1, 'k'), "x")}));
-  CHECK(!again.append(0, {MakeEntry(21, "k", std::string(kLongestValue + 1, 'v'))}));
-  CHECK(!again.append(0, {MakeEntry(20, "k", "x")}));
-  CHECK(again.Last() == 20);
-  again.witness(3, 9);
-  again.witness(2, 4);
-  again.witness(3, 7);
-  again.Keep();
+  CHECK(again.LastOffset() == 20);
+  CHECK(again.metadata().store_id == 5);
+  CHECK_THROWS_AS(Log(2, t, disk, 6), StorageError);
+  CHECK(!again.AppendEntries(0, {MakeEntry(21, "", "x")}));
+  CHECK(!again.AppendEntries(0, {MakeEntry(21, std::string(kMaxKeyBytes + 1, 'k'), "x")}));
+  CHECK(!again.AppendEntries(0, {MakeEntry(21, "k", std::string(kMaxValueBytes + 1, 'v'))}));
+  CHECK(!again.AppendEntries(0, {MakeEntry(20, "k", "x")}));
+  CHECK(again.LastOffset() == 20);
+  again.RecordWitnessed(3, 9);
+  again.RecordWitnessed(2, 4);
+  again.RecordWitnessed(3, 7);
+  again.PersistMetadata();
   Log third(1, t, disk, 6);
-  CHECK(third.head().seen == std::vector<std::pair<Id, Offset>>{{2, 4}, {3, 9}});
-  MemoryDisk small;
-  small.most_bytes = 100;
+  CHECK(third.metadata().witnessed == std::vector<std::pair<Id, Offset>>{{2, 4}, {3, 9}});
+  MemoryLogStorage small;
+  small.max_bytes = 100;
   Log little(1, MakeTerms(), small, 1);
-  CHECK(little.append(0, {MakeEntry(1, "k", std::string(60, 'v'))}));
-  CHECK_THROWS_AS(little.append(0, {MakeEntry(2, "k", std::string(60, 'v'))}), Full);
+  CHECK(little.AppendEntries(0, {MakeEntry(1, "k", std::string(60, 'v'))}));
+  CHECK_THROWS_AS(little.AppendEntries(0, {MakeEntry(2, "k", std::string(60, 'v'))}),
+                  StorageFullError);
   little.Promise(4);
-  CHECK(little.head().promised == 4);
+  CHECK(little.metadata().promised_token == 4);
 }
 
 TEST_CASE(
     "brought up from a compacted log: gaps only where the source was cleaned, anew behind what it "
     "forgot") {
   auto list = Mixed(50, 21);
-  MemoryDisk one, two;
+  MemoryLogStorage one, two;
   Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
-  CHECK(a.append(0, list));
+  CHECK(a.AppendEntries(0, list));
   a.Commit(50);
-  CHECK(b.append(0, {list.begin(), list.begin() + 8}));
+  CHECK(b.AppendEntries(0, {list.begin(), list.begin() + 8}));
   b.Commit(8);
   Compact(a, {1, 45, 40});
-  Source source{a.head().cleaned, a.head().forgotten};
-  REQUIRE(source.forgotten > 8);
+  CompactionProgress source{a.metadata().compacted_up_to, a.metadata().tombstone_horizon};
+  REQUIRE(source.tombstone_horizon > 8);
   auto rest = a.Read(8, 50, 1u << 20);
-  CHECK(!b.append(0, rest));          // gaps that no source explains
-  CHECK(!b.append(0, rest, source));  // a tombstone above what is here is no more
+  CHECK(!b.AppendEntries(0, rest));          // gaps that no source explains
+  CHECK(!b.AppendEntries(0, rest, source));  // a tombstone above what is here is no more
   auto whole = All(a);
   std::size_t half = whole.size() / 2;
-  CHECK(b.Anew({whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(half)}, source));
-  CHECK(!b.Whole());
-  CHECK(b.head().committed == 0);
+  CHECK(b.ResetFromSnapshot({whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(half)},
+                            source));
+  CHECK(!b.IsComplete());
+  CHECK(b.metadata().committed == 0);
   Log again(2, MakeTerms(), two, 9);
   std::vector<Entry> rest2(whole.begin() + static_cast<std::ptrdiff_t>(half), whole.end());
-  if (again.Last() < source.forgotten)
-    CHECK(!again.append(0, rest2, {source.cleaned, source.forgotten - 1}));
-  CHECK(again.append(0, rest2, source));
+  if (again.LastOffset() < source.tombstone_horizon)
+    CHECK(!again.AppendEntries(0, rest2, {source.compacted_up_to, source.tombstone_horizon - 1}));
+  CHECK(again.AppendEntries(0, rest2, source));
   again.Commit(50);
-  CHECK(again.Whole());
-  CHECK(again.head().store == 2);
+  CHECK(again.IsComplete());
+  CHECK(again.metadata().store_id == 2);
   CHECK(again.Digest(50) == a.Digest(50));
-  CHECK(again.Holes(9).empty());
+  CHECK(again.Gaps(9).empty());
 }
 
 TEST_CASE("one key written a million times; a million keys") {
-  LogTerms t = MakeTerms(4096);
-  t.most_bytes = std::size_t{1} << 30;
+  LogSettings t = MakeTerms(4096);
+  t.max_bytes = std::size_t{1} << 30;
   for (bool many : {false, true}) {
-    MemoryDisk disk;
+    MemoryLogStorage disk;
     Log log(1, t, disk, 1);
     const Offset n = 1000000;
     std::size_t most = 0;
@@ -529,16 +540,16 @@
       batch.push_back(MakeEntry(o, many ? Name("k", o) : "one", "v", 0));
       if (batch.size() < 1000 && o != n)
         continue;
-      REQUIRE(log.append(0, batch));
+      REQUIRE(log.AppendEntries(0, batch));
       batch.clear();
       log.Commit(o);
-      if (auto plan = log.Worth(1e6, log.head().committed, 1))
-        log.Take(*plan);
-      while (log.Step()) {
+      if (auto plan = log.ProposePlan(1e6, log.metadata().committed, 1))
+        log.AcceptPlan(*plan);
+      while (log.CompactStep()) {
       }
       most = std::max(most, log.bytes());
     }
-    CHECK(log.Last() == n);
+    CHECK(log.LastOffset() == n);
     CHECK(log.size() == (many ? n : 2));  // the last is never above what a plan cleans
     if (!many)
       CHECK(most < 1000 * 1000);
@@ -551,40 +562,40 @@
   std::string folder = (fs::temp_directory_path() / "record_test.XXXXXX").string();
   REQUIRE(::mkdtemp(folder.data()) != nullptr);
   auto open = [&](const char* what, std::size_t bytes = 1 << 20) {
-    return std::make_unique<dunlinwick::store::RecordLmdb>(folder + "/" + what, bytes);
+    return std::make_unique<dunlinwick::store::LmdbLogStorage>(folder + "/" + what, bytes);
   };
   auto list = Mixed(40, 4);
-  MemoryDisk memory;
+  MemoryLogStorage memory;
   Log reference(1, MakeTerms(4), memory, 8);
   {
     auto disk = open("a");
-    CHECK(!disk->head());
+    CHECK(!disk->metadata());
     Log log(1, MakeTerms(4), *disk, 8);
     for (Log* l : {&log, &reference}) {
-      CHECK(l->append(0, list));
-      l->witness(2, 12);
+      CHECK(l->AppendEntries(0, list));
+      l->RecordWitnessed(2, 12);
       l->Promise(5);
       l->Commit(30);
-      CHECK(l->append(35, {MakeEntry(35, "t", "u", 3, 2)}));
+      CHECK(l->AppendEntries(35, {MakeEntry(35, "t", "u", 3, 2)}));
       l->Commit(35);
       Compact(*l, {1, 29, 20});
     }
-    CHECK(log.head() == reference.head());
+    CHECK(log.metadata() == reference.metadata());
   }
   auto disk = open("a");
-  CHECK(disk->head() == reference.head());
+  CHECK(disk->metadata() == reference.metadata());
   std::vector<Entry> read;
-  disk->Each([&](Offset o, const Entry* e) {
+  disk->ForEachEntry([&](Offset o, const Entry* e) {
     REQUIRE(e);
     CHECK(e->offset == o);
     read.push_back(*e);
   });
   CHECK(read == All(reference));
-  CHECK_THROWS_AS(Log(2, MakeTerms(), *disk, 8), Failed);
+  CHECK_THROWS_AS(Log(2, MakeTerms(), *disk, 8), StorageError);
   disk.reset();
   // One byte of one value on the page: a hole at the next start, healed from another.
-  const Entry* victim =
-      reference.at(30) && !reference.at(30)->tombstone ? reference.at(30) : reference.at(35);
+  const Entry* victim = reference.Find(30) && !reference.Find(30)->tombstone ? reference.Find(30)
+                                                                             : reference.Find(35);
   {
     std::string path = folder + "/a/data.mdb";
     std::FILE* f = std::fopen(path.c_str(), "r+b");
@@ -610,8 +621,8 @@
   disk = open("a");
   {
     Log log(1, MakeTerms(), *disk, 8);
-    REQUIRE(log.Holes(9) == std::vector<Offset>{victim->offset});
-    CHECK(log.Heal(*victim));
+    REQUIRE(log.Gaps(9) == std::vector<Offset>{victim->offset});
+    CHECK(log.RepairGap(*victim));
     Log again(1, MakeTerms(), *disk, 8);
     CHECK(All(again) == All(reference));
   }
@@ -620,18 +631,18 @@
   bool full = false;
   for (Offset o = 1; o < 2000 && !full; ++o)
     try {
-      bool ok = log.append(0, {MakeEntry(o, Name("k", o % 5), std::string(1000, 'v'))});
+      bool ok = log.AppendEntries(0, {MakeEntry(o, Name("k", o % 5), std::string(1000, 'v'))});
       CHECK(ok);
-    } catch (const Full&) {
+    } catch (const StorageFullError&) {
       full = true;
     }
   REQUIRE(full);
-  CHECK(log.Last() > 100);
+  CHECK(log.LastOffset() > 100);
   std::size_t pages = small->PageBytes();
-  log.Commit(log.Last());
-  Compact(log, {1, log.Last() - 1, 0});
+  log.Commit(log.LastOffset());
+  Compact(log, {1, log.LastOffset() - 1, 0});
   CHECK(small->PageBytes() < pages / 4);
-  CHECK(log.append(0, {MakeEntry(log.Last() + 1, "k", std::string(1000, 'v'))}));
+  CHECK(log.AppendEntries(0, {MakeEntry(log.LastOffset() + 1, "k", std::string(1000, 'v'))}));
   small.reset();
   disk.reset();
   fs::remove_all(folder);
@@ -652,18 +663,18 @@
 // event each subscriber is held against the list.
 class Play {
  public:
-  explicit Play(Breaks breaks) {
-    log_.breaks = sub_.breaks = breaks;
-    log_.lag = 50;
-    log_.tombstone_term = 200;
-    log_.dead_share = 0.1;
-    log_.entries_a_step = 3;
-    log_.breaks = breaks;
+  explicit Play(InjectedDefects breaks) {
+    log_.defects = sub_.defects = breaks;
+    log_.min_compaction_lag = 50;
+    log_.tombstone_retention = 200;
+    log_.min_dead_ratio = 0.1;
+    log_.entries_per_step = 3;
+    log_.defects = breaks;
     sub_.lease = 400;
-    sub_.ask_every = 20;
-    sub_.again = 100;
-    sub_.piece_bytes = 150;
-    sub_.most_subscribers = 8;
+    sub_.poll_interval = 20;
+    sub_.retry_interval = 100;
+    sub_.batch_bytes = 150;
+    sub_.max_subscribers = 8;
     for (int k = 0; k < 2; ++k)
       Start(k);
     for (unsigned s = 0; s < 3; ++s)
@@ -685,10 +696,10 @@
 
  private:
   struct Keeper {
-    MemoryDisk disk;
-    MemoryDisk::Copy old;
+    MemoryLogStorage disk;
+    MemoryLogStorage::Contents old;
     std::unique_ptr<Log> log;
-    std::unique_ptr<Server> server;
+    std::unique_ptr<SubscriptionServer> server;
     bool fed = true;
   };
   struct Follower {
@@ -708,18 +719,18 @@
   }
   void Start(int k) {
     Keeper& kp = keepers_[k];
-    kp.disk.fate = nullptr;
+    kp.disk.write_fault = nullptr;
     kp.server.reset();
     kp.log.reset();
     kp.log = std::make_unique<Log>(k + 1, log_, kp.disk, 10 + k);
-    kp.server = std::make_unique<Server>(*kp.log, sub_, now_);
+    kp.server = std::make_unique<SubscriptionServer>(*kp.log, sub_, now_);
     for (auto& one : asked_)
       one.second.until = 0;  // what it held of leases is gone
   }
   void Guarded(int k, const std::function<void()>& what) {
     try {
       what();
-    } catch (const Failed&) {
+    } catch (const StorageError&) {
       Start(k);
     }
   }
@@ -728,9 +739,9 @@
     if (!kp.fed)
       return;
     Guarded(k, [&] {
-      Offset from = kp.log->Last();
+      Offset from = kp.log->LastOffset();
       if (from < list_.size())
-        kp.log->append(0, {list_.begin() + static_cast<std::ptrdiff_t>(from), list_.end()});
+        kp.log->AppendEntries(0, {list_.begin() + static_cast<std::ptrdiff_t>(from), list_.end()});
       kp.log->Commit(list_.size());
     });
   }
@@ -748,13 +759,13 @@
                                          now_);
     asked_[s].until = 0;
   }
-  Subscriber::Out out(unsigned s) {
-    Subscriber::Out o;
-    o.ask = [this, s](Id keeper, const Want& w) {
+  Subscriber::Callbacks out(unsigned s) {
+    Subscriber::Callbacks o;
+    o.send_request = [this, s](Id keeper, const SubscriptionRequest& w) {
       if (letters_.size() < 50)
         letters_.push_back({s, keeper, Encode(w)});
     };
-    o.entry = [this, s](const Entry& e) {
+    o.on_entry = [this, s](const Entry& e) {
       Follower& f = followers_[s];
       if (e.offset <= f.last)
         Wrong("an older one after a newer one, or a double");
@@ -766,7 +777,7 @@
       else
         f.state[e.key] = {e.offset, e.value};
     };
-    o.start_over = [this, s] {
+    o.on_start_over = [this, s] {
       followers_[s].state.clear();
       followers_[s].last = 0;
       ++start_overs_;
@@ -781,7 +792,7 @@
     if (f.last > p)
       return Wrong("position behind what was told");
     f.last = p;
-    bool exact = f.sub->CaughtUp() && p >= list_.size();
+    bool exact = f.sub->IsCaughtUp() && p >= list_.size();
     std::map<std::string, const Entry*> then;
     std::set<std::string> later;
     for (const Entry& e : list_) {
@@ -811,16 +822,16 @@
       letters_.erase(at);  // 1: a second copy stays
     if (fate % 8 == 0)
       return;  // lost
-    auto said = DecodeSaying(l.bytes);
+    auto said = DecodeSubscriberMessage(l.bytes);
     if (!said)
       return Wrong("a message of our own can't be read");
-    if (const auto* w = std::get_if<Want>(&*said)) {
+    if (const auto* w = std::get_if<SubscriptionRequest>(&*said)) {
       asked_[l.who] = {w->after, now_ + sub_.lease};
-      if (auto p = keepers_[l.keeper - 1].server->Wants(now_, *w))
+      if (auto p = keepers_[l.keeper - 1].server->HandleRequest(now_, *w))
         letters_.push_back({l.who, l.keeper, Encode(*p)});
       else
         asked_[l.who].until = 0;
-    } else if (auto* p = std::get_if<Piece>(&*said)) {
+    } else if (auto* p = std::get_if<SubscriptionResponse>(&*said)) {
       if (fate % 8 == 2 && !p->entries.empty())
         p->entries[0].value += "~";
       if (fate % 8 == 3)
@@ -828,41 +839,44 @@
       if (fate % 16 == 4)
         p->start_over = !p->start_over;
       Follower& f = followers_[l.who];
-      std::uint64_t before = f.sub->Refused();
+      std::uint64_t before = f.sub->RejectedResponses();
       f.sub->Receive(now_, l.keeper, *p, out(l.who));
-      refused_ += f.sub->Refused() - before;
+      refused_ += f.sub->RejectedResponses() - before;
       Judge(l.who);
     }
   }
   void plan(unsigned to) {
-    Offset passed = std::min(keepers_[0].server->Passed(now_), keepers_[1].server->Passed(now_));
-    auto p = keepers_[0].log->Worth(now_, passed, 1);
+    Offset passed =
+        std::min(keepers_[0].server->MinPosition(now_), keepers_[1].server->MinPosition(now_));
+    auto p = keepers_[0].log->ProposePlan(now_, passed, 1);
     if (!p)
       return;
     for (const auto& [who, one] : asked_)
-      if (one.until > now_ && one.after < p->forget)
+      if (one.until > now_ && one.after < p->remove_tombstones_up_to)
         Wrong("a tombstone goes that a living subscriber has not passed");
     for (const Entry& e : list_)
-      if (e.tombstone && e.offset <= p->forget && now_ - e.at < log_.tombstone_term &&
-          keepers_[0].log->at(e.offset))
+      if (e.tombstone && e.offset <= p->remove_tombstones_up_to &&
+          now_ - e.written_at < log_.tombstone_retention && keepers_[0].log->Find(e.offset))
         Wrong("a tombstone goes before its term");
     for (int k = 0; k < 2; ++k)
       if (to % 4 != static_cast<unsigned>(k))
-        keepers_[k].log->Take(*p);
+        keepers_[k].log->AcceptPlan(*p);
   }
   void Mend(int k) {
     Keeper& kp = keepers_[k];
     Log &log = *kp.log, &other = *keepers_[1 - k].log;
     Guarded(k, [&] {
-      for (Offset h : log.Holes(100)) {
-        Source source{other.head().cleaned, other.head().forgotten};
-        auto others = other.Holes(1);
-        if (!other.Whole() || other.head().committed < h || !others.empty())
+      for (Offset h : log.Gaps(100)) {
+        CompactionProgress source{other.metadata().compacted_up_to,
+                                  other.metadata().tombstone_horizon};
+        auto others = other.Gaps(1);
+        if (!other.IsComplete() || other.metadata().committed < h || !others.empty())
           return;
-        if (const Entry* e = other.at(h))
-          log.Heal(*e);
-        else if (!log.Close(h, source))
-          return void((log.Anew(All(other), source), log.Commit(other.head().committed)));
+        if (const Entry* e = other.Find(h))
+          log.RepairGap(*e);
+        else if (!log.CloseCompactedGap(h, source))
+          return void(
+              (log.ResetFromSnapshot(All(other), source), log.Commit(other.metadata().committed)));
       }
     });
   }
@@ -879,7 +893,7 @@
       plan(3);
       for (int k = 0; k < 2; ++k)
         Guarded(k, [&] {
-          while (keepers_[k].log->Step()) {
+          while (keepers_[k].log->CompactStep()) {
           }
         });
     }
@@ -909,7 +923,7 @@
       case 5:
         Guarded(k, [&] {
           for (unsigned n = 0; n <= op.b % 4; ++n)
-            kp.log->Step();
+            kp.log->CompactStep();
         });
         break;
       case 6:
@@ -932,10 +946,11 @@
         Start(k);
         break;
       case 16:
-        kp.disk.fate = [n = 1 + op.b % 4, after = op.b % 8 >= 4, seen = 0u](std::uint64_t) mutable {
-          return ++seen == n
-                     ? (after ? MemoryDisk::Fate::kFailsAfter : MemoryDisk::Fate::kFailsBefore)
-                     : MemoryDisk::Fate::kWell;
+        kp.disk.write_fault = [n = 1 + op.b % 4, after = op.b % 8 >= 4,
+                               seen = 0u](std::uint64_t) mutable {
+          return ++seen == n ? (after ? MemoryLogStorage::WriteFault::kFailAfter
+                                      : MemoryLogStorage::WriteFault::kFailBefore)
+                             : MemoryLogStorage::WriteFault::kNone;
         };
         break;
       case 17:
@@ -950,14 +965,14 @@
         if (k == 1) {
           if (op.b % 3 == 0)
             kp.fed = !kp.fed;
-          else if (op.b % 3 == 1 || !kp.old.head)
-            kp.old = kp.disk.copy();
+          else if (op.b % 3 == 1 || !kp.old.metadata)
+            kp.old = kp.disk.contents();
           else {
-            kp.disk.PutBack(kp.old);
+            kp.disk.RestoreContents(kp.old);
             Start(1);
           }
-        } else if (keepers_[1].log->Holes(1).empty() && kp.log->Last() > 0) {
-          kp.disk.Flip(1 + op.b % kp.log->Last());
+        } else if (keepers_[1].log->Gaps(1).empty() && kp.log->LastOffset() > 0) {
+          kp.disk.CorruptEntry(1 + op.b % kp.log->LastOffset());
           Start(0);
         }
         break;
@@ -978,7 +993,7 @@
       if (round % 100 == 3)
         plan(3);
       for (int k = 0; k < 2; ++k)
-        Guarded(k, [&] { keepers_[k].log->Step(); });
+        Guarded(k, [&] { keepers_[k].log->CompactStep(); });
       now_ += 25;
       for (unsigned s = 0; s < 3; ++s)
         followers_[s].sub->Tick(now_, out(s));
@@ -986,15 +1001,15 @@
         Deliver(0, 7);
     }
     for (unsigned s = 0; s < 3 && wrong_.empty(); ++s) {
-      if (!followers_[s].sub->CaughtUp() || followers_[s].sub->Position() != list_.size())
+      if (!followers_[s].sub->IsCaughtUp() || followers_[s].sub->Position() != list_.size())
         Wrong("not caught up in the end");
       Judge(s);
     }
     for (int k = 0; k < 2; ++k)
-      if (keepers_[k].log->Holes(1).size() > 0)
+      if (keepers_[k].log->Gaps(1).size() > 0)
         Wrong("a hole that nobody mended");
     const Log &a = *keepers_[0].log, &b = *keepers_[1].log;
-    Offset forgotten = std::max(a.head().forgotten, b.head().forgotten);
+    Offset forgotten = std::max(a.metadata().tombstone_horizon, b.metadata().tombstone_horizon);
     if (wrong_.empty() && a.Digest(list_.size(), forgotten) != b.Digest(list_.size(), forgotten))
       Wrong("keepers are not alike in the end");
   }
@@ -1003,8 +1018,8 @@
     Offset after = 0;
     Ms until = 0;
   };
-  LogTerms log_;
-  SubscriberTerms sub_;
+  LogSettings log_;
+  SubscriberSettings sub_;
   Ms now_ = 0;  // 1970
   std::vector<Entry> list_;
   Keeper keepers_[2];
@@ -1028,7 +1043,7 @@
   return ops;
 }
 // How many of these seeds find something wrong; the first is told.
-int Found(Breaks breaks, std::uint64_t seeds, int enough = 1 << 20,
+int Found(InjectedDefects breaks, std::uint64_t seeds, int enough = 1 << 20,
           std::uint64_t* start_overs = nullptr, std::uint64_t* refused = nullptr) {
   int n = 0;
   for (std::uint64_t seed = 1; seed <= seeds && n < enough; ++seed) {
@@ -1068,9 +1083,9 @@
 }
 
 TEST_CASE("broken variants are caught") {
-  Breaks early, gap, resumed, unchecked;
-  early.tombstone_early = gap.gap_after_snapshot = resumed.resumed_forgotten =
-      unchecked.digest_unchecked = true;
+  InjectedDefects early, gap, resumed, unchecked;
+  early.drop_tombstones_early = gap.gap_after_snapshot = resumed.resume_behind_horizon =
+      unchecked.skip_digest_check = true;
   CHECK(Found(early, 200, 1) > 0);
   CHECK(Found(gap, 200, 1) > 0);
   CHECK(Found(resumed, 400, 1) > 0);
@@ -1080,38 +1095,38 @@
 TEST_CASE(
     "subscribers: snapshot then tail while both go on; the slow, the away, the many, and messages "
     "of others") {
-  MemoryDisk disk;
+  MemoryLogStorage disk;
   Log log(1, MakeTerms(), disk, 1);
   auto list = Mixed(60, 31);
-  CHECK(log.append(0, {list.begin(), list.begin() + 40}));
+  CHECK(log.AppendEntries(0, {list.begin(), list.begin() + 40}));
   log.Commit(40);
-  SubscriberTerms t;
-  t.piece_bytes = 200;
-  t.most_subscribers = 2;
+  SubscriberSettings t;
+  t.batch_bytes = 200;
+  t.max_subscribers = 2;
   t.lease = 1000;
-  Server server(log, t, 0);
-  std::vector<Want> asked;
+  SubscriptionServer server(log, t, 0);
+  std::vector<SubscriptionRequest> asked;
   std::vector<Entry> got;
   int over = 0;
-  Subscriber::Out out{[&](Id, const Want& w) { asked.push_back(w); },
-                      [&](const Entry& e) { got.push_back(e); },
-                      [&] {
-                        ++over;
-                        got.clear();
-                      }};
+  Subscriber::Callbacks out{[&](Id, const SubscriptionRequest& w) { asked.push_back(w); },
+                            [&](const Entry& e) { got.push_back(e); },
+                            [&] {
+                              ++over;
+                              got.clear();
+                            }};
   Subscriber sub(9, 1, {1}, t, 0, 5, 0);
   sub.Tick(0, out);
   REQUIRE(asked.size() == 1);
-  auto piece = server.Wants(0, asked[0]);
+  auto piece = server.HandleRequest(0, asked[0]);
   REQUIRE(piece);
-  CHECK(piece->snapshot == 40);
+  CHECK(piece->snapshot_end == 40);
   std::size_t bytes = 0;
   for (const Entry& e : piece->entries)
     bytes += e.key.size() + e.value.size() + 40;
-  CHECK(bytes <= t.piece_bytes);
-  CHECK(server.Passed(1) == 0);
-  CHECK(!server.Wants(1, asked[0]));  // a second copy
-  sub.Receive(1, 2, *piece, out);     // from one that was not asked
+  CHECK(bytes <= t.batch_bytes);
+  CHECK(server.MinPosition(1) == 0);
+  CHECK(!server.HandleRequest(1, asked[0]));  // a second copy
+  sub.Receive(1, 2, *piece, out);             // from one that was not asked
   CHECK(got.empty());
   for (int n = 0; n < 5; ++n)
     sub.Tick(1, out);
@@ -1120,56 +1135,58 @@
   sub.Receive(1, 1, *piece, out);
   CHECK(got.size() == piece->entries.size());
   CHECK(asked.size() == 2);
-  CHECK(server.Wants(2, Want{7, 1, 1, 0, 7, 0}));
-  CHECK(!server.Wants(2, Want{8, 1, 1, 0, 7, 0}));     // full
-  CHECK(server.Wants(1500, Want{8, 1, 1, 40, 7, 0}));  // both leases have run
-  CHECK(server.Living(1500).positions.size() == 1);
-  CHECK(!server.Wants(1501, Want{8, 0, 9, 0, 7, 0}));  // of an earlier life
+  CHECK(server.HandleRequest(2, SubscriptionRequest{7, 1, 1, 0, 7, 0}));
+  CHECK(!server.HandleRequest(2, SubscriptionRequest{8, 1, 1, 0, 7, 0}));  // full
+  CHECK(
+      server.HandleRequest(1500, SubscriptionRequest{8, 1, 1, 40, 7, 0}));  // both leases have run
+  CHECK(server.ActivePositions(1500).positions.size() == 1);
+  CHECK(!server.HandleRequest(1501, SubscriptionRequest{8, 0, 9, 0, 7, 0}));  // of an earlier life
   // More is written, and compacted, before it goes on: the tail follows the snapshot.
-  CHECK(log.append(0, {list.begin() + 40, list.end()}));
+  CHECK(log.AppendEntries(0, {list.begin() + 40, list.end()}));
   log.Commit(60);
   Compact(log, {1, 30, 0});
-  CHECK(!sub.CaughtUp());
-  for (int n = 0; n < 60 && !sub.CaughtUp(); ++n)
-    if (auto p = server.Wants(2000, asked.back())) {
+  CHECK(!sub.IsCaughtUp());
+  for (int n = 0; n < 60 && !sub.IsCaughtUp(); ++n)
+    if (auto p = server.HandleRequest(2000, asked.back())) {
       if (p->after < 40)
         CHECK(p->up_to <= 40);
       sub.Receive(2000, 1, *p, out);
     }
-  REQUIRE(sub.CaughtUp());
+  REQUIRE(sub.IsCaughtUp());
   CHECK(sub.Position() == 60);
-  CHECK(sub.GoodAt() == 2000);
+  CHECK(sub.CurrentAsOf() == 2000);
   // Away while all goes: started over, never resumed; and one that begins after that is not.
   Compact(log, {1, 59, 59});
-  REQUIRE(log.head().forgotten > 5);
+  REQUIRE(log.metadata().tombstone_horizon > 5);
   Subscriber old(10, 1, {1}, t, 5, 5, 3000);
   old.Tick(3000, out);
-  for (int n = 0; n < 60 && !old.CaughtUp(); ++n)
-    if (auto p = server.Wants(3000, asked.back()))
+  for (int n = 0; n < 60 && !old.IsCaughtUp(); ++n)
+    if (auto p = server.HandleRequest(3000, asked.back()))
       old.Receive(3000, 1, *p, out);
   CHECK(over == 1);
-  CHECK(old.CaughtUp());
+  CHECK(old.IsCaughtUp());
   CHECK(got == All(log));
   // One stream only.
-  auto one = server.Wants(9000, Want{30, 1, 1, 0, 2, 0});
+  auto one = server.HandleRequest(9000, SubscriptionRequest{30, 1, 1, 0, 2, 0});
   REQUIRE(one);
   for (const Entry& e : one->entries)
     CHECK(e.stream == Stream::kRules);
   // Bytes of anybody: read whole, or not at all.
   std::knuth_b chance(3);
   std::string whole = Encode(*one);
-  CHECK(DecodeSaying(whole));
-  CHECK(std::get<Lease>(*DecodeSaying(Encode(Lease{{{4, 5}}}))).positions.size() == 1);
+  CHECK(DecodeSubscriberMessage(whole));
+  CHECK(std::get<LeasedPositions>(*DecodeSubscriberMessage(Encode(LeasedPositions{{{4, 5}}})))
+            .positions.size() == 1);
   for (int n = 0; n < 20000; ++n) {
     std::string bad = whole;
     for (int k = 0; k < 3; ++k)
       bad[chance() % bad.size()] = static_cast<char>(chance());
     if (n % 3 == 0)
       bad.resize(chance() % bad.size());
-    auto said = DecodeSaying(bad);
-    if (!said || !std::holds_alternative<Piece>(*said))
+    auto said = DecodeSubscriberMessage(bad);
+    if (!said || !std::holds_alternative<SubscriptionResponse>(*said))
       continue;
-    Piece p = std::get<Piece>(*said);
+    SubscriptionResponse p = std::get<SubscriptionResponse>(*said);
     if (Encode(p) != whole)
       CHECK(Digest(p) != p.digest);
   }
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -20,8 +20,8 @@
 
 using namespace dunlinwick;
 namespace fs = std::filesystem;
-using store::FloorDisk;
-using store::KeptFloors;
+using store::MinimumsStorage;
+using store::PersistedMinimums;
 
 namespace {
 
@@ -98,8 +98,8 @@
 struct Alone {
   std::deque<std::pair<record::Id, record::Message>> wire;
   record::Ms now = 1e6;
-  std::unique_ptr<record::Replica> replica;
-  std::unique_ptr<record::Writer> writer;
+  std::unique_ptr<record::ReplicaHost> replica;
+  std::unique_ptr<record::LeaderWriter> writer;
   std::set<record::Offset> acknowledged;
   std::uint64_t written = 0;
 
@@ -107,16 +107,17 @@
   std::size_t value_bytes;
 
   Alone(const std::string& folder, std::size_t bytes) : value_bytes(bytes) {
-    auto open_disk = [folder]() -> std::unique_ptr<record::Disk> {
-      return std::make_unique<store::RecordLmdb>(folder);
+    auto open_disk = [folder]() -> std::unique_ptr<record::LogStorage> {
+      return std::make_unique<store::LmdbLogStorage>(folder);
     };
-    replica = std::make_unique<record::Replica>(
-        1, std::vector<record::Id>{1}, record::ReplicaTerms{}, open_disk, 5, now,
+    replica = std::make_unique<record::ReplicaHost>(
+        1, std::vector<record::Id>{1}, record::ReplicaHostSettings{}, open_disk, 5, now,
         [this](const std::string& line) { lines.push_back(line); });
-    writer = std::make_unique<record::Writer>(1, std::vector<record::Id>{1}, record::KeeperTerms{},
-                                              record::LogTerms{}, 1000, now);
+    writer = std::make_unique<record::LeaderWriter>(1, std::vector<record::Id>{1},
+                                                    record::LogReplicaSettings{},
+                                                    record::LogSettings{}, 1000, now);
   }
-  record::Send Send() {
+  record::SendMessage Send() {
     return [this](record::Id to, const record::Message& message) {
       wire.emplace_back(to, message);
     };
@@ -127,13 +128,13 @@
     writer->Tick(now, Send());
     replica->Tick(now, Send());
     if (writer->phase() == record::Phase::kServing) {
-      record::Writer::Put put;
+      record::LeaderWriter::Put put;
       put.key = "object/" + std::to_string(++written);
       put.value = std::string(value_bytes, 'v');
       writer->Write(
           now, {put},
-          [this](record::Writer::Outcome outcome, record::Offset first) {
-            if (outcome == record::Writer::Outcome::kAcknowledged)
+          [this](record::LeaderWriter::Outcome outcome, record::Offset first) {
+            if (outcome == record::LeaderWriter::Outcome::kAcknowledged)
               acknowledged.insert(first);
           },
           Send());
@@ -141,9 +142,9 @@
     while (!wire.empty()) {
       record::Message message = std::move(wire.front().second);
       wire.pop_front();
-      bool is_answer = std::holds_alternative<record::Tail>(message) ||
-                       std::holds_alternative<record::Kept>(message) ||
-                       std::holds_alternative<record::Fetched>(message);
+      bool is_answer = std::holds_alternative<record::PrepareResponse>(message) ||
+                       std::holds_alternative<record::AppendResponse>(message) ||
+                       std::holds_alternative<record::FetchResponse>(message);
       if (is_answer)
         writer->Receive(now, 1, message, Send());
       else
@@ -162,7 +163,7 @@
   int result = InChild([&] {
     std::vector<std::string> taken;
     auto open = [&] {
-      return std::make_unique<store::LmdbStore>(folder.at("owner"));
+      return std::make_unique<store::LmdbOwnerStore>(folder.at("owner"));
     };
     auto entry = [](std::size_t n) {
       return owner::LogEntry{1, 1, std::string(900, 'a') + std::to_string(n)};
@@ -228,11 +229,11 @@
         HOLDS(alone.lines.empty() || alone.lines.back() == "record store used again");
         acknowledged = alone.acknowledged;
       }
-      store::RecordLmdb disk(folder.at("record"));
+      store::LmdbLogStorage disk(folder.at("record"));
       record::Log log(1, {}, disk, 5);
       for (record::Offset offset : acknowledged)
-        HOLDS(log.at(offset) != nullptr);
-      HOLDS(log.Holes(1).empty());
+        HOLDS(log.Find(offset) != nullptr);
+      HOLDS(log.Gaps(1).empty());
       return 0;
     });
     CHECK(result == 0);
@@ -244,35 +245,36 @@
     "is room") {
   Folder folder;
   int result = InChild([&] {
-    auto open_disk = [&]() -> std::unique_ptr<FloorDisk> {
-      return std::make_unique<store::FloorStore>(folder.at("floors"));
+    auto open_disk = [&]() -> std::unique_ptr<MinimumsStorage> {
+      return std::make_unique<store::LmdbMinimumsStorage>(folder.at("floors"));
     };
     std::vector<std::string> lines;
-    store::LastingFloors floors(open_disk, [&](const std::string& line) { lines.push_back(line); });
-    KeptFloors found;
-    HOLDS(floors.Start(0, 3, found) == FloorDisk::Found::kEmpty);
-    KeptFloors wanted;
-    wanted.whose = 3;
+    store::DurableMinimums floors(open_disk,
+                                  [&](const std::string& line) { lines.push_back(line); });
+    PersistedMinimums found;
+    HOLDS(floors.Load(0, 3, found) == MinimumsStorage::ReadResult::kEmpty);
+    PersistedMinimums wanted;
+    wanted.front_id = 3;
     constexpr rlim_t kTight = 20 << 10;
     LimitFiles(kTight);
     store::Ms now = 0;
-    KeptFloors last;
+    PersistedMinimums last;
     constexpr std::uint32_t kMostWitnessed = 1000;
     for (std::uint32_t id = 1; id <= kMostWitnessed; ++id) {
-      wanted.witnessed[id] = 1764629600000 + id;
-      floors.Keep(now += 20, wanted);
-      if (!floors.IsKept())
+      wanted.witnessed_incarnations[id] = 1764629600000 + id;
+      floors.Persist(now += 20, wanted);
+      if (!floors.IsPersisted())
         break;
       last = wanted;
     }
-    HOLDS(!floors.IsKept());
+    HOLDS(!floors.IsPersisted());
     HOLDS(lines.size() == 1);
-    HOLDS(floors.Lasting() == last);
+    HOLDS(floors.persisted() == last);
     LimitFiles(RLIM_INFINITY);
-    for (int i = 0; i < kMostTries && !floors.IsKept(); ++i)
-      floors.Keep(now += 20, wanted);
-    HOLDS(floors.IsKept());
-    HOLDS(floors.Lasting() == wanted);
+    for (int i = 0; i < kMostTries && !floors.IsPersisted(); ++i)
+      floors.Persist(now += 20, wanted);
+    HOLDS(floors.IsPersisted());
+    HOLDS(floors.persisted() == wanted);
     HOLDS(lines.back() == "recovery floors kept again");
     return 0;
   });
@@ -289,11 +291,11 @@
         auto use = [&] {
           std::string at = folder.at(kind);
           if (kind == std::string("owner"))
-            store::LmdbStore(at).SetTerm(4);
+            store::LmdbOwnerStore(at).SetTerm(4);
           if (kind == std::string("record"))
-            store::RecordLmdb(at).Write(record::Head{});
+            store::LmdbLogStorage(at).WriteMetadata(record::LogMetadata{});
           if (kind == std::string("floors"))
-            store::FloorStore(at).Write(KeptFloors{});
+            store::LmdbMinimumsStorage(at).Write(PersistedMinimums{});
         };
         LimitFiles(limit);
         HOLDS(Fails(use));
@@ -301,7 +303,7 @@
         LimitFiles(RLIM_INFINITY);
         HOLDS(!Fails(use));
         if (kind == std::string("owner"))
-          HOLDS(store::LmdbStore(folder.at(kind)).load().term == 4);
+          HOLDS(store::LmdbOwnerStore(folder.at(kind)).load().term == 4);
         return 0;
       });
       CHECK(result == 0);
@@ -319,12 +321,13 @@
                     folder.at(kind) + "/data.mdb");
       fs::resize_file(folder.at(kind) + "/data.mdb", bytes);
       if (kind == std::string("owner"))
-        CHECK(store::LmdbStore(folder.at(kind)).load().term == 0);
+        CHECK(store::LmdbOwnerStore(folder.at(kind)).load().term == 0);
       if (kind == std::string("record"))
-        CHECK_FALSE(store::RecordLmdb(folder.at(kind)).head());
-      KeptFloors found;
+        CHECK_FALSE(store::LmdbLogStorage(folder.at(kind)).metadata());
+      PersistedMinimums found;
       if (kind == std::string("floors"))
-        CHECK(store::FloorStore(folder.at(kind)).Read(found) == FloorDisk::Found::kEmpty);
+        CHECK(store::LmdbMinimumsStorage(folder.at(kind)).Read(found) ==
+              MinimumsStorage::ReadResult::kEmpty);
     }
 }
 
@@ -336,7 +339,7 @@
                   folder.at(kind) + "/data.mdb");
   }
   for (int opening = 0; opening < 2; ++opening) {
-    store::LmdbStore owned(folder.at("owner"));
+    store::LmdbOwnerStore owned(folder.at("owner"));
     owner::StoredState state = owned.load();
     CHECK(state.term == 7);
     CHECK(state.vote == 2);
@@ -352,33 +355,33 @@
     owned.Append({{8, 1, "new"}});
   }
   for (int opening = 0; opening < 2; ++opening) {
-    store::RecordLmdb disk(folder.at("record"), 1 << 20);
+    store::LmdbLogStorage disk(folder.at("record"), 1 << 20);
     record::Log log(2, {}, disk, 1);
-    CHECK(log.head().store == 4242);
-    CHECK(log.head().starts == static_cast<std::uint64_t>(2 + opening));
-    CHECK(log.head().promised == 12);
-    CHECK(log.head().committed == 5);
-    CHECK(log.Holes(1).empty());
+    CHECK(log.metadata().store_id == 4242);
+    CHECK(log.metadata().start_count == static_cast<std::uint64_t>(2 + opening));
+    CHECK(log.metadata().promised_token == 12);
+    CHECK(log.metadata().committed == 5);
+    CHECK(log.Gaps(1).empty());
     REQUIRE(log.size() == static_cast<std::size_t>(6 + opening));
-    CHECK(log.at(4)->value == "value 4");
-    CHECK(log.at(5)->tombstone);
+    CHECK(log.Find(4)->value == "value 4");
+    CHECK(log.Find(5)->tombstone);
     CHECK(log.TokenAt(6) == 11);
-    record::Entry more = *log.at(6);
-    more.offset = log.Last() + 1;
-    CHECK(log.append(0, {more}));
+    record::Entry more = *log.Find(6);
+    more.offset = log.LastOffset() + 1;
+    CHECK(log.AppendEntries(0, {more}));
   }
-  KeptFloors expected;
-  expected.whose = 3;
+  PersistedMinimums expected;
+  expected.front_id = 3;
   expected.token = 1140001;
   expected.offset = 41;
   expected.incarnation = 1764629612345;
   expected.rules_digest = 0xfeedbeef;
   expected.rules_version = 9;
-  expected.witnessed = {{1, 1764629600001}, {2, 1764629600002}};
+  expected.witnessed_incarnations = {{1, 1764629600001}, {2, 1764629600002}};
   for (int opening = 0; opening < 2; ++opening) {
-    store::FloorStore floors(folder.at("floors"));
-    KeptFloors found;
-    REQUIRE(floors.Read(found) == FloorDisk::Found::kGood);
+    store::LmdbMinimumsStorage floors(folder.at("floors"));
+    PersistedMinimums found;
+    REQUIRE(floors.Read(found) == MinimumsStorage::ReadResult::kValid);
     CHECK(found == expected);
     expected.offset = 42;
     floors.Write(expected);
@@ -395,7 +398,7 @@
 
 // What is on a floor disk; it outlives its openings.
 struct PlannedFloors {
-  std::optional<KeptFloors> kept;
+  std::optional<PersistedMinimums> kept;
   std::uint64_t calls = 0;
   std::function<Fate(std::uint64_t call)> fate;
   int open = 0;
@@ -412,7 +415,7 @@
   }
 };
 
-class PlannedFloorDisk final : public FloorDisk {
+class PlannedFloorDisk final : public MinimumsStorage {
  public:
   explicit PlannedFloorDisk(PlannedFloors& disk) : disk_(disk) {
     disk_.Call([] {});
@@ -421,11 +424,11 @@
   ~PlannedFloorDisk() override {
     --disk_.open;
   }
-  Found Read(KeptFloors& into) override {
-    disk_.Call([&] { into = disk_.kept.value_or(KeptFloors{}); });
-    return disk_.kept ? Found::kGood : Found::kEmpty;
+  ReadResult Read(PersistedMinimums& into) override {
+    disk_.Call([&] { into = disk_.kept.value_or(PersistedMinimums{}); });
+    return disk_.kept ? ReadResult::kValid : ReadResult::kEmpty;
   }
-  void Write(const KeptFloors& floors) override {
+  void Write(const PersistedMinimums& floors) override {
     disk_.Call([&] { disk_.kept = floors; });
   }
 
@@ -433,13 +436,13 @@
   PlannedFloors& disk_;
 };
 
-KeptFloors FloorsAt(std::uint64_t offset) {
-  KeptFloors floors;
-  floors.whose = 3;
+PersistedMinimums FloorsAt(std::uint64_t offset) {
+  PersistedMinimums floors;
+  floors.front_id = 3;
   floors.offset = offset;
   floors.token = 2 * offset;
   floors.incarnation = 100;
-  floors.witnessed = {{1, offset}};
+  floors.witnessed_incarnations = {{1, offset}};
   return floors;
 }
 
@@ -469,38 +472,39 @@
           return now < fails_until ? fate : Fate::kWorks;
         };
         std::size_t lines = 0;
-        auto open_disk = [&]() -> std::unique_ptr<FloorDisk> {
+        auto open_disk = [&]() -> std::unique_ptr<MinimumsStorage> {
           return std::make_unique<PlannedFloorDisk>(disk);
         };
         auto say = [&](const std::string&) {
           ++lines;
         };
-        auto floors = std::make_unique<store::LastingFloors>(open_disk, say);
-        KeptFloors found;
-        floors->Start(now, 3, found);
+        auto floors = std::make_unique<store::DurableMinimums>(open_disk, say);
+        PersistedMinimums found;
+        floors->Load(now, 3, found);
         std::uint64_t offset = std::max<std::uint64_t>(found.offset, 1);
         std::uint64_t lowest = 50;
         for (; now < 30000; now += 100) {
           if (isKilled && fails_until > 0 && now >= fails_until) {
             // The process ends while the disk fails; the next one begins once it works.
-            floors = std::make_unique<store::LastingFloors>(open_disk, say);
-            floors->Start(now, 3, found);
+            floors = std::make_unique<store::DurableMinimums>(open_disk, say);
+            floors->Load(now, 3, found);
             offset = std::max(offset, found.offset);
             isKilled = false;
           }
           if (offset < kLifeBegins)
             ++offset;
-          floors->Keep(now, FloorsAt(offset));
+          floors->Persist(now, FloorsAt(offset));
           CHECK(disk.kept->offset >= lowest);
           lowest = std::max(lowest, disk.kept->offset);
-          if (floors->IsKept())
-            CHECK(floors->Lasting() == *disk.kept);
-          std::uint64_t notified =
-              floors->Lasting().witnessed.count(1) ? floors->Lasting().witnessed.at(1) : 0;
-          CHECK(notified <= disk.kept->witnessed.at(1));
+          if (floors->IsPersisted())
+            CHECK(floors->persisted() == *disk.kept);
+          std::uint64_t notified = floors->persisted().witnessed_incarnations.count(1)
+                                       ? floors->persisted().witnessed_incarnations.at(1)
+                                       : 0;
+          CHECK(notified <= disk.kept->witnessed_incarnations.at(1));
         }
         REQUIRE(fails_until > 0);
-        CHECK(floors->IsKept());
+        CHECK(floors->IsPersisted());
         CHECK(*disk.kept == FloorsAt(kLifeBegins));
         CHECK(disk.most_open == 1);
         CHECK(lines <= 3);
@@ -510,22 +514,24 @@
 TEST_CASE("another front's floors are not told as this one's, nor do they raise it") {
   PlannedFloors disk;
   disk.kept = FloorsAt(500);
-  disk.kept->whose = 8;
+  disk.kept->front_id = 8;
   bool down = false;
   disk.fate = [&](std::uint64_t) {
     return down ? Fate::kFailsBefore : Fate::kWorks;
   };
-  store::LastingFloors floors(
-      [&]() -> std::unique_ptr<FloorDisk> { return std::make_unique<PlannedFloorDisk>(disk); },
+  store::DurableMinimums floors(
+      [&]() -> std::unique_ptr<MinimumsStorage> {
+        return std::make_unique<PlannedFloorDisk>(disk);
+      },
       [](const std::string&) {});
-  KeptFloors found;
-  CHECK(floors.Start(0, 3, found) == FloorDisk::Found::kGood);
-  CHECK(found.whose == 8);
+  PersistedMinimums found;
+  CHECK(floors.Load(0, 3, found) == MinimumsStorage::ReadResult::kValid);
+  CHECK(found.front_id == 8);
   down = true;
-  floors.Keep(0, FloorsAt(7));
-  CHECK(floors.Lasting().witnessed.empty());
+  floors.Persist(0, FloorsAt(7));
+  CHECK(floors.persisted().witnessed_incarnations.empty());
   down = false;
   constexpr store::Ms kLater = 60000;
-  floors.Keep(kLater, FloorsAt(7));
+  floors.Persist(kLater, FloorsAt(7));
   CHECK(*disk.kept == FloorsAt(7));
 }
--- a/tests/support/failing_disk.hpp
+++ b/tests/support/failing_disk.hpp
@@ -5,9 +5,9 @@
 
 namespace dunlinwick::tests {
 
-class OpenedDisk final : public record::Disk {
+class OpenedDisk final : public record::LogStorage {
  public:
-  OpenedDisk(record::MemoryDisk& disk, int& open) : disk_(disk), open_(open) {
+  OpenedDisk(record::MemoryLogStorage& disk, int& open) : disk_(disk), open_(open) {
     ++open_;
   }
   ~OpenedDisk() override {
@@ -15,31 +15,32 @@
   }
   OpenedDisk(const OpenedDisk&) = delete;
   OpenedDisk& operator=(const OpenedDisk&) = delete;
-  bool Lasts() const override {
-    return disk_.Lasts();
+  bool IsDurable() const override {
+    return disk_.IsDurable();
   }
-  std::optional<record::Head> head() override {
-    return disk_.head();
+  std::optional<record::LogMetadata> metadata() override {
+    return disk_.metadata();
   }
-  void Each(const std::function<void(record::Offset, const record::Entry*)>& see) override {
-    disk_.Each(see);
+  void ForEachEntry(const std::function<void(record::Offset, const record::Entry*)>& see) override {
+    disk_.ForEachEntry(see);
   }
-  void Write(const record::Head& head) override {
-    disk_.Write(head);
+  void WriteMetadata(const record::LogMetadata& head) override {
+    disk_.WriteMetadata(head);
   }
-  void append(record::Offset from, const std::vector<record::Entry>& entries,
-              const record::Head& head) override {
-    disk_.append(from, entries, head);
+  void AppendEntries(record::Offset from, const std::vector<record::Entry>& entries,
+                     const record::LogMetadata& head) override {
+    disk_.AppendEntries(from, entries, head);
   }
-  void Drop(const std::vector<record::Offset>& gone, const record::Head& head) override {
-    disk_.Drop(gone, head);
+  void RemoveEntries(const std::vector<record::Offset>& gone,
+                     const record::LogMetadata& head) override {
+    disk_.RemoveEntries(gone, head);
   }
-  void Heal(const record::Entry& entry) override {
-    disk_.Heal(entry);
+  void RestoreEntry(const record::Entry& entry) override {
+    disk_.RestoreEntry(entry);
   }
 
  private:
-  record::MemoryDisk& disk_;
+  record::MemoryLogStorage& disk_;
   int& open_;
 };
 
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -444,8 +444,8 @@
   constexpr Ms kWritten = 1.76e12;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     CAPTURE(skew);
-    record::MemoryDisk disk;
-    record::LogTerms terms;
+    record::MemoryLogStorage disk;
+    record::LogSettings terms;
     record::Log log(1, terms, disk, 7);
     std::vector<record::Entry> entries;
     for (record::Offset offset = 1; offset <= 3; ++offset) {
@@ -455,17 +455,17 @@
       entry.stream = record::Stream::kRecalls;
       entry.key = offset == 3 ? "group/2" : "group/1";
       entry.tombstone = offset == 2;
-      entry.at = kWritten + skew;
+      entry.written_at = kWritten + skew;
       entries.push_back(entry);
     }
-    REQUIRE(log.append(0, entries));
+    REQUIRE(log.AppendEntries(0, entries));
     log.Commit(3);
-    auto plan = log.Worth(kWritten + terms.tombstone_term + 2 * kHour, 3, 1);
+    auto plan = log.ProposePlan(kWritten + terms.tombstone_retention + 2 * kHour, 3, 1);
     REQUIRE(plan);
-    CHECK(plan->forget == 2);
-    auto lagging = log.Worth(kWritten + terms.tombstone_term + 2 * kHour, 1,
-                             1);  // a subscriber has not passed it
-    CHECK((!lagging || lagging->forget == 0));
+    CHECK(plan->remove_tombstones_up_to == 2);
+    auto lagging = log.ProposePlan(kWritten + terms.tombstone_retention + 2 * kHour, 1,
+                                   1);  // a subscriber has not passed it
+    CHECK((!lagging || lagging->remove_tombstones_up_to == 0));
   }
 }
 
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -316,7 +316,7 @@
 std::vector<record::Entry> LogEntries() {
   return {{41, 7, record::Stream::kRecalls, "object/0123", false, std::string("a\0b", 3), 1.5e12},
           {42, 7, record::Stream::kRules, "fleet", false, "value", 1.5e12 + 0.25},
-          {45, 8, record::Stream::kTerms, "zone/north", true, "", 0}};
+          {45, 8, record::Stream::kSettings, "zone/north", true, "", 0}};
 }
 
 void AddLog(std::vector<Golden>& all) {
@@ -324,86 +324,86 @@
     all.push_back({std::string("record_") + name, record::Encode(m),
                    Reencode([](Bytes bytes) { return record::Decode(bytes); })});
   };
-  add("seek", record::Seek{7, 3});
-  record::Tail tail;
+  add("seek", record::PrepareRequest{7, 3});
+  record::PrepareResponse tail;
   tail.token = 7;
-  tail.store = 0x0102030405060708u;
-  tail.starts = 4;
+  tail.store_id = 0x0102030405060708u;
+  tail.start_count = 4;
   tail.round = 3;
-  tail.life = 0xfffefdfcfbfaf9f8u;
-  tail.doubted = true;
-  tail.unproved = true;
+  tail.incarnation = 0xfffefdfcfbfaf9f8u;
+  tail.unconfirmed = true;
+  tail.unconfirmed_on_disk = true;
   tail.last = 45;
   tail.committed = 44;
   tail.first = 2;
-  tail.cleaned = 40;
-  tail.forgotten = 12;
+  tail.compacted_up_to = 40;
+  tail.tombstone_horizon = 12;
   tail.last_token = 6;
-  tail.seen = {{2, 44}, {3, 45}};
+  tail.witnessed = {{2, 44}, {3, 45}};
   tail.corrupted = true;
-  tail.holes = {13, 17};
+  tail.gaps = {13, 17};
   add("tail", tail);
-  record::Append append;
+  record::AppendRequest append;
   append.token = 7;
-  append.life = 5;
+  append.incarnation = 5;
   append.after = 40;
   append.after_token = 6;
   append.committed = 39;
-  append.anew = true;
-  append.session = 8;
-  append.proves = true;
+  append.from_snapshot = true;
+  append.snapshot_session = 8;
+  append.confirms = true;
   append.corrupted = true;
-  append.cleaned = 30;
-  append.forgotten = 12;
-  append.passed = 38;
+  append.compacted_up_to = 30;
+  append.tombstone_horizon = 12;
+  append.min_subscriber_position = 38;
   append.entries = LogEntries();
-  append.held = {{1, 40}, {2, 39}};
+  append.match_offsets = {{1, 40}, {2, 39}};
   append.plan = {7, 38, 11};
   add("append", append);
-  record::Kept kept;
+  record::AppendResponse kept;
   kept.token = 7;
-  kept.life = 5;
+  kept.incarnation = 5;
   kept.up_to = 45;
   kept.refused = true;
   kept.full = true;
-  kept.unsought = true;
-  kept.partial = true;
-  kept.stranded = true;
+  kept.unknown_incarnation = true;
+  kept.incomplete = true;
+  kept.needs_reset = true;
   kept.last = 45;
-  kept.hint = 41;
-  kept.holes = {13};
+  kept.resume_after = 41;
+  kept.gaps = {13};
   kept.plan = {7, 38, 11};
   add("kept", kept);
-  add("fetch", record::Fetch{40, 45, {41, 42}});
-  record::Fetched fetched;
+  add("fetch", record::FetchRequest{40, 45, {41, 42}});
+  record::FetchResponse fetched;
   fetched.after = 40;
   fetched.up_to = 45;
   fetched.after_token = 6;
   fetched.committed = 44;
-  fetched.cleaned = 30;
-  fetched.forgotten = 12;
+  fetched.compacted_up_to = 30;
+  fetched.tombstone_horizon = 12;
   fetched.entries = LogEntries();
-  fetched.only = {41, 42, 45};
+  fetched.offsets = {41, 42, 45};
   add("fetched", fetched);
 
-  auto say = [&](const char* name, const record::Saying& s) {
-    all.push_back(
-        {std::string("record_") + name, record::Encode(s), Reencode(record::DecodeSaying)});
+  auto say = [&](const char* name, const record::SubscriberMessage& s) {
+    all.push_back({std::string("record_") + name, record::Encode(s),
+                   Reencode(record::DecodeSubscriberMessage)});
   };
-  say("want", record::Want{0x1234, 2, 9, 40, 5, 12});
-  record::Piece piece;
-  piece.number = 9;
+  say("want", record::SubscriptionRequest{0x1234, 2, 9, 40, 5, 12});
+  record::SubscriptionResponse piece;
+  piece.sequence = 9;
   piece.after = 40;
   piece.up_to = 45;
   piece.committed = 45;
-  piece.snapshot = 44;
-  piece.forgotten = 12;
-  piece.age = 250;
+  piece.snapshot_end = 44;
+  piece.tombstone_horizon = 12;
+  piece.leader_silence_ms = 250;
   piece.start_over = false;
   piece.entries = LogEntries();
   piece.digest = record::Digest(piece);
   say("piece", piece);
-  say("lease", record::Lease{{{0x1234, 40}, {0x1235, 45}}});
+  say("lease", record::LeasedPositions{{{0x1234, 40}, {0x1235, 45}}});
 }
 
 // ---- approvals and drift
@@ -588,22 +588,22 @@
   RawStore(folder).Write(Unpack(packed));
 }
 
-void WriteLog(const std::string& folder, const record::Head& head,
+void WriteLog(const std::string& folder, const record::LogMetadata& head,
               const std::vector<record::Entry>& entries) {
-  store::RecordLmdb disk(folder, 1 << 20);
-  disk.append(1, entries, head);
+  store::LmdbLogStorage disk(folder, 1 << 20);
+  disk.AppendEntries(1, entries, head);
 }
 
 std::optional<std::string> RestoreLog(Bytes packed) {
   ScratchFolder folder;
   PutRaw(folder.Path(), packed);
-  std::optional<record::Head> head;
+  std::optional<record::LogMetadata> head;
   std::vector<record::Entry> entries;
   bool corrupted = false;
   {
-    store::RecordLmdb disk(folder.Path(), 1 << 20);
-    head = disk.head();
-    disk.Each([&](record::Offset, const record::Entry* entry) {
+    store::LmdbLogStorage disk(folder.Path(), 1 << 20);
+    head = disk.metadata();
+    disk.ForEachEntry([&](record::Offset, const record::Entry* entry) {
       if (entry)
         entries.push_back(*entry);
       else
@@ -618,14 +618,16 @@
 std::optional<std::string> RestoreFloors(Bytes packed) {
   ScratchFolder folder;
   PutRaw(folder.Path(), packed);
-  store::KeptFloors floors;
-  if (store::FloorStore(folder.Path()).Read(floors) != store::FloorStore::Found::kGood)
+  store::PersistedMinimums floors;
+  if (store::LmdbMinimumsStorage(folder.Path()).Read(floors) !=
+      store::LmdbMinimumsStorage::ReadResult::kValid)
     return std::nullopt;
-  return StoredBy([&](const std::string& again) { store::FloorStore(again).Write(floors); });
+  return StoredBy(
+      [&](const std::string& again) { store::LmdbMinimumsStorage(again).Write(floors); });
 }
 
 void WriteGroup(const std::string& folder, const owner::StoredState& state) {
-  store::LmdbStore disk(folder);
+  store::LmdbOwnerStore disk(folder);
   disk.Found(state.founding);
   disk.SetTerm(state.term);
   disk.SetVote(state.vote);
@@ -636,37 +638,37 @@
 std::optional<std::string> RestoreGroup(Bytes packed) {
   ScratchFolder folder;
   PutRaw(folder.Path(), packed);
-  owner::StoredState state = store::LmdbStore(folder.Path()).load();
+  owner::StoredState state = store::LmdbOwnerStore(folder.Path()).load();
   if (!state.snapshot)
     return std::nullopt;
   return StoredBy([&](const std::string& again) { WriteGroup(again, state); });
 }
 
 void AddStored(std::vector<Golden>& all) {
-  record::Head head;
-  head.store = 0x0102030405060708u;
-  head.starts = 4;
-  head.keeper = 3;
-  head.promised = 8;
+  record::LogMetadata head;
+  head.store_id = 0x0102030405060708u;
+  head.start_count = 4;
+  head.replica_id = 3;
+  head.promised_token = 8;
   head.committed = 44;
   head.first = 2;
-  head.cleaned = 40;
-  head.forgotten = 12;
-  head.entries = 3;
-  head.seen = {{1, 44}, {2, 45}};
+  head.compacted_up_to = 40;
+  head.tombstone_horizon = 12;
+  head.entry_count = 3;
+  head.witnessed = {{1, 44}, {2, 45}};
   all.push_back({"stored_record",
                  StoredBy([&](const std::string& folder) { WriteLog(folder, head, LogEntries()); }),
                  RestoreLog});
-  store::KeptFloors floors;
-  floors.whose = 3;
+  store::PersistedMinimums floors;
+  floors.front_id = 3;
   floors.token = 7;
   floors.offset = 45;
   floors.incarnation = 1700000000000u;
   floors.rules_digest = 0x0102030405060708u;
   floors.rules_version = 42;
-  floors.witnessed = {{1, 1700000000001u}, {2, 1700000000002u}};
+  floors.witnessed_incarnations = {{1, 1700000000001u}, {2, 1700000000002u}};
   all.push_back({"stored_floors", StoredBy([&](const std::string& folder) {
-                   store::FloorStore(folder).Write(floors);
+                   store::LmdbMinimumsStorage(folder).Write(floors);
                  }),
                  RestoreFloors});
   owner::StoredState group;
