--- a/src/record/keepers_wire.cpp
+++ b/src/record/keepers_wire.cpp
@@ -1,4 +1,5 @@
-// The keepers' messages as Protobuf: nothing that is out of bounds comes in.
+// Conversion of the replication messages to and from Protobuf. Messages that exceed a bound are
+// rejected.
 #include <cmath>
 
 #include "record.pb.h"
@@ -9,7 +10,7 @@
 namespace {
 
 namespace wire = dunlinwick::proto::record;
-constexpr int kMaxListLength = 4096;  // entries, holes, keepers in one message
+constexpr int kMaxListLength = 4096;  // entries, gaps or replicas in one message
 
 template <class List>
 void EntriesToProto(List* list, const std::vector<Entry>& entries) {
@@ -28,24 +29,24 @@
 bool EntriesFromProto(const List& list, std::vector<Entry>& out) {
   if (list.size() > kMaxListLength)
     return false;
-  Offset before = 0;
+  Offset previous = 0;
   for (const auto& w : list) {
     if (w.stream() >= kStreamCount || w.key().empty() || w.key().size() > kMaxKeyBytes ||
-        w.value().size() > kMaxValueBytes || w.offset() <= before ||
+        w.value().size() > kMaxValueBytes || w.offset() <= previous ||
         (w.tombstone() && !w.value().empty()) || !std::isfinite(w.at()))
       return false;
-    before = w.offset();
+    previous = w.offset();
     out.push_back({w.offset(), w.token(), static_cast<Stream>(w.stream()), w.key(), w.tombstone(),
                    w.value(), w.at()});
   }
   return true;
 }
 template <class List>
-void OffsetsByReplicaToProto(List* list, const std::vector<std::pair<Id, Offset>>& held) {
-  for (auto [id, upTo] : held) {
+void OffsetsByReplicaToProto(List* list, const std::vector<std::pair<Id, Offset>>& offsets) {
+  for (auto [id, up_to] : offsets) {
     auto* w = list->Add();
     w->set_keeper(id);
-    w->set_up_to(upTo);
+    w->set_up_to(up_to);
   }
 }
 template <class List>
@@ -157,19 +158,20 @@
 
 std::string Encode(const Message& m) {
   wire::Message out;
-  std::visit([&](const auto& one) { FillProto(out, one); }, m);
+  std::visit([&](const auto& message) { FillProto(out, message); }, m);
   return out.SerializeAsString();
 }
 
 std::optional<Message> Decode(std::span<const char> bytes) {
-  wire::Message in;
-  if (bytes.size() > (1u << 22) || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+  wire::Message message;
+  if (bytes.size() > (1u << 22) ||
+      !message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return std::nullopt;
-  switch (in.kind_case()) {
+  switch (message.kind_case()) {
     case wire::Message::kSeek:
-      return PrepareRequest{in.seek().token(), in.seek().round()};
+      return PrepareRequest{message.seek().token(), message.seek().round()};
     case wire::Message::kTail: {
-      const auto& w = in.tail();
+      const auto& w = message.tail();
       PrepareResponse m;
       m.token = w.token();
       m.store_id = w.store();
@@ -190,7 +192,7 @@
       return m;
     }
     case wire::Message::kAppend: {
-      const auto& w = in.append();
+      const auto& w = message.append();
       AppendRequest m;
       m.token = w.token();
       m.incarnation = w.life();
@@ -214,7 +216,7 @@
       return m;
     }
     case wire::Message::kKept: {
-      const auto& w = in.kept();
+      const auto& w = message.kept();
       AppendResponse m;
       m.token = w.token();
       m.incarnation = w.life();
@@ -233,13 +235,13 @@
       return m;
     }
     case wire::Message::kFetch: {
-      FetchRequest m{in.fetch().after(), in.fetch().up_to(), {}};
-      if (!OffsetsFromProto(in.fetch().only(), m.offsets))
+      FetchRequest m{message.fetch().after(), message.fetch().up_to(), {}};
+      if (!OffsetsFromProto(message.fetch().only(), m.offsets))
         return std::nullopt;
       return m;
     }
     case wire::Message::kFetched: {
-      const auto& w = in.fetched();
+      const auto& w = message.fetched();
       FetchResponse m;
       m.after = w.after();
       m.up_to = w.up_to();
--- a/src/record/log.cpp
+++ b/src/record/log.cpp
@@ -14,11 +14,12 @@
 
 struct IndexedEntry {
   Entry entry;
+  // The neighbouring entries of the same key; 0: none.
   Offset previous_of_key = 0;
-  Offset next_of_key = 0;  // of the same key; 0: none
+  Offset next_of_key = 0;
 };
-// What one takes in memory: its node, the key once more in the index, and their bookkeeping.
-std::size_t SizeOf(const Entry& e) {
+// Memory taken by an entry: its node, the second copy of the key in the index, and their overhead.
+std::size_t MemorySize(const Entry& e) {
   return 256 + 2 * e.key.size() + e.value.size();
 }
 bool IsWithinBounds(const Entry& e) {
@@ -33,36 +34,37 @@
   LogSettings settings;
   LogStorage& storage;
   LogMetadata metadata;
-  bool has_unlocated_loss =
-      false;  // an entry at or below `cleaned` is gone: a hole stands for it ...
-  std::uint64_t unlocated_loss_count = 0;  // ... and for so many more
+  // An entry at or below `compacted_up_to` was lost; one gap stands for it. `unlocated_loss_count`
+  // counts any further ones.
+  bool has_unlocated_loss = false;
+  std::uint64_t unlocated_loss_count = 0;
   bool failed = false;
-  bool is_metadata_changed = false;  // changed: the head differs from the disk's (witness)
+  bool is_metadata_changed = false;  // differs from the stored metadata (RecordWitnessed)
   std::map<Offset, IndexedEntry> entries;
   std::set<Offset> gaps;
   std::set<Offset> tombstones;
-  std::array<std::unordered_map<std::string, Offset>, kStreamCount>
-      latest_offsets;  // looked up only, never walked
+  // Used for lookups only, never iterated: the order must not matter.
+  std::array<std::unordered_map<std::string, Offset>, kStreamCount> latest_offsets;
   std::size_t used_bytes = 0;
   std::size_t dead_bytes = 0;
   CompactionPlan accepted_plan;
-  Offset deduplicated_up_to =
-      0;  // up to here only the latest of each key is left; begun anew at each start
-  // Of worth(): up to `old` entries were found old enough; their bytes, and how many of them are
-  // dead by what is at or below it.
+  // Up to here only the latest entry of each key is left; starts from 0 again at each start.
+  Offset deduplicated_up_to = 0;
+  // Of ProposePlan(): entries up to `aged_up_to` were found to be old enough; their bytes, and how
+  // many of those are dead because of entries at or below it.
   mutable Offset aged_up_to = 0;
   mutable std::size_t aged_bytes = 0;
   mutable std::size_t aged_dead_bytes = 0;
 
-  Impl(LogSettings t, LogStorage& d) : settings(t), storage(d) {}
+  Impl(LogSettings s, LogStorage& opened) : settings(s), storage(opened) {}
 
-  // First the disk, then memory: what fails leaves memory as it was.
-  template <class What>
-  void WriteToStorage(What what) {
+  // Storage is written before memory, so a failure leaves memory unchanged.
+  template <class Operation>
+  void WriteToStorage(Operation operation) {
     if (failed)
-      throw StorageError("its disk failed before");
+      throw StorageError("the disk failed before");
     try {
-      what();
+      operation();
     } catch (const StorageFullError&) {
       throw;
     } catch (...) {
@@ -96,22 +98,22 @@
       if (n->second < e.offset) {
         r.previous_of_key = n->second;
         n->second = e.offset;
-      } else {  // healed, below others of its key
+      } else {  // repaired, below others of its key
         r.next_of_key = n->second;
         for (Offset b; (b = entries.at(r.next_of_key).previous_of_key) > e.offset;)
           r.next_of_key = b;
         r.previous_of_key = entries.at(r.next_of_key).previous_of_key;
         entries.at(r.next_of_key).previous_of_key = e.offset;
-        dead_bytes += SizeOf(e);
+        dead_bytes += MemorySize(e);
       }
       if (r.previous_of_key != 0) {
         IndexedEntry& b = entries.at(r.previous_of_key);
         if (b.next_of_key == 0)
-          dead_bytes += SizeOf(b.entry);
+          dead_bytes += MemorySize(b.entry);
         b.next_of_key = e.offset;
       }
     }
-    used_bytes += SizeOf(e);
+    used_bytes += MemorySize(e);
     if (e.tombstone)
       tombstones.insert(e.offset);
   }
@@ -120,7 +122,7 @@
     if (i == entries.end())
       return;
     IndexedEntry& r = i->second;
-    std::size_t size = SizeOf(r.entry);
+    std::size_t size = MemorySize(r.entry);
     used_bytes -= size;
     if (r.next_of_key != 0)
       dead_bytes -= size;
@@ -133,7 +135,7 @@
       IndexedEntry& b = entries.at(r.previous_of_key);
       b.next_of_key = r.next_of_key;
       if (r.next_of_key == 0)
-        dead_bytes -= SizeOf(b.entry);
+        dead_bytes -= MemorySize(b.entry);
     }
     if (r.next_of_key != 0)
       entries.at(r.next_of_key).previous_of_key = r.previous_of_key;
@@ -146,7 +148,7 @@
       tombstones.erase(offset);
     entries.erase(i);
   }
-  // Each in a row with the one before it, but for gaps where the source was compacted.
+  // Each entry follows its predecessor directly, except where the source was compacted.
   bool IsContiguous(Offset after, const std::vector<Entry>& added, Offset compacted) const {
     for (const Entry& e : added) {
       if (e.offset <= after || !IsWithinBounds(e))
@@ -160,7 +162,7 @@
   void CheckCapacity(const std::vector<Entry>& added, std::size_t freed) const {
     std::size_t added_bytes = 0;
     for (const Entry& e : added)
-      added_bytes += SizeOf(e);
+      added_bytes += MemorySize(e);
     if (used_bytes - freed + added_bytes > settings.max_bytes)
       throw StorageFullError("more than " + std::to_string(settings.max_bytes) +
                              " bytes of record in memory");
@@ -171,49 +173,51 @@
   }
 };
 
-Log::Log(Id self, LogSettings terms, LogStorage& disk, std::uint64_t new_store)
-    : impl_(std::make_unique<Impl>(terms, disk)) {
-  Impl& in = *impl_;
-  if (auto h = disk.metadata()) {
+Log::Log(Id self, LogSettings settings, LogStorage& storage, std::uint64_t new_store_id)
+    : impl_(std::make_unique<Impl>(settings, storage)) {
+  Impl& impl = *impl_;
+  if (auto h = storage.metadata()) {
     if (h->replica_id != self)
-      throw StorageError("the disk is of keeper " + std::to_string(h->replica_id) + ", not of " +
-                         std::to_string(self) + ": swapped");
-    in.metadata = *h;
+      throw StorageError("the disk belongs to log replica " + std::to_string(h->replica_id) +
+                         ", not of " + std::to_string(self) + ": swapped disk");
+    impl.metadata = *h;
   } else {
-    in.metadata.store_id = new_store;
-    in.metadata.replica_id = self;
+    impl.metadata.store_id = new_store_id;
+    impl.metadata.replica_id = self;
   }
-  ++in.metadata.start_count;
-  Offset before = std::max(in.metadata.compacted_up_to, in.metadata.first - 1);
-  auto missing = [&](Offset below) {
+  ++impl.metadata.start_count;
+  Offset before = std::max(impl.metadata.compacted_up_to, impl.metadata.first - 1);
+  auto add_gaps_below = [&](Offset below) {
     for (; before + 1 < below; ++before)
-      in.gaps.insert(before + 1);
+      impl.gaps.insert(before + 1);
   };
-  disk.ForEachEntry([&](Offset offset, const Entry* e) {
-    missing(offset);
+  storage.ForEachEntry([&](Offset offset, const Entry* e) {
+    add_gaps_below(offset);
     before = std::max(before, offset);
     if (e && e->offset == offset && IsWithinBounds(*e))
-      in.Insert(*e);
+      impl.Insert(*e);
     else
-      in.gaps.insert(offset);
+      impl.gaps.insert(offset);
   });
-  missing(in.metadata.committed + 1);  // what was known to be here must be
-  // An entry lost at or below `cleaned` looks like one compacted: served and handed on as whole,
-  // its key would be missing for ever. The lowest gap is a hole for the first of them.
-  if (auto n = in.EntryCount(), notified = in.metadata.entry_count.value_or(0); n < notified) {
-    Offset gap = 1;
-    while (gap <= in.metadata.compacted_up_to &&
-           (in.entries.count(gap) != 0 || in.gaps.count(gap) != 0))
-      ++gap;
-    if (gap <= in.metadata.compacted_up_to) {
-      in.has_unlocated_loss = true;
-      in.gaps.insert(gap);
-      in.unlocated_loss_count = notified - n - 1;
+  add_gaps_below(impl.metadata.committed + 1);  // committed entries must be here
+  // An entry lost at or below `compacted_up_to` looks like a compacted one: if the log were served
+  // as complete, its key would be missing for ever. The lowest missing offset becomes a gap for the
+  // first lost entry.
+  if (auto count = impl.EntryCount(), expected = impl.metadata.entry_count.value_or(0);
+      count < expected) {
+    Offset lowest_missing = 1;
+    while (lowest_missing <= impl.metadata.compacted_up_to &&
+           (impl.entries.count(lowest_missing) != 0 || impl.gaps.count(lowest_missing) != 0))
+      ++lowest_missing;
+    if (lowest_missing <= impl.metadata.compacted_up_to) {
+      impl.has_unlocated_loss = true;
+      impl.gaps.insert(lowest_missing);
+      impl.unlocated_loss_count = expected - count - 1;
     } else
-      missing(before + 1 + (notified - n));  // the last it had
+      add_gaps_below(before + 1 + (expected - count));  // its last entries
   }
-  in.metadata.entry_count = in.EntryCount();
-  in.WriteToStorage([&] { disk.WriteMetadata(in.metadata); });
+  impl.metadata.entry_count = impl.EntryCount();
+  impl.WriteToStorage([&] { storage.WriteMetadata(impl.metadata); });
 }
 Log::~Log() = default;
 
@@ -241,32 +245,32 @@
   return i == impl_->entries.end() ? nullptr : &i->second.entry;
 }
 const Entry* Log::Latest(Stream stream, const std::string& key) const {
-  const Impl& in = *impl_;
+  const Impl& impl = *impl_;
   auto n = static_cast<std::size_t>(stream);
   if (n >= kStreamCount)
     return nullptr;
-  auto i = in.latest_offsets[n].find(key);
-  if (i == in.latest_offsets[n].end())
+  auto i = impl.latest_offsets[n].find(key);
+  if (i == impl.latest_offsets[n].end())
     return nullptr;
   Offset o = i->second;
-  while (o > in.metadata.committed)
-    o = in.entries.at(o).previous_of_key;
-  return o == 0 ? nullptr : &in.entries.at(o).entry;
+  while (o > impl.metadata.committed)
+    o = impl.entries.at(o).previous_of_key;
+  return o == 0 ? nullptr : &impl.entries.at(o).entry;
 }
 bool Log::IsComplete() const {
   return impl_->metadata.compacted_up_to <= impl_->metadata.committed;
 }
 
 std::vector<Entry> Log::Read(Offset after, Offset up_to, std::size_t bytes, Offset* reached) const {
-  const Impl& in = *impl_;
+  const Impl& impl = *impl_;
   std::vector<Entry> out;
-  Offset end = std::min(up_to, in.LastOffset());
-  if (auto h = in.gaps.upper_bound(after); h != in.gaps.end() && *h <= end)
+  Offset end = std::min(up_to, impl.LastOffset());
+  if (auto h = impl.gaps.upper_bound(after); h != impl.gaps.end() && *h <= end)
     end = *h - 1;
-  if (in.has_unlocated_loss && after < in.metadata.compacted_up_to)
-    end = after;  // it may be any up to there
+  if (impl.has_unlocated_loss && after < impl.metadata.compacted_up_to)
+    end = after;  // the lost entry may be anywhere up to there
   std::size_t used = 0;
-  for (auto i = in.entries.upper_bound(after); i != in.entries.end() && i->first <= end; ++i) {
+  for (auto i = impl.entries.upper_bound(after); i != impl.entries.end() && i->first <= end; ++i) {
     std::size_t size = i->second.entry.key.size() + i->second.entry.value.size() + 40;
     if (!out.empty() && used + size > bytes) {
       end = out.back().offset;
@@ -281,249 +285,254 @@
 }
 
 bool Log::AppendEntries(Offset from, const std::vector<Entry>& entries, CompactionProgress source) {
-  Impl& in = *impl_;
-  if (from != 0 && (from <= in.metadata.committed || from <= in.metadata.compacted_up_to))
+  Impl& impl = *impl_;
+  if (from != 0 && (from <= impl.metadata.committed || from <= impl.metadata.compacted_up_to))
     return false;
-  Offset after = from == 0 ? in.LastOffset() : std::min(in.LastOffset(), from - 1);
-  Offset forgotten = std::max(source.tombstone_horizon, in.metadata.tombstone_horizon);
-  bool begins = after == 0 && source.tombstone_horizon == forgotten;
-  if (after < forgotten && source.tombstone_horizon != in.metadata.tombstone_horizon && !begins)
+  Offset after = from == 0 ? impl.LastOffset() : std::min(impl.LastOffset(), from - 1);
+  Offset tombstone_horizon = std::max(source.tombstone_horizon, impl.metadata.tombstone_horizon);
+  bool starts_from_source = after == 0 && source.tombstone_horizon == tombstone_horizon;
+  if (after < tombstone_horizon && source.tombstone_horizon != impl.metadata.tombstone_horizon &&
+      !starts_from_source)
     return false;
-  if (!in.IsContiguous(after, entries,
-                       std::max(source.compacted_up_to, in.metadata.compacted_up_to)))
+  if (!impl.IsContiguous(after, entries,
+                         std::max(source.compacted_up_to, impl.metadata.compacted_up_to)))
     return false;
-  std::size_t freed = 0;
-  std::uint64_t fewer = 0;
+  std::size_t freed_bytes = 0;
+  std::uint64_t removed_count = 0;
   if (from != 0) {
-    for (auto i = in.entries.lower_bound(from); i != in.entries.end(); ++i) {
-      freed += SizeOf(i->second.entry);
-      ++fewer;
+    for (auto i = impl.entries.lower_bound(from); i != impl.entries.end(); ++i) {
+      freed_bytes += MemorySize(i->second.entry);
+      ++removed_count;
     }
-    fewer += static_cast<std::uint64_t>(std::distance(in.gaps.lower_bound(from), in.gaps.end()));
+    removed_count +=
+        static_cast<std::uint64_t>(std::distance(impl.gaps.lower_bound(from), impl.gaps.end()));
   }
   if (!entries.empty())
-    in.CheckCapacity(entries, freed);
-  LogMetadata next = in.metadata;
+    impl.CheckCapacity(entries, freed_bytes);
+  LogMetadata next = impl.metadata;
   next.compacted_up_to = std::max(next.compacted_up_to, source.compacted_up_to);
   next.tombstone_horizon = std::max(next.tombstone_horizon, source.tombstone_horizon);
-  next.entry_count = in.EntryCount() - fewer + entries.size();
-  in.WriteToStorage([&] { in.storage.AppendEntries(from, entries, next); });
+  next.entry_count = impl.EntryCount() - removed_count + entries.size();
+  impl.WriteToStorage([&] { impl.storage.AppendEntries(from, entries, next); });
   if (from != 0) {
-    while (!in.entries.empty() && in.entries.rbegin()->first >= from)
-      in.Erase(in.entries.rbegin()->first);
-    in.gaps.erase(in.gaps.lower_bound(from), in.gaps.end());
+    while (!impl.entries.empty() && impl.entries.rbegin()->first >= from)
+      impl.Erase(impl.entries.rbegin()->first);
+    impl.gaps.erase(impl.gaps.lower_bound(from), impl.gaps.end());
   }
-  in.SetMetadata(next);
+  impl.SetMetadata(next);
   for (const Entry& e : entries)
-    in.Insert(e);
+    impl.Insert(e);
   return true;
 }
 
 bool Log::ResetFromSnapshot(const std::vector<Entry>& entries, CompactionProgress source) {
-  Impl& in = *impl_;
-  if (!in.IsContiguous(0, entries, source.compacted_up_to))
+  Impl& impl = *impl_;
+  if (!impl.IsContiguous(0, entries, source.compacted_up_to))
     return false;
-  in.CheckCapacity(entries, in.used_bytes);
-  LogMetadata next = in.metadata;
+  impl.CheckCapacity(entries, impl.used_bytes);
+  LogMetadata next = impl.metadata;
   next.committed = 0;
   next.first = 1;
   next.compacted_up_to = source.compacted_up_to;
   next.tombstone_horizon = source.tombstone_horizon;
   next.entry_count = entries.size();
-  in.WriteToStorage([&] { in.storage.AppendEntries(1, entries, next); });
-  in.entries.clear();
-  in.gaps.clear();
-  in.tombstones.clear();
-  for (auto& index : in.latest_offsets)
+  impl.WriteToStorage([&] { impl.storage.AppendEntries(1, entries, next); });
+  impl.entries.clear();
+  impl.gaps.clear();
+  impl.tombstones.clear();
+  for (auto& index : impl.latest_offsets)
     index.clear();
-  in.has_unlocated_loss = false;
-  in.unlocated_loss_count = 0;
-  in.used_bytes = in.dead_bytes = 0;
-  in.deduplicated_up_to = 0;
-  in.ResetAgedTotals();
-  in.SetMetadata(next);
+  impl.has_unlocated_loss = false;
+  impl.unlocated_loss_count = 0;
+  impl.used_bytes = impl.dead_bytes = 0;
+  impl.deduplicated_up_to = 0;
+  impl.ResetAgedTotals();
+  impl.SetMetadata(next);
   for (const Entry& e : entries)
-    in.Insert(e);
+    impl.Insert(e);
   return true;
 }
 
 void Log::Promise(Token token) {
-  Impl& in = *impl_;
-  if (token <= in.metadata.promised_token)
+  Impl& impl = *impl_;
+  if (token <= impl.metadata.promised_token)
     return;
-  LogMetadata next = in.metadata;
+  LogMetadata next = impl.metadata;
   next.promised_token = token;
-  in.WriteToStorage([&] { in.storage.WriteMetadata(next); });
-  in.SetMetadata(next);
+  impl.WriteToStorage([&] { impl.storage.WriteMetadata(next); });
+  impl.SetMetadata(next);
 }
 void Log::Commit(Offset up_to) {
-  Impl& in = *impl_;
-  up_to = std::min(up_to, in.LastOffset());
-  if (up_to <= in.metadata.committed)
+  Impl& impl = *impl_;
+  up_to = std::min(up_to, impl.LastOffset());
+  if (up_to <= impl.metadata.committed)
     return;
-  LogMetadata next = in.metadata;
+  LogMetadata next = impl.metadata;
   next.committed = up_to;
-  in.WriteToStorage([&] { in.storage.WriteMetadata(next); });
-  in.SetMetadata(next);
+  impl.WriteToStorage([&] { impl.storage.WriteMetadata(next); });
+  impl.SetMetadata(next);
 }
 void Log::RecordWitnessed(Id other, Offset up_to) {
-  Impl& in = *impl_;
-  auto& seen = in.metadata.witnessed;
-  auto i = std::lower_bound(seen.begin(), seen.end(), other,
-                            [](const auto& one, Id id) { return one.first < id; });
-  if (i == seen.end() || i->first != other)
-    i = seen.insert(i, {other, 0});
+  Impl& impl = *impl_;
+  auto& offsets = impl.metadata.witnessed;
+  auto i = std::lower_bound(offsets.begin(), offsets.end(), other,
+                            [](const auto& witnessed, Id id) { return witnessed.first < id; });
+  if (i == offsets.end() || i->first != other)
+    i = offsets.insert(i, {other, 0});
   if (i->second < up_to) {
     i->second = up_to;
-    in.is_metadata_changed = true;
+    impl.is_metadata_changed = true;
   }
 }
 void Log::PersistMetadata() {
-  Impl& in = *impl_;
-  if (!in.is_metadata_changed)
+  Impl& impl = *impl_;
+  if (!impl.is_metadata_changed)
     return;
-  in.WriteToStorage([&] { in.storage.WriteMetadata(in.metadata); });
-  in.is_metadata_changed = false;
+  impl.WriteToStorage([&] { impl.storage.WriteMetadata(impl.metadata); });
+  impl.is_metadata_changed = false;
 }
 
-std::vector<Offset> Log::Gaps(std::size_t most) const {
+std::vector<Offset> Log::Gaps(std::size_t max_count) const {
   std::vector<Offset> out;
-  for (Offset h : impl_->gaps) {
-    if (out.size() == most)
+  for (Offset gap : impl_->gaps) {
+    if (out.size() == max_count)
       break;
-    out.push_back(h);
+    out.push_back(gap);
   }
   return out;
 }
 bool Log::RepairGap(const Entry& entry) {
-  Impl& in = *impl_;
-  if (in.has_unlocated_loss || in.gaps.count(entry.offset) == 0 || !IsWithinBounds(entry))
+  Impl& impl = *impl_;
+  if (impl.has_unlocated_loss || impl.gaps.count(entry.offset) == 0 || !IsWithinBounds(entry))
     return false;
-  in.WriteToStorage([&] { in.storage.RestoreEntry(entry); });
-  in.gaps.erase(entry.offset);
-  in.Insert(entry);
-  in.deduplicated_up_to = std::min(in.deduplicated_up_to, entry.offset - 1);
-  in.ResetAgedTotals();
+  impl.WriteToStorage([&] { impl.storage.RestoreEntry(entry); });
+  impl.gaps.erase(entry.offset);
+  impl.Insert(entry);
+  impl.deduplicated_up_to = std::min(impl.deduplicated_up_to, entry.offset - 1);
+  impl.ResetAgedTotals();
   return true;
 }
-bool Log::CloseCompactedGap(Offset hole, CompactionProgress source) {
-  Impl& in = *impl_;
-  if (in.has_unlocated_loss || in.gaps.empty() || *in.gaps.begin() != hole ||
-      hole > in.metadata.committed)
+bool Log::CloseCompactedGap(Offset gap, CompactionProgress source) {
+  Impl& impl = *impl_;
+  if (impl.has_unlocated_loss || impl.gaps.empty() || *impl.gaps.begin() != gap ||
+      gap > impl.metadata.committed)
     return false;
-  if (hole > source.compacted_up_to || hole <= source.tombstone_horizon)
+  if (gap > source.compacted_up_to || gap <= source.tombstone_horizon)
     return false;
-  // What was there is superseded: told as such, so that the gap is none at the next start either.
-  LogMetadata next = in.metadata;
-  next.compacted_up_to = std::max(next.compacted_up_to, hole);
-  next.entry_count = in.EntryCount() - 1;
-  in.WriteToStorage([&] { in.storage.RemoveEntries({hole}, next); });
-  in.SetMetadata(next);
-  in.gaps.erase(hole);
+  // The entry was superseded. `compacted_up_to` records that, so that it is no gap at the next
+  // start either.
+  LogMetadata next = impl.metadata;
+  next.compacted_up_to = std::max(next.compacted_up_to, gap);
+  next.entry_count = impl.EntryCount() - 1;
+  impl.WriteToStorage([&] { impl.storage.RemoveEntries({gap}, next); });
+  impl.SetMetadata(next);
+  impl.gaps.erase(gap);
   return true;
 }
 
-std::optional<CompactionPlan> Log::ProposePlan(Ms now, Offset passed, Token token) const {
-  const Impl& in = *impl_;
-  if (in.metadata.committed == 0)
+std::optional<CompactionPlan> Log::ProposePlan(Ms now, Offset min_position, Token token) const {
+  const Impl& impl = *impl_;
+  if (impl.metadata.committed == 0)
     return std::nullopt;
-  Offset limit = std::min(in.metadata.committed, in.LastOffset() - 1);
-  if (!in.gaps.empty())
-    limit = std::min(limit, *in.gaps.begin() - 1);
-  for (auto i = in.entries.upper_bound(in.aged_up_to); i != in.entries.end() && i->first <= limit;
-       ++i) {
+  Offset limit = std::min(impl.metadata.committed, impl.LastOffset() - 1);
+  if (!impl.gaps.empty())
+    limit = std::min(limit, *impl.gaps.begin() - 1);
+  for (auto i = impl.entries.upper_bound(impl.aged_up_to);
+       i != impl.entries.end() && i->first <= limit; ++i) {
     const IndexedEntry& r = i->second;
-    if (std::abs(now - r.entry.written_at) < in.settings.min_compaction_lag)
+    if (std::abs(now - r.entry.written_at) < impl.settings.min_compaction_lag)
       break;
-    in.aged_up_to = i->first;
-    in.aged_bytes += SizeOf(r.entry);
+    impl.aged_up_to = i->first;
+    impl.aged_bytes += MemorySize(r.entry);
     if (r.previous_of_key != 0)
-      in.aged_dead_bytes += SizeOf(in.entries.at(r.previous_of_key).entry);
+      impl.aged_dead_bytes += MemorySize(impl.entries.at(r.previous_of_key).entry);
   }
   CompactionPlan p;
   p.token = token;
-  p.up_to = in.aged_up_to;
-  std::size_t gone = in.aged_dead_bytes;
-  for (Offset t : in.tombstones) {
+  p.up_to = impl.aged_up_to;
+  std::size_t removable_bytes = impl.aged_dead_bytes;
+  for (Offset t : impl.tombstones) {
     if (t > p.up_to)
       break;
-    const IndexedEntry& r = in.entries.at(t);
-    if (!in.settings.defects.drop_tombstones_early &&
-        (t > passed || now - r.entry.written_at < in.settings.tombstone_retention))
+    const IndexedEntry& r = impl.entries.at(t);
+    if (!impl.settings.defects.drop_tombstones_early &&
+        (t > min_position || now - r.entry.written_at < impl.settings.tombstone_retention))
       break;
     p.remove_tombstones_up_to = t;
     if (r.next_of_key == 0 || r.next_of_key > p.up_to)
-      gone += SizeOf(r.entry);
+      removable_bytes += MemorySize(r.entry);
   }
-  if (gone == 0 ||
-      static_cast<double>(gone) <= in.settings.min_dead_ratio * static_cast<double>(in.aged_bytes))
+  if (removable_bytes == 0 ||
+      static_cast<double>(removable_bytes) <=
+          impl.settings.min_dead_ratio * static_cast<double>(impl.aged_bytes))
     return std::nullopt;
   return p;
 }
 
 void Log::AcceptPlan(const CompactionPlan& plan) {
-  CompactionPlan& mine = impl_->accepted_plan;
-  if (plan.token < mine.token || plan.remove_tombstones_up_to > plan.up_to)
+  CompactionPlan& accepted = impl_->accepted_plan;
+  if (plan.token < accepted.token || plan.remove_tombstones_up_to > plan.up_to)
     return;
-  mine.token = plan.token;
-  mine.up_to = std::max(mine.up_to, plan.up_to);
-  mine.remove_tombstones_up_to =
-      std::max(mine.remove_tombstones_up_to, plan.remove_tombstones_up_to);
+  accepted.token = plan.token;
+  accepted.up_to = std::max(accepted.up_to, plan.up_to);
+  accepted.remove_tombstones_up_to =
+      std::max(accepted.remove_tombstones_up_to, plan.remove_tombstones_up_to);
 }
 
 bool Log::CompactStep() {
-  Impl& in = *impl_;
-  Offset last = in.LastOffset();
+  Impl& impl = *impl_;
+  Offset last = impl.LastOffset();
   Offset limit =
-      std::min({in.accepted_plan.up_to, in.metadata.committed, last == 0 ? 0 : last - 1});
-  if (limit == 0 || in.HasGapUpTo(limit))
+      std::min({impl.accepted_plan.up_to, impl.metadata.committed, last == 0 ? 0 : last - 1});
+  if (limit == 0 || impl.HasGapUpTo(limit))
     return false;
-  std::size_t budget = std::max<std::size_t>(in.settings.entries_per_step, 1);
-  std::vector<Offset> gone;
-  LogMetadata next = in.metadata;
-  Offset swept = in.deduplicated_up_to;
-  if (swept < limit) {
-    auto i = in.entries.upper_bound(swept);
-    for (; i != in.entries.end() && i->first <= limit && budget > 0; ++i, --budget) {
+  std::size_t budget = std::max<std::size_t>(impl.settings.entries_per_step, 1);
+  std::vector<Offset> removed;
+  LogMetadata next = impl.metadata;
+  Offset deduplicated = impl.deduplicated_up_to;
+  if (deduplicated < limit) {
+    auto i = impl.entries.upper_bound(deduplicated);
+    for (; i != impl.entries.end() && i->first <= limit && budget > 0; ++i, --budget) {
       if (i->second.previous_of_key != 0)
-        gone.push_back(i->second.previous_of_key);
-      swept = i->first;
+        removed.push_back(i->second.previous_of_key);
+      deduplicated = i->first;
     }
-    if (i == in.entries.end() || i->first > limit)
-      swept = limit;
-    next.compacted_up_to = std::max(next.compacted_up_to, swept);
+    if (i == impl.entries.end() || i->first > limit)
+      deduplicated = limit;
+    next.compacted_up_to = std::max(next.compacted_up_to, deduplicated);
   }
-  if (swept >= in.accepted_plan.up_to) {
-    for (auto t = in.tombstones.begin();
-         t != in.tombstones.end() && *t <= in.accepted_plan.remove_tombstones_up_to && budget > 0;
+  if (deduplicated >= impl.accepted_plan.up_to) {
+    for (auto t = impl.tombstones.begin();
+         t != impl.tombstones.end() && *t <= impl.accepted_plan.remove_tombstones_up_to &&
+         budget > 0;
          ++t) {
-      Offset after = in.entries.at(*t).next_of_key;
-      if (after != 0 && after <= swept)
-        continue;  // goes as superseded, in this very step
-      gone.push_back(*t);
+      Offset after = impl.entries.at(*t).next_of_key;
+      if (after != 0 && after <= deduplicated)
+        continue;  // removed as superseded in this step
+      removed.push_back(*t);
       next.tombstone_horizon = std::max(next.tombstone_horizon, *t);
       --budget;
     }
   }
-  if (gone.empty() && swept == in.deduplicated_up_to)
+  if (removed.empty() && deduplicated == impl.deduplicated_up_to)
     return false;
-  std::sort(gone.begin(), gone.end());
-  auto i = in.entries.begin();
-  while (i != in.entries.end() && std::binary_search(gone.begin(), gone.end(), i->first))
+  std::sort(removed.begin(), removed.end());
+  auto i = impl.entries.begin();
+  while (i != impl.entries.end() && std::binary_search(removed.begin(), removed.end(), i->first))
     ++i;
-  next.first = i == in.entries.end() ? last : i->first;  // the last stays, but may be a hole
-  if (!in.gaps.empty())
-    next.first = std::min(next.first, *in.gaps.begin());
-  next.entry_count = in.EntryCount() - gone.size();
-  if (gone.empty() && next == in.metadata) {
-    in.deduplicated_up_to = swept;
+  next.first = i == impl.entries.end() ? last : i->first;  // the last stays, but may be a gap
+  if (!impl.gaps.empty())
+    next.first = std::min(next.first, *impl.gaps.begin());
+  next.entry_count = impl.EntryCount() - removed.size();
+  if (removed.empty() && next == impl.metadata) {
+    impl.deduplicated_up_to = deduplicated;
     return true;
-  }  // after a start: nothing new for the disk
-  in.WriteToStorage([&] { in.storage.RemoveEntries(gone, next); });
-  in.SetMetadata(next);
-  in.deduplicated_up_to = swept;
-  for (Offset o : gone)
-    in.Erase(o);
+  }  // after a start: nothing new to store
+  impl.WriteToStorage([&] { impl.storage.RemoveEntries(removed, next); });
+  impl.SetMetadata(next);
+  impl.deduplicated_up_to = deduplicated;
+  for (Offset o : removed)
+    impl.Erase(o);
   return true;
 }
 
@@ -537,20 +546,20 @@
   return impl_->entries.size();
 }
 
-std::uint64_t Log::Digest(Offset up_to, Offset forgotten) const {
-  const Impl& in = *impl_;
-  forgotten = std::max(forgotten, in.metadata.tombstone_horizon);
-  std::uint64_t sum = 0;
-  for (const auto& [offset, r] : in.entries) {
+std::uint64_t Log::Digest(Offset up_to, Offset tombstone_horizon) const {
+  const Impl& impl = *impl_;
+  tombstone_horizon = std::max(tombstone_horizon, impl.metadata.tombstone_horizon);
+  std::uint64_t digest = 0;
+  for (const auto& [offset, r] : impl.entries) {
     if (offset > up_to)
       break;
     if ((r.next_of_key != 0 && r.next_of_key <= up_to) ||
-        (r.entry.tombstone && offset <= forgotten))
+        (r.entry.tombstone && offset <= tombstone_horizon))
       continue;
-    std::uint64_t d[2] = {sum, record::Digest(r.entry)};
-    sum = XXH64(d, sizeof d, 0);
+    std::uint64_t chained[2] = {digest, record::Digest(r.entry)};
+    digest = XXH64(chained, sizeof chained, 0);
   }
-  return sum;
+  return digest;
 }
 
 }  // namespace dunlinwick::record
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -1,4 +1,5 @@
-// The owner's side: takes over behind its token, then writes; brings up who is behind.
+// The leader writer's side: takes over under its token, then appends entries and brings replicas
+// that lag behind up to date.
 #include <algorithm>
 
 #include "record/keepers.hpp"
@@ -6,39 +7,42 @@
 namespace dunlinwick::record {
 
 const char* ToString(Phase phase) {
-  static const char* const kWords[] = {"seeking", "fetching", "rewriting", "serving", "fenced"};
-  return kWords[static_cast<std::size_t>(phase)];
+  static const char* const kNames[] = {"seeking", "fetching", "rewriting", "serving", "fenced"};
+  return kNames[static_cast<std::size_t>(phase)];
 }
 
 namespace {
-constexpr std::size_t kMaxBatchesInFlight = 8;  // to one keeper
-std::size_t SizeOf(const Entry& e) {
+constexpr std::size_t kMaxBatchesInFlight = 8;  // to one replica
+std::size_t EncodedSize(const Entry& e) {
   return e.key.size() + e.value.size() + 40;
 }
 
 struct Peer {
-  bool prepared = false;   // its life has answered our Seek
-  bool trusted = false;    // not doubted, or proved by us
-  bool corrupted = false;  // found to be old, and not brought up yet
+  bool prepared = false;   // its incarnation has answered our PrepareRequest
+  bool trusted = false;    // was confirmed before, or has renewed its promise to us
+  bool corrupted = false;  // found to be old, and not brought up to date yet
   bool has_gaps = false;
   bool needs_reset = false;
   bool incomplete = false;
   bool full = false;
-  bool probing = true;  // what it has in common is being looked for: one message at a time
+  // The offset up to which its log agrees is being searched: one message at a time.
+  bool probing = true;
   std::uint64_t incarnation = 0;
   Offset match = 0;
   Offset next = 1;
   Offset last = 0;
   Ms sent_at = -1e300;
   Ms prepare_sent_at = -1e300;
-  // Being brought up from another keeper, as the window does not reach back so far.
+  // Its missing entries are fetched from another replica, as the window does not reach back far
+  // enough.
   bool fetching = false;
   Offset fetch_after = 0;
   Ms fetch_sent_at = -1e300;
-  std::uint64_t snapshot_session = 0;  // anew; 0: none
-  Offset session_horizon = 0;  // by its one source, all along: pieces of logs that have forgotten
-                               // and of such that have not do
-  Id session_source = 0;       // not go together, as a tombstone would be missing between them
+  std::uint64_t snapshot_session = 0;  // 0: none
+  // A session keeps one source and its tombstone horizon: batches of logs with different horizons
+  // cannot be combined, as a tombstone would be missing between them.
+  Offset session_horizon = 0;
+  Id session_source = 0;
 };
 }  // namespace
 
@@ -50,16 +54,18 @@
   Phase phase = Phase::kPreparing;
   bool bootstrapped = false;
   std::map<Id, Peer> peers;
-  // A round of Seek; its answers decide on the tail, later on who is doubted no more.
+  // A round of PrepareRequests; the responses determine the tail, and later which replicas are
+  // trusted again.
   std::uint64_t round = 1;
   bool round_open = true;
   std::map<Id, PrepareResponse> prepare_responses;
-  std::map<Id, Offset> witnessed;  // by keeper: what it was known to hold of what is committed
+  // By replica: up to where it was known to hold what is committed.
+  std::map<Id, Offset> witnessed;
   Id tail_source = 0;
   Offset tail_last = 0;
-  Ms asked_at = -1e300;
+  Ms requested_at = -1e300;
   Ms progressed_at = 0;
-  // What is not at every keeper yet, or not committed: contiguous from base + 1.
+  // Entries not yet at every replica, or not committed: contiguous from base + 1.
   std::deque<Entry> window;
   std::size_t window_bytes = 0;
   Offset base = 0;
@@ -75,14 +81,14 @@
     WriteCallback callback;
   };
   std::deque<PendingWrite> pending_writes;
-  bool drop_tombstones_early = false;  // broken on purpose
+  bool drop_tombstones_early = false;  // injected defect
   std::uint64_t snapshot_session_count = 0;
   std::size_t next_source = 0;
 
-  Impl(Id s, std::vector<Id> k, LogReplicaSettings t, Token n, Ms now)
-      : self(s), replicas(std::move(k)), settings(t), token(n), progressed_at(now) {
-    for (Id id : replicas)
-      peers[id];
+  Impl(Id id, std::vector<Id> ids, LogReplicaSettings s, Token granted, Ms now)
+      : self(id), replicas(std::move(ids)), settings(s), token(granted), progressed_at(now) {
+    for (Id replica : replicas)
+      peers[replica];
   }
 
   std::size_t Majority() const {
@@ -96,127 +102,127 @@
       return base_token;
     return o > base && o <= LastOffset() ? window[o - base - 1].token : 0;
   }
-  bool IsEligible(const Peer& p) const {
-    return p.prepared && p.trusted && !p.has_gaps && !p.incomplete;
+  bool IsEligible(const Peer& peer) const {
+    return peer.prepared && peer.trusted && !peer.has_gaps && !peer.incomplete;
   }
 
   void BecomeFenced() {
     if (phase == Phase::kFenced)
       return;
     phase = Phase::kFenced;
-    auto gone = std::move(pending_writes);
+    auto abandoned = std::move(pending_writes);
     pending_writes.clear();
     window.clear();
     window_bytes = 0;
-    for (auto& u : gone)
-      u.callback(Outcome::kUnknown, u.first);
+    for (auto& write : abandoned)
+      write.callback(Outcome::kUnknown, write.first);
   }
 
   // ---- taking over
-  // One half brought up holds less than it did: it let go only of what a majority had without it,
-  // so it is whole, but behind.
-  static bool IsIncomplete(const PrepareResponse& t) {
-    return t.compacted_up_to > t.committed;
-  }
-  static Offset HighestKnownOffset(Id id, const PrepareResponse& t) {
-    Offset n = t.last;
-    for (auto [who, upTo] : t.witnessed)
-      if (who == id)
-        n = std::max(n, upTo);
-    return n;
-  }
-  bool IsCorrupted(Id id, const PrepareResponse& t, bool some_hold) const {
-    if (t.corrupted)
+
+  // A replica reset half way holds less than it did. It discarded only what a majority had without
+  // it, so it is not corrupted, only behind.
+  static bool IsIncomplete(const PrepareResponse& response) {
+    return response.compacted_up_to > response.committed;
+  }
+  static Offset HighestKnownOffset(Id id, const PrepareResponse& response) {
+    Offset highest = response.last;
+    for (auto [replica, up_to] : response.witnessed)
+      if (replica == id)
+        highest = std::max(highest, up_to);
+    return highest;
+  }
+  bool IsCorrupted(Id id, const PrepareResponse& response, bool any_has_entries) const {
+    if (response.corrupted)
       return true;
     if (prepare_responses.size() == replicas.size())
-      return false;  // a majority of all is whole, and has the best tail
-    if (some_hold && (t.last == 0 || t.unconfirmed_on_disk))
+      return false;  // a majority of all is complete and has the best tail
+    if (any_has_entries && (response.last == 0 || response.unconfirmed_on_disk))
       return true;
-    return HasOldDisk(id, t);
+    return HasOldDisk(id, response);
   }
-  bool HasOldDisk(Id id, const PrepareResponse& t) const {
-    for (const auto& [other, o] : prepare_responses)
-      for (auto [who, upTo] : o.witnessed)
-        if (who == id && upTo > HighestKnownOffset(id, t))
+  bool HasOldDisk(Id id, const PrepareResponse& response) const {
+    for (const auto& [other, reported] : prepare_responses)
+      for (auto [replica, up_to] : reported.witnessed)
+        if (replica == id && up_to > HighestKnownOffset(id, response))
           return true;
     return false;
   }
-  // Those of this round whose word counts, if they are enough.
+  // The replicas of this round whose responses count, if there are enough of them.
   std::optional<std::vector<Id>> TrustedQuorum() const {
-    bool some_hold = false;
-    Offset least = 0;  // what is known to be committed, by anybody's word
-    for (const auto& [id, t] : prepare_responses) {
-      some_hold = some_hold || t.last != 0 || t.committed != 0;
-      least = std::max(least, t.committed);
-      for (auto [who, upTo] : t.witnessed)
-        if (peers.count(who)) {
-          some_hold = some_hold || upTo != 0;
-          least = std::max(least, upTo);
+    bool any_has_entries = false;
+    Offset known_committed = 0;  // known to be committed, by any response
+    for (const auto& [id, response] : prepare_responses) {
+      any_has_entries = any_has_entries || response.last != 0 || response.committed != 0;
+      known_committed = std::max(known_committed, response.committed);
+      for (auto [replica, up_to] : response.witnessed)
+        if (peers.count(replica)) {
+          any_has_entries = any_has_entries || up_to != 0;
+          known_committed = std::max(known_committed, up_to);
         }
     }
-    if (!some_hold && prepare_responses.size() < replicas.size())
-      return std::nullopt;  // one that is silent may hold everything
-    std::vector<Id> ok;
-    std::size_t doubted = 0;
-    Offset most = 0;
-    for (const auto& [id, t] : prepare_responses) {
-      if (IsCorrupted(id, t, some_hold))
+    if (!any_has_entries && prepare_responses.size() < replicas.size())
+      return std::nullopt;  // a silent replica may hold everything
+    std::vector<Id> eligible;
+    std::size_t unconfirmed_count = 0;
+    Offset highest_last = 0;
+    for (const auto& [id, response] : prepare_responses) {
+      if (IsCorrupted(id, response, any_has_entries))
         continue;
-      ok.push_back(id);
-      doubted += t.unconfirmed ? 1 : 0;
-      most = std::max(most, IsIncomplete(t) ? 0 : t.last);
+      eligible.push_back(id);
+      unconfirmed_count += response.unconfirmed ? 1 : 0;
+      highest_last = std::max(highest_last, IsIncomplete(response) ? 0 : response.last);
     }
-    std::size_t need = Majority(), minority = replicas.size() - need,
-                bad = prepare_responses.size() - ok.size();
-    // Up to a minority of disks may be old: those found to be so are of it.
+    std::size_t required = Majority(), minority = replicas.size() - required,
+                corrupted_count = prepare_responses.size() - eligible.size();
+    // Up to a minority of disks may be old; those found to be old are part of it.
     if (settings.distrust_restarted)
-      need += std::min(doubted, minority - std::min(minority, bad));
-    // Fewer than is known to be committed: they can't all be whole.
-    if (ok.size() < need || most < least) {
+      required += std::min(unconfirmed_count, minority - std::min(minority, corrupted_count));
+    // The tails end before what is known to be committed: not all of them can be complete.
+    if (eligible.size() < required || highest_last < known_committed) {
       if (!(settings.defect_trust_own_disk && prepare_responses.count(self)))
         return std::nullopt;
     }
-    return ok;
+    return eligible;
   }
   void ChooseTail(Ms now, const SendMessage& send) {
-    auto ok = TrustedQuorum();
-    if (!ok)
+    auto eligible = TrustedQuorum();
+    if (!eligible)
       return;
     round_open = false;
-    auto better = [&](const PrepareResponse& a, const PrepareResponse& b) {
+    auto is_better = [&](const PrepareResponse& a, const PrepareResponse& b) {
       if (settings.defect_prefer_longest_tail)
         return a.last != b.last ? a.last > b.last : a.last_token > b.last_token;
       return a.last_token != b.last_token ? a.last_token > b.last_token : a.last > b.last;
     };
-    tail_source = ok->empty() ? self : ok->front();
-    for (Id id : *ok)
+    tail_source = eligible->empty() ? self : eligible->front();
+    for (Id id : *eligible)
       if (!IsIncomplete(prepare_responses.at(id)) &&
           (IsIncomplete(prepare_responses.at(tail_source)) ||
-           better(prepare_responses.at(id), prepare_responses.at(tail_source))))
+           is_better(prepare_responses.at(id), prepare_responses.at(tail_source))))
         tail_source = id;
     if (settings.defect_trust_own_disk && prepare_responses.count(self))
       tail_source = self;
-    const PrepareResponse& t = prepare_responses.at(tail_source);
-    tail_last = t.last;
-    for (const auto& [id, o] : prepare_responses) {
-      committed = std::max(committed, o.committed);
-      compacted_up_to = std::max(compacted_up_to, o.compacted_up_to);
-      tombstone_horizon = std::max(tombstone_horizon, o.tombstone_horizon);
+    const PrepareResponse& tail = prepare_responses.at(tail_source);
+    tail_last = tail.last;
+    for (const auto& [id, reported] : prepare_responses) {
+      committed = std::max(committed, reported.committed);
+      compacted_up_to = std::max(compacted_up_to, reported.compacted_up_to);
+      tombstone_horizon = std::max(tombstone_horizon, reported.tombstone_horizon);
     }
-    // Its entries are counted from where it surely has what is committed; the best tail has all of
-    // that.
+    // The window starts at the committed offset; the best tail contains everything up to it.
     committed = std::min(committed, tail_last);
     if (settings.defect_reuse_offsets)
       tail_last = committed;
     bootstrapped = tail_last == 0;
     base = committed;
-    base_token = base == t.last ? t.last_token : 0;
+    base_token = base == tail.last ? tail.last_token : 0;
     window.clear();
     window_bytes = 0;
-    // A majority has just promised: whoever has promised with it, old or empty, counts for what we
-    // bring it.
-    for (const auto& [id, o] : prepare_responses) {
-      StartTracking(id, o);
+    // A majority has just promised: every replica that promised with it, even one that is old or
+    // empty, counts for the entries that we send it.
+    for (const auto& [id, reported] : prepare_responses) {
+      StartTracking(id, reported);
       peers.at(id).trusted = true;
     }
     phase = Phase::kFetching;
@@ -226,15 +232,15 @@
   void FetchTail(Ms now, const SendMessage& send) {
     if (LastOffset() >= tail_last)
       return RewriteTail(now, send);
-    asked_at = now;
+    requested_at = now;
     send(tail_source, FetchRequest{LastOffset(), tail_last, {}});
   }
-  void HandleFetchedTail(Ms now, const FetchResponse& f, const SendMessage& send) {
-    if (f.after != LastOffset())
+  void HandleFetchedTail(Ms now, const FetchResponse& response, const SendMessage& send) {
+    if (response.after != LastOffset())
       return;
-    if (f.after == base && f.after_token != 0)
-      base_token = f.after_token;
-    for (const Entry& e : f.entries) {
+    if (response.after == base && response.after_token != 0)
+      base_token = response.after_token;
+    for (const Entry& e : response.entries) {
       if (e.offset != LastOffset() + 1 || e.offset > tail_last)
         break;
       if (e.token > token)
@@ -251,318 +257,329 @@
     if (!window.empty())
       window.back().token = token;
     phase = window.empty() ? Phase::kServing : Phase::kRewriting;
-    for (auto& [id, p] : peers) {
-      if (!p.prepared)
+    for (auto& [id, peer] : peers) {
+      if (!peer.prepared)
         continue;
-      p.next = LastOffset() + 1;
-      p.match = 0;
-      p.probing = true;
+      peer.next = LastOffset() + 1;
+      peer.match = 0;
+      peer.probing = true;
       if (!window.empty())
-        p.next = LastOffset();
+        peer.next = LastOffset();
       SendEntries(now, id, send);
     }
   }
-  // It may have forgotten a promise to a later writer: it counts only after another round of a
-  // majority's promises. Without it, a late owner takes acknowledged offsets again, with the help
-  // of a keeper that lost its disk.
-  bool MayHaveLostPromise(Id id, const PrepareResponse& t) const {
+  // The replica may have lost a promise to a later leader writer: it counts only after another
+  // round of promises by a majority. Otherwise a former lease holder could reuse acknowledged
+  // offsets with the help of a replica that lost its disk.
+  bool MayHaveLostPromise(Id id, const PrepareResponse& response) const {
     auto w = witnessed.find(id);
-    return t.unconfirmed &&
-           (settings.distrust_restarted || t.unconfirmed_on_disk || t.last == 0 || t.corrupted ||
-            (w != witnessed.end() && HighestKnownOffset(id, t) < w->second));
+    return response.unconfirmed &&
+           (settings.distrust_restarted || response.unconfirmed_on_disk || response.last == 0 ||
+            response.corrupted ||
+            (w != witnessed.end() && HighestKnownOffset(id, response) < w->second));
   }
-  bool IsFoundCorrupted(Id id, const PrepareResponse& t) const {
+  bool IsFoundCorrupted(Id id, const PrepareResponse& response) const {
     auto w = witnessed.find(id);
-    return t.corrupted || HasOldDisk(id, t) ||
-           (w != witnessed.end() && HighestKnownOffset(id, t) < w->second);
-  }
-  // A life of a keeper is met: what it has in common with us is not known yet.
-  void StartTracking(Id id, const PrepareResponse& t) {
-    Peer& p = peers.at(id);
-    for (auto [who, upTo] : t.witnessed)
-      witnessed[who] = std::max(witnessed[who], upTo);
-    p = Peer{.prepared = true,
-             .trusted = !MayHaveLostPromise(id, t),
-             .corrupted = IsFoundCorrupted(id, t),
-             .has_gaps = !t.gaps.empty(),
-             .incomplete = IsIncomplete(t),
-             .incarnation = t.incarnation,
-             .next = std::min(t.last, LastOffset()) + 1,
-             .last = t.last};
+    return response.corrupted || HasOldDisk(id, response) ||
+           (w != witnessed.end() && HighestKnownOffset(id, response) < w->second);
+  }
+  // Starts tracking an incarnation of a replica: how far its log agrees with ours is not known yet.
+  void StartTracking(Id id, const PrepareResponse& response) {
+    Peer& peer = peers.at(id);
+    for (auto [replica, up_to] : response.witnessed)
+      witnessed[replica] = std::max(witnessed[replica], up_to);
+    peer = Peer{.prepared = true,
+                .trusted = !MayHaveLostPromise(id, response),
+                .corrupted = IsFoundCorrupted(id, response),
+                .has_gaps = !response.gaps.empty(),
+                .incomplete = IsIncomplete(response),
+                .incarnation = response.incarnation,
+                .next = std::min(response.last, LastOffset()) + 1,
+                .last = response.last};
   }
 
   // ---- writing
   void AppendToWindow(const Entry& e) {
-    window_bytes += SizeOf(e);
+    window_bytes += EncodedSize(e);
     window.push_back(e);
   }
   void TrimWindow() {
     while (!window.empty() && base < committed && window_bytes > settings.max_window_bytes / 2) {
-      window_bytes -= SizeOf(window.front());
+      window_bytes -= EncodedSize(window.front());
       base_token = window.front().token;
       ++base;
       window.pop_front();
     }
   }
-  AppendRequest MakeAppendRequest(const Peer& p, Offset after, Token after_token) const {
-    AppendRequest a;
-    a.token = token;
-    a.incarnation = p.incarnation;
-    a.after = after;
-    a.after_token = after_token;
-    a.committed = committed;
-    a.confirms = phase == Phase::kServing && p.trusted && p.match >= committed;
-    a.corrupted = p.corrupted;
-    a.compacted_up_to = compacted_up_to;
-    a.tombstone_horizon = tombstone_horizon;
-    a.min_subscriber_position = min_subscriber_position;
-    return a;
-  }
-  // Sends what is next, or looks for what is common; with nothing to send, nothing.
-  void SendEntries(Ms now, Id id, const SendMessage& send, bool beat = false) {
-    Peer& p = peers.at(id);
-    if (!p.prepared || phase < Phase::kRewriting || phase == Phase::kFenced)
+  AppendRequest MakeAppendRequest(const Peer& peer, Offset after, Token after_token) const {
+    AppendRequest request;
+    request.token = token;
+    request.incarnation = peer.incarnation;
+    request.after = after;
+    request.after_token = after_token;
+    request.committed = committed;
+    request.confirms = phase == Phase::kServing && peer.trusted && peer.match >= committed;
+    request.corrupted = peer.corrupted;
+    request.compacted_up_to = compacted_up_to;
+    request.tombstone_horizon = tombstone_horizon;
+    request.min_subscriber_position = min_subscriber_position;
+    return request;
+  }
+  // Sends the next entries, or searches for the offset up to which the logs agree; sends nothing if
+  // there is nothing to send.
+  void SendEntries(Ms now, Id id, const SendMessage& send, bool heartbeat = false) {
+    Peer& peer = peers.at(id);
+    if (!peer.prepared || phase < Phase::kRewriting || phase == Phase::kFenced)
       return;
-    if ((p.incomplete || p.needs_reset) && p.snapshot_session == 0)
-      p.next = 1;
-    if (p.next <= base || ((p.incomplete || p.needs_reset) && p.snapshot_session == 0))
+    if ((peer.incomplete || peer.needs_reset) && peer.snapshot_session == 0)
+      peer.next = 1;
+    if (peer.next <= base || ((peer.incomplete || peer.needs_reset) && peer.snapshot_session == 0))
       return FetchForReplica(now, id, send);
-    p.fetching = false;
-    for (std::size_t n = 0;; ++n) {
-      AppendRequest a = MakeAppendRequest(p, p.next - 1, TokenAt(p.next - 1));
-      if (p.snapshot_session != 0) {
-        a.from_snapshot = true;
-        a.snapshot_session = p.snapshot_session;
-        a.tombstone_horizon = p.session_horizon;
+    peer.fetching = false;
+    for (std::size_t sent = 0;; ++sent) {
+      AppendRequest request = MakeAppendRequest(peer, peer.next - 1, TokenAt(peer.next - 1));
+      if (peer.snapshot_session != 0) {
+        request.from_snapshot = true;
+        request.snapshot_session = peer.snapshot_session;
+        request.tombstone_horizon = peer.session_horizon;
       }
       std::size_t bytes = 0;
-      for (Offset o = p.next; !p.full && o <= LastOffset(); ++o) {
+      for (Offset o = peer.next; !peer.full && o <= LastOffset(); ++o) {
         const Entry& e = window[o - base - 1];
-        if (!a.entries.empty() && bytes + SizeOf(e) > settings.batch_bytes)
+        if (!request.entries.empty() && bytes + EncodedSize(e) > settings.batch_bytes)
           break;
-        bytes += SizeOf(e);
-        a.entries.push_back(e);
+        bytes += EncodedSize(e);
+        request.entries.push_back(e);
       }
-      if (a.entries.empty() && !beat && !(p.probing && n == 0))
+      if (request.entries.empty() && !heartbeat && !(peer.probing && sent == 0))
         return;
-      if (a.entries.empty() || beat) {
-        if (a.entries.empty())
-          a.plan = plan;
-        // What is known to be at others and committed: never truncated there, so whoever is behind
-        // it has lost it.
-        for (const auto& [other, o] : peers)
-          if (Offset held = std::min(o.match, committed); held != 0)
-            a.match_offsets.emplace_back(other, held);
+      if (request.entries.empty() || heartbeat) {
+        if (request.entries.empty())
+          request.plan = plan;
+        // What is known to be at other replicas and committed is never truncated there, so a
+        // replica found behind it has lost it.
+        for (const auto& [other, other_peer] : peers)
+          if (Offset match = std::min(other_peer.match, committed); match != 0)
+            request.match_offsets.emplace_back(other, match);
       }
-      beat = false;
-      p.sent_at = now;
-      if (!a.entries.empty())
-        p.next = a.entries.back().offset + 1;
-      bool more = !a.entries.empty() && !p.probing && n + 1 < kMaxBatchesInFlight;
-      send(id, a);
-      if (!more || phase == Phase::kFenced)
+      heartbeat = false;
+      peer.sent_at = now;
+      if (!request.entries.empty())
+        peer.next = request.entries.back().offset + 1;
+      bool continues = !request.entries.empty() && !peer.probing && sent + 1 < kMaxBatchesInFlight;
+      send(id, request);
+      if (!continues || phase == Phase::kFenced)
         return;
     }
   }
-  std::optional<std::pair<Id, Offset>> ChooseSource(Id not_for, Id only) {
-    std::vector<std::pair<Id, Offset>> can;
-    for (const auto& [id, p] : peers)
-      if (id != not_for && (only == 0 || id == only) && IsEligible(p) && p.match >= base &&
-          p.match != 0)
-        can.emplace_back(id, std::min(p.match, committed));
-    if (can.empty() && tail_source != not_for && tail_source != 0 &&
-        (only == 0 || only == tail_source))
-      can.emplace_back(tail_source, std::min(tail_last, committed));
-    if (can.empty())
+  std::optional<std::pair<Id, Offset>> ChooseSource(Id excluded, Id required) {
+    std::vector<std::pair<Id, Offset>> candidates;
+    for (const auto& [id, peer] : peers)
+      if (id != excluded && (required == 0 || id == required) && IsEligible(peer) &&
+          peer.match >= base && peer.match != 0)
+        candidates.emplace_back(id, std::min(peer.match, committed));
+    if (candidates.empty() && tail_source != excluded && tail_source != 0 &&
+        (required == 0 || required == tail_source))
+      candidates.emplace_back(tail_source, std::min(tail_last, committed));
+    if (candidates.empty())
       return std::nullopt;
-    return can[next_source++ % can.size()];
+    return candidates[next_source++ % candidates.size()];
   }
-  void FetchForReplica(Ms now, Id id, const SendMessage& send, Id of = 0) {
-    Peer& p = peers.at(id);
-    if (p.fetching && now < p.fetch_sent_at + settings.retry_interval)
+  void FetchForReplica(Ms now, Id id, const SendMessage& send, Id required_source = 0) {
+    Peer& peer = peers.at(id);
+    if (peer.fetching && now < peer.fetch_sent_at + settings.retry_interval)
       return;
-    auto from = ChooseSource(id, p.snapshot_session != 0 ? p.session_source : of);
-    if (!from && p.snapshot_session != 0) {
-      p.snapshot_session = 0;
-      p.next = 1;
-      from = ChooseSource(id, 0);
+    auto source =
+        ChooseSource(id, peer.snapshot_session != 0 ? peer.session_source : required_source);
+    if (!source && peer.snapshot_session != 0) {
+      peer.snapshot_session = 0;
+      peer.next = 1;
+      source = ChooseSource(id, 0);
     }
-    if (!from)
+    if (!source)
       return;
-    p.fetching = true;
-    p.fetch_after = p.next - 1;
-    p.fetch_sent_at = now;
-    send(from->first, FetchRequest{p.fetch_after, from->second, {}});
-  }
-  void RelayEntries(Ms now, Id id, Id from, const FetchResponse& f, const SendMessage& send) {
-    Peer& p = peers.at(id);
-    p.fetching = false;
-    if (f.entries.empty() || f.entries.back().offset > committed)
+    peer.fetching = true;
+    peer.fetch_after = peer.next - 1;
+    peer.fetch_sent_at = now;
+    send(source->first, FetchRequest{peer.fetch_after, source->second, {}});
+  }
+  void RelayEntries(Ms now, Id id, Id from, const FetchResponse& response,
+                    const SendMessage& send) {
+    Peer& peer = peers.at(id);
+    peer.fetching = false;
+    if (response.entries.empty() || response.entries.back().offset > committed)
       return;
-    compacted_up_to = std::max(compacted_up_to, f.compacted_up_to);
-    tombstone_horizon = std::max(tombstone_horizon, f.tombstone_horizon);
-    bool in_session = p.snapshot_session != 0 && p.session_horizon == f.tombstone_horizon &&
-                      p.session_source == from && f.after != 0;
-    if (p.snapshot_session != 0 && !in_session && f.after != 0) {
-      p.snapshot_session = 0;
-      p.next = 1;
+    compacted_up_to = std::max(compacted_up_to, response.compacted_up_to);
+    tombstone_horizon = std::max(tombstone_horizon, response.tombstone_horizon);
+    bool in_session = peer.snapshot_session != 0 &&
+                      peer.session_horizon == response.tombstone_horizon &&
+                      peer.session_source == from && response.after != 0;
+    if (peer.snapshot_session != 0 && !in_session && response.after != 0) {
+      peer.snapshot_session = 0;
+      peer.next = 1;
       return FetchForReplica(now, id, send);
     }
-    if ((f.after < f.tombstone_horizon || p.incomplete || p.needs_reset) && !in_session) {
-      // It has not heard of tombstones that are gone: only anew. It forgets what it has, which must
-      // not be missed then.
-      std::size_t others = 0;
-      for (const auto& [o, q] : peers)
-        others += o != id && IsEligible(q) && q.match >= committed ? 1 : 0;
-      if (p.last >= f.compacted_up_to && (phase != Phase::kServing || others < Majority()))
+    if ((response.after < response.tombstone_horizon || peer.incomplete || peer.needs_reset) &&
+        !in_session) {
+      // It lacks tombstones that were removed, so it must be reset from a snapshot. It then
+      // discards what it has, which must not be needed by the majority.
+      std::size_t holder_count = 0;
+      for (const auto& [other, other_peer] : peers)
+        holder_count +=
+            other != id && IsEligible(other_peer) && other_peer.match >= committed ? 1 : 0;
+      if (peer.last >= response.compacted_up_to &&
+          (phase != Phase::kServing || holder_count < Majority()))
         return;
-      p.snapshot_session = 0;
-      // Of the same source: with another in turn that has forgotten less, what it has of old is
-      // common again, in a circle for ever.
-      if (f.after != 0) {
-        p.next = 1;
+      peer.snapshot_session = 0;
+      // Fetches from the same source: with another source that has removed fewer tombstones, the
+      // old entries would agree again, and this would repeat for ever.
+      if (response.after != 0) {
+        peer.next = 1;
         return FetchForReplica(now, id, send, from);
       }
-      p.needs_reset = false;
-      p.snapshot_session = ++snapshot_session_count;
-      p.session_horizon = f.tombstone_horizon;
-      p.session_source = from;
-      p.match = 0;
+      peer.needs_reset = false;
+      peer.snapshot_session = ++snapshot_session_count;
+      peer.session_horizon = response.tombstone_horizon;
+      peer.session_source = from;
+      peer.match = 0;
     } else if (!in_session) {
-      p.snapshot_session = 0;
+      peer.snapshot_session = 0;
     }
-    AppendRequest a = MakeAppendRequest(p, f.after, f.after_token);
-    a.entries = f.entries;
-    a.compacted_up_to = f.compacted_up_to;
-    a.tombstone_horizon = f.tombstone_horizon;
-    a.from_snapshot = p.snapshot_session != 0;
-    a.snapshot_session = p.snapshot_session;
-    p.next = f.entries.back().offset + 1;
-    p.sent_at = now;
-    p.probing = true;
-    send(id, a);
+    AppendRequest request = MakeAppendRequest(peer, response.after, response.after_token);
+    request.entries = response.entries;
+    request.compacted_up_to = response.compacted_up_to;
+    request.tombstone_horizon = response.tombstone_horizon;
+    request.from_snapshot = peer.snapshot_session != 0;
+    request.snapshot_session = peer.snapshot_session;
+    peer.next = response.entries.back().offset + 1;
+    peer.sent_at = now;
+    peer.probing = true;
+    send(id, request);
   }
 
-  void HandlePrepareResponse(Ms now, Id from, const PrepareResponse& t, const SendMessage& send) {
-    if (t.token > token)
+  void HandlePrepareResponse(Ms now, Id from, const PrepareResponse& response,
+                             const SendMessage& send) {
+    if (response.token > token)
       return BecomeFenced();
-    if (t.token != token || t.round != round)
+    if (response.token != token || response.round != round)
       return;
-    Peer& p = peers.at(from);
+    Peer& peer = peers.at(from);
     if (phase == Phase::kPreparing) {
-      prepare_responses[from] = t;
+      prepare_responses[from] = response;
       return ChooseTail(now, send);
     }
     if (round_open)
-      prepare_responses[from] = t;
-    bool fresh = !p.prepared || p.incarnation != t.incarnation;
-    if (fresh)
-      StartTracking(from, t);
-    compacted_up_to = std::max(compacted_up_to, t.compacted_up_to);
-    tombstone_horizon = std::max(tombstone_horizon, t.tombstone_horizon);
-    if (!p.trusted && !round_open)
+      prepare_responses[from] = response;
+    bool is_new = !peer.prepared || peer.incarnation != response.incarnation;
+    if (is_new)
+      StartTracking(from, response);
+    compacted_up_to = std::max(compacted_up_to, response.compacted_up_to);
+    tombstone_horizon = std::max(tombstone_horizon, response.tombstone_horizon);
+    if (!peer.trusted && !round_open)
       StartPrepareRound(now, send);
     if (round_open)
       if (TrustedQuorum()) {
         round_open = false;
-        for (const auto& [id, o] : prepare_responses)
-          if (peers.at(id).incarnation == o.incarnation)
+        for (const auto& [id, reported] : prepare_responses)
+          if (peers.at(id).incarnation == reported.incarnation)
             peers.at(id).trusted = true;
         AdvanceCommitted(now, send);
       }
-    if (fresh)
+    if (is_new)
       SendEntries(now, from, send, true);
   }
   void StartPrepareRound(Ms now, const SendMessage& send) {
     ++round;
     round_open = true;
     prepare_responses.clear();
-    asked_at = now;
+    requested_at = now;
     for (Id id : replicas)
       send(id, PrepareRequest{token, round});
   }
 
-  void HandleAppendResponse(Ms now, Id from, const AppendResponse& k, const SendMessage& send) {
-    if (k.token > token)
+  void HandleAppendResponse(Ms now, Id from, const AppendResponse& response,
+                            const SendMessage& send) {
+    if (response.token > token)
       return BecomeFenced();
-    Peer& p = peers.at(from);
-    if (!p.prepared || phase < Phase::kRewriting || phase == Phase::kFenced)
+    Peer& peer = peers.at(from);
+    if (!peer.prepared || phase < Phase::kRewriting || phase == Phase::kFenced)
       return;
-    if (k.unknown_incarnation && k.incarnation != p.incarnation) {
-      witnessed[from] = std::max(witnessed[from], std::min(p.match, committed));
-      p = Peer{};
+    if (response.unknown_incarnation && response.incarnation != peer.incarnation) {
+      witnessed[from] = std::max(witnessed[from], std::min(peer.match, committed));
+      peer = Peer{};
       if (settings.distrust_restarted)
         return StartPrepareRound(now, send);
-      p.prepare_sent_at = now;
+      peer.prepare_sent_at = now;
       return send(from, PrepareRequest{token, round});
     }
-    if (k.incarnation != p.incarnation || k.token != token)
+    if (response.incarnation != peer.incarnation || response.token != token)
       return;
-    p.last = k.last;
-    p.full = k.full;
-    p.incomplete = k.incomplete;
-    if (k.needs_reset && p.snapshot_session == 0 && !p.needs_reset) {
-      p.needs_reset = true;
-      p.match = 0;
-      p.next = 1;
-      p.probing = true;
+    peer.last = response.last;
+    peer.full = response.full;
+    peer.incomplete = response.incomplete;
+    if (response.needs_reset && peer.snapshot_session == 0 && !peer.needs_reset) {
+      peer.needs_reset = true;
+      peer.match = 0;
+      peer.next = 1;
+      peer.probing = true;
     }
-    if (p.needs_reset)
-      return p.fetching ? void() : FetchForReplica(now, from, send);
-    if (k.refused) {
-      bool nearer = k.resume_after + 1 < p.next;
-      p.next = std::max(p.match, std::min(k.resume_after, LastOffset())) + 1;
-      p.probing = true;
-      if (nearer && !k.full)
+    if (peer.needs_reset)
+      return peer.fetching ? void() : FetchForReplica(now, from, send);
+    if (response.refused) {
+      bool is_lower = response.resume_after + 1 < peer.next;
+      peer.next = std::max(peer.match, std::min(response.resume_after, LastOffset())) + 1;
+      peer.probing = true;
+      if (is_lower && !response.full)
         SendEntries(now, from, send);
       return;
     }
-    p.has_gaps = !k.gaps.empty();
-    if (p.snapshot_session != 0 && !k.incomplete && k.up_to >= p.session_horizon)
-      p.snapshot_session = 0;
-    p.match = std::max(p.match, std::min(k.up_to, LastOffset()));
-    if (phase == Phase::kServing && IsEligible(p) && p.match >= committed)
-      p.corrupted = false;
-    if (!k.full)
-      p.probing = false;
-    p.next = k.full ? p.match + 1 : std::max(p.next, p.match + 1);
-    if (k.plan.up_to != 0 && phase == Phase::kServing && !p.has_gaps && !p.incomplete)
-      MergePlan(k.plan);
+    peer.has_gaps = !response.gaps.empty();
+    if (peer.snapshot_session != 0 && !response.incomplete &&
+        response.up_to >= peer.session_horizon)
+      peer.snapshot_session = 0;
+    peer.match = std::max(peer.match, std::min(response.up_to, LastOffset()));
+    if (phase == Phase::kServing && IsEligible(peer) && peer.match >= committed)
+      peer.corrupted = false;
+    if (!response.full)
+      peer.probing = false;
+    peer.next = response.full ? peer.match + 1 : std::max(peer.next, peer.match + 1);
+    if (response.plan.up_to != 0 && phase == Phase::kServing && !peer.has_gaps && !peer.incomplete)
+      MergePlan(response.plan);
     AdvanceCommitted(now, send);
-    if (phase != Phase::kFenced && !k.full)
+    if (phase != Phase::kFenced && !response.full)
       SendEntries(now, from, send);
   }
-  void MergePlan(const CompactionPlan& p) {
-    Offset up_to = std::min(p.up_to, committed == 0 ? 0 : committed - 1);
+  void MergePlan(const CompactionPlan& proposed) {
+    Offset up_to = std::min(proposed.up_to, committed == 0 ? 0 : committed - 1);
     plan.token = token;
     plan.up_to = std::max(plan.up_to, up_to);
     plan.remove_tombstones_up_to = std::max(
         plan.remove_tombstones_up_to,
-        std::min({p.remove_tombstones_up_to,
+        std::min({proposed.remove_tombstones_up_to,
                   drop_tombstones_early ? plan.up_to : min_subscriber_position, plan.up_to}));
   }
   void AdvanceCommitted(Ms now, const SendMessage& send) {
-    std::vector<Offset> at;
-    for (const auto& [id, p] : peers)
-      at.push_back(IsEligible(p) ? p.match : 0);
-    std::sort(at.begin(), at.end(), std::greater<>());
-    Offset n =
-        std::min(at[settings.defect_commit_without_majority ? 0 : Majority() - 1], LastOffset());
-    // Only by one of its own token: one of before may be at a majority and still give way to a
-    // third writer's.
-    if (n <= committed || TokenAt(n) != token)
+    std::vector<Offset> matches;
+    for (const auto& [id, peer] : peers)
+      matches.push_back(IsEligible(peer) ? peer.match : 0);
+    std::sort(matches.begin(), matches.end(), std::greater<>());
+    Offset majority_match = std::min(
+        matches[settings.defect_commit_without_majority ? 0 : Majority() - 1], LastOffset());
+    // Commits only entries of its own token: an earlier entry may be at a majority and still be
+    // replaced by a third leader writer's.
+    if (majority_match <= committed || TokenAt(majority_match) != token)
       return;
-    committed = n;
+    committed = majority_match;
     if (phase == Phase::kRewriting && committed >= LastOffset())
       phase = Phase::kServing;
-    std::vector<PendingWrite> done;
+    std::vector<PendingWrite> completed;
     while (!pending_writes.empty() && pending_writes.front().last <= committed) {
-      done.push_back(std::move(pending_writes.front()));
+      completed.push_back(std::move(pending_writes.front()));
       pending_writes.pop_front();
     }
     TrimWindow();
-    for (auto& u : done)
-      u.callback(Outcome::kAcknowledged, u.first);
+    for (auto& write : completed)
+      write.callback(Outcome::kAcknowledged, write.first);
     (void)now;
     (void)send;
   }
@@ -572,62 +589,62 @@
       case Phase::kFenced:
         return;
       case Phase::kPreparing:
-        if (now < asked_at + settings.retry_interval)
+        if (now < requested_at + settings.retry_interval)
           return;
-        asked_at = now;
+        requested_at = now;
         for (Id id : replicas)
           if (!prepare_responses.count(id))
             send(id, PrepareRequest{token, round});
-        // Enough answers that are not good enough: all are asked again, as one may have been
-        // healed.
+        // Enough responses, but not a trusted quorum: all are asked again, as one may have been
+        // repaired.
         if (prepare_responses.size() >= Majority() &&
             now >= progressed_at + 4 * settings.retry_interval)
           RestartPreparation(now);
         return;
       case Phase::kFetching:
         if (now >= progressed_at + 8 * settings.retry_interval)
-          return RestartPreparation(now);  // it has fallen silent, or has other words now
-        if (now >= asked_at + settings.retry_interval)
+          return RestartPreparation(now);  // the source is silent, or has another tail now
+        if (now >= requested_at + settings.retry_interval)
           FetchTail(now, send);
         return;
       case Phase::kRewriting:
       case Phase::kServing:
         break;
     }
-    if (round_open && now >= asked_at + settings.retry_interval) {
-      asked_at = now;
+    if (round_open && now >= requested_at + settings.retry_interval) {
+      requested_at = now;
       for (Id id : replicas)
         if (!prepare_responses.count(id))
           send(id, PrepareRequest{token, round});
     }
-    if (!round_open && now >= asked_at + 4 * settings.retry_interval)
-      for (const auto& [id, p] : peers)
-        if (p.prepared && !p.trusted) {  // brought up by now, perhaps
+    if (!round_open && now >= requested_at + 4 * settings.retry_interval)
+      for (const auto& [id, peer] : peers)
+        if (peer.prepared && !peer.trusted) {  // may have been brought up to date by now
           StartPrepareRound(now, send);
           break;
         }
-    for (auto& [id, p] : peers) {
+    for (auto& [id, peer] : peers) {
       if (phase == Phase::kFenced)
         return;
-      if (!p.prepared) {
-        if (now >= p.prepare_sent_at + settings.retry_interval && !round_open) {
-          p.prepare_sent_at = now;
+      if (!peer.prepared) {
+        if (now >= peer.prepare_sent_at + settings.retry_interval && !round_open) {
+          peer.prepare_sent_at = now;
           send(id, PrepareRequest{token, round});
         }
         continue;
       }
-      bool behind = p.match < LastOffset() || p.probing || p.incomplete;
-      if (p.fetching ? now < p.fetch_sent_at + settings.retry_interval
-                     : now < p.sent_at + (behind && !p.full ? settings.retry_interval
-                                                            : settings.heartbeat_interval))
+      bool behind = peer.match < LastOffset() || peer.probing || peer.incomplete;
+      if (peer.fetching ? now < peer.fetch_sent_at + settings.retry_interval
+                        : now < peer.sent_at + (behind && !peer.full ? settings.retry_interval
+                                                                     : settings.heartbeat_interval))
         continue;
-      p.full = false;
-      // A piece or its answer is lost: again from what it surely has; a session anew goes on from
-      // where it is.
-      if (behind && !p.fetching && !p.probing)
-        p.next = p.match + 1;
-      if (behind && p.probing && p.next > LastOffset())
-        p.next = std::min(p.next, LastOffset() + 1);
+      peer.full = false;
+      // A batch or its response was lost: sends again from what the replica certainly has. A
+      // snapshot session continues where it is.
+      if (behind && !peer.fetching && !peer.probing)
+        peer.next = peer.match + 1;
+      if (behind && peer.probing && peer.next > LastOffset())
+        peer.next = std::min(peer.next, LastOffset() + 1);
       SendEntries(now, id, send, true);
     }
   }
@@ -636,7 +653,7 @@
     ++round;
     round_open = true;
     prepare_responses.clear();
-    asked_at = -1e300;
+    requested_at = -1e300;
     progressed_at = now;
     window.clear();
     window_bytes = 0;
@@ -647,10 +664,10 @@
   }
 };
 
-LeaderWriter::LeaderWriter(Id self, std::vector<Id> keepers, LogReplicaSettings terms,
-                           LogSettings log_terms, Token token, Ms now)
-    : impl_(std::make_shared<Impl>(self, std::move(keepers), terms, token, now)) {
-  impl_->drop_tombstones_early = log_terms.defects.drop_tombstones_early;
+LeaderWriter::LeaderWriter(Id self, std::vector<Id> replicas, LogReplicaSettings settings,
+                           LogSettings log_settings, Token token, Ms now)
+    : impl_(std::make_shared<Impl>(self, std::move(replicas), settings, token, now)) {
+  impl_->drop_tombstones_early = log_settings.defects.drop_tombstones_early;
 }
 
 void LeaderWriter::Tick(Ms now, const SendMessage& send) {
@@ -658,55 +675,55 @@
 }
 
 void LeaderWriter::Receive(Ms now, Id from, const Message& m, const SendMessage& send) {
-  auto in = impl_;  // a Done may end this writer
-  if (in->phase == Phase::kFenced || !in->peers.count(from))
+  auto impl = impl_;  // a WriteCallback may destroy this writer
+  if (impl->phase == Phase::kFenced || !impl->peers.count(from))
     return;
-  if (auto* t = std::get_if<PrepareResponse>(&m)) {
-    in->HandlePrepareResponse(now, from, *t, send);
-  } else if (auto* k = std::get_if<AppendResponse>(&m)) {
-    in->HandleAppendResponse(now, from, *k, send);
-  } else if (auto* f = std::get_if<FetchResponse>(&m)) {
-    if (in->phase == Phase::kFetching) {
-      if (from == in->tail_source)
-        in->HandleFetchedTail(now, *f, send);
-    } else if (in->phase > Phase::kFetching) {
-      for (auto& [id, p] : in->peers)
-        if (p.prepared && p.fetching && p.fetch_after == f->after && id != from)
-          in->RelayEntries(now, id, from, *f, send);
+  if (auto* prepared = std::get_if<PrepareResponse>(&m)) {
+    impl->HandlePrepareResponse(now, from, *prepared, send);
+  } else if (auto* appended = std::get_if<AppendResponse>(&m)) {
+    impl->HandleAppendResponse(now, from, *appended, send);
+  } else if (auto* fetched = std::get_if<FetchResponse>(&m)) {
+    if (impl->phase == Phase::kFetching) {
+      if (from == impl->tail_source)
+        impl->HandleFetchedTail(now, *fetched, send);
+    } else if (impl->phase > Phase::kFetching) {
+      for (auto& [id, peer] : impl->peers)
+        if (peer.prepared && peer.fetching && peer.fetch_after == fetched->after && id != from)
+          impl->RelayEntries(now, id, from, *fetched, send);
     }
   }
 }
 
-bool LeaderWriter::Write(Ms now, const std::vector<Put>& batch, WriteCallback done,
+bool LeaderWriter::Write(Ms now, const std::vector<Put>& batch, WriteCallback callback,
                          const SendMessage& send, Ms at) {
-  auto in = impl_;
-  if (in->phase != Phase::kServing ||
-      in->pending_writes.size() >= in->settings.max_pending_writes || batch.empty())
+  auto impl = impl_;
+  if (impl->phase != Phase::kServing ||
+      impl->pending_writes.size() >= impl->settings.max_pending_writes || batch.empty())
     return false;
-  std::size_t bytes = 0, waiting = 0;
+  std::size_t bytes = 0, uncommitted_bytes = 0;
   for (const Put& p : batch) {
     if (p.key.empty() || p.key.size() > kMaxKeyBytes || p.value.size() > kMaxValueBytes ||
         (p.tombstone && !p.value.empty()) || static_cast<std::size_t>(p.stream) >= kStreamCount)
       return false;
     bytes += p.key.size() + p.value.size() + 40;
   }
-  for (Offset o = in->committed + 1; o <= in->LastOffset(); ++o)
-    waiting += SizeOf(in->window[o - in->base - 1]);
-  if (waiting != 0 && waiting + bytes > in->settings.max_window_bytes)
+  for (Offset o = impl->committed + 1; o <= impl->LastOffset(); ++o)
+    uncommitted_bytes += EncodedSize(impl->window[o - impl->base - 1]);
+  if (uncommitted_bytes != 0 && uncommitted_bytes + bytes > impl->settings.max_window_bytes)
     return false;
-  Offset first = in->LastOffset() + 1;
+  Offset first = impl->LastOffset() + 1;
   for (const Put& p : batch)
-    in->AppendToWindow({in->LastOffset() + 1, in->token, p.stream, p.key, p.tombstone, p.value,
-                        at >= 0 ? at : now});
-  in->pending_writes.push_back({first, in->LastOffset(), std::move(done)});
-  for (Id id : in->replicas)
-    if (!in->peers.at(id).probing)
-      in->SendEntries(now, id, send);
+    impl->AppendToWindow({impl->LastOffset() + 1, impl->token, p.stream, p.key, p.tombstone,
+                          p.value, at >= 0 ? at : now});
+  impl->pending_writes.push_back({first, impl->LastOffset(), std::move(callback)});
+  for (Id id : impl->replicas)
+    if (!impl->peers.at(id).probing)
+      impl->SendEntries(now, id, send);
   return true;
 }
 
-void LeaderWriter::SetMinSubscriberPosition(Ms, Offset least) {
-  impl_->min_subscriber_position = least;
+void LeaderWriter::SetMinSubscriberPosition(Ms, Offset position) {
+  impl_->min_subscriber_position = position;
 }
 void LeaderWriter::Stop() {
   impl_->BecomeFenced();
@@ -729,30 +746,32 @@
   return w;
 }
 std::string LeaderWriter::StateText() const {
-  const Impl& in = *impl_;
-  std::string s;
+  const Impl& impl = *impl_;
+  std::string text;
   auto add = [&](auto... v) {
-    ((s += std::to_string(v) + ' '), ...);
+    ((text += std::to_string(v) + ' '), ...);
   };
-  add(in.token, static_cast<int>(in.phase), in.round, in.round_open, in.tail_source, in.tail_last,
-      in.base, in.committed, in.base_token, in.compacted_up_to, in.tombstone_horizon, in.plan.up_to,
-      in.snapshot_session_count, in.bootstrapped);
-  for (const auto& [id, p] : in.peers)
-    add(id, p.prepared, p.trusted, p.corrupted, p.has_gaps, p.incomplete, p.full, p.probing,
-        p.incarnation, p.match, p.next, p.last, p.fetching, p.fetch_after, p.snapshot_session);
-  for (const auto& [id, t] : in.prepare_responses)
-    add(id, t.incarnation, t.last, t.last_token, t.committed, t.unconfirmed, t.unconfirmed_on_disk,
-        t.corrupted, t.witnessed.size());
-  for (const Entry& e : in.window)
+  add(impl.token, static_cast<int>(impl.phase), impl.round, impl.round_open, impl.tail_source,
+      impl.tail_last, impl.base, impl.committed, impl.base_token, impl.compacted_up_to,
+      impl.tombstone_horizon, impl.plan.up_to, impl.snapshot_session_count, impl.bootstrapped);
+  for (const auto& [id, peer] : impl.peers)
+    add(id, peer.prepared, peer.trusted, peer.corrupted, peer.has_gaps, peer.incomplete, peer.full,
+        peer.probing, peer.incarnation, peer.match, peer.next, peer.last, peer.fetching,
+        peer.fetch_after, peer.snapshot_session);
+  for (const auto& [id, response] : impl.prepare_responses)
+    add(id, response.incarnation, response.last, response.last_token, response.committed,
+        response.unconfirmed, response.unconfirmed_on_disk, response.corrupted,
+        response.witnessed.size());
+  for (const Entry& e : impl.window)
     add(e.offset, e.token, Digest(e));
-  for (const auto& u : in.pending_writes)
-    add(u.first, u.last);
-  return s;
+  for (const auto& write : impl.pending_writes)
+    add(write.first, write.last);
+  return text;
 }
 std::map<Id, Offset> LeaderWriter::MatchOffsets() const {
   std::map<Id, Offset> out;
-  for (const auto& [id, p] : impl_->peers)
-    out[id] = p.match;
+  for (const auto& [id, peer] : impl_->peers)
+    out[id] = peer.match;
   return out;
 }
 
