--- a/src/record/replica.cpp
+++ b/src/record/replica.cpp
@@ -5,32 +5,33 @@
 
 namespace dunlinwick::record {
 
-ReplicaHost::ReplicaHost(Id self, std::vector<Id> replicas, ReplicaHostSettings terms,
-                         OpenStorage open_disk, std::uint64_t new_store, Ms now, LogLine say)
+ReplicaHost::ReplicaHost(Id self, std::vector<Id> replicas, ReplicaHostSettings settings,
+                         OpenStorage open_storage, std::uint64_t new_store_id, Ms now,
+                         LogLine log_line)
     : self_(self),
       replicas_(std::move(replicas)),
-      settings_(std::move(terms)),
-      open_storage_(std::move(open_disk)),
-      new_store_id_(new_store),
-      log_line_(std::move(say)) {
+      settings_(std::move(settings)),
+      open_storage_(std::move(open_storage)),
+      new_store_id_(new_store_id),
+      log_line_(std::move(log_line)) {
   Open(now);
 }
 
 void ReplicaHost::Open(Ms now) {
   try {
     storage_ = open_storage_();
-    // A folder emptied meanwhile is another store than the one before.
-    std::uint64_t new_store = new_store_id_ ^ static_cast<std::uint64_t>(now);
-    log_ = std::make_unique<Log>(self_, settings_.log, *storage_, new_store);
-  } catch (const StorageError& fault) {
-    return Close(now, std::string("record store not used: ") + fault.what());
+    // If the folder was emptied meanwhile, the storage is a new one with an id of its own.
+    std::uint64_t new_store_id = new_store_id_ ^ static_cast<std::uint64_t>(now);
+    log_ = std::make_unique<Log>(self_, settings_.log, *storage_, new_store_id);
+  } catch (const StorageError& error) {
+    return Close(now, std::string("record store not used: ") + error.what());
   }
   metadata_at_opening_ = log_->metadata();
   incarnation_ = std::max(incarnation_ + 1, static_cast<std::uint64_t>(now));
   replica_ = std::make_unique<LogReplica>(self_, replicas_, settings_.replica, *log_, incarnation_);
   server_ = std::make_unique<SubscriptionServer>(*log_, settings_.subscriber, now);
   if (replica_->has_failed())
-    return Close(now, "record keeper failed: its disk refused a write");
+    return Close(now, "record log replica failed: its disk refused a write");
   if (std::exchange(is_failure_logged_, false))
     log_line_("record store used again");
 }
@@ -52,19 +53,19 @@
     return;
   replica_->Receive(now, from, message, send);
   if (replica_->has_failed())
-    return Close(now, "record keeper failed: its disk refused a write");
+    return Close(now, "record log replica failed: its disk refused a write");
   if (const auto* append = std::get_if<AppendRequest>(&message))
     NoteAppend(now, from, *append);
 }
 
 void ReplicaHost::NoteAppend(Ms now, Id from, const AppendRequest& append) {
-  const LogMetadata& head = log_->metadata();
-  if (append.token < head.promised_token)
+  const LogMetadata& metadata = log_->metadata();
+  if (append.token < metadata.promised_token)
     return;
   last_leader_ = from;
-  // One that could not take what the writer calls committed (no room, not brought up yet) must not
-  // pass for current: a subscriber would miss recalls that are acknowledged.
-  if (head.committed >= append.committed)
+  // A replica that could not store what the leader writer calls committed (no space, not up to date
+  // yet) must not be taken for current: a subscriber would miss acknowledged recalls.
+  if (metadata.committed >= append.committed)
     current_at_ = now;
 }
 
@@ -76,14 +77,14 @@
   }
   replica_->Tick(now, send, now);
   if (replica_->has_failed())
-    Close(now, "record keeper failed: its disk refused a write");
+    Close(now, "record log replica failed: its disk refused a write");
 }
 
 std::optional<SubscriptionResponse> ReplicaHost::HandleSubscription(
-    Ms now, const SubscriptionRequest& want) {
+    Ms now, const SubscriptionRequest& request) {
   if (!IsOpen())
     return std::nullopt;
-  return server_->HandleRequest(now, want, static_cast<std::uint64_t>(now - current_at_));
+  return server_->HandleRequest(now, request, static_cast<std::uint64_t>(now - current_at_));
 }
 
 Offset ReplicaHost::Committed() const {
--- a/src/record/subscribers.cpp
+++ b/src/record/subscribers.cpp
@@ -11,107 +11,108 @@
 
 namespace {
 constexpr std::size_t kMaxPositions = 65536;
-std::size_t SizeOf(const Entry& e) {
+std::size_t EncodedSize(const Entry& e) {
   return e.key.size() + e.value.size() + 40;
 }
 }  // namespace
 
-std::uint64_t Digest(const SubscriptionResponse& p) {
+std::uint64_t Digest(const SubscriptionResponse& response) {
   std::string bytes;
-  auto number = [&](std::uint64_t v) {
-    for (int k = 0; k < 8; ++k)
-      bytes.push_back(static_cast<char>(v >> (8 * k)));
+  auto add_number = [&](std::uint64_t value) {
+    for (int byte = 0; byte < 8; ++byte)
+      bytes.push_back(static_cast<char>(value >> (8 * byte)));
   };
-  number(p.sequence);
-  number(p.after);
-  number(p.up_to);
-  number(p.committed);
-  number(p.snapshot_end);
-  number(p.tombstone_horizon);
-  number(p.leader_silence_ms);
-  number(p.start_over);
-  for (const Entry& e : p.entries)
-    number(Digest(e));
+  add_number(response.sequence);
+  add_number(response.after);
+  add_number(response.up_to);
+  add_number(response.committed);
+  add_number(response.snapshot_end);
+  add_number(response.tombstone_horizon);
+  add_number(response.leader_silence_ms);
+  add_number(response.start_over);
+  for (const Entry& e : response.entries)
+    add_number(Digest(e));
   return XXH64(bytes.data(), bytes.size(), 1);
 }
 
-std::string Encode(const SubscriberMessage& s) {
-  proto::record::Message m;
-  if (const auto* w = std::get_if<SubscriptionRequest>(&s)) {
-    auto* to = m.mutable_want();
-    to->set_subscriber(w->subscriber);
-    to->set_life(w->incarnation);
-    to->set_number(w->sequence);
-    to->set_after(w->after);
-    to->set_streams(w->stream_mask);
-    to->set_clean(w->clean_horizon);
-  } else if (const auto* p = std::get_if<SubscriptionResponse>(&s)) {
-    auto* to = m.mutable_piece();
-    to->set_number(p->sequence);
-    to->set_after(p->after);
-    to->set_up_to(p->up_to);
-    to->set_committed(p->committed);
-    to->set_snapshot(p->snapshot_end);
-    to->set_forgotten(p->tombstone_horizon);
-    to->set_age(p->leader_silence_ms);
-    to->set_start_over(p->start_over);
-    to->set_digest(p->digest);
-    for (const Entry& e : p->entries)
-      ToProto(e, to->add_entries());
+std::string Encode(const SubscriberMessage& message) {
+  proto::record::Message encoded;
+  if (const auto* request = std::get_if<SubscriptionRequest>(&message)) {
+    auto* out = encoded.mutable_want();
+    out->set_subscriber(request->subscriber);
+    out->set_life(request->incarnation);
+    out->set_number(request->sequence);
+    out->set_after(request->after);
+    out->set_streams(request->stream_mask);
+    out->set_clean(request->clean_horizon);
+  } else if (const auto* response = std::get_if<SubscriptionResponse>(&message)) {
+    auto* out = encoded.mutable_piece();
+    out->set_number(response->sequence);
+    out->set_after(response->after);
+    out->set_up_to(response->up_to);
+    out->set_committed(response->committed);
+    out->set_snapshot(response->snapshot_end);
+    out->set_forgotten(response->tombstone_horizon);
+    out->set_age(response->leader_silence_ms);
+    out->set_start_over(response->start_over);
+    out->set_digest(response->digest);
+    for (const Entry& e : response->entries)
+      ToProto(e, out->add_entries());
   } else {
-    auto* to = m.mutable_lease();
-    for (const auto& [id, offset] : std::get<LeasedPositions>(s).positions) {
-      auto* one = to->add_positions();
-      one->set_subscriber(id);
-      one->set_offset(offset);
+    auto* out = encoded.mutable_lease();
+    for (const auto& [id, offset] : std::get<LeasedPositions>(message).positions) {
+      auto* position = out->add_positions();
+      position->set_subscriber(id);
+      position->set_offset(offset);
     }
   }
-  return m.SerializeAsString();
+  return encoded.SerializeAsString();
 }
 
 std::optional<SubscriberMessage> DecodeSubscriberMessage(std::span<const char> bytes) {
-  proto::record::Message m;
-  if (bytes.size() > (1u << 20) || !m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+  proto::record::Message message;
+  if (bytes.size() > (1u << 20) ||
+      !message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return std::nullopt;
-  if (m.has_want()) {
-    const auto& w = m.want();
+  if (message.has_want()) {
+    const auto& w = message.want();
     if (w.subscriber() == 0 || w.number() == 0 || w.streams() == 0)
       return std::nullopt;
     return SubscriptionRequest{w.subscriber(), w.life(),    w.number(),
                                w.after(),      w.streams(), w.clean()};
   }
-  if (m.has_piece()) {
-    const auto& w = m.piece();
-    SubscriptionResponse p;
-    p.sequence = w.number();
-    p.after = w.after();
-    p.up_to = w.up_to();
-    p.committed = w.committed();
-    p.snapshot_end = w.snapshot();
-    p.tombstone_horizon = w.forgotten();
-    p.leader_silence_ms = w.age();
-    p.start_over = w.start_over();
-    p.digest = w.digest();
-    for (const auto& one : w.entries()) {
-      auto e = FromProto(one);
+  if (message.has_piece()) {
+    const auto& w = message.piece();
+    SubscriptionResponse response;
+    response.sequence = w.number();
+    response.after = w.after();
+    response.up_to = w.up_to();
+    response.committed = w.committed();
+    response.snapshot_end = w.snapshot();
+    response.tombstone_horizon = w.forgotten();
+    response.leader_silence_ms = w.age();
+    response.start_over = w.start_over();
+    response.digest = w.digest();
+    for (const auto& entry : w.entries()) {
+      auto e = FromProto(entry);
       if (!e)
         return std::nullopt;
-      p.entries.push_back(std::move(*e));
+      response.entries.push_back(std::move(*e));
     }
-    return p;
+    return response;
   }
-  if (m.has_lease()) {
-    if (m.lease().positions_size() > static_cast<int>(kMaxPositions))
+  if (message.has_lease()) {
+    if (message.lease().positions_size() > static_cast<int>(kMaxPositions))
       return std::nullopt;
-    LeasedPositions l;
-    for (const auto& one : m.lease().positions())
-      l.positions.emplace_back(one.subscriber(), one.offset());
-    return l;
+    LeasedPositions leased;
+    for (const auto& position : message.lease().positions())
+      leased.positions.emplace_back(position.subscriber(), position.offset());
+    return leased;
   }
   return std::nullopt;
 }
 
-// ---- a keeper's side
+// ---- a replica's side
 
 struct SubscriptionServer::Impl {
   struct Subscription {
@@ -129,98 +130,102 @@
     for (auto i = subscriptions.begin(); i != subscriptions.end();)
       i = i->second.lease_ends_at <= now ? subscriptions.erase(i) : std::next(i);
   }
-  // From `after` to `limit`, the streams asked for: how far it came goes into the piece.
-  void FillResponse(SubscriptionResponse& p, Offset limit, std::uint32_t mask) const {
+  // Adds the entries of the requested streams up to `limit`; the response's `up_to` tells how far
+  // it got.
+  void FillResponse(SubscriptionResponse& response, Offset limit, std::uint32_t stream_mask) const {
     std::size_t used = 0;
-    for (int reads = 0; reads < 8 && p.up_to < limit;
+    for (int reads = 0; reads < 8 && response.up_to < limit;
          ++reads) {  // a few, where most are of other streams
-      Offset reached = p.up_to;
-      std::vector<Entry> some = log.Read(p.up_to, limit, settings.batch_bytes, &reached);
-      for (Entry& e : some) {
-        if ((mask >> static_cast<unsigned>(e.stream) & 1) == 0)
+      Offset reached = response.up_to;
+      std::vector<Entry> batch = log.Read(response.up_to, limit, settings.batch_bytes, &reached);
+      for (Entry& e : batch) {
+        if ((stream_mask >> static_cast<unsigned>(e.stream) & 1) == 0)
           continue;
-        if (!p.entries.empty() && used + SizeOf(e) > settings.batch_bytes) {
-          p.up_to = e.offset - 1;
+        if (!response.entries.empty() && used + EncodedSize(e) > settings.batch_bytes) {
+          response.up_to = e.offset - 1;
           return;
         }
-        used += SizeOf(e);
-        p.entries.push_back(std::move(e));
+        used += EncodedSize(e);
+        response.entries.push_back(std::move(e));
       }
-      if (reached == p.up_to)
-        return;  // a hole
-      p.up_to = reached;
+      if (reached == response.up_to)
+        return;  // a gap
+      response.up_to = reached;
     }
   }
 };
 
-SubscriptionServer::SubscriptionServer(Log& log, SubscriberSettings terms, Ms)
-    : impl_(std::make_shared<Impl>(Impl{log, terms, {}})) {}
+SubscriptionServer::SubscriptionServer(Log& log, SubscriberSettings settings, Ms)
+    : impl_(std::make_shared<Impl>(Impl{log, settings, {}})) {}
 
-std::optional<SubscriptionResponse> SubscriptionServer::HandleRequest(Ms now,
-                                                                      const SubscriptionRequest& w,
-                                                                      std::uint64_t age) {
-  Impl& in = *impl_;
-  if (!in.log.IsComplete())
+std::optional<SubscriptionResponse> SubscriptionServer::HandleRequest(
+    Ms now, const SubscriptionRequest& request, std::uint64_t leader_silence_ms) {
+  Impl& impl = *impl_;
+  if (!impl.log.IsComplete())
     return std::nullopt;
-  in.RemoveExpired(now);
-  auto i = in.subscriptions.find(w.subscriber);
-  if (i == in.subscriptions.end()) {
-    if (in.subscriptions.size() >= in.settings.max_subscribers)
+  impl.RemoveExpired(now);
+  auto i = impl.subscriptions.find(request.subscriber);
+  if (i == impl.subscriptions.end()) {
+    if (impl.subscriptions.size() >= impl.settings.max_subscribers)
       return std::nullopt;
-    i = in.subscriptions.emplace(w.subscriber, Impl::Subscription{}).first;
-  } else if (w.incarnation < i->second.incarnation ||
-             (w.incarnation == i->second.incarnation && w.sequence <= i->second.sequence)) {
+    i = impl.subscriptions.emplace(request.subscriber, Impl::Subscription{}).first;
+  } else if (request.incarnation < i->second.incarnation ||
+             (request.incarnation == i->second.incarnation &&
+              request.sequence <= i->second.sequence)) {
     return std::nullopt;
   }
-  Impl::Subscription& one = i->second;
-  if (one.incarnation != w.incarnation)
-    one = {};
-  const LogMetadata& head = in.log.metadata();
-  one.incarnation = w.incarnation;
-  one.sequence = w.sequence;
-  one.position = w.after;
-  one.lease_ends_at = now + in.settings.lease;
-  SubscriptionResponse p;
-  p.sequence = w.sequence;
-  p.after = p.up_to = w.after;
-  p.committed = head.committed;
-  p.tombstone_horizon = head.tombstone_horizon;
-  p.leader_silence_ms = age;
-  if (w.after == 0) {
-    one.snapshot_end = head.committed;
-  } else if (w.after < head.tombstone_horizon && w.clean_horizon < head.tombstone_horizon &&
-             !in.settings.defects.resume_behind_horizon) {
-    // Whatever became of its lease: it may hold what a tombstone that is no more took away. (One
-    // that began after that was let go may well be below it still: a record's oldest live entries
-    // are, and it never saw what was hidden.)
-    p.start_over = true;
-    one.position = 0;
-    one.snapshot_end = 0;
+  Impl::Subscription& subscription = i->second;
+  if (subscription.incarnation != request.incarnation)
+    subscription = {};
+  const LogMetadata& metadata = impl.log.metadata();
+  subscription.incarnation = request.incarnation;
+  subscription.sequence = request.sequence;
+  subscription.position = request.after;
+  subscription.lease_ends_at = now + impl.settings.lease;
+  SubscriptionResponse response;
+  response.sequence = request.sequence;
+  response.after = response.up_to = request.after;
+  response.committed = metadata.committed;
+  response.tombstone_horizon = metadata.tombstone_horizon;
+  response.leader_silence_ms = leader_silence_ms;
+  if (request.after == 0) {
+    subscription.snapshot_end = metadata.committed;
+  } else if (request.after < metadata.tombstone_horizon &&
+             request.clean_horizon < metadata.tombstone_horizon &&
+             !impl.settings.defects.resume_behind_horizon) {
+    // Whatever became of its lease, it may hold a value that a removed tombstone deleted. (A
+    // subscriber that began after the tombstone was removed may well be below the horizon: the
+    // record's oldest live entries are, and it never saw the hidden value.)
+    response.start_over = true;
+    subscription.position = 0;
+    subscription.snapshot_end = 0;
   }
-  if (!p.start_over) {
-    bool joins = w.after < one.snapshot_end;
-    if (joins)
-      p.snapshot_end = one.snapshot_end;
-    in.FillResponse(p, joins ? one.snapshot_end : head.committed, w.stream_mask);
-    if (in.settings.defects.gap_after_snapshot && joins && p.up_to == one.snapshot_end)
-      p.up_to = head.committed;
+  if (!response.start_over) {
+    bool reads_snapshot = request.after < subscription.snapshot_end;
+    if (reads_snapshot)
+      response.snapshot_end = subscription.snapshot_end;
+    impl.FillResponse(response, reads_snapshot ? subscription.snapshot_end : metadata.committed,
+                      request.stream_mask);
+    if (impl.settings.defects.gap_after_snapshot && reads_snapshot &&
+        response.up_to == subscription.snapshot_end)
+      response.up_to = metadata.committed;
   }
-  p.digest = Digest(p);
-  return p;
+  response.digest = Digest(response);
+  return response;
 }
 
 LeasedPositions SubscriptionServer::ActivePositions(Ms now) const {
-  LeasedPositions l;
-  for (const auto& [id, one] : impl_->subscriptions)
-    if (one.lease_ends_at > now)
-      l.positions.emplace_back(id, one.position);
-  return l;
+  LeasedPositions leased;
+  for (const auto& [id, subscription] : impl_->subscriptions)
+    if (subscription.lease_ends_at > now)
+      leased.positions.emplace_back(id, subscription.position);
+  return leased;
 }
 Offset SubscriptionServer::MinPosition(Ms now) const {
-  Offset least = impl_->log.metadata().committed;
+  Offset lowest = impl_->log.metadata().committed;
   for (const auto& [id, offset] : ActivePositions(now).positions)
-    least = std::min(least, offset);
-  return least;
+    lowest = std::min(lowest, offset);
+  return lowest;
 }
 
 // ---- the subscriber's side
@@ -230,7 +235,7 @@
   std::uint64_t incarnation;
   std::vector<Id> replicas;
   SubscriberSettings settings;
-  std::size_t replica_index = 0;  // of keepers: the one asked
+  std::size_t replica_index = 0;  // the replica that requests are sent to
   Offset position = 0;
   Offset committed = 0;
   Offset snapshot_end = 0;
@@ -241,7 +246,7 @@
   bool is_waiting = false;
   bool has_response = false;
   Ms due_at = 0;
-  Ms asked_at = 0;
+  Ms request_sent_at = 0;
   Ms current_as_of = -1;
 
   void SelectNextReplica() {
@@ -250,103 +255,106 @@
   bool IsCaughtUp() const {
     return has_response && position >= committed && position >= snapshot_end;
   }
-  void SendRequest(Ms now, const Callbacks& out) {
+  void SendRequest(Ms now, const Callbacks& callbacks) {
     if (replicas.empty())
       return;
-    SubscriptionRequest w;
-    w.subscriber = self;
-    w.incarnation = incarnation;
-    w.sequence = ++sequence;
-    w.after = position;
-    w.clean_horizon = clean_horizon;
+    SubscriptionRequest request;
+    request.subscriber = self;
+    request.incarnation = incarnation;
+    request.sequence = ++sequence;
+    request.after = position;
+    request.clean_horizon = clean_horizon;
     is_waiting = true;
-    asked_at = now;
+    request_sent_at = now;
     due_at = now + settings.retry_interval;
-    out.send_request(replicas[replica_index], w);
+    callbacks.send_request(replicas[replica_index], request);
   }
-  bool IsValid(const SubscriptionResponse& p) const {
-    if (p.after != position || p.up_to < p.after)
+  bool IsValid(const SubscriptionResponse& response) const {
+    if (response.after != position || response.up_to < response.after)
       return false;
-    if (!settings.defects.skip_digest_check && Digest(p) != p.digest)
+    if (!settings.defects.skip_digest_check && Digest(response) != response.digest)
       return false;
-    Offset before = p.after;
-    for (const Entry& e : p.entries) {
-      if (e.offset <= before || e.offset > p.up_to)
+    Offset previous = response.after;
+    for (const Entry& e : response.entries) {
+      if (e.offset <= previous || e.offset > response.up_to)
         return false;
-      before = e.offset;
+      previous = e.offset;
     }
     return true;
   }
 };
 
-Subscriber::Subscriber(std::uint64_t self, std::uint64_t life, std::vector<Id> keepers,
-                       SubscriberSettings terms, Offset at, std::uint64_t seed, Ms now)
+Subscriber::Subscriber(std::uint64_t self, std::uint64_t incarnation, std::vector<Id> replicas,
+                       SubscriberSettings settings, Offset position, std::uint64_t seed, Ms now)
     : impl_(std::make_shared<Impl>()) {
-  Impl& in = *impl_;
-  in.self = self;
-  in.incarnation = life;
-  in.replicas = std::move(keepers);
-  in.settings = terms;
-  in.position = at;
-  in.due_at = now;
-  std::knuth_b chance(seed);
-  if (!in.replicas.empty())
-    in.replica_index = chance() % in.replicas.size();
+  Impl& impl = *impl_;
+  impl.self = self;
+  impl.incarnation = incarnation;
+  impl.replicas = std::move(replicas);
+  impl.settings = settings;
+  impl.position = position;
+  impl.due_at = now;
+  std::knuth_b random_engine(seed);
+  if (!impl.replicas.empty())
+    impl.replica_index = random_engine() % impl.replicas.size();
 }
 
-void Subscriber::Tick(Ms now, const Callbacks& out) {
-  Impl& in = *impl_;
-  if (now < in.due_at)
+void Subscriber::Tick(Ms now, const Callbacks& callbacks) {
+  Impl& impl = *impl_;
+  if (now < impl.due_at)
     return;
-  if (in.is_waiting)
-    in.SelectNextReplica();
-  in.SendRequest(now, out);
+  if (impl.is_waiting)
+    impl.SelectNextReplica();
+  impl.SendRequest(now, callbacks);
 }
 
-void Subscriber::Receive(Ms now, Id from, const SubscriptionResponse& p, const Callbacks& out) {
-  Impl& in = *impl_;
-  if (!in.is_waiting || p.sequence != in.sequence || in.replicas[in.replica_index] != from)
-    return;  // late, or a second copy
-  if (!in.IsValid(p)) {
-    // Still waiting: the next one is asked, and not at once, since this one may garble all.
-    ++in.rejected_responses;
-    in.due_at = std::min(in.due_at, now + in.settings.poll_interval);
+void Subscriber::Receive(Ms now, Id from, const SubscriptionResponse& response,
+                         const Callbacks& callbacks) {
+  Impl& impl = *impl_;
+  if (!impl.is_waiting || response.sequence != impl.sequence ||
+      impl.replicas[impl.replica_index] != from)
+    return;  // a delayed response or a duplicate
+  if (!impl.IsValid(response)) {
+    // Keeps waiting and asks the next replica, but not immediately: this one may corrupt every
+    // response.
+    ++impl.rejected_responses;
+    impl.due_at = std::min(impl.due_at, now + impl.settings.poll_interval);
     return;
   }
-  in.is_waiting = false;
-  if (p.start_over) {
-    in.position = in.snapshot_end = in.clean_horizon = 0;
-    in.has_response = false;
-    if (out.on_start_over)
-      out.on_start_over();
-    in.SendRequest(now, out);
+  impl.is_waiting = false;
+  if (response.start_over) {
+    impl.position = impl.snapshot_end = impl.clean_horizon = 0;
+    impl.has_response = false;
+    if (callbacks.on_start_over)
+      callbacks.on_start_over();
+    impl.SendRequest(now, callbacks);
     return;
   }
-  in.has_response = true;
-  if (in.position == 0) {
-    in.snapshot_end = p.snapshot_end;
-    in.clean_horizon = p.tombstone_horizon;
+  impl.has_response = true;
+  if (impl.position == 0) {
+    impl.snapshot_end = response.snapshot_end;
+    impl.clean_horizon = response.tombstone_horizon;
   }
-  in.clean_horizon = std::min(in.clean_horizon, p.tombstone_horizon);
-  in.committed = std::max(in.committed, p.committed);
-  bool moved = p.up_to > in.position;
-  in.position = p.up_to;
-  for (const Entry& e : p.entries) {
-    in.received_bytes += SizeOf(e);
-    out.on_entry(e);
+  impl.clean_horizon = std::min(impl.clean_horizon, response.tombstone_horizon);
+  impl.committed = std::max(impl.committed, response.committed);
+  bool moved = response.up_to > impl.position;
+  impl.position = response.up_to;
+  for (const Entry& e : response.entries) {
+    impl.received_bytes += EncodedSize(e);
+    callbacks.on_entry(e);
   }
-  if (in.IsCaughtUp()) {
-    if (p.committed >= in.committed)
-      in.current_as_of =
-          std::max(in.current_as_of, in.asked_at - static_cast<Ms>(p.leader_silence_ms));
-    if (static_cast<Ms>(p.leader_silence_ms) > in.settings.max_leader_silence)
-      in.SelectNextReplica();
-    in.due_at = now + in.settings.poll_interval;
+  if (impl.IsCaughtUp()) {
+    if (response.committed >= impl.committed)
+      impl.current_as_of = std::max(
+          impl.current_as_of, impl.request_sent_at - static_cast<Ms>(response.leader_silence_ms));
+    if (static_cast<Ms>(response.leader_silence_ms) > impl.settings.max_leader_silence)
+      impl.SelectNextReplica();
+    impl.due_at = now + impl.settings.poll_interval;
   } else if (moved) {
-    in.SendRequest(now, out);
-  } else {  // behind the others, or at a hole
-    in.SelectNextReplica();
-    in.due_at = now + in.settings.poll_interval;
+    impl.SendRequest(now, callbacks);
+  } else {  // behind the other replicas, or at a gap
+    impl.SelectNextReplica();
+    impl.due_at = now + impl.settings.poll_interval;
   }
 }
 
--- a/src/store/environment.hpp
+++ b/src/store/environment.hpp
@@ -1,5 +1,5 @@
-/// One LMDB environment with its one table in a folder: opened with what a full or failing disk
-/// asks for, closed with its owner. One process at a time, one environment a folder.
+/// An LMDB environment with a single table in a folder. Opening handles full and failing disks; the
+/// destructor closes it. One process at a time, one environment per folder.
 #pragma once
 #include <fcntl.h>
 #include <lmdb.h>
@@ -12,13 +12,13 @@
 
 namespace dunlinwick::store {
 
-/// Where opening ended: `code` is 0, an errno or a fault of LMDB.
+/// The last step of opening: `code` is 0, an errno or an LMDB error code.
 struct OpenResult {
   const char* step = "";
   int code = 0;
 };
 
-/// The readable text of an errno or a fault of LMDB.
+/// The text of an errno or an LMDB error code.
 inline std::string ErrorText(int code) {
   return code > 0 ? std::strerror(code) : mdb_strerror(code);
 }
@@ -33,37 +33,37 @@
   LmdbEnvironment(const LmdbEnvironment&) = delete;
   LmdbEnvironment& operator=(const LmdbEnvironment&) = delete;
 
-  /// Makes the folder where it is not there. Called once; after a fault the object is of no further
-  /// use.
+  /// Creates the folder if it does not exist. Called once; after an error the object must not be
+  /// used.
   OpenResult Open(const std::string& folder, std::size_t map_bytes) {
     bool is_new = ::mkdir(folder.c_str(), 0700) == 0;
     if (!is_new && errno != EEXIST)
-      return {"can't be made", errno};
+      return {"cannot be created", errno};
     if (int code = DiscardUnfinished(folder + "/data.mdb"); code != 0)
-      return {"can't be looked at", code};
+      return {"cannot be inspected", code};
     if (int code = ReserveLockFile(folder + "/lock.mdb"); code != 0)
-      return {"has no room for its lock", code};
+      return {"no space for the lock file", code};
     if (int code = mdb_env_create(&env_); code != 0)
-      return {"no environment", code};
+      return {"cannot create an LMDB environment", code};
     if (int code = mdb_env_set_mapsize(env_, map_bytes); code != 0)
-      return {"can't be set up", code};
+      return {"cannot set the map size", code};
     if (int code = mdb_env_open(env_, folder.c_str(), 0, 0600); code != 0)
-      return {"can't be opened", code};
-    // LMDB syncs its file, not the names that lead to it.
+      return {"cannot be opened", code};
+    // LMDB syncs its file, but not the directory entries that lead to it.
     if (int code = SyncFolder(folder); code != 0)
-      return {"can't be kept", code};
+      return {"cannot be synced", code};
     if (is_new) {
       if (int code = SyncFolder(folder + "/.."); code != 0)
-        return {"can't be kept", code};
+        return {"cannot be synced", code};
     }
     MDB_txn* txn = nullptr;
     if (int code = mdb_txn_begin(env_, nullptr, 0, &txn); code != 0)
-      return {"no transaction", code};
+      return {"cannot begin a transaction", code};
     if (int code = mdb_dbi_open(txn, nullptr, 0, &table_); code != 0) {
       mdb_txn_abort(txn);
-      return {"can't be opened", code};
+      return {"cannot be opened", code};
     }
-    return {"can't be kept", mdb_txn_commit(txn)};
+    return {"cannot be committed", mdb_txn_commit(txn)};
   }
   MDB_env* handle() const {
     return env_;
@@ -73,8 +73,8 @@
   }
 
  private:
-  /// A file shorter than LMDB's two head pages was never begun whole (a full disk, a kill): no
-  /// transaction can be in it, and LMDB would refuse it for ever.
+  /// A file shorter than LMDB's two meta pages was never completely created (a full disk, a kill).
+  /// It cannot contain a transaction, and LMDB would reject it for ever.
   static int DiscardUnfinished(const std::string& path) {
     struct stat file {};
     if (::stat(path.c_str(), &file) != 0)
@@ -83,8 +83,8 @@
       return 0;
     return ::truncate(path.c_str(), 0) == 0 ? 0 : errno;
   }
-  /// LMDB maps its lock file; on a full disk the first touch of a page that has no block would end
-  /// the process (SIGBUS).
+  /// LMDB maps its lock file. On a full disk the first access to a page without an allocated block
+  /// would kill the process (SIGBUS).
   static int ReserveLockFile(const std::string& path) {
     constexpr off_t kLockBytes = 8192;
     int descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
@@ -97,7 +97,7 @@
   static int SyncFolder(const std::string& path) {
     int descriptor = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (descriptor < 0)
-      return errno == EACCES ? 0 : errno;  // one that may be passed through, not read
+      return errno == EACCES ? 0 : errno;  // a folder that may be traversed but not read
     int code = ::fsync(descriptor) == 0 ? 0 : errno;
     ::close(descriptor);
     return code;
--- a/src/store/lasting_floors.cpp
+++ b/src/store/lasting_floors.cpp
@@ -6,39 +6,40 @@
 
 namespace dunlinwick::store {
 
-DurableMinimums::DurableMinimums(OpenStorage open_disk, LogLine say)
-    : open_storage_(std::move(open_disk)), log_line_(std::move(say)) {}
+DurableMinimums::DurableMinimums(OpenStorage open_storage, LogLine log_line)
+    : open_storage_(std::move(open_storage)), log_line_(std::move(log_line)) {}
 
-MinimumsStorage::ReadResult DurableMinimums::Load(Ms now, std::uint32_t self, PersistedMinimums& found) {
+MinimumsStorage::ReadResult DurableMinimums::Load(Ms now, std::uint32_t self,
+                                                  PersistedMinimums& found) {
   try {
     storage_ = open_storage_();
-    MinimumsStorage::ReadResult seen = storage_->Read(found);
-    if (seen == MinimumsStorage::ReadResult::kValid && found.front_id == self)
+    MinimumsStorage::ReadResult result = storage_->Read(found);
+    if (result == MinimumsStorage::ReadResult::kValid && found.front_id == self)
       persisted_ = found;
-    return seen;
-  } catch (const std::exception& fault) {
+    return result;
+  } catch (const std::exception& error) {
     found = {};
-    HandleFailure(now, fault.what());
+    HandleFailure(now, error.what());
     return MinimumsStorage::ReadResult::kCorrupted;
   }
 }
 
-void DurableMinimums::Persist(Ms now, const PersistedMinimums& floors) {
-  if (is_persisted_ && RaisedToStored(floors) == persisted_)
+void DurableMinimums::Persist(Ms now, const PersistedMinimums& minimums) {
+  if (is_persisted_ && RaisedToStored(minimums) == persisted_)
     return;
   if (!storage_ && !retry_.IsDue(now))
     return;
   try {
     if (!storage_)
       Open();
-    storage_->Write(RaisedToStored(floors));
-  } catch (const std::exception& fault) {
-    return HandleFailure(now, fault.what());
+    storage_->Write(RaisedToStored(minimums));
+  } catch (const std::exception& error) {
+    return HandleFailure(now, error.what());
   }
-  persisted_ = RaisedToStored(floors);
+  persisted_ = RaisedToStored(minimums);
   is_persisted_ = true;
   if (std::exchange(is_failure_logged_, false))
-    log_line_("recovery floors kept again");
+    log_line_("recovery minimums persisted again");
 }
 
 void DurableMinimums::Open() {
@@ -48,21 +49,21 @@
     previously_stored_ = found;
 }
 
-PersistedMinimums DurableMinimums::RaisedToStored(PersistedMinimums floors) const {
-  if (previously_stored_.front_id != floors.front_id)
-    return floors;
-  floors.token = std::max(floors.token, previously_stored_.token);
-  floors.offset = std::max(floors.offset, previously_stored_.offset);
-  floors.incarnation = std::max(floors.incarnation, previously_stored_.incarnation);
-  if (previously_stored_.rules_version > floors.rules_version) {
-    floors.rules_version = previously_stored_.rules_version;
-    floors.rules_digest = previously_stored_.rules_digest;
+PersistedMinimums DurableMinimums::RaisedToStored(PersistedMinimums minimums) const {
+  if (previously_stored_.front_id != minimums.front_id)
+    return minimums;
+  minimums.token = std::max(minimums.token, previously_stored_.token);
+  minimums.offset = std::max(minimums.offset, previously_stored_.offset);
+  minimums.incarnation = std::max(minimums.incarnation, previously_stored_.incarnation);
+  if (previously_stored_.rules_version > minimums.rules_version) {
+    minimums.rules_version = previously_stored_.rules_version;
+    minimums.rules_digest = previously_stored_.rules_digest;
   }
   for (const auto& [front, incarnation] : previously_stored_.witnessed_incarnations) {
-    std::uint64_t& seen = floors.witnessed_incarnations[front];
+    std::uint64_t& seen = minimums.witnessed_incarnations[front];
     seen = std::max(seen, incarnation);
   }
-  return floors;
+  return minimums;
 }
 
 void DurableMinimums::HandleFailure(Ms now, const std::string& reason) {
@@ -70,7 +71,7 @@
   is_persisted_ = false;
   retry_.Failed(now);
   if (!std::exchange(is_failure_logged_, true))
-    log_line_("recovery floors not kept, tried again: " + reason);
+    log_line_("recovery minimums not persisted, retrying: " + reason);
 }
 
 }  // namespace dunlinwick::store
--- a/src/store/record_lmdb.cpp
+++ b/src/store/record_lmdb.cpp
@@ -13,14 +13,15 @@
 namespace dunlinwick::store {
 
 using record::Entry;
-using record::StorageError;
-using record::StorageFullError;
 using record::LogMetadata;
 using record::Offset;
+using record::StorageError;
+using record::StorageFullError;
 
 namespace {
 
-std::string EncodeBigEndian(std::uint64_t v) {  // the great end first, so that keys stand in order
+// Big-endian, so that keys are stored in numeric order.
+std::string EncodeBigEndian(std::uint64_t v) {
   std::string s;
   for (int k = 7; k >= 0; --k)
     s.push_back(static_cast<char>(v >> (8 * k)));
@@ -38,12 +39,12 @@
 std::string WithDigest(const std::string& bytes) {
   return EncodeBigEndian(XXH64(bytes.data(), bytes.size(), 0)) + bytes;
 }
-// What stands behind the digest, if it fits.
+// The bytes that follow the digest, if it matches.
 std::optional<std::pair<const char*, std::size_t>> VerifyDigest(const MDB_val& v) {
-  const char* at = static_cast<const char*>(v.mv_data);
-  if (v.mv_size < 8 || XXH64(at + 8, v.mv_size - 8, 0) != DecodeBigEndian(at))
+  const char* bytes = static_cast<const char*>(v.mv_data);
+  if (v.mv_size < 8 || XXH64(bytes + 8, v.mv_size - 8, 0) != DecodeBigEndian(bytes))
     return std::nullopt;
-  return std::pair(at + 8, v.mv_size - 8);
+  return std::pair(bytes + 8, v.mv_size - 8);
 }
 
 }  // namespace
@@ -53,20 +54,22 @@
   std::size_t map_bytes = 0;
   LmdbEnvironment environment;
 
-  void Check(const char* what, int fault) const {
-    if (fault == 0)
+  void Check(const char* step, int code) const {
+    if (code == 0)
       return;
-    std::string why = folder + ": " + what + ": " + ErrorText(fault);
-    // Both leave the file as it was: a transaction is in it once its last page is, and not before.
-    if (fault == MDB_MAP_FULL || fault == ENOSPC || fault == EDQUOT || fault == EFBIG)
-      throw StorageFullError(why);
-    throw StorageError(why);
+    std::string message = folder + ": " + step + ": " + ErrorText(code);
+    // A full map or disk leaves the file unchanged: a transaction takes effect only with its last
+    // page.
+    if (code == MDB_MAP_FULL || code == ENOSPC || code == EDQUOT || code == EFBIG)
+      throw StorageFullError(message);
+    throw StorageError(message);
   }
   struct Transaction {
     Impl& impl;
     MDB_txn* txn = nullptr;
-    Transaction(Impl& i, unsigned flags) : impl(i) {
-      impl.Check("no transaction", mdb_txn_begin(impl.environment.handle(), nullptr, flags, &txn));
+    Transaction(Impl& owner_impl, unsigned flags) : impl(owner_impl) {
+      impl.Check("cannot begin a transaction",
+                 mdb_txn_begin(impl.environment.handle(), nullptr, flags, &txn));
     }
     ~Transaction() {
       if (txn)
@@ -79,51 +82,53 @@
     }
     void Put(const std::string& key, const std::string& value) {
       MDB_val k = ToMdbValue(key), v = ToMdbValue(value);
-      impl.Check("can't be written", mdb_put(txn, impl.environment.table(), &k, &v, 0));
+      impl.Check("cannot be written", mdb_put(txn, impl.environment.table(), &k, &v, 0));
     }
     void Put(const Entry& e) {
       proto::record::Entry w;
       record::ToProto(e, &w);
       Put(EntryKey(e.offset), WithDigest(w.SerializeAsString()));
     }
-    void Put(const LogMetadata& h) {
+    void Put(const LogMetadata& metadata) {
       proto::record::StoredHead w;
-      w.set_store(h.store_id);
-      w.set_starts(h.start_count);
-      w.set_keeper(h.replica_id);
-      w.set_promised(h.promised_token);
-      w.set_committed(h.committed);
-      w.set_first(h.first);
-      w.set_cleaned(h.compacted_up_to);
-      w.set_forgotten(h.tombstone_horizon);
-      if (h.entry_count)
-        w.set_entries(*h.entry_count);
-      for (const auto& [id, upTo] : h.witnessed) {
-        auto* one = w.add_seen();
-        one->set_keeper(id);
-        one->set_up_to(upTo);
+      w.set_store(metadata.store_id);
+      w.set_starts(metadata.start_count);
+      w.set_keeper(metadata.replica_id);
+      w.set_promised(metadata.promised_token);
+      w.set_committed(metadata.committed);
+      w.set_first(metadata.first);
+      w.set_cleaned(metadata.compacted_up_to);
+      w.set_forgotten(metadata.tombstone_horizon);
+      if (metadata.entry_count)
+        w.set_entries(*metadata.entry_count);
+      for (const auto& [id, up_to] : metadata.witnessed) {
+        auto* witnessed = w.add_seen();
+        witnessed->set_keeper(id);
+        witnessed->set_up_to(up_to);
       }
       Put("h", WithDigest(w.SerializeAsString()));
     }
     void Remove(const std::string& key) {
       MDB_val k = ToMdbValue(key);
-      int fault = mdb_del(txn, impl.environment.table(), &k, nullptr);
-      if (fault != MDB_NOTFOUND)
-        impl.Check("can't be written", fault);
+      int code = mdb_del(txn, impl.environment.table(), &k, nullptr);
+      if (code != MDB_NOTFOUND)
+        impl.Check("cannot be written", code);
     }
     std::size_t PageBytes() {
       MDB_stat s{};
-      impl.Check("can't be read", mdb_stat(txn, impl.environment.table(), &s));
+      impl.Check("cannot be read", mdb_stat(txn, impl.environment.table(), &s));
       return (s.ms_branch_pages + s.ms_leaf_pages + s.ms_overflow_pages) * s.ms_psize;
     }
     void Commit() {
-      impl.Check("can't be kept", mdb_txn_commit(std::exchange(txn, nullptr)));
+      impl.Check("cannot be committed", mdb_txn_commit(std::exchange(txn, nullptr)));
     }
   };
   struct Cursor {
     MDB_cursor* cursor = nullptr;
-    explicit Cursor(Transaction& t) {
-      t.impl.Check("no cursor", mdb_cursor_open(t.txn, t.impl.environment.table(), &cursor));
+    explicit Cursor(Transaction& transaction) {
+      transaction.impl.Check(
+          "cannot open a cursor",
+          mdb_cursor_open(transaction.txn, transaction.impl.environment.table(), &cursor));
     }
     ~Cursor() {
       mdb_cursor_close(cursor);
@@ -135,52 +140,54 @@
 
 LmdbLogStorage::LmdbLogStorage(const std::string& folder, std::size_t map_bytes)
     : impl_(std::make_unique<Impl>()) {
-  Impl& in = *impl_;
-  in.folder = folder;
-  constexpr std::size_t kRound = 64 << 10;
-  in.map_bytes = std::max(map_bytes, kRound);
-  std::size_t whole = in.map_bytes + std::max<std::size_t>(in.map_bytes / 4, 256 << 10);
-  OpenResult opened = in.environment.Open(folder, (whole + kRound - 1) / kRound * kRound);
-  in.Check(opened.step, opened.code);
+  Impl& impl = *impl_;
+  impl.folder = folder;
+  constexpr std::size_t kMapGranularity = 64 << 10;
+  impl.map_bytes = std::max(map_bytes, kMapGranularity);
+  std::size_t reserved_bytes =
+      impl.map_bytes + std::max<std::size_t>(impl.map_bytes / 4, 256 << 10);
+  OpenResult opened = impl.environment.Open(
+      folder, (reserved_bytes + kMapGranularity - 1) / kMapGranularity * kMapGranularity);
+  impl.Check(opened.step, opened.code);
 }
 LmdbLogStorage::~LmdbLogStorage() = default;
 
 std::optional<LogMetadata> LmdbLogStorage::metadata() {
-  Impl& in = *impl_;
-  Impl::Transaction t(in, MDB_RDONLY);
+  Impl& impl = *impl_;
+  Impl::Transaction transaction(impl, MDB_RDONLY);
   std::string key = "h";
   MDB_val k = Impl::Transaction::ToMdbValue(key), v{};
-  int fault = mdb_get(t.txn, in.environment.table(), &k, &v);
-  if (fault == MDB_NOTFOUND)
+  int code = mdb_get(transaction.txn, impl.environment.table(), &k, &v);
+  if (code == MDB_NOTFOUND)
     return std::nullopt;
-  in.Check("can't be read", fault);
+  impl.Check("cannot be read", code);
   auto bytes = VerifyDigest(v);
   proto::record::StoredHead w;
   if (!bytes || !w.ParseFromArray(bytes->first, static_cast<int>(bytes->second)))
-    throw StorageError(in.folder + ": the head's digest does not fit");
-  LogMetadata h;
-  h.store_id = w.store();
-  h.start_count = w.starts();
-  h.replica_id = w.keeper();
-  h.promised_token = w.promised();
-  h.committed = w.committed();
-  h.first = w.first();
-  h.compacted_up_to = w.cleaned();
-  h.tombstone_horizon = w.forgotten();
+    throw StorageError(impl.folder + ": the digest of the metadata does not match");
+  LogMetadata metadata;
+  metadata.store_id = w.store();
+  metadata.start_count = w.starts();
+  metadata.replica_id = w.keeper();
+  metadata.promised_token = w.promised();
+  metadata.committed = w.committed();
+  metadata.first = w.first();
+  metadata.compacted_up_to = w.cleaned();
+  metadata.tombstone_horizon = w.forgotten();
   if (w.has_entries())
-    h.entry_count = w.entries();
-  for (const auto& one : w.seen())
-    h.witnessed.emplace_back(one.keeper(), one.up_to());
-  return h;
+    metadata.entry_count = w.entries();
+  for (const auto& witnessed : w.seen())
+    metadata.witnessed.emplace_back(witnessed.keeper(), witnessed.up_to());
+  return metadata;
 }
 
-void LmdbLogStorage::ForEachEntry(const std::function<void(Offset, const Entry*)>& see) {
-  Impl& in = *impl_;
-  Impl::Transaction t(in, MDB_RDONLY);
-  Impl::Cursor c(t);
+void LmdbLogStorage::ForEachEntry(const std::function<void(Offset, const Entry*)>& visit) {
+  Impl& impl = *impl_;
+  Impl::Transaction transaction(impl, MDB_RDONLY);
+  Impl::Cursor cursor(transaction);
   MDB_val k{}, v{};
-  int fault = 0;
-  while ((fault = mdb_cursor_get(c.cursor, &k, &v, MDB_NEXT)) == 0) {
+  int code = 0;
+  while ((code = mdb_cursor_get(cursor.cursor, &k, &v, MDB_NEXT)) == 0) {
     const char* key = static_cast<const char*>(k.mv_data);
     if (k.mv_size != 9 || key[0] != 'e')
       continue;
@@ -190,56 +197,57 @@
     std::optional<Entry> e;
     if (bytes && w.ParseFromArray(bytes->first, static_cast<int>(bytes->second)))
       e = record::FromProto(w);
-    see(offset, e && e->offset == offset ? &*e : nullptr);
+    visit(offset, e && e->offset == offset ? &*e : nullptr);
   }
-  if (fault != MDB_NOTFOUND)
-    in.Check("can't be read", fault);
+  if (code != MDB_NOTFOUND)
+    impl.Check("cannot be read", code);
 }
 
-void LmdbLogStorage::WriteMetadata(const LogMetadata& head) {
-  Impl::Transaction t(*impl_, 0);
-  t.Put(head);
-  t.Commit();
+void LmdbLogStorage::WriteMetadata(const LogMetadata& metadata) {
+  Impl::Transaction transaction(*impl_, 0);
+  transaction.Put(metadata);
+  transaction.Commit();
 }
 void LmdbLogStorage::AppendEntries(Offset from, const std::vector<Entry>& entries,
-                                   const LogMetadata& head) {
-  Impl& in = *impl_;
-  Impl::Transaction t(in, 0);
+                                   const LogMetadata& metadata) {
+  Impl& impl = *impl_;
+  Impl::Transaction transaction(impl, 0);
   if (from != 0) {
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
     {
-      Impl::Cursor c(t);
+      Impl::Cursor cursor(transaction);
       std::string start = EntryKey(from);
       MDB_val k = Impl::Transaction::ToMdbValue(start), v{};
-      int fault = mdb_cursor_get(c.cursor, &k, &v, MDB_SET_RANGE);
-      while (fault == 0 && k.mv_size == 9 && static_cast<const char*>(k.mv_data)[0] == 'e') {
-        gone.emplace_back(static_cast<const char*>(k.mv_data), k.mv_size);
-        fault = mdb_cursor_get(c.cursor, &k, &v, MDB_NEXT);
+      int code = mdb_cursor_get(cursor.cursor, &k, &v, MDB_SET_RANGE);
+      while (code == 0 && k.mv_size == 9 && static_cast<const char*>(k.mv_data)[0] == 'e') {
+        removed.emplace_back(static_cast<const char*>(k.mv_data), k.mv_size);
+        code = mdb_cursor_get(cursor.cursor, &k, &v, MDB_NEXT);
       }
-      if (fault != MDB_NOTFOUND)
-        in.Check("can't be read", fault);
+      if (code != MDB_NOTFOUND)
+        impl.Check("cannot be read", code);
     }
-    for (const std::string& key : gone)
-      t.Remove(key);
+    for (const std::string& key : removed)
+      transaction.Remove(key);
   }
   for (const Entry& e : entries)
-    t.Put(e);
-  t.Put(head);
-  if (!entries.empty() && t.PageBytes() > in.map_bytes)
-    in.Check("has no room", MDB_MAP_FULL);
-  t.Commit();
+    transaction.Put(e);
+  transaction.Put(metadata);
+  if (!entries.empty() && transaction.PageBytes() > impl.map_bytes)
+    impl.Check("no space left", MDB_MAP_FULL);
+  transaction.Commit();
 }
-void LmdbLogStorage::RemoveEntries(const std::vector<Offset>& gone, const LogMetadata& head) {
-  Impl::Transaction t(*impl_, 0);
-  for (Offset o : gone)
-    t.Remove(EntryKey(o));
-  t.Put(head);
-  t.Commit();
+void LmdbLogStorage::RemoveEntries(const std::vector<Offset>& removed,
+                                   const LogMetadata& metadata) {
+  Impl::Transaction transaction(*impl_, 0);
+  for (Offset o : removed)
+    transaction.Remove(EntryKey(o));
+  transaction.Put(metadata);
+  transaction.Commit();
 }
 void LmdbLogStorage::RestoreEntry(const Entry& entry) {
-  Impl::Transaction t(*impl_, 0);
-  t.Put(entry);
-  t.Commit();
+  Impl::Transaction transaction(*impl_, 0);
+  transaction.Put(entry);
+  transaction.Commit();
 }
 std::size_t LmdbLogStorage::PageBytes() const {
   return Impl::Transaction(*impl_, MDB_RDONLY).PageBytes();
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -275,7 +275,7 @@
       floors.Persist(now += 20, wanted);
     HOLDS(floors.IsPersisted());
     HOLDS(floors.persisted() == wanted);
-    HOLDS(lines.back() == "recovery floors kept again");
+    HOLDS(lines.back() == "recovery minimums persisted again");
     return 0;
   });
   CHECK(result == 0);
