--- a/tests/keepers_explore.cpp
+++ b/tests/keepers_explore.cpp
@@ -16,21 +16,21 @@
 
 namespace {
 
-struct KeeperState {
+struct ReplicaState {
   MemoryLogStorage::Contents disk;
-  std::uint64_t life = 1;
-  bool doubted = true;
+  std::uint64_t incarnation = 1;
+  bool unconfirmed = true;
 };
 struct State {
-  KeeperState keepers[3];
-  std::vector<MemoryLogStorage::Contents> old;  // of keeper 1, as it was after each change
+  ReplicaState replicas[3];
+  std::vector<MemoryLogStorage::Contents> old;  // of replica 1, after each change
   std::optional<LeaderWriter> writers[2];
   int puts_left[2] = {0, 0};
   int ticks_left[2] = {0, 0};
   bool crash_left = false;
-  bool old_left = false;
+  bool rollback_left = false;
   int rolled = -1;
-  std::set<std::string> net;  // from, to, bytes: each may come once more at any time, or never
+  std::set<std::string> net;  // from, to, bytes: each may be delivered at any time, or never
   std::map<Offset, std::string> acknowledged;
   std::map<Offset, std::string> committed;
 };
@@ -39,39 +39,39 @@
 
 class Explorer {
  public:
-  explicit Explorer(const ExploreTerms& t) : terms_(t) {
-    keeper_.retry_interval = keeper_.heartbeat_interval = 0;
-    keeper_.distrust_restarted = t.doubt;
-    keeper_.defect_rewrite_whole_tail = t.rewrite_all;
-    keeper_.defect_commit_without_majority = t.first_majority;
+  explicit Explorer(const ExploreSettings& t) : settings_(t) {
+    replica_settings_.retry_interval = replica_settings_.heartbeat_interval = 0;
+    replica_settings_.distrust_restarted = t.distrust_restarted;
+    replica_settings_.defect_rewrite_whole_tail = t.rewrite_whole_tail;
+    replica_settings_.defect_commit_without_majority = t.commit_without_majority;
   }
-  Explored Play() {
+  ExploreResult Play() {
     State s;
     for (int i = 0; i < 2; ++i) {
-      // The second is granted while the first may still believe itself owner: both may act at any
-      // time.
-      s.writers[i].emplace(static_cast<Id>(i + 1), kIds, keeper_, LogSettings{},
+      // The second token is granted while the first writer may still believe that it holds the
+      // lease: both may act at any time.
+      s.writers[i].emplace(static_cast<Id>(i + 1), kIds, replica_settings_, LogSettings{},
                            static_cast<Token>(i + 1), 0);
-      s.puts_left[i] = (terms_.puts + 1 - i) / 2;
-      s.ticks_left[i] = terms_.ticks + 1;
+      s.puts_left[i] = (settings_.puts + 1 - i) / 2;
+      s.ticks_left[i] = settings_.ticks + 1;
     }
-    s.crash_left = terms_.crash;
-    s.old_left = terms_.old_copy;
+    s.crash_left = settings_.crash;
+    s.rollback_left = settings_.roll_back_disk;
     for (Id id : kIds) {  // each has been started once
       MemoryLogStorage d;
       Log log(id, {}, d, id);
-      s.keepers[id - 1].disk = d.contents();
+      s.replicas[id - 1].disk = d.contents();
     }
     Push(std::move(s));
-    while (!queue_.empty() && out_.found.empty()) {
-      if (seen_.size() >= terms_.most) {
-        out_.whole = false;
+    while (!queue_.empty() && result_.finding.empty()) {
+      if (seen_.size() >= settings_.max_states) {
+        result_.complete = false;
         break;
       }
-      // Depth first, so that a bound that is met still leaves whole stories told; every eighth from
-      // the other end.
+      // Depth first, so that complete executions are explored even if the bound is reached; every
+      // eighth state is taken from the other end.
       std::shared_ptr<State> now;
-      if (++turn_ % 8 == 0) {
+      if (++step_ % 8 == 0) {
         now = queue_.front();
         queue_.pop_front();
       } else {
@@ -80,8 +80,8 @@
       }
       Expand(*now);
     }
-    out_.states = seen_.size();
-    return out_;
+    result_.states = seen_.size();
+    return result_;
   }
 
  private:
@@ -97,36 +97,36 @@
     return e.key + "=" + e.value;
   }
 
-  // The keeper over its disk as it is: `how` acts on it, and its state is taken apart again.
-  template <class How>
-  void WithKeeper(State& s, int i, How how,
-                  MemoryLogStorage::WriteFault fate = MemoryLogStorage::WriteFault::kNone) {
-    KeeperState& k = s.keepers[i];
+  // Builds the replica from its saved state, runs `action` on it, and saves its state again.
+  template <class Action>
+  void WithReplica(State& s, int i, Action action,
+                   MemoryLogStorage::WriteFault fault = MemoryLogStorage::WriteFault::kNone) {
+    ReplicaState& k = s.replicas[i];
     MemoryLogStorage d;
     d.RestoreContents(k.disk);
     Log log(static_cast<Id>(i + 1), {}, d, 0);
-    LogReplica keeper(static_cast<Id>(i + 1), kIds, keeper_, log, k.life);
-    keeper.SetUnconfirmed(k.doubted);
+    LogReplica replica(static_cast<Id>(i + 1), kIds, replica_settings_, log, k.incarnation);
+    replica.SetUnconfirmed(k.unconfirmed);
     std::uint64_t start = d.WriteCount() + 1;
     d.write_fault = [&, start](std::uint64_t n) {
-      return n == start ? fate : MemoryLogStorage::WriteFault::kNone;
+      return n == start ? fault : MemoryLogStorage::WriteFault::kNone;
     };
-    how(keeper);
+    action(replica);
     auto starts = k.disk.metadata ? k.disk.metadata->start_count : 0;
-    bool failed = keeper.has_failed();
-    k.doubted = keeper.IsUnconfirmed();
+    bool failed = replica.has_failed();
+    k.unconfirmed = replica.IsUnconfirmed();
     auto before = k.disk.entries.size();
     k.disk = d.contents();
     k.disk.metadata->start_count = starts;
     if (failed)
       Restart(s, i);
-    if (i == 0 && s.old_left && before != k.disk.entries.size())
+    if (i == 0 && s.rollback_left && before != k.disk.entries.size())
       s.old.push_back(k.disk);
   }
   void Restart(State& s, int i) {
-    ++s.keepers[i].life;
-    s.keepers[i].doubted = true;
-    s.keepers[i].disk.metadata->start_count++;
+    ++s.replicas[i].incarnation;
+    s.replicas[i].unconfirmed = true;
+    s.replicas[i].disk.metadata->start_count++;
   }
 
   void Expand(const State& s) {
@@ -136,14 +136,14 @@
       Deliver(n, p, MemoryLogStorage::WriteFault::kNone);
       Push(std::move(n));
       if (s.crash_left) {
-        for (auto fate : {MemoryLogStorage::WriteFault::kFailBefore,
-                          MemoryLogStorage::WriteFault::kFailAfter}) {
+        for (auto fault : {MemoryLogStorage::WriteFault::kFailBefore,
+                           MemoryLogStorage::WriteFault::kFailAfter}) {
           State c = Copy(s);
           c.net.erase(p);
           c.crash_left = false;
-          auto lives = c.keepers[p[1] - 1].life;
-          Deliver(c, p, fate);
-          if (c.keepers[p[1] - 1].life != lives)
+          auto incarnation_before = c.replicas[p[1] - 1].incarnation;
+          Deliver(c, p, fault);
+          if (c.replicas[p[1] - 1].incarnation != incarnation_before)
             Push(std::move(c));
         }
       }
@@ -161,29 +161,29 @@
         State n = Copy(s);
         --n.puts_left[i];
         std::string value = std::to_string(i) + "." + std::to_string(n.puts_left[i]);
-        auto done = [value](LeaderWriter::Outcome o, Offset at) {
+        auto callback = [value](LeaderWriter::Outcome o, Offset at) {
           if (o == LeaderWriter::Outcome::kAcknowledged)
             now_->acknowledged[at] = "k=" + value;
         };
         Act(n, [&] {
-          n.writers[i]->Write(0, {{Stream::kRules, "k", false, value}}, done,
+          n.writers[i]->Write(0, {{Stream::kRules, "k", false, value}}, callback,
                               Sender(n, static_cast<Id>(i + 1)));
         });
         Push(std::move(n));
       }
     }
-    if (s.old_left)
+    if (s.rollback_left)
       for (std::size_t o = 0; o <= s.old.size(); ++o) {
         State n = Copy(s);
-        n.old_left = false;
+        n.rollback_left = false;
         n.rolled = 0;
         if (o == s.old.size()) {
-          n.keepers[0].disk.entries.clear();
-          n.keepers[0].disk.metadata = LogMetadata{};
-          n.keepers[0].disk.metadata->store_id = 9;
-          n.keepers[0].disk.metadata->replica_id = 1;
+          n.replicas[0].disk.entries.clear();
+          n.replicas[0].disk.metadata = LogMetadata{};
+          n.replicas[0].disk.metadata->store_id = 9;
+          n.replicas[0].disk.metadata->replica_id = 1;
         } else
-          n.keepers[0].disk = s.old[o];
+          n.replicas[0].disk = s.old[o];
         n.old.clear();
         Restart(n, 0);
         Push(std::move(n));
@@ -195,71 +195,70 @@
       n.writers[i].emplace(s.writers[i]->Clone());
     return n;
   }
-  template <class How>
-  void Act(State& s, How how) {
+  template <class Action>
+  void Act(State& s, Action action) {
     now_ = &s;
-    how();
+    action();
     now_ = nullptr;
   }
-  void Deliver(State& s, const std::string& p, MemoryLogStorage::WriteFault fate) {
+  void Deliver(State& s, const std::string& p, MemoryLogStorage::WriteFault fault) {
     Id from = static_cast<Id>(p[0]), to = static_cast<Id>(p[1]);
     auto m = Decode({p.data() + 2, p.size() - 2});
     if (!m)
-      return void(out_.found = "a message is not read back");
+      return void(result_.finding = "a message cannot be decoded");
     Act(s, [&] {
-      WithKeeper(
+      WithReplica(
           s, static_cast<int>(to) - 1,
-          [&](LogReplica& k) { k.Receive(0, from, *m, Sender(s, to)); }, fate);
+          [&](LogReplica& k) { k.Receive(0, from, *m, Sender(s, to)); }, fault);
       if (to <= 2)
         s.writers[to - 1]->Receive(0, from, *m, Sender(s, to));
     });
   }
 
   void Push(State&& s) {
-    // No two contents committed at an offset; what is acknowledged is at a majority but for the
-    // disk that was put back, and stays.
+    // No two contents are committed at one offset; content is acknowledged is at a majority, except
+    // for the disk that was rolled back, and does not change.
     for (int i = 0; i < 3; ++i)
-      for (const auto& [o, e] : s.keepers[i].disk.entries)
-        if (o <= s.keepers[i].disk.metadata->committed) {
+      for (const auto& [o, e] : s.replicas[i].disk.entries)
+        if (o <= s.replicas[i].disk.metadata->committed) {
           auto c = s.committed.emplace(o, Text(e.first)).first;
           if (c->second != Text(e.first))
-            return void(out_.found = "offset " + std::to_string(o) + ": " + c->second + " and " +
-                                     Text(e.first) + " are committed");
+            return void(result_.finding = "offset " + std::to_string(o) + ": " + c->second +
+                                          " and " + Text(e.first) + " are committed");
         }
-    for (const auto& [o, what] : s.acknowledged) {
+    for (const auto& [o, content] : s.acknowledged) {
       int n = 0;
       for (int i = 0; i < 3; ++i) {
-        auto e = s.keepers[i].disk.entries.find(o);
-        if (e != s.keepers[i].disk.entries.end() && Text(e->second.first) == what)
+        auto e = s.replicas[i].disk.entries.find(o);
+        if (e != s.replicas[i].disk.entries.end() && Text(e->second.first) == content)
           ++n;
       }
       if (n < (s.rolled >= 0 ? 1 : 2))
-        return void(out_.found = "acknowledged " + what + " at " + std::to_string(o) + " is at " +
-                                 std::to_string(n));
+        return void(result_.finding = "acknowledged " + content + " at " + std::to_string(o) +
+                                      " is at " + std::to_string(n));
       auto c = s.committed.find(o);
-      if (c != s.committed.end() && c->second != what)
-        return void(out_.found = "acknowledged " + what + ", committed " + c->second);
+      if (c != s.committed.end() && c->second != content)
+        return void(result_.finding = "acknowledged " + content + ", committed " + c->second);
     }
-    // To a fenced writer and by its token nothing more happens but refusals: its answers are not
-    // kept under way.
+    // A fenced writer ignores responses: they are dropped, to keep the state space small.
     for (auto p = s.net.begin(); p != s.net.end();) {
       Id to = static_cast<Id>((*p)[1]);
       auto m = Decode({p->data() + 2, p->size() - 2});
-      bool answer = m && (std::holds_alternative<PrepareResponse>(*m) ||
-                          std::holds_alternative<AppendResponse>(*m) ||
-                          std::holds_alternative<FetchResponse>(*m));
-      if (answer && (to > 2 || s.writers[to - 1]->phase() == Phase::kFenced))
+      bool is_response = m && (std::holds_alternative<PrepareResponse>(*m) ||
+                               std::holds_alternative<AppendResponse>(*m) ||
+                               std::holds_alternative<FetchResponse>(*m));
+      if (is_response && (to > 2 || s.writers[to - 1]->phase() == Phase::kFenced))
         p = s.net.erase(p);
       else
         ++p;
     }
-    std::string print;
-    for (const KeeperState& k : s.keepers) {
+    std::string fingerprint;
+    for (const ReplicaState& k : s.replicas) {
       auto add = [&](std::uint64_t v) {
-        print += std::to_string(v) + ' ';
+        fingerprint += std::to_string(v) + ' ';
       };
-      add(k.life);
-      add(k.doubted);
+      add(k.incarnation);
+      add(k.unconfirmed);
       add(k.disk.metadata->promised_token);
       add(k.disk.metadata->committed);
       add(k.disk.metadata->compacted_up_to);
@@ -271,37 +270,37 @@
         add(o);
         add(Digest(e.first));
       }
-      print += '|';
+      fingerprint += '|';
     }
     for (int i = 0; i < 2; ++i)
-      print += s.writers[i]->StateText() + '|' + std::to_string(s.puts_left[i]) + ' ' +
-               std::to_string(s.ticks_left[i]) + '|';
+      fingerprint += s.writers[i]->StateText() + '|' + std::to_string(s.puts_left[i]) + ' ' +
+                     std::to_string(s.ticks_left[i]) + '|';
     for (const std::string& p : s.net)
-      print += p;
-    for (const auto& [o, what] : s.acknowledged)
-      print += std::to_string(o) + what;
-    print +=
-        std::to_string(s.crash_left) + std::to_string(s.old_left) + std::to_string(s.old.size());
-    XXH128_hash_t h = XXH3_128bits(print.data(), print.size());
+      fingerprint += p;
+    for (const auto& [o, content] : s.acknowledged)
+      fingerprint += std::to_string(o) + content;
+    fingerprint += std::to_string(s.crash_left) + std::to_string(s.rollback_left) +
+                   std::to_string(s.old.size());
+    XXH128_hash_t h = XXH3_128bits(fingerprint.data(), fingerprint.size());
     if (!seen_.insert({h.high64, h.low64}).second)
       return;
     if (!s.acknowledged.empty())
-      ++out_.acknowledged;
+      ++result_.acknowledged_states;
     queue_.push_back(std::make_shared<State>(std::move(s)));
   }
 
-  ExploreTerms terms_;
-  LogReplicaSettings keeper_;
-  Explored out_;
+  ExploreSettings settings_;
+  LogReplicaSettings replica_settings_;
+  ExploreResult result_;
   std::deque<std::shared_ptr<State>> queue_;
   std::set<std::pair<std::uint64_t, std::uint64_t>> seen_;
-  std::uint64_t turn_ = 0;
+  std::uint64_t step_ = 0;
   static State* now_;
 };
 State* Explorer::now_ = nullptr;
 
 }  // namespace
 
-Explored Explore(const ExploreTerms& terms) {
-  return Explorer(terms).Play();
+ExploreResult Explore(const ExploreSettings& settings) {
+  return Explorer(settings).Play();
 }
--- a/tests/keepers_explore.hpp
+++ b/tests/keepers_explore.hpp
@@ -1,23 +1,23 @@
-// Exploration of the record's keepers and writers on small bounds: every order of messages, each of
-// which may be lost, with the faults given.
+// State-space exploration of the record's log replicas and leader writers within small bounds:
+// every order of messages, each of which may be lost or repeated, with the given faults.
 #pragma once
 #include <cstdint>
 #include <string>
 
-struct ExploreTerms {
+struct ExploreSettings {
   int puts = 2;
-  int ticks = 0;          // ticks: of each writer, beyond its first
-  bool crash = false;     // one keeper ends and starts, before or after a call of its disk
-  bool old_copy = false;  // one disk comes back as it was at some earlier moment
-  bool doubt = false;
-  bool rewrite_all = false;
-  bool first_majority = false;
-  std::size_t most = 200000;
+  int ticks = 0;                // of each leader writer, after its first
+  bool crash = false;           // one replica restarts, before or after a storage call
+  bool roll_back_disk = false;  // one disk comes back in an earlier state
+  bool distrust_restarted = false;
+  bool rewrite_whole_tail = false;
+  bool commit_without_majority = false;
+  std::size_t max_states = 200000;
 };
-struct Explored {
+struct ExploreResult {
   std::size_t states = 0;
-  bool whole = true;
-  std::size_t acknowledged = 0;  // states in which something is
-  std::string found;
+  bool complete = true;
+  std::size_t acknowledged_states = 0;  // states in which an entry is acknowledged
+  std::string finding;
 };
-Explored Explore(const ExploreTerms& terms);
+ExploreResult Explore(const ExploreSettings& settings);
--- a/tests/keepers_test.cpp
+++ b/tests/keepers_test.cpp
@@ -1,6 +1,6 @@
-// The record's replication: exploration on small bounds; seeded schedules of faults; variants
-// broken on purpose, each of which is to be caught; messages. `keepers_test N [first]`: N seeds by
-// hand. `keepers_test explore N`: exploration up to N states a part.
+// The record's replication: state-space exploration within small bounds; seeded schedules of
+// faults; injected defects, each of which must be caught; messages. `keepers_test N [first]` runs N
+// seeds; `keepers_test explore N` explores up to N states per case.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
 
@@ -26,47 +26,47 @@
 
 struct Part {
   const char* name;
-  ExploreTerms terms;
+  ExploreSettings settings;
 };
-std::vector<Part> Parts(std::size_t most) {
-  ExploreTerms plain{.puts = 2, .most = most}, again = plain, crash = plain, old = plain,
-                                               doubted = plain;
-  again.puts = 3;
-  again.ticks = 1;
+std::vector<Part> Parts(std::size_t max_states) {
+  ExploreSettings plain{.puts = 2, .max_states = max_states}, retries = plain, crash = plain,
+                                                              rollback = plain, distrusting = plain;
+  retries.puts = 3;
+  retries.ticks = 1;
   crash.crash = true;
-  doubted.old_copy = doubted.doubt = true;
-  old.crash = old.old_copy = old.doubt = true;
-  old.ticks = 1;
+  distrusting.roll_back_disk = distrusting.distrust_restarted = true;
+  rollback.crash = rollback.roll_back_disk = rollback.distrust_restarted = true;
+  rollback.ticks = 1;
   return {{"two writers", plain},
-          {"and retransmission", again},
+          {"two writers and retransmission", retries},
           {"a crash", crash},
-          {"an old disk, restarts doubted", doubted},
-          {"an old disk and a crash", old}};
+          {"a disk rolled back, restarted replicas distrusted", distrusting},
+          {"a disk rolled back and a crash", rollback}};
 }
-bool ExploreAll(std::size_t most) {
-  bool well = true;
-  for (const Part& p : Parts(most)) {
-    Explored e = Explore(p.terms);
-    std::printf("explored, %s: %zu states%s, something acknowledged in %zu%s%s\n", p.name, e.states,
-                e.whole ? ", all" : " (bounded)", e.acknowledged, e.found.empty() ? "" : ": ",
-                e.found.c_str());
-    well = well && e.found.empty() && e.acknowledged > 0;
+bool ExploreAll(std::size_t max_states) {
+  bool passed = true;
+  for (const Part& p : Parts(max_states)) {
+    ExploreResult e = Explore(p.settings);
+    std::printf("explored, %s: %zu states%s, an entry acknowledged in %zu%s%s\n", p.name, e.states,
+                e.complete ? ", all" : " (bounded)", e.acknowledged_states,
+                e.finding.empty() ? "" : ": ", e.finding.c_str());
+    passed = passed && e.finding.empty() && e.acknowledged_states > 0;
   }
-  return well;
+  return passed;
 }
 
 std::string Caught(const char* name, std::size_t most,
-                   const std::function<void(rig::RecordTerms&)>& breaks) {
+                   const std::function<void(rig::RecordTerms&)>& inject) {
   for (std::uint64_t seed = 1; seed <= most; ++seed) {
     auto t = rig::Drawn(seed);
-    breaks(t);
+    inject(t);
     if (!rig::Run(seed, rig::Drawn(seed)).findings.empty())
-      continue;  // what fails unbroken shows nothing of the break
+      continue;  // a seed that fails without the defect does not show that it is caught
     auto r = rig::Run(seed, t);
     for (const std::string& f : r.findings)
       if (f.rfind("does not come", 0) != 0) {
-        std::printf("broken, %s: seed %llu: %s\n", name, static_cast<unsigned long long>(seed),
-                    f.substr(0, 150).c_str());
+        std::printf("injected defect, %s: seed %llu: %s\n", name,
+                    static_cast<unsigned long long>(seed), f.substr(0, 150).c_str());
         return f;
       }
   }
@@ -75,71 +75,71 @@
 
 }  // namespace
 
-TEST_CASE("small bounds, explored") {
+TEST_CASE("exploration within small bounds finds no violation") {
   CHECK(ExploreAll(kMostStates));
 }
 
-TEST_CASE("the exploration sees what is broken") {
-  ExploreTerms t{.puts = 2, .most = 400000};
-  t.first_majority = true;
-  CHECK(Explore(t).found != "");
+TEST_CASE("the exploration detects an injected defect") {
+  ExploreSettings t{.puts = 2, .max_states = 400000};
+  t.commit_without_majority = true;
+  CHECK(Explore(t).finding != "");
 }
 
-// Under sanitizers fewer are played, and the broken variants, which ask nothing of memory, in the
-// Release build alone.
-std::uint64_t SeedsToPlay() {
-  const char* said = std::getenv("DUNLINWICK_SEEDS");
-  return said ? std::strtoull(said, nullptr, 10) : 400;
+// Under sanitizers fewer seeds run. The injected defects, which do not test memory safety, run in
+// the Release build only.
+std::uint64_t SeedsToRun() {
+  const char* value = std::getenv("DUNLINWICK_SEEDS");
+  return value ? std::strtoull(value, nullptr, 10) : 400;
 }
 
-TEST_CASE("400 seeds") {
-  std::size_t acknowledged = 0, cleanings = 0, anew = 0, damages = 0, start_overs = 0, kills = 0;
-  for (std::uint64_t seed = 1; seed <= SeedsToPlay(); ++seed) {
+TEST_CASE("400 seeded schedules of faults without a finding") {
+  std::size_t acknowledged = 0, cleanings = 0, resets = 0, damages = 0, start_overs = 0, kills = 0;
+  for (std::uint64_t seed = 1; seed <= SeedsToRun(); ++seed) {
     auto r = rig::Run(seed, rig::Drawn(seed));
     INFO("seed " << seed << ": " << r.Text());
     CHECK(r.findings.empty());
     acknowledged += r.acknowledged;
     cleanings += r.cleanings;
-    anew += r.anew;
+    resets += r.anew;
     damages += r.damages;
     start_overs += r.start_overs;
     kills += r.kills;
   }
   std::printf(
-      "400 seeds: acknowledged %zu, cleanings %zu, keepers begun anew %zu, damaged disks %zu, "
+      "400 seeds: acknowledged %zu, compactions %zu, replicas reset %zu, damaged disks %zu, "
       "kills %zu, subscribers starting over %zu\n",
-      acknowledged, cleanings, anew, damages, kills, start_overs);
+      acknowledged, cleanings, resets, damages, kills, start_overs);
   CHECK(acknowledged > 0);
-  if (SeedsToPlay() < 400)
+  if (SeedsToRun() < 400)
     return;
-  // The schedules reach what they are for.
+  // The schedules reach the situations that they are meant to test.
   CHECK(acknowledged > 10000);
   CHECK(cleanings > 1000);
-  CHECK(anew > 5);
+  CHECK(resets > 5);
   CHECK(damages > 400);
-  CHECK(start_overs > 0);  // rare since a subscriber tells what it began after (Want::clean)
+  CHECK(start_overs > 0);  // rare, since requests carry SubscriptionRequest::clean_horizon
 }
 
-TEST_CASE("broken variants are caught") {
-  if (SeedsToPlay() < 400)
+TEST_CASE("injected defects are caught") {
+  if (SeedsToRun() < 400)
     return;
   CHECK(Caught("offset reused", 60, [](auto& t) { t.keeper.defect_reuse_offsets = true; }) != "");
-  CHECK(Caught("own disk believed", 200, [](auto& t) { t.keeper.defect_trust_own_disk = true; }) !=
+  CHECK(Caught("own disk trusted", 200, [](auto& t) { t.keeper.defect_trust_own_disk = true; }) !=
         "");
-  CHECK(Caught("stale compactor not fenced", 400,
+  CHECK(Caught("compaction plan not fenced", 400,
                [](auto& t) { t.keeper.defect_skip_plan_fencing = true; }) != "");
   CHECK(Caught("acknowledged before a majority", 200,
                [](auto& t) { t.keeper.defect_commit_without_majority = true; }) != "");
-  CHECK(Caught("tail by length", 1500,
+  CHECK(Caught("tail chosen by length", 1500,
                [](auto& t) { t.keeper.defect_prefer_longest_tail = true; }) != "");
   CHECK(Caught("tombstone dropped early", 1500, [](auto& t) { t.tombstone_early = true; }) != "");
-  CHECK(Caught("rejoin after long absence resumed", 1500,
-               [](auto& t) { t.resumes_forgotten = true; }) != "");
-  CHECK(Caught("all written anew", 1500,
+  CHECK(Caught("resumed after a long absence", 1500, [](auto& t) { t.resumes_forgotten = true; }) !=
+        "");
+  CHECK(Caught("whole tail rewritten", 1500,
                [](auto& t) { t.keeper.defect_rewrite_whole_tail = true; }) != "");
 }
 
-TEST_CASE("messages are read back, and nothing else is") {
+TEST_CASE("messages are decoded as encoded, and nothing else is accepted") {
   PrepareResponse t{.token = 7,
                     .store_id = 9,
                     .start_count = 3,
@@ -210,9 +210,10 @@
   CHECK(!Decode(Encode(Message{a})));
   CHECK(!Decode({}));
   std::knuth_b chance(5);
-  std::string whole = Encode(Message{t});
-  for (int i = 0; i < 20000; ++i) {  // garbled: read as something in bounds, or not at all
-    std::string bad = whole;
+  std::string encoded = Encode(Message{t});
+  for (int i = 0; i < 20000;
+       ++i) {  // corrupted: decoded as something within the bounds, or not at all
+    std::string bad = encoded;
     for (int n = 0; n < 3; ++n)
       bad[chance() % bad.size()] = static_cast<char>(chance());
     if (auto m = Decode(bad))
@@ -220,13 +221,13 @@
   }
 }
 
-int main(int count, char** words) {
-  if (count > 2 && std::strcmp(words[1], "explore") == 0)
-    return ExploreAll(std::strtoull(words[2], nullptr, 10)) ? 0 : 1;
-  if (count > 1 && std::atoi(words[1]) > 0) {
+int main(int count, char** arguments) {
+  if (count > 2 && std::strcmp(arguments[1], "explore") == 0)
+    return ExploreAll(std::strtoull(arguments[2], nullptr, 10)) ? 0 : 1;
+  if (count > 1 && std::atoi(arguments[1]) > 0) {
     int bad = 0;
-    std::uint64_t n = std::strtoull(words[1], nullptr, 10),
-                  first = count > 2 ? std::strtoull(words[2], nullptr, 10) : 1;
+    std::uint64_t n = std::strtoull(arguments[1], nullptr, 10),
+                  first = count > 2 ? std::strtoull(arguments[2], nullptr, 10) : 1;
     for (std::uint64_t seed = first; seed < first + n; ++seed) {
       auto r = rig::Run(seed, rig::Drawn(seed));
       if (n == 1 || !r.findings.empty())
@@ -236,5 +237,5 @@
     std::printf("%llu seeds, %d with findings\n", static_cast<unsigned long long>(n), bad);
     return bad != 0;
   }
-  return doctest::Context(count, words).run();
+  return doctest::Context(count, arguments).run();
 }
--- a/tests/owner_storage_test.cpp
+++ b/tests/owner_storage_test.cpp
@@ -18,8 +18,8 @@
 using namespace dunlinwick;
 using owner::Group;
 using owner::Ms;
-using tests::Fate;
 using tests::StoreDisk;
+using tests::WriteFault;
 
 namespace {
 
@@ -200,17 +200,17 @@
   std::uint64_t calls = CallsOfAQuietRun();
   REQUIRE(calls >= 8);
   std::size_t failures = 0;
-  for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
+  for (WriteFault write_fault : {WriteFault::kFailBefore, WriteFault::kFailAfter})
     for (std::uint64_t call = 1; call <= calls; ++call) {
       CAPTURE(call);
       Cluster cluster;
       Ms fails_until = -1;
-      cluster.disks[1].fate = [&](std::uint64_t number) {
+      cluster.disks[1].write_fault = [&](std::uint64_t number) {
         if (number == call)
           fails_until = cluster.now() + kFailingFor;
         bool fails = cluster.now() < fails_until;
         failures += fails;
-        return fails ? fate : Fate::kWorks;
+        return fails ? write_fault : WriteFault::kNone;
       };
       cluster.StartAll();
       cluster.Run(cluster.now() + kSettleTime, [&] { return fails_until >= 0; });
@@ -228,14 +228,14 @@
 
 TEST_CASE("a member killed within any call, whether the write landed or not, takes part again") {
   std::uint64_t calls = CallsOfAQuietRun();
-  for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
+  for (WriteFault write_fault : {WriteFault::kFailBefore, WriteFault::kFailAfter})
     for (std::uint64_t call = 1; call <= calls; ++call) {
       CAPTURE(call);
       Cluster cluster;
       bool killed = false;
-      cluster.disks[1].fate = [&](std::uint64_t number) {
+      cluster.disks[1].write_fault = [&](std::uint64_t number) {
         killed = killed || number == call;
-        return number == call ? fate : Fate::kWorks;
+        return number == call ? write_fault : WriteFault::kNone;
       };
       cluster.StartAll();
       cluster.Run(cluster.now() + kSettleTime, [&] { return killed; });
@@ -264,18 +264,18 @@
   Cluster cluster;
   std::set<owner::Id> founded;
   for (owner::Id id = 1; id <= kGroupSize; ++id)
-    cluster.disks[id].fate = [&, id](std::uint64_t) {
+    cluster.disks[id].write_fault = [&, id](std::uint64_t) {
       // All that follows the founding fails until the kill.
       if (!cluster.disks[id].kept.load().founding.empty())
         founded.insert(id);
-      return founded.count(id) != 0 ? Fate::kFailsBefore : Fate::kWorks;
+      return founded.count(id) != 0 ? WriteFault::kFailBefore : WriteFault::kNone;
     };
   cluster.StartAll();
   cluster.Run(cluster.now() + kSettleTime, [&] { return founded.size() == kGroupSize; });
   REQUIRE(founded.size() == kGroupSize);
   for (owner::Id id = 1; id <= kGroupSize; ++id) {
     cluster.Stop(id);
-    cluster.disks[id].fate = {};
+    cluster.disks[id].write_fault = {};
     CHECK(cluster.disks[id].kept.load().entries.empty());
   }
   cluster.StartAll();
@@ -294,8 +294,8 @@
   owner::Id holder = cluster.holder();
   bool full = true;
   for (owner::Id id = 1; id <= kGroupSize; ++id)
-    cluster.disks[id].fate = [&](std::uint64_t) {
-      return full ? Fate::kFailsBefore : Fate::kWorks;
+    cluster.disks[id].write_fault = [&](std::uint64_t) {
+      return full ? WriteFault::kFailBefore : WriteFault::kNone;
     };
   cluster.Run(cluster.now() + kLeaseTime);
   CHECK(cluster.holder() == 0);
@@ -316,11 +316,11 @@
   cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
   REQUIRE(cluster.IsWhole());
   bool failed = false;
-  cluster.disks[1].fate = [&](std::uint64_t) {
+  cluster.disks[1].write_fault = [&](std::uint64_t) {
     if (failed)
-      return Fate::kWorks;
+      return WriteFault::kNone;
     failed = true;
-    return Fate::kFailsBefore;
+    return WriteFault::kFailBefore;
   };
   cluster.Run(cluster.now() + kSettleTime, [&] { return failed; });
   cluster.disks[1].kept = owner::MemoryStore();
--- a/tests/record_storage_test.cpp
+++ b/tests/record_storage_test.cpp
@@ -1,5 +1,6 @@
-// The record's replicas on disks that fail: three in virtual time under one writer, with a disk
-// that fails, by plan, at every call in turn, has no room, or ends with the process there.
+// The record's log replicas on failing disks: three replicas in virtual time under one leader
+// writer, while one disk fails, has no space, or crashes with its process, at each of its calls in
+// turn.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -10,25 +11,25 @@
 #include "support/failing_disk.hpp"
 
 using namespace dunlinwick::record;
-using dunlinwick::tests::OpenedDisk;
+using dunlinwick::tests::OpenedStorage;
 using WriteFault = MemoryLogStorage::WriteFault;
 
 namespace {
 
 constexpr Id kReplicas = 3;
-constexpr Id kWriterId = 9;  // a front that is no replica itself
+constexpr Id kWriterId = 9;  // a front without a log replica
 constexpr Ms kFailingFor = 3000;
 constexpr Ms kSettleTime = 60000;
-// Opening and the promise to the first writer: a record whose disks are all empty is founded by all
-// replicas, so until then one that fails holds it up; after that the others go on.
-constexpr std::uint64_t kFoundingCalls = 2;
+// Opening, and the promise to the first leader writer. A record whose disks are all empty is
+// bootstrapped by all replicas, so until then a failing one blocks it; afterwards the others go on.
+constexpr std::uint64_t kBootstrapCalls = 2;
 
 class Cluster {
  public:
   std::map<Id, MemoryLogStorage> disks;
   std::map<Id, int> open;
-  std::map<Offset, std::size_t> acknowledged;  // offset; on how many disks it was then
-  std::size_t twice_open = 0;
+  std::map<Offset, std::size_t> acknowledged;  // offset; the number of disks that had it then
+  std::size_t opened_twice = 0;
   std::vector<std::string> lines;
 
   Cluster() {
@@ -36,14 +37,14 @@
       disks[id];
   }
   void Start(Id id) {
-    auto open_disk = [this, id]() -> std::unique_ptr<LogStorage> {
-      return std::make_unique<OpenedDisk>(disks[id], open[id]);
+    auto open_storage = [this, id]() -> std::unique_ptr<LogStorage> {
+      return std::make_unique<OpenedStorage>(disks[id], open[id]);
     };
-    auto say = [this](const std::string& line) {
+    auto log_line = [this](const std::string& line) {
       lines.push_back(line);
     };
-    replicas_[id] =
-        std::make_unique<ReplicaHost>(id, Ids(), ReplicaHostSettings{}, open_disk, id, now_, say);
+    replicas_[id] = std::make_unique<ReplicaHost>(id, Ids(), ReplicaHostSettings{}, open_storage,
+                                                  id, now_, log_line);
   }
   void Stop(Id id) {
     replicas_[id].reset();
@@ -54,7 +55,7 @@
     writer_ = std::make_unique<LeaderWriter>(kWriterId, Ids(), LogReplicaSettings{}, LogSettings{},
                                              1000, now_);
   }
-  // One write is given each 100 ms while the writer serves.
+  // One write each 100 ms while the leader writer is serving.
   void Run(Ms until, const std::function<bool()>& holds = {}) {
     constexpr Ms kTick = 20;
     constexpr Ms kWriteEach = 100;
@@ -66,7 +67,7 @@
       if (std::fmod(now_, kWriteEach) == 0)
         Write();
       for (auto& [id, count] : open)
-        twice_open += count > 1;
+        opened_twice += count > 1;
     }
   }
   Ms now() const {
@@ -81,8 +82,8 @@
   bool IsServing() const {
     return writer_->phase() == Phase::kServing && writer_->Committed() > 0;
   }
-  // All hold the same up to what the writer has committed.
-  bool IsWhole() {
+  // All replicas hold everything that the leader writer has committed.
+  bool IsComplete() {
     if (!IsServing())
       return false;
     for (Id id = 1; id <= kReplicas; ++id) {
@@ -96,8 +97,8 @@
     }
     return true;
   }
-  // How many of the acknowledged are on fewer disks now than a majority.
-  std::size_t Owed() {
+  // The number of acknowledged entries that are on fewer disks than a majority.
+  std::size_t LostAcknowledged() {
     std::size_t missing = 0;
     for (const auto& [offset, copies] : acknowledged)
       missing += CopiesOf(offset) < kMajority;
@@ -153,11 +154,11 @@
       return;
     LeaderWriter::Put put;
     put.key = "object/" + std::to_string(++written_);
-    auto done = [this](LeaderWriter::Outcome outcome, Offset first) {
+    auto callback = [this](LeaderWriter::Outcome outcome, Offset first) {
       if (outcome == LeaderWriter::Outcome::kAcknowledged)
         acknowledged[first] = CopiesOf(first);
     };
-    writer_->Write(now_, {put}, done, SendFrom(kWriterId));
+    writer_->Write(now_, {put}, callback, SendFrom(kWriterId));
   }
 
   std::map<Id, std::unique_ptr<ReplicaHost>> replicas_;
@@ -167,11 +168,11 @@
   Ms now_ = 1e6;
 };
 
-std::uint64_t CallsOfAQuietRun() {
+std::uint64_t WriteCallsWithoutFaults() {
   Cluster cluster;
   cluster.StartAll();
-  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-  REQUIRE(cluster.IsWhole());
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+  REQUIRE(cluster.IsComplete());
   cluster.Run(cluster.now() + 1000);
   return cluster.disks[1].WriteCount();
 }
@@ -179,10 +180,9 @@
 }  // namespace
 
 TEST_CASE(
-    "a replica whose disk fails at any call for a while owes nothing it acknowledged and comes "
-    "back by "
+    "a replica whose disk fails for a while at any call loses nothing acknowledged and recovers by "
     "itself") {
-  std::uint64_t calls = CallsOfAQuietRun();
+  std::uint64_t calls = WriteCallsWithoutFaults();
   REQUIRE(calls >= 10);
   for (WriteFault fault : {WriteFault::kFailBefore, WriteFault::kFailAfter, WriteFault::kFull})
     for (std::uint64_t call = 1; call <= calls; ++call) {
@@ -199,22 +199,22 @@
       cluster.Run(cluster.now() + kSettleTime, [&] { return fails_until >= 0; });
       REQUIRE(fails_until >= 0);
       cluster.Run(fails_until);
-      bool is_needed = call <= kFoundingCalls;
+      bool is_needed = call <= kBootstrapCalls;
       CHECK(cluster.IsServing() == !is_needed);
       CHECK((cluster.acknowledged.size() > 0) == !is_needed);
-      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-      CHECK(cluster.IsWhole());
+      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+      CHECK(cluster.IsComplete());
       CHECK(cluster.replica(1).IsOpen());
-      CHECK(cluster.Owed() == 0);
+      CHECK(cluster.LostAcknowledged() == 0);
       CHECK(cluster.AcknowledgedTooEarly() == 0);
-      CHECK(cluster.twice_open == 0);
+      CHECK(cluster.opened_twice == 0);
     }
 }
 
 TEST_CASE(
-    "a replica killed within any call, whether the write landed or not, owes nothing it "
+    "a replica killed during any call, whether the write took effect or not, loses nothing "
     "acknowledged") {
-  std::uint64_t calls = CallsOfAQuietRun();
+  std::uint64_t calls = WriteCallsWithoutFaults();
   for (WriteFault fault : {WriteFault::kFailBefore, WriteFault::kFailAfter})
     for (std::uint64_t call = 1; call <= calls; ++call) {
       CAPTURE(static_cast<int>(fault));
@@ -231,15 +231,15 @@
       cluster.Stop(1);
       cluster.Run(cluster.now() + 300);
       cluster.Start(1);
-      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-      CHECK(cluster.IsWhole());
-      CHECK(cluster.Owed() == 0);
+      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+      CHECK(cluster.IsComplete());
+      CHECK(cluster.LostAcknowledged() == 0);
       CHECK(cluster.AcknowledgedTooEarly() == 0);
     }
 }
 
 TEST_CASE(
-    "with a majority of disks failing nothing is acknowledged, and all is again once there is "
+    "while a majority of disks fails nothing is acknowledged, and writes resume once there is "
     "space") {
   for (WriteFault fault : {WriteFault::kFailBefore, WriteFault::kFailAfter, WriteFault::kFull})
     for (Id failing : {Id{2}, Id{3}}) {
@@ -247,60 +247,61 @@
       CAPTURE(failing);
       Cluster cluster;
       cluster.StartAll();
-      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-      REQUIRE(cluster.IsWhole());
+      cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+      REQUIRE(cluster.IsComplete());
       bool fails = true;
       for (Id id = 1; id <= failing; ++id)
         cluster.disks[id].write_fault = [&](std::uint64_t) {
           return fails ? fault : WriteFault::kNone;
         };
-      // What came to a disk before is acknowledged still; then nothing.
+      // Entries that reached a disk before are still acknowledged; then nothing.
       cluster.Run(cluster.now() + 500);
       std::size_t before = cluster.acknowledged.size();
       cluster.Run(cluster.now() + kFailingFor);
       CHECK(cluster.acknowledged.size() == before);
       fails = false;
       cluster.Run(cluster.now() + kSettleTime,
-                  [&] { return cluster.IsWhole() && cluster.acknowledged.size() > before; });
-      CHECK(cluster.IsWhole());
+                  [&] { return cluster.IsComplete() && cluster.acknowledged.size() > before; });
+      CHECK(cluster.IsComplete());
       CHECK(cluster.acknowledged.size() > before);
-      CHECK(cluster.Owed() == 0);
+      CHECK(cluster.LostAcknowledged() == 0);
       CHECK(cluster.AcknowledgedTooEarly() == 0);
     }
 }
 
-TEST_CASE("a replica that has no room, or is closed, does not pass for current to a subscriber") {
+TEST_CASE("a replica that has no space, or is closed, is not taken for current by a subscriber") {
   for (WriteFault fault : {WriteFault::kFailBefore, WriteFault::kFull}) {
     CAPTURE(static_cast<int>(fault));
     Cluster cluster;
     cluster.StartAll();
-    cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
+    cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
     cluster.disks[1].write_fault = [&](std::uint64_t) {
       return fault;
     };
     cluster.Run(cluster.now() + kFailingFor);
-    SubscriptionRequest want;
-    want.subscriber = 77;
-    want.sequence = 1;
-    std::optional<SubscriptionResponse> piece =
-        cluster.replica(1).HandleSubscription(cluster.now(), want);
-    CHECK(piece.has_value() == (fault == WriteFault::kFull));
-    if (piece) {
-      CHECK(piece->committed < cluster.writer().Committed());
-      CHECK(piece->leader_silence_ms > SubscriberSettings{}.max_leader_silence);
+    SubscriptionRequest request;
+    request.subscriber = 77;
+    request.sequence = 1;
+    std::optional<SubscriptionResponse> response =
+        cluster.replica(1).HandleSubscription(cluster.now(), request);
+    CHECK(response.has_value() == (fault == WriteFault::kFull));
+    if (response) {
+      CHECK(response->committed < cluster.writer().Committed());
+      CHECK(response->leader_silence_ms > SubscriberSettings{}.max_leader_silence);
     }
     std::optional<SubscriptionResponse> other =
-        cluster.replica(2).HandleSubscription(cluster.now(), want);
+        cluster.replica(2).HandleSubscription(cluster.now(), request);
     REQUIRE(other);
     CHECK(other->leader_silence_ms <= SubscriberSettings{}.max_leader_silence);
   }
 }
 
-TEST_CASE("a replica whose store can't be opened says so once, and is one as soon as it can be") {
+TEST_CASE(
+    "a replica whose store cannot be opened logs that once, and works once it can be opened") {
   Cluster cluster;
   cluster.StartAll();
-  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-  REQUIRE(cluster.IsWhole());
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+  REQUIRE(cluster.IsComplete());
   cluster.Stop(1);
   bool down = true;
   cluster.disks[1].write_fault = [&](std::uint64_t) {
@@ -313,7 +314,7 @@
   REQUIRE(cluster.lines.size() == 1);
   CHECK(cluster.lines[0].starts_with("record store not used: "));
   down = false;
-  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsWhole(); });
-  CHECK(cluster.IsWhole());
+  cluster.Run(cluster.now() + kSettleTime, [&] { return cluster.IsComplete(); });
+  CHECK(cluster.IsComplete());
   CHECK(cluster.lines.back() == "record store used again");
 }
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -1,6 +1,6 @@
-// A keeper's log and its compaction, and subscribers: steps, hard cases, each disk call as a crash
-// point, and seeded random runs against a plain list. Broken variants (record::InjectedDefects) are
-// each caught by the check they break.
+// The log of a replica, its compaction and its subscribers: single steps, edge cases, a crash at
+// each storage call, and seeded random runs compared with a plain list. Each injected defect
+// (record::InjectedDefects) must be caught by the check that it violates.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -32,11 +32,11 @@
   e.tombstone = value.empty();
   return e;
 }
-LogSettings MakeTerms(std::size_t entries_a_step = 256) {
+LogSettings MakeSettings(std::size_t entries_per_step = 256) {
   LogSettings t;
   t.min_compaction_lag = 0;
   t.min_dead_ratio = 0;
-  t.entries_per_step = entries_a_step;
+  t.entries_per_step = entries_per_step;
   return t;
 }
 std::string Name(const char* what, std::uint64_t n) {
@@ -50,8 +50,8 @@
   while (log.CompactStep()) {
   }
 }
-// Of a list: what a plan leaves, by the words of log.hpp alone.
-std::vector<Entry> Left(const std::vector<Entry>& list, const CompactionPlan& plan) {
+// What a plan leaves of a list, computed from the definition in log.hpp alone.
+std::vector<Entry> ExpectedAfter(const std::vector<Entry>& list, const CompactionPlan& plan) {
   std::vector<Entry> out;
   for (const Entry& e : list) {
     bool later = std::any_of(list.begin(), list.end(), [&](const Entry& o) {
@@ -79,9 +79,10 @@
 
 }  // namespace
 
-TEST_CASE("latest of each key, offsets and order stay; the head younger than lag stays whole") {
+TEST_CASE(
+    "compaction keeps the latest of each key, offsets, order and entries younger than the lag") {
   MemoryLogStorage disk;
-  LogSettings t = MakeTerms(2);
+  LogSettings t = MakeSettings(2);
   t.min_compaction_lag = 1000;
   Log log(1, t, disk, 77);
   std::vector<Entry> entries;
@@ -111,14 +112,14 @@
 }
 
 TEST_CASE(
-    "a plan leaves exactly what its words say, whatever the budget and however often it was "
-    "begun") {
+    "a plan leaves exactly what its definition says, whatever the budget and however often it was "
+    "restarted") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     std::knuth_b chance(seed);
     auto list = Mixed(60, seed);
     MemoryLogStorage one, two;
-    Log a(1, MakeTerms(1 + chance() % 9), one, 1), b(2, MakeTerms(1 + chance() % 9), two, 2);
+    Log a(1, MakeSettings(1 + chance() % 9), one, 1), b(2, MakeSettings(1 + chance() % 9), two, 2);
     CHECK(a.AppendEntries(0, list));
     CHECK(b.AppendEntries(0, list));
     a.Commit(60);
@@ -128,22 +129,23 @@
     plan.remove_tombstones_up_to =
         early.remove_tombstones_up_to + chance() % (plan.up_to - early.remove_tombstones_up_to + 1);
     Compact(a, early);
-    CHECK(All(a) == Left(list, early));
+    CHECK(All(a) == ExpectedAfter(list, early));
     CHECK(a.metadata().compacted_up_to == early.up_to);
     a.AcceptPlan(plan);
     for (std::size_t k = chance() % 8; k > 0; --k)
       a.CompactStep();
-    Log again(1, MakeTerms(3), one, 1);  // begun anew after a start
+    Log again(1, MakeSettings(3), one, 1);  // resumed after a restart
     Compact(again, plan);
     Compact(b, plan);
-    CHECK(All(again) == Left(list, plan));
-    CHECK(All(b) == Left(list, plan));
-    Offset forgotten = std::max(again.metadata().tombstone_horizon, b.metadata().tombstone_horizon);
-    CHECK(again.Digest(60, forgotten) == b.Digest(60, forgotten));
+    CHECK(All(again) == ExpectedAfter(list, plan));
+    CHECK(All(b) == ExpectedAfter(list, plan));
+    Offset tombstone_horizon =
+        std::max(again.metadata().tombstone_horizon, b.metadata().tombstone_horizon);
+    CHECK(again.Digest(60, tombstone_horizon) == b.Digest(60, tombstone_horizon));
   }
 }
 
-TEST_CASE("each disk call as a crash point, before and after its effect, and with no room") {
+TEST_CASE("a crash at each storage call, before and after its effect, and with no space") {
   auto list = Mixed(40, 9);
   auto drive = [&](Log& log) {
     auto up_to = [&](Offset n) {
@@ -162,34 +164,34 @@
     Compact(log, {3, 39, 30});
   };
   MemoryLogStorage calm;
-  Log whole(1, MakeTerms(4), calm, 1);
-  drive(whole);
-  CHECK(All(whole) == Left(list, {3, 39, 30}));
+  Log expected(1, MakeSettings(4), calm, 1);
+  drive(expected);
+  CHECK(All(expected) == ExpectedAfter(list, {3, 39, 30}));
   std::uint64_t calls = calm.WriteCount();
   CHECK(calls >= 25);
   for (std::uint64_t at = 1; at <= calls; ++at)
-    for (auto fate :
+    for (auto fault :
          {MemoryLogStorage::WriteFault::kFailBefore, MemoryLogStorage::WriteFault::kFailAfter,
           MemoryLogStorage::WriteFault::kFull}) {
       CAPTURE(at);
-      CAPTURE(static_cast<int>(fate));
+      CAPTURE(static_cast<int>(fault));
       MemoryLogStorage disk;
       disk.write_fault = [&](std::uint64_t call) {
-        return call == at ? fate : MemoryLogStorage::WriteFault::kNone;
+        return call == at ? fault : MemoryLogStorage::WriteFault::kNone;
       };
       std::unique_ptr<Log> log;
       int faults = 0;
       for (bool done = false; !done;) {
         try {
           if (!log)
-            log = std::make_unique<Log>(1, MakeTerms(4), disk, 1);
+            log = std::make_unique<Log>(1, MakeSettings(4), disk, 1);
           drive(*log);
           done = true;
         } catch (const StorageFullError&) {
           ++faults;
           if (log) {
             CHECK(!log->has_failed());
-            Log other(1, MakeTerms(4), disk, 1);  // what is in memory is what is on disk
+            Log other(1, MakeSettings(4), disk, 1);  // memory and disk must agree
             CHECK(All(other) == All(*log));
           }
         } catch (const StorageError&) {
@@ -203,18 +205,19 @@
         }
       }
       CHECK(faults == 1);
-      CHECK(All(*log) == All(whole));
-      CHECK(log->metadata().compacted_up_to == whole.metadata().compacted_up_to);
+      CHECK(All(*log) == All(expected));
+      CHECK(log->metadata().compacted_up_to == expected.metadata().compacted_up_to);
       CHECK(log->metadata().promised_token == 3);
-      CHECK(log->Digest(40, whole.metadata().tombstone_horizon) ==
-            whole.Digest(40, log->metadata().tombstone_horizon));
+      CHECK(log->Digest(40, expected.metadata().tombstone_horizon) ==
+            expected.Digest(40, log->metadata().tombstone_horizon));
       CHECK(log->Gaps(9).empty());
     }
 }
 
-TEST_CASE("tombstones: a term, the slowest subscriber, and one in the same batch as a new value") {
+TEST_CASE(
+    "tombstones: retention, the slowest subscriber, and one in the same batch as a new value") {
   MemoryLogStorage disk;
-  LogSettings t = MakeTerms();
+  LogSettings t = MakeSettings();
   t.tombstone_retention = kDay;
   Log log(1, t, disk, 1);
   CHECK(log.AppendEntries(
@@ -224,12 +227,12 @@
   log.Commit(7);
   auto plan = log.ProposePlan(1000, 7, 1);
   REQUIRE(plan);
-  CHECK(plan->remove_tombstones_up_to == 0);  // its term has not run
+  CHECK(plan->remove_tombstones_up_to == 0);  // its retention has not elapsed
   Compact(log, *plan);
   CHECK(log.Find(2)->tombstone);
   CHECK(!log.Find(4));
   CHECK(log.Latest(Stream::kRecalls, "b")->value == "new");
-  CHECK(!log.ProposePlan(2 * kDay, 1, 1));  // one living subscriber has not passed it
+  CHECK(!log.ProposePlan(2 * kDay, 1, 1));  // one active subscriber has not passed it
   plan = log.ProposePlan(2 * kDay, 2, 1);
   REQUIRE(plan);
   CHECK(plan->remove_tombstones_up_to == 2);
@@ -238,20 +241,20 @@
   CHECK(log.metadata().tombstone_horizon == 2);
   CHECK(!log.Latest(Stream::kRecalls, "a"));
   CHECK(log.metadata().first == 5);
-  // A plan of a lower token, or further back, is passed over.
+  // A plan with a lower token, or a lower offset, is ignored.
   log.AcceptPlan({9, 3, 0});
   log.AcceptPlan({8, 6, 6});
   CHECK(!log.CompactStep());
 }
 
-TEST_CASE("clocks at 1970, and a century ahead") {
+TEST_CASE("clocks that show 1970 or are far in the future do not stop compaction") {
   MemoryLogStorage disk;
-  LogSettings t = MakeTerms();
+  LogSettings t = MakeSettings();
   t.min_compaction_lag = 1000;
   t.tombstone_retention = kDay;
   Log log(1, t, disk, 1);
   const Ms now = 56 * 365 * kDay, ahead = now + 36500 * kDay;
-  // A stopped clock wrote at 1970; another at 2100; then right again.
+  // One clock writes 1970, another 2100, then the right time.
   CHECK(log.AppendEntries(
       0, {MakeEntry(1, "a", "1", 5), MakeEntry(2, "a", "2", 6), MakeEntry(3, "b", "", 7),
           MakeEntry(4, "c", "1", ahead), MakeEntry(5, "c", "", ahead), MakeEntry(6, "d", "1", now),
@@ -259,19 +262,21 @@
   log.Commit(7);
   auto plan = log.ProposePlan(now, 7, 1);
   REQUIRE(plan);
-  CHECK(plan->up_to == 5);  // one century does not stop it; the young stay whole
+  CHECK(plan->up_to ==
+        5);  // the entry of 2100 does not stop it; the young entries are not compacted
   CHECK(plan->remove_tombstones_up_to ==
-        3);  // the one ahead stays until its term has run: safe, and small
+        3);  // the one of 2100 stays until its retention elapses: safe, and small
   Compact(log, *plan);
   CHECK(All(log).size() == 4);
-  // Now itself at 1970: what is of other times is old; no tombstone of a later time goes.
+  // The local clock shows 1970: entries of other times are old; no tombstone of a later time is
+  // removed.
   plan = log.ProposePlan(0, 7, 1);
   CHECK(!plan.has_value());
 }
 
-TEST_CASE("a write of the same key while a compaction is under way, and truncation above it") {
+TEST_CASE("a write of the same key during a compaction, and truncation above it") {
   MemoryLogStorage disk;
-  Log log(1, MakeTerms(2), disk, 1);
+  Log log(1, MakeSettings(2), disk, 1);
   auto list = Mixed(30, 5);
   CHECK(log.AppendEntries(0, list));
   log.Commit(25);
@@ -288,11 +293,11 @@
   list.push_back(MakeEntry(35, "z", "z", 1, 7));
   while (log.CompactStep()) {
   }
-  CHECK(All(log) == Left(list, {1, 24, 10}));
+  CHECK(All(log) == ExpectedAfter(list, {1, 24, 10}));
   CHECK(log.LastToken() == 7);
   CHECK(log.metadata().compacted_up_to == 24);
-  // The index is as a fresh start would build it.
-  Log again(1, MakeTerms(2), disk, 1);
+  // The index is the one that a restart would build.
+  Log again(1, MakeSettings(2), disk, 1);
   log.Commit(35);
   again.Commit(35);
   CHECK(log.Digest(35) == again.Digest(35));
@@ -301,14 +306,14 @@
 }
 
 TEST_CASE(
-    "flipped and lost entries are holes; they heal, or are closed; nothing comes back to life") {
+    "corrupted and lost entries are gaps; they are repaired or closed; no deleted key reappears") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     auto list = Mixed(40, seed);
     MemoryLogStorage one, two;
     std::knuth_b chance(seed);
     {
-      Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
+      Log a(1, MakeSettings(), one, 1), b(2, MakeSettings(), two, 2);
       CHECK(a.AppendEntries(0, list));
       CHECK(b.AppendEntries(0, list));
       a.Commit(40);
@@ -326,9 +331,9 @@
       one.LoseEntry(40);
       bad.insert(40);
     }
-    Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
-    auto holes = a.Gaps(100);
-    CHECK(std::set<Offset>(holes.begin(), holes.end()) == bad);
+    Log a(1, MakeSettings(), one, 1), b(2, MakeSettings(), two, 2);
+    auto gaps = a.Gaps(100);
+    CHECK(std::set<Offset>(gaps.begin(), gaps.end()) == bad);
     CHECK(a.LastOffset() == 40);
     Offset reached = 0;
     a.Read(0, 40, 1u << 20, &reached);
@@ -342,13 +347,12 @@
       Compact(b, plan);
     CHECK(!a.RepairGap(MakeEntry(41, "k", "v")));
     CompactionProgress source{b.metadata().compacted_up_to, b.metadata().tombstone_horizon};
-    for (Offset h : holes) {
+    for (Offset h : gaps) {
       if (const Entry* e = b.Find(h)) {
         CHECK(a.RepairGap(*e));
       } else if (!a.CloseCompactedGap(h, source)) {
-        CHECK(
-            h <=
-            source.tombstone_horizon);  // it may have been a tombstone, and what it hid may be here
+        CHECK(h <= source.tombstone_horizon);  // it may have been a tombstone, and the entry it hid
+                                               // may be here
         CHECK(a.ResetFromSnapshot(All(b), source));
         a.Commit(40);
         break;
@@ -357,30 +361,30 @@
     CHECK(!a.CloseCompactedGap(40, {40, 0}));
     Compact(a, plan);
     Compact(b, plan);
-    CHECK(All(a) == Left(list, plan));
+    CHECK(All(a) == ExpectedAfter(list, plan));
     Offset f = std::max(a.metadata().tombstone_horizon, b.metadata().tombstone_horizon);
     CHECK(a.Digest(40, f) == b.Digest(40, f));
-    Log again(1, MakeTerms(), one, 1);
+    Log again(1, MakeSettings(), one, 1);
     CHECK(again.Gaps(9).empty());
     CHECK(All(again) == All(a));
   }
 }
 
 TEST_CASE(
-    "one lost where it looks compacted is found by the count; nothing is read over it, and only a "
-    "log begun anew mends it") {
+    "an entry lost where it looks compacted is detected by the count; nothing is read past it, and "
+    "only a reset from a snapshot repairs it") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     auto list = Mixed(40, seed);
     MemoryLogStorage disk;
     std::knuth_b chance(seed);
     {
-      Log log(1, MakeTerms(3), disk, 1);
+      Log log(1, MakeSettings(3), disk, 1);
       CHECK(log.AppendEntries(0, list));
       log.Commit(40);
       Compact(log, {1, 30, 10});
     }
-    Log well(1, MakeTerms(), disk, 1);
+    Log well(1, MakeSettings(), disk, 1);
     CHECK(!well.HasUnlocatedLoss());
     auto entries = All(well);
     CompactionProgress source{well.metadata().compacted_up_to, well.metadata().tombstone_horizon};
@@ -395,14 +399,14 @@
     if (flips)
       disk.CorruptEntry(35);
     for (int start = 0; start < 3; ++start) {
-      Log log(1, MakeTerms(), disk, 1);
+      Log log(1, MakeSettings(), disk, 1);
       CHECK(log.HasUnlocatedLoss());
-      auto holes = log.Gaps(9);
-      REQUIRE(holes.size() == (flips && start == 0 ? 2 : 1));
+      auto gaps = log.Gaps(9);
+      REQUIRE(gaps.size() == (flips && start == 0 ? 2 : 1));
       for (Offset after = 0; after < 30; ++after)
         CHECK(log.Read(after, 40, 1u << 20).empty());
-      CHECK(!log.RepairGap(list[holes.front() - 1]));
-      CHECK(!log.CloseCompactedGap(holes.front(), {40, 0}));
+      CHECK(!log.RepairGap(list[gaps.front() - 1]));
+      CHECK(!log.CloseCompactedGap(gaps.front(), {40, 0}));
       if (start == 0)
         CHECK(log.AppendEntries(0, {MakeEntry(41, "x", "y")}));
       if (start == 0 && flips)
@@ -412,37 +416,37 @@
       flips = false;
       disk.RestoreEntry(list[34]);
     }
-    Log log(1, MakeTerms(), disk, 1);
+    Log log(1, MakeSettings(), disk, 1);
     CHECK(log.ResetFromSnapshot(entries, source));
     CHECK(!log.HasUnlocatedLoss());
-    Log again(1, MakeTerms(), disk, 1);
+    Log again(1, MakeSettings(), disk, 1);
     CHECK(!again.HasUnlocatedLoss());
     CHECK(again.Gaps(9).empty());
     CHECK(All(again) == entries);
   }
 }
 
-TEST_CASE("all before a hole at the end is let go") {
+TEST_CASE("everything before a gap at the end is compacted") {
   MemoryLogStorage disk;
   {
-    Log log(1, MakeTerms(), disk, 1);
+    Log log(1, MakeSettings(), disk, 1);
     CHECK(log.AppendEntries(0, {MakeEntry(1, "a", ""), MakeEntry(2, "b", "x")}));
     log.Commit(2);
   }
   disk.CorruptEntry(2);
-  Log log(1, MakeTerms(), disk, 1);
+  Log log(1, MakeSettings(), disk, 1);
   Compact(log, {1, 1, 1});
   CHECK(log.size() == 0);
   CHECK(log.metadata().first == 2);
   CHECK(log.LastOffset() == 2);
   CHECK(log.Gaps(3) == std::vector<Offset>{2});
   CHECK(log.RepairGap(MakeEntry(2, "b", "x")));
-  CHECK(Log(1, MakeTerms(), disk, 1).Latest(Stream::kRecalls, "b")->value == "x");
+  CHECK(Log(1, MakeSettings(), disk, 1).Latest(Stream::kRecalls, "b")->value == "x");
 }
 
-TEST_CASE("old disk, swapped disk, no room in memory or on disk, entries out of bounds") {
+TEST_CASE("old disk, swapped disk, no space in memory or on disk, entries out of bounds") {
   MemoryLogStorage disk;
-  LogSettings t = MakeTerms();
+  LogSettings t = MakeSettings();
   t.max_bytes = 40 * 300;
   Log log(1, t, disk, 5);
   CHECK(log.AppendEntries(0, Mixed(20, 3)));
@@ -466,7 +470,7 @@
   log.Commit(log.LastOffset());
   Compact(log, {1, log.LastOffset() - 1, 0});
   CHECK(log.AppendEntries(
-      0, {MakeEntry(log.LastOffset() + 1, "a", "e")}));  // compaction has made room
+      0, {MakeEntry(log.LastOffset() + 1, "a", "e")}));  // compaction has freed space
   disk.RestoreContents(older);
   Log again(1, t, disk, 6);
   CHECK(again.LastOffset() == 20);
@@ -485,7 +489,7 @@
   CHECK(third.metadata().witnessed == std::vector<std::pair<Id, Offset>>{{2, 4}, {3, 9}});
   MemoryLogStorage small;
   small.max_bytes = 100;
-  Log little(1, MakeTerms(), small, 1);
+  Log little(1, MakeSettings(), small, 1);
   CHECK(little.AppendEntries(0, {MakeEntry(1, "k", std::string(60, 'v'))}));
   CHECK_THROWS_AS(little.AppendEntries(0, {MakeEntry(2, "k", std::string(60, 'v'))}),
                   StorageFullError);
@@ -494,11 +498,11 @@
 }
 
 TEST_CASE(
-    "brought up from a compacted log: gaps only where the source was cleaned, anew behind what it "
-    "forgot") {
+    "brought up to date from a compacted log: offsets are missing only where the source was "
+    "compacted; below its tombstone horizon only a reset is possible") {
   auto list = Mixed(50, 21);
   MemoryLogStorage one, two;
-  Log a(1, MakeTerms(), one, 1), b(2, MakeTerms(), two, 2);
+  Log a(1, MakeSettings(), one, 1), b(2, MakeSettings(), two, 2);
   CHECK(a.AppendEntries(0, list));
   a.Commit(50);
   CHECK(b.AppendEntries(0, {list.begin(), list.begin() + 8}));
@@ -507,16 +511,16 @@
   CompactionProgress source{a.metadata().compacted_up_to, a.metadata().tombstone_horizon};
   REQUIRE(source.tombstone_horizon > 8);
   auto rest = a.Read(8, 50, 1u << 20);
-  CHECK(!b.AppendEntries(0, rest));          // gaps that no source explains
-  CHECK(!b.AppendEntries(0, rest, source));  // a tombstone above what is here is no more
-  auto whole = All(a);
-  std::size_t half = whole.size() / 2;
-  CHECK(b.ResetFromSnapshot({whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(half)},
+  CHECK(!b.AppendEntries(0, rest));          // missing offsets that no compaction explains
+  CHECK(!b.AppendEntries(0, rest, source));  // a tombstone above the end of this log was removed
+  auto encoded = All(a);
+  std::size_t half = encoded.size() / 2;
+  CHECK(b.ResetFromSnapshot({encoded.begin(), encoded.begin() + static_cast<std::ptrdiff_t>(half)},
                             source));
   CHECK(!b.IsComplete());
   CHECK(b.metadata().committed == 0);
-  Log again(2, MakeTerms(), two, 9);
-  std::vector<Entry> rest2(whole.begin() + static_cast<std::ptrdiff_t>(half), whole.end());
+  Log again(2, MakeSettings(), two, 9);
+  std::vector<Entry> rest2(encoded.begin() + static_cast<std::ptrdiff_t>(half), encoded.end());
   if (again.LastOffset() < source.tombstone_horizon)
     CHECK(!again.AppendEntries(0, rest2, {source.compacted_up_to, source.tombstone_horizon - 1}));
   CHECK(again.AppendEntries(0, rest2, source));
@@ -528,7 +532,7 @@
 }
 
 TEST_CASE("one key written a million times; a million keys") {
-  LogSettings t = MakeTerms(4096);
+  LogSettings t = MakeSettings(4096);
   t.max_bytes = std::size_t{1} << 30;
   for (bool many : {false, true}) {
     MemoryLogStorage disk;
@@ -550,14 +554,15 @@
       most = std::max(most, log.bytes());
     }
     CHECK(log.LastOffset() == n);
-    CHECK(log.size() == (many ? n : 2));  // the last is never above what a plan cleans
+    CHECK(log.size() == (many ? n : 2));  // a plan never covers the last entry
     if (!many)
       CHECK(most < 1000 * 1000);
     CHECK(log.Latest(Stream::kRecalls, many ? "k77" : "one")->offset == (many ? 77 : n));
   }
 }
 
-TEST_CASE("the store on LMDB: as memory, through starts; flipped bytes; a full map; an old file") {
+TEST_CASE(
+    "LMDB storage: same as memory across restarts; corrupted bytes; a full map; an old file") {
   namespace fs = std::filesystem;
   std::string folder = (fs::temp_directory_path() / "record_test.XXXXXX").string();
   REQUIRE(::mkdtemp(folder.data()) != nullptr);
@@ -566,11 +571,11 @@
   };
   auto list = Mixed(40, 4);
   MemoryLogStorage memory;
-  Log reference(1, MakeTerms(4), memory, 8);
+  Log reference(1, MakeSettings(4), memory, 8);
   {
     auto disk = open("a");
     CHECK(!disk->metadata());
-    Log log(1, MakeTerms(4), *disk, 8);
+    Log log(1, MakeSettings(4), *disk, 8);
     for (Log* l : {&log, &reference}) {
       CHECK(l->AppendEntries(0, list));
       l->RecordWitnessed(2, 12);
@@ -591,9 +596,9 @@
     read.push_back(*e);
   });
   CHECK(read == All(reference));
-  CHECK_THROWS_AS(Log(2, MakeTerms(), *disk, 8), StorageError);
+  CHECK_THROWS_AS(Log(2, MakeSettings(), *disk, 8), StorageError);
   disk.reset();
-  // One byte of one value on the page: a hole at the next start, healed from another.
+  // One corrupted byte of a value on the page: a gap at the next start, repaired from another log.
   const Entry* victim = reference.Find(30) && !reference.Find(30)->tombstone ? reference.Find(30)
                                                                              : reference.Find(35);
   {
@@ -620,14 +625,14 @@
   }
   disk = open("a");
   {
-    Log log(1, MakeTerms(), *disk, 8);
+    Log log(1, MakeSettings(), *disk, 8);
     REQUIRE(log.Gaps(9) == std::vector<Offset>{victim->offset});
     CHECK(log.RepairGap(*victim));
-    Log again(1, MakeTerms(), *disk, 8);
+    Log again(1, MakeSettings(), *disk, 8);
     CHECK(All(again) == All(reference));
   }
   auto small = open("b", 256 << 10);
-  Log log(1, MakeTerms(), *small, 1);
+  Log log(1, MakeSettings(), *small, 1);
   bool full = false;
   for (Offset o = 1; o < 2000 && !full; ++o)
     try {
@@ -658,18 +663,18 @@
   unsigned b = 0;
 };
 
-// Two keepers fed the same list, compacted, restarted, damaged and set back at different times;
-// subscribers that read from either, with messages lost, doubled, garbled and late. After every
-// event each subscriber is held against the list.
+// Two replicas that receive the same list and are compacted, restarted, damaged and rolled back at
+// different times; subscribers that read from either, with messages lost, duplicated, corrupted and
+// delayed. After every event each subscriber is compared with the list.
 class Play {
  public:
-  explicit Play(InjectedDefects breaks) {
-    log_.defects = sub_.defects = breaks;
+  explicit Play(InjectedDefects defects) {
+    log_.defects = sub_.defects = defects;
     log_.min_compaction_lag = 50;
     log_.tombstone_retention = 200;
     log_.min_dead_ratio = 0.1;
     log_.entries_per_step = 3;
-    log_.defects = breaks;
+    log_.defects = defects;
     sub_.lease = 400;
     sub_.poll_interval = 20;
     sub_.retry_interval = 100;
@@ -681,26 +686,26 @@
       Join(s, false);
   }
   std::string Run(const std::vector<Op>& ops) {
-    for (std::size_t n = 0; n < ops.size() && wrong_.empty(); ++n)
+    for (std::size_t n = 0; n < ops.size() && finding_.empty(); ++n)
       Act(ops[n]);
-    if (wrong_.empty())
+    if (finding_.empty())
       Settle();
-    return wrong_;
+    return finding_;
   }
   std::uint64_t StartOvers() const {
     return start_overs_;
   }
-  std::uint64_t Refused() const {
-    return refused_;
+  std::uint64_t Rejected() const {
+    return rejected_;
   }
 
  private:
-  struct Keeper {
+  struct TestReplica {
     MemoryLogStorage disk;
     MemoryLogStorage::Contents old;
     std::unique_ptr<Log> log;
     std::unique_ptr<SubscriptionServer> server;
-    bool fed = true;
+    bool is_fed = true;
   };
   struct Follower {
     std::unique_ptr<Subscriber> sub;
@@ -708,41 +713,42 @@
     Offset last = 0;
     Ms away_until = 0;
   };
-  struct Letter {
-    unsigned who;
-    Id keeper;
+  struct Packet {
+    unsigned subscriber;
+    Id replica;
     std::string bytes;
   };
-  void Wrong(const std::string& what) {
-    if (wrong_.empty())
-      wrong_ = what;
+  void ReportFinding(const std::string& what) {
+    if (finding_.empty())
+      finding_ = what;
   }
   void Start(int k) {
-    Keeper& kp = keepers_[k];
-    kp.disk.write_fault = nullptr;
-    kp.server.reset();
-    kp.log.reset();
-    kp.log = std::make_unique<Log>(k + 1, log_, kp.disk, 10 + k);
-    kp.server = std::make_unique<SubscriptionServer>(*kp.log, sub_, now_);
+    TestReplica& replica = replicas_[k];
+    replica.disk.write_fault = nullptr;
+    replica.server.reset();
+    replica.log.reset();
+    replica.log = std::make_unique<Log>(k + 1, log_, replica.disk, 10 + k);
+    replica.server = std::make_unique<SubscriptionServer>(*replica.log, sub_, now_);
     for (auto& one : asked_)
-      one.second.until = 0;  // what it held of leases is gone
+      one.second.until = 0;  // its leases are gone
   }
-  void Guarded(int k, const std::function<void()>& what) {
+  void RestartOnFailure(int k, const std::function<void()>& operation) {
     try {
-      what();
+      operation();
     } catch (const StorageError&) {
       Start(k);
     }
   }
   void Feed(int k) {
-    Keeper& kp = keepers_[k];
-    if (!kp.fed)
+    TestReplica& replica = replicas_[k];
+    if (!replica.is_fed)
       return;
-    Guarded(k, [&] {
-      Offset from = kp.log->LastOffset();
+    RestartOnFailure(k, [&] {
+      Offset from = replica.log->LastOffset();
       if (from < list_.size())
-        kp.log->AppendEntries(0, {list_.begin() + static_cast<std::ptrdiff_t>(from), list_.end()});
-      kp.log->Commit(list_.size());
+        replica.log->AppendEntries(
+            0, {list_.begin() + static_cast<std::ptrdiff_t>(from), list_.end()});
+      replica.log->Commit(list_.size());
     });
   }
   void Write(const std::string& key, const std::string& value) {
@@ -754,23 +760,23 @@
       f.state.clear();
       f.last = 0;
     }
-    ++lives_;
-    f.sub = std::make_unique<Subscriber>(s + 1, lives_, std::vector<Id>{1, 2}, sub_, f.last, lives_,
-                                         now_);
+    ++incarnations_;
+    f.sub = std::make_unique<Subscriber>(s + 1, incarnations_, std::vector<Id>{1, 2}, sub_, f.last,
+                                         incarnations_, now_);
     asked_[s].until = 0;
   }
   Subscriber::Callbacks out(unsigned s) {
     Subscriber::Callbacks o;
-    o.send_request = [this, s](Id keeper, const SubscriptionRequest& w) {
-      if (letters_.size() < 50)
-        letters_.push_back({s, keeper, Encode(w)});
+    o.send_request = [this, s](Id replica, const SubscriptionRequest& w) {
+      if (packets_.size() < 50)
+        packets_.push_back({s, replica, Encode(w)});
     };
     o.on_entry = [this, s](const Entry& e) {
       Follower& f = followers_[s];
       if (e.offset <= f.last)
-        Wrong("an older one after a newer one, or a double");
+        ReportFinding("an older entry after a newer one, or a duplicate");
       if (e.offset > list_.size() || !(list_[e.offset - 1] == e))
-        return Wrong("an entry that was never written so");
+        return ReportFinding("an entry that differs from what was written");
       f.last = e.offset;
       if (e.tombstone)
         f.state.erase(e.key);
@@ -784,13 +790,13 @@
     };
     return o;
   }
-  // Of each key the latest at or below the position, or a later one is on its way; exactly the
-  // latest, once it is caught up.
-  void Judge(unsigned s) {
+  // Of each key the subscriber has the latest entry at or below its position, or a later one is on
+  // its way; once it is caught up, exactly the latest.
+  void CheckState(unsigned s) {
     Follower& f = followers_[s];
     Offset p = f.sub->Position();
     if (f.last > p)
-      return Wrong("position behind what was told");
+      return ReportFinding("position behind what was delivered");
     f.last = p;
     bool exact = f.sub->IsCaughtUp() && p >= list_.size();
     std::map<std::string, const Entry*> then;
@@ -806,66 +812,66 @@
       bool same =
           e->tombstone ? i == f.state.end() : i != f.state.end() && i->second.first == e->offset;
       if (!same && (exact || later.count(key) == 0))
-        return Wrong(key + (i == f.state.end() ? " lacks" : " is of the past") + " at " +
-                     std::to_string(p));
+        return ReportFinding(key + (i == f.state.end() ? " is missing" : " is outdated") + " at " +
+                             std::to_string(p));
     }
     for (const auto& [key, one] : f.state)
       if (then.count(key) == 0)
-        Wrong(key + " was never there");
+        ReportFinding(key + " was never there");
   }
-  void Deliver(std::size_t n, unsigned fate) {
-    if (letters_.empty())
+  void Deliver(std::size_t n, unsigned fault) {
+    if (packets_.empty())
       return;
-    auto at = letters_.begin() + static_cast<std::ptrdiff_t>(n % letters_.size());
-    Letter l = *at;
-    if (fate % 8 != 1)
-      letters_.erase(at);  // 1: a second copy stays
-    if (fate % 8 == 0)
+    auto at = packets_.begin() + static_cast<std::ptrdiff_t>(n % packets_.size());
+    Packet packet = *at;
+    if (fault % 8 != 1)
+      packets_.erase(at);  // 1: a duplicate stays
+    if (fault % 8 == 0)
       return;  // lost
-    auto said = DecodeSubscriberMessage(l.bytes);
-    if (!said)
-      return Wrong("a message of our own can't be read");
-    if (const auto* w = std::get_if<SubscriptionRequest>(&*said)) {
-      asked_[l.who] = {w->after, now_ + sub_.lease};
-      if (auto p = keepers_[l.keeper - 1].server->HandleRequest(now_, *w))
-        letters_.push_back({l.who, l.keeper, Encode(*p)});
+    auto message = DecodeSubscriberMessage(packet.bytes);
+    if (!message)
+      return ReportFinding("a message that we encoded cannot be decoded");
+    if (const auto* w = std::get_if<SubscriptionRequest>(&*message)) {
+      asked_[packet.subscriber] = {w->after, now_ + sub_.lease};
+      if (auto p = replicas_[packet.replica - 1].server->HandleRequest(now_, *w))
+        packets_.push_back({packet.subscriber, packet.replica, Encode(*p)});
       else
-        asked_[l.who].until = 0;
-    } else if (auto* p = std::get_if<SubscriptionResponse>(&*said)) {
-      if (fate % 8 == 2 && !p->entries.empty())
+        asked_[packet.subscriber].until = 0;
+    } else if (auto* p = std::get_if<SubscriptionResponse>(&*message)) {
+      if (fault % 8 == 2 && !p->entries.empty())
         p->entries[0].value += "~";
-      if (fate % 8 == 3)
+      if (fault % 8 == 3)
         p->up_to += 1;
-      if (fate % 16 == 4)
+      if (fault % 16 == 4)
         p->start_over = !p->start_over;
-      Follower& f = followers_[l.who];
+      Follower& f = followers_[packet.subscriber];
       std::uint64_t before = f.sub->RejectedResponses();
-      f.sub->Receive(now_, l.keeper, *p, out(l.who));
-      refused_ += f.sub->RejectedResponses() - before;
-      Judge(l.who);
+      f.sub->Receive(now_, packet.replica, *p, out(packet.subscriber));
+      rejected_ += f.sub->RejectedResponses() - before;
+      CheckState(packet.subscriber);
     }
   }
   void plan(unsigned to) {
     Offset passed =
-        std::min(keepers_[0].server->MinPosition(now_), keepers_[1].server->MinPosition(now_));
-    auto p = keepers_[0].log->ProposePlan(now_, passed, 1);
+        std::min(replicas_[0].server->MinPosition(now_), replicas_[1].server->MinPosition(now_));
+    auto p = replicas_[0].log->ProposePlan(now_, passed, 1);
     if (!p)
       return;
     for (const auto& [who, one] : asked_)
       if (one.until > now_ && one.after < p->remove_tombstones_up_to)
-        Wrong("a tombstone goes that a living subscriber has not passed");
+        ReportFinding("a tombstone is removed that an active subscriber has not passed");
     for (const Entry& e : list_)
       if (e.tombstone && e.offset <= p->remove_tombstones_up_to &&
-          now_ - e.written_at < log_.tombstone_retention && keepers_[0].log->Find(e.offset))
-        Wrong("a tombstone goes before its term");
+          now_ - e.written_at < log_.tombstone_retention && replicas_[0].log->Find(e.offset))
+        ReportFinding("a tombstone is removed before its retention elapses");
     for (int k = 0; k < 2; ++k)
       if (to % 4 != static_cast<unsigned>(k))
-        keepers_[k].log->AcceptPlan(*p);
+        replicas_[k].log->AcceptPlan(*p);
   }
-  void Mend(int k) {
-    Keeper& kp = keepers_[k];
-    Log &log = *kp.log, &other = *keepers_[1 - k].log;
-    Guarded(k, [&] {
+  void Repair(int k) {
+    TestReplica& replica = replicas_[k];
+    Log &log = *replica.log, &other = *replicas_[1 - k].log;
+    RestartOnFailure(k, [&] {
       for (Offset h : log.Gaps(100)) {
         CompactionProgress source{other.metadata().compacted_up_to,
                                   other.metadata().tombstone_horizon};
@@ -880,7 +886,8 @@
       }
     });
   }
-  // A few keys go while one subscriber is away past its lease, and so do their tombstones.
+  // A few keys are deleted, and their tombstones removed, while one subscriber is away longer than
+  // its lease.
   void Sweep(unsigned s, unsigned from) {
     for (unsigned n = 0; n < 8; ++n)
       Write(Name("k", (from + n) % 24), "");
@@ -892,8 +899,8 @@
         Feed(k);
       plan(3);
       for (int k = 0; k < 2; ++k)
-        Guarded(k, [&] {
-          while (keepers_[k].log->CompactStep()) {
+        RestartOnFailure(k, [&] {
+          while (replicas_[k].log->CompactStep()) {
           }
         });
     }
@@ -901,7 +908,7 @@
   void Act(const Op& op) {
     int k = static_cast<int>(op.a % 2);
     unsigned s = op.a % 3;
-    Keeper& kp = keepers_[k];
+    TestReplica& replica = replicas_[k];
     switch (op.kind % 20) {
       case 0:
       case 1:
@@ -921,9 +928,9 @@
         break;
       case 4:
       case 5:
-        Guarded(k, [&] {
+        RestartOnFailure(k, [&] {
           for (unsigned n = 0; n <= op.b % 4; ++n)
-            kp.log->CompactStep();
+            replica.log->CompactStep();
         });
         break;
       case 6:
@@ -946,8 +953,8 @@
         Start(k);
         break;
       case 16:
-        kp.disk.write_fault = [n = 1 + op.b % 4, after = op.b % 8 >= 4,
-                               seen = 0u](std::uint64_t) mutable {
+        replica.disk.write_fault = [n = 1 + op.b % 4, after = op.b % 8 >= 4,
+                                    seen = 0u](std::uint64_t) mutable {
           return ++seen == n ? (after ? MemoryLogStorage::WriteFault::kFailAfter
                                       : MemoryLogStorage::WriteFault::kFailBefore)
                              : MemoryLogStorage::WriteFault::kNone;
@@ -959,59 +966,61 @@
         else if (op.b % 4 == 1)
           Join(s, true);
         else
-          followers_[s].away_until = now_ + 3000;  // past its lease
+          followers_[s].away_until = now_ + 3000;  // longer than its lease
         break;
       case 18:
         if (k == 1) {
           if (op.b % 3 == 0)
-            kp.fed = !kp.fed;
-          else if (op.b % 3 == 1 || !kp.old.metadata)
-            kp.old = kp.disk.contents();
+            replica.is_fed = !replica.is_fed;
+          else if (op.b % 3 == 1 || !replica.old.metadata)
+            replica.old = replica.disk.contents();
           else {
-            kp.disk.RestoreContents(kp.old);
+            replica.disk.RestoreContents(replica.old);
             Start(1);
           }
-        } else if (keepers_[1].log->Gaps(1).empty() && kp.log->LastOffset() > 0) {
-          kp.disk.CorruptEntry(1 + op.b % kp.log->LastOffset());
+        } else if (replicas_[1].log->Gaps(1).empty() && replica.log->LastOffset() > 0) {
+          replica.disk.CorruptEntry(1 + op.b % replica.log->LastOffset());
           Start(0);
         }
         break;
       case 19:
-        Mend(k);
+        Repair(k);
         if (op.b % 8 == 0)
           Sweep(s, op.a % 24);
         break;
     }
   }
   void Settle() {
-    for (int round = 0; round < 200 && wrong_.empty(); ++round) {
+    for (int round = 0; round < 200 && finding_.empty(); ++round) {
       for (int k = 0; k < 2; ++k) {
-        keepers_[k].fed = true;
+        replicas_[k].is_fed = true;
         Feed(k);
-        Mend(k);
+        Repair(k);
       }
       if (round % 100 == 3)
         plan(3);
       for (int k = 0; k < 2; ++k)
-        Guarded(k, [&] { keepers_[k].log->CompactStep(); });
+        RestartOnFailure(k, [&] { replicas_[k].log->CompactStep(); });
       now_ += 25;
       for (unsigned s = 0; s < 3; ++s)
         followers_[s].sub->Tick(now_, out(s));
-      while (!letters_.empty() && wrong_.empty())
+      while (!packets_.empty() && finding_.empty())
         Deliver(0, 7);
     }
-    for (unsigned s = 0; s < 3 && wrong_.empty(); ++s) {
+    for (unsigned s = 0; s < 3 && finding_.empty(); ++s) {
       if (!followers_[s].sub->IsCaughtUp() || followers_[s].sub->Position() != list_.size())
-        Wrong("not caught up in the end");
-      Judge(s);
+        ReportFinding("not caught up at the end");
+      CheckState(s);
     }
     for (int k = 0; k < 2; ++k)
-      if (keepers_[k].log->Gaps(1).size() > 0)
-        Wrong("a hole that nobody mended");
-    const Log &a = *keepers_[0].log, &b = *keepers_[1].log;
-    Offset forgotten = std::max(a.metadata().tombstone_horizon, b.metadata().tombstone_horizon);
-    if (wrong_.empty() && a.Digest(list_.size(), forgotten) != b.Digest(list_.size(), forgotten))
-      Wrong("keepers are not alike in the end");
+      if (replicas_[k].log->Gaps(1).size() > 0)
+        ReportFinding("a gap that was not repaired");
+    const Log &a = *replicas_[0].log, &b = *replicas_[1].log;
+    Offset tombstone_horizon =
+        std::max(a.metadata().tombstone_horizon, b.metadata().tombstone_horizon);
+    if (finding_.empty() &&
+        a.Digest(list_.size(), tombstone_horizon) != b.Digest(list_.size(), tombstone_horizon))
+      ReportFinding("replicas differ at the end");
   }
 
   struct Asked {
@@ -1022,14 +1031,14 @@
   SubscriberSettings sub_;
   Ms now_ = 0;  // 1970
   std::vector<Entry> list_;
-  Keeper keepers_[2];
+  TestReplica replicas_[2];
   std::map<unsigned, Asked> asked_;
   Follower followers_[3];
-  std::vector<Letter> letters_;
-  std::uint64_t lives_ = 0;
+  std::vector<Packet> packets_;
+  std::uint64_t incarnations_ = 0;
   std::uint64_t start_overs_ = 0;
-  std::uint64_t refused_ = 0;
-  std::string wrong_;
+  std::uint64_t rejected_ = 0;
+  std::string finding_;
 };
 
 std::vector<Op> Drawn(std::uint64_t seed, std::size_t n) {
@@ -1042,17 +1051,17 @@
   }
   return ops;
 }
-// How many of these seeds find something wrong; the first is told.
-int Found(InjectedDefects breaks, std::uint64_t seeds, int enough = 1 << 20,
+// The number of seeds with a finding; the first one is reported.
+int Found(InjectedDefects defects, std::uint64_t seeds, int enough = 1 << 20,
           std::uint64_t* start_overs = nullptr, std::uint64_t* refused = nullptr) {
   int n = 0;
   for (std::uint64_t seed = 1; seed <= seeds && n < enough; ++seed) {
-    Play play(breaks);
+    Play play(defects);
     std::string what = play.Run(Drawn(seed, 600));
     if (start_overs)
       *start_overs += play.StartOvers();
     if (refused)
-      *refused += play.Refused();
+      *refused += play.Rejected();
     if (!what.empty() && ++n == 1)
       MESSAGE("seed ", seed, ": ", what);
   }
@@ -1062,13 +1071,13 @@
 }  // namespace
 
 TEST_CASE(
-    "random runs: the subscriber's promise at every position, from two keepers, through every "
+    "random runs: the subscriber's guarantees at every position, from two replicas, through every "
     "fault") {
   std::uint64_t start_overs = 0, refused = 0;
   CHECK(Found({}, 500, 1 << 20, &start_overs, &refused) == 0);
   CHECK(start_overs > 50);
   CHECK(refused > 1000);
-  bool holds = rc::check("a plain list is the judge", [] {
+  bool holds = rc::check("agrees with a plain list", [] {
     auto raw = *rc::gen::scale(
         6,
         rc::gen::arbitrary<std::vector<std::tuple<std::uint8_t, std::uint16_t, std::uint16_t>>>());
@@ -1082,7 +1091,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("broken variants are caught") {
+TEST_CASE("injected defects are caught") {
   InjectedDefects early, gap, resumed, unchecked;
   early.drop_tombstones_early = gap.gap_after_snapshot = resumed.resume_behind_horizon =
       unchecked.skip_digest_check = true;
@@ -1093,10 +1102,10 @@
 }
 
 TEST_CASE(
-    "subscribers: snapshot then tail while both go on; the slow, the away, the many, and messages "
-    "of others") {
+    "subscribers: snapshot, then tail, during writes and compaction; slow, absent and too many "
+    "subscribers; unexpected messages") {
   MemoryLogStorage disk;
-  Log log(1, MakeTerms(), disk, 1);
+  Log log(1, MakeSettings(), disk, 1);
   auto list = Mixed(60, 31);
   CHECK(log.AppendEntries(0, {list.begin(), list.begin() + 40}));
   log.Commit(40);
@@ -1125,23 +1134,24 @@
     bytes += e.key.size() + e.value.size() + 40;
   CHECK(bytes <= t.batch_bytes);
   CHECK(server.MinPosition(1) == 0);
-  CHECK(!server.HandleRequest(1, asked[0]));  // a second copy
-  sub.Receive(1, 2, *piece, out);             // from one that was not asked
+  CHECK(!server.HandleRequest(1, asked[0]));  // a duplicate
+  sub.Receive(1, 2, *piece, out);             // from a replica that was not asked
   CHECK(got.empty());
   for (int n = 0; n < 5; ++n)
     sub.Tick(1, out);
-  CHECK(asked.size() == 1);  // one question under way, however often it is ticked
+  CHECK(asked.size() == 1);  // one request in flight, however often Tick() is called
   sub.Receive(1, 1, *piece, out);
   sub.Receive(1, 1, *piece, out);
   CHECK(got.size() == piece->entries.size());
   CHECK(asked.size() == 2);
   CHECK(server.HandleRequest(2, SubscriptionRequest{7, 1, 1, 0, 7, 0}));
   CHECK(!server.HandleRequest(2, SubscriptionRequest{8, 1, 1, 0, 7, 0}));  // full
-  CHECK(
-      server.HandleRequest(1500, SubscriptionRequest{8, 1, 1, 40, 7, 0}));  // both leases have run
+  CHECK(server.HandleRequest(1500,
+                             SubscriptionRequest{8, 1, 1, 40, 7, 0}));  // both leases have expired
   CHECK(server.ActivePositions(1500).positions.size() == 1);
-  CHECK(!server.HandleRequest(1501, SubscriptionRequest{8, 0, 9, 0, 7, 0}));  // of an earlier life
-  // More is written, and compacted, before it goes on: the tail follows the snapshot.
+  CHECK(!server.HandleRequest(1501,
+                              SubscriptionRequest{8, 0, 9, 0, 7, 0}));  // of an earlier incarnation
+  // More is written and compacted before the subscriber continues: the tail follows the snapshot.
   CHECK(log.AppendEntries(0, {list.begin() + 40, list.end()}));
   log.Commit(60);
   Compact(log, {1, 30, 0});
@@ -1155,7 +1165,8 @@
   REQUIRE(sub.IsCaughtUp());
   CHECK(sub.Position() == 60);
   CHECK(sub.CurrentAsOf() == 2000);
-  // Away while all goes: started over, never resumed; and one that begins after that is not.
+  // Away while tombstones are removed: told to start over, never resumed; a subscriber that begins
+  // after that is not.
   Compact(log, {1, 59, 59});
   REQUIRE(log.metadata().tombstone_horizon > 5);
   Subscriber old(10, 1, {1}, t, 5, 5, 3000);
@@ -1171,23 +1182,23 @@
   REQUIRE(one);
   for (const Entry& e : one->entries)
     CHECK(e.stream == Stream::kRules);
-  // Bytes of anybody: read whole, or not at all.
+  // Arbitrary bytes: decoded completely, or not at all.
   std::knuth_b chance(3);
-  std::string whole = Encode(*one);
-  CHECK(DecodeSubscriberMessage(whole));
+  std::string encoded = Encode(*one);
+  CHECK(DecodeSubscriberMessage(encoded));
   CHECK(std::get<LeasedPositions>(*DecodeSubscriberMessage(Encode(LeasedPositions{{{4, 5}}})))
             .positions.size() == 1);
   for (int n = 0; n < 20000; ++n) {
-    std::string bad = whole;
+    std::string bad = encoded;
     for (int k = 0; k < 3; ++k)
       bad[chance() % bad.size()] = static_cast<char>(chance());
     if (n % 3 == 0)
       bad.resize(chance() % bad.size());
-    auto said = DecodeSubscriberMessage(bad);
-    if (!said || !std::holds_alternative<SubscriptionResponse>(*said))
+    auto message = DecodeSubscriberMessage(bad);
+    if (!message || !std::holds_alternative<SubscriptionResponse>(*message))
       continue;
-    SubscriptionResponse p = std::get<SubscriptionResponse>(*said);
-    if (Encode(p) != whole)
+    SubscriptionResponse p = std::get<SubscriptionResponse>(*message);
+    if (Encode(p) != encoded)
       CHECK(Digest(p) != p.digest);
   }
 }
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,6 +1,6 @@
-// Folders that last, on real files: a file-size limit makes writes fail in a child process, files
-// cut short by a full disk, and stores that an older version wrote. Floors on a disk that fails, by
-// plan, at every call in turn.
+// Durable storage on real files: writes that fail because of a file-size limit (in a child
+// process), files cut short by a full disk, and files written by an older version. Persisted
+// minimums on a disk that fails at each of its calls in turn.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <sys/resource.h>
@@ -43,8 +43,8 @@
   std::string path_;
 };
 
-// From here on a write past `bytes` of any file fails with EFBIG, as on a disk that is full;
-// nothing else does.
+// From here on a write beyond `bytes` of any file fails with EFBIG, as on a full disk; nothing else
+// fails.
 void LimitFiles(rlim_t bytes) {
   ::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
@@ -53,8 +53,8 @@
   ::setrlimit(RLIMIT_FSIZE, &limit);
 }
 
-// Runs `body` in a child of its own, so that the limit is only there. It returns the line of the
-// first check that failed, or 0.
+// Runs `body` in a child process, so that the limit applies only there. `body` returns the line of
+// the first check that failed, or 0.
 int InChild(const std::function<int()>& body) {
   std::fflush(nullptr);
   pid_t child = ::fork();
@@ -63,10 +63,10 @@
     int line = -1;
     try {
       line = body();
-    } catch (const std::exception& fault) {
-      std::fprintf(stderr, "threw: %s\n", fault.what());
+    } catch (const std::exception& error) {
+      std::fprintf(stderr, "exception: %s\n", error.what());
     }
-    std::fprintf(stderr, "child: check at line %d (0: all held)\n", line);
+    std::fprintf(stderr, "child: failed check at line %d (0: none)\n", line);
     ::_exit(line == 0 ? 0 : 1);
   }
   int status = 0;
@@ -79,11 +79,11 @@
 
 constexpr rlim_t kSmallLimit = 64 << 10;
 constexpr rlim_t kReplicaLimit = 256 << 10;
-// Values of one page are refused whole (no room); of several pages a write is cut short, which LMDB
-// tells as an I/O error.
+// A value of one page is rejected as a whole (no space); a value of several pages is cut short,
+// which LMDB reports as an I/O error.
 constexpr std::size_t kValueOfOnePage = 2000;
 constexpr std::size_t kValueOfPages = 10000;
-constexpr int kMostTries = 10000;
+constexpr int kMaxAttempts = 10000;
 
 bool Fails(const std::function<void()>& call) {
   try {
@@ -94,8 +94,8 @@
   }
 }
 
-// A replica of one, with its writer, in virtual time.
-struct Alone {
+// A single log replica with its leader writer, in virtual time.
+struct SingleReplica {
   std::deque<std::pair<record::Id, record::Message>> wire;
   record::Ms now = 1e6;
   std::unique_ptr<record::ReplicaHost> replica;
@@ -106,12 +106,12 @@
   std::vector<std::string> lines;
   std::size_t value_bytes;
 
-  Alone(const std::string& folder, std::size_t bytes) : value_bytes(bytes) {
-    auto open_disk = [folder]() -> std::unique_ptr<record::LogStorage> {
+  SingleReplica(const std::string& folder, std::size_t bytes) : value_bytes(bytes) {
+    auto open_storage = [folder]() -> std::unique_ptr<record::LogStorage> {
       return std::make_unique<store::LmdbLogStorage>(folder);
     };
     replica = std::make_unique<record::ReplicaHost>(
-        1, std::vector<record::Id>{1}, record::ReplicaHostSettings{}, open_disk, 5, now,
+        1, std::vector<record::Id>{1}, record::ReplicaHostSettings{}, open_storage, 5, now,
         [this](const std::string& line) { lines.push_back(line); });
     writer = std::make_unique<record::LeaderWriter>(1, std::vector<record::Id>{1},
                                                     record::LogReplicaSettings{},
@@ -142,10 +142,10 @@
     while (!wire.empty()) {
       record::Message message = std::move(wire.front().second);
       wire.pop_front();
-      bool is_answer = std::holds_alternative<record::PrepareResponse>(message) ||
-                       std::holds_alternative<record::AppendResponse>(message) ||
-                       std::holds_alternative<record::FetchResponse>(message);
-      if (is_answer)
+      bool is_response = std::holds_alternative<record::PrepareResponse>(message) ||
+                         std::holds_alternative<record::AppendResponse>(message) ||
+                         std::holds_alternative<record::FetchResponse>(message);
+      if (is_response)
         writer->Receive(now, 1, message, Send());
       else
         replica->Receive(now, 1, message, Send());
@@ -156,9 +156,8 @@
 }  // namespace
 
 TEST_CASE(
-    "an owner's store on a file that can't grow keeps what it took, takes nothing more, and goes "
-    "on once "
-    "there is room") {
+    "a lease group's store on a file that cannot grow keeps what it stored, rejects more, and "
+    "continues once there is space") {
   Folder folder;
   int result = InChild([&] {
     std::vector<std::string> taken;
@@ -170,10 +169,10 @@
     };
     auto disk = open();
     LimitFiles(kSmallLimit);
-    while (taken.size() < kMostTries && !Fails([&] { disk->Append({entry(taken.size())}); }))
+    while (taken.size() < kMaxAttempts && !Fails([&] { disk->Append({entry(taken.size())}); }))
       taken.push_back(entry(taken.size()).bytes);
     HOLDS(taken.size() > 5);
-    HOLDS(taken.size() < kMostTries);
+    HOLDS(taken.size() < kMaxAttempts);
     auto holds_all = [&](owner::StoredState state) {
       if (state.entries.size() != taken.size())
         return false;
@@ -199,35 +198,35 @@
 }
 
 TEST_CASE(
-    "a replica on a file that can't grow acknowledges no more, and by itself again once there is "
-    "room; "
-    "nothing acknowledged is lost") {
-  for (std::size_t valueBytes : {kValueOfOnePage, kValueOfPages}) {
-    CAPTURE(valueBytes);
+    "a log replica on a file that cannot grow acknowledges nothing, resumes by itself once there "
+    "is "
+    "space, and loses nothing acknowledged") {
+  for (std::size_t value_bytes : {kValueOfOnePage, kValueOfPages}) {
+    CAPTURE(value_bytes);
     Folder folder;
     int result = InChild([&] {
       std::set<record::Offset> acknowledged;
       {
-        Alone alone(folder.at("record"), valueBytes);
+        SingleReplica single(folder.at("record"), value_bytes);
         constexpr int kSteps = 400;
         for (int i = 0; i < 10; ++i)
-          alone.Step();
-        HOLDS(!alone.acknowledged.empty());
+          single.Step();
+        HOLDS(!single.acknowledged.empty());
         LimitFiles(kReplicaLimit);
         for (int i = 0; i < kSteps; ++i)
-          alone.Step();
-        std::size_t before = alone.acknowledged.size();
+          single.Step();
+        std::size_t before = single.acknowledged.size();
         for (int i = 0; i < kSteps; ++i)
-          alone.Step();
-        HOLDS(alone.acknowledged.size() == before);
+          single.Step();
+        HOLDS(single.acknowledged.size() == before);
         LimitFiles(RLIM_INFINITY);
-        for (int i = 0; i < kMostTries && alone.acknowledged.size() < before + 20; ++i)
-          alone.Step();
-        HOLDS(alone.acknowledged.size() >= before + 20);
-        HOLDS(alone.replica->IsOpen());
-        HOLDS(alone.lines.empty() == (valueBytes == kValueOfOnePage));
-        HOLDS(alone.lines.empty() || alone.lines.back() == "record store used again");
-        acknowledged = alone.acknowledged;
+        for (int i = 0; i < kMaxAttempts && single.acknowledged.size() < before + 20; ++i)
+          single.Step();
+        HOLDS(single.acknowledged.size() >= before + 20);
+        HOLDS(single.replica->IsOpen());
+        HOLDS(single.lines.empty() == (value_bytes == kValueOfOnePage));
+        HOLDS(single.lines.empty() || single.lines.back() == "record store used again");
+        acknowledged = single.acknowledged;
       }
       store::LmdbLogStorage disk(folder.at("record"));
       record::Log log(1, {}, disk, 5);
@@ -241,47 +240,47 @@
 }
 
 TEST_CASE(
-    "floors on a file that can't grow say so, keep what was written, and are kept again once there "
-    "is room") {
+    "minimums on a file that cannot grow: the failure is logged, what was written is kept, and "
+    "writing resumes once there is space") {
   Folder folder;
   int result = InChild([&] {
-    auto open_disk = [&]() -> std::unique_ptr<MinimumsStorage> {
+    auto open_storage = [&]() -> std::unique_ptr<MinimumsStorage> {
       return std::make_unique<store::LmdbMinimumsStorage>(folder.at("floors"));
     };
     std::vector<std::string> lines;
-    store::DurableMinimums floors(open_disk,
-                                  [&](const std::string& line) { lines.push_back(line); });
+    store::DurableMinimums minimums(open_storage,
+                                    [&](const std::string& line) { lines.push_back(line); });
     PersistedMinimums found;
-    HOLDS(floors.Load(0, 3, found) == MinimumsStorage::ReadResult::kEmpty);
+    HOLDS(minimums.Load(0, 3, found) == MinimumsStorage::ReadResult::kEmpty);
     PersistedMinimums wanted;
     wanted.front_id = 3;
     constexpr rlim_t kTight = 20 << 10;
     LimitFiles(kTight);
     store::Ms now = 0;
     PersistedMinimums last;
-    constexpr std::uint32_t kMostWitnessed = 1000;
-    for (std::uint32_t id = 1; id <= kMostWitnessed; ++id) {
+    constexpr std::uint32_t kMaxWitnessed = 1000;
+    for (std::uint32_t id = 1; id <= kMaxWitnessed; ++id) {
       wanted.witnessed_incarnations[id] = 1764629600000 + id;
-      floors.Persist(now += 20, wanted);
-      if (!floors.IsPersisted())
+      minimums.Persist(now += 20, wanted);
+      if (!minimums.IsPersisted())
         break;
       last = wanted;
     }
-    HOLDS(!floors.IsPersisted());
+    HOLDS(!minimums.IsPersisted());
     HOLDS(lines.size() == 1);
-    HOLDS(floors.persisted() == last);
+    HOLDS(minimums.persisted() == last);
     LimitFiles(RLIM_INFINITY);
-    for (int i = 0; i < kMostTries && !floors.IsPersisted(); ++i)
-      floors.Persist(now += 20, wanted);
-    HOLDS(floors.IsPersisted());
-    HOLDS(floors.persisted() == wanted);
+    for (int i = 0; i < kMaxAttempts && !minimums.IsPersisted(); ++i)
+      minimums.Persist(now += 20, wanted);
+    HOLDS(minimums.IsPersisted());
+    HOLDS(minimums.persisted() == wanted);
     HOLDS(lines.back() == "recovery minimums persisted again");
     return 0;
   });
   CHECK(result == 0);
 }
 
-TEST_CASE("a folder that is begun on a full disk can be used once there is room") {
+TEST_CASE("a folder that is created on a full disk can be used once there is space") {
   for (const char* kind : {"owner", "record", "floors"})
     for (rlim_t limit : {rlim_t{0}, rlim_t{1000}, rlim_t{4096}, rlim_t{6000}, rlim_t{8192}}) {
       CAPTURE(kind);
@@ -310,7 +309,7 @@
     }
 }
 
-TEST_CASE("a file that a full disk cut short within LMDB's two head pages is begun anew") {
+TEST_CASE("a file that a full disk cut short within LMDB's two meta pages is created again") {
   for (const char* kind : {"owner", "record", "floors"})
     for (std::uintmax_t bytes : {1, 1000, 4096, 8191}) {
       CAPTURE(kind);
@@ -331,7 +330,7 @@
     }
 }
 
-TEST_CASE("stores that the version cd3eb2b wrote are read, and written on") {
+TEST_CASE("files that version cd3eb2b wrote can be read and written") {
   Folder folder;
   for (const char* kind : {"owner", "record", "floors"}) {
     fs::create_directory(folder.at(kind));
@@ -379,159 +378,158 @@
   expected.rules_version = 9;
   expected.witnessed_incarnations = {{1, 1764629600001}, {2, 1764629600002}};
   for (int opening = 0; opening < 2; ++opening) {
-    store::LmdbMinimumsStorage floors(folder.at("floors"));
+    store::LmdbMinimumsStorage minimums(folder.at("floors"));
     PersistedMinimums found;
-    REQUIRE(floors.Read(found) == MinimumsStorage::ReadResult::kValid);
+    REQUIRE(minimums.Read(found) == MinimumsStorage::ReadResult::kValid);
     CHECK(found == expected);
     expected.offset = 42;
-    floors.Write(expected);
+    minimums.Write(expected);
   }
 }
 
 namespace {
 
-enum class Fate {
-  kWorks,
-  kFailsBefore,
-  kFailsAfter
+enum class WriteFault {
+  kNone,
+  kFailBefore,
+  kFailAfter
 };
 
-// What is on a floor disk; it outlives its openings.
-struct PlannedFloors {
+// The stored minimums, with injected faults; they outlive the objects that open them.
+struct StoredMinimums {
   std::optional<PersistedMinimums> kept;
   std::uint64_t calls = 0;
-  std::function<Fate(std::uint64_t call)> fate;
+  std::function<WriteFault(std::uint64_t call)> write_fault;
   int open = 0;
-  int most_open = 0;
+  int max_open = 0;
 
   void Call(const std::function<void()>& change) {
     ++calls;
-    Fate now = fate ? fate(calls) : Fate::kWorks;
-    if (now == Fate::kFailsBefore)
+    WriteFault now = write_fault ? write_fault(calls) : WriteFault::kNone;
+    if (now == WriteFault::kFailBefore)
       throw std::runtime_error("no space left on device");
     change();
-    if (now == Fate::kFailsAfter)
+    if (now == WriteFault::kFailAfter)
       throw std::runtime_error("input/output error");
   }
 };
 
-class PlannedFloorDisk final : public MinimumsStorage {
+class FailingMinimumsStorage final : public MinimumsStorage {
  public:
-  explicit PlannedFloorDisk(PlannedFloors& disk) : disk_(disk) {
+  explicit FailingMinimumsStorage(StoredMinimums& disk) : disk_(disk) {
     disk_.Call([] {});
-    disk_.most_open = std::max(disk_.most_open, ++disk_.open);
+    disk_.max_open = std::max(disk_.max_open, ++disk_.open);
   }
-  ~PlannedFloorDisk() override {
+  ~FailingMinimumsStorage() override {
     --disk_.open;
   }
   ReadResult Read(PersistedMinimums& into) override {
     disk_.Call([&] { into = disk_.kept.value_or(PersistedMinimums{}); });
     return disk_.kept ? ReadResult::kValid : ReadResult::kEmpty;
   }
-  void Write(const PersistedMinimums& floors) override {
-    disk_.Call([&] { disk_.kept = floors; });
+  void Write(const PersistedMinimums& minimums) override {
+    disk_.Call([&] { disk_.kept = minimums; });
   }
 
  private:
-  PlannedFloors& disk_;
+  StoredMinimums& disk_;
 };
 
-PersistedMinimums FloorsAt(std::uint64_t offset) {
-  PersistedMinimums floors;
-  floors.front_id = 3;
-  floors.offset = offset;
-  floors.token = 2 * offset;
-  floors.incarnation = 100;
-  floors.witnessed_incarnations = {{1, offset}};
-  return floors;
+PersistedMinimums MinimumsAt(std::uint64_t offset) {
+  PersistedMinimums minimums;
+  minimums.front_id = 3;
+  minimums.offset = offset;
+  minimums.token = 2 * offset;
+  minimums.incarnation = 100;
+  minimums.witnessed_incarnations = {{1, offset}};
+  return minimums;
 }
 
-constexpr std::uint64_t kLifeBegins = 100;
+constexpr std::uint64_t kFinalOffset = 100;
 
 }  // namespace
 
 TEST_CASE(
-    "floors on a disk that fails at any call for a while are told only once they last, never fall, "
-    "and are "
-    "kept again") {
+    "minimums on a disk that fails for a while at any call are reported only once durable, never "
+    "decrease, and are persisted again") {
   constexpr store::Ms kFailingFor = 3000;
   constexpr std::uint64_t kCalls = 12;
-  for (bool isKilled : {false, true})
-    for (Fate fate : {Fate::kFailsBefore, Fate::kFailsAfter})
+  for (bool is_killed : {false, true})
+    for (WriteFault write_fault : {WriteFault::kFailBefore, WriteFault::kFailAfter})
       for (std::uint64_t call = 1; call <= kCalls; ++call) {
-        CAPTURE(isKilled);
-        CAPTURE(static_cast<int>(fate));
+        CAPTURE(is_killed);
+        CAPTURE(static_cast<int>(write_fault));
         CAPTURE(call);
-        PlannedFloors disk;
-        disk.kept = FloorsAt(50);
+        StoredMinimums disk;
+        disk.kept = MinimumsAt(50);
         store::Ms now = 0;
         store::Ms fails_until = -1;
-        disk.fate = [&](std::uint64_t number) {
+        disk.write_fault = [&](std::uint64_t number) {
           if (number == call)
             fails_until = now + kFailingFor;
-          return now < fails_until ? fate : Fate::kWorks;
+          return now < fails_until ? write_fault : WriteFault::kNone;
         };
         std::size_t lines = 0;
-        auto open_disk = [&]() -> std::unique_ptr<MinimumsStorage> {
-          return std::make_unique<PlannedFloorDisk>(disk);
+        auto open_storage = [&]() -> std::unique_ptr<MinimumsStorage> {
+          return std::make_unique<FailingMinimumsStorage>(disk);
         };
-        auto say = [&](const std::string&) {
+        auto log_line = [&](const std::string&) {
           ++lines;
         };
-        auto floors = std::make_unique<store::DurableMinimums>(open_disk, say);
+        auto minimums = std::make_unique<store::DurableMinimums>(open_storage, log_line);
         PersistedMinimums found;
-        floors->Load(now, 3, found);
+        minimums->Load(now, 3, found);
         std::uint64_t offset = std::max<std::uint64_t>(found.offset, 1);
         std::uint64_t lowest = 50;
         for (; now < 30000; now += 100) {
-          if (isKilled && fails_until > 0 && now >= fails_until) {
-            // The process ends while the disk fails; the next one begins once it works.
-            floors = std::make_unique<store::DurableMinimums>(open_disk, say);
-            floors->Load(now, 3, found);
+          if (is_killed && fails_until > 0 && now >= fails_until) {
+            // The process ends while the disk fails; the next one starts once it works.
+            minimums = std::make_unique<store::DurableMinimums>(open_storage, log_line);
+            minimums->Load(now, 3, found);
             offset = std::max(offset, found.offset);
-            isKilled = false;
+            is_killed = false;
           }
-          if (offset < kLifeBegins)
+          if (offset < kFinalOffset)
             ++offset;
-          floors->Persist(now, FloorsAt(offset));
+          minimums->Persist(now, MinimumsAt(offset));
           CHECK(disk.kept->offset >= lowest);
           lowest = std::max(lowest, disk.kept->offset);
-          if (floors->IsPersisted())
-            CHECK(floors->persisted() == *disk.kept);
-          std::uint64_t notified = floors->persisted().witnessed_incarnations.count(1)
-                                       ? floors->persisted().witnessed_incarnations.at(1)
+          if (minimums->IsPersisted())
+            CHECK(minimums->persisted() == *disk.kept);
+          std::uint64_t reported = minimums->persisted().witnessed_incarnations.count(1)
+                                       ? minimums->persisted().witnessed_incarnations.at(1)
                                        : 0;
-          CHECK(notified <= disk.kept->witnessed_incarnations.at(1));
+          CHECK(reported <= disk.kept->witnessed_incarnations.at(1));
         }
         REQUIRE(fails_until > 0);
-        CHECK(floors->IsPersisted());
-        CHECK(*disk.kept == FloorsAt(kLifeBegins));
-        CHECK(disk.most_open == 1);
+        CHECK(minimums->IsPersisted());
+        CHECK(*disk.kept == MinimumsAt(kFinalOffset));
+        CHECK(disk.max_open == 1);
         CHECK(lines <= 3);
       }
 }
 
-TEST_CASE("another front's floors are not told as this one's, nor do they raise it") {
-  PlannedFloors disk;
-  disk.kept = FloorsAt(500);
+TEST_CASE("another front's minimums are neither reported as this front's nor raise them") {
+  StoredMinimums disk;
+  disk.kept = MinimumsAt(500);
   disk.kept->front_id = 8;
   bool down = false;
-  disk.fate = [&](std::uint64_t) {
-    return down ? Fate::kFailsBefore : Fate::kWorks;
+  disk.write_fault = [&](std::uint64_t) {
+    return down ? WriteFault::kFailBefore : WriteFault::kNone;
   };
-  store::DurableMinimums floors(
+  store::DurableMinimums minimums(
       [&]() -> std::unique_ptr<MinimumsStorage> {
-        return std::make_unique<PlannedFloorDisk>(disk);
+        return std::make_unique<FailingMinimumsStorage>(disk);
       },
       [](const std::string&) {});
   PersistedMinimums found;
-  CHECK(floors.Load(0, 3, found) == MinimumsStorage::ReadResult::kValid);
+  CHECK(minimums.Load(0, 3, found) == MinimumsStorage::ReadResult::kValid);
   CHECK(found.front_id == 8);
   down = true;
-  floors.Persist(0, FloorsAt(7));
-  CHECK(floors.persisted().witnessed_incarnations.empty());
+  minimums.Persist(0, MinimumsAt(7));
+  CHECK(minimums.persisted().witnessed_incarnations.empty());
   down = false;
   constexpr store::Ms kLater = 60000;
-  floors.Persist(kLater, FloorsAt(7));
-  CHECK(*disk.kept == FloorsAt(7));
+  minimums.Persist(kLater, MinimumsAt(7));
+  CHECK(*disk.kept == MinimumsAt(7));
 }
--- a/tests/support/failing_disk.hpp
+++ b/tests/support/failing_disk.hpp
@@ -1,47 +1,49 @@
-/// One opening of a replica's disk in memory: what is on it outlives this, as a disk outlives
-/// processes, and its faults are the memory disk's own (MemoryDisk::fate).
+/// One opening of a log replica's storage in memory. The contents outlive this object, as a disk
+/// outlives processes; faults are those of the memory storage (MemoryLogStorage::write_fault).
 #pragma once
 #include "record/memory_disk.hpp"
 
 namespace dunlinwick::tests {
 
-class OpenedDisk final : public record::LogStorage {
+class OpenedStorage final : public record::LogStorage {
  public:
-  OpenedDisk(record::MemoryLogStorage& disk, int& open) : disk_(disk), open_(open) {
-    ++open_;
+  OpenedStorage(record::MemoryLogStorage& storage, int& open_count)
+      : storage_(storage), open_count_(open_count) {
+    ++open_count_;
   }
-  ~OpenedDisk() override {
-    --open_;
+  ~OpenedStorage() override {
+    --open_count_;
   }
-  OpenedDisk(const OpenedDisk&) = delete;
-  OpenedDisk& operator=(const OpenedDisk&) = delete;
+  OpenedStorage(const OpenedStorage&) = delete;
+  OpenedStorage& operator=(const OpenedStorage&) = delete;
   bool IsDurable() const override {
-    return disk_.IsDurable();
+    return storage_.IsDurable();
   }
   std::optional<record::LogMetadata> metadata() override {
-    return disk_.metadata();
+    return storage_.metadata();
   }
-  void ForEachEntry(const std::function<void(record::Offset, const record::Entry*)>& see) override {
-    disk_.ForEachEntry(see);
+  void ForEachEntry(
+      const std::function<void(record::Offset, const record::Entry*)>& visit) override {
+    storage_.ForEachEntry(visit);
   }
-  void WriteMetadata(const record::LogMetadata& head) override {
-    disk_.WriteMetadata(head);
+  void WriteMetadata(const record::LogMetadata& metadata) override {
+    storage_.WriteMetadata(metadata);
   }
   void AppendEntries(record::Offset from, const std::vector<record::Entry>& entries,
-                     const record::LogMetadata& head) override {
-    disk_.AppendEntries(from, entries, head);
+                     const record::LogMetadata& metadata) override {
+    storage_.AppendEntries(from, entries, metadata);
   }
-  void RemoveEntries(const std::vector<record::Offset>& gone,
-                     const record::LogMetadata& head) override {
-    disk_.RemoveEntries(gone, head);
+  void RemoveEntries(const std::vector<record::Offset>& removed,
+                     const record::LogMetadata& metadata) override {
+    storage_.RemoveEntries(removed, metadata);
   }
   void RestoreEntry(const record::Entry& entry) override {
-    disk_.RestoreEntry(entry);
+    storage_.RestoreEntry(entry);
   }
 
  private:
-  record::MemoryLogStorage& disk_;
-  int& open_;
+  record::MemoryLogStorage& storage_;
+  int& open_count_;
 };
 
 }  // namespace dunlinwick::tests
--- a/tests/support/failing_store.hpp
+++ b/tests/support/failing_store.hpp
@@ -1,6 +1,6 @@
-/// The disk of a member of the owners' group that fails by plan. What is on it outlives the stores
-/// that are opened over it, as a disk outlives processes. It also holds the promise that a disk can
-/// show: one vote a term.
+/// The disk of a member of the lease group, with injected faults. Its contents outlive the stores
+/// that are opened on it, as a disk outlives processes. It also counts violations of a guarantee
+/// that shows on disk: one vote per term.
 #pragma once
 #include <functional>
 #include <memory>
@@ -11,29 +11,29 @@
 
 namespace dunlinwick::tests {
 
-enum class Fate : std::uint8_t {
-  kWorks,
-  kFailsBefore,
-  kFailsAfter
+enum class WriteFault : std::uint8_t {
+  kNone,
+  kFailBefore,
+  kFailAfter
 };
 
-/// What lies on the disk. Opening counts as a call too, as it does on LMDB.
+/// The contents of the disk. Opening counts as a call too, as it does with LMDB.
 struct StoreDisk {
   owner::MemoryStore kept;
   std::uint64_t calls = 0;
-  /// Asked at each call that writes, with its number from 1 on.
-  std::function<Fate(std::uint64_t call)> fate;
+  /// Called for each writing call with its number, counted from 1.
+  std::function<WriteFault(std::uint64_t call)> write_fault;
   std::size_t open = 0;
   std::size_t most_open = 0;
   std::size_t votes_changed = 0;
 
   void Call(const std::function<void()>& change) {
     ++calls;
-    Fate now = fate ? fate(calls) : Fate::kWorks;
-    if (now == Fate::kFailsBefore)
+    WriteFault now = write_fault ? write_fault(calls) : WriteFault::kNone;
+    if (now == WriteFault::kFailBefore)
       throw std::runtime_error("no space left on device");
     change();
-    if (now == Fate::kFailsAfter)
+    if (now == WriteFault::kFailAfter)
       throw std::runtime_error("input/output error");
   }
 };
