--- a/src/record/keepers.hpp
+++ b/src/record/keepers.hpp
@@ -208,10 +208,10 @@
   void Tick(Ms now, const SendMessage& send);
   void Receive(Ms now, Id from, const Message& m, const SendMessage& send);
   // The entries of a batch get consecutive offsets and are acknowledged together. Returns false if
-  // the writer is not serving or too much is in flight. Where `at` is not given, entries are
-  // stamped with `now`, which must then be Unix time.
+  // the writer is not serving or too much is in flight. Where `written_at` is not given, entries
+  // are stamped with `now`, which must then be Unix time.
   bool Write(Ms now, const std::vector<Put>& batch, WriteCallback callback, const SendMessage& send,
-             Ms at = -1);
+             Ms written_at = -1);
   // The lowest position of active subscribers (src/record/subscribers.hpp). Until it is called no
   // tombstone is removed.
   void SetMinSubscriberPosition(Ms now, Offset position);
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -695,7 +695,7 @@
 }
 
 bool LeaderWriter::Write(Ms now, const std::vector<Put>& batch, WriteCallback callback,
-                         const SendMessage& send, Ms at) {
+                         const SendMessage& send, Ms written_at) {
   auto impl = impl_;
   if (impl->phase != Phase::kServing ||
       impl->pending_writes.size() >= impl->settings.max_pending_writes || batch.empty())
@@ -714,7 +714,7 @@
   Offset first = impl->LastOffset() + 1;
   for (const Put& p : batch)
     impl->AppendToWindow({impl->LastOffset() + 1, impl->token, p.stream, p.key, p.tombstone,
-                          p.value, at >= 0 ? at : now});
+                          p.value, written_at >= 0 ? written_at : now});
   impl->pending_writes.push_back({first, impl->LastOffset(), std::move(callback)});
   for (Id id : impl->replicas)
     if (!impl->peers.at(id).probing)
--- a/src/store/lasting_floors.cpp
+++ b/src/store/lasting_floors.cpp
@@ -60,8 +60,8 @@
     minimums.rules_digest = previously_stored_.rules_digest;
   }
   for (const auto& [front, incarnation] : previously_stored_.witnessed_incarnations) {
-    std::uint64_t& seen = minimums.witnessed_incarnations[front];
-    seen = std::max(seen, incarnation);
+    std::uint64_t& known = minimums.witnessed_incarnations[front];
+    known = std::max(known, incarnation);
   }
   return minimums;
 }
