--- a/src/front/charter_layer.cpp
+++ b/src/front/charter_layer.cpp
@@ -90,16 +90,16 @@
       throw block.MakeError("store", "must be the path of a folder");
     settings.store = store->text;
   }
-  double mb = static_cast<double>(settings.log.most_bytes) / (1 << 20);
+  double mb = static_cast<double>(settings.log.max_bytes) / (1 << 20);
   block.ReadNumber("most_mb", mb, 1, 1024, false);
-  settings.log.most_bytes = static_cast<std::size_t>(mb * (1 << 20));
-  block.ReadNumber("lag_ms", settings.log.lag, 0, 1e10);
-  block.ReadNumber("tombstone_term_ms", settings.log.tombstone_term, 0, 1e11);
-  block.ReadNumber("dead_share", settings.log.dead_share, 0.01, 0.99, false);
+  settings.log.max_bytes = static_cast<std::size_t>(mb * (1 << 20));
+  block.ReadNumber("lag_ms", settings.log.min_compaction_lag, 0, 1e10);
+  block.ReadNumber("tombstone_term_ms", settings.log.tombstone_retention, 0, 1e11);
+  block.ReadNumber("dead_share", settings.log.min_dead_ratio, 0.01, 0.99, false);
   block.ReadNumber("lease_ms", settings.subscriber.lease, 1000, 1e9);
-  block.ReadNumber("ask_every_ms", settings.subscriber.ask_every, 20, 10000);
+  block.ReadNumber("ask_every_ms", settings.subscriber.poll_interval, 20, 10000);
   block.ReadNumber("stale_after_ms", settings.stale_after, 100, 600000);
-  if (settings.stale_after < 2 * settings.subscriber.ask_every)
+  if (settings.stale_after < 2 * settings.subscriber.poll_interval)
     throw block.MakeError("stale_after_ms",
                           "must be at least twice ask_every_ms, so that one answer may be lost");
   block.RejectUnknownFields();
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -22,8 +22,8 @@
   loop::Loop& loop;
   FrontConfiguration configuration;
   Dependencies dependencies;
-  std::unique_ptr<store::LastingFloors> minimums_store;  // none if no folder is configured
-  store::KeptFloors minimums;                            // current ones, to be persisted
+  std::unique_ptr<store::DurableMinimums> minimums_store;  // none if no folder is configured
+  store::PersistedMinimums minimums;                       // current ones, to be persisted
   std::unique_ptr<RecordComponent> record;
   std::unique_ptr<RulesComponent> rules;
   std::unique_ptr<RecoveryComponent> recovery;
@@ -71,42 +71,42 @@
     } else {
       // A store that cannot be opened or read counts as corrupted: the front starts without it,
       // trusts nothing in it, logs so, and tries again.
-      store::KeptFloors found;
-      auto open_disk = [folder =
-                            configuration.recovery.store]() -> std::unique_ptr<store::FloorDisk> {
-        return std::make_unique<store::FloorStore>(folder);
+      store::PersistedMinimums found;
+      auto open_disk =
+          [folder = configuration.recovery.store]() -> std::unique_ptr<store::MinimumsStorage> {
+        return std::make_unique<store::LmdbMinimumsStorage>(folder);
       };
       auto log_line = [this](const std::string& line) {
         log::Say("%s at %.0f", line.c_str(), loop.now());
       };
-      minimums_store = std::make_unique<store::LastingFloors>(open_disk, log_line);
-      switch (minimums_store->Start(loop.now(), Self(), found)) {
-        case store::FloorDisk::Found::kEmpty:
+      minimums_store = std::make_unique<store::DurableMinimums>(open_disk, log_line);
+      switch (minimums_store->Load(loop.now(), Self(), found)) {
+        case store::MinimumsStorage::ReadResult::kEmpty:
           seen.state = State::kEmpty;
           break;
-        case store::FloorDisk::Found::kCorrupted:
+        case store::MinimumsStorage::ReadResult::kCorrupted:
           seen.state = State::kCorrupted;
           break;
-        case store::FloorDisk::Found::kGood:
-          seen.state = found.whose == Self() ? State::kGood : State::kForeign;
+        case store::MinimumsStorage::ReadResult::kValid:
+          seen.state = found.front_id == Self() ? State::kGood : State::kForeign;
           break;
       }
-      seen.whose = found.whose;
+      seen.whose = found.front_id;
       seen.floors = {found.token, found.offset, found.incarnation, found.rules_digest,
                      found.rules_version};
-      seen.witnessed = found.witnessed;
+      seen.witnessed = found.witnessed_incarnations;
       if (seen.state == State::kGood)
         minimums = found;
     }
     if (record && record->HasReplica()) {
-      record::Head head = record->head();
+      record::LogMetadata head = record->head();
       if (record->Corrupted() &&
           (seen.state == State::kGood || seen.state == State::kNone || seen.state == State::kEmpty))
         seen.state = State::kHoled;
-      seen.floors.token = std::max(seen.floors.token, head.promised);
+      seen.floors.token = std::max(seen.floors.token, head.promised_token);
       seen.floors.offset = std::max(seen.floors.offset, head.committed);
     }
-    minimums.whose = Self();
+    minimums.front_id = Self();
     minimums.incarnation =
         std::max(minimums.incarnation + 1, static_cast<std::uint64_t>(loop.now()));
     Persist();
@@ -116,13 +116,13 @@
   // front serves on, and writes them once it can.
   void Persist() {
     if (minimums_store)
-      minimums_store->Keep(loop.now(), minimums);
+      minimums_store->Persist(loop.now(), minimums);
   }
   void RaiseMinimums() {
     if (dependencies.owner)
       minimums.token = std::max(minimums.token, dependencies.owner->group_state().token);
     if (record) {
-      minimums.token = std::max(minimums.token, record->head().promised);
+      minimums.token = std::max(minimums.token, record->head().promised_token);
       minimums.offset = std::max(minimums.offset, record->Committed());
     }
     if (rules && rules->HasApproval()) {
@@ -130,7 +130,7 @@
       minimums.rules_version = rules->version();
     }
     for (const auto& [id, incarnation] : received_incarnations) {
-      auto& seen = minimums.witnessed[id];
+      auto& seen = minimums.witnessed_incarnations[id];
       seen = std::max(seen, incarnation);
     }
     Persist();
@@ -138,14 +138,15 @@
   // The highest incarnation of another front that this one has witnessed. Only the persisted value
   // is reported, if this front persists any.
   std::uint64_t Witnessed(std::uint32_t front) const {
-    const store::KeptFloors& reported = minimums_store ? minimums_store->Lasting() : minimums;
-    auto witnessed = reported.witnessed.find(front);
-    return witnessed == reported.witnessed.end() ? 0 : witnessed->second;
+    const store::PersistedMinimums& reported =
+        minimums_store ? minimums_store->persisted() : minimums;
+    auto witnessed = reported.witnessed_incarnations.find(front);
+    return witnessed == reported.witnessed_incarnations.end() ? 0 : witnessed->second;
   }
   std::string PersistenceStatus() const {
     if (!minimums_store)
       return "\"none\"";
-    return minimums_store->IsKept() ? "\"kept\"" : "\"not kept\"";
+    return minimums_store->IsPersisted() ? "\"kept\"" : "\"not kept\"";
   }
   std::map<std::uint32_t, std::uint64_t>
       received_incarnations;  // that other fronts reported of themselves: one per front
--- a/src/front/layer_terms.hpp
+++ b/src/front/layer_terms.hpp
@@ -18,9 +18,9 @@
   bool enabled = false;
   std::vector<record::Id> keepers;  // the fronts with a log replica
   std::string store;                // "": in memory
-  record::LogTerms log;
-  record::KeeperTerms keeper;
-  record::SubscriberTerms subscriber;
+  record::LogSettings log;
+  record::LogReplicaSettings keeper;
+  record::SubscriberSettings subscriber;
   // A front that has not been confirmed as caught up for this long asks for no copy older than
   // this: the stated delay of a recall is this plus the time from its acknowledgement to the log
   // replicas' answer.
--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -84,7 +84,7 @@
     auto open_store = [folder = settings.store]() -> std::unique_ptr<owner::Store> {
       if (folder.empty())
         return std::make_unique<owner::MemoryStore>();
-      return std::make_unique<store::LmdbStore>(folder);
+      return std::make_unique<store::LmdbOwnerStore>(folder);
     };
     auto log_line = [this](const std::string& line) {
       log::Say("%s at %.0f", line.c_str(), loop_.now());
--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -55,8 +55,8 @@
   RecordSettings settings;
   peers::Id self;
   Callbacks callbacks;
-  std::unique_ptr<record::Replica> replica;  // none if this front is not one of the replicas
-  std::unique_ptr<record::Writer> writer;
+  std::unique_ptr<record::ReplicaHost> replica;  // none if this front is not one of the replicas
+  std::unique_ptr<record::LeaderWriter> writer;
   std::unique_ptr<record::Subscriber> subscriber;
   // Messages to this front itself wait for the end of the call.
   std::deque<std::string> to_self;
@@ -70,7 +70,7 @@
   Ms next_timer_at = 0;
   struct ReportedLease {
     Ms received_at = 0;
-    record::Lease lease;
+    record::LeasedPositions lease;
   };
   std::map<peers::Id, ReportedLease> subscriber_leases;  // one per log replica
   Ms writer_since = 0;
@@ -86,14 +86,14 @@
     else
       callbacks.send(to, std::move(bytes));
   }
-  record::Send MakeSend() {
+  record::SendMessage MakeSend() {
     return [this](record::Id to, const record::Message& m) {
       SendMessage(to, record::Encode(m));
     };
   }
-  record::Subscriber::Out MakeOut() {
-    return {[this](record::Id log_replica, const record::Want& want) {
-              SendMessage(log_replica, record::Encode(record::Saying(want)));
+  record::Subscriber::Callbacks MakeOut() {
+    return {[this](record::Id log_replica, const record::SubscriptionRequest& want) {
+              SendMessage(log_replica, record::Encode(record::SubscriberMessage(want)));
             },
             [this](const Entry& entry) { HandleEntry(entry); },
             [this] {
@@ -105,7 +105,7 @@
   // Passes an entry of the record to its user, in order. An earlier entry was not written later,
   // whatever the timestamps say, so an entry's time is the latest timestamp so far.
   void HandleEntry(const Entry& entry) {
-    latest_written_at = std::max(latest_written_at, entry.at);
+    latest_written_at = std::max(latest_written_at, entry.written_at);
     log::Say("record read %llu %s %s%s token %llu at %.0f",
              static_cast<unsigned long long>(entry.offset), record::ToString(entry.stream),
              entry.tombstone ? "without " : "", entry.key.c_str(),
@@ -121,8 +121,8 @@
 
   void UpdateFreshness() {
     Ms now = loop.now();
-    bool current = subscriber->CaughtUp() && subscriber->GoodAt() >= 0 &&
-                   now - subscriber->GoodAt() <= settings.stale_after;
+    bool current = subscriber->IsCaughtUp() && subscriber->CurrentAsOf() >= 0 &&
+                   now - subscriber->CurrentAsOf() <= settings.stale_after;
     if (current && behind) {
       behind = false;
       callbacks.limit_copy_age(0);
@@ -131,11 +131,11 @@
     } else if (!current && !behind) {
       behind = true;
       callbacks.limit_copy_age(settings.stale_after);
-      log::Say("record behind since %.0f at %.0f", subscriber->GoodAt(), now);
+      log::Say("record behind since %.0f at %.0f", subscriber->CurrentAsOf(), now);
     }
     if (writer && writer->phase() == record::Phase::kServing && !logged_serving) {
       logged_serving = true;
-      if (writer->Founded())
+      if (writer->IsBootstrapped())
         log::Say(
             "record founded from empty stores: every log replica was empty; anything written "
             "before "
@@ -159,8 +159,8 @@
       writer.reset();
     }
     if (!writer && token != 0 && usable && token != fenced_token) {
-      writer = std::make_unique<record::Writer>(self, settings.keepers, settings.keeper,
-                                                settings.log, token, loop.now());
+      writer = std::make_unique<record::LeaderWriter>(self, settings.keepers, settings.keeper,
+                                                      settings.log, token, loop.now());
       logged_serving = false;
       writer_since = loop.now();
       subscriber_leases.clear();
@@ -193,19 +193,20 @@
   if (std::find(settings.keepers.begin(), settings.keepers.end(), self) != settings.keepers.end()) {
     std::uint64_t new_store_id = seed ^ static_cast<std::uint64_t>(now) << 20 ^ self;
     auto open_disk = [folder = settings.store,
-                      map_bytes = 4 * settings.log.most_bytes]() -> std::unique_ptr<record::Disk> {
+                      map_bytes =
+                          4 * settings.log.max_bytes]() -> std::unique_ptr<record::LogStorage> {
       if (folder.empty())
-        return std::make_unique<record::MemoryDisk>();
-      return std::make_unique<store::RecordLmdb>(folder, map_bytes);
+        return std::make_unique<record::MemoryLogStorage>();
+      return std::make_unique<store::LmdbLogStorage>(folder, map_bytes);
     };
     // With a store that is another front's or unreadable, this front is no log replica, and logs
     // so; it serves on with the record of the others.
     auto log_line = [&impl](const std::string& line) {
       log::Say("%s at %.0f", line.c_str(), impl.loop.now());
     };
-    record::ReplicaTerms replica_terms{settings.keeper, settings.log, settings.subscriber};
-    impl.replica = std::make_unique<record::Replica>(self, settings.keepers, replica_terms,
-                                                     open_disk, new_store_id, now, log_line);
+    record::ReplicaHostSettings replica_terms{settings.keeper, settings.log, settings.subscriber};
+    impl.replica = std::make_unique<record::ReplicaHost>(self, settings.keepers, replica_terms,
+                                                         open_disk, new_store_id, now, log_line);
   }
   // A log replica asks itself first, which needs no network. Each start reads from the beginning,
   // as a front holds recalls in memory only.
@@ -227,22 +228,22 @@
   Impl& impl = *impl_;
   Ms now = impl.loop.now();
   if (auto message = record::Decode(bytes)) {
-    bool to_writer = std::holds_alternative<record::Tail>(*message) ||
-                     std::holds_alternative<record::Kept>(*message) ||
-                     std::holds_alternative<record::Fetched>(*message);
+    bool to_writer = std::holds_alternative<record::PrepareResponse>(*message) ||
+                     std::holds_alternative<record::AppendResponse>(*message) ||
+                     std::holds_alternative<record::FetchResponse>(*message);
     if (to_writer && impl.writer)
       impl.writer->Receive(now, from, *message, impl.MakeSend());
-    if (impl.replica && !std::holds_alternative<record::Tail>(*message) &&
-        !std::holds_alternative<record::Kept>(*message))
+    if (impl.replica && !std::holds_alternative<record::PrepareResponse>(*message) &&
+        !std::holds_alternative<record::AppendResponse>(*message))
       impl.replica->Receive(now, from, *message, impl.MakeSend());
-  } else if (auto subscription = record::DecodeSaying(bytes)) {
-    if (auto* want = std::get_if<record::Want>(&*subscription)) {
+  } else if (auto subscription = record::DecodeSubscriberMessage(bytes)) {
+    if (auto* want = std::get_if<record::SubscriptionRequest>(&*subscription)) {
       if (impl.replica)
-        if (auto piece = impl.replica->Wants(now, *want))
-          impl.SendMessage(from, record::Encode(record::Saying(*piece)));
-    } else if (auto* piece = std::get_if<record::Piece>(&*subscription)) {
+        if (auto piece = impl.replica->HandleSubscription(now, *want))
+          impl.SendMessage(from, record::Encode(record::SubscriberMessage(*piece)));
+    } else if (auto* piece = std::get_if<record::SubscriptionResponse>(&*subscription)) {
       impl.subscriber->Receive(now, from, *piece, impl.MakeOut());
-    } else if (auto* lease = std::get_if<record::Lease>(&*subscription)) {
+    } else if (auto* lease = std::get_if<record::LeasedPositions>(&*subscription)) {
       if (std::count(impl.settings.keepers.begin(), impl.settings.keepers.end(), from))
         impl.subscriber_leases[from] = {now, *lease};
     }
@@ -270,16 +271,17 @@
     impl.writer->Tick(now, impl.MakeSend());
     if (now >= impl.next_plan_at) {
       impl.next_plan_at = now + 1000;
-      impl.writer->Passed(now, impl.LowestSubscriberPosition());
+      impl.writer->SetMinSubscriberPosition(now, impl.LowestSubscriberPosition());
     }
   }
   if (impl.replica)
     impl.replica->Tick(now, impl.MakeSend());
   impl.subscriber->Tick(now, impl.MakeOut());
-  if (HasReplica() && impl.replica->LastWriter() != 0 && now >= impl.next_lease_at) {
+  if (HasReplica() && impl.replica->LastLeader() != 0 && now >= impl.next_lease_at) {
     impl.next_lease_at = now + 1000;
-    impl.SendMessage(impl.replica->LastWriter(),
-                     record::Encode(record::Saying(impl.replica->server()->Living(now))));
+    impl.SendMessage(
+        impl.replica->LastLeader(),
+        record::Encode(record::SubscriberMessage(impl.replica->server()->ActivePositions(now))));
   }
   HandleMessage(0, {});  // delivers the messages to itself
 }
@@ -297,16 +299,16 @@
   return std::max(impl_->subscriber->Committed(), impl_->replica ? impl_->replica->Committed() : 0);
 }
 Ms RecordComponent::CurrentAt() const {
-  return impl_->subscriber->GoodAt();
+  return impl_->subscriber->CurrentAsOf();
 }
 bool RecordComponent::HasReplica() const {
   return impl_->replica && impl_->replica->IsOpen();
 }
 bool RecordComponent::Corrupted() const {
-  return impl_->replica && (!HasReplica() || !impl_->replica->log()->Holes(1).empty());
+  return impl_->replica && (!HasReplica() || !impl_->replica->log()->Gaps(1).empty());
 }
-record::Head RecordComponent::head() const {
-  return impl_->replica ? impl_->replica->HeadAtOpening() : record::Head{};
+record::LogMetadata RecordComponent::head() const {
+  return impl_->replica ? impl_->replica->MetadataAtOpening() : record::LogMetadata{};
 }
 bool RecordComponent::Writes() const {
   return impl_->writer && impl_->writer->phase() == record::Phase::kServing;
@@ -330,15 +332,15 @@
   answer.set_number(batch.number());
   if (!impl.writer || impl.writer->phase() != record::Phase::kServing)
     return answer_with(3, "this front does not hold the record's lease, or does not serve yet");
-  std::vector<record::Writer::Put> puts;
+  std::vector<record::LeaderWriter::Put> puts;
   bool changes_rules = false;
   if (batch.puts_size() > 1)
     for (const auto& put : batch.puts())
       if (put.stream() == static_cast<unsigned>(record::Stream::kRules))
         return answer_with(4, "a change of the rules must be the only write of its batch");
   for (const auto& put : batch.puts()) {
-    if (put.key().empty() || put.key().size() > record::kLongestKey ||
-        put.value().size() > record::kLongestValue || put.stream() >= record::kStreams)
+    if (put.key().empty() || put.key().size() > record::kMaxKeyBytes ||
+        put.value().size() > record::kMaxValueBytes || put.stream() >= record::kStreamCount)
       return answer_with(4,
                          "a write needs a key of 1 to 200 bytes, a value of at most 60,000 bytes "
                          "and a known stream");
@@ -373,10 +375,10 @@
   bool accepted = impl.writer->Write(
       impl.loop.now(), puts,
       [&impl, reply, answer, count, changes_rules, token = impl.writer->token()](
-          record::Writer::Outcome outcome, Offset first) mutable {
+          record::LeaderWriter::Outcome outcome, Offset first) mutable {
         --impl.writes_in_flight;
         impl.rules_writes_in_flight -= changes_rules;
-        if (outcome == record::Writer::Outcome::kAcknowledged)
+        if (outcome == record::LeaderWriter::Outcome::kAcknowledged)
           log::Say("record put %llu acknowledged %zu token %llu at %.0f",
                    static_cast<unsigned long long>(first), count,
                    static_cast<unsigned long long>(token), impl.loop.now());
@@ -407,27 +409,28 @@
                      ",\"owner\":" + std::to_string(impl.callbacks.lease_holder());
   if (HasReplica()) {
     const record::Log& log = *impl.replica->log();
-    const record::Head& head = log.head();
-    json += ",\"last\":" + std::to_string(log.Last()) +
-            ",\"entries\":" + std::to_string(log.size()) +
-            ",\"bytes\":" + std::to_string(log.bytes()) +
-            ",\"dead_bytes\":" + std::to_string(log.DeadBytes()) +
-            ",\"cleaned\":" + std::to_string(head.cleaned) +
-            ",\"forgotten\":" + std::to_string(head.forgotten) +
-            ",\"promised\":" + std::to_string(head.promised) +
-            ",\"starts\":" + std::to_string(head.starts) +
-            ",\"holes\":" + std::to_string(log.Holes(1000).size()) +
-            ",\"failed\":false,\"subscribers\":" +
-            std::to_string(impl.replica->server()->Living(impl.loop.now()).positions.size());
+    const record::LogMetadata& head = log.metadata();
+    json +=
+        ",\"last\":" + std::to_string(log.LastOffset()) +
+        ",\"entries\":" + std::to_string(log.size()) + ",\"bytes\":" + std::to_string(log.bytes()) +
+        ",\"dead_bytes\":" + std::to_string(log.DeadBytes()) +
+        ",\"cleaned\":" + std::to_string(head.compacted_up_to) +
+        ",\"forgotten\":" + std::to_string(head.tombstone_horizon) +
+        ",\"promised\":" + std::to_string(head.promised_token) +
+        ",\"starts\":" + std::to_string(head.start_count) +
+        ",\"holes\":" + std::to_string(log.Gaps(1000).size()) +
+        ",\"failed\":false,\"subscribers\":" +
+        std::to_string(impl.replica->server()->ActivePositions(impl.loop.now()).positions.size());
   }
   if (impl.replica && !HasReplica())
     json += ",\"store\":\"not used\"";
   if (impl.writer)
     json += ",\"writes\":\"" + std::string(record::ToString(impl.writer->phase())) +
             "\",\"token\":" + std::to_string(impl.writer->token());
-  json += ",\"good_ms_ago\":" + (impl.subscriber->GoodAt() < 0
-                                     ? std::string("null")
-                                     : non_negative(impl.loop.now() - impl.subscriber->GoodAt()));
+  json +=
+      ",\"good_ms_ago\":" + (impl.subscriber->CurrentAsOf() < 0
+                                 ? std::string("null")
+                                 : non_negative(impl.loop.now() - impl.subscriber->CurrentAsOf()));
   return json + "}";
 }
 
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -78,10 +78,10 @@
 
   bool CaughtUp() const;
   record::Offset Position() const, Committed() const;
-  Ms CurrentAt() const;       // when the subscription was last confirmed as current; < 0: never
-  bool HasReplica() const;    // this front is a log replica, and its store is open
-  bool Corrupted() const;     // its store has gaps, or is not open
-  record::Head head() const;  // of its store, as it was when last opened
+  Ms CurrentAt() const;     // when the subscription was last confirmed as current; < 0: never
+  bool HasReplica() const;  // this front is a log replica, and its store is open
+  bool Corrupted() const;   // its store has gaps, or is not open
+  record::LogMetadata head() const;  // of its store, as it was when last opened
   bool Writes() const;
 
  private:
--- a/src/record/keeper.cpp
+++ b/src/record/keeper.cpp
@@ -1,5 +1,5 @@
-// A keeper's side: promises, takes what follows what it has, answers once it is on disk; heals
-// holes from the others.
+// The log replica's side: promises tokens, accepts entries that continue its log, responds once
+// they are on disk, and repairs gaps from the other replicas.
 #include <algorithm>
 
 #include "record/keepers.hpp"
@@ -7,348 +7,366 @@
 namespace dunlinwick::record {
 
 namespace {
-constexpr Offset kHealing = ~Offset{0};  // Fetched::after of an answer to Fetch::only
-constexpr Id kProving =
-    0;  // in Head::seen, which only grows: how often it was proved, or found to be old
-constexpr std::size_t kHolesATime = 16;
+// FetchResponse::after of a response to FetchRequest::offsets.
+constexpr Offset kGapRepair = ~Offset{0};
+// In LogMetadata::witnessed, whose values only grow: how often the replica was confirmed or found
+// to be old.
+constexpr Id kConfirmationId = 0;
+constexpr std::size_t kMaxGapsPerMessage = 16;
 }  // namespace
 
-struct Keeper::Inner {
+struct LogReplica::Impl {
   Id self;
-  std::vector<Id> keepers;
-  KeeperTerms terms;
+  std::vector<Id> replicas;
+  LogReplicaSettings settings;
   Log& log;
-  std::uint64_t life;
+  std::uint64_t incarnation;
   bool failed = false;
-  bool doubted = true;
-  bool stranded = false;
+  bool unconfirmed = true;
+  bool needs_reset = false;
   Ms unix_now = 0;
-  Ms asked = -1e300;
-  std::size_t turn = 0;
-  std::pair<Token, std::uint64_t> begun{0, 0};  // the last session anew
+  Ms gaps_requested_at = -1e300;
+  std::size_t next_source = 0;
+  std::pair<Token, std::uint64_t> last_snapshot_session{0, 0};  // token and session
 
-  Inner(Id s, std::vector<Id> k, KeeperTerms t, Log& l, std::uint64_t n)
-      : self(s), keepers(std::move(k)), terms(t), log(l), life(n != 0 ? n : l.head().starts) {
-    // Entries that may be acknowledged are gone with a hole above what is known committed, and the
-    // next append covers it up.
-    auto holes = log.Holes(SIZE_MAX);
-    // And of one lost where it looks compacted, nobody can tell which: only another's log, anew,
-    // has it.
-    stranded = log.Lost();
-    if (stranded || (!holes.empty() && holes.back() > log.head().committed))
-      Safely([&] { Mark(false); });
+  Impl(Id id, std::vector<Id> ids, LogReplicaSettings s, Log& l, std::uint64_t number)
+      : self(id),
+        replicas(std::move(ids)),
+        settings(s),
+        log(l),
+        incarnation(number != 0 ? number : l.metadata().start_count) {
+    // A gap above the known committed offset may be an acknowledged entry, and the next append
+    // would hide that it is missing.
+    auto gaps = log.Gaps(SIZE_MAX);
+    // An entry lost where it looks compacted cannot be identified: only a reset from another
+    // replica's log restores it.
+    needs_reset = log.HasUnlocatedLoss();
+    if (needs_reset || (!gaps.empty() && gaps.back() > log.metadata().committed))
+      RunUnlessFailed([&] { SetConfirmed(false); });
   }
 
-  bool Knows(Id id) const {
-    return std::find(keepers.begin(), keepers.end(), id) != keepers.end();
+  bool IsReplica(Id id) const {
+    return std::find(replicas.begin(), replicas.end(), id) != replicas.end();
   }
-  Offset Marks() const {
-    for (auto [who, n] : log.head().seen)
-      if (who == kProving)
-        return n;
+  Offset ConfirmationCount() const {
+    for (auto [id, count] : log.metadata().witnessed)
+      if (id == kConfirmationId)
+        return count;
     return 0;
   }
-  void Mark(bool proved) {
-    if ((Marks() % 2 == 1) == proved)
+  void SetConfirmed(bool confirmed) {
+    if ((ConfirmationCount() % 2 == 1) == confirmed)
       return;
-    log.witness(kProving, Marks() + 1);
-    log.Keep();
+    log.RecordWitnessed(kConfirmationId, ConfirmationCount() + 1);
+    log.PersistMetadata();
   }
-  // Begun anew and not yet brought up to where its source was compacted.
-  bool Partial() const {
-    return !log.Whole();
+  // Being reset from a snapshot, and not yet past the offset up to which the source was compacted.
+  bool IsIncomplete() const {
+    return !log.IsComplete();
   }
 
-  Tail tail(std::uint64_t round) const {
-    const Head& h = log.head();
-    Tail t;
-    t.token = h.promised;
-    t.store = h.store;
-    t.starts = h.starts;
-    t.round = round;
-    t.life = life;
-    t.doubted = doubted;
-    t.unproved = Marks() % 2 == 0;
-    t.last = log.Last();
-    t.committed = Partial() ? 0 : h.committed;
-    t.first = h.first;
-    t.cleaned = h.cleaned;
-    t.forgotten = h.forgotten;
-    t.last_token = log.LastToken();
-    t.seen = h.seen;
-    t.holes = log.Holes(kHolesATime);
-    t.corrupted = !t.holes.empty();
-    return t;
+  PrepareResponse MakePrepareResponse(std::uint64_t round) const {
+    const LogMetadata& metadata = log.metadata();
+    PrepareResponse response;
+    response.token = metadata.promised_token;
+    response.store_id = metadata.store_id;
+    response.start_count = metadata.start_count;
+    response.round = round;
+    response.incarnation = incarnation;
+    response.unconfirmed = unconfirmed;
+    response.unconfirmed_on_disk = ConfirmationCount() % 2 == 0;
+    response.last = log.LastOffset();
+    response.committed = IsIncomplete() ? 0 : metadata.committed;
+    response.first = metadata.first;
+    response.compacted_up_to = metadata.compacted_up_to;
+    response.tombstone_horizon = metadata.tombstone_horizon;
+    response.last_token = log.LastToken();
+    response.witnessed = metadata.witnessed;
+    response.gaps = log.Gaps(kMaxGapsPerMessage);
+    response.corrupted = !response.gaps.empty();
+    return response;
   }
 
-  // Where what it has may still be what the writer has: below all that has the token of what
-  // differs.
-  Offset Hint(Offset after) const {
-    Offset last = log.Last(), floor = log.head().committed;
+  // The offset up to which the log may still agree with the leader writer's: below all entries that
+  // have the token of the one that differs.
+  Offset ResumeAfter(Offset after) const {
+    Offset last = log.LastOffset(), floor = log.metadata().committed;
     if (last < after)
       return last;
-    if (Partial())
-      return 0;  // anew
-    auto differs = log.TokenAt(after);
-    Offset at = after == 0 ? 0 : after - 1;
-    while (at > floor && differs && log.TokenAt(at) == differs)
-      --at;
-    return std::max(at, floor);
+    if (IsIncomplete())
+      return 0;  // from the start
+    auto differing_token = log.TokenAt(after);
+    Offset candidate = after == 0 ? 0 : after - 1;
+    while (candidate > floor && differing_token && log.TokenAt(candidate) == differing_token)
+      --candidate;
+    return std::max(candidate, floor);
   }
 
-  // What follows m.after goes to disk; true: it has all of it then.
-  bool Write(const Append& m, Offset& up_to) {
-    const Head& h = log.head();
+  // Writes the entries after m.after to disk; returns true if the log then has all of them.
+  bool WriteEntries(const AppendRequest& m, Offset& up_to) {
+    const LogMetadata& metadata = log.metadata();
     Offset end = m.entries.empty() ? m.after : m.entries.back().offset;
-    if (m.anew && m.after == 0) {
-      // A late double would throw away what came since.
-      if (begun == std::pair(m.token, m.session))
+    if (m.from_snapshot && m.after == 0) {
+      // A delayed duplicate would discard what was appended since.
+      if (last_snapshot_session == std::pair(m.token, m.snapshot_session))
         return false;
-      // How far it was: one half brought up is not taken for one whose disk is old. (Else, with a
-      // minority of disks lost, a third keeper caught in between would keep all from going on for
-      // ever.)
-      log.witness(self, log.Last());
-      if (!log.Anew(m.entries, {std::min(m.cleaned, end), std::min(m.forgotten, end)}))
+      // Stores how far this log reached, so that a replica reset half way is not taken for one
+      // whose disk is old. (Otherwise, with a minority of disks lost, a third replica interrupted
+      // during its reset would block the record for ever.)
+      log.RecordWitnessed(self, log.LastOffset());
+      if (!log.ResetFromSnapshot(
+              m.entries, {std::min(m.compacted_up_to, end), std::min(m.tombstone_horizon, end)}))
         return false;
-      begun = {m.token, m.session};
+      last_snapshot_session = {m.token, m.snapshot_session};
       up_to = end;
       return true;
     }
-    // Of this very session all is the writer's; and what is committed may have another token
-    // elsewhere, but no other content.
-    bool in_session = m.anew && Partial() && begun == std::pair(m.token, m.session);
-    auto have = [&](const Entry& e) {
-      return (!Partial() && e.offset <= h.committed) || (in_session && e.offset <= log.Last()) ||
-             log.TokenAt(e.offset) == e.token;
+    // Everything of this session comes from the leader writer; and a committed entry may have
+    // another token elsewhere, but no other content.
+    bool in_session = m.from_snapshot && IsIncomplete() &&
+                      last_snapshot_session == std::pair(m.token, m.snapshot_session);
+    auto has = [&](const Entry& e) {
+      return (!IsIncomplete() && e.offset <= metadata.committed) ||
+             (in_session && e.offset <= log.LastOffset()) || log.TokenAt(e.offset) == e.token;
     };
-    std::size_t skip = 0;
-    while (skip < m.entries.size() && have(m.entries[skip]))
-      ++skip;
-    if (skip < m.entries.size()) {
-      std::vector<Entry> rest(m.entries.begin() + static_cast<std::ptrdiff_t>(skip),
+    std::size_t present = 0;
+    while (present < m.entries.size() && has(m.entries[present]))
+      ++present;
+    if (present < m.entries.size()) {
+      std::vector<Entry> rest(m.entries.begin() + static_cast<std::ptrdiff_t>(present),
                               m.entries.end());
-      Offset from = rest.front().offset, before = skip == 0 ? m.after : m.entries[skip - 1].offset;
-      if (Partial() && before < h.cleaned)
+      Offset from = rest.front().offset,
+             before = present == 0 ? m.after : m.entries[present - 1].offset;
+      if (IsIncomplete() && before < metadata.compacted_up_to)
         return false;
-      bool gaps = false;
+      bool skips_compacted = false;
       for (Offset o = before; const Entry& e : rest) {
-        gaps = gaps || e.offset != o + 1;
+        skips_compacted = skips_compacted || e.offset != o + 1;
         o = e.offset;
       }
-      // Only so far as this message tells: beyond, this keeper is not compacted but empty.
-      Source source;
-      if (gaps || m.anew)
-        source = {std::min(m.cleaned, end), std::min(m.forgotten, before)};
-      // Over a gap: whatever it has above `before` is not the writer's.
-      if (gaps && log.Last() > before && before >= h.committed)
+      // Only as far as this message reaches: beyond it, this log is not compacted but empty.
+      CompactionProgress source;
+      if (skips_compacted || m.from_snapshot)
+        source = {std::min(m.compacted_up_to, end), std::min(m.tombstone_horizon, before)};
+      // If offsets are skipped, whatever this log has above `before` is not the leader writer's.
+      if (skips_compacted && log.LastOffset() > before && before >= metadata.committed)
         from = before + 1;
-      if (!log.append(from, rest, source))
+      if (!log.AppendEntries(from, rest, source))
         return false;
     }
     up_to = end;
     return true;
   }
 
-  void append(Id from, const Append& m, const Send& send) {
-    const Head& h = log.head();
-    Kept k;
-    k.life = life;
-    k.token = h.promised;
-    k.last = log.Last();
-    if (m.token < h.promised && terms.break_fence && m.plan.up_to != 0)
-      log.Take({h.promised, m.plan.up_to, m.plan.forget});
-    if (m.token < h.promised || m.life != life || m.token > h.promised) {
-      k.refused = true;
-      k.unsought = m.token >= h.promised;
-      k.partial = Partial();
-      return send(from, k);
+  void HandleAppend(Id from, const AppendRequest& m, const SendMessage& send) {
+    const LogMetadata& metadata = log.metadata();
+    AppendResponse response;
+    response.incarnation = incarnation;
+    response.token = metadata.promised_token;
+    response.last = log.LastOffset();
+    if (m.token < metadata.promised_token && settings.defect_skip_plan_fencing && m.plan.up_to != 0)
+      log.AcceptPlan({metadata.promised_token, m.plan.up_to, m.plan.remove_tombstones_up_to});
+    if (m.token < metadata.promised_token || m.incarnation != incarnation ||
+        m.token > metadata.promised_token) {
+      response.refused = true;
+      response.unknown_incarnation = m.token >= metadata.promised_token;
+      response.incomplete = IsIncomplete();
+      return send(from, response);
     }
-    bool known = (!Partial() && m.after <= h.committed) || m.after == 0 ||
+    bool known = (!IsIncomplete() && m.after <= metadata.committed) || m.after == 0 ||
                  (m.after_token != 0 && log.TokenAt(m.after) == m.after_token);
-    // The session goes on where it was, though the source may have compacted that very entry.
-    known = known || (m.anew && begun == std::pair(m.token, m.session) && m.after == log.Last());
+    // The session continues where it was, even if the source has compacted that entry meanwhile.
+    known = known ||
+            (m.from_snapshot && last_snapshot_session == std::pair(m.token, m.snapshot_session) &&
+             m.after == log.LastOffset());
     Offset up_to = 0;
-    bool was_partial = Partial();
+    bool was_incomplete = IsIncomplete();
     try {
       if (m.corrupted)
-        Mark(false);
-      if (!known || !Write(m, up_to)) {
-        k.refused = true;
-        k.hint = Hint(m.after);
-        k.partial = Partial();
+        SetConfirmed(false);
+      if (!known || !WriteEntries(m, up_to)) {
+        response.refused = true;
+        response.resume_after = ResumeAfter(m.after);
+        response.incomplete = IsIncomplete();
       } else {
-        // Of a log begun anew nothing is served below where its source was compacted: keys would be
-        // missing.
-        bool whole = (!m.anew && !was_partial) ||
-                     up_to >= (m.anew ? std::max(m.cleaned, m.forgotten) : m.cleaned);
-        // What the source had forgotten is forgotten here too, before anything is served: told too
-        // low, it brings the dead back to life at a subscriber. But only here: it is also by this
-        // that a writer sees whether a source has forgotten meanwhile.
-        if (m.anew && whole && up_to >= m.forgotten && h.forgotten < m.forgotten)
-          log.append(0, {}, {0, m.forgotten});
-        if (whole)
+        // A log that is being reset serves nothing below the offset up to which its source was
+        // compacted: keys would be missing.
+        bool complete = (!m.from_snapshot && !was_incomplete) ||
+                        up_to >= (m.from_snapshot ? std::max(m.compacted_up_to, m.tombstone_horizon)
+                                                  : m.compacted_up_to);
+        // The source's tombstone horizon applies here too, before anything is served: a horizon
+        // reported too low would make deleted keys reappear at a subscriber. It is raised only
+        // here, because the leader writer also uses it to see whether a source has removed
+        // tombstones meanwhile.
+        if (m.from_snapshot && complete && up_to >= m.tombstone_horizon &&
+            metadata.tombstone_horizon < m.tombstone_horizon)
+          log.AppendEntries(0, {}, {0, m.tombstone_horizon});
+        if (complete)
           log.Commit(std::min(m.committed, up_to));
         if (m.plan.up_to != 0 && m.plan.token == m.token)
-          log.Take(m.plan);
-        k.up_to = up_to;
-        k.holes = log.Holes(kHolesATime);
-        k.partial = Partial();
-        if (m.proves && up_to >= m.committed && k.holes.empty() && !k.partial) {
-          doubted = false;
-          Mark(true);
+          log.AcceptPlan(m.plan);
+        response.up_to = up_to;
+        response.gaps = log.Gaps(kMaxGapsPerMessage);
+        response.incomplete = IsIncomplete();
+        if (m.confirms && up_to >= m.committed && response.gaps.empty() && !response.incomplete) {
+          unconfirmed = false;
+          SetConfirmed(true);
         }
       }
-      for (auto [id, held] : m.held)
-        if (id != self && Knows(id))
-          log.witness(id, held);
-      if (!m.held.empty())
-        log.Keep();
+      for (auto [id, match] : m.match_offsets)
+        if (id != self && IsReplica(id))
+          log.RecordWitnessed(id, match);
+      if (!m.match_offsets.empty())
+        log.PersistMetadata();
       if (m.entries.empty()) {
-        if (!k.refused && !k.partial)
-          if (auto p = log.Worth(unix_now, m.passed, m.token))
-            k.plan = *p;
+        if (!response.refused && !response.incomplete)
+          if (auto plan = log.ProposePlan(unix_now, m.min_subscriber_position, m.token))
+            response.plan = *plan;
       }
-    } catch (const Full&) {
-      k.full = true;
-      k.up_to = known ? std::min(m.after, log.Last()) : 0;
-      k.refused = !known;
-      k.hint = known ? 0 : Hint(m.after);
-      k.holes = log.Holes(kHolesATime);
-      k.partial = Partial();
+    } catch (const StorageFullError&) {
+      response.full = true;
+      response.up_to = known ? std::min(m.after, log.LastOffset()) : 0;
+      response.refused = !known;
+      response.resume_after = known ? 0 : ResumeAfter(m.after);
+      response.gaps = log.Gaps(kMaxGapsPerMessage);
+      response.incomplete = IsIncomplete();
     }
-    if (log.Holes(1).empty())
-      stranded = false;
-    k.last = log.Last();
-    k.stranded = stranded;
-    send(from, k);
+    if (log.Gaps(1).empty())
+      needs_reset = false;
+    response.last = log.LastOffset();
+    response.needs_reset = needs_reset;
+    send(from, response);
   }
 
-  void fetch(Id from, const Fetch& m, const Send& send) {
-    const Head& h = log.head();
-    if (Partial() || log.Lost())
-      return;  // what is not here may be what is lost, not what is superseded
-    Fetched f;
-    f.committed = h.committed;
-    f.cleaned = h.cleaned;
-    f.forgotten = h.forgotten;
-    if (!m.only.empty()) {
-      f.after = kHealing;
+  void HandleFetch(Id from, const FetchRequest& m, const SendMessage& send) {
+    const LogMetadata& metadata = log.metadata();
+    if (IsIncomplete() || log.HasUnlocatedLoss())
+      return;  // a missing entry may be lost rather than superseded
+    FetchResponse response;
+    response.committed = metadata.committed;
+    response.compacted_up_to = metadata.compacted_up_to;
+    response.tombstone_horizon = metadata.tombstone_horizon;
+    if (!m.offsets.empty()) {
+      response.after = kGapRepair;
       std::size_t bytes = 0;
-      std::vector<Offset> only(m.only);
-      std::sort(only.begin(), only.end());
-      only.erase(std::unique(only.begin(), only.end()), only.end());
-      auto holes = log.Holes(SIZE_MAX);
-      for (Offset o : only) {
-        if (o > h.committed || std::binary_search(holes.begin(), holes.end(), o))
+      std::vector<Offset> requested(m.offsets);
+      std::sort(requested.begin(), requested.end());
+      requested.erase(std::unique(requested.begin(), requested.end()), requested.end());
+      auto gaps = log.Gaps(SIZE_MAX);
+      for (Offset o : requested) {
+        if (o > metadata.committed || std::binary_search(gaps.begin(), gaps.end(), o))
           break;
-        if (const Entry* e = log.at(o)) {
+        if (const Entry* e = log.Find(o)) {
           if (bytes += e->key.size() + e->value.size();
-              !f.entries.empty() && bytes > terms.piece_bytes)
+              !response.entries.empty() && bytes > settings.batch_bytes)
             break;
-          f.entries.push_back(*e);
+          response.entries.push_back(*e);
         }
-        f.up_to = o;
-        f.only.push_back(o);
+        response.up_to = o;
+        response.offsets.push_back(o);
       }
     } else {
-      f.after = m.after;
-      f.after_token = log.TokenAt(m.after).value_or(0);
-      f.entries = log.Read(m.after, m.up_to, terms.piece_bytes);
-      f.up_to = f.entries.empty() ? m.after : f.entries.back().offset;
+      response.after = m.after;
+      response.after_token = log.TokenAt(m.after).value_or(0);
+      response.entries = log.Read(m.after, m.up_to, settings.batch_bytes);
+      response.up_to = response.entries.empty() ? m.after : response.entries.back().offset;
     }
-    send(from, f);
+    send(from, response);
   }
 
-  void Heal(const Fetched& m) {
-    if (m.after != kHealing || Partial())
+  void RepairGaps(const FetchResponse& m) {
+    if (m.after != kGapRepair || IsIncomplete())
       return;
-    Offset sure = std::min(
-        m.committed, log.head().committed);  // above it, only a writer knows what belongs there
-    for (Offset o : log.Holes(kHolesATime)) {
-      if (o > sure)
+    // Above it only a leader writer knows which entry belongs there.
+    Offset limit = std::min(m.committed, log.metadata().committed);
+    for (Offset o : log.Gaps(kMaxGapsPerMessage)) {
+      if (o > limit)
         break;
-      // A late answer to another question must not close what it says nothing of.
-      if (std::find(m.only.begin(), m.only.end(), o) == m.only.end())
+      // A delayed response to another request must not close a gap that it does not cover.
+      if (std::find(m.offsets.begin(), m.offsets.end(), o) == m.offsets.end())
         continue;
       auto e = std::find_if(m.entries.begin(), m.entries.end(),
-                            [&](const Entry& one) { return one.offset == o; });
+                            [&](const Entry& entry) { return entry.offset == o; });
       if (e != m.entries.end())
-        log.Heal(*e);
-      // Not there, and nothing so high is forgotten there: superseded. Else it may have been a
-      // tombstone that hides what is here still: closing it would bring the dead back to life.
-      else if (o <= m.cleaned && o > m.forgotten)
-        log.Close(o, {m.cleaned, m.forgotten});
-      else if (o <= m.forgotten)
-        stranded = true;
+        log.RepairGap(*e);
+      // Missing there above the source's tombstone horizon: superseded. At or below the horizon it
+      // may have been a tombstone that hides an entry still here; closing the gap would make the
+      // deleted key reappear.
+      else if (o <= m.compacted_up_to && o > m.tombstone_horizon)
+        log.CloseCompactedGap(o, {m.compacted_up_to, m.tombstone_horizon});
+      else if (o <= m.tombstone_horizon)
+        needs_reset = true;
     }
   }
 
-  template <class What>
-  void Safely(What what) {
+  template <class Operation>
+  void RunUnlessFailed(Operation operation) {
     if (failed)
       return;
     try {
-      what();
-    } catch (const Full&) {  // nothing was written; it is asked again
-    } catch (const Failed&) {
-      failed =
-          true;  // whether the last write landed is not known: no word until the disk is read anew
+      operation();
+    } catch (const StorageFullError&) {  // nothing was written; the sender retries
+    } catch (const StorageError&) {
+      // Whether the last write took effect is unknown: sends nothing until the disk is read again.
+      failed = true;
     }
   }
 };
 
-Keeper::Keeper(Id self, std::vector<Id> keepers, KeeperTerms terms, Log& log, std::uint64_t life)
-    : inner_(std::make_shared<Inner>(self, std::move(keepers), terms, log, life)) {}
+LogReplica::LogReplica(Id self, std::vector<Id> replicas, LogReplicaSettings settings, Log& log,
+                       std::uint64_t incarnation)
+    : impl_(std::make_shared<Impl>(self, std::move(replicas), settings, log, incarnation)) {}
 
-void Keeper::Receive(Ms, Id from, const Message& m, const Send& send) {
-  Inner& in = *inner_;
-  in.Safely([&] {
-    if (auto* seek = std::get_if<Seek>(&m)) {
-      in.log.Promise(seek->token);
-      send(from, in.tail(seek->round));
-    } else if (auto* append = std::get_if<Append>(&m)) {
-      in.append(from, *append, send);
-    } else if (auto* fetch = std::get_if<Fetch>(&m)) {
-      in.fetch(from, *fetch, send);
-    } else if (auto* fetched = std::get_if<Fetched>(&m); fetched && in.Knows(from)) {
-      in.Heal(*fetched);
+void LogReplica::Receive(Ms, Id from, const Message& m, const SendMessage& send) {
+  Impl& impl = *impl_;
+  impl.RunUnlessFailed([&] {
+    if (auto* prepare = std::get_if<PrepareRequest>(&m)) {
+      impl.log.Promise(prepare->token);
+      send(from, impl.MakePrepareResponse(prepare->round));
+    } else if (auto* append = std::get_if<AppendRequest>(&m)) {
+      impl.HandleAppend(from, *append, send);
+    } else if (auto* fetch = std::get_if<FetchRequest>(&m)) {
+      impl.HandleFetch(from, *fetch, send);
+    } else if (auto* response = std::get_if<FetchResponse>(&m); response && impl.IsReplica(from)) {
+      impl.RepairGaps(*response);
     }
   });
 }
 
-void Keeper::Tick(Ms now, const Send& send, Ms unix_now) {
-  Inner& in = *inner_;
-  in.unix_now = unix_now >= 0 ? unix_now : now;
-  in.Safely([&] {
-    if (in.Partial())
+void LogReplica::Tick(Ms now, const SendMessage& send, Ms unix_now) {
+  Impl& impl = *impl_;
+  impl.unix_now = unix_now >= 0 ? unix_now : now;
+  impl.RunUnlessFailed([&] {
+    if (impl.IsIncomplete())
       return;
-    if (auto holes = in.log.Holes(kHolesATime); !holes.empty()) {
-      while (!holes.empty() && holes.back() > in.log.head().committed)
-        holes.pop_back();
-      if (holes.empty() || now < in.asked + in.terms.again || in.keepers.size() < 2)
+    if (auto gaps = impl.log.Gaps(kMaxGapsPerMessage); !gaps.empty()) {
+      while (!gaps.empty() && gaps.back() > impl.log.metadata().committed)
+        gaps.pop_back();
+      if (gaps.empty() || now < impl.gaps_requested_at + impl.settings.retry_interval ||
+          impl.replicas.size() < 2)
         return;
-      in.asked = now;
-      Id to = in.keepers[in.turn++ % in.keepers.size()];
-      if (to == in.self)
-        to = in.keepers[in.turn++ % in.keepers.size()];
-      send(to, Fetch{0, 0, holes});
+      impl.gaps_requested_at = now;
+      Id to = impl.replicas[impl.next_source++ % impl.replicas.size()];
+      if (to == impl.self)
+        to = impl.replicas[impl.next_source++ % impl.replicas.size()];
+      send(to, FetchRequest{0, 0, gaps});
       return;
     }
-    in.log.Step();
+    impl.log.CompactStep();
   });
 }
 
-bool Keeper::has_failed() const {
-  return inner_->failed || inner_->log.has_failed();
+bool LogReplica::has_failed() const {
+  return impl_->failed || impl_->log.has_failed();
 }
-bool Keeper::Doubted() const {
-  return inner_->doubted;
+bool LogReplica::IsUnconfirmed() const {
+  return impl_->unconfirmed;
 }
-void Keeper::SetDoubted(bool doubted) {
-  inner_->doubted = doubted;
+void LogReplica::SetUnconfirmed(bool unconfirmed) {
+  impl_->unconfirmed = unconfirmed;
 }
-Log& Keeper::log() {
-  return inner_->log;
+Log& LogReplica::log() {
+  return impl_->log;
 }
 
 }  // namespace dunlinwick::record
--- a/src/store/lmdb.cpp
+++ b/src/store/lmdb.cpp
@@ -16,204 +16,207 @@
 using owner::StoredState;
 using owner::Writer;
 
-struct LmdbStore::Inner {
+struct LmdbOwnerStore::Impl {
   std::string folder;
-  Environment environment;
-  std::uint64_t first = 1;
-  std::uint64_t next = 1;  // of the log: its first entry, and the one after its last
+  LmdbEnvironment environment;
+  // Of the log: the index of its first entry, and the one after its last.
+  std::uint64_t first_index = 1;
+  std::uint64_t next_index = 1;
 
-  [[noreturn]] void Fail(const std::string& what, int fault) const {
-    throw std::runtime_error(folder + ": " + what + ": " + FaultText(fault));
+  [[noreturn]] void ThrowError(const std::string& step, int code) const {
+    throw std::runtime_error(folder + ": " + step + ": " + ErrorText(code));
   }
-  void Check(const char* what, int fault) const {
-    if (fault != 0)
-      Fail(what, fault);
+  void Check(const char* step, int code) const {
+    if (code != 0)
+      ThrowError(step, code);
   }
-  struct Txn {
-    Inner& in;
+  struct Transaction {
+    Impl& impl;
     MDB_txn* txn = nullptr;
-    Txn(Inner& i, unsigned flags) : in(i) {
-      in.Check("no transaction", mdb_txn_begin(in.environment.Get(), nullptr, flags, &txn));
+    Transaction(Impl& owner_impl, unsigned flags) : impl(owner_impl) {
+      impl.Check("cannot begin a transaction",
+                 mdb_txn_begin(impl.environment.handle(), nullptr, flags, &txn));
     }
-    ~Txn() {
+    ~Transaction() {
       if (txn)
         mdb_txn_abort(txn);
     }
-    static MDB_val Val(const std::string& s) {
+    static MDB_val ToMdbValue(const std::string& s) {
       return {s.size(), const_cast<char*>(s.data())};
     }
     void Put(const std::string& key, const std::string& value) {
-      MDB_val k = Val(key), v = Val(value);
-      in.Check("can't be written", mdb_put(txn, in.environment.table(), &k, &v, 0));
+      MDB_val k = ToMdbValue(key), v = ToMdbValue(value);
+      impl.Check("cannot be written", mdb_put(txn, impl.environment.table(), &k, &v, 0));
     }
-    void Drop(const std::string& key) {
-      MDB_val k = Val(key);
-      int fault = mdb_del(txn, in.environment.table(), &k, nullptr);
-      if (fault != MDB_NOTFOUND)
-        in.Check("can't be written", fault);
+    void Remove(const std::string& key) {
+      MDB_val k = ToMdbValue(key);
+      int code = mdb_del(txn, impl.environment.table(), &k, nullptr);
+      if (code != MDB_NOTFOUND)
+        impl.Check("cannot be written", code);
     }
     bool Get(const std::string& key, std::string& into) {
-      MDB_val k = Val(key), v{};
-      int fault = mdb_get(txn, in.environment.table(), &k, &v);
-      if (fault == MDB_NOTFOUND)
+      MDB_val k = ToMdbValue(key), v{};
+      int code = mdb_get(txn, impl.environment.table(), &k, &v);
+      if (code == MDB_NOTFOUND)
         return false;
-      in.Check("can't be read", fault);
+      impl.Check("cannot be read", code);
       into.assign(static_cast<const char*>(v.mv_data), v.mv_size);
       return true;
     }
     void Commit() {
-      in.Check("can't be kept", mdb_txn_commit(std::exchange(txn, nullptr)));
+      impl.Check("cannot be committed", mdb_txn_commit(std::exchange(txn, nullptr)));
     }
   };
-  // A transaction that fails leaves the bounds as they were, on the disk and here.
-  void Write(const std::function<void(Txn&)>& change) {
-    std::uint64_t first_before = first;
-    std::uint64_t next_before = next;
+  // A failed transaction leaves the bounds unchanged, on disk and in memory.
+  void Write(const std::function<void(Transaction&)>& change) {
+    std::uint64_t first_before = first_index;
+    std::uint64_t next_before = next_index;
     try {
-      Txn t(*this, 0);
-      change(t);
-      t.Commit();
+      Transaction transaction(*this, 0);
+      change(transaction);
+      transaction.Commit();
     } catch (...) {
-      first = first_before;
-      next = next_before;
+      first_index = first_before;
+      next_index = next_before;
       throw;
     }
   }
-  static std::string number(std::uint64_t v) {
+  static std::string EncodeNumber(std::uint64_t v) {
     Writer w;
     w.number(v, 8);
     return w.bytes;
   }
   static std::string EntryKey(std::uint64_t index) {
-    return "e" + number(index);
+    return "e" + EncodeNumber(index);
   }
-  std::uint64_t NumberOf(Txn& t, const char* key, std::uint64_t otherwise) {
+  std::uint64_t ReadNumber(Transaction& transaction, const char* key, std::uint64_t default_value) {
     std::string v;
-    if (!t.Get(key, v))
-      return otherwise;
+    if (!transaction.Get(key, v))
+      return default_value;
     Reader r(v);
     std::uint64_t n = r.number(8);
     if (!r.Whole())
-      throw std::runtime_error(folder + ": " + key + " can't be read");
+      throw std::runtime_error(folder + ": " + key + " cannot be read");
     return n;
   }
-  void bounds(Txn& t) {
-    t.Put("first", number(first));
-    t.Put("next", number(next));
+  void WriteBounds(Transaction& transaction) {
+    transaction.Put("first", EncodeNumber(first_index));
+    transaction.Put("next", EncodeNumber(next_index));
   }
 };
 
-LmdbStore::LmdbStore(const std::string& folder) : inner_(std::make_unique<Inner>()) {
-  Inner& in = *inner_;
-  in.folder = folder;
+LmdbOwnerStore::LmdbOwnerStore(const std::string& folder) : impl_(std::make_unique<Impl>()) {
+  Impl& impl = *impl_;
+  impl.folder = folder;
   constexpr std::size_t kMapBytes = 16 << 20;
-  OpenResult opened = in.environment.Open(folder, kMapBytes);
-  in.Check(opened.step, opened.code);
-  // Written anew at each opening: what a sync that failed left in the system's cache may be read
-  // here, and is on the disk only once this transaction, which stands on it, is.
-  in.Write([&](Inner::Txn& t) {
-    in.first = in.NumberOf(t, "first", 1);
-    in.next = in.NumberOf(t, "next", in.first);
-    in.bounds(t);
+  OpenResult opened = impl.environment.Open(folder, kMapBytes);
+  impl.Check(opened.step, opened.code);
+  // Written again at each opening: after a failed sync, the values read here may be in the page
+  // cache only. They are on disk once this transaction, which builds on them, is.
+  impl.Write([&](Impl::Transaction& transaction) {
+    impl.first_index = impl.ReadNumber(transaction, "first", 1);
+    impl.next_index = impl.ReadNumber(transaction, "next", impl.first_index);
+    impl.WriteBounds(transaction);
   });
 }
-LmdbStore::~LmdbStore() = default;
+LmdbOwnerStore::~LmdbOwnerStore() = default;
 
-StoredState LmdbStore::load() {
-  Inner& in = *inner_;
-  Inner::Txn t(in, MDB_RDONLY);
-  StoredState s;
-  s.term = in.NumberOf(t, "term", 0);
-  s.vote = in.NumberOf(t, "vote", 0);
-  s.first = in.first;
-  t.Get("founding", s.founding);
+StoredState LmdbOwnerStore::load() {
+  Impl& impl = *impl_;
+  Impl::Transaction transaction(impl, MDB_RDONLY);
+  StoredState state;
+  state.term = impl.ReadNumber(transaction, "term", 0);
+  state.vote = impl.ReadNumber(transaction, "vote", 0);
+  state.first = impl.first_index;
+  transaction.Get("founding", state.founding);
   std::string bytes;
-  for (std::uint64_t i = in.first; i < in.next; ++i) {
-    if (!t.Get(Inner::EntryKey(i), bytes))
-      throw std::runtime_error(in.folder + ": entry " + std::to_string(i) +
-                               " of the log is not there");
+  for (std::uint64_t i = impl.first_index; i < impl.next_index; ++i) {
+    if (!transaction.Get(Impl::EntryKey(i), bytes))
+      throw std::runtime_error(impl.folder + ": entry " + std::to_string(i) +
+                               " of the log is missing");
     Reader r(bytes);
     LogEntry e;
     e.term = r.number(8);
     e.type = static_cast<unsigned short>(r.number(2));
     e.bytes = r.Text(1 << 20);
     if (!r.Whole())
-      throw std::runtime_error(in.folder + ": entry " + std::to_string(i) +
-                               " of the log can't be read");
-    s.entries.push_back(std::move(e));
+      throw std::runtime_error(impl.folder + ": entry " + std::to_string(i) +
+                               " of the log cannot be read");
+    state.entries.push_back(std::move(e));
   }
-  if (t.Get("snapshot", bytes)) {
+  if (transaction.Get("snapshot", bytes)) {
     Reader r(bytes);
-    StoredSnapshot one;
-    one.index = r.number(8);
-    one.term = r.number(8);
-    one.configuration_index = r.number(8);
-    one.configuration = r.Text(1 << 16);
-    one.data = r.Text(1 << 20);
+    StoredSnapshot snapshot;
+    snapshot.index = r.number(8);
+    snapshot.term = r.number(8);
+    snapshot.configuration_index = r.number(8);
+    snapshot.configuration = r.Text(1 << 16);
+    snapshot.data = r.Text(1 << 20);
     if (!r.Whole())
-      throw std::runtime_error(in.folder + ": the snapshot can't be read");
-    s.snapshot = std::move(one);
+      throw std::runtime_error(impl.folder + ": the snapshot cannot be read");
+    state.snapshot = std::move(snapshot);
   }
-  return s;
+  return state;
 }
 
-void LmdbStore::Found(const std::string& founding) {
-  inner_->Write([&](Inner::Txn& t) { t.Put("founding", founding); });
+void LmdbOwnerStore::Found(const std::string& founding) {
+  impl_->Write([&](Impl::Transaction& transaction) { transaction.Put("founding", founding); });
 }
-void LmdbStore::SetTerm(std::uint64_t term) {
-  inner_->Write([&](Inner::Txn& t) {
-    t.Put("term", Inner::number(term));
-    t.Put("vote", Inner::number(0));
+void LmdbOwnerStore::SetTerm(std::uint64_t term) {
+  impl_->Write([&](Impl::Transaction& transaction) {
+    transaction.Put("term", Impl::EncodeNumber(term));
+    transaction.Put("vote", Impl::EncodeNumber(0));
   });
 }
-void LmdbStore::SetVote(std::uint64_t vote) {
-  inner_->Write([&](Inner::Txn& t) { t.Put("vote", Inner::number(vote)); });
+void LmdbOwnerStore::SetVote(std::uint64_t vote) {
+  impl_->Write(
+      [&](Impl::Transaction& transaction) { transaction.Put("vote", Impl::EncodeNumber(vote)); });
 }
-void LmdbStore::Append(const std::vector<LogEntry>& entries) {
-  Inner& in = *inner_;
-  in.Write([&](Inner::Txn& t) {
+void LmdbOwnerStore::Append(const std::vector<LogEntry>& entries) {
+  Impl& impl = *impl_;
+  impl.Write([&](Impl::Transaction& transaction) {
     for (const LogEntry& e : entries) {
       Writer w;
       w.number(e.term, 8);
       w.number(e.type, 2);
       w.Text(e.bytes);
-      t.Put(Inner::EntryKey(in.next++), w.bytes);
+      transaction.Put(Impl::EntryKey(impl.next_index++), w.bytes);
     }
-    in.bounds(t);
+    impl.WriteBounds(transaction);
   });
 }
-void LmdbStore::Truncate(std::uint64_t from) {
-  Inner& in = *inner_;
-  in.Write([&](Inner::Txn& t) {
-    for (std::uint64_t i = std::max(from, in.first); i < in.next; ++i)
-      t.Drop(Inner::EntryKey(i));
-    if (from < in.first)
-      in.first = from;
-    in.next = std::min(in.next, from);
-    in.bounds(t);
+void LmdbOwnerStore::Truncate(std::uint64_t from) {
+  Impl& impl = *impl_;
+  impl.Write([&](Impl::Transaction& transaction) {
+    for (std::uint64_t i = std::max(from, impl.first_index); i < impl.next_index; ++i)
+      transaction.Remove(Impl::EntryKey(i));
+    if (from < impl.first_index)
+      impl.first_index = from;
+    impl.next_index = std::min(impl.next_index, from);
+    impl.WriteBounds(transaction);
   });
 }
-void LmdbStore::Take(const StoredSnapshot& s, std::uint64_t trailing) {
-  Inner& in = *inner_;
-  in.Write([&](Inner::Txn& t) {
+void LmdbOwnerStore::Take(const StoredSnapshot& snapshot, std::uint64_t trailing) {
+  Impl& impl = *impl_;
+  impl.Write([&](Impl::Transaction& transaction) {
     Writer w;
-    w.number(s.index, 8);
-    w.number(s.term, 8);
-    w.number(s.configuration_index, 8);
-    w.Text(s.configuration);
-    w.Text(s.data);
-    t.Put("snapshot", w.bytes);
-    std::uint64_t first = in.first, next = in.next;
-    if (trailing == 0 || s.index >= in.next)
-      first = next = s.index + 1;
-    else if (s.index > trailing && s.index - trailing >= in.first)
-      first = s.index - trailing + 1;
-    for (std::uint64_t i = in.first; i < in.next; ++i)
+    w.number(snapshot.index, 8);
+    w.number(snapshot.term, 8);
+    w.number(snapshot.configuration_index, 8);
+    w.Text(snapshot.configuration);
+    w.Text(snapshot.data);
+    transaction.Put("snapshot", w.bytes);
+    std::uint64_t first = impl.first_index, next = impl.next_index;
+    if (trailing == 0 || snapshot.index >= impl.next_index)
+      first = next = snapshot.index + 1;
+    else if (snapshot.index > trailing && snapshot.index - trailing >= impl.first_index)
+      first = snapshot.index - trailing + 1;
+    for (std::uint64_t i = impl.first_index; i < impl.next_index; ++i)
       if (i < first || i >= next)
-        t.Drop(Inner::EntryKey(i));
-    in.first = first;
-    in.next = next;
-    in.bounds(t);
+        transaction.Remove(Impl::EntryKey(i));
+    impl.first_index = first;
+    impl.next_index = next;
+    impl.WriteBounds(transaction);
   });
 }
 
--- a/tests/support/failing_disk.hpp
+++ b/tests/support/failing_disk.hpp
@@ -1,46 +1,49 @@
-/// One opening of a replica's disk in memory: what is on it outlives this, as a disk outlives
-/// processes, and its faults are the memory disk's own (MemoryDisk::fate).
+/// One opening of a log replica's storage in memory. The contents outlive this object, as a disk
+/// outlives processes; faults are those of the memory storage (MemoryLogStorage::write_fault).
 #pragma once
 #include "record/memory_disk.hpp"
 
 namespace dunlinwick::tests {
 
-class OpenedDisk final : public record::Disk {
+class OpenedStorage final : public record::LogStorage {
  public:
-  OpenedDisk(record::MemoryDisk& disk, int& open) : disk_(disk), open_(open) {
-    ++open_;
+  OpenedStorage(record::MemoryLogStorage& storage, int& open_count)
+      : storage_(storage), open_count_(open_count) {
+    ++open_count_;
   }
-  ~OpenedDisk() override {
-    --open_;
+  ~OpenedStorage() override {
+    --open_count_;
   }
-  OpenedDisk(const OpenedDisk&) = delete;
-  OpenedDisk& operator=(const OpenedDisk&) = delete;
-  bool Lasts() const override {
-    return disk_.Lasts();
+  OpenedStorage(const OpenedStorage&) = delete;
+  OpenedStorage& operator=(const OpenedStorage&) = delete;
+  bool IsDurable() const override {
+    return storage_.IsDurable();
   }
-  std::optional<record::Head> head() override {
-    return disk_.head();
+  std::optional<record::LogMetadata> metadata() override {
+    return storage_.metadata();
   }
-  void Each(const std::function<void(record::Offset, const record::Entry*)>& see) override {
-    disk_.Each(see);
+  void ForEachEntry(
+      const std::function<void(record::Offset, const record::Entry*)>& visit) override {
+    storage_.ForEachEntry(visit);
   }
-  void Write(const record::Head& head) override {
-    disk_.Write(head);
+  void WriteMetadata(const record::LogMetadata& metadata) override {
+    storage_.WriteMetadata(metadata);
   }
-  void append(record::Offset from, const std::vector<record::Entry>& entries,
-              const record::Head& head) override {
-    disk_.append(from, entries, head);
+  void AppendEntries(record::Offset from, const std::vector<record::Entry>& entries,
+                     const record::LogMetadata& metadata) override {
+    storage_.AppendEntries(from, entries, metadata);
   }
-  void Drop(const std::vector<record::Offset>& gone, const record::Head& head) override {
-    disk_.Drop(gone, head);
+  void RemoveEntries(const std::vector<record::Offset>& removed,
+                     const record::LogMetadata& metadata) override {
+    storage_.RemoveEntries(removed, metadata);
   }
-  void Heal(const record::Entry& entry) override {
-    disk_.Heal(entry);
+  void RestoreEntry(const record::Entry& entry) override {
+    storage_.RestoreEntry(entry);
   }
 
  private:
-  record::MemoryDisk& disk_;
-  int& open_;
+  record::MemoryLogStorage& storage_;
+  int& open_count_;
 };
 
 }  // namespace dunlinwick::tests
