--- a/src/backoff/backoff.hpp
+++ b/src/backoff/backoff.hpp
@@ -1,5 +1,5 @@
-/// When something that failed is tried again: soon at first, then twice as late each time, up to a
-/// bound. Pure: time is passed in.
+/// Exponential backoff: the delay before a failed operation is retried doubles with each failure,
+/// up to a maximum. Reads no clock: time is passed in.
 #pragma once
 #include <algorithm>
 
@@ -9,32 +9,33 @@
 
 class Backoff {
  public:
-  /// Delays between `shortest` and `longest`. One failure after `longest` without any begins at
-  /// `shortest` again.
-  Backoff(Ms shortest, Ms longest) : shortest_(shortest), longest_(longest), delay_(shortest) {}
+  /// The first delay is `initial_delay`. It is used again after a time longer than `max_delay`
+  /// without a failure.
+  Backoff(Ms initial_delay, Ms max_delay)
+      : initial_delay_(initial_delay), max_delay_(max_delay), next_delay_(initial_delay) {}
 
-  /// Whether the next try may begin; true before the first failure.
+  /// Whether a retry may start; true before the first failure.
   bool IsDue(Ms now) const {
     return now >= due_at_;
   }
 
-  /// Notes a failure and sets when the next try may begin.
-  void Failed(Ms now) {
-    if (now - due_at_ > longest_)
-      delay_ = shortest_;
-    due_at_ = now + delay_;
-    delay_ = std::min(2 * delay_, longest_);
+  /// Records a failure and schedules the next retry.
+  void RecordFailure(Ms now) {
+    if (now - due_at_ > max_delay_)
+      next_delay_ = initial_delay_;
+    due_at_ = now + next_delay_;
+    next_delay_ = std::min(2 * next_delay_, max_delay_);
   }
 
  private:
-  Ms shortest_;
-  Ms longest_;
-  Ms delay_;
+  Ms initial_delay_;
+  Ms max_delay_;
+  Ms next_delay_;
   Ms due_at_ = -1e300;
 };
 
-/// How often a folder that could not be opened, or whose disk failed, is tried again.
-constexpr Ms kShortestStoreRetry = 500;
-constexpr Ms kLongestStoreRetry = 8000;
+/// Delays between retries of a store whose folder could not be opened or whose disk failed.
+constexpr Ms kInitialStoreRetry = 500;
+constexpr Ms kMaxStoreRetry = 8000;
 
 }  // namespace dunlinwick::backoff
--- a/src/benchlink/codec.cpp
+++ b/src/benchlink/codec.cpp
@@ -51,50 +51,50 @@
   return values;
 }
 
-static Ending EndingOf(unsigned verdict) {
+static AttemptResult EndingOf(unsigned verdict) {
   switch (verdict) {
     case 100:
-      return Ending::kFinished;
+      return AttemptResult::kFinished;
     case 101:
-      return Ending::kMiss;
+      return AttemptResult::kMiss;
     case 301:
-      return Ending::kError;
+      return AttemptResult::kError;
     case 302:
-      return Ending::kFull;
+      return AttemptResult::kOverloaded;
     case 303:
-      return Ending::kTimedOut;
+      return AttemptResult::kTimedOut;
     case 304:
-      return Ending::kNoConnection;
+      return AttemptResult::kNotSent;
     case 305:
-      return Ending::kBroken;
+      return AttemptResult::kDisconnected;
     case 306:
-      return Ending::kCancelled;
+      return AttemptResult::kCancelled;
     case 307:
-      return Ending::kSuperseded;
+      return AttemptResult::kSuperseded;
   }
   throw WireFault("unknown outcome " + std::to_string(verdict));
 }
 
-static ListNews ReadList(Reader& in) {
-  ListNews news;
+static EndpointListUpdate ReadList(Reader& in) {
+  EndpointListUpdate news;
   unsigned scope = in.U8();
   if (scope > 3)
     throw WireFault("unknown scope of a list");
-  news.listing = static_cast<Listing>(scope);
+  news.kind = static_cast<ListUpdateKind>(scope);
   in.U32();
   std::uint32_t count = in.U32();
   if (count > in.Left() / 22)
     throw WireFault("impossible count: more list entries than the frame can hold");
   news.entries.resize(count);
   for (ListEntry& e : news.entries) {
-    e.cache = in.U32();
+    e.id = in.U32();
     e.zone = in.U16();
     e.kind = in.U8();
     e.cell = in.U16();
     unsigned mode = in.U8();
     if (mode > 2)
       throw WireFault("unknown mode of a list entry");
-    e.standing = static_cast<Standing>(mode);
+    e.state = static_cast<EndpointState>(mode);
     e.weight = in.F32();
     e.started_at = in.F64();
   }
@@ -104,19 +104,19 @@
 Event ReadEvent(unsigned code, Reader& in) {
   switch (code) {
     case 3:
-      return WakeUp{in.U64()};
+      return TimerFired{in.U64()};
     case 4: {
       ProbeEnded e;
-      e.cache = in.U32();
-      e.took = in.F64();
-      e.answered = EndingOf(in.U16()) == Ending::kFinished;
-      e.report = ReadReport(in);
+      e.endpoint = in.U32();
+      e.duration = in.F64();
+      e.succeeded = EndingOf(in.U16()) == AttemptResult::kFinished;
+      e.load_report = ReadReport(in);
       return e;
     }
     case 5: {
       AttemptStarted e;
       e.request = in.U32();
-      e.cache = in.U32();
+      e.endpoint = in.U32();
       e.attempt = in.U8();
       in.F64();
       return e;
@@ -125,23 +125,23 @@
       AttemptEnded e;
       e.request = in.U32();
       e.attempt = in.U8();
-      e.cache = in.U32();
-      e.ending = EndingOf(in.U16());
-      e.took = in.F64();
+      e.endpoint = in.U32();
+      e.result = EndingOf(in.U16());
+      e.duration = in.F64();
       e.final = in.U8() != 0;
       unsigned remark = in.U8();
-      e.remark = remark <= 10 ? static_cast<Remark>(remark) : Remark::kNone;
-      e.waited = in.F64();
-      e.report = ReadReport(in);
+      e.cache_status = remark <= 10 ? static_cast<CacheStatus>(remark) : CacheStatus::kNone;
+      e.fill_wait = in.F64();
+      e.load_report = ReadReport(in);
       return e;
     }
     case 7: {
-      RequestCame e;
+      RequestArrived e;
       e.request = in.U32();
       e.request_class = in.U8();
       in.U32();
       e.object = in.U64();
-      e.ttl = in.F64();
+      e.time_left = in.F64();
       e.size_kb = in.F32();
       e.group = static_cast<int>(in.F32());
       e.part = static_cast<int>(in.F32());
@@ -151,9 +151,9 @@
     case 8: {
       Purged e;
       e.object = in.U64();
-      e.whole_group = e.object == 0;
+      e.is_group = e.object == 0;
       e.group = in.U16();
-      e.ago = in.F64();
+      e.age = in.F64();
       return e;
     }
     case 9:
@@ -161,7 +161,7 @@
     case 10:
       return ClientLeft{in.U32()};
     case 11: {
-      PeerSaid e;
+      PeerMessageReceived e;
       e.peer = in.U32();
       e.text = std::string(in.Take(in.U16()));
       return e;
@@ -176,11 +176,11 @@
   void operator()(const SendAttempt& a) const {
     out.U16(67);
     out.U32(a.request);
-    out.U8((a.join ? 1u : 0u) | (a.held_only ? 2u : 0u) | (a.renew ? 8u : 0u));
-    out.U8(static_cast<unsigned>(a.rank));
-    out.F64(a.oldest);
+    out.U8((a.coalesce ? 1u : 0u) | (a.only_if_cached ? 2u : 0u) | (a.revalidate ? 8u : 0u));
+    out.U8(static_cast<unsigned>(a.retention_rank));
+    out.F64(a.max_age);
     out.U32(a.source);
-    out.U32(a.cache);
+    out.U32(a.endpoint);
     out.F64(a.timeout);
   }
   void operator()(const CancelAttempt& a) const {
@@ -188,33 +188,33 @@
     out.U32(a.request);
     out.U8(static_cast<unsigned>(a.attempt));
   }
-  void operator()(const DeclineRequest& a) const {
+  void operator()(const RejectRequest& a) const {
     out.U16(77);
     out.U32(a.request);
     out.F64(a.retry_after);
   }
-  void operator()(const AbandonRequest& a) const {
+  void operator()(const FailRequest& a) const {
     out.U16(71);
     out.U32(a.request);
   }
-  void operator()(const WakeMe& a) const {
+  void operator()(const SetTimer& a) const {
     out.U16(70);
-    out.F64(a.at);
+    out.F64(a.fires_at);
     out.U64(a.handle);
   }
-  void operator()(const ProbeCache& a) const {
+  void operator()(const ProbeEndpoint& a) const {
     out.U16(69);
-    out.U32(a.cache);
+    out.U32(a.endpoint);
   }
-  void operator()(const FollowList&) const {
+  void operator()(const WatchEndpointList&) const {
     out.U16(78);
     out.U8(1);
   }
-  void operator()(const WriteLine& a) const {
+  void operator()(const WriteLogLine& a) const {
     out.U16(76);
     out.Text(a.text);
   }
-  void operator()(const TellHealth&) const {
+  void operator()(const ReportEndpointHealth&) const {
   }  // for a fleet of fronts; the simulator has no word for it
 };
 }  // namespace
--- a/src/benchlink/host.cpp
+++ b/src/benchlink/host.cpp
@@ -27,7 +27,7 @@
     }
     if (code == kCodeAttach) {
       std::uint64_t seed = in.U64();
-      StoreSettings settings = settings::ReadSettings(in.Take(in.U32()));
+      DeploymentSettings settings = settings::ReadDeploymentSettings(in.Take(in.U32()));
       fronts_.erase(who);
       fronts_.emplace(who, Router(settings, seed));
       continue;
@@ -38,7 +38,7 @@
       continue;  // news for a front that was killed
     try {
       for (const Action& action : at->second.Handle(header.clock, event)) {
-        if (std::holds_alternative<TellHealth>(action))
+        if (std::holds_alternative<ReportEndpointHealth>(action))
           continue;  // no word for it here
         speak_for(front);
         WriteAction(action, out);
--- a/src/board/board.cpp
+++ b/src/board/board.cpp
@@ -18,7 +18,7 @@
                  500;  // soon, since news binds untold; no busy knocking at a dead board
 
 Discovery::Discovery(loop::Loop& loop, exchange::Exchange& exchange,
-                     const settings::RoadTerms& terms, const loop::Address& at)
+                     const settings::ConnectionSettings& terms, const loop::Address& at)
     : loop_(loop), exchange_(exchange), terms_(terms), at_(at), silence_(kSilence) {}
 
 Discovery::~Discovery() {
@@ -84,7 +84,7 @@
   following_ = true;
   asked_at_ = loop_.now();
   ++exchange_.counters.discovery_connections;
-  connection_ = std::make_shared<loop::Connection>(loop_, *this, at_, terms_.connect_within);
+  connection_ = std::make_shared<loop::Connection>(loop_, *this, at_, terms_.connect_timeout);
   connection_->ReadUpTo(kLongest);
   connection_->Send("watch " + std::to_string(last_) + "\n");
   Heard();
--- a/src/board/board.hpp
+++ b/src/board/board.hpp
@@ -8,8 +8,8 @@
 
 class Discovery final : public loop::Connection::Owner {
  public:
-  Discovery(loop::Loop& loop, exchange::Exchange& exchange, const settings::RoadTerms& terms,
-            const loop::Address& at);
+  Discovery(loop::Loop& loop, exchange::Exchange& exchange,
+            const settings::ConnectionSettings& terms, const loop::Address& at);
   ~Discovery();
   // The events of the start; false where they can't be read.
   bool begin(const json::Value& known);
@@ -33,7 +33,7 @@
 
   loop::Loop& loop_;
   exchange::Exchange& exchange_;
-  settings::RoadTerms terms_;
+  settings::ConnectionSettings terms_;
   loop::Address at_;
   std::uint64_t last_ = 0;           // number of the last event that was passed on
   std::optional<Ms> up_to_date_at_;  // when the board last had no later one; none: not begun
--- a/src/board/notices.cpp
+++ b/src/board/notices.cpp
@@ -17,11 +17,11 @@
 constexpr int kUnnamed = 65535;
 
 int PlaceOf(std::string_view name, const std::vector<std::string>& names) {
-  auto at = std::find(names.begin(), names.end(), settings::PlainWord(name));
+  auto at = std::find(names.begin(), names.end(), settings::SanitizedValue(name));
   return at == names.end() ? kUnnamed : static_cast<int>(at - names.begin());
 }
 
-bool ReadEntry(const Value& v, const settings::RoadTerms& terms, exchange::Listed& out) {
+bool ReadEntry(const Value& v, const settings::ConnectionSettings& terms, exchange::Listed& out) {
   std::string_view state = v.word("state");
   auto at = loop::ReadAddress(v.word("addr"));
   out.id = v.word("id");
@@ -40,11 +40,11 @@
   if (std::abs(out.entry.weight) > kHeaviest || std::abs(out.entry.started_at.UnixMs()) > kLatest)
     return false;
   if (state == "in_service")
-    out.entry.standing = Standing::kReady;
+    out.entry.state = EndpointState::kReady;
   else if (state == "terminating")
-    out.entry.standing = Standing::kDraining;
+    out.entry.state = EndpointState::kDraining;
   else if (state == "terminated")
-    out.entry.standing = Standing::kGone;
+    out.entry.state = EndpointState::kRemoved;
   else
     return false;
   return true;
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::optional<Notice> ReadNotice(const Value& v, const settings::RoadTerms& terms) {
+std::optional<Notice> ReadNotice(const Value& v, const settings::ConnectionSettings& terms) {
   Notice n;
   double rev = v.number("rev").value_or(0);
   if (!(rev >= 1 && rev < 1e15) || rev != std::floor(rev))
--- a/src/board/notices.hpp
+++ b/src/board/notices.hpp
@@ -22,6 +22,7 @@
 
 // Nothing where it can't be read. A notice of a kind not known here is one of neither list nor
 // purge.
-std::optional<Notice> ReadNotice(const json::Value& notice, const settings::RoadTerms& terms);
+std::optional<Notice> ReadNotice(const json::Value& notice,
+                                 const settings::ConnectionSettings& terms);
 
 }  // namespace dunlinwick::discovery
--- a/src/caches/caches.cpp
+++ b/src/caches/caches.cpp
@@ -35,7 +35,7 @@
         number_(number),
         heard_at_(all.loop_.now()),
         used_at_(heard_at_),
-        connection_(all.loop_, *this, at, all.terms_.connect_within) {}
+        connection_(all.loop_, *this, at, all.terms_.connect_timeout) {}
   ~Line() {
     all_.loop_.Cancel(look_);
   }
@@ -58,8 +58,8 @@
   bool Fit(const std::string& id) const {
     return !connection_.IsOver() && !connection_.PeerDone() && !stale_ && !Mute() && !Dripping() &&
            open_.count(id) == 0 &&
-           open_.size() < static_cast<std::size_t>(all_.terms_.attempts_at_once) &&
-           (!Idle() || all_.loop_.now() - used_at_ < 0.9 * all_.terms_.idle_for);
+           open_.size() < static_cast<std::size_t>(all_.terms_.max_concurrent_attempts) &&
+           (!Idle() || all_.loop_.now() - used_at_ < 0.9 * all_.terms_.idle_timeout);
   }
 
   void Begin(QueuedAttempt attempt) {
@@ -84,7 +84,7 @@
     used_at_ = now;
     // No time is stated for a probe; what a connection is given to come up does for a small answer
     // too.
-    all_.loop_.at(now + all_.terms_.connect_within,
+    all_.loop_.at(now + all_.terms_.connect_timeout,
                   [&all = all_, cache = cache_, number = number_, id] {
                     auto m = all.machines_.find(cache);
                     if (m == all.machines_.end())
@@ -119,7 +119,7 @@
   }
 
   void Sweep(Ms now) {
-    if (Idle() && (stale_ || now - used_at_ >= 0.9 * all_.terms_.idle_for))
+    if (Idle() && (stale_ || now - used_at_ >= 0.9 * all_.terms_.idle_timeout))
       all_.Drop(cache_, number_);
   }
   void end(DisconnectReason how) {
@@ -298,7 +298,7 @@
   // Nothing heard since long before the oldest that is open was sent: nothing new goes here
   // meanwhile. Harm: one connection more beside a slow answer.
   bool Mute() const {
-    Ms oldest = all_.loop_.now() - all_.terms_.connect_within;
+    Ms oldest = all_.loop_.now() - all_.terms_.connect_timeout;
     return std::any_of(open_.begin(), open_.end(), [&](auto& one) {
       return one.second.sent_at < oldest && heard_at_ <= one.second.sent_at;
     });
@@ -306,7 +306,7 @@
   // Nothing heard since long before what was given up now was sent: the other side may have
   // vanished without a word. Nothing new goes here; a new connection shows whether it is there.
   void Doubt(Ms sent_at) {
-    if (heard_at_ < sent_at && all_.loop_.now() - sent_at > all_.terms_.connect_within)
+    if (heard_at_ < sent_at && all_.loop_.now() - sent_at > all_.terms_.connect_timeout)
       stale_ = true;
   }
   void ProbeOverdue(const std::string& id) {
@@ -328,7 +328,7 @@
           connection_.EndAs(DisconnectReason::kMalformed);
         return false;
       }
-      auto answer = ReadAnswer(bytes.substr(0, end), all_.terms_.reported);
+      auto answer = ReadAnswer(bytes.substr(0, end), all_.terms_.report_names);
       if (!answer) {
         connection_.EndAs(DisconnectReason::kMalformed);
         return false;
@@ -408,7 +408,7 @@
   loop::Connection connection_;
 };
 
-Caches::Caches(loop::Loop& loop, exchange::Exchange& exchange, settings::RoadTerms terms,
+Caches::Caches(loop::Loop& loop, exchange::Exchange& exchange, settings::ConnectionSettings terms,
                std::size_t most)
     : loop_(loop), exchange_(exchange), terms_(std::move(terms)), most_(most) {
   Sweep();
@@ -470,18 +470,18 @@
 
 std::uint64_t Caches::Send(AttemptKey key, const Ask& ask, const SendAttempt& how,
                            const std::vector<std::uint64_t>& avoid) {
-  auto at = machines_.find(how.cache), source = machines_.find(how.source);
+  auto at = machines_.find(how.endpoint), source = machines_.find(how.source);
   if (at == machines_.end() || source == machines_.end()) {
     exchange_.AttemptLost(key, DisconnectReason::kNoDescriptor, false);
     return 0;
   }
-  RequestLine request(ask, how, how.source == how.cache ? "" : source->second.id);
+  RequestLine request(ask, how, how.source == how.endpoint ? "" : source->second.id);
   return place({.key = key,
-                .cache = how.cache,
+                .cache = how.endpoint,
                 .id = ask.id,
                 .request = std::move(request),
                 .timeout = how.timeout,
-                .proven = how.proven,
+                .proven = how.requires_live_connection,
                 .avoid = avoid});
 }
 
@@ -534,22 +534,22 @@
 }
 
 void Caches::list(const ListEntry& entry, const std::string& id, const loop::Address& at) {
-  Machine& m = machines_[entry.cache];
+  Machine& m = machines_[entry.id];
   bool another =
       !m.id.empty() && (m.started_at != entry.started_at || m.at.sin_port != at.sin_port ||
                         m.at.sin_addr.s_addr != at.sin_addr.s_addr);
   m.id = id;
   m.at = at;
   m.started_at = entry.started_at;
-  m.supplanted &= entry.standing != Standing::kReady;
+  m.supplanted &= entry.state != EndpointState::kReady;
   // Its connections lead to the process that was there before, which may have vanished without a
   // word. So do those of another machine whose address this one has been given: nothing more goes
   // there in its name.
   for (auto& [other, one] : machines_) {
     bool there = one.at.sin_port == at.sin_port && one.at.sin_addr.s_addr == at.sin_addr.s_addr;
-    bool taken = other != entry.cache && there && entry.standing == Standing::kReady;
+    bool taken = other != entry.id && there && entry.state == EndpointState::kReady;
     one.supplanted |= taken;
-    if (other == entry.cache ? another : taken)
+    if (other == entry.id ? another : taken)
       for (auto& [number, line] : one.lines)
         line->end(DisconnectReason::kReplaced);
   }
--- a/src/caches/caches.hpp
+++ b/src/caches/caches.hpp
@@ -11,7 +11,7 @@
 class Caches final : public exchange::CacheSide {
  public:
   // `most`: connections at once, over all machines.
-  Caches(loop::Loop& loop, exchange::Exchange& exchange, settings::RoadTerms terms,
+  Caches(loop::Loop& loop, exchange::Exchange& exchange, settings::ConnectionSettings terms,
          std::size_t most);
   ~Caches();
   std::uint64_t Send(exchange::AttemptKey key, const exchange::Ask& ask, const SendAttempt& how,
@@ -44,7 +44,7 @@
 
   loop::Loop& loop_;
   exchange::Exchange& exchange_;
-  settings::RoadTerms terms_;
+  settings::ConnectionSettings terms_;
   std::size_t most_;
   std::size_t count_ = 0;
   std::uint64_t last_ = 0;
--- a/src/caches/lines.cpp
+++ b/src/caches/lines.cpp
@@ -75,7 +75,7 @@
     auto at = std::find(kRemarks.begin(), kRemarks.end(), value);
     if (at == kRemarks.end())
       return false;
-    word.remark = static_cast<Remark>(at - kRemarks.begin() + 1);
+    word.remark = static_cast<CacheStatus>(at - kRemarks.begin() + 1);
   }
   return true;
 }
@@ -96,19 +96,19 @@
   std::string& line = after_deadline_;
   if (!source.empty())
     line.append(",miss=").append(source);
-  if (how.rank > 0)
-    line += ",prio=" + std::to_string(how.rank);
+  if (how.retention_rank > 0)
+    line += ",prio=" + std::to_string(how.retention_rank);
   // Rounded down, for a purge binds by it.
-  if (how.oldest > 0)
-    line += ",within=" + WholeMs(how.oldest);
+  if (how.max_age > 0)
+    line += ",within=" + WholeMs(how.max_age);
   std::string words;
   auto add = [&](bool on, const char* word) {
     if (on)
       words.append(words.empty() ? "" : "+").append(word);
   };
-  add(how.join, "coalesce");
-  add(how.held_only, "shallow");
-  add(how.renew, "freshen");
+  add(how.coalesce, "coalesce");
+  add(how.only_if_cached, "shallow");
+  add(how.revalidate, "freshen");
   if (!words.empty())
     line += ",f=" + words;
   if (!ask.tag.empty())
@@ -146,14 +146,14 @@
 std::optional<Answer> ReadAnswer(std::string_view line, const std::vector<std::string>& reported) {
   struct Meaning {
     std::string_view word;
-    Ending ending;
+    AttemptResult ending;
   };
-  static constexpr std::array<Meaning, 6> kMeanings{{{"HIT", Ending::kFinished},
-                                                     {"VALID", Ending::kFinished},
-                                                     {"NONE", Ending::kMiss},
-                                                     {"SHED", Ending::kFull},
-                                                     {"FAULT", Ending::kError},
-                                                     {"LATE", Ending::kSuperseded}}};
+  static constexpr std::array<Meaning, 6> kMeanings{{{"HIT", AttemptResult::kFinished},
+                                                     {"VALID", AttemptResult::kFinished},
+                                                     {"NONE", AttemptResult::kMiss},
+                                                     {"SHED", AttemptResult::kOverloaded},
+                                                     {"FAULT", AttemptResult::kError},
+                                                     {"LATE", AttemptResult::kSuperseded}}};
   Answer a;
   a.id = Next(line, ' ');
   std::string_view word = Next(line, ' '), fields = Next(line, ' ');
--- a/src/drill/run.hpp
+++ b/src/drill/run.hpp
@@ -16,7 +16,7 @@
 class Break {
  public:
   virtual ~Break() = default;
-  virtual exchange::Decider around(exchange::Decider module, const StoreSettings&) {
+  virtual exchange::Decider around(exchange::Decider module, const DeploymentSettings&) {
     return module;
   }
   virtual std::string Sent(std::string bytes) {
--- a/src/exchange/counters.hpp
+++ b/src/exchange/counters.hpp
@@ -44,7 +44,7 @@
   Count short_of_descriptors = 0;
   Count reloads = 0;
   /// Of `declined`: why, and by the request's size beside its class's mean.
-  std::array<std::array<Count, kSizeBands>, kRefusalReasons> refused{};
+  std::array<std::array<Count, kSizeBands>, kRejectionReasons> refused{};
 };
 
 }  // namespace dunlinwick::exchange
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -10,12 +10,12 @@
 
 using loop::DisconnectReason;
 
-Ending EndingOf(DisconnectReason how, bool written_whole) {
+AttemptResult EndingOf(DisconnectReason how, bool written_whole) {
   switch (how) {
     case DisconnectReason::kRefused:
     case DisconnectReason::kNeverUp:
     case DisconnectReason::kNoDescriptor:
-      return Ending::kNoConnection;
+      return AttemptResult::kNotSent;
     case DisconnectReason::kClosed:
     case DisconnectReason::kReset:
     case DisconnectReason::kSilent:
@@ -24,9 +24,9 @@
     case DisconnectReason::kReplaced:
     case DisconnectReason::kLetGo:
       // Half a line is no request: what was not written whole never ran. What was may have.
-      return written_whole ? Ending::kBroken : Ending::kNoConnection;
+      return written_whole ? AttemptResult::kDisconnected : AttemptResult::kNotSent;
   }
-  return Ending::kBroken;
+  return AttemptResult::kDisconnected;
 }
 
 // The same at all fronts, since the decisions hash it: FNV-1a.
@@ -37,16 +37,16 @@
   return h;
 }
 
-Decider ModuleFor(const StoreSettings& settings, std::uint64_t seed) {
+Decider ModuleFor(const DeploymentSettings& settings, std::uint64_t seed) {
   return [router = std::make_shared<Router>(settings, seed)](Ms now, const Event& event) {
     return router->Handle(now, event);
   };
 }
 
-Exchange::Exchange(loop::Loop& loop, const StoreSettings& settings, Decider decides)
+Exchange::Exchange(loop::Loop& loop, const DeploymentSettings& settings, Decider decides)
     : loop_(loop), decides_(std::move(decides)), request_classes_(settings.request_classes) {}
 
-Exchange::Exchange(loop::Loop& loop, const StoreSettings& settings, std::uint64_t seed)
+Exchange::Exchange(loop::Loop& loop, const DeploymentSettings& settings, std::uint64_t seed)
     : Exchange(loop, settings, ModuleFor(settings, seed)) {}
 
 // ---- the decisions
@@ -122,33 +122,33 @@
   // The legs of a pull share its id. On a connection that had one of them, its answer, or a second
   // copy of it, would pass for this leg's.
   for (const Attempt& attempt : p->attempts)
-    if (attempt.cache == a.cache && attempt.via != 0)
+    if (attempt.cache == a.endpoint && attempt.via != 0)
       avoid.push_back(attempt.via);
   Ms now = loop_.now();
   Attempt attempt;
-  attempt.cache = a.cache;
+  attempt.cache = a.endpoint;
   attempt.source = a.source;
   attempt.sent_at = now;
-  attempt.not_after = a.not_after;
+  attempt.not_after = a.start_deadline;
   attempt.deadline = a.timeout > 0 ? std::min(p->expires_at, now + a.timeout) : p->expires_at;
   p->attempts.push_back(std::move(attempt));
   ++counters.attempts;
-  counters.fills += a.source != a.cache;
+  counters.fills += a.source != a.endpoint;
   if (!p->response_sink || p->streaming >= 0)
-    return EndAttempt(key, Ending::kSuperseded);
+    return EndAttempt(key, AttemptResult::kSuperseded);
   SendAttempt how = a;
   how.timeout = a.timeout > 0 ? std::min(a.timeout, p->expires_at - now) : p->expires_at - now;
   if (how.timeout <= 0)
-    return EndAttempt(key, Ending::kSuperseded);
+    return EndAttempt(key, AttemptResult::kSuperseded);
   p->attempts.back().timer = loop_.at(now + how.timeout, [this, key] {
     if (!AttemptOut(key) || FindRequest(key.request)->streaming == key.attempt)
       return;
     caches_->GiveUp(key, FindRequest(key.request)->ask, AttemptOut(key)->cache);
-    EndAttempt(key, Ending::kTimedOut);
+    EndAttempt(key, AttemptResult::kTimedOut);
   });
   // What is still not begun then is answered at once: waiting on can't help it.
-  if (a.not_after > 0)
-    p->attempts.back().limit = loop_.at(std::max(now, a.not_after), [this, key] {
+  if (a.start_deadline > 0)
+    p->attempts.back().limit = loop_.at(std::max(now, a.start_deadline), [this, key] {
       TakeBack(key.request, [&](const Attempt& one) { return &one == AttemptOut(key); });
     });
   std::uint64_t via = caches_->Send(key, p->ask, how, avoid);
@@ -162,10 +162,10 @@
   if (!attempt || FindRequest(a.request)->streaming == a.attempt)
     return;
   caches_->GiveUp(key, FindRequest(a.request)->ask, attempt->cache);
-  EndAttempt(key, Ending::kCancelled);
+  EndAttempt(key, AttemptResult::kCancelled);
 }
 
-void Exchange::Act(const DeclineRequest& a) {
+void Exchange::Act(const RejectRequest& a) {
   Request* p = FindRequest(a.request);
   if (!p || !p->response_sink || p->streaming >= 0)
     return;
@@ -174,7 +174,7 @@
   Close(a.request)->Declined(a.retry_after);
 }
 
-void Exchange::Act(const AbandonRequest& a) {
+void Exchange::Act(const FailRequest& a) {
   Request* p = FindRequest(a.request);
   if (!p || !p->response_sink || p->streaming >= 0)
     return;
@@ -182,16 +182,16 @@
   Close(a.request)->Abandoned();
 }
 
-void Exchange::Act(const WakeMe& a) {
-  loop_.at(a.at, [this, handle = a.handle] { Tell(WakeUp{handle}); });
+void Exchange::Act(const SetTimer& a) {
+  loop_.at(a.fires_at, [this, handle = a.handle] { Tell(TimerFired{handle}); });
 }
 
-void Exchange::Act(const ProbeCache& a) {
+void Exchange::Act(const ProbeEndpoint& a) {
   ++counters.probes;
-  caches_->Probe(a.cache);
+  caches_->Probe(a.endpoint);
 }
 
-void Exchange::Act(const WriteLine& a) {
+void Exchange::Act(const WriteLogLine& a) {
   log::Say("%s", a.text.c_str());
 }
 
@@ -211,19 +211,19 @@
 std::uint32_t Exchange::OnRequest(Ask ask, ResponseSink& response_sink) {
   // None lasts longer than its offering's expiry; what a client says beyond it would only be held
   // as long.
-  ask.ttl =
-      std::min(ask.ttl, request_classes_[static_cast<std::size_t>(ask.request_class_at)].expiry);
+  ask.ttl = std::min(ask.ttl,
+                     request_classes_[static_cast<std::size_t>(ask.request_class_at)].max_deadline);
   do
     ++last_request_;
   while (requests_.count(last_request_));
   std::uint32_t number = last_request_;
-  RequestCame e;
+  RequestArrived e;
   e.request = number;
   e.request_class = ask.request_class_at;
   e.object = Hashed(ask.object);
   e.part = ask.part_number;
   e.group = ask.group;
-  e.ttl = ask.ttl;
+  e.time_left = ask.ttl;
   e.size_kb = ask.size_kb;
   Request& p = requests_[number];
   p.expires_at = loop_.now() + ask.ttl;
@@ -264,14 +264,14 @@
   return attempt.out ? &attempt : nullptr;
 }
 
-void Exchange::count(Ending ending) {
+void Exchange::count(AttemptResult ending) {
   Counters::Count* counts[] = {&counters.attempts_finished, &counters.errors,     &counters.full,
                                &counters.timed_out,         &counters.never_ran,  &counters.broken,
                                &counters.cancelled,         &counters.superseded, &counters.misses};
   ++*counts[static_cast<int>(ending)];
 }
 
-void Exchange::EndAttempt(AttemptKey key, Ending ending, const Word& word, int fell_with,
+void Exchange::EndAttempt(AttemptKey key, AttemptResult ending, const Word& word, int fell_with,
                           bool ours) {
   Request* p = FindRequest(key.request);
   Attempt& attempt = p->attempts[static_cast<std::size_t>(key.attempt)];
@@ -282,16 +282,16 @@
   count(ending);
   AttemptEnded e;
   e.request = key.request;
-  e.cache = attempt.cache;
+  e.endpoint = attempt.cache;
   e.attempt = key.attempt;
-  e.ending = ending;
-  e.took = loop_.now() - attempt.sent_at;
+  e.result = ending;
+  e.duration = loop_.now() - attempt.sent_at;
   e.final = !p->response_sink;
-  e.remark = word.remark;
-  e.waited = word.waited;
-  e.fell_with = fell_with;
-  e.ours = ours;
-  e.report = word.report;
+  e.cache_status = word.remark;
+  e.fill_wait = word.waited;
+  e.earlier_on_connection = fell_with;
+  e.is_local_fault = ours;
+  e.load_report = word.report;
   if (!p->response_sink)
     ended_.push_back(key.request);
   Tell(std::move(e));
@@ -304,8 +304,8 @@
   attempt->bytes.reserve(length);
   Request& p = *FindRequest(key.request);
   if (!request_classes_[static_cast<std::size_t>(p.ask.request_class_at)].streams ||
-      !p.response_sink || p.streaming >= 0 || word.ending != Ending::kFinished || word.unchanged ||
-      word.tag.empty() || !word.dated)
+      !p.response_sink || p.streaming >= 0 || word.ending != AttemptResult::kFinished ||
+      word.unchanged || word.tag.empty() || !word.dated)
     return;
   p.streaming = key.attempt;
   p.response_sink->Begun(word.tag, length);
@@ -330,12 +330,12 @@
   Request& p = *FindRequest(key.request);
   // Not what the protocol promises: a client's copy confirmed where it told of none; a kept object
   // without its tag or age, which may be any bytes of any age.
-  bool kept = !request_classes_[static_cast<std::size_t>(p.ask.request_class_at)].never_kept;
+  bool kept = !request_classes_[static_cast<std::size_t>(p.ask.request_class_at)].uncacheable;
   bool lacks = kept && (word.tag.empty() || !word.dated);
-  if (word.ending == Ending::kFinished && p.streaming < 0 &&
+  if (word.ending == AttemptResult::kFinished && p.streaming < 0 &&
       (lacks || (word.unchanged && p.ask.tag.empty())))
-    return EndAttempt(key, Ending::kError);
-  if (word.ending == Ending::kFinished && p.response_sink &&
+    return EndAttempt(key, AttemptResult::kError);
+  if (word.ending == AttemptResult::kFinished && p.response_sink &&
       (p.streaming < 0 || p.streaming == key.attempt)) {
     ResponseSink* response_sink = Close(key.request);
     ++(word.unchanged ? counters.unchanged : counters.finished);
@@ -386,7 +386,7 @@
     return;
   attempt->via = 0;  // nothing was asked there, so no answer comes there
   attempt->sent_at = loop_.now();
-  EndAttempt(key, Ending::kSuperseded, {}, 0, true);
+  EndAttempt(key, AttemptResult::kSuperseded, {}, 0, true);
 }
 
 void Exchange::Moved(AttemptKey key, std::uint64_t via) {
@@ -433,8 +433,8 @@
 void Exchange::ListCame(bool whole, const std::vector<Listed>& entries,
                         std::optional<Ms> up_to_date_at) {
   ++counters.list_news;
-  ListNews news;
-  news.listing = whole ? Listing::kWhole : Listing::kChanges;
+  EndpointListUpdate news;
+  news.kind = whole ? ListUpdateKind::kSnapshot : ListUpdateKind::kChanges;
   ForgetGone();
   if (whole)
     for (auto& [id, known] : numbers_)  // one that a whole list lacks has left
@@ -442,7 +442,7 @@
         known.gone_at = loop_.now();
   for (const Listed& one : entries) {
     Known& known = NumberOf(one.id);
-    if (one.entry.standing != Standing::kGone)
+    if (one.entry.state != EndpointState::kRemoved)
       known.gone_at = 0;
     else if (known.gone_at == 0)
       known.gone_at = loop_.now();
@@ -453,7 +453,7 @@
       known.notified = {.at = loop_.now(), .up_to_date_at = up_to_date_at};
     }
     news.entries.push_back(one.entry);
-    news.entries.back().cache = known.number;
+    news.entries.back().id = known.number;
     news.entries.back().notified = known.notified;
     caches_->list(news.entries.back(), one.id, one.at);
   }
@@ -462,8 +462,8 @@
   // here, is decided anew: told between the choice and the writing, a drain binds it too.
   std::vector<std::uint32_t> closed;
   for (const ListEntry& one : news.entries)
-    if (one.standing != Standing::kReady)
-      closed.push_back(one.cache);
+    if (one.state != EndpointState::kReady)
+      closed.push_back(one.id);
   if (whole)
     for (auto& [id, known] : numbers_)
       if (known.gone_at > 0)
@@ -491,12 +491,12 @@
                           Ms ago) {
   ++counters.purges;
   Purged p;
-  p.whole_group = object.empty() && request_class < 0;
+  p.is_group = object.empty() && request_class < 0;
   p.object = object.empty() ? 0 : Hashed(object);
   p.group = group;
-  p.ago = ago;
-  p.standing = true;
-  p.lifted = lifted;
+  p.age = ago;
+  p.is_recall = true;
+  p.is_lifted = lifted;
   p.request_class = request_class;
   Tell(p);
   if (!lifted)
@@ -504,7 +504,7 @@
 }
 
 void Exchange::LimitAge(Ms than) {
-  Tell(NoOlder{than});
+  Tell(MaxCopyAge{than});
   if (than > 0)
     TakeBackAll([](const Request&, const Attempt&) { return true; });
 }
@@ -513,7 +513,7 @@
                          std::optional<Ms> up_to_date_at) {
   ++counters.purges;
   Purged purge;
-  purge.whole_group = whole_group;
+  purge.is_group = whole_group;
   purge.object = whole_group ? 0 : Hashed(object);
   purge.group = group;
   purge.stamped =
--- a/src/exchange/exchange.hpp
+++ b/src/exchange/exchange.hpp
@@ -64,9 +64,9 @@
 
 // What a cache said to a leg, without the bytes.
 struct Word {
-  Ending ending = Ending::kFinished;
+  AttemptResult ending = AttemptResult::kFinished;
   bool unchanged = false;  // the client's copy is the one
-  Remark remark = Remark::kNone;
+  CacheStatus remark = CacheStatus::kNone;
   Ms waited = 0;
   std::string tag;
   bool dated = false;  // it says when the origin gave out its copy
@@ -100,16 +100,16 @@
 };
 
 // What a leg's connection's end means to the decisions: this is the one place that says so.
-Ending EndingOf(loop::DisconnectReason how, bool written_whole);
+AttemptResult EndingOf(loop::DisconnectReason how, bool written_whole);
 
 // What decides: the module, or what a test puts around it.
 using Decider = std::function<std::vector<Action>(Ms now, const Event& event)>;
-Decider ModuleFor(const StoreSettings& settings, std::uint64_t seed);
+Decider ModuleFor(const DeploymentSettings& settings, std::uint64_t seed);
 
 class Exchange {
  public:
-  Exchange(loop::Loop& loop, const StoreSettings& settings, Decider decides);
-  Exchange(loop::Loop& loop, const StoreSettings& settings, std::uint64_t seed);
+  Exchange(loop::Loop& loop, const DeploymentSettings& settings, Decider decides);
+  Exchange(loop::Loop& loop, const DeploymentSettings& settings, std::uint64_t seed);
   void Meet(CacheSide& caches) {
     caches_ = &caches;
   }
@@ -156,7 +156,7 @@
 
   // from the fleet's verdict
   void SharesCame(std::vector<double> by_zone) {
-    Tell(ZoneShares{std::move(by_zone)});
+    Tell(ZoneTrafficWeights{std::move(by_zone)});
   }
   // from the fleet's record and its recovery
   void RecallCame(std::string_view object, int group, int request_class, bool lifted, Ms ago);
@@ -164,12 +164,12 @@
   // The rules are another sheet's from now on: new pulls go by its offerings, and what decides is
   // called at once. Which of them are never kept, or stream, holds for the life of a process: a
   // pull under way must not be another kind of pull.
-  void Turned(const StoreSettings& settings) {
+  void Turned(const DeploymentSettings& settings) {
     request_classes_ = settings.request_classes;
-    Tell(PeerSaid{});
+    Tell(PeerMessageReceived{});
   }
   void Admit(std::vector<double> by_request_class, Ms come_back) {
-    Tell(LetIn{std::move(by_request_class), come_back});
+    Tell(AdmissionRamp{std::move(by_request_class), come_back});
   }
 
  private:
@@ -201,16 +201,17 @@
   ResponseSink* Close(std::uint32_t request);  // no answer is owed from here on
   void Act(const SendAttempt& a);
   void Act(const CancelAttempt& a);
-  void Act(const DeclineRequest& a);
-  void Act(const AbandonRequest& a);
-  void Act(const WakeMe& a);
-  void Act(const ProbeCache& a);
-  void Act(const FollowList&) {}  // the notice board is always followed
-  void Act(const WriteLine& a);
-  void Act(const TellHealth&) {}  // heard where the module is wrapped (src/front/front.cpp)
+  void Act(const RejectRequest& a);
+  void Act(const FailRequest& a);
+  void Act(const SetTimer& a);
+  void Act(const ProbeEndpoint& a);
+  void Act(const WatchEndpointList&) {}  // the notice board is always followed
+  void Act(const WriteLogLine& a);
+  void Act(const ReportEndpointHealth&) {
+  }  // heard where the module is wrapped (src/front/front.cpp)
   Request* FindRequest(std::uint32_t request);
   Attempt* AttemptOut(AttemptKey key);
-  void EndAttempt(AttemptKey key, Ending ending, const Word& word = {}, int fell_with = 0,
+  void EndAttempt(AttemptKey key, AttemptResult ending, const Word& word = {}, int fell_with = 0,
                   bool ours = false);
   // Ends those attempts of a request that still wait here; `which` says of each whether it is
   // meant.
@@ -220,7 +221,7 @@
   void TakeBackAll(Which which);
   void TakeBackPurged(std::string_view object, int group, int request_class);
   void Settle(std::uint32_t request);
-  void count(Ending ending);
+  void count(AttemptResult ending);
   struct Known {
     std::uint32_t number = 0;
     Ms gone_at = 0;       // 0: listed
--- a/src/failover/health.hpp
+++ b/src/failover/health.hpp
@@ -15,27 +15,27 @@
   // `isCache`: whether a kind is a cache, neither parent nor origin.
   Health(int zone, int parent_kind, int origin_kind)
       : zone_(zone), parent_kind_(parent_kind), origin_kind_(origin_kind) {}
-  void Take(const ListNews& news) {
-    if (news.listing == Listing::kFailed)
+  void Take(const EndpointListUpdate& news) {
+    if (news.kind == ListUpdateKind::kFailed)
       return;
-    if (news.listing != Listing::kChanges)
+    if (news.kind != ListUpdateKind::kChanges)
       caches_.clear();
     for (const ListEntry& e : news.entries) {
       bool counts = e.zone == zone_ && e.kind != parent_kind_ && e.kind != origin_kind_;
-      if (!counts || e.standing != Standing::kReady)
-        caches_.erase(e.cache);
+      if (!counts || e.state != EndpointState::kReady)
+        caches_.erase(e.id);
       else
-        caches_[e.cache] = e.weight > 0 ? e.weight : 1;
+        caches_[e.id] = e.weight > 0 ? e.weight : 1;
     }
     notified_ = notified_ || !caches_.empty();
   }
-  void Take(const TellHealth& notified) {
+  void Take(const ReportEndpointHealth& notified) {
     constexpr std::size_t kMost = 1024;
     if (!notified.ejected)
-      return void(ejected_.erase(notified.cache));
+      return void(ejected_.erase(notified.endpoint));
     if (ejected_.size() >= kMost)
       std::erase_if(ejected_, [&](std::uint32_t id) { return !caches_.count(id); });
-    ejected_.insert(notified.cache);
+    ejected_.insert(notified.endpoint);
   }
   // 0 to 1; below 0 before the first cache of the zone was listed: no opinion.
   double Share() const {
--- a/src/front/active.cpp
+++ b/src/front/active.cpp
@@ -9,11 +9,12 @@
 // anew. tests/drift_test.cpp changes each field in turn.
 #if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
 static_assert(sizeof(RequestClass) == 72, "Offering changed: tell its new field below (10 fields)");
-static_assert(sizeof(Permits) == 5, "Permits changed: tell its new field below (5 fields)");
-static_assert(sizeof(ColdTerms) == 24, "ColdTerms changed: tell its new field below (3 fields)");
-static_assert(sizeof(StoreSettings) == 176,
+static_assert(sizeof(Permissions) == 5, "Permits changed: tell its new field below (5 fields)");
+static_assert(sizeof(SlowStartSettings) == 24,
+              "ColdTerms changed: tell its new field below (3 fields)");
+static_assert(sizeof(DeploymentSettings) == 176,
               "StoreSheet changed: tell its new field below (21 fields)");
-static_assert(sizeof(settings::RoadTerms) == 120,
+static_assert(sizeof(settings::ConnectionSettings) == 120,
               "RoadTerms changed: tell its new field below (8 fields)");
 static_assert(sizeof(owner::Terms) == 32 && sizeof(owner::GroupTerms) == 24,
               "owner terms changed: tell the new field below");
@@ -38,14 +39,16 @@
          : v == Effect::kIdempotentWithKey ? "ticketed"
                                            : "exclusive";
 }
-std::string Text(Span v) {
-  return v == Span::kEverywhere ? "everywhere" : v == Span::kZone ? "zone" : "cell";
+std::string Text(DeduplicationScope v) {
+  return v == DeduplicationScope::kEverywhere ? "everywhere"
+         : v == DeduplicationScope::kZone     ? "zone"
+                                              : "cell";
 }
-std::string Text(Weighing v) {
-  return v == Weighing::kNone      ? "none"
-         : v == Weighing::kNominal ? "nominal"
-         : v == Weighing::kRough   ? "rough"
-                                   : "live";
+std::string Text(WeightSource v) {
+  return v == WeightSource::kNone      ? "none"
+         : v == WeightSource::kNominal ? "nominal"
+         : v == WeightSource::kRough   ? "rough"
+                                       : "live";
 }
 std::string Text(const std::string& v) {
   return v;
@@ -74,26 +77,26 @@
 
 Section RequestClass(const RequestClass& o) {
   return {{"effect", Text(o.effect)},
-          {"span", Text(o.span)},
-          {"memory", Text(o.memory)},
-          {"agreed", Text(o.agreed)},
-          {"agreed_stretch", Text(o.agreed_stretch)},
-          {"expiry", Text(o.expiry)},
-          {"payoff", Text(o.payoff)},
+          {"span", Text(o.deduplication_scope)},
+          {"memory", Text(o.deduplication_window)},
+          {"agreed", Text(o.latency_objective)},
+          {"agreed_stretch", Text(o.latency_objective_stretch)},
+          {"expiry", Text(o.max_deadline)},
+          {"payoff", Text(o.priority_weight)},
           {"streams", Text(o.streams)},
-          {"fresh_for", Text(o.fresh_for)},
-          {"never_kept", Text(o.never_kept)}};
+          {"fresh_for", Text(o.freshness_lifetime)},
+          {"never_kept", Text(o.uncacheable)}};
 }
 
-void Cold(Section& s, const std::string& name, const ColdTerms& c) {
-  s[name + ".from"] = Text(c.from);
-  s[name + ".multiple"] = Text(c.multiple);
-  s[name + ".lasts"] = Text(c.lasts);
+void Cold(Section& s, const std::string& name, const SlowStartSettings& c) {
+  s[name + ".from"] = Text(c.initial_weight);
+  s[name + ".multiple"] = Text(c.overload_factor);
+  s[name + ".lasts"] = Text(c.duration);
 }
 
 }  // namespace
 
-Form ActiveForm(const StoreSettings& settings, const settings::RoadTerms& road,
+Form ActiveForm(const DeploymentSettings& settings, const settings::ConnectionSettings& road,
                 const front::FleetTerms& fleet, const front::OwnerTerms& owner,
                 const std::string& build) {
   Form form;
@@ -123,34 +126,34 @@
                    {"crew", Text(settings.zone_replicas)},
                    {"parent_kind", Text(settings.parent_kind)},
                    {"origin_kind", Text(settings.origin_kind)},
-                   {"asks_for_list", Text(settings.asks_for_list)},
-                   {"weighing", Text(settings.weighing)},
-                   {"longest_retry_after", Text(settings.longest_retry_after)},
-                   {"most_legs", Text(settings.most_attempts)},
-                   {"places", Text(settings.places)},
-                   {"lateral", Text(settings.lateral)},
+                   {"asks_for_list", Text(settings.polls_endpoint_list)},
+                   {"weighing", Text(settings.weight_source)},
+                   {"longest_retry_after", Text(settings.max_retry_after)},
+                   {"most_legs", Text(settings.max_attempts)},
+                   {"places", Text(settings.max_open_requests)},
+                   {"lateral", Text(settings.fills_from_siblings)},
                    {"stream_kb_per_ms", Text(settings.stream_kb_per_ms)},
                    {"link_kb_per_ms", Text(settings.link_kb_per_ms)},
-                   {"link_report", Text(settings.link_report)},
-                   {"remarks", Text(settings.remarks)},
-                   {"purge_done", Text(settings.purge_done)}};
-  form["permits"] = {{"probe", Text(settings.may.probe)},
-                     {"cancel", Text(settings.may.cancel)},
-                     {"two_legs_at_once", Text(settings.may.two_attempts_at_once)},
-                     {"join", Text(settings.may.join)},
-                     {"direct", Text(settings.may.direct)}};
+                   {"link_report", Text(settings.link_report_index)},
+                   {"remarks", Text(settings.reports_cache_status)},
+                   {"purge_done", Text(settings.purge_completion_time)}};
+  form["permits"] = {{"probe", Text(settings.permissions.probe)},
+                     {"cancel", Text(settings.permissions.cancel)},
+                     {"two_legs_at_once", Text(settings.permissions.concurrent_attempts)},
+                     {"join", Text(settings.permissions.coalesce)},
+                     {"direct", Text(settings.permissions.direct_to_origin)}};
   Section& c = form["cold"];
-  Cold(c, "store", settings.cold_store);
-  Cold(c, "parent", settings.cold_parent);
-  c["window"] = Text(settings.cold_window);
+  Cold(c, "store", settings.cache_slow_start);
+  Cold(c, "parent", settings.parent_slow_start);
+  c["window"] = Text(settings.slow_start_window);
 
   form["road"] = {{"offerings", Bounded(List(road.request_classes))},
                   {"zones", Bounded(List(road.zones))},
                   {"kinds", Bounded(List(road.kinds))},
-                  {"reported", Bounded(List(road.reported))},
-                  {"connect_within", Text(road.connect_within)},
-                  {"idle_for", Text(road.idle_for)},
-                  {"legs_at_once", Text(road.attempts_at_once)},
+                  {"reported", Bounded(List(road.report_names))},
+                  {"connect_within", Text(road.connect_timeout)},
+                  {"idle_for", Text(road.idle_timeout)},
+                  {"legs_at_once", Text(road.max_concurrent_attempts)},
                   {"may_probe", Text(road.may_probe)}};
 
   if (fleet.on) {
--- a/src/front/active.hpp
+++ b/src/front/active.hpp
@@ -12,7 +12,7 @@
 namespace dunlinwick::drift {
 
 // Sections: build, sheet, offerings, permits, cold, road, fleet, owner.
-Form ActiveForm(const StoreSettings& settings, const settings::RoadTerms& road,
+Form ActiveForm(const DeploymentSettings& settings, const settings::ConnectionSettings& road,
                 const front::FleetTerms& fleet, const front::OwnerTerms& owner,
                 const std::string& build);
 
--- a/src/front/charter.cpp
+++ b/src/front/charter.cpp
@@ -307,12 +307,13 @@
     throw std::runtime_error("limits are too small to serve: 32 MB and 64 sockets are the least");
   c.descriptors = static_cast<std::size_t>(sockets);
   c.known = Need(*all, "known", Kind::kObject);
-  std::string settings = settings::Dotted(Need(*all, "settings", Kind::kObject));
-  c.settings = settings::ReadSettings(settings);
-  c.terms = settings::ReadRoadTerms(settings);
+  std::string settings = settings::FlattenToLines(Need(*all, "settings", Kind::kObject));
+  c.settings = settings::ReadDeploymentSettings(settings);
+  c.terms = settings::ReadConnectionSettings(settings);
   // The protocol: clients hold at most a third of the descriptor limit, and one request on each.
   int third = static_cast<int>(c.descriptors / 3);
-  c.settings.places = c.settings.places > 0 ? std::min(c.settings.places, third) : third;
+  c.settings.max_open_requests =
+      c.settings.max_open_requests > 0 ? std::min(c.settings.max_open_requests, third) : third;
   // A list of that name is the platform's own word for the fronts' addresses, and none of ours:
   // taken for the block, it kept every front of the bench from starting.
   if (const Value* peers = all->Find("peers"); peers && peers->kind != Kind::kList) {
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -84,8 +84,8 @@
   std::size_t descriptors = 0;  // at least `leastDescriptors`
   double memory_mb = 0;
   json::Value known;  // the notice board's events up to now
-  StoreSettings settings;
-  settings::RoadTerms terms;
+  DeploymentSettings settings;
+  settings::ConnectionSettings terms;
   PeersTerms peers;
   FleetTerms fleet;
   OwnerTerms owner;
--- a/src/front/exposition.cpp
+++ b/src/front/exposition.cpp
@@ -59,7 +59,7 @@
                   sizeof(Counters),
               "each counter is told");
 
-constexpr std::array<const char*, kRefusalReasons> kReasons{
+constexpr std::array<const char*, kRejectionReasons> kReasons{
     "deadline",    "admission", "places",    "no_endpoint", "slow_start",
     "utilisation", "link",      "no_source", "attempts"};
 constexpr std::array<const char*, kSizeBands> kSizes{"small", "usual", "large"};
@@ -71,7 +71,7 @@
                                   "mean (large: over twice, small: under half)",
                                   prometheus::MetricType::Counter,
                                   {}};
-  for (std::size_t reason = 0; reason < kRefusalReasons; ++reason) {
+  for (std::size_t reason = 0; reason < kRejectionReasons; ++reason) {
     for (std::size_t size = 0; size < kSizeBands; ++size) {
       const Counters::Count count = counters.refused[reason][size];
       if (count == 0)
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -50,10 +50,10 @@
   return Descriptors(c, loop) - kEjected - MostClients(c, loop) - MostLingering(c, loop);
 }
 
-std::vector<bool> Written(const StoreSettings& settings) {
+std::vector<bool> Written(const DeploymentSettings& settings) {
   std::vector<bool> all;
   for (const RequestClass& o : settings.request_classes)
-    all.push_back(o.never_kept);
+    all.push_back(o.uncacheable);
   return all;
 }
 
@@ -86,11 +86,11 @@
 
 exchange::Decider Front::Noting(exchange::Decider decides) {
   return [this, decides = std::move(decides)](Ms now, const Event& event) {
-    if (auto* news = std::get_if<ListNews>(&event))
+    if (auto* news = std::get_if<EndpointListUpdate>(&event))
       health_.Take(*news);
     std::vector<Action> todo = decides(now, event);
     for (const Action& a : todo)
-      if (auto* notified = std::get_if<TellHealth>(&a))
+      if (auto* notified = std::get_if<ReportEndpointHealth>(&a))
         health_.Take(*notified);
     return todo;
   };
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -29,14 +29,14 @@
   std::unique_ptr<Recovering> recovering;
   bool ejected = false;
   bool serves = true;
-  LetIn admitted;
+  AdmissionRamp admitted;
   // A front whose drift can break a rule takes no pull at all: each is declined at once.
   void ApplyAdmission() {
     if (serves)
-      ways.exchange->Admit(admitted.by_request_class, admitted.come_back);
+      ways.exchange->Admit(admitted.share_by_class, admitted.retry_after);
     else
       ways.exchange->Admit(std::vector<double>(configuration.settings.request_classes.size(), 0.0),
-                           std::max(admitted.come_back, configuration.rules.terms.repair_within));
+                           std::max(admitted.retry_after, configuration.rules.terms.repair_within));
   }
   std::uint64_t said =
       0;  // of what is behind: full answers and time-outs, as counted at the last look
@@ -56,7 +56,7 @@
     return configuration.peers.self;
   }
   drift::Form active() const {
-    StoreSettings settings =
+    DeploymentSettings settings =
         ways.generations ? ways.generations->settings() : configuration.settings;
     return drift::ActiveForm(settings, configuration.terms, configuration.fleet,
                              configuration.owner, DUNLINWICK_VERSION);
@@ -185,7 +185,7 @@
     // What it declines because it may not serve, or is still letting in, says nothing of the rules:
     // counted, the repair that mends it would be taken for the harm (seen between processes:
     // repairs stopped by the front that they had just mended).
-    if (!serves || !admitted.by_request_class.empty()) {
+    if (!serves || !admitted.share_by_class.empty()) {
       window.at = loop.now() - kEach;
       window.requests = c.requests;
       window.abandoned = c.abandoned;
@@ -251,7 +251,7 @@
     w.take_up = [&in](const drift::Form& form) -> std::string {
       if (!in.ways.generations)
         return "this front turns no generation";
-      StoreSettings settings = in.ways.generations->settings();
+      DeploymentSettings settings = in.ways.generations->settings();
       std::string why = TakeUp(form, in.active(), settings);
       if (why.empty())
         in.ways.turn(settings);
@@ -351,8 +351,8 @@
     terms.terms.margin = c.owner.lease.margin;
     terms.terms.drift = c.owner.lease.drift;
     for (const RequestClass& o : c.settings.request_classes) {
-      terms.terms.payoff.push_back(o.payoff);
-      terms.terms.certain.push_back(o.never_kept);
+      terms.terms.payoff.push_back(o.priority_weight);
+      terms.terms.certain.push_back(o.uncacheable);
     }
     recovery::StoreSeen store = in.CheckStore();
     in.recovering = std::make_unique<Recovering>(loop, terms, in.Self(), fronts, store,
--- a/src/front/layer.hpp
+++ b/src/front/layer.hpp
@@ -25,7 +25,8 @@
     exchange::Exchange* exchange = nullptr;
     generations::Generations* generations =
         nullptr;  // null: the rules can't be turned while it serves
-    std::function<void(const StoreSettings&)> turn;  // to a new generation, from the next event on
+    std::function<void(const DeploymentSettings&)>
+        turn;  // to a new generation, from the next event on
     Owner* owner = nullptr;
   };
   Layer(loop::Loop& loop, const Configuration& configuration, Ways ways);
--- a/src/front/parts.cpp
+++ b/src/front/parts.cpp
@@ -28,14 +28,14 @@
     return {exchange::ModuleFor(c.settings, c.seed), nullptr, nullptr};
   Deciding d;
   d.generations = std::make_shared<generations::Generations>(c.settings, c.seed);
-  d.next = std::make_shared<std::optional<StoreSettings>>();
+  d.next = std::make_shared<std::optional<DeploymentSettings>>();
   d.decides = [all = d.generations, next = d.next](Ms now, const Event& event) {
     std::vector<Action> todo;
-    if (std::optional<StoreSettings> settings = std::exchange(*next, std::nullopt);
+    if (std::optional<DeploymentSettings> settings = std::exchange(*next, std::nullopt);
         settings && all->turn(now, *settings, todo) == 0)
-      todo.push_back(
-          WriteLine{"rules: not turned, as many generations serve as may; the drift stays and is "
-                    "repaired again"});
+      todo.push_back(WriteLogLine{
+          "rules: not turned, as many generations serve as may; the drift stays and is "
+          "repaired again"});
     std::vector<Action> rest = all->Handle(now, event);
     todo.insert(todo.end(), std::make_move_iterator(rest.begin()),
                 std::make_move_iterator(rest.end()));
@@ -72,7 +72,7 @@
     ways.generations = deciding.generations.get();
     // Between two turns of the loop: the sheet is laid ready, and the next event (this one has no
     // other meaning) turns to it.
-    ways.turn = [&exchange, next = deciding.next](const StoreSettings& settings) {
+    ways.turn = [&exchange, next = deciding.next](const DeploymentSettings& settings) {
       *next = settings;
       exchange.Turned(settings);
     };
--- a/src/front/parts.hpp
+++ b/src/front/parts.hpp
@@ -24,7 +24,7 @@
 struct Deciding {
   exchange::Decider decides;
   std::shared_ptr<generations::Generations> generations;
-  std::shared_ptr<std::optional<StoreSettings>> next;  // to be turned to with the next event
+  std::shared_ptr<std::optional<DeploymentSettings>> next;  // to be turned to with the next event
 };
 Deciding DecidingFor(const Configuration& configuration);
 std::unique_ptr<Parts> MakeParts(loop::Loop& loop, const Configuration& configuration,
--- a/src/front/turning.cpp
+++ b/src/front/turning.cpp
@@ -27,15 +27,17 @@
                               : Effect::kExclusive;
   return text == "rerunnable" || text == "ticketed" || text == "exclusive";
 }
-bool read(const std::string& text, Span& into) {
-  into = text == "everywhere" ? Span::kEverywhere : text == "zone" ? Span::kZone : Span::kCell;
+bool read(const std::string& text, DeduplicationScope& into) {
+  into = text == "everywhere" ? DeduplicationScope::kEverywhere
+         : text == "zone"     ? DeduplicationScope::kZone
+                              : DeduplicationScope::kCell;
   return text == "everywhere" || text == "zone" || text == "cell";
 }
-bool read(const std::string& text, Weighing& into) {
-  static const std::map<std::string, Weighing> words{{"none", Weighing::kNone},
-                                                     {"nominal", Weighing::kNominal},
-                                                     {"rough", Weighing::kRough},
-                                                     {"live", Weighing::kLive}};
+bool read(const std::string& text, WeightSource& into) {
+  static const std::map<std::string, WeightSource> words{{"none", WeightSource::kNone},
+                                                         {"nominal", WeightSource::kNominal},
+                                                         {"rough", WeightSource::kRough},
+                                                         {"live", WeightSource::kLive}};
   auto at = words.find(text);
   if (at != words.end())
     into = at->second;
@@ -49,55 +51,56 @@
     return read(text, field);
   };
 }
-void Cold(std::map<std::string, Set>& all, const std::string& name, ColdTerms& c) {
-  all["cold." + name + ".from"] = Into(c.from);
-  all["cold." + name + ".multiple"] = Into(c.multiple);
-  all["cold." + name + ".lasts"] = Into(c.lasts);
+void Cold(std::map<std::string, Set>& all, const std::string& name, SlowStartSettings& c) {
+  all["cold." + name + ".from"] = Into(c.initial_weight);
+  all["cold." + name + ".multiple"] = Into(c.overload_factor);
+  all["cold." + name + ".lasts"] = Into(c.duration);
 }
 
-std::map<std::string, Set> Fields(StoreSettings& s) {
+std::map<std::string, Set> Fields(DeploymentSettings& s) {
   std::map<std::string, Set> all;
   for (std::size_t i = 0; i < s.request_classes.size(); ++i) {
     RequestClass& o = s.request_classes[i];
     std::string at = "offerings." + std::to_string(i) + ".";
     all[at + "effect"] = Into(o.effect);
-    all[at + "span"] = Into(o.span);
-    all[at + "memory"] = Into(o.memory);
-    all[at + "agreed"] = Into(o.agreed);
-    all[at + "agreed_stretch"] = Into(o.agreed_stretch);
-    all[at + "expiry"] = Into(o.expiry);
-    all[at + "payoff"] = Into(o.payoff);
-    all[at + "fresh_for"] = Into(o.fresh_for);  // streams, never_kept: of the process, since the
-                                                // exchange and the clients go by them
+    all[at + "span"] = Into(o.deduplication_scope);
+    all[at + "memory"] = Into(o.deduplication_window);
+    all[at + "agreed"] = Into(o.latency_objective);
+    all[at + "agreed_stretch"] = Into(o.latency_objective_stretch);
+    all[at + "expiry"] = Into(o.max_deadline);
+    all[at + "payoff"] = Into(o.priority_weight);
+    all[at + "fresh_for"] =
+        Into(o.freshness_lifetime);  // streams, never_kept: of the process, since the
+                                     // exchange and the clients go by them
   }
-  all["permits.probe"] = Into(s.may.probe);
-  all["permits.cancel"] = Into(s.may.cancel);
-  all["permits.two_legs_at_once"] = Into(s.may.two_attempts_at_once);
-  all["permits.join"] = Into(s.may.join);
-  all["permits.direct"] = Into(s.may.direct);
-  Cold(all, "store", s.cold_store);
-  Cold(all, "parent", s.cold_parent);
-  all["cold.window"] = Into(s.cold_window);
+  all["permits.probe"] = Into(s.permissions.probe);
+  all["permits.cancel"] = Into(s.permissions.cancel);
+  all["permits.two_legs_at_once"] = Into(s.permissions.concurrent_attempts);
+  all["permits.join"] = Into(s.permissions.coalesce);
+  all["permits.direct"] = Into(s.permissions.direct_to_origin);
+  Cold(all, "store", s.cache_slow_start);
+  Cold(all, "parent", s.parent_slow_start);
+  all["cold.window"] = Into(s.slow_start_window);
   all["sheet.fronts"] = Into(s.fronts);
   all["sheet.crew"] = Into(s.zone_replicas);
-  all["sheet.weighing"] = Into(s.weighing);
-  all["sheet.longest_retry_after"] = Into(s.longest_retry_after);
-  all["sheet.most_legs"] = Into(s.most_attempts);
-  all["sheet.places"] = Into(s.places);
-  all["sheet.lateral"] = Into(s.lateral);
+  all["sheet.weighing"] = Into(s.weight_source);
+  all["sheet.longest_retry_after"] = Into(s.max_retry_after);
+  all["sheet.most_legs"] = Into(s.max_attempts);
+  all["sheet.places"] = Into(s.max_open_requests);
+  all["sheet.lateral"] = Into(s.fills_from_siblings);
   all["sheet.stream_kb_per_ms"] = Into(s.stream_kb_per_ms);
   all["sheet.link_kb_per_ms"] = Into(s.link_kb_per_ms);
-  all["sheet.link_report"] = Into(s.link_report);
-  all["sheet.remarks"] = Into(s.remarks);
-  all["sheet.purge_done"] = Into(s.purge_done);
+  all["sheet.link_report"] = Into(s.link_report_index);
+  all["sheet.remarks"] = Into(s.reports_cache_status);
+  all["sheet.purge_done"] = Into(s.purge_completion_time);
   return all;
 }
 
 }  // namespace
 
 std::string TakeUp(const drift::Form& approved, const drift::Form& active,
-                   StoreSettings& settings) {
-  StoreSettings next = settings;
+                   DeploymentSettings& settings) {
+  DeploymentSettings next = settings;
   auto all = Fields(next);
   for (const auto& [section, rows] : approved) {
     auto at = active.find(section);
--- a/src/front/turning.hpp
+++ b/src/front/turning.hpp
@@ -12,6 +12,7 @@
 
 // "" and `sheet` changed, or the field and why it can't be taken up, with `sheet` as it was. Fields
 // that stand as approved already are passed over, whatever their section: `active` tells them.
-std::string TakeUp(const drift::Form& approved, const drift::Form& active, StoreSettings& settings);
+std::string TakeUp(const drift::Form& approved, const drift::Form& active,
+                   DeploymentSettings& settings);
 
 }  // namespace dunlinwick::front
--- a/src/generations/generations.cpp
+++ b/src/generations/generations.cpp
@@ -14,8 +14,8 @@
 }
 }  // namespace
 
-Generations::Generations(const StoreSettings& settings, std::uint64_t seed)
-    : seed_(seed), purge_kept_(2 * settings.purge_done) {
+Generations::Generations(const DeploymentSettings& settings, std::uint64_t seed)
+    : seed_(seed), purge_kept_(2 * settings.purge_completion_time) {
   lives_.push_back({++last_, settings, std::make_unique<Router>(settings, seed), 0});
 }
 
@@ -28,12 +28,14 @@
 void Generations::Tell(Life& l, Ms now, const Event& event, std::vector<Action>& out) {
   bool newest = l.number == last_;
   for (Action& a : l.router->Handle(now, event)) {
-    if (auto* wake = std::get_if<WakeMe>(&a))
+    if (auto* wake = std::get_if<SetTimer>(&a))
       wake->handle = Marked(wake->handle, l.number);
     // One voice to machines, the log and the fleet. Harm: an older generation hears a probe's end
     // only when the newest asks for one.
-    bool common = std::holds_alternative<ProbeCache>(a) || std::holds_alternative<WriteLine>(a) ||
-                  std::holds_alternative<TellHealth>(a) || std::holds_alternative<FollowList>(a);
+    bool common = std::holds_alternative<ProbeEndpoint>(a) ||
+                  std::holds_alternative<WriteLogLine>(a) ||
+                  std::holds_alternative<ReportEndpointHealth>(a) ||
+                  std::holds_alternative<WatchEndpointList>(a);
     if (common && !newest)
       continue;
     auto request = [&](std::uint32_t id, bool attempt) {
@@ -44,9 +46,9 @@
     };
     if (auto* send = std::get_if<SendAttempt>(&a))
       request(send->request, true);
-    if (auto* no = std::get_if<DeclineRequest>(&a))
+    if (auto* no = std::get_if<RejectRequest>(&a))
       request(no->request, false);
-    if (auto* gone = std::get_if<AbandonRequest>(&a))
+    if (auto* gone = std::get_if<FailRequest>(&a))
       request(gone->request, false);
     out.push_back(std::move(a));
   }
@@ -66,35 +68,35 @@
 // Board's purges run out; recalls stay until they are lifted.
 void Generations::Lapse(Ms now) {
   std::erase_if(purges_,
-                [&](const Bound& b) { return !b.purge.standing && b.at < now - purge_kept_; });
+                [&](const Bound& b) { return !b.purge.is_recall && b.at < now - purge_kept_; });
 }
 
 void Generations::note(Ms now, const Event& event) {
-  if (auto* news = std::get_if<ListNews>(&event)) {
-    if (news->listing == Listing::kFailed)
+  if (auto* news = std::get_if<EndpointListUpdate>(&event)) {
+    if (news->kind == ListUpdateKind::kFailed)
       return;
-    if (news->listing != Listing::kChanges)
+    if (news->kind != ListUpdateKind::kChanges)
       list_.clear();
-    listed_ |= news->listing != Listing::kChanges;
+    listed_ |= news->kind != ListUpdateKind::kChanges;
     for (const ListEntry& e : news->entries)
-      if (e.standing == Standing::kGone)
-        list_.erase(e.cache);
+      if (e.state == EndpointState::kRemoved)
+        list_.erase(e.id);
       else
-        list_[e.cache] = e;
+        list_[e.id] = e;
   }
   if (auto* purge = std::get_if<Purged>(&event)) {
     Lapse(now);
-    if (purge->standing)
+    if (purge->is_recall)
       std::erase_if(purges_, [&](const Bound& b) {
         const Purged& q = b.purge;
-        return q.standing && q.whole_group == purge->whole_group && q.object == purge->object &&
+        return q.is_recall && q.is_group == purge->is_group && q.object == purge->object &&
                q.group == purge->group && q.request_class == purge->request_class;
       });
-    if (!purge->lifted)
-      purges_.push_back({now - purge->ago, *purge});
+    if (!purge->is_lifted)
+      purges_.push_back({now - purge->age, *purge});
   }
-  if (std::holds_alternative<ZoneShares>(event) || std::holds_alternative<NoOlder>(event) ||
-      std::holds_alternative<LetIn>(event))
+  if (std::holds_alternative<ZoneTrafficWeights>(event) ||
+      std::holds_alternative<MaxCopyAge>(event) || std::holds_alternative<AdmissionRamp>(event))
     facts_.insert_or_assign(event.index(), event);
 }
 
@@ -109,7 +111,7 @@
       Tell(*l, now, event, out);
     Settle(request);
   };
-  if (auto* came = std::get_if<RequestCame>(&event)) {
+  if (auto* came = std::get_if<RequestArrived>(&event)) {
     if (open_.count(came->request))
       return out;
     open_[came->request] = {last_, 0, false};
@@ -129,14 +131,14 @@
     of_request(left->request);
   } else if (auto* shortened = std::get_if<DeadlineShortened>(&event)) {
     of_request(shortened->request);
-  } else if (auto* woke = std::get_if<WakeUp>(&event)) {
+  } else if (auto* woke = std::get_if<TimerFired>(&event)) {
     Number number = (woke->handle & kWhoseMask) >> kWhose;
     auto who_is = std::find_if(lives_.begin(), lives_.end(), [&](const Life& l) {
       return (l.number & kWhoseMask >> kWhose) == number;
     });
     if (who_is == lives_.end())
       return out;
-    WakeUp inner{woke->handle & ~kWhoseMask};
+    TimerFired inner{woke->handle & ~kWhoseMask};
     Tell(*who_is, now, inner, out);
     Settle(static_cast<std::uint32_t>(inner.handle));
   } else {
@@ -146,7 +148,7 @@
   return out;
 }
 
-Number Generations::turn(Ms now, const StoreSettings& settings, std::vector<Action>& out) {
+Number Generations::turn(Ms now, const DeploymentSettings& settings, std::vector<Action>& out) {
   Lapse(now);
   if (lives_.size() >= kMostAlive || purges_.size() > kMostPurges)
     return 0;
@@ -154,17 +156,17 @@
     return 0;
   ++last_;
   lives_.push_back({last_, settings, std::make_unique<Router>(settings, seed_ + last_), 0});
-  purge_kept_ = std::max(purge_kept_, 2 * settings.purge_done);
+  purge_kept_ = std::max(purge_kept_, 2 * settings.purge_completion_time);
   Life& l = lives_.back();
-  ListNews all;
-  all.listing = Listing::kWhole;
+  EndpointListUpdate all;
+  all.kind = ListUpdateKind::kSnapshot;
   for (const auto& [id, e] : list_)
     all.entries.push_back(e);
   if (listed_)
     Tell(l, now, all, out);
   for (const Bound& b : purges_) {
     Purged p = b.purge;
-    p.ago = now - b.at;
+    p.age = now - b.at;
     Tell(l, now, p, out);
   }
   for (const auto& [kind, fact] : facts_)
--- a/src/generations/generations.hpp
+++ b/src/generations/generations.hpp
@@ -34,15 +34,15 @@
 
 class Generations {
  public:
-  Generations(const StoreSettings& settings, std::uint64_t seed);
+  Generations(const DeploymentSettings& settings, std::uint64_t seed);
   std::vector<Action> Handle(Ms now, const Event& event);
   // The next generation, from now on. 0, with nothing changed: too many live, or it has other
   // offerings than the first (a pull names its offering by place), or too many purges bind.
-  Number turn(Ms now, const StoreSettings& settings, std::vector<Action>& out);
+  Number turn(Ms now, const DeploymentSettings& settings, std::vector<Action>& out);
   Number Newest() const {
     return lives_.back().number;
   }
-  const StoreSettings& settings() const {
+  const DeploymentSettings& settings() const {
     return lives_.back().settings;
   }
   struct Row {
@@ -54,7 +54,7 @@
  private:
   struct Life {
     Number number = 0;
-    StoreSettings settings;
+    DeploymentSettings settings;
     std::unique_ptr<Router> router;
     std::size_t requests = 0;  // open ones
   };
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -1,6 +1,6 @@
-// The interface of the decisions: what a front is told (events), what it may do (actions), and the
-// sheet it reads at start. Times are milliseconds with fractions, on a clock that only moves
-// forward.
+// The interface of the routing policy: the events that a front reports to it, the actions that it
+// returns, and the deployment settings that it reads at start. Times are in milliseconds, with
+// fractions, on a monotonic clock.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -12,17 +12,22 @@
 
 namespace dunlinwick {
 
+// Whether a request may be executed again. Idempotent requests may; those with an idempotency key
+// may where the repeat is recognised by its key; exclusive ones must not be executed twice.
 enum class Effect {
   kIdempotent,
   kIdempotentWithKey,
   kExclusive
 };
-enum class Span {
+// Which caches recognise a repeat of a request with an idempotency key, and drop it.
+enum class DeduplicationScope {
   kEverywhere,
   kZone,
   kCell
-};  // which caches drop the repeats of a ticketed pull
-enum class Weighing {
+};
+// Where the weights of the endpoint list come from: there are none, they are nominal, rough, or
+// change with each list.
+enum class WeightSource {
   kNone,
   kNominal,
   kRough,
@@ -31,281 +36,293 @@
 
 struct RequestClass {
   Effect effect = Effect::kIdempotent;
-  Span span = Span::kEverywhere;
-  Ms memory = 0;  // how long the repeats of a ticketed pull are known
-  Ms agreed = 0;
-  double agreed_stretch =
-      0;  // the agreed time grows by this multiple of the pull's own sending time
-  Ms expiry = 0;
-  double payoff = 1;
+  DeduplicationScope deduplication_scope = DeduplicationScope::kEverywhere;
+  Ms deduplication_window = 0;  // how long a repeat with the same idempotency key is recognised
+  Ms latency_objective = 0;
+  double latency_objective_stretch =
+      0;  // the objective grows by this multiple of the request's own transfer time
+  Ms max_deadline = 0;
+  double priority_weight = 1;  // the value of a request that is answered in time
   bool streams = false;
-  Ms fresh_for = 0;  // 0: until purged
-  bool never_kept = false;
+  Ms freshness_lifetime = 0;  // 0: until purged
+  bool uncacheable = false;
 };
 
-// What a front may do here.
-struct Permits {
+// What the platform permits a front to do.
+struct Permissions {
   bool probe = false;
   bool cancel = false;
-  bool two_attempts_at_once = false;
-  bool join = false;
-  bool direct = false;
+  bool concurrent_attempts = false;
+  bool coalesce = false;          // a request may wait for a fill under way instead of its own
+  bool direct_to_origin = false;  // uncacheable requests may bypass the caches
 };
 
-// How a machine starts cold, and what all fronts together may send it in any window of the stated
-// length.
-struct ColdTerms {
-  double from = 1;
-  double multiple = 0;  // of its capacity at start; of its present capacity
-  Ms lasts = 0;
+// How an endpoint ramps up after its start, and how much work all fronts together may send it
+// within any window of `slow_start_window`.
+struct SlowStartSettings {
+  double initial_weight = 1;   // share of its full capacity at its start
+  double overload_factor = 0;  // the work allowed, as a multiple of its present capacity
+  Ms duration = 0;
 };
 
-// What the deployment hands over at start. The module keeps figures derived from it, not the sheet.
-struct StoreSettings {
+// The description of the deployment that the router reads at start. It keeps values derived from
+// it, not the struct itself.
+struct DeploymentSettings {
   std::vector<RequestClass> request_classes;
   int zone = 0;
   int fronts = 1;         // in all zones
   int zone_replicas = 1;  // fronts serving this zone
   int parent_kind = -1;
   int origin_kind = -1;
-  bool asks_for_list = false;  // list changes come only when asked for
-  Weighing weighing = Weighing::kNone;
-  Permits may;
-  Ms longest_retry_after = 0;  // 0: no retry time may be named
-  int most_attempts = 1;
-  int places = 0;        // pulls that clients can have open here at once; 0: not told
-  bool lateral = false;  // a cache may be filled from another of its zone
-  double stream_kb_per_ms = 0;
-  double link_kb_per_ms = 0;  // of this zone; 0: not told
-  int link_report = -1;  // place in the answers' reports of how full that link is; -1: not reported
-  bool remarks = true;   // answers tell what became of a fill; else at most whether they were hits
-  Ms purge_done = 0;
-  ColdTerms cold_store;
-  ColdTerms cold_parent;
-  Ms cold_window = 0;
+  bool polls_endpoint_list = false;  // list changes come only when asked for
+  WeightSource weight_source = WeightSource::kNone;
+  Permissions permissions;
+  Ms max_retry_after = 0;  // 0: a rejection must not carry a retry time
+  int max_attempts = 1;
+  int max_open_requests = 0;         // of clients, at once, at this front; 0: unknown
+  bool fills_from_siblings = false;  // a cache may be filled from another one of its zone
+  double stream_kb_per_ms = 0;       // rate of one transfer at full speed
+  double link_kb_per_ms =
+      0;  // of the link from this zone to the parents and the origin; 0: unknown
+  int link_report_index = -1;        // position of the link's utilisation in the load reports of
+                                     // answers; -1: not reported
+  bool reports_cache_status = true;  // answers carry a CacheStatus; otherwise they tell at most
+                                     // hits from misses
+  Ms purge_completion_time = 0;
+  SlowStartSettings cache_slow_start;
+  SlowStartSettings parent_slow_start;
+  Ms slow_start_window = 0;
 };
 
-// ---- what happened
-enum class Listing {
+// ---- Events
+
+enum class ListUpdateKind {
   kChanges,
-  kWhole,
-  kRemembered,
+  kSnapshot,
+  kLastKnown,
   kFailed
 };
-enum class Standing {
+enum class EndpointState {
   kDraining,
-  kGone,
+  kRemoved,
   kReady
 };
 struct ListEntry {
-  std::uint32_t cache = 0;
+  std::uint32_t id = 0;
   int zone = 0;
   int kind = 0;
   int cell = 0;
-  Standing standing = Standing::kReady;
+  EndpointState state = EndpointState::kReady;
   double weight = 1;
   WallTime started_at;  // 0: long ago
-  /// When this front was first told of that start. None: the stamp is of this front's own clock, as
-  /// on the bench.
+  /// When this front was first notified of that start. None: the stamp is of this front's own
+  /// clock, as in the simulator.
   std::optional<Notified> notified;
 };
-struct ListNews {
-  Listing listing = Listing::kChanges;
+struct EndpointListUpdate {
+  ListUpdateKind kind = ListUpdateKind::kChanges;
   std::vector<ListEntry> entries;
 };
-struct RequestCame {
+struct RequestArrived {
   std::uint32_t request = 0;
   int request_class = 0;
   std::uint64_t object = 0;
   int part = 0;
   int group = 0;
-  Ms ttl = 0;
-  double size_kb = 0;  // 0: not told
+  Ms time_left = 0;    // until the client's deadline
+  double size_kb = 0;  // 0: unknown
 };
-enum class Ending {
+enum class AttemptResult {
   kFinished,
   kError,
-  kFull,
+  kOverloaded,  // rejected, since its queue is full
   kTimedOut,
-  kNoConnection,
-  kBroken,
+  kNotSent,       // no connection, or it broke before the request was sent whole
+  kDisconnected,  // the connection broke after the request was sent
   kCancelled,
-  kSuperseded,
+  kSuperseded,  // not begun, since its start deadline had passed
   kMiss
 };
-enum class Remark {
+// How a cache served an attempt, or why its fill failed.
+enum class CacheStatus {
   kNone,
   kHit,
   kFilled,
   kFilledByOrigin,
-  kJoined,
-  kAged,
+  kCoalesced,  // it waited for a fill that was under way
+  kExpired,    // a copy was present, but had expired
   kSourceRefused,
-  kSourceLost,
-  kSourceLacks,
-  kNoFillPlace,
+  kSourceFailed,
+  kSourceMiss,
+  kNoFillSlot,
   kOriginFailed
 };
 struct AttemptStarted {
   std::uint32_t request = 0;
-  std::uint32_t cache = 0;
+  std::uint32_t endpoint = 0;
   int attempt = 0;
 };
 struct AttemptEnded {
   std::uint32_t request = 0;
-  std::uint32_t cache = 0;
+  std::uint32_t endpoint = 0;
   int attempt = 0;
-  Ending ending = Ending::kFinished;
-  Ms took = 0;
+  AttemptResult result = AttemptResult::kFinished;
+  Ms duration = 0;
   bool final = false;
-  Remark remark = Remark::kNone;
-  Ms waited = 0;      // until the first byte of a fill came, or it failed
-  int fell_with = 0;  // legs told before it that ended with the same connection
-  bool ours = false;  // for want of something of this front's own, such as a descriptor: no sign of
-                      // the machine
-  std::vector<float> report;
+  CacheStatus cache_status = CacheStatus::kNone;
+  Ms fill_wait = 0;               // until the first byte of a fill, or until the fill failed
+  int earlier_on_connection = 0;  // attempts reported before this one that ended with the same
+                                  // connection
+  bool is_local_fault = false;    // this front lacked a resource, such as a descriptor; it says
+                                  // nothing about the endpoint
+  std::vector<float> load_report;
 };
 struct ClientLeft {
   std::uint32_t request = 0;
 };
-// The client waits no longer than this for an answer, though it said more at first: the answer to
-// another request of its has to follow this one's in time.
+// The client waits for an answer no longer than this, though its deadline was later at first: the
+// answer to another of its requests has to follow this one in time.
 struct DeadlineShortened {
   std::uint32_t request = 0;
-  Ms ttl = 0;  // from now on
+  Ms time_left = 0;  // from now on
 };
-struct WakeUp {
+struct TimerFired {
   std::uint64_t handle = 0;
 };
 struct ProbeEnded {
-  std::uint32_t cache = 0;
-  bool answered = false;
-  Ms took = 0;
-  std::vector<float> report;
+  std::uint32_t endpoint = 0;
+  bool succeeded = false;
+  Ms duration = 0;
+  std::vector<float> load_report;
 };
 struct Purged {
-  bool whole_group = false;
+  bool is_group = false;
   std::uint64_t object = 0;
   int group = 0;
-  Ms ago = 0;
-  // A recall of the fleet's record binds until it is lifted, since no machine is told of it but by
-  // the ages asked for; of `offering`, where it is not below 0, whole. None comes on the bench's
-  // platform.
-  bool standing = false;
-  bool lifted = false;
+  Ms age = 0;
+  // A recall from the fleet's record stays in force until it is lifted, since endpoints learn of it
+  // only through the `max_age` of attempts. It covers a whole request class where `request_class`
+  // is not below 0. The simulator's platform sends none.
+  bool is_recall = false;
+  bool is_lifted = false;
   int request_class = -1;
-  /// Where the notice says when, by another machine's clock, and not how long ago: in place of
-  /// `ago`.
+  /// Where the notification carries the time of the purge by another host's clock, and not its age:
+  /// in place of `age`.
   struct Stamped {
     WallTime stamp;
     Notified notified;
   };
   std::optional<Stamped> stamped;
 };
-struct PeerSaid {
+struct PeerMessageReceived {
   std::uint32_t peer = 0;
   std::string text;
 };
-// The fleet's verdict as it stands: which share of this front's pulls goes to which zone's caches,
-// by zone; all to the own where it is empty, as at start. Comes only where a front has a fleet
-// (src/failover/).
-struct ZoneShares {
-  std::vector<double> shares;
-};
-// Copies older than so many ms may have been recalled without this front's having heard of it: none
-// is to be given; 0: no such limit, as at start. Comes only where a front follows the fleet's
-// record (src/record/).
-struct NoOlder {
-  Ms than = 0;
-};
-// The share of new pulls that is let in, by offering; empty: all, as at start. Comes only while a
-// fleet comes back from a loss (src/recovery/).
-struct LetIn {
-  std::vector<double> by_request_class;
-  Ms come_back = 0;  // told to what is not
-};
-using Event =
-    std::variant<ListNews, RequestCame, AttemptStarted, AttemptEnded, ClientLeft, DeadlineShortened,
-                 WakeUp, ProbeEnded, Purged, PeerSaid, ZoneShares, NoOlder, LetIn>;
+// The failover decision in force: the share of this front's requests that goes to the caches of
+// each zone, by zone. Empty, as at start: all go to the own zone. Comes only where a front belongs
+// to a fleet (src/failover/).
+struct ZoneTrafficWeights {
+  std::vector<double> weights;
+};
+// Copies older than `age` ms may have been recalled without this front's knowledge: none of them
+// may be served. 0, as at start: no limit. Comes only where a front follows the fleet's record
+// (src/record/).
+struct MaxCopyAge {
+  Ms age = 0;
+};
+// The share of new requests that is admitted, by request class. Empty, as at start: all. Comes only
+// while a fleet recovers from a loss (src/recovery/).
+struct AdmissionRamp {
+  std::vector<double> share_by_class;
+  Ms retry_after = 0;  // sent with the rejection of the others
+};
+using Event = std::variant<EndpointListUpdate, RequestArrived, AttemptStarted, AttemptEnded,
+                           ClientLeft, DeadlineShortened, TimerFired, ProbeEnded, Purged,
+                           PeerMessageReceived, ZoneTrafficWeights, MaxCopyAge, AdmissionRamp>;
+
+// ---- Actions
 
-// ---- what is to be done
 struct SendAttempt {
   std::uint32_t request = 0;
-  std::uint32_t cache = 0;
-  std::uint32_t source = 0;  // source == cache: no fill
-  bool join = false;
-  bool renew = false;
-  bool held_only = false;  // heldOnly: the source fetches nothing itself
-  int rank = 0;
-  Ms oldest = 0;        // 0: as old as the offering allows
-  Ms timeout = 0;       // 0: till the client quits
-  bool proven = false;  // only over a connection that has just shown that it carries
-  Ms not_after = 0;  // from then on it might take effect a second time: not begun any more, it ends
-                     // as moot; 0: no limit
+  std::uint32_t endpoint = 0;
+  std::uint32_t source = 0;               // equal to `endpoint`: no fill
+  bool coalesce = false;                  // may wait for a fill of the object that is under way
+  bool revalidate = false;                // the cache may renew an expired copy from the source
+  bool only_if_cached = false;            // the source must not fetch the object itself
+  int retention_rank = 0;                 // 1 to 3; the cache evicts low ranks first
+  Ms max_age = 0;                         // of a copy served; 0: as the request class allows
+  Ms timeout = 0;                         // 0: until the client leaves
+  bool requires_live_connection = false;  // only over a connection that has just proved to work
+  Ms start_deadline = 0;  // later it might take effect a second time: it is not started any more
+                          // and ends as superseded; 0: no limit
 };
 struct CancelAttempt {
   std::uint32_t request = 0;
   int attempt = 0;
 };
-enum class RefusalReason {
-  kDeadline,     // its time is up
-  kAdmission,    // the fleet comes back from a loss, and lets in a share only
-  kPlaces,       // clients' places are short, and it earns little for the time it would take one
-  kNoEndpoint,   // no server may be asked
-  kSlowStart,    // the servers that may be asked are in slow start, and their budgets are spent
-  kUtilisation,  // the servers are fuller than it can bear
-  kLink,         // the link is fuller than it can bear, and it has to be filled
-  kNoSource,     // no source may fill it
-  kAttempts      // no further attempt is allowed, or would help
-};
-constexpr std::size_t kRefusalReasons = 9;
-// The size of a request beside the mean of its class.
+enum class RejectionReason {
+  kDeadline,      // its deadline has passed
+  kAdmission,     // the fleet recovers from a loss, and admits only a share
+  kOpenRequests,  // this front's open requests near their limit, and it is worth little for the
+                  // time it would take
+  kNoEndpoint,    // no endpoint is available
+  kSlowStart,     // the available endpoints are in slow start, and their budgets are spent
+  kUtilisation,   // the endpoints' utilisation is higher than it tolerates
+  kLink,          // the link's utilisation is higher than it tolerates, and it needs a fill
+  kNoSource,      // no source can fill it
+  kAttempts       // no further attempt is allowed, or would help
+};
+constexpr std::size_t kRejectionReasons = 9;
+// The size of a request relative to the mean of its class.
 enum class SizeBand {
   kSmall,  // up to half of it
   kUsual,
   kLarge  // over twice as much
 };
 constexpr std::size_t kSizeBands = 3;
-struct DeclineRequest {
+// The request was provably not executed, or may safely be repeated: the client may try again.
+struct RejectRequest {
   std::uint32_t request = 0;
   Ms retry_after = 0;
-  RefusalReason reason = RefusalReason::kDeadline;
+  RejectionReason reason = RejectionReason::kDeadline;
   SizeBand size = SizeBand::kUsual;
 };
-struct AbandonRequest {
+// The request may have been executed: the client must not take it for rejected.
+struct FailRequest {
   std::uint32_t request = 0;
 };
-struct WakeMe {
-  Ms at = 0;
+struct SetTimer {
+  Ms fires_at = 0;
   std::uint64_t handle = 0;
 };
-struct ProbeCache {
-  std::uint32_t cache = 0;
+struct ProbeEndpoint {
+  std::uint32_t endpoint = 0;
 };
-struct FollowList {};
-struct WriteLine {
+struct WatchEndpointList {};
+struct WriteLogLine {
   std::string text;
 };
-// A machine was set aside or is back: what this front holds of it, for whoever sums it up for the
-// fleet.
-struct TellHealth {
-  std::uint32_t cache = 0;
+// An endpoint was ejected or returned to service: this front's observation, for the fleet's zone
+// health.
+struct ReportEndpointHealth {
+  std::uint32_t endpoint = 0;
   bool ejected = false;
 };
-using Action = std::variant<SendAttempt, CancelAttempt, DeclineRequest, AbandonRequest, WakeMe,
-                            ProbeCache, FollowList, WriteLine, TellHealth>;
+using Action = std::variant<SendAttempt, CancelAttempt, RejectRequest, FailRequest, SetTimer,
+                            ProbeEndpoint, WatchEndpointList, WriteLogLine, ReportEndpointHealth>;
 
 class Router {
  public:
-  Router(const StoreSettings& settings, std::uint64_t seed);
+  Router(const DeploymentSettings& settings, std::uint64_t seed);
   ~Router();
   Router(Router&&) noexcept;
-  // The one entry point: what happened at `now` in, what is to be done out, in order.
+  // The single entry point: takes an event that happened at `now`, and returns the actions to carry
+  // out, in order.
   std::vector<Action> Handle(Ms now, const Event& event);
 
  private:
-  struct Mind;
-  std::unique_ptr<Mind> mind_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace dunlinwick
--- a/src/logic/choice.hpp
+++ b/src/logic/choice.hpp
@@ -1,158 +1,184 @@
-// Choice: which cache a request's next attempt goes to, how full it may be, and whether it is let
-// in.
+// Endpoint selection: which cache a request's next attempt goes to, what utilisation the request
+// tolerates there, and whether the request is admitted at all.
 #pragma once
 #include "logic/cold.hpp"
 #include "logic/health.hpp"
 
 namespace dunlinwick::logic {
 
-struct Choice : Part {
+struct EndpointSelector : PolicyContext {
   const Load& load;
-  Cold& cold;
+  SlowStart& slow_start;
   Health& health;
-  double mean_payoff = 1;
+  double mean_priority_weight = 1;
   double mean_work = 100;
-  double place_price = 0;
-  RefusalReason refusal = RefusalReason::kNoEndpoint;  // why the last request got no attempt
-  std::vector<double> shares{};  // of pulls, by zone; empty: all stay in the own
+  double open_request_price = 0;
+  RejectionReason rejection_reason =
+      RejectionReason::kNoEndpoint;    // why the last request got no attempt
+  std::vector<double> zone_weights{};  // of requests, by zone; empty: all stay in the own zone
 
-  Machine* CacheFor(const Request& p) {
-    auto away = load.roster.away.find(ZoneFor(p));  // the own zone is none of these
-    Machine* at = away == load.roster.away.end() ? nullptr : Among(p, away->second);
-    return at ? at : Among(p, load.roster.stores);
+  Endpoint* SelectCache(const Request& request) {
+    auto remote = load.endpoints.remote_caches.find(ZoneOf(request));  // lacks the own zone
+    Endpoint* cache = remote == load.endpoints.remote_caches.end()
+                          ? nullptr
+                          : SelectAmong(request, remote->second);
+    return cache ? cache : SelectAmong(request, load.endpoints.caches);
   }
-  Machine* Among(const Request& p, const std::vector<Machine*>& caches) {
-    std::vector<Machine*> open;
-    refusal = RefusalReason::kNoEndpoint;
-    for (Machine* m : load.roster.InOrder(caches, p.object)) {
-      if (!health.Judge(*m) || p.HasFailed(m) || !MayGo(p, *m))
+  Endpoint* SelectAmong(const Request& request, const std::vector<Endpoint*>& caches) {
+    std::vector<Endpoint*> candidates;
+    rejection_reason = RejectionReason::kNoEndpoint;
+    for (Endpoint* cache : load.endpoints.InRendezvousOrder(caches, request.object)) {
+      if (!health.CheckUsable(*cache) || request.HasFailed(cache) || !MayAttempt(request, *cache))
         continue;
-      if (cold.Affords(*m, cold.WorkOf(p)))
-        open.push_back(m);
+      if (slow_start.CanAfford(*cache, slow_start.WorkOf(request)))
+        candidates.push_back(cache);
       else
-        refusal = RefusalReason::kSlowStart;
+        rejection_reason = RejectionReason::kSlowStart;
     }
-    Machine* at = FirstInBounds(open, p);
-    if (at && load.level(*at) <= MaxUtilisation(p))
-      return at;
-    refusal = at ? RefusalReason::kUtilisation : refusal;
+    Endpoint* cache = SelectByBoundedLoad(candidates, request);
+    if (cache && load.Utilisation(*cache) <= MaxUtilisation(request))
+      return cache;
+    rejection_reason = cache ? RejectionReason::kUtilisation : rejection_reason;
     return nullptr;
   }
 
-  // Bounded load: the first in hash order that is at most a quarter over the mean level, or at one
-  // where most pulls are in time, since a move costs a fill; and that this pull can bear. Else the
-  // least level.
-  Machine* FirstInBounds(const std::vector<Machine*>& open, const Request& p) const {
-    double held = 0, room = 0;
-    Machine* least = nullptr;
-    for (Machine* m : open) {
-      held += load.Together(m->attempts, load.Sharers(*m));
-      room += load.Carries(m->room) * load.roster.Warmth(*m);
-      if (!least || load.level(*m) < load.level(*least))
-        least = m;
+  // Consistent hashing with bounded loads: the first endpoint in hash order whose utilisation is at
+  // most a quarter over the mean, or at a level where most requests meet their objective, since a
+  // move costs a fill; and that this request tolerates. Otherwise the least utilised one.
+  Endpoint* SelectByBoundedLoad(const std::vector<Endpoint*>& candidates,
+                                const Request& request) const {
+    double in_flight = 0, capacity = 0;
+    Endpoint* least_utilised = nullptr;
+    for (Endpoint* endpoint : candidates) {
+      in_flight += load.OfAllFronts(endpoint->in_flight, load.SharersOf(*endpoint));
+      capacity += load.Transfers(endpoint->capacity) * load.endpoints.RampWeight(*endpoint);
+      if (!least_utilised || load.Utilisation(*endpoint) < load.Utilisation(*least_utilised))
+        least_utilised = endpoint;
     }
-    double most = std::min(std::max(1.75, 1.25 * (held + 1) / room), MaxUtilisation(p));
-    auto first =
-        std::find_if(open.begin(), open.end(), [&](Machine* m) { return load.level(*m) <= most; });
-    return first == open.end() ? least : *first;
+    double bound =
+        std::min(std::max(1.75, 1.25 * (in_flight + 1) / capacity), MaxUtilisation(request));
+    auto first = std::find_if(candidates.begin(), candidates.end(), [&](Endpoint* endpoint) {
+      return load.Utilisation(*endpoint) <= bound;
+    });
+    return first == candidates.end() ? least_utilised : *first;
   }
 
-  // How crowded a machine or link may be for this pull: stretched by about the level, it must be in
-  // time. A poor payoff for the work takes some off: in overload those go first that earn least for
-  // it.
-  double MaxUtilisation(const Request& p) const {
-    constexpr double kLeast = 1.2, kOwed = 3.0, kMost = 5.0;
-    constexpr double kMargin = 0.8;  // the level rises while the request is under way
-    if (p.is_owed)
-      return kOwed;
-    double stretch = kMargin * (p.agreed_at - now) / std::max(p.sending, 1.0);
-    double bearable = stretch * std::clamp(std::pow(ValueDensity(p), 0.2), 0.7, 1.3);
-    return std::clamp(bearable, kLeast, kMost);
+  // The highest utilisation of an endpoint or link at which this request may still meet its
+  // objective, given that its transfer is slowed down by about the utilisation. It is lower for a
+  // request with little priority weight for its work: in overload, those that are worth least for
+  // their work are rejected first.
+  double MaxUtilisation(const Request& request) const {
+    constexpr double kMin = 1.2, kWithCredit = 3.0, kMax = 5.0;
+    constexpr double kMargin = 0.8;  // utilisation rises while the request is under way
+    if (request.has_credit)
+      return kWithCredit;
+    double stretch = kMargin * (request.objective_at - now) / std::max(request.transfer_time, 1.0);
+    double tolerable = stretch * std::clamp(std::pow(ValueDensity(request), 0.2), 0.7, 1.3);
+    return std::clamp(tolerable, kMin, kMax);
   }
-  // Payoff for the work, beside that of the usual request.
-  double ValueDensity(const Request& p) const {
-    return (p.class_state->payoff / std::max(p.sending, 1.0)) /
-           (mean_payoff / std::max(mean_work, 1.0));
+  // The priority weight per work, relative to that of the mean request.
+  double ValueDensity(const Request& request) const {
+    return (request.class_state->priority_weight / std::max(request.transfer_time, 1.0)) /
+           (mean_priority_weight / std::max(mean_work, 1.0));
   }
 
-  // A fleet that comes back from a loss lets in what cold machines bear, all fronts together
-  // (src/recovery/); the rest is declined at once. Harm: a front that is told late declines what
-  // could be served.
-  LetIn admitted{};
-  bool LetsIn(const Request& p) const {
-    auto at = static_cast<std::size_t>(p.request_class);
-    return at >= admitted.by_request_class.size() || Drawn() < admitted.by_request_class[at];
+  // A fleet that recovers from a loss admits what endpoints in slow start can take from all fronts
+  // together (src/recovery/); the rest is rejected at once. Cost: a front that is notified late
+  // rejects what could be served.
+  AdmissionRamp admission_ramp{};
+  bool IsAdmitted(const Request& request) const {
+    auto index = static_cast<std::size_t>(request.request_class);
+    return index >= admission_ramp.share_by_class.size() ||
+           Uniform() < admission_ramp.share_by_class[index];
   }
 
-  // Clients have so many places here, each taken until its answer; when all are, the next pull is
-  // turned away whatever it is worth. A price on places settles where nine in ten are taken, and
-  // swings with them; what earns less is declined. Guards against surges or slowness that fill
-  // them. Harm: costs some large objects.
-  bool CrowdsOut(const Request& p) {
-    mean_payoff += 0.01 * (p.class_state->payoff - mean_payoff);  // about the last hundred pulls
-    mean_work += 0.01 * (p.sending - mean_work);
-    cold.Meet(p.sending);
-    constexpr double kAim = 0.9, kStep = 0.002, kSwing = 4;
-    double over = f.places > 0 ? static_cast<double>(requests.size()) / f.places - kAim : -1;
-    place_price = std::clamp(place_price + kStep * over, 0.0, 2.0);
-    return !p.is_owed && ValueDensity(p) < place_price + kSwing * over;
+  // Clients may have a limited number of requests open here, each until its answer; at the limit,
+  // the next request is rejected whatever its priority. A price on open requests settles where nine
+  // tenths of the limit are in use, and follows deviations from that; requests worth less are
+  // rejected. Guards against surges or slowness that exhaust the limit. Cost: rejects some large
+  // objects.
+  bool IsBelowOpenRequestPrice(const Request& request) {
+    // Averages over about the last hundred requests.
+    mean_priority_weight += 0.01 * (request.class_state->priority_weight - mean_priority_weight);
+    mean_work += 0.01 * (request.transfer_time - mean_work);
+    slow_start.RecordArrival(request.transfer_time);
+    constexpr double kTarget = 0.9, kStep = 0.002, kSwing = 4;
+    double excess =
+        settings.max_open_requests > 0
+            ? static_cast<double>(requests.size()) / settings.max_open_requests - kTarget
+            : -1;
+    open_request_price = std::clamp(open_request_price + kStep * excess, 0.0, 2.0);
+    return !request.has_credit && ValueDensity(request) < open_request_price + kSwing * excess;
   }
 
-  // Rule 2: where a further leg of this pull may go.
-  bool MayGo(const Request& p, const Machine& m) const {
-    const RequestClass& o = *p.class_state;
-    for (const Attempt& attempt : p.attempts) {
+  // Whether a further attempt of this request at `endpoint` keeps its effect: an exclusive request
+  // must not be executed twice, and one with an idempotency key only where the repeat is
+  // recognised.
+  bool MayAttempt(const Request& request, const Endpoint& endpoint) const {
+    const RequestClass& request_class = *request.class_state;
+    for (const Attempt& attempt : request.attempts) {
       if (attempt.never_ran)
         continue;
-      if (o.effect == Effect::kExclusive || (attempt.out && !f.may.two_attempts_at_once))
+      if (request_class.effect == Effect::kExclusive ||
+          (attempt.in_flight && !settings.permissions.concurrent_attempts))
         return false;
-      if (o.effect == Effect::kIdempotent)
+      if (request_class.effect == Effect::kIdempotent)
         continue;
-      if (now - attempt.sent_at >= o.memory)
+      if (now - attempt.sent_at >= request_class.deduplication_window)
         return false;
-      if (o.span == Span::kZone && m.zone != attempt.at->zone)
+      if (request_class.deduplication_scope == DeduplicationScope::kZone &&
+          endpoint.zone != attempt.endpoint->zone)
         return false;
-      if (o.span == Span::kCell && m.cell != attempt.at->cell)
+      if (request_class.deduplication_scope == DeduplicationScope::kCell &&
+          endpoint.cell != attempt.endpoint->cell)
         return false;
     }
     return true;
   }
 
-  // Until when a further leg is known as a repeat of those before it, wherever it waits; 0: it
-  // repeats none.
-  Ms RepeatsKnownTill(const Request& p) const {
-    if (p.class_state->effect != Effect::kIdempotentWithKey)
+  // Until when a further attempt is recognised as a repeat of those before it, wherever it is
+  // queued; 0: it repeats none.
+  Ms RecognisedUntil(const Request& request) const {
+    if (request.class_state->effect != Effect::kIdempotentWithKey)
       return 0;
-    auto first = std::find_if(p.attempts.begin(), p.attempts.end(),
+    // The attempts are in the order in which they were sent.
+    auto first = std::find_if(request.attempts.begin(), request.attempts.end(),
                               [](const Attempt& attempt) { return !attempt.never_ran; });
-    return first == p.attempts.end()
+    return first == request.attempts.end()
                ? 0
-               : first->sent_at + p.class_state->memory;  // in the order of their sending
+               : first->sent_at + request.class_state->deduplication_window;
   }
 
-  // The fleet's verdict says which share of pulls goes to which zone: objects by hash, the same at
-  // all fronts of a zone. Guards against a zone whose caches are lost to all its fronts. Harm:
-  // misses abroad until kept there. A ticket known to one zone stays: a client's repeat, after the
-  // shares moved, would run twice. Without probes a cache that is due its trial gets it, else none
-  // would ever be back.
-  int ZoneFor(const Request& p) const {
-    const RequestClass& o = *p.class_state;
-    if (shares.empty() || (o.effect == Effect::kIdempotentWithKey && o.span != Span::kEverywhere))
-      return f.zone;
-    if (!f.may.probe && o.effect == Effect::kIdempotent && p.attempts.empty())
-      for (const Machine* m : load.roster.stores)
-        if (m->ejected && health.Usable(*m))
-          return f.zone;
-    double left = Fraction(Mixed(p.object ^ 0x5eedull));  // not the homes' hash
-    if ((left -= shares[static_cast<std::size_t>(f.zone)]) < 0)
-      return f.zone;
-    for (auto& [z, caches] : load.roster.away)
-      if (z < static_cast<int>(shares.size()) && (left -= shares[static_cast<std::size_t>(z)]) < 0)
-        return z;
-    return f.zone;
+  // The failover decision sets the share of requests that goes to each zone. Objects are assigned
+  // by hash, alike at all fronts of a zone. Guards against a zone whose caches are lost to all its
+  // fronts. Cost: misses in the other zones until they have cached the objects. A request whose
+  // idempotency key only its zone recognises stays: a client's repeat after a change of the shares
+  // would be executed twice. Where the platform permits no probes, an ejected cache that is due for
+  // its half-open attempt gets it, since otherwise none would ever return to service.
+  int ZoneOf(const Request& request) const {
+    const RequestClass& request_class = *request.class_state;
+    if (zone_weights.empty() ||
+        (request_class.effect == Effect::kIdempotentWithKey &&
+         request_class.deduplication_scope != DeduplicationScope::kEverywhere))
+      return settings.zone;
+    if (!settings.permissions.probe && request_class.effect == Effect::kIdempotent &&
+        request.attempts.empty())
+      for (const Endpoint* cache : load.endpoints.caches)
+        if (cache->ejected && health.IsUsable(*cache))
+          return settings.zone;
+    // Another hash than that of the rendezvous order.
+    double remainder = UnitFraction(MixHash(request.object ^ 0x5eedull));
+    if ((remainder -= zone_weights[static_cast<std::size_t>(settings.zone)]) < 0)
+      return settings.zone;
+    for (auto& [zone, caches] : load.endpoints.remote_caches)
+      if (zone < static_cast<int>(zone_weights.size()) &&
+          (remainder -= zone_weights[static_cast<std::size_t>(zone)]) < 0)
+        return zone;
+    return settings.zone;
   }
-  void Take(const ZoneShares& e) {
-    shares = f.zone < std::ssize(e.shares) ? e.shares : decltype(shares){};
+  void SetZoneWeights(const ZoneTrafficWeights& traffic) {
+    zone_weights =
+        settings.zone < std::ssize(traffic.weights) ? traffic.weights : decltype(zone_weights){};
   }
 };
 
--- a/src/logic/cold.hpp
+++ b/src/logic/cold.hpp
@@ -1,83 +1,97 @@
-// Cold: the budgets of machines that started lately, by what all fronts together may send them.
+// Slow start: the budgets of endpoints that started lately, bounded by what all fronts together may
+// send to them.
 #pragma once
 #include "logic/load.hpp"
 
 namespace dunlinwick::logic {
 
-struct Cold : Part {
+struct SlowStart : PolicyContext {
   const Load& load;
 
-  // Transfers that a warm machine of its like carries, on the low side.
-  double Capacity(const Machine& m) const {
-    if (load.roster.weighed)
-      return m.weight;
-    double least = 0;
-    for (const Machine* other : m.role == Role::kParent ? load.roster.parents : load.roster.stores)
-      if (other->kind == m.kind && !load.roster.cold_terms(*other))
-        least = least > 0 ? std::min(least, other->room.proven) : other->room.proven;
-    return least > 0 ? least : m.room.proven;
+  // The transfers that an endpoint of its kind carries after its slow start, estimated on the low
+  // side.
+  double FullCapacity(const Endpoint& endpoint) const {
+    if (load.endpoints.has_weights)
+      return endpoint.weight;
+    double lowest = 0;
+    for (const Endpoint* other :
+         endpoint.role == Role::kParent ? load.endpoints.parents : load.endpoints.caches)
+      if (other->kind == endpoint.kind && !load.endpoints.ActiveSlowStart(*other))
+        lowest = lowest > 0 ? std::min(lowest, other->capacity.demonstrated)
+                            : other->capacity.demonstrated;
+    return lowest > 0 ? lowest : endpoint.capacity.demonstrated;
   }
 
-  // The rule counts work over every window of the stated length, with 2 sqrt(N) + 2 mean requests
-  // for chance. Half of this front's share is used, since pulls bunch. What is more goes by a draw
-  // that holds for a window and lapses, so that none is saved up: sums up to a mean one, or one, by
-  // its own work beside what is left, up to half the limit. Harm: the largest go to warm machines.
-  bool Affords(Machine& m, Ms work) const {
-    const ColdTerms* t = load.roster.cold_terms(m);
-    if (!t || t->multiple <= 0 || f.cold_window <= 0)
+  // The deployment limits the work N sent in any window of the given length, and allows
+  // 2 sqrt(N) + 2 mean requests more for chance. Half of this front's share is used, since requests
+  // come in bursts. A request beyond it is admitted by a random draw that holds for one window and
+  // then lapses, so that no budget is saved up: as long as the sum stays within the mean work of a
+  // request; or a single request with a probability by its own work and what is left of the share,
+  // up to half the limit. Cost: the largest requests go to endpoints outside of slow start.
+  bool CanAfford(Endpoint& endpoint, Ms work) const {
+    const SlowStartSettings* slow_start = load.endpoints.ActiveSlowStart(endpoint);
+    if (!slow_start || slow_start->overload_factor <= 0 || settings.slow_start_window <= 0)
       return true;
-    Forget(m);
-    double whole = t->multiple * Capacity(m) * load.roster.Warmth(m) * f.cold_window, spent = 0;
-    int sharers = load.Sharers(m);
-    double share = 0.5 * whole / sharers * PartSeen(m);
-    if (now >= m.turn_until) {
-      m.turn = Drawn();
-      m.turn_until = now + f.cold_window;
+    DropExpired(endpoint);
+    double allowed = slow_start->overload_factor * FullCapacity(endpoint) *
+                     load.endpoints.RampWeight(endpoint) * settings.slow_start_window,
+           spent = 0;
+    int sharers = load.SharersOf(endpoint);
+    double share = 0.5 * allowed / sharers * KnownShareOfWindow(endpoint);
+    if (now >= endpoint.budget_draw_until) {
+      endpoint.budget_draw = Uniform();
+      endpoint.budget_draw_until = now + settings.slow_start_window;
     }
-    for (auto& [at, w] : m.spent)
-      spent += w;
-    if (spent + work <= std::max(share, m.turn * mean_work < share ? mean_work : 0))
+    for (auto& [sent_at, sent_work] : endpoint.slow_start_spent)
+      spent += sent_work;
+    if (spent + work <= std::max(share, endpoint.budget_draw * mean_work < share ? mean_work : 0))
       return true;
-    double limit = whole + 2 * std::sqrt(whole * mean_work) + 2 * mean_work;
-    // Replicas may all send their largest within one window: the limit then has room for so many of
-    // them, as many as the draw lets come together.
-    constexpr int kMostTogether = 8;
-    double largest = std::min(limit / 2, (limit - whole / 2) / std::min(sharers, kMostTogether));
-    return work <= largest && m.turn * work < share - spent;
+    double limit = allowed + 2 * std::sqrt(allowed * mean_work) + 2 * mean_work;
+    // Fronts may all send their largest request within one window: the limit then has to cover as
+    // many of them as the draw admits at the same time.
+    constexpr int kMaxCoinciding = 8;
+    double largest = std::min(limit / 2, (limit - allowed / 2) / std::min(sharers, kMaxCoinciding));
+    return work <= largest && endpoint.budget_draw * work < share - spent;
   }
 
-  // How much of the window this process has seen. What one that was killed before it sent there is
-  // not known: the share grows from nothing to the whole within a window, so that all its
-  // predecessors and it stay within two shares, however often it restarts. Harm: after a restart,
-  // for a window, less goes to servers in slow start.
-  double PartSeen(const Machine& m) const {
-    bool may_have_served = m.slow_start_from < first_met;
-    return may_have_served ? std::clamp((now - first_met) / f.cold_window, 0.0, 1.0) : 1;
+  // The part of the window that this process has seen. What a previous process sent before it was
+  // killed is not known: the share grows from nothing to the whole within a window, so that all
+  // previous processes and this one stay within two shares, however often the front restarts. Cost:
+  // for a window after a restart, less goes to endpoints in slow start.
+  double KnownShareOfWindow(const Endpoint& endpoint) const {
+    bool previous_process_may_have_sent = endpoint.slow_start_from < first_request_at;
+    return previous_process_may_have_sent
+               ? std::clamp((now - first_request_at) / settings.slow_start_window, 0.0, 1.0)
+               : 1;
   }
 
-  static Ms WorkOf(const Request& p) {
-    return std::max(p.sending, p.class_state->mean_sending);
+  // Its own work, and not less than the mean of its class, since the deployment may count requests
+  // by that mean.
+  static Ms WorkOf(const Request& request) {
+    return std::max(request.transfer_time, request.class_state->mean_transfer_time);
   }
-  // Its own, and not less than its class's mean, which who counts requests holds it for. Booked at
-  // warm ones too: what was sent before the news of a start came is at the new process.
-  void Charge(Machine& m, Ms work) const {
-    Forget(m);
-    m.spent.emplace_back(now, work);
+  // Charged to endpoints outside of slow start too: what was sent before the notification of a
+  // restart reached the new process.
+  void Charge(Endpoint& endpoint, Ms work) const {
+    DropExpired(endpoint);
+    endpoint.slow_start_spent.emplace_back(now, work);
   }
-  void Forget(Machine& m) const {
-    while (!m.spent.empty() && m.spent.front().first < now - f.cold_window)
-      m.spent.pop_front();
+  void DropExpired(Endpoint& endpoint) const {
+    while (!endpoint.slow_start_spent.empty() &&
+           endpoint.slow_start_spent.front().first < now - settings.slow_start_window)
+      endpoint.slow_start_spent.pop_front();
   }
 
-  // The mean work of this front's requests, steady since an object's parts come in a row.
+  // The mean work of this front's requests. It is averaged over many, since an object's parts come
+  // one after another.
   double mean_work = 0;
-  double works_seen = 0;
-  Ms first_met = kLongAgo;  // when this process had its first request
-  void Meet(Ms work) {
-    if (works_seen == 0)
-      first_met = now;
-    mean_work +=
-        (work - mean_work) / (works_seen = std::min(works_seen + 1, 500.0));  // some thirty objects
+  double requests_seen = 0;
+  Ms first_request_at = kLongAgo;  // of this process
+  void RecordArrival(Ms work) {
+    if (requests_seen == 0)
+      first_request_at = now;
+    mean_work += (work - mean_work) /
+                 (requests_seen = std::min(requests_seen + 1, 500.0));  // some thirty objects
   }
 };
 
--- a/src/logic/health.hpp
+++ b/src/logic/health.hpp
@@ -1,107 +1,118 @@
-// Health: which servers may be asked, which are ejected for what failed there, and how they return.
+// Outlier ejection: which endpoints may get attempts, which are ejected for their failures, and how
+// they return to service.
 #pragma once
 #include "logic/load.hpp"
 
 namespace dunlinwick::logic {
 
-struct Health : Part {
+struct Health : PolicyContext {
   const Load& load;
-  int lines_left = 150;
+  int log_lines_left = 150;
 
-  void Say(const char* what, const Machine& m) {
-    lines_left-- > 0 ? Act(WriteLine{LineOf(what, m)}) : void();
+  void Log(const char* change, const Endpoint& endpoint) {
+    log_lines_left-- > 0 ? Emit(WriteLogLine{LogLineOf(change, endpoint)}) : void();
   }
 
-  bool Usable(const Machine& m) const {
-    if (m.standing != Standing::kReady)
+  bool IsUsable(const Endpoint& endpoint) const {
+    if (endpoint.state != EndpointState::kReady)
       return false;
-    if (!m.ejected)
-      return now >= m.full_until;
-    // Coming back: a cache after probes; without probes, and as a source, by one trial leg at a
-    // time.
-    return (f.may.probe ? m.answers >= 2 : now >= m.ejected_until) && !m.trial_out;
+    if (!endpoint.ejected)
+      return now >= endpoint.overloaded_until;
+    // Half open: a cache returns after successful probes; where the platform permits no probes, and
+    // as a source, an ejected endpoint is tested by one attempt at a time.
+    return (settings.permissions.probe ? endpoint.consecutive_probe_successes >= 2
+                                       : now >= endpoint.ejected_until) &&
+           !endpoint.half_open_probe_in_flight;
   }
 
-  // Three legs overdue and none answered that was sent as late. Guards against what swallows legs
-  // without an ending, and would hold fill places and clients. Harm: when all are slow, the first
-  // asked may be judged.
-  bool Silent(const Machine& m) const {
-    constexpr int kLimit = 3;           // more than chance, few enough to tell within a second
-    constexpr Ms kGrace = kSecond / 3;  // longer than the pauses of a busy machine
-    if (now - m.last_good <= kGrace)
-      return false;  // none sent later can be overdue
-    double crowd = std::max(1.0, load.LinkLevel());
-    auto overdue = [&](const Request& p, const Attempt& attempt) {
-      return attempt.sent_at > m.last_good &&
-             now - attempt.sent_at > 3 * p.sending * crowd + kGrace;
+  // Three attempts are overdue, and none sent as late has been answered. Guards against endpoints
+  // that accept attempts and never end them, which would occupy fill slots and clients. Cost: when
+  // all endpoints are slow, the first one in the order may be ejected.
+  bool IsUnresponsive(const Endpoint& endpoint) const {
+    constexpr int kOverdueLimit = 3;  // more than chance, few enough to be detected within a second
+    constexpr Ms kGrace = kSecond / 3;  // longer than the pauses of a busy endpoint
+    if (now - endpoint.last_success_sent_at <= kGrace)
+      return false;  // no attempt sent later can be overdue
+    double link_stretch = std::max(1.0, load.LinkUtilisation());
+    auto is_overdue = [&](const Request& request, const Attempt& attempt) {
+      return attempt.sent_at > endpoint.last_success_sent_at &&
+             now - attempt.sent_at > 3 * request.transfer_time * link_stretch + kGrace;
     };
-    return requests.AttemptsOut(&m, overdue) >= kLimit;
+    return requests.CountInFlight(&endpoint, is_overdue) >= kOverdueLimit;
   }
-  bool Judge(Machine& m) {
-    return !m.ejected && Silent(m) ? Strike(m, kStrikesOut), false : Usable(m);
+  // Ejects an endpoint that is unresponsive. Returns whether it may get an attempt.
+  bool CheckUsable(Endpoint& endpoint) {
+    return !endpoint.ejected && IsUnresponsive(endpoint)
+           ? RecordFailure(endpoint, kFailuresToEject),
+           false : IsUsable(endpoint);
   }
 
-  // Guards against whatever makes a machine fail in a row: a crash the list has not told, a refused
-  // port, a break. What fell with one connection is one sign. Harm: one that only ran out of them
-  // rests for a moment.
-  static constexpr int kStrikesOut = 2;  // one failure may be chance, two in a row are not
-  void Strike(Machine& m, int by = 1) {
-    constexpr Ms kFirstPause = kSecond / 4, kLongestPause = 4 * kSecond;
-    m.strikes += by;
-    m.answers = 0;
-    m.trial_out = false;
-    if (m.ejected ? now < m.ejected_until : m.strikes < kStrikesOut)
+  // Guards against anything that makes an endpoint fail consecutively: a crash that the list does
+  // not show yet, a refused port, a network failure. All attempts that end with one connection
+  // count as one failure. Cost: an endpoint that only ran out of connections is ejected for a
+  // moment.
+  static constexpr int kFailuresToEject = 2;  // one may be chance, two consecutive ones are not
+  void RecordFailure(Endpoint& endpoint, int count = 1) {
+    constexpr Ms kInitialBackoff = kSecond / 4, kMaxBackoff = 4 * kSecond;
+    endpoint.consecutive_failures += count;
+    endpoint.consecutive_probe_successes = 0;
+    endpoint.half_open_probe_in_flight = false;
+    if (endpoint.ejected ? now < endpoint.ejected_until
+                         : endpoint.consecutive_failures < kFailuresToEject)
       return;
-    m.pause = m.ejected ? std::min(2 * m.pause, kLongestPause) : kFirstPause;
-    if (!m.ejected) {
-      Say("set aside", m);
-      Act(TellHealth{m.cache, true});
+    endpoint.backoff =
+        endpoint.ejected ? std::min(2 * endpoint.backoff, kMaxBackoff) : kInitialBackoff;
+    if (!endpoint.ejected) {
+      Log("ejected", endpoint);
+      Emit(ReportEndpointHealth{endpoint.id, true});
     }
-    m.ejected = true;
-    m.ejected_until = now + m.pause;
-    if (f.may.probe)
-      Act(WakeMe{m.ejected_until, kWakeMachine << 56 | m.cache});
+    endpoint.ejected = true;
+    endpoint.ejected_until = now + endpoint.backoff;
+    if (settings.permissions.probe)
+      Emit(SetTimer{endpoint.ejected_until, kEndpointTimer << 56 | endpoint.id});
   }
 
-  void Absolve(Machine& m) {
-    m.strikes = 0;
-    m.may_be_new &= m.ejected;
-    if (!m.ejected || (f.may.probe && m.answers < 2))
-      return;  // with probes: back only after two answered
-    m.answers = 0;
-    // One that could not be reached may be a new process that the list has not told of: it is taken
-    // for cold.
-    if (m.may_be_new)
-      m.slow_start_from = now;
-    m.ejected = m.trial_out = m.may_be_new = false;
-    Say("is back", m);
-    Act(TellHealth{m.cache, false});
+  void RecordSuccess(Endpoint& endpoint) {
+    endpoint.consecutive_failures = 0;
+    endpoint.may_have_restarted &= endpoint.ejected;
+    // Where probes are permitted, an endpoint returns only after two successful ones.
+    if (!endpoint.ejected ||
+        (settings.permissions.probe && endpoint.consecutive_probe_successes < 2))
+      return;
+    endpoint.consecutive_probe_successes = 0;
+    // An endpoint that could not be reached may be a new process that the list does not show yet:
+    // it goes through slow start.
+    if (endpoint.may_have_restarted)
+      endpoint.slow_start_from = now;
+    endpoint.ejected = endpoint.half_open_probe_in_flight = endpoint.may_have_restarted = false;
+    Log("returned to service", endpoint);
+    Emit(ReportEndpointHealth{endpoint.id, false});
   }
 
-  void Answered(Machine& m, Ms sent_at) {
-    m.last_good = std::max(m.last_good, sent_at);
-    Absolve(m);
+  void RecordFill(Endpoint& source, Ms sent_at) {
+    source.last_success_sent_at = std::max(source.last_success_sent_at, sent_at);
+    RecordSuccess(source);
   }
 
-  void Probed(const ProbeEnded& e) {
-    Machine* m = load.roster.Known(e.cache);
-    if (!m || !m->ejected)
+  void HandleProbe(const ProbeEnded& probe) {
+    Endpoint* endpoint = load.endpoints.Find(probe.endpoint);
+    if (!endpoint || !endpoint->ejected)
       return;
-    if (!e.answered) {
-      m->may_be_new = true;
-      return Strike(*m);
+    if (!probe.succeeded) {
+      endpoint->may_have_restarted = true;
+      return RecordFailure(*endpoint);
     }
-    if (++m->answers < 2)
-      return Act(WakeMe{now + kSecond / 10, kWakeMachine << 56 | e.cache});
-    if (m->IsCache())
-      Absolve(*m);
+    if (++endpoint->consecutive_probe_successes < 2)
+      return Emit(SetTimer{now + kSecond / 10, kEndpointTimer << 56 | probe.endpoint});
+    if (endpoint->IsCache())
+      RecordSuccess(*endpoint);
   }
-  void Wake(const WakeUp& e) {
-    Machine* m = load.roster.Known(static_cast<std::uint32_t>(e.handle));
-    if (!m || !m->ejected)
+  void HandleTimer(const TimerFired& timer) {
+    Endpoint* endpoint = load.endpoints.Find(static_cast<std::uint32_t>(timer.handle));
+    if (!endpoint || !endpoint->ejected)
       return;
-    m->standing == Standing::kReady ? Act(ProbeCache{m->cache})
-                                    : Act(WakeMe{now + kSecond, e.handle});
+    endpoint->state == EndpointState::kReady ? Emit(ProbeEndpoint{endpoint->id})
+                                             : Emit(SetTimer{now + kSecond, timer.handle});
   }
 };
 
--- a/src/logic/legs.hpp
+++ b/src/logic/legs.hpp
@@ -1,274 +1,323 @@
-// A request from its arrival to its answer: attempts, what their ends say, whose fault it was.
+// The life of a request from its arrival to its answer: its attempts, what their results show, and
+// which endpoint a failure is attributed to.
 #pragma once
 #include "logic/size_fairness.hpp"
 #include "logic/sources.hpp"
 
 namespace dunlinwick::logic {
 
-struct Attempts : Part {
-  static constexpr Ms kTheWay = 5;  // connection and network inside a location, on the long side
-  static constexpr Ms kBeforeExpiry = 4;  // for the answer's way to the client
-  Memories& memories;
+struct RequestProcessor : PolicyContext {
+  static constexpr Ms kNetworkDelay = 5;   // connection and network within a zone, on the long side
+  static constexpr Ms kResponseDelay = 4;  // of the answer's way to the client
+  TrafficStatistics& statistics;
   Load& load;
-  Choice& choice;
-  Sources& sources;
+  EndpointSelector& selector;
+  SourceSelector& sources;
   SizeFairness fairness;
 
-  void Arrive(const RequestCame& e) {
-    if (e.request_class >= static_cast<int>(memories.class_states.size()) ||
-        requests.count(e.request))
+  void HandleArrival(const RequestArrived& arrival) {
+    if (arrival.request_class >= static_cast<int>(statistics.class_states.size()) ||
+        requests.count(arrival.request))
       return;
-    Request& p = requests[e.request];
-    static_cast<RequestCame&>(p) = e;
-    ClassState& w =
-        *(p.class_state = &memories.class_states[static_cast<std::size_t>(e.request_class)]);
-    memories.Meet(p);
-    p.agreed_at = now + std::min(w.agreed + w.agreed_stretch * p.sending, w.expiry);
-    ExpireIn(p, e.ttl);
-    fairness.Arrive(p);
-    if (!choice.LetsIn(p))
-      GiveUp(p, std::max(w.mean_sending, choice.admitted.come_back), RefusalReason::kAdmission);
-    else if (choice.CrowdsOut(p))
-      GiveUp(p, w.mean_sending, RefusalReason::kPlaces);
+    Request& request = requests[arrival.request];
+    static_cast<RequestArrived&>(request) = arrival;
+    ClassState& class_state =
+        *(request.class_state =
+              &statistics.class_states[static_cast<std::size_t>(arrival.request_class)]);
+    statistics.RecordArrival(request);
+    request.objective_at =
+        now + std::min(class_state.latency_objective +
+                           class_state.latency_objective_stretch * request.transfer_time,
+                       class_state.max_deadline);
+    SetDeadline(request, arrival.time_left);
+    fairness.RecordArrival(request);
+    if (!selector.IsAdmitted(request))
+      Reject(request, std::max(class_state.mean_transfer_time, selector.admission_ramp.retry_after),
+             RejectionReason::kAdmission);
+    else if (selector.IsBelowOpenRequestPrice(request))
+      Reject(request, class_state.mean_transfer_time, RejectionReason::kOpenRequests);
     else
-      Tend(p);
-    requests.Forget(p);
+      Advance(request);
+    requests.EraseIfDone(request);
   }
 
-  void ExpireIn(Request& p, Ms ttl) {
-    p.expires_at = now + ttl;
-    Act(WakeMe{std::max(now, p.expires_at - kBeforeExpiry), kWakeRequest << 56 | p.request});
+  void SetDeadline(Request& request, Ms time_left) {
+    request.deadline = now + time_left;
+    Emit(SetTimer{std::max(now, request.deadline - kResponseDelay),
+                  kRequestTimer << 56 | request.request});
   }
 
-  void Send(Request& p, Machine& at, Machine* source) {
-    Attempt attempt{&at, source == &at ? nullptr : source, now};
-    // A fill that a full link or a crowded source holds up takes little of the cache.
-    if (p.known_miss && attempt.source)
-      attempt.load = 1 / std::max({1.0, load.LinkLevel(), attempt.source->pace});
-    bool outside = at.role != Role::kStore || (attempt.source && !attempt.source->IsCache());
-    // A leg that may yet prove a hit counts for three in ten, a usual share of misses.
-    attempt.fill = !outside ? 0 : p.known_miss || at.role != Role::kStore ? 1 : 0.3;
-    load.CountFill(attempt.fill);
-    auto book = [&](Machine& m, double by) {
-      load.Count(m, by);
-      choice.cold.Charge(m, choice.cold.WorkOf(p));
-      m.trial_out |= m.ejected;
+  void Send(Request& request, Endpoint& endpoint, Endpoint* source) {
+    Attempt attempt{&endpoint, source == &endpoint ? nullptr : source, now};
+    // A fill that waits for a busy link or source puts little load on the cache.
+    if (request.known_miss && attempt.source)
+      attempt.load = 1 / std::max({1.0, load.LinkUtilisation(), attempt.source->fill_stretch});
+    bool uses_link =
+        endpoint.role != Role::kLocalCache || (attempt.source && !attempt.source->IsCache());
+    // An attempt that may still be a hit counts for three tenths, a usual share of misses.
+    attempt.fill_load = !uses_link                                                 ? 0
+                        : request.known_miss || endpoint.role != Role::kLocalCache ? 1
+                                                                                   : 0.3;
+    load.CountFill(attempt.fill_load);
+    auto count_in_flight = [&](Endpoint& target, double change) {
+      load.Count(target, change);
+      selector.slow_start.Charge(target, selector.slow_start.WorkOf(request));
+      target.half_open_probe_in_flight |= target.ejected;
     };
-    book(at, attempt.load);
+    count_in_flight(endpoint, attempt.load);
     if (attempt.source)
-      book(*attempt.source, 1);
-    SendAttempt a{p.request, at.cache, source ? source->cache : at.cache, f.may.join,
-                  p.class_state->fresh_for > 0};
-    attempt.held = attempt.source && attempt.source->role == Role::kParent &&
-                   (p.held_only || sources.SparesOrigin(p));
-    a.held_only = p.spared = attempt.held;
-    // What may run once is lost with a connection that broke unseen while idle. Harm: one more way
-    // there.
-    a.proven = p.class_state->effect == Effect::kExclusive && f.may.probe;
-    a.not_after = choice.RepeatsKnownTill(p);
-    a.rank = p.rank;
-    a.oldest = memories.purges.Oldest(p);
-    a.timeout = std::max(1.0, p.expires_at - now);
-    Act(a);
-    p.attempts.push_back(attempt);
+      count_in_flight(*attempt.source, 1);
+    SendAttempt action{request.request, endpoint.id, source ? source->id : endpoint.id,
+                       settings.permissions.coalesce, request.class_state->freshness_lifetime > 0};
+    attempt.only_if_cached = attempt.source && attempt.source->role == Role::kParent &&
+                             (request.only_if_cached || sources.SparesOrigin(request));
+    action.only_if_cached = request.last_only_if_cached = attempt.only_if_cached;
+    // An exclusive request would be lost on a connection that broke unnoticed while idle. Cost: one
+    // more round trip.
+    action.requires_live_connection =
+        request.class_state->effect == Effect::kExclusive && settings.permissions.probe;
+    action.start_deadline = selector.RecognisedUntil(request);
+    action.retention_rank = request.retention_rank;
+    action.max_age = statistics.purges.MaxAge(request);
+    action.timeout = std::max(1.0, request.deadline - now);
+    Emit(action);
+    request.attempts.push_back(attempt);
   }
 
-  bool SendNext(Request& p) {
-    // Two machines that call it an error are believed: a third would say the same.
-    auto erred = std::count_if(p.attempts.begin(), p.attempts.end(),
-                               [](const Attempt& l) { return l.erred; });
-    choice.refusal = RefusalReason::kAttempts;
-    if (static_cast<int>(p.attempts.size()) >= f.most_attempts || p.spared || erred >= 2)
+  // Sends the next attempt of a request. Returns false where none may be sent; the selector's
+  // `rejection_reason` then holds the reason.
+  bool SendNext(Request& request) {
+    // After errors from two endpoints the request itself is taken for the cause: a third would
+    // return the same.
+    auto errors = std::count_if(request.attempts.begin(), request.attempts.end(),
+                                [](const Attempt& attempt) { return attempt.returned_error; });
+    selector.rejection_reason = RejectionReason::kAttempts;
+    if (static_cast<int>(request.attempts.size()) >= settings.max_attempts ||
+        request.last_only_if_cached || errors >= 2)
       return false;
-    Machine* origin = load.roster.origin;
-    if (p.class_state->never_kept && f.may.direct && origin && choice.health.Usable(*origin) &&
-        !p.HasFailed(origin) && choice.MayGo(p, *origin)) {
-      Send(p, *origin, origin);
+    Endpoint* origin = load.endpoints.origin;
+    if (request.class_state->uncacheable && settings.permissions.direct_to_origin && origin &&
+        selector.health.IsUsable(*origin) && !request.HasFailed(origin) &&
+        selector.MayAttempt(request, *origin)) {
+      Send(request, *origin, origin);
       return true;
     }
-    load.Look();
-    Machine* at = choice.CacheFor(p);
-    if (!at)
+    load.SampleLink();
+    Endpoint* cache = selector.SelectCache(request);
+    if (!cache)
       return false;
-    Machine* source = sources.SourceFor(p, *at);
-    choice.refusal = source ? RefusalReason::kLink : RefusalReason::kNoSource;
-    if (!source && p.known_miss)
-      return false;  // nothing can fill it: a further look only adds legs
-    // When the link fills up, a pull first only looks; a miss is filled while it can be in time.
-    // Guards against any surge of misses (cold caches, purges, scans, large objects). Harm: one
-    // round trip.
-    if (source && !source->IsCache() && !p.class_state->never_kept && at->role == Role::kStore) {
-      // A burst is borne, a level that lasts is cut to half, since sources behind the link are as
-      // crowded and no front sees it; so is that of a link not told, learnt from fills that such
-      // sources stretch.
-      constexpr double kPressed = 0.8, kLeast = 0.5;
-      double part = load.LinkKnown() ? std::clamp(1.8 - 0.6 * load.Lasting(), kLeast, 1.0) : kLeast;
-      if (p.known_miss && load.LinkLevel() > part * choice.MaxUtilisation(p))
+    Endpoint* source = sources.SelectSource(request, *cache);
+    selector.rejection_reason = source ? RejectionReason::kLink : RejectionReason::kNoSource;
+    if (!source && request.known_miss)
+      return false;  // nothing can fill it, and another attempt without a fill would only add load
+    // When the link's utilisation is high, the first attempt goes without a source; a known miss is
+    // filled while it can still be in time. Guards against any surge of misses (caches in slow
+    // start, purges, scans, large objects). Cost: one round trip.
+    if (source && !source->IsCache() && !request.class_state->uncacheable &&
+        cache->role == Role::kLocalCache) {
+      // A short burst is tolerated. Lasting utilisation reduces the tolerance to half, since the
+      // sources behind the link are then as busy, which no front can see; the same holds for a link
+      // of unknown capacity, learnt from fills that such sources slow down.
+      constexpr double kHighUtilisation = 0.8, kMinTolerance = 0.5;
+      double tolerance = load.IsLinkKnown() ? std::clamp(1.8 - 0.6 * load.MeanLinkUtilisation(),
+                                                         kMinTolerance, 1.0)
+                                            : kMinTolerance;
+      if (request.known_miss &&
+          load.LinkUtilisation() > tolerance * selector.MaxUtilisation(request))
         return false;
-      bool can_look = !p.known_miss && static_cast<int>(p.attempts.size()) + 1 < f.most_attempts;
-      if (can_look && load.LinkLevel() > kPressed)
+      bool can_try_without_fill =
+          !request.known_miss &&
+          static_cast<int>(request.attempts.size()) + 1 < settings.max_attempts;
+      if (can_try_without_fill && load.LinkUtilisation() > kHighUtilisation)
         source = nullptr;
     }
-    Send(p, *at, source);
+    Send(request, *cache, source);
     return true;
   }
 
-  void Tend(Request& p) {
-    if (p.ended || p.streaming)
+  // Takes the next step of a request: sends an attempt if none is in flight, or rejects it.
+  void Advance(Request& request) {
+    if (request.ended || request.streaming)
       return;
-    if (now >= p.expires_at - kBeforeExpiry)
-      return GiveUp(p, 0, RefusalReason::kDeadline);
-    if (!p.AttemptOut() && !SendNext(p))
-      GiveUp(p, p.class_state->mean_sending, choice.refusal);
+    if (now >= request.deadline - kResponseDelay)
+      return Reject(request, 0, RejectionReason::kDeadline);
+    if (!request.HasAttemptInFlight() && !SendNext(request))
+      Reject(request, request.class_state->mean_transfer_time, selector.rejection_reason);
   }
 
-  void Wake(std::uint32_t request) {
-    if (Request* p = requests.Known(request)) {
-      Tend(*p);
-      requests.Forget(*p);
+  void HandleTimer(std::uint32_t number) {
+    if (Request* request = requests.Find(number)) {
+      Advance(*request);
+      requests.EraseIfDone(*request);
     }
   }
 
-  void GiveUp(Request& p, Ms retry_after, RefusalReason reason) {
-    bool proven = std::all_of(p.attempts.begin(), p.attempts.end(),
-                              [](const Attempt& l) { return l.never_ran; });
-    bool repeats = p.class_state->effect == Effect::kIdempotentWithKey &&
-                   p.class_state->span == Span::kEverywhere;
-    retry_after *= Drawn(0.75, 1.25);  // so that clients don't return in step
-    if (proven || repeats || p.class_state->effect == Effect::kIdempotent)
-      Act(DeclineRequest{p.request, std::min(retry_after, f.retry_limit), reason, p.Band()});
+  // Ends a request without an answer. It is rejected where a repeat by the client is safe, and
+  // fails otherwise, since it may have been executed.
+  void Reject(Request& request, Ms retry_after, RejectionReason reason) {
+    bool never_ran = std::all_of(request.attempts.begin(), request.attempts.end(),
+                                 [](const Attempt& attempt) { return attempt.never_ran; });
+    bool is_recognised =
+        request.class_state->effect == Effect::kIdempotentWithKey &&
+        request.class_state->deduplication_scope == DeduplicationScope::kEverywhere;
+    retry_after *= Uniform(0.75, 1.25);  // so that clients don't return at the same time
+    if (never_ran || is_recognised || request.class_state->effect == Effect::kIdempotent)
+      Emit(RejectRequest{request.request, std::min(retry_after, settings.max_retry_after), reason,
+                         request.Band()});
     else
-      Act(AbandonRequest{p.request});
-    fairness.Refused(p);
-    Finish(p);
+      Emit(FailRequest{request.request});
+    fairness.RecordRejection(request);
+    Finish(request);
   }
 
-  // The request has its final answer: it goes when its last attempt is in.
-  void Finish(Request& p) {
-    p.ended = true;
-    CallOff(p, -1);
+  // The request has its final answer. It is erased when its last attempt has ended.
+  void Finish(Request& request) {
+    request.ended = true;
+    CancelAttempts(request, -1);
   }
-  void CallOff(const Request& p, int except) const {
-    for (int i = 0; i < static_cast<int>(p.attempts.size()); ++i)
-      if (f.may.cancel && i != except && p.attempts[static_cast<std::size_t>(i)].out)
-        Act(CancelAttempt{p.request, i});
+  // Cancels all attempts in flight but the one at index `except`.
+  void CancelAttempts(const Request& request, int except) const {
+    for (int i = 0; i < static_cast<int>(request.attempts.size()); ++i)
+      if (settings.permissions.cancel && i != except &&
+          request.attempts[static_cast<std::size_t>(i)].in_flight)
+        Emit(CancelAttempt{request.request, i});
   }
 
-  void Ended(AttemptEnded e) {
-    Request* found = requests.Known(e.request);
-    if (!found || e.attempt < 0 || e.attempt >= static_cast<int>(found->attempts.size()))
+  void HandleAttemptEnded(AttemptEnded ended) {
+    Request* found = requests.Find(ended.request);
+    if (!found || ended.attempt < 0 || ended.attempt >= static_cast<int>(found->attempts.size()))
       return;
-    Request& p = *found;
-    Attempt& attempt = p.attempts[static_cast<std::size_t>(e.attempt)];
-    if (!std::exchange(attempt.out, false))
+    Request& request = *found;
+    Attempt& attempt = request.attempts[static_cast<std::size_t>(ended.attempt)];
+    if (!std::exchange(attempt.in_flight, false))
       return;
-    if (attempt.at->role == Role::kStore)
-      load.HearLink(e.report);
-    load.Count(*attempt.at, -attempt.load);
-    load.CountFill(-attempt.fill);
+    if (attempt.endpoint->role == Role::kLocalCache)
+      load.LearnLinkReport(ended.load_report);
+    load.Count(*attempt.endpoint, -attempt.load);
+    load.CountFill(-attempt.fill_load);
     if (attempt.source)
       load.Count(*attempt.source, -1);
-    // Where only hits are told, what took longer than the way to the cache failed behind it, and a
-    // quick refusal had no place for the fill. Guards against laying a source's refusals and
-    // silence to the caches. Harm: a cache's slow refusal is laid to the source.
-    if (!f.remarks && attempt.source && e.remark == Remark::kNone) {
-      if (e.ending == Ending::kMiss && attempt.held)
-        e.remark = Remark::kSourceLacks;
-      if (e.ending == Ending::kFull)
-        e.remark = e.took > kTheWay ? Remark::kSourceRefused : Remark::kNoFillPlace;
-      if (e.ending == Ending::kError && e.took > kTheWay)
-        e.remark = Remark::kSourceLost;
+    // Where answers tell at most hits from misses, a failure that took longer than the way to the
+    // cache happened behind it, and a quick rejection was for want of a fill slot. Guards against
+    // attributing a source's rejections and silence to the caches. Cost: a slow rejection by a
+    // cache is attributed to the source.
+    if (!settings.reports_cache_status && attempt.source &&
+        ended.cache_status == CacheStatus::kNone) {
+      if (ended.result == AttemptResult::kMiss && attempt.only_if_cached)
+        ended.cache_status = CacheStatus::kSourceMiss;
+      if (ended.result == AttemptResult::kOverloaded)
+        ended.cache_status =
+            ended.duration > kNetworkDelay ? CacheStatus::kSourceRefused : CacheStatus::kNoFillSlot;
+      if (ended.result == AttemptResult::kError && ended.duration > kNetworkDelay)
+        ended.cache_status = CacheStatus::kSourceFailed;
     }
-    attempt.never_ran = e.ending == Ending::kFull || e.ending == Ending::kNoConnection ||
-                        e.ending == Ending::kSuperseded || e.ending == Ending::kMiss;
-    attempt.at->trial_out = false;
+    attempt.never_ran =
+        ended.result == AttemptResult::kOverloaded || ended.result == AttemptResult::kNotSent ||
+        ended.result == AttemptResult::kSuperseded || ended.result == AttemptResult::kMiss;
+    attempt.endpoint->half_open_probe_in_flight = false;
     if (attempt.source)
-      attempt.source->trial_out = false;
-    if (e.ending == Ending::kFinished || e.ending == Ending::kMiss || e.ending == Ending::kFull)
-      attempt.at->last_good = std::max(attempt.at->last_good, attempt.sent_at);
-    e.ending == Ending::kFinished ? Credit(p, attempt, e) : Blame(p, attempt, e);
-    if (e.final && !p.ended) {
-      fairness.Answered(p);
-      Finish(p);
+      attempt.source->half_open_probe_in_flight = false;
+    if (ended.result == AttemptResult::kFinished || ended.result == AttemptResult::kMiss ||
+        ended.result == AttemptResult::kOverloaded)
+      attempt.endpoint->last_success_sent_at =
+          std::max(attempt.endpoint->last_success_sent_at, attempt.sent_at);
+    ended.result == AttemptResult::kFinished ? HandleSuccess(request, attempt, ended)
+                                             : HandleFailure(request, attempt, ended);
+    if (ended.final && !request.ended) {
+      fairness.RecordAnswer(request);
+      Finish(request);
     }
-    Tend(p);
-    requests.Forget(p);
+    Advance(request);
+    requests.EraseIfDone(request);
   }
 
-  // A good answer: what it shows of the cache, the source and the link.
-  void Credit(Request& p, Attempt& attempt, const AttemptEnded& e) {
-    choice.health.Absolve(*attempt.at);
-    // An error may be the pull's own: it is a strike once another answers the same. Guards against
-    // clients whose junk would set good caches aside. Harm: one that errs is known a leg later.
-    for (const Attempt& other : p.attempts)
-      if (other.erred)
-        choice.health.Strike(*other.at);
-    bool filled = e.remark == Remark::kFilled || e.remark == Remark::kFilledByOrigin;
-    bool hit = e.remark == Remark::kHit || e.remark == Remark::kJoined || e.remark == Remark::kAged;
-    if (e.remark == Remark::kFilledByOrigin)
-      sources.LearnOrigin(e.waited);
+  // A good answer: what it shows about the cache, the source and the link.
+  void HandleSuccess(Request& request, Attempt& attempt, const AttemptEnded& ended) {
+    selector.health.RecordSuccess(*attempt.endpoint);
+    // An error may be caused by the request itself: it counts as a failure of an endpoint once
+    // another one has answered the same request. Guards against clients whose malformed requests
+    // would eject healthy caches. Cost: a faulty endpoint is detected one attempt later.
+    for (const Attempt& other : request.attempts)
+      if (other.returned_error)
+        selector.health.RecordFailure(*other.endpoint);
+    bool filled = ended.cache_status == CacheStatus::kFilled ||
+                  ended.cache_status == CacheStatus::kFilledByOrigin;
+    bool hit = ended.cache_status == CacheStatus::kHit ||
+               ended.cache_status == CacheStatus::kCoalesced ||
+               ended.cache_status == CacheStatus::kExpired;
+    if (ended.cache_status == CacheStatus::kFilledByOrigin)
+      sources.LearnOriginWait(ended.fill_wait);
     if (filled && attempt.source)
-      choice.health.Answered(*attempt.source, attempt.sent_at);
-    if (!attempt.at->IsCache() || p.class_state->never_kept)
+      selector.health.RecordFill(*attempt.source, attempt.sent_at);
+    if (!attempt.endpoint->IsCache() || request.class_state->uncacheable)
       return;
     if (hit || filled)
-      memories.LearnOmega(p, attempt, hit);
-    Ms own = p.KnownSending(), took = e.took - kTheWay;
-    if (filled && attempt.source && !attempt.source->IsCache() && attempt.at->role == Role::kStore)
-      sources.Filled(attempt, own, took, e.waited);
-    if (e.remark == Remark::kHit) {
-      load.Learn(attempt.at->room, load.Together(attempt.at->attempts, f.zone_replicas) + 1, own,
-                 took);
-      if (!p.class_state->sendings_seen)
-        p.class_state->mean_sending += 0.02 * (std::min(e.took, 4 * p.class_state->mean_sending) -
-                                               p.class_state->mean_sending);
+      statistics.LearnIdleWindow(request, attempt, hit);
+    Ms uncontended = request.KnownTransferTime(), duration = ended.duration - kNetworkDelay;
+    if (filled && attempt.source && !attempt.source->IsCache() &&
+        attempt.endpoint->role == Role::kLocalCache)
+      sources.LearnFinishedFill(attempt, uncontended, duration, ended.fill_wait);
+    if (ended.cache_status == CacheStatus::kHit) {
+      load.LearnCapacity(attempt.endpoint->capacity,
+                         load.OfAllFronts(attempt.endpoint->in_flight, settings.zone_replicas) + 1,
+                         uncontended, duration);
+      if (!request.class_state->transfers_seen)
+        request.class_state->mean_transfer_time +=
+            0.02 * (std::min(ended.duration, 4 * request.class_state->mean_transfer_time) -
+                    request.class_state->mean_transfer_time);
     }
-    p.memory->last_at = attempt.at;
+    request.history->last_cache = attempt.endpoint;
   }
 
-  // Whose fault an ending was, and whom this pull avoids from now on.
-  void Blame(Request& p, Attempt& attempt, const AttemptEnded& e) {
-    Machine* source = attempt.source;
-    bool sibling = source && source->IsCache();
-    Ms own = p.KnownSending();
-    if (e.remark != Remark::kSourceLacks)
-      p.spared = false;
-    if (e.remark == Remark::kOriginFailed)
-      sources.LearnOrigin(std::max(e.waited, 10 * sources.origin_calm));
-    // A fill that was refused, lost or called off late shows a crowded source as well as a slow one
-    // does. Not known as a miss, it is taken for a fill where the cache has answered what was sent
-    // later.
-    bool fill = p.known_miss || (!f.remarks && attempt.at->last_good > attempt.sent_at);
-    if (!f.remarks)
-      own += sources.fill_wait;
-    if (source && !sibling && (e.remark == Remark::kSourceRefused || (fill && e.took > 3 * own)))
-      sources.LearnFill(attempt, own, std::max(e.took, 3 * own));
-    if (e.ending == Ending::kMiss || e.remark == Remark::kNoFillPlace) {
-      // No fault: the cache lacks it, or has no place to fill it but still serves hits.
-      if (e.remark == Remark::kNoFillPlace || (!sibling && p.known_miss))
-        p.failed.push_back(attempt.at);
-      p.sibling_lacked |= sibling;
-      p.known_miss = true;
-    } else if (source && e.remark >= Remark::kSourceRefused && e.remark <= Remark::kOriginFailed) {
-      p.sibling_lacked |= sibling;
-      p.known_miss = true;
-      p.failed.push_back(source);
-      if (e.remark == Remark::kSourceRefused)
-        source->full_until = now + kSecond / 10;
-      if (e.remark == Remark::kSourceLost)
-        choice.health.Strike(*source);
-    } else if (e.ending == Ending::kFull) {
-      attempt.at->full_until = now + kSecond / 20;  // its queue needs a moment
-      p.failed.push_back(attempt.at);
-    } else if (e.ending != Ending::kCancelled && e.ending != Ending::kSuperseded &&
-               e.fell_with == 0) {
-      p.failed.push_back(attempt.at);
-      if (e.ours)
-        return;  // a descriptor was wanting here: it tells nothing of the machine
-      attempt.at->may_be_new |=
-          e.ending == Ending::kNoConnection || (attempt.at->ejected && e.ending == Ending::kBroken);
-      if (!(attempt.erred = e.ending == Ending::kError))
-        choice.health.Strike(*attempt.at);
+  // Attributes a failure to the cache, its source or neither, and excludes the endpoint from
+  // further attempts of this request.
+  void HandleFailure(Request& request, Attempt& attempt, const AttemptEnded& ended) {
+    Endpoint* source = attempt.source;
+    bool is_sibling = source && source->IsCache();
+    Ms uncontended = request.KnownTransferTime();
+    if (ended.cache_status != CacheStatus::kSourceMiss)
+      request.last_only_if_cached = false;
+    if (ended.cache_status == CacheStatus::kOriginFailed)
+      sources.LearnOriginWait(std::max(ended.fill_wait, 10 * sources.origin_baseline_wait));
+    // A fill that was refused, lost or cancelled late shows a busy source as well as a slow fill
+    // does. An attempt that is not a known miss is taken for a fill where the cache has answered
+    // what was sent later.
+    bool is_fill = request.known_miss || (!settings.reports_cache_status &&
+                                          attempt.endpoint->last_success_sent_at > attempt.sent_at);
+    if (!settings.reports_cache_status)
+      uncontended += sources.typical_fill_wait;
+    if (source && !is_sibling &&
+        (ended.cache_status == CacheStatus::kSourceRefused ||
+         (is_fill && ended.duration > 3 * uncontended)))
+      sources.LearnFill(attempt, uncontended, std::max(ended.duration, 3 * uncontended));
+    if (ended.result == AttemptResult::kMiss || ended.cache_status == CacheStatus::kNoFillSlot) {
+      // Not a failure: the cache lacks the object, or has no fill slot free but still serves hits.
+      if (ended.cache_status == CacheStatus::kNoFillSlot || (!is_sibling && request.known_miss))
+        request.failed.push_back(attempt.endpoint);
+      request.sibling_missed |= is_sibling;
+      request.known_miss = true;
+    } else if (source && ended.cache_status >= CacheStatus::kSourceRefused &&
+               ended.cache_status <= CacheStatus::kOriginFailed) {
+      request.sibling_missed |= is_sibling;
+      request.known_miss = true;
+      request.failed.push_back(source);
+      if (ended.cache_status == CacheStatus::kSourceRefused)
+        source->overloaded_until = now + kSecond / 10;
+      if (ended.cache_status == CacheStatus::kSourceFailed)
+        selector.health.RecordFailure(*source);
+    } else if (ended.result == AttemptResult::kOverloaded) {
+      attempt.endpoint->overloaded_until = now + kSecond / 20;  // so that its queue can drain
+      request.failed.push_back(attempt.endpoint);
+    } else if (ended.result != AttemptResult::kCancelled &&
+               ended.result != AttemptResult::kSuperseded && ended.earlier_on_connection == 0) {
+      request.failed.push_back(attempt.endpoint);
+      if (ended.is_local_fault)
+        return;  // this front lacked a descriptor: that says nothing about the endpoint
+      attempt.endpoint->may_have_restarted |=
+          ended.result == AttemptResult::kNotSent ||
+          (attempt.endpoint->ejected && ended.result == AttemptResult::kDisconnected);
+      if (!(attempt.returned_error = ended.result == AttemptResult::kError))
+        selector.health.RecordFailure(*attempt.endpoint);
     }
   }
 };
--- a/src/logic/load.hpp
+++ b/src/logic/load.hpp
@@ -1,110 +1,127 @@
-// Load: how many transfers a server or the link carries, how many are out, its utilisation.
+// Load: how many transfers an endpoint or the link carries, how many are in flight there, and its
+// utilisation.
 #pragma once
 #include "logic/roster.hpp"
 
 namespace dunlinwick::logic {
 
-struct Load : Part {
-  Roster& roster;
-  const bool link_notified = f.link_room > 0;
-  Room link{0, f.link_room};
-  Tally fills{};
-  Tally link_levels{};   // fills out through the link; its level
-  double link_said = 0;  // how full the link is, as caches report it
-  Ms link_said_at = kLongAgo;
+struct Load : PolicyContext {
+  EndpointList& endpoints;
+  const bool has_configured_link = settings.link_capacity > 0;
+  CapacityEstimate link{0, settings.link_capacity};
+  InFlightCounter fills_in_flight{};     // through the link
+  InFlightCounter link_utilisation{};    // sampled, for its mean
+  double reported_link_utilisation = 0;  // by caches
+  Ms link_reported_at = kLongAgo;
 
-  // Room: how many transfers a machine or link carries at full pace. A crowded answer shows it
-  // (held over stretch), an uncrowded one that it is at least what was held; unused, it goes back
-  // to what goes by size. Guards against slow, pausing and overrated machines. Harm: a slow way to
-  // clients.
-  double Carries(const Room& r) const {
-    constexpr Ms kFade = 5 * kSecond;  // a slow server is asked again within seconds
-    double usual =
-        std::pow(std::max(1.0, r.nominal / r.fits), 1 - std::exp((r.learnt_at - now) / kFade));
-    return std::max(0.25, r.fits * usual);
+  // How many transfers an endpoint or link carries at full speed. An answer that was slowed down
+  // shows it (the transfers in flight over the slowdown), one that was not shows that it is at
+  // least the transfers in flight; without answers it returns to the nominal value. Guards against
+  // slow, pausing and overrated endpoints. Cost: a slow path to the clients looks like a slow
+  // endpoint.
+  double Transfers(const CapacityEstimate& capacity) const {
+    constexpr Ms kFade = 5 * kSecond;  // a slow endpoint gets attempts again within seconds
+    double recovery = std::pow(std::max(1.0, capacity.nominal / capacity.present),
+                               1 - std::exp((capacity.updated_at - now) / kFade));
+    return std::max(0.25, capacity.present * recovery);
   }
-  // `usual`: how much everything is stretched just now, for reasons that are not this machine's.
-  void Learn(Room& r, double held, Ms own, Ms took, double usual = 1, double grow = 1.05) const {
-    constexpr Ms kTooShort = 10;  // below, the way there outweighs the sending
-    if (own < kTooShort)
+  // Learns from a transfer that took `duration` instead of `uncontended`, beside `in_flight` others
+  // in all. `common_stretch`: how much all transfers are slowed down at present, for reasons other
+  // than this endpoint.
+  void LearnCapacity(CapacityEstimate& capacity, double in_flight, Ms uncontended, Ms duration,
+                     double common_stretch = 1, double growth = 1.05) const {
+    constexpr Ms kTooShort = 10;  // below it, the network's delay outweighs the transfer time
+    if (uncontended < kTooShort)
       return;
-    double stretch = std::max(1.0, took / (own * usual));
-    r.fits = Carries(r);
-    r.learnt_at = now;
-    double step = std::clamp(0.05 * stretch, 0.1, 0.3);  // the plainer, the larger
+    double stretch = std::max(1.0, duration / (uncontended * common_stretch));
+    capacity.present = Transfers(capacity);
+    capacity.updated_at = now;
+    double step = std::clamp(0.05 * stretch, 0.1, 0.3);  // larger for a clearer sign
     if (stretch > 1.5)
-      r.fits += step * (std::min(held / stretch, r.fits) - r.fits);
+      capacity.present +=
+          step * (std::min(in_flight / stretch, capacity.present) - capacity.present);
     if (stretch < 1.25)
-      r.fits = std::max(r.fits, std::min(held, grow * r.fits));
-    r.nominal = std::max(r.nominal, r.fits);
-    r.proven += 0.1 * std::max(0.0, held / (stretch * usual) - r.proven);
+      capacity.present = std::max(capacity.present, std::min(in_flight, growth * capacity.present));
+    capacity.nominal = std::max(capacity.nominal, capacity.present);
+    capacity.demonstrated +=
+        0.1 * std::max(0.0, in_flight / (stretch * common_stretch) - capacity.demonstrated);
   }
 
-  // Legs of all fronts that share something: ours as they stand, and for each of the others as many
-  // as we had on average, since they are sent alike. Guards against one leg looking like dozens
-  // where many share. Harm: what only other fronts send is not seen, and a swing shows late.
-  double MeanOf(const Tally& t, int sharing) const {
-    constexpr Ms kEach = kSecond / 5, kMost = 4 * kSecond;
-    return t.mean +
-           (t.out - t.mean) * (1 - std::exp((t.at - now) / std::min(kEach * sharing, kMost)));
+  // The attempts in flight of all fronts that share an endpoint or link: this front's as they are,
+  // and for each of the others as many as this front had on average, since all fronts route alike.
+  // Guards against one attempt counting as dozens where many fronts share. Cost: load that only
+  // other fronts send is not seen, and a change shows late.
+  double MeanOf(const InFlightCounter& counter, int sharers) const {
+    constexpr Ms kPerSharer = kSecond / 5, kMaxWindow = 4 * kSecond;
+    return counter.mean + (counter.current - counter.mean) *
+                              (1 - std::exp((counter.updated_at - now) /
+                                            std::min(kPerSharer * sharers, kMaxWindow)));
   }
-  double Together(const Tally& t, int sharing) const {
-    return t.out + (sharing - 1) * MeanOf(t, sharing);
+  double OfAllFronts(const InFlightCounter& counter, int sharers) const {
+    return counter.current + (sharers - 1) * MeanOf(counter, sharers);
   }
-  void Count(Tally& t, int sharing, double out) const {
-    t = {out, MeanOf(t, sharing), now};
+  void Count(InFlightCounter& counter, int sharers, double current) const {
+    counter = {current, MeanOf(counter, sharers), now};
   }
-  void Count(Machine& m, double by) const {
-    Count(m.attempts, Sharers(m), m.attempts.out + by);
+  void Count(Endpoint& endpoint, double change) const {
+    Count(endpoint.in_flight, SharersOf(endpoint), endpoint.in_flight.current + change);
   }
 
-  // Transfers per transfer it can carry, with one more of ours.
-  double level(const Machine& m) const {
-    return (Together(m.attempts, Sharers(m)) + 1) / (Carries(m.room) * roster.Warmth(m));
+  // Transfers in flight at an endpoint, with one more of this front, over those that it carries.
+  double Utilisation(const Endpoint& endpoint) const {
+    return (OfAllFronts(endpoint.in_flight, SharersOf(endpoint)) + 1) /
+           (Transfers(endpoint.capacity) * endpoints.RampWeight(endpoint));
   }
-  int Sharers(const Machine& m) const {
-    return m.role == Role::kStore ? f.zone_replicas : f.fronts;
+  // The number of fronts that send to the endpoint.
+  int SharersOf(const Endpoint& endpoint) const {
+    return endpoint.role == Role::kLocalCache ? settings.zone_replicas : settings.fronts;
   }
 
-  // A link not told: a third of what the caches carry, for a usual share of misses; half where that
-  // is a low guess itself, for want of weights. Fills correct it.
-  void ExpectLink() {
-    if (link_notified)
+  // Estimates a link of unknown capacity: a third of what the caches carry, for a usual share of
+  // misses; half of it without weights, since the caches' own estimate is low then. Fills correct
+  // it.
+  void EstimateLink() {
+    if (has_configured_link)
       return;
     link.nominal = 0;
-    for (const Machine* m : roster.stores)
-      link.nominal += m->room.nominal / (roster.weighed ? 3 : 2);
-    if (link.fits <= 0)
-      link.fits = link.nominal;
+    for (const Endpoint* cache : endpoints.caches)
+      link.nominal += cache->capacity.nominal / (endpoints.has_weights ? 3 : 2);
+    if (link.present <= 0)
+      link.present = link.nominal;
   }
 
-  // As caches report it, where they do, fading until the next word; else by our own legs.
-  double LinkLevel() const {
-    constexpr Ms kFade = 5 * kSecond;  // long beside the reports' delay; a look brings the next
-    double own = (Together(fills, f.zone_replicas) + 1) / Carries(link);
-    return link_said_at > kLongAgo
-               ? std::max(own, link_said * std::exp((link_said_at - now) / kFade))
+  // By the fills in flight of the fronts; or as caches report it, fading until the next report, if
+  // that is higher.
+  double LinkUtilisation() const {
+    constexpr Ms kFade = 5 * kSecond;  // long beside the delay of the reports; an attempt without a
+                                       // fill brings the next
+    double own = (OfAllFronts(fills_in_flight, settings.zone_replicas) + 1) / Transfers(link);
+    return link_reported_at > kLongAgo
+               ? std::max(own,
+                          reported_link_utilisation * std::exp((link_reported_at - now) / kFade))
                : own;
   }
-  bool LinkKnown() const {
-    return link_notified || link_said_at > kLongAgo;
+  bool IsLinkKnown() const {
+    return has_configured_link || link_reported_at > kLongAgo;
   }
-  void Look() {
-    Count(link_levels, 20, LinkLevel());
-  }  // as twenty that share it: over four seconds
-  double Lasting() const {
-    return MeanOf(link_levels, 20);
+  // A mean as for twenty sharers runs over four seconds.
+  void SampleLink() {
+    Count(link_utilisation, 20, LinkUtilisation());
   }
-  void CountFill(double by) {
-    Count(fills, f.zone_replicas, fills.out + by);
+  double MeanLinkUtilisation() const {
+    return MeanOf(link_utilisation, 20);
   }
-  void HearLink(const std::vector<float>& report) {
-    double said = std::clamp(Reported(report, f.link_report), 0.0, 100.0);
-    if (link_notified || !std::isfinite(said))
-      return;  // a peer's word
-    double before = link_said_at > kLongAgo ? link_said : said;
-    link_said = before + 0.5 * (said - before);  // reports are noisy
-    link_said_at = now;
+  void CountFill(double change) {
+    Count(fills_in_flight, settings.zone_replicas, fills_in_flight.current + change);
+  }
+  void LearnLinkReport(const std::vector<float>& load_report) {
+    double reported =
+        std::clamp(ReportedValue(load_report, settings.link_report_index), 0.0, 100.0);
+    if (has_configured_link || !std::isfinite(reported))
+      return;  // the report comes from another host, and may be missing or invalid
+    double before = link_reported_at > kLongAgo ? reported_link_utilisation : reported;
+    reported_link_utilisation = before + 0.5 * (reported - before);  // reports are noisy
+    link_reported_at = now;
   }
 };
 
--- a/src/logic/memories.hpp
+++ b/src/logic/memories.hpp
@@ -1,85 +1,98 @@
-// Memories: what is learnt of objects and classes: rates, omega, ranks, sizes.
+// What is learnt from the traffic about objects and request classes: request rates, idle windows,
+// retention ranks and sizes.
 #pragma once
 #include "logic/purges.hpp"
 
 namespace dunlinwick::logic {
 
-struct Memories : Part {
-  static constexpr Ms kCountAgeing = 30 * kSecond;  // long beside any idle window
-  static constexpr Ms kLongestOmega = 4 * kCountAgeing;
+struct TrafficStatistics : PolicyContext {
+  static constexpr Ms kCountDecay = 30 * kSecond;  // long beside any idle window
+  static constexpr Ms kMaxIdleWindow = 4 * kCountDecay;
   const Purges& purges;
   std::vector<ClassState> class_states{};
-  Remembered table{};
+  HistoryTable histories{};
 
-  void Start(const std::vector<RequestClass>& request_classes) {
-    // A sending on the long side, which the first pulls seen replace; the design's few seconds for
-    // omega.
-    for (const RequestClass& o : request_classes)
-      class_states.push_back({o, o.expiry / 16, 5 * kSecond});
+  void Initialize(const std::vector<RequestClass>& request_classes) {
+    // Until the first requests are seen: a transfer time on the long side, and an idle window of a
+    // few seconds.
+    for (const RequestClass& request_class : request_classes)
+      class_states.push_back({request_class, request_class.max_deadline / 16, 5 * kSecond});
   }
 
-  Memory* Recall(std::uint64_t object, int part) {
-    constexpr std::size_t kMost = 1 << 16;  // some minutes of a busy front's different parts
-    std::uint64_t key = Mixed(object) + static_cast<std::uint64_t>(part);
-    if (Memory* found = table.Use(key, now))
+  PartHistory* FindOrAdd(std::uint64_t object, int part) {
+    constexpr std::size_t kMaxHistories = 1 << 16;  // the parts requested from a busy front within
+                                                    // some minutes
+    std::uint64_t key = MixHash(object) + static_cast<std::uint64_t>(part);
+    if (PartHistory* found = histories.Touch(key, now))
       return found;
-    // Beyond the longest omega, and with its count aged away, it says nothing more.
-    auto old = [&](Ms used_at) {
-      return table.all.size() >= kMost || used_at < now - kLongestOmega;
+    // A history older than the longest idle window, with its count decayed, has no more
+    // information.
+    auto is_obsolete = [&](Ms used_at) {
+      return histories.by_use.size() >= kMaxHistories || used_at < now - kMaxIdleWindow;
     };
-    while (table.Loose() && old(table.all.front().used_at))
-      table.DropOldest();
-    return table.Add(key, now);
+    while (histories.IsOldestUnused() && is_obsolete(histories.by_use.front().used_at))
+      histories.EraseOldest();
+    return histories.Add(key, now);
   }
 
-  // A pull came: it is counted, and its sending known by its size, else taken to be the usual one.
-  void Meet(Request& p) {
-    ClassState& w = *p.class_state;
-    Memory& m = *(p.memory = Recall(p.object, p.part));
-    ++m.pins;
-    p.gap = m.last_request > kLongAgo ? now - m.last_request : 0;
-    m.count = m.count * (m.last_request > kLongAgo ? std::exp(-p.gap / kCountAgeing) : 0) + 1;
-    m.last_request = now;
-    p.last_at = m.last_at;
-    p.sending = w.mean_sending;
-    if (p.size_kb > 0 && f.stream_kb_per_ms > 0) {
-      p.sending = p.size_kb / f.stream_kb_per_ms;
-      // An object's parts come in a row and are of one size: five hundred are some thirty objects.
-      // Harm: it follows a new mix in minutes.
-      constexpr int kSteady = 500;
-      w.sendings_seen = std::min(w.sendings_seen + 1, kSteady);
-      w.mean_sending += (p.sending - w.mean_sending) / w.sendings_seen;
+  // Counts a request on its arrival. Its transfer time follows from its size if that is known, and
+  // is the mean of its class otherwise.
+  void RecordArrival(Request& request) {
+    ClassState& class_state = *request.class_state;
+    PartHistory& history = *(request.history = FindOrAdd(request.object, request.part));
+    ++history.open_requests;
+    request.idle_time = history.last_request_at > kLongAgo ? now - history.last_request_at : 0;
+    history.request_count =
+        history.request_count *
+            (history.last_request_at > kLongAgo ? std::exp(-request.idle_time / kCountDecay) : 0) +
+        1;
+    history.last_request_at = now;
+    request.last_cache = history.last_cache;
+    request.transfer_time = class_state.mean_transfer_time;
+    if (request.size_kb > 0 && settings.stream_kb_per_ms > 0) {
+      request.transfer_time = request.size_kb / settings.stream_kb_per_ms;
+      // An object's parts come one after another and have one size: five hundred are some thirty
+      // objects. Cost: the mean follows a change of the traffic within minutes only.
+      constexpr int kMeanWeight = 500;
+      class_state.transfers_seen = std::min(class_state.transfers_seen + 1, kMeanWeight);
+      class_state.mean_transfer_time +=
+          (request.transfer_time - class_state.mean_transfer_time) / class_state.transfers_seen;
     }
-    p.rank = RankOf(p);
+    request.retention_rank = RetentionRankOf(request);
   }
 
-  // Omega settles where as many answers miss below it as hit above it: the gap below which most
-  // answers hit. Departure: nothing is learnt from a cache that started lately, from purged
-  // objects, or from another cache than the part's last; omega stays within the fresh time. Else a
-  // deploy's misses cut it at all fronts.
-  void LearnOmega(const Request& p, const Attempt& attempt, bool hit) const {
-    constexpr double kStep = 0.02;  // fifty answers move it by e
-    ClassState& w = *p.class_state;
-    if (attempt.at != p.last_at || p.gap <= 0 || purges.at(p) > kLongAgo)
+  // The idle window settles where as many answers miss below it as hit above it: the idle time up
+  // to which most answers are hits. Nothing is learnt from a cache that started lately, from purged
+  // objects, or from another cache than the part's last one; and the window stays within the
+  // freshness lifetime. Otherwise the misses that follow a deployment would shorten it at all
+  // fronts.
+  void LearnIdleWindow(const Request& request, const Attempt& attempt, bool hit) const {
+    constexpr double kStep = 0.02;  // fifty answers change it by a factor of e
+    ClassState& class_state = *request.class_state;
+    if (attempt.endpoint != request.last_cache || request.idle_time <= 0 ||
+        purges.LatestFor(request) > kLongAgo)
       return;
-    if (attempt.at->slow_start_from > 0 &&
-        now - attempt.at->slow_start_from < f.cold_store.lasts + p.gap)
+    if (attempt.endpoint->slow_start_from > 0 &&
+        now - attempt.endpoint->slow_start_from <
+            settings.cache_slow_start.duration + request.idle_time)
       return;
-    if (hit && p.gap > w.omega)
-      w.omega *= 1 + kStep;
-    if (!hit && p.gap < w.omega)
-      w.omega *= 1 - kStep;
-    Ms most = w.fresh_for > 0 ? w.fresh_for : kLongestOmega;
-    w.omega = std::clamp(w.omega, kSecond / 2, most);
+    if (hit && request.idle_time > class_state.idle_window)
+      class_state.idle_window *= 1 + kStep;
+    if (!hit && request.idle_time < class_state.idle_window)
+      class_state.idle_window *= 1 - kStep;
+    Ms max_window =
+        class_state.freshness_lifetime > 0 ? class_state.freshness_lifetime : kMaxIdleWindow;
+    class_state.idle_window = std::clamp(class_state.idle_window, kSecond / 2, max_window);
   }
 
-  int RankOf(const Request& p) const {
-    double lambda = ((p.memory->count - 1) * f.zone_replicas + 1) /
-                    kCountAgeing;  // this pull tells of no others
-    double held = 1 - std::exp(-lambda * p.class_state->omega);
-    return held > 2.0 / 3   ? 3
-           : held > 1.0 / 3 ? 2
-                            : 1;  // three ranks, even thirds of the held chance
+  // Three ranks, even thirds of the probability that the part is requested again within the idle
+  // window of its class.
+  int RetentionRankOf(const Request& request) const {
+    // This request itself says nothing about the requests that other fronts get.
+    double request_rate =
+        ((request.history->request_count - 1) * settings.zone_replicas + 1) / kCountDecay;
+    double hit_probability = 1 - std::exp(-request_rate * request.class_state->idle_window);
+    return hit_probability > 2.0 / 3 ? 3 : hit_probability > 1.0 / 3 ? 2 : 1;
   }
 };
 
--- a/src/logic/purges.hpp
+++ b/src/logic/purges.hpp
@@ -1,77 +1,85 @@
-// Purges: what was purged when, and how old a copy may then be.
+// Purges and recalls: when which object was purged, and how old a copy of it may therefore be.
 #pragma once
 #include "logic_state/turn.hpp"
 
 namespace dunlinwick::logic {
 
-struct Purges : Part {
-  const Ms kept = 2 * f.purge_done;                // a fill may lay down an old copy late
-  std::unordered_map<std::uint64_t, Ms> purged{};  // object or group: when; emptied after `kept`
-  // The fleet's recalls, of offerings too: emptied as they are lifted, and as many as its record
-  // holds.
-  std::unordered_map<std::uint64_t, Ms> recalled{};
-  Ms no_older = 0;
+struct Purges : PolicyContext {
+  // Twice the completion time, since a fill may store an old copy late.
+  const Ms retention = 2 * settings.purge_completion_time;
+  // By object or group: when it was purged. Erased after `retention`.
+  std::unordered_map<std::uint64_t, Ms> purged_at{};
+  // The fleet's recalls, also of request classes. Erased when they are lifted; there are at most as
+  // many as the fleet's record holds.
+  std::unordered_map<std::uint64_t, Ms> recalled_at{};
+  Ms max_copy_age = 0;
 
-  static std::uint64_t OfRequestClass(int request_class) {
-    return Mixed(~static_cast<std::uint64_t>(request_class));
+  static std::uint64_t KeyOfRequestClass(int request_class) {
+    return MixHash(~static_cast<std::uint64_t>(request_class));
   }
 
-  void Take(const Purged& e) {
-    std::uint64_t key = e.request_class >= 0 ? OfRequestClass(e.request_class) : e.object;
-    if (e.whole_group)
-      key = ~static_cast<std::uint64_t>(e.group);
-    if (e.lifted)
-      return void(recalled.erase(key));
-    if (e.standing)
-      return void(recalled[key] = now - e.ago);
-    Ms& known = purged.try_emplace(key, kLongAgo).first->second;
-    known = std::max(known, PurgedAt(e));
-    std::erase_if(purged, [&](auto& one) { return one.second < now - kept; });
+  void Record(const Purged& purge) {
+    std::uint64_t key =
+        purge.request_class >= 0 ? KeyOfRequestClass(purge.request_class) : purge.object;
+    if (purge.is_group)
+      key = ~static_cast<std::uint64_t>(purge.group);
+    if (purge.is_lifted)
+      return void(recalled_at.erase(key));
+    if (purge.is_recall)
+      return void(recalled_at[key] = now - purge.age);
+    Ms& latest = purged_at.try_emplace(key, kLongAgo).first->second;
+    latest = std::max(latest, TimeOf(purge));
+    std::erase_if(purged_at, [&](auto& entry) { return entry.second < now - retention; });
   }
 
-  // When a purge was, on this front's clock. One that is told was announced after the last moment
-  // at which nothing was missing here; at a start those of the last `purgeDone` come. A stamp from
-  // before that, or ahead of the telling, is of a clock that disagrees, and the purge counts as
-  // when it was told. Guards against a purge that is dropped as done, or whose age admits older
-  // copies, after a step of either clock, and against one that refuses every copy until this clock
-  // has come up to its stamp. Harm: copies made between the purge and its telling are fetched once
-  // more.
-  Ms PurgedAt(const Purged& e) const {
-    constexpr Ms kAnnouncingTakes = kSecond;
-    if (!e.stamped)
-      return now - e.ago;
-    const Notified& notified = e.stamped->notified;
-    Ms earliest = notified.up_to_date_at.value_or(notified.at - f.purge_done) - kAnnouncingTakes;
-    return OnOwnClock(e.stamped->stamp, earliest, notified.at);
+  // When a purge happened, on this front's clock. A purge that this front is notified of was
+  // announced after the last moment at which the front was up to date; at its start the front gets
+  // the purges of the last `purge_completion_time`. A stamp from before that, or later than the
+  // notification, comes from a clock that disagrees, and the purge counts as of the notification.
+  // Guards, after a step of either clock, against a purge that is dropped as completed or whose age
+  // admits older copies, and against one that rejects every copy until this clock has reached its
+  // stamp. Cost: copies made between the purge and its notification are fetched once more.
+  Ms TimeOf(const Purged& purge) const {
+    constexpr Ms kAnnouncementDelay = kSecond;
+    if (!purge.stamped)
+      return now - purge.age;
+    const Notified& notified = purge.stamped->notified;
+    Ms earliest = notified.up_to_date_at.value_or(notified.at - settings.purge_completion_time) -
+                  kAnnouncementDelay;
+    return OnOwnClock(purge.stamped->stamp, earliest, notified.at);
   }
 
-  Ms at(const Request& p) const {
+  // The latest purge or recall that covers the request's object; kLongAgo if there is none.
+  Ms LatestFor(const Request& request) const {
     Ms latest = kLongAgo;
-    for (std::uint64_t key : {p.object, ~static_cast<std::uint64_t>(p.group)}) {
-      auto found = purged.find(key);
-      if (found != purged.end() && found->second > now - kept)
+    for (std::uint64_t key : {request.object, ~static_cast<std::uint64_t>(request.group)}) {
+      auto found = purged_at.find(key);
+      if (found != purged_at.end() && found->second > now - retention)
         latest = std::max(latest, found->second);
     }
-    if (!recalled.empty())
-      for (std::uint64_t key :
-           {p.object, ~static_cast<std::uint64_t>(p.group), OfRequestClass(p.request_class)})
-        if (auto r = recalled.find(key); r != recalled.end())
-          latest = std::max(latest, r->second);
+    if (!recalled_at.empty())
+      for (std::uint64_t key : {request.object, ~static_cast<std::uint64_t>(request.group),
+                                KeyOfRequestClass(request.request_class)})
+        if (auto recall = recalled_at.find(key); recall != recalled_at.end())
+          latest = std::max(latest, recall->second);
     return latest;
   }
 
-  // The age asked for, 0 where the offering's own limit will do. After a purge: at most the time
-  // since it, less one millisecond against rounding, and never 0, which would lift the cap. Where
-  // recalls may have been missed: none older than that. Guards against a front cut off from the
-  // record. Harm: kept copies are checked.
-  Ms Oldest(const Request& p) const {
-    Ms purge = at(p);
-    if (purge == kLongAgo && no_older <= 0)
+  // The maximum age of a copy, to be sent with an attempt; 0 where the freshness lifetime of the
+  // class suffices. After a purge: the time since it, less one millisecond against rounding, and
+  // never 0, which would lift the limit. Where recalls may have been missed: at most
+  // `max_copy_age`, which guards against a front that is cut off from the fleet's record. Cost:
+  // stored copies are revalidated.
+  Ms MaxAge(const Request& request) const {
+    Ms purge = LatestFor(request);
+    if (purge == kLongAgo && max_copy_age <= 0)
       return 0;
-    Ms since = purge == kLongAgo ? no_older : std::max(now - purge - 1, 0.001);
-    if (no_older > 0)
-      since = std::min(since, no_older);
-    return p.class_state->fresh_for > 0 ? std::min(since, p.class_state->fresh_for) : since;
+    Ms max_age = purge == kLongAgo ? max_copy_age : std::max(now - purge - 1, 0.001);
+    if (max_copy_age > 0)
+      max_age = std::min(max_age, max_copy_age);
+    return request.class_state->freshness_lifetime > 0
+               ? std::min(max_age, request.class_state->freshness_lifetime)
+               : max_age;
   }
 };
 
--- a/src/logic/roster.hpp
+++ b/src/logic/roster.hpp
@@ -1,109 +1,127 @@
-// Roster: the list of servers, how warm each is, and the order in which an object is asked of them.
+// The endpoint list, the slow start ramp of each endpoint, and the order in which endpoints are
+// considered for an object.
 #pragma once
 #include "logic/memories.hpp"
 
 namespace dunlinwick::logic {
 
-struct Roster : Part, Machines {
-  Memories& memories;
-  // Live weights change from list to list, and a home must not: they count as absent.
-  const bool weighed = f.weighing == Weighing::kNominal || f.weighing == Weighing::kRough;
-  Machine* origin = nullptr;
+struct EndpointList : PolicyContext, EndpointTable {
+  TrafficStatistics& statistics;
+  // Live weights change from list to list. They are not used, since the endpoint that an object
+  // hashes to must not change with them.
+  const bool has_weights = settings.weight_source == WeightSource::kNominal ||
+                           settings.weight_source == WeightSource::kRough;
+  Endpoint* origin = nullptr;
 
-  bool Take(const ListNews& news) {
-    if (news.listing == Listing::kFailed)  // ask again soon: the old list stays, and ages
-    {
-      Act(WakeMe{now + kSecond, kWakeList << 56});
+  // Returns false for an update that failed: the old list stays in use, and is requested again
+  // soon.
+  bool Apply(const EndpointListUpdate& update) {
+    if (update.kind == ListUpdateKind::kFailed) {
+      Emit(SetTimer{now + kSecond, kListTimer << 56});
       return false;
     }
-    if (f.asks_for_list && news.listing == Listing::kRemembered)
-      Act(FollowList{});
-    if (news.listing != Listing::kChanges)
-      for (auto& [id, m] : machines)
-        m.standing = Standing::kGone;  // one that a full list lacks has left
-    for (const ListEntry& e : news.entries)
-      TakeEntry(e);
-    std::erase_if(machines, [&](auto& one) { return Left(one.second); });
-    Regroup();
+    if (settings.polls_endpoint_list && update.kind == ListUpdateKind::kLastKnown)
+      Emit(WatchEndpointList{});
+    if (update.kind != ListUpdateKind::kChanges)
+      for (auto& [id, endpoint] : by_number)
+        endpoint.state = EndpointState::kRemoved;  // unless the full list contains it
+    for (const ListEntry& entry : update.entries)
+      ApplyEntry(entry);
+    std::erase_if(by_number, [&](auto& entry) { return CanErase(entry.second); });
+    RebuildGroups();
     origin = nullptr;
-    for (Machine* m : origins)
-      if (!origin || m->standing == Standing::kReady)
-        origin = m;
+    for (Endpoint* endpoint : origins)
+      if (!origin || endpoint->state == EndpointState::kReady)
+        origin = endpoint;
     return true;
   }
 
-  // Gone, and nothing sent in the last minute was answered there: it is forgotten, unless a pull
-  // still points to it. Harm: one listed again later is as new to this front.
-  bool Left(const Machine& m) {
-    if (m.standing != Standing::kGone || now - m.last_good < 60 * kSecond || requests.PointTo(&m))
+  // An endpoint is erased when it was removed from the list and has answered nothing that was sent
+  // in the last minute, unless a request still refers to it. Cost: if it is listed again later, it
+  // counts as new.
+  bool CanErase(const Endpoint& endpoint) {
+    if (endpoint.state != EndpointState::kRemoved ||
+        now - endpoint.last_success_sent_at < 60 * kSecond || requests.AnyRefersTo(&endpoint))
       return false;
-    memories.table.Unlink(&m);
+    statistics.histories.Unlink(&endpoint);
     return true;
   }
 
-  void TakeEntry(const ListEntry& e) {
-    Machine& m = machines[e.cache];
-    Ms before = m.slow_start_from;
-    static_cast<ListEntry&>(m) = e;
-    m.slow_start_from = std::max(StartOf(e), before);
-    if (!weighed || e.weight <= 0)
-      m.weight = 1;
-    m.role = RoleOf(e, f);
-    if (m.slow_start_from > before) {  // a new start: what was known of the old process is void
-      if (m.ejected)
-        Act(TellHealth{m.cache, false});
-      m.strikes = 0;
-      m.ejected = m.trial_out = false;
-      m.room = {};
+  void ApplyEntry(const ListEntry& entry) {
+    Endpoint& endpoint = by_number[entry.id];
+    Ms previous_start = endpoint.slow_start_from;
+    static_cast<ListEntry&>(endpoint) = entry;
+    endpoint.slow_start_from = std::max(StartOf(entry), previous_start);
+    if (!has_weights || entry.weight <= 0)
+      endpoint.weight = 1;
+    endpoint.role = RoleOf(entry, settings);
+    // After a restart, what was learnt of the previous process no longer holds.
+    if (endpoint.slow_start_from > previous_start) {
+      if (endpoint.ejected)
+        Emit(ReportEndpointHealth{endpoint.id, false});
+      endpoint.consecutive_failures = 0;
+      endpoint.ejected = endpoint.half_open_probe_in_flight = false;
+      endpoint.capacity = {};
     }
-    // Weights absent: a cache is held to carry four transfers, a small machine's worth, a source
-    // ample; answers correct both. Until they prove more, cold budgets go by the four.
-    constexpr double kSmall = 4, kAmple = 200;
-    m.room.nominal = m.IsCache() ? kSmall : kAmple;
-    if (weighed && m.role != Role::kOrigin)
-      m.room.nominal = m.weight;
-    m.room.proven = std::max(m.room.proven, kSmall);
-    if (m.room.fits <= 0)
-      m.room.fits = m.room.nominal;
+    // Without weights, a cache is assumed to carry four transfers, as a small server does, and a
+    // source to have ample capacity; answers correct both. Until they demonstrate more, slow start
+    // budgets are based on the four.
+    constexpr double kSmallCapacity = 4, kAmpleCapacity = 200;
+    endpoint.capacity.nominal = endpoint.IsCache() ? kSmallCapacity : kAmpleCapacity;
+    if (has_weights && endpoint.role != Role::kOrigin)
+      endpoint.capacity.nominal = endpoint.weight;
+    endpoint.capacity.demonstrated = std::max(endpoint.capacity.demonstrated, kSmallCapacity);
+    if (endpoint.capacity.present <= 0)
+      endpoint.capacity.present = endpoint.capacity.nominal;
   }
 
-  // When a machine started, on this front's clock; 0: long ago. One that was first told of in a
-  // change started after the last moment at which nothing was missing here, but for the time that
-  // its listing takes. A stamp from before that, or ahead of the telling, is of a clock that
-  // disagrees, and the start counts as when it was told. Guards against a slow start that is
-  // missed, or never ends, after a step of either clock. Harm: one that took longer to be listed,
-  // or comes back after the board forgot it, is spared anew.
-  static Ms StartOf(const ListEntry& e) {
-    constexpr Ms kListingTakes = 5 * kSecond;
-    if (!e.started_at.IsSet())
+  // When an endpoint started, on this front's clock; 0: long ago. A start that this front is
+  // notified of by a list change happened after the last moment at which the front was up to date,
+  // apart from the time that the listing takes. A stamp from before that, or later than the
+  // notification, comes from a clock that disagrees, and the start counts as of the notification.
+  // Guards, after a step of either clock, against a slow start that is missed or never ends. Cost:
+  // an endpoint that took longer to be listed, or that returns after the discovery service dropped
+  // it, ramps up again.
+  static Ms StartOf(const ListEntry& entry) {
+    constexpr Ms kListingDelay = 5 * kSecond;
+    if (!entry.started_at.IsSet())
       return 0;
-    if (!e.notified)
-      return e.started_at.UnixMs();
-    Ms earliest = e.notified->up_to_date_at ? *e.notified->up_to_date_at - kListingTakes : 0;
-    return OnOwnClock(e.started_at, earliest, e.notified->at);
+    if (!entry.notified)
+      return entry.started_at.UnixMs();
+    Ms earliest =
+        entry.notified->up_to_date_at ? *entry.notified->up_to_date_at - kListingDelay : 0;
+    return OnOwnClock(entry.started_at, earliest, entry.notified->at);
   }
 
-  const ColdTerms* cold_terms(const Machine& m) const {
-    if (m.role == Role::kOrigin || m.slow_start_from <= 0)
+  // The settings of the endpoint's slow start; nullptr when it is not in slow start.
+  const SlowStartSettings* ActiveSlowStart(const Endpoint& endpoint) const {
+    if (endpoint.role == Role::kOrigin || endpoint.slow_start_from <= 0)
       return nullptr;
-    const ColdTerms& t = m.role == Role::kParent ? f.cold_parent : f.cold_store;
-    return now - m.slow_start_from < t.lasts ? &t : nullptr;
+    const SlowStartSettings& slow_start =
+        endpoint.role == Role::kParent ? settings.parent_slow_start : settings.cache_slow_start;
+    return now - endpoint.slow_start_from < slow_start.duration ? &slow_start : nullptr;
   }
 
-  double Warmth(const Machine& m) const {
-    const ColdTerms* t = cold_terms(m);
-    return t ? t->from + (1 - t->from) * std::max(0.0, now - m.slow_start_from) / t->lasts : 1;
+  // The share of its full capacity that an endpoint has at present: it grows linearly during slow
+  // start, and is 1 afterwards.
+  double RampWeight(const Endpoint& endpoint) const {
+    const SlowStartSettings* slow_start = ActiveSlowStart(endpoint);
+    return slow_start ? slow_start->initial_weight +
+                            (1 - slow_start->initial_weight) *
+                                std::max(0.0, now - endpoint.slow_start_from) / slow_start->duration
+                      : 1;
   }
 
-  // Weighted rendezvous hash: every front comes to the same order. A cold machine's weight grows
-  // with its warmth, so that its objects come home in step with what it can carry.
-  std::vector<Machine*> InOrder(const std::vector<Machine*>& from, std::uint64_t object) const {
-    std::vector<std::pair<double, Machine*>> scored;
-    for (Machine* m : from) {
-      double u = Inside(Mixed(Mixed(object) ^ Mixed(m->cache)));
-      scored.emplace_back(-std::log(u) / (m->weight * Warmth(*m)), m);
+  // Weighted rendezvous hashing: every front computes the same order. The weight of an endpoint in
+  // slow start is scaled by its ramp weight, so that objects return to it as its capacity grows.
+  std::vector<Endpoint*> InRendezvousOrder(const std::vector<Endpoint*>& endpoints,
+                                           std::uint64_t object) const {
+    std::vector<std::pair<double, Endpoint*>> scored;
+    for (Endpoint* endpoint : endpoints) {
+      double u = OpenUnitFraction(MixHash(MixHash(object) ^ MixHash(endpoint->id)));
+      scored.emplace_back(-std::log(u) / (endpoint->weight * RampWeight(*endpoint)), endpoint);
     }
-    return Sorted(std::move(scored));
+    return SortedByScore(std::move(scored));
   }
 };
 
--- a/src/logic/router.cpp
+++ b/src/logic/router.cpp
@@ -1,95 +1,97 @@
-// The router, the one way in: handle() takes what happened at `now` and returns what is to be done,
-// in order. Departures from the design: docs/design.md. Nothing in this folder reads a clock, does
-// I/O, or knows a name.
+// The router's entry point: Handle() passes each event to the component that it concerns, and
+// returns the actions to carry out, in order. Nothing in this folder reads a clock, does I/O, or
+// knows the names of endpoints or objects: all have numbers. docs/design.md lists the deviations
+// from the design.
 #include "logic/legs.hpp"
 
 namespace dunlinwick {
 
-struct Router::Mind {
-  logic::Turn turn;
-  const logic::Figures figures;
+struct Router::Impl {
+  logic::EventContext event;
+  const logic::PolicySettings settings;
   logic::Requests requests;
-  const logic::Part part{turn, figures, requests};
-  logic::Purges purges{part};
-  logic::Memories memories{part, purges};
-  logic::Roster roster{part, {}, memories};
-  logic::Load load{part, roster};
-  logic::Cold cold{part, load};
-  logic::Health health{part, load};
-  logic::Choice choice{part, load, cold, health};
-  logic::Sources sources{part, purges, load, choice};
-  logic::Attempts attempts{part, memories, load, choice, sources, {part, load}};
+  const logic::PolicyContext context{event, settings, requests};
+  logic::Purges purges{context};
+  logic::TrafficStatistics statistics{context, purges};
+  logic::EndpointList endpoints{context, {}, statistics};
+  logic::Load load{context, endpoints};
+  logic::SlowStart slow_start{context, load};
+  logic::Health health{context, load};
+  logic::EndpointSelector selector{context, load, slow_start, health};
+  logic::SourceSelector sources{context, purges, load, selector};
+  logic::RequestProcessor processor{context, statistics, load, selector, sources, {context, load}};
 
-  Mind(const StoreSettings& s, std::uint64_t seed)
-      : turn{.chance = std::knuth_b(seed)}, figures(s) {
-    memories.Start(s.request_classes);
+  Impl(const DeploymentSettings& deployment, std::uint64_t seed)
+      : event{.random_engine = std::knuth_b(seed)}, settings(deployment) {
+    statistics.Initialize(deployment.request_classes);
   }
 
-  void take(const ListNews& e) {
-    roster.Take(e) ? load.ExpectLink() : void();
+  void HandleEvent(const EndpointListUpdate& update) {
+    endpoints.Apply(update) ? load.EstimateLink() : void();
   }
-  void take(const RequestCame& e) {
-    attempts.Arrive(e);
+  void HandleEvent(const RequestArrived& arrival) {
+    processor.HandleArrival(arrival);
   }
-  void take(const AttemptEnded& e) {
-    attempts.Ended(e);
+  void HandleEvent(const AttemptEnded& ended) {
+    processor.HandleAttemptEnded(ended);
   }
-  void take(const ProbeEnded& e) {
-    health.Probed(e);
+  void HandleEvent(const ProbeEnded& probe) {
+    health.HandleProbe(probe);
   }
-  void take(const Purged& e) {
-    purges.Take(e);
+  void HandleEvent(const Purged& purge) {
+    purges.Record(purge);
   }
-  void take(const ZoneShares& e) {
-    choice.Take(e);
+  void HandleEvent(const ZoneTrafficWeights& traffic) {
+    selector.SetZoneWeights(traffic);
   }
-  void take(const NoOlder& e) {
-    purges.no_older = e.than;
+  void HandleEvent(const MaxCopyAge& limit) {
+    purges.max_copy_age = limit.age;
   }
-  void take(const LetIn& e) {
-    choice.admitted = e;
+  void HandleEvent(const AdmissionRamp& ramp) {
+    selector.admission_ramp = ramp;
   }
-  void take(const PeerSaid&) {}  // fronts tell each other nothing this way
-  void take(const AttemptStarted& e) {
-    logic::Request* p =
-        requests.Known(e.request);  // the client owns that leg now: nothing binds it but its end
-    if (p && !p->ended) {
-      p->streaming = true;
-      attempts.CallOff(*p, e.attempt);
+  void HandleEvent(const PeerMessageReceived&) {}  // fronts exchange no messages this way
+  void HandleEvent(const AttemptStarted& started) {
+    // The client receives the answer of that attempt from now on: only the attempt's end decides
+    // about the request.
+    logic::Request* request = requests.Find(started.request);
+    if (request && !request->ended) {
+      request->streaming = true;
+      processor.CancelAttempts(*request, started.attempt);
     }
   }
-  void take(const ClientLeft& e) {
-    logic::Request* p = requests.Known(e.request);
-    if (p && !p->ended)
-      attempts.Finish(*p);
-    if (p)
-      requests.Forget(*p);
+  void HandleEvent(const ClientLeft& left) {
+    logic::Request* request = requests.Find(left.request);
+    if (request && !request->ended)
+      processor.Finish(*request);
+    if (request)
+      requests.EraseIfDone(*request);
   }
-  void take(const DeadlineShortened& e) {
-    if (logic::Request* p = requests.Known(e.request); p && !p->ended)
-      attempts.ExpireIn(*p, e.ttl);
+  void HandleEvent(const DeadlineShortened& shortened) {
+    if (logic::Request* request = requests.Find(shortened.request); request && !request->ended)
+      processor.SetDeadline(*request, shortened.time_left);
   }
-  void take(const WakeUp& e) {
-    if (e.handle >> 56 == logic::kWakeList)
-      turn.todo->push_back(FollowList{});
-    if (e.handle >> 56 == logic::kWakeMachine)
-      health.Wake(e);
-    if (e.handle >> 56 == logic::kWakeRequest)
-      attempts.Wake(static_cast<std::uint32_t>(e.handle));
+  void HandleEvent(const TimerFired& timer) {
+    if (timer.handle >> 56 == logic::kListTimer)
+      event.actions->push_back(WatchEndpointList{});
+    if (timer.handle >> 56 == logic::kEndpointTimer)
+      health.HandleTimer(timer);
+    if (timer.handle >> 56 == logic::kRequestTimer)
+      processor.HandleTimer(static_cast<std::uint32_t>(timer.handle));
   }
 };
 
-Router::Router(const StoreSettings& settings, std::uint64_t seed)
-    : mind_(std::make_unique<Mind>(settings, seed)) {}
+Router::Router(const DeploymentSettings& settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(settings, seed)) {}
 Router::~Router() = default;
 Router::Router(Router&&) noexcept = default;
 
 std::vector<Action> Router::Handle(Ms now, const Event& event) {
-  std::vector<Action> todo;
-  mind_->turn.now = now;
-  mind_->turn.todo = &todo;
-  std::visit([&](const auto& e) { mind_->take(e); }, event);
-  return todo;
+  std::vector<Action> actions;
+  impl_->event.now = now;
+  impl_->event.actions = &actions;
+  std::visit([&](const auto& concrete_event) { impl_->HandleEvent(concrete_event); }, event);
+  return actions;
 }
 
 }  // namespace dunlinwick
