--- a/src/logic/size_fairness.hpp
+++ b/src/logic/size_fairness.hpp
@@ -1,40 +1,45 @@
-// Size fairness: in overload, a class's large requests are not shed before all others of it.
+// Size fairness: in overload, the large requests of a class are not all rejected before the others
+// of that class.
 #pragma once
 #include "logic/load.hpp"
 
 namespace dunlinwick::logic {
 
-struct SizeFairness : Part {
+struct SizeFairness : PolicyContext {
   const Load& load;
 
-  // Requests of one size step of a class are owed this part of the share of the class that is
-  // admitted. What is owed adds up to one admission, which utilisation and price then don't refuse.
-  void Arrive(Request& p) const {
-    constexpr double kLeastShare = 0.6;
-    double& owed = p.class_state->OwedTo(p.sending);
-    owed += kLeastShare * p.class_state->admitted_share;
-    p.is_owed = owed >= 1 && f.remarks && AreServersHealthy();
-    p.claimed = std::min(owed, 1.0);
-    owed -= p.claimed;
+  // Each arrival credits its size step with this part of the admitted share of its class. A credit
+  // of one admission exempts a request from rejection by utilisation and by the price of open
+  // requests.
+  void RecordArrival(Request& request) const {
+    constexpr double kMinShare = 0.6;
+    double& credit = request.class_state->CreditOf(request.transfer_time);
+    credit += kMinShare * request.class_state->admitted_share;
+    request.has_credit = credit >= 1 && settings.reports_cache_status && AreEndpointsHealthy();
+    request.claimed_credit = std::min(credit, 1.0);
+    credit -= request.claimed_credit;
   }
-  static void Refused(Request& p) {
-    p.class_state->OwedTo(p.sending) += std::exchange(p.claimed, 0);
-    p.class_state->admitted_share -= kStep * p.class_state->admitted_share;
+  static void RecordRejection(Request& request) {
+    request.class_state->CreditOf(request.transfer_time) +=
+        std::exchange(request.claimed_credit, 0);
+    request.class_state->admitted_share -= kStep * request.class_state->admitted_share;
   }
-  static void Answered(Request& p) {
-    p.class_state->admitted_share += kStep * (1 - p.class_state->admitted_share);
+  static void RecordAnswer(Request& request) {
+    request.class_state->admitted_share += kStep * (1 - request.class_state->admitted_share);
   }
 
  private:
-  static constexpr double kStep = 0.02;  // of the last fifty requests
-  // Where servers fail, hang or start, or did lately, what is large is sent to them in vain. Where
-  // answers don't tell what became of a fill (`remarks`), neither is known well enough.
-  bool AreServersHealthy() const {
-    constexpr Ms kLately = 10 * kSecond;
-    return std::all_of(load.roster.stores.begin(), load.roster.stores.end(), [&](const Machine* m) {
-      return m->standing == Standing::kReady && !m->ejected && m->strikes == 0 &&
-             now - m->ejected_until > kLately && !load.roster.cold_terms(*m);
-    });
+  static constexpr double kStep = 0.02;  // averages over the last fifty requests
+  // While endpoints fail, hang or start, or did so lately, large requests sent to them are wasted.
+  // Where answers carry no cache status, neither is known well enough.
+  bool AreEndpointsHealthy() const {
+    constexpr Ms kRecent = 10 * kSecond;
+    return std::all_of(
+        load.endpoints.caches.begin(), load.endpoints.caches.end(), [&](const Endpoint* cache) {
+          return cache->state == EndpointState::kReady && !cache->ejected &&
+                 cache->consecutive_failures == 0 && now - cache->ejected_until > kRecent &&
+                 !load.endpoints.ActiveSlowStart(*cache);
+        });
   }
 };
 
--- a/src/logic/sources.hpp
+++ b/src/logic/sources.hpp
@@ -1,144 +1,172 @@
-// Sources: where a miss is filled from, and what fills tell of their sources and of the origin.
+// Source selection: which source a miss is filled from, and what fills show about their sources and
+// the origin.
 #pragma once
 #include "logic/choice.hpp"
 
 namespace dunlinwick::logic {
 
-struct Sources : Part {
+struct SourceSelector : PolicyContext {
   const Purges& purges;
   Load& load;
-  Choice& choice;
-  Ms originWait = 0;
-  Ms origin_calm = 0;  // until its first byte comes, lately and as usual
-  Ms fill_wait = 0;    // of the usual fill until its first byte, where answers don't tell
+  EndpointSelector& selector;
+  Ms origin_wait = 0;           // until the origin's first byte, lately
+  Ms origin_baseline_wait = 0;  // the same as it usually is
+  Ms typical_fill_wait = 0;  // of a fill until its first byte, learnt where answers don't tell it
 
-  // A cache of the location that finished the part within omega, when its home has moved; else the
-  // object's parent, moving on in hash order; else the origin. nullptr: no fill.
-  Machine* SourceFor(Request& p, const Machine& at) const {
-    Machine *origin = load.roster.origin, *last = p.last_at;
-    auto open = [&](Machine* m) {
-      return choice.health.Judge(*m) && !p.HasFailed(m) &&
-             choice.cold.Affords(*m, choice.cold.WorkOf(p));
+  // A cache of the zone that served the part within the idle window, when the object has moved to
+  // another cache since; otherwise a parent, in hash order; otherwise the origin. nullptr: no fill.
+  Endpoint* SelectSource(Request& request, const Endpoint& cache) const {
+    Endpoint *origin = load.endpoints.origin, *last_cache = request.last_cache;
+    auto is_available = [&](Endpoint* source) {
+      return selector.health.CheckUsable(*source) && !request.HasFailed(source) &&
+             selector.slow_start.CanAfford(*source, selector.slow_start.WorkOf(request));
     };
-    if (p.class_state->never_kept && origin && open(origin))
+    if (request.class_state->uncacheable && origin && is_available(origin))
       return origin;
-    if (f.lateral && !p.sibling_lacked && last && last != &at && last->IsCache() &&
-        last->zone == at.zone && p.gap < p.class_state->omega && purges.at(p) == kLongAgo &&
-        open(last) && load.level(*last) < 1.5)
-      return last;
-    std::vector<Machine*> able;
-    auto add_able = [&](bool held) {
-      for (Machine* m : load.roster.InOrder(load.roster.parents, p.object))
-        if (open(m) && InTime(p, *m, held))
-          able.push_back(m);
+    if (settings.fills_from_siblings && !request.sibling_missed && last_cache &&
+        last_cache != &cache && last_cache->IsCache() && last_cache->zone == cache.zone &&
+        request.idle_time < request.class_state->idle_window &&
+        purges.LatestFor(request) == kLongAgo && is_available(last_cache) &&
+        load.Utilisation(*last_cache) < 1.5)
+      return last_cache;
+    std::vector<Endpoint*> candidates;
+    auto add_candidates = [&](bool only_if_cached) {
+      for (Endpoint* parent :
+           load.endpoints.InRendezvousOrder(load.endpoints.parents, request.object))
+        if (is_available(parent) && CanMeetObjective(request, *parent, only_if_cached))
+          candidates.push_back(parent);
     };
-    add_able(false);
-    // None in time with what they fetch: one that is with what it holds is asked for that only.
-    bool other = origin && open(origin) && InTime(p, *origin);
-    if ((p.held_only = able.empty() && !other))
-      add_able(true);
-    std::stable_partition(able.begin(), able.end(), [&](const Machine* m) {
-      return Fraction(Mixed(~p.object ^ Mixed(m->cache))) < ShareOf(*m);
+    add_candidates(false);
+    // If no source can fetch the object in time, a parent that can deliver what it has cached in
+    // time is asked for that only.
+    bool use_origin = origin && is_available(origin) && CanMeetObjective(request, *origin);
+    if ((request.only_if_cached = candidates.empty() && !use_origin))
+      add_candidates(true);
+    std::stable_partition(candidates.begin(), candidates.end(), [&](const Endpoint* parent) {
+      return UnitFraction(MixHash(~request.object ^ MixHash(parent->id))) < ObjectShareOf(*parent);
     });
-    Machine* best = able.empty() ? nullptr : choice.FirstInBounds(able, p);
-    if (best && load.level(*best) <= choice.MaxUtilisation(p))
+    Endpoint* best =
+        candidates.empty() ? nullptr : selector.SelectByBoundedLoad(candidates, request);
+    if (best && load.Utilisation(*best) <= selector.MaxUtilisation(request))
       return best;
-    return other && (!best || load.level(*origin) < load.level(*best)) ? origin : best;
+    return use_origin && (!best || load.Utilisation(*origin) < load.Utilisation(*best)) ? origin
+                                                                                        : best;
   }
 
-  // While the origin is slow beside its calm, only as large a share of misses leads to it; others
-  // ask a parent for what it holds, else are declined. Harm: a lasting change of pace is first
-  // taken for trouble.
-  bool SparesOrigin(const Request& p) const {
-    constexpr double kSlow = 3, kLook = 0.1;
-    if (originWait <= kSlow * origin_calm)
+  // While the origin is slow compared to its usual wait, only a share of the misses that shrinks
+  // with the slowdown leads to it; the others ask a parent for what it has cached, and otherwise
+  // are rejected. Cost: a lasting change of the origin's speed is taken for a disturbance at first.
+  bool SparesOrigin(const Request& request) const {
+    constexpr double kSlowdown = 3, kMinShare = 0.1;
+    if (origin_wait <= kSlowdown * origin_baseline_wait)
       return false;
-    bool late = originWait + p.sending > p.agreed_at - now;
-    return Drawn() > (late ? kLook : kSlow * origin_calm / originWait);
+    bool is_late = origin_wait + request.transfer_time > request.objective_at - now;
+    return Uniform() > (is_late ? kMinShare : kSlowdown * origin_baseline_wait / origin_wait);
   }
-  void LearnOrigin(Ms waited) {
-    if (origin_calm <= 0)
-      origin_calm = originWait = waited;
-    originWait += 0.1 * (waited - originWait);
-    origin_calm += (waited < origin_calm ? 0.1 : 0.003) * (waited - origin_calm);
+  void LearnOriginWait(Ms wait) {
+    if (origin_baseline_wait <= 0)
+      origin_baseline_wait = origin_wait = wait;
+    origin_wait += 0.1 * (wait - origin_wait);
+    origin_baseline_wait +=
+        (wait < origin_baseline_wait ? 0.1 : 0.003) * (wait - origin_baseline_wait);
   }
 
-  // The share of its objects that a source keeps: cut when a fill is stretched beyond the best
-  // source's, once for all legs then out, and grown by good ones. Guards against sources that many
-  // fronts crowd, whose legs no front can count. Harm: the same objects move on at all fronts, and
-  // are fetched anew there.
-  double ShareOf(const Machine& m) const {
-    constexpr Ms kWhole = 50 * kSecond;  // until it is forgiven where nothing is asked of it
-    return std::min(1.0, m.share + std::min(kWhole, now - m.share_at) / kWhole);
+  // The share of the objects that hash to a source which it keeps: reduced when a fill is slowed
+  // down beyond the best source's, once for all attempts in flight at that time, and increased by
+  // good fills. Guards against sources that many fronts overload, whose attempts no single front
+  // can count. Cost: the same objects move at all fronts, and are fetched again at other sources.
+  double ObjectShareOf(const Endpoint& source) const {
+    constexpr Ms kRecovery = 50 * kSecond;  // until the whole share is back without any fills
+    return std::min(
+        1.0, source.object_share + std::min(kRecovery, now - source.object_share_at) / kRecovery);
   }
-  void Shift(Machine& from, const Attempt& attempt, double stretch) const {
-    constexpr double kLeast = 0.05, kCut = 0.7, kGrow = 0.02;
-    if (attempt.sent_at < from.cut_at)
+  void AdjustObjectShare(Endpoint& source, const Attempt& attempt, double stretch) const {
+    constexpr double kMinShare = 0.05, kDecrease = 0.7, kIncrease = 0.02;
+    if (attempt.sent_at < source.object_share_cut_at)
       return;
-    bool crowded = stretch > 2;
-    from.share =
-        crowded ? std::max(kLeast, kCut * ShareOf(from)) : std::min(1.0, ShareOf(from) + kGrow);
-    from.share_at = now;
-    from.cut_at = crowded ? now : from.cut_at;
+    bool is_overloaded = stretch > 2;
+    source.object_share = is_overloaded ? std::max(kMinShare, kDecrease * ObjectShareOf(source))
+                                        : std::min(1.0, ObjectShareOf(source) + kIncrease);
+    source.object_share_at = now;
+    source.object_share_cut_at = is_overloaded ? now : source.object_share_cut_at;
   }
 
-  // Where answers don't tell what became of a fill, or how long it waited, its length stands in,
-  // beside its sending and the usual wait (half the fills wait longer): by the source's last fills,
-  // fading, or by a leg still out. Guards against slow sources, asked once in seconds at size.
-  // Harm: a busy second moves objects.
-  double PaceOf(const Machine& m, bool held) const {
-    constexpr Ms kFade = 30 * kSecond;  // many replicas ask a source once in seconds each
-    Ms at = held ? m.held_at : m.pace_at;
-    return 1 + ((held ? m.held_pace : m.pace) - 1) * std::exp((at - now) / kFade);
+  // Where answers don't tell what became of a fill, or how long it waited, its duration stands in
+  // for that, relative to its transfer time and the typical wait (half of the fills wait longer):
+  // of the source's last fills, fading, or of an attempt still in flight. Guards against slow
+  // sources that get only one attempt in some seconds from each of many fronts. Cost: a busy second
+  // moves objects.
+  double FillStretchOf(const Endpoint& source, bool only_if_cached) const {
+    constexpr Ms kFade = 30 * kSecond;  // each of many fronts fills from a source once in seconds
+    Ms learnt_at = only_if_cached ? source.cached_fill_stretch_at : source.fill_stretch_at;
+    return 1 + ((only_if_cached ? source.cached_fill_stretch : source.fill_stretch) - 1) *
+                   std::exp((learnt_at - now) / kFade);
   }
-  bool InTime(const Request& p, const Machine& m, bool held = false) const {
-    constexpr double kSpare = 1.2;  // a pace is a mean of unlike fills
-    if (f.remarks)
+  bool CanMeetObjective(const Request& request, const Endpoint& source,
+                        bool only_if_cached = false) const {
+    constexpr double kMargin = 1.2;  // the stretch is a mean of differing fills
+    if (settings.reports_cache_status)
       return true;
-    double pace = PaceOf(m, held);
+    double stretch = FillStretchOf(source, only_if_cached);
     for (auto& [id, other] : requests)
       for (const Attempt& attempt : other.attempts)
-        if (attempt.out && attempt.source == &m && attempt.held == held)
-          pace = std::max(pace, (now - attempt.sent_at) / (other.sending + fill_wait));
-    return now + kSpare * (p.sending + fill_wait) * pace < p.agreed_at;
+        if (attempt.in_flight && attempt.source == &source &&
+            attempt.only_if_cached == only_if_cached)
+          stretch = std::max(stretch,
+                             (now - attempt.sent_at) / (other.transfer_time + typical_fill_wait));
+    return now + kMargin * (request.transfer_time + typical_fill_wait) * stretch <
+           request.objective_at;
   }
 
-  // A fill is stretched by the link, which all share, and by its source. The best source's pace is
-  // laid to the link, what is worse to the source.
-  void LearnFill(const Attempt& attempt, Ms own, Ms took) {
-    Machine& from = *attempt.source;
-    if (own <= 0)
+  // A fill is slowed down by the link, which all fills share, and by its source. The best source's
+  // stretch is attributed to the link, any excess over it to the source.
+  void LearnFill(const Attempt& attempt, Ms uncontended, Ms duration) {
+    Endpoint& source = *attempt.source;
+    if (uncontended <= 0)
       return;
-    if (attempt.held && !f.remarks) {  // tells of what it holds only, and nothing of the link
-      from.held_pace = PaceOf(from, true) + 0.5 * (std::max(1.0, took / own) - PaceOf(from, true));
-      return void(from.held_at = now);
+    // Such a fill shows only how the source delivers what it has cached, and nothing about the
+    // link.
+    if (attempt.only_if_cached && !settings.reports_cache_status) {
+      source.cached_fill_stretch =
+          FillStretchOf(source, true) +
+          0.5 * (std::max(1.0, duration / uncontended) - FillStretchOf(source, true));
+      return void(source.cached_fill_stretch_at = now);
     }
-    if (!f.remarks)
-      from.pace = PaceOf(from, false);
-    double step = f.remarks ? 0.1 : 0.8;  // of the last ten fills; of one or two
-    from.pace += step * (std::max(1.0, took / own) - from.pace);
-    from.pace_at = now;
-    double best = from.pace;
-    for (const Machine* m : load.roster.parents)
-      if (now - m->pace_at < 5 * kSecond)
-        best = std::min(best, m->pace);
-    Shift(from, attempt, took / (best * own));
-    if (load.LinkKnown())
-      best = std::min(best, std::max(1.0, load.LinkLevel()));  // none beside a lone one
-    load.Learn(from.room, load.Together(from.attempts, f.fronts) + 1, own, took, best);
-    double grow = f.remarks ? 1.05 : 1.02;  // slower where it goes by lengths alone
-    if (!load.link_notified && from.pace <= 1.25 * best)
-      load.Learn(load.link, load.Together(load.fills, f.zone_replicas) + 1, own, took, 1, grow);
+    if (!settings.reports_cache_status)
+      source.fill_stretch = FillStretchOf(source, false);
+    // Averages over the last ten fills, or over one or two.
+    double step = settings.reports_cache_status ? 0.1 : 0.8;
+    source.fill_stretch += step * (std::max(1.0, duration / uncontended) - source.fill_stretch);
+    source.fill_stretch_at = now;
+    double best = source.fill_stretch;
+    for (const Endpoint* parent : load.endpoints.parents)
+      if (now - parent->fill_stretch_at < 5 * kSecond)
+        best = std::min(best, parent->fill_stretch);
+    AdjustObjectShare(source, attempt, duration / (best * uncontended));
+    if (load.IsLinkKnown())
+      best = std::min(best, std::max(1.0, load.LinkUtilisation()));  // for a source without others
+                                                                     // to compare with
+    load.LearnCapacity(source.capacity, load.OfAllFronts(source.in_flight, settings.fronts) + 1,
+                       uncontended, duration, best);
+    // Slower where durations are all there is to learn from.
+    double growth = settings.reports_cache_status ? 1.05 : 1.02;
+    if (!load.has_configured_link && source.fill_stretch <= 1.25 * best)
+      load.LearnCapacity(load.link,
+                         load.OfAllFronts(load.fills_in_flight, settings.zone_replicas) + 1,
+                         uncontended, duration, 1, growth);
   }
-  // One that came whole: where answers don't tell how long it waited, the usual wait is learnt and
-  // taken off.
-  void Filled(const Attempt& attempt, Ms own, Ms took, Ms waited) {
-    Ms over = std::max(1.0, took - own);
-    if (f.remarks)
-      return LearnFill(attempt, own, took - waited);
-    fill_wait = fill_wait <= 0 ? over : fill_wait * (over > fill_wait ? 1.02 : 0.98);
-    if (own > fill_wait)
-      LearnFill(attempt, own + fill_wait, took);  // below, the wait outweighs it
+  // A fill that succeeded. Where answers don't tell how long it waited, the typical wait is learnt
+  // and counted as part of an uncontended fill.
+  void LearnFinishedFill(const Attempt& attempt, Ms uncontended, Ms duration, Ms wait) {
+    Ms excess = std::max(1.0, duration - uncontended);
+    if (settings.reports_cache_status)
+      return LearnFill(attempt, uncontended, duration - wait);
+    typical_fill_wait = typical_fill_wait <= 0
+                            ? excess
+                            : typical_fill_wait * (excess > typical_fill_wait ? 1.02 : 0.98);
+    if (uncontended > typical_fill_wait)
+      LearnFill(attempt, uncontended + typical_fill_wait, duration);  // otherwise the wait
+                                                                      // outweighs the transfer
   }
 };
 
--- a/src/logic_state/records.hpp
+++ b/src/logic_state/records.hpp
@@ -1,5 +1,5 @@
-// What a front keeps in memory while it decides: plain records, no decisions. Only src/logic/ uses
-// them.
+// The state that the routing policy keeps in memory: plain records without decisions. Only
+// src/logic/ uses them.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -13,137 +13,142 @@
 constexpr Ms kLongAgo = -1e15;
 
 enum class Role {
-  kStore,
+  kLocalCache,
   kParent,
   kOrigin,
-  kForeign
+  kRemoteZoneCache
 };
 
 constexpr int kSizeSteps = 16;  // each of them larger by the root of two
 
-// One offering's figures, with what has been learnt of it.
+// The settings of one request class, with what has been learnt of it.
 struct ClassState : RequestClass {
-  Ms mean_sending = 0;
-  Ms omega = 0;
-  double admitted_share = 1;              // of its requests, lately
-  std::array<double, kSizeSteps> owed{};  // admissions, by size step
-  double& OwedTo(Ms sending) {
-    const double step = 2 * std::log2(std::max(sending, 1.0) / std::max(mean_sending, 1.0));
-    return owed[static_cast<std::size_t>(
+  Ms mean_transfer_time = 0;
+  Ms idle_window = 0;  // a part requested again within this time is expected to be a cache hit
+  double admitted_share = 1;                          // moving average over its recent requests
+  std::array<double, kSizeSteps> admission_credit{};  // by size step
+  double& CreditOf(Ms transfer_time) {
+    const double step =
+        2 * std::log2(std::max(transfer_time, 1.0) / std::max(mean_transfer_time, 1.0));
+    return admission_credit[static_cast<std::size_t>(
         std::clamp(step + kSizeSteps / 2.0, 0.0, kSizeSteps - 1.0))];
   }
-  int sendings_seen = 0;  // of this offering's pulls; counts up to where its mean is steady
+  int transfers_seen = 0;  // counted up to the weight of the moving average of their times
 };
 
-// Transfers that a machine or link carries at full pace: what goes by its size, what it seems to
-// do, and what it has shown.
-struct Room {
-  double nominal = 0;
-  double fits = 0;
-  double proven = 0;
-  Ms learnt_at = 0;
+// How many transfers an endpoint or link carries at full speed.
+struct CapacityEstimate {
+  double nominal = 0;       // from its weight or a default
+  double present = 0;       // as its latest answers suggest
+  double demonstrated = 0;  // the highest load that it has demonstrably carried
+  Ms updated_at = 0;
 };
 
-// Legs of ours that are out, and on average over the last seconds.
-struct Tally {
-  double out = 0;
+// Attempts of this front in flight, now and on average over the last seconds.
+struct InFlightCounter {
+  double current = 0;
   double mean = 0;
-  Ms at = kLongAgo;
+  Ms updated_at = kLongAgo;
 };
 
-// A machine of the list. One that is gone is forgotten with the first list news a minute after its
-// last good answer, when no pull points to it.
-struct Machine : ListEntry {
-  Role role = Role::kForeign;
-  Tally attempts;  // of ours that are out there, or name it as their source
-  Room room;
-  Ms slow_start_from = 0;                   // on this front's clock; 0: started long ago
-  std::deque<std::pair<Ms, double>> spent;  // cold budget: emptied as the window passes
-  Ms turn_until = kLongAgo;
-  double turn = 1;  // drawn from 0 to 1, for a window of the budget
-  int strikes = 0;
-  int answers = 0;
+// An entry of the endpoint list. One that was removed is erased by the first list update a minute
+// after its last successful answer, once no request refers to it.
+struct Endpoint : ListEntry {
+  Role role = Role::kRemoteZoneCache;
+  InFlightCounter in_flight;  // attempts of this front sent to it, or filled from it
+  CapacityEstimate capacity;
+  Ms slow_start_from = 0;  // on this front's clock; 0: started long ago
+  std::deque<std::pair<Ms, double>>
+      slow_start_spent;  // work sent, by time; erased as the window passes
+  Ms budget_draw_until = kLongAgo;
+  double budget_draw = 1;  // drawn from 0 to 1, for one window of the slow start budget
+  int consecutive_failures = 0;
+  int consecutive_probe_successes = 0;
   bool ejected = false;
-  bool trial_out = false;
-  bool may_be_new = false;
+  bool half_open_probe_in_flight = false;  // an attempt that tests an ejected endpoint
+  bool may_have_restarted = false;
   Ms ejected_until = 0;
-  Ms pause = 0;
-  Ms full_until = 0;
-  Ms last_good = kLongAgo;  // when the latest leg was sent that it answered, or filled as a source
-  double pace = 1;          // how much its fills are stretched
-  double held_pace = 1;     // the same for what it held itself, where it was asked for no more
-  Ms pace_at = kLongAgo;
-  Ms held_at = kLongAgo;
-  double share = 1;  // of the objects at home there that are still asked of it
-  Ms share_at = kLongAgo;
-  Ms cut_at = kLongAgo;
+  Ms backoff = 0;
+  Ms overloaded_until = 0;
+  Ms last_success_sent_at = kLongAgo;  // when the latest attempt was sent that it answered, or
+                                       // filled as a source
+  double fill_stretch = 1;             // duration of its fills over that of an uncontended transfer
+  double cached_fill_stretch = 1;      // the same for fills with only_if_cached
+  Ms fill_stretch_at = kLongAgo;
+  Ms cached_fill_stretch_at = kLongAgo;
+  double object_share = 1;  // of the objects that hash to it, those still requested from it
+  Ms object_share_at = kLongAgo;
+  Ms object_share_cut_at = kLongAgo;
   bool IsCache() const {
-    return role == Role::kStore || role == Role::kForeign;
+    return role == Role::kLocalCache || role == Role::kRemoteZoneCache;
   }
 };
 
-// What is known of one part of one object; the oldest is dropped when the table is full, or by its
-// age.
-struct Memory {
+// The request history of one part of one object. The oldest is erased when the table is full, or
+// when it has aged out.
+struct PartHistory {
   std::uint64_t key = 0;
   Ms used_at = kLongAgo;
-  Ms last_request = kLongAgo;
-  double count = 0;            // pulls, ageing
-  Machine* last_at = nullptr;  // the cache that finished it last
-  int pins = 0;                // pulls under way that point here
+  Ms last_request_at = kLongAgo;
+  double request_count = 0;        // decays exponentially
+  Endpoint* last_cache = nullptr;  // the cache that served it last
+  int open_requests = 0;           // that refer to this history
 };
 
 struct Attempt {
-  Machine* at = nullptr;
-  Machine* source = nullptr;  // nullptr: no fill
+  Endpoint* endpoint = nullptr;
+  Endpoint* source = nullptr;  // nullptr: no fill
   Ms sent_at = 0;
   double load = 1;
-  double fill = 0;  // on the cache's own link and the location's, in transfers at full pace
-  bool out = true;
+  double fill_load = 0;  // on the link, in transfers at full speed
+  bool in_flight = true;
   bool never_ran = false;
-  bool erred = false;
-  bool held = false;  // the source was asked only for what it holds
+  bool returned_error = false;
+  bool only_if_cached = false;  // the source must not fetch the object itself
 };
 
-struct Request : RequestCame {
+struct Request : RequestArrived {
   ClassState* class_state = nullptr;
-  Ms expires_at = 0;
-  Ms agreed_at = 0;
-  Ms sending = 0;
-  Ms gap = 0;
-  Memory* memory = nullptr;  // of the part
-  Machine* last_at = nullptr;
-  int rank = 1;
+  Ms deadline = 0;
+  Ms objective_at = 0;   // when its latency objective ends
+  Ms transfer_time = 0;  // of its own size, uncontended
+  Ms idle_time = 0;      // since the previous request for the same part; 0: unknown
+  PartHistory* history = nullptr;
+  Endpoint* last_cache = nullptr;  // as its part's history had it when the request arrived
+  int retention_rank = 1;
   bool ended = false;
   bool streaming = false;
-  bool sibling_lacked = false;
+  bool sibling_missed = false;
   bool known_miss = false;
-  bool spared = false;
-  bool held_only = false;
-  bool is_owed = false;  // an admission, whatever its size
-  double claimed = 0;    // of what its size step was owed
+  bool last_only_if_cached = false;  // its latest attempt was sent with only_if_cached
+  bool only_if_cached = false;       // no source could fetch the object in time
+  bool has_credit = false;           // of its size step, for an admission whatever its size
+  double claimed_credit = 0;
   std::vector<Attempt> attempts;
-  std::vector<Machine*> failed;  // caches and sources that failed this pull
+  std::vector<Endpoint*> failed;  // caches and sources that failed this request
   SizeBand Band() const {
-    return sending > 2 * class_state->mean_sending   ? SizeBand::kLarge
-           : sending < class_state->mean_sending / 2 ? SizeBand::kSmall
-                                                     : SizeBand::kUsual;
+    return transfer_time > 2 * class_state->mean_transfer_time   ? SizeBand::kLarge
+           : transfer_time < class_state->mean_transfer_time / 2 ? SizeBand::kSmall
+                                                                 : SizeBand::kUsual;
   }
-  bool HasFailed(const Machine* m) const {
-    return std::count(failed.begin(), failed.end(), m) > 0;
+  bool HasFailed(const Endpoint* endpoint) const {
+    return std::count(failed.begin(), failed.end(), endpoint) > 0;
   }
-  bool AttemptOut() const {
-    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& l) { return l.out; });
+  bool HasAttemptInFlight() const {
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const Attempt& attempt) { return attempt.in_flight; });
   }
-  bool PointsTo(const Machine* m) const {
-    auto there = [&](const Attempt& l) {
-      return l.at == m || l.source == m;
+  bool RefersTo(const Endpoint* endpoint) const {
+    auto uses = [&](const Attempt& attempt) {
+      return attempt.endpoint == endpoint || attempt.source == endpoint;
     };
-    return last_at == m || HasFailed(m) || std::any_of(attempts.begin(), attempts.end(), there);
+    return last_cache == endpoint || HasFailed(endpoint) ||
+           std::any_of(attempts.begin(), attempts.end(), uses);
+  }
+  // 0 while no size has been reported in its class.
+  Ms KnownTransferTime() const {
+    return class_state->transfers_seen ? transfer_time : 0;
   }
-  Ms KnownSending() const {
-    return class_state->sendings_seen ? sending : 0;
-  }  // 0: no size was ever told
 };
 
 }  // namespace dunlinwick::logic
--- a/src/logic_state/tables.hpp
+++ b/src/logic_state/tables.hpp
@@ -1,5 +1,5 @@
-// Tables of the module's records, and how they are found and sorted. No decisions: what a table
-// holds, and when something is dropped from it, is for src/logic/ to say.
+// The tables of the policy's records, with lookup and sorting. No decisions: src/logic/ decides
+// what a table holds and when an entry is erased.
 #pragma once
 #include <cmath>
 #include <list>
@@ -12,122 +12,129 @@
 
 namespace dunlinwick::logic {
 
-inline std::uint64_t Mixed(
-    std::uint64_t x) {  // splitmix64's finisher: the same at all fronts, whatever their seeds
+// The finisher of splitmix64. Independent of the seed, so that all fronts compute the same hash.
+inline std::uint64_t MixHash(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ull;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
   return x ^ (x >> 31);
 }
-inline double Fraction(std::uint64_t hash) {
+// From 0 to below 1.
+inline double UnitFraction(std::uint64_t hash) {
   return static_cast<double>(hash >> 11) * 0x1p-53;
-}  // from 0 to below 1
-inline double Inside(std::uint64_t hash) {
+}
+// Above 0 and below 1.
+inline double OpenUnitFraction(std::uint64_t hash) {
   return (static_cast<double>(hash >> 11) + 0.5) * 0x1p-53;
-}  // above 0 too
+}
 
-// Pulls under way by their number: one goes when it has ended and its last leg is in.
+// Open requests by their number. An entry is erased when the request has ended and its last attempt
+// is no longer in flight.
 struct Requests : std::map<std::uint32_t, Request> {
-  Request* Known(std::uint32_t id) {
-    auto at = find(id);
-    return at == end() ? nullptr : &at->second;
+  Request* Find(std::uint32_t id) {
+    auto found = find(id);
+    return found == end() ? nullptr : &found->second;
   }
-  bool PointTo(const Machine* m) const {
-    return std::any_of(begin(), end(), [&](auto& one) { return one.second.PointsTo(m); });
+  bool AnyRefersTo(const Endpoint* endpoint) const {
+    return std::any_of(begin(), end(),
+                       [&](auto& entry) { return entry.second.RefersTo(endpoint); });
   }
-  // How many legs are out there, or fed from there, of which `which` holds.
-  template <class Which>
-  int AttemptsOut(const Machine* m, Which which) const {
+  // The number of attempts in flight to `endpoint`, or filled from it, that satisfy `predicate`.
+  template <class Predicate>
+  int CountInFlight(const Endpoint* endpoint, Predicate predicate) const {
     int sum = 0;
-    for (auto& [id, p] : *this)
-      for (const Attempt& attempt : p.attempts)
-        sum += attempt.out && (attempt.at == m || attempt.source == m) && which(p, attempt);
+    for (auto& [id, request] : *this)
+      for (const Attempt& attempt : request.attempts)
+        sum += attempt.in_flight && (attempt.endpoint == endpoint || attempt.source == endpoint) &&
+               predicate(request, attempt);
     return sum;
   }
-  void Forget(Request& p) {
-    if (!p.ended || p.AttemptOut())
+  void EraseIfDone(Request& request) {
+    if (!request.ended || request.HasAttemptInFlight())
       return;
-    --p.memory->pins;
-    erase(p.request);
+    --request.history->open_requests;
+    erase(request.request);
   }
 };
 
-// The list of machines, and the same by role without those that are gone, each group by its
-// machines' numbers.
-struct Machines {
-  std::map<std::uint32_t, Machine> machines;
-  std::vector<Machine*> stores, parents, origins;
-  std::map<int, std::vector<Machine*>> away;  // other zones' caches
-  Machine* Known(std::uint32_t id) {
-    auto at = machines.find(id);
-    return at == machines.end() ? nullptr : &at->second;
+// The endpoints by number, and by role without those that were removed; each group is in the order
+// of the numbers.
+struct EndpointTable {
+  std::map<std::uint32_t, Endpoint> by_number;
+  std::vector<Endpoint*> caches, parents, origins;      // `caches`: of the own zone
+  std::map<int, std::vector<Endpoint*>> remote_caches;  // by zone
+  Endpoint* Find(std::uint32_t id) {
+    auto found = by_number.find(id);
+    return found == by_number.end() ? nullptr : &found->second;
   }
-  void Regroup() {
-    stores.clear();
+  void RebuildGroups() {
+    caches.clear();
     parents.clear();
     origins.clear();
-    away.clear();
-    for (auto& [id, m] : machines) {
-      if (m.standing == Standing::kGone)
+    remote_caches.clear();
+    for (auto& [id, endpoint] : by_number) {
+      if (endpoint.state == EndpointState::kRemoved)
         continue;
-      if (m.role == Role::kStore)
-        stores.push_back(&m);
-      if (m.role == Role::kParent)
-        parents.push_back(&m);
-      if (m.role == Role::kOrigin)
-        origins.push_back(&m);
-      if (m.role == Role::kForeign)
-        away[m.zone].push_back(&m);
+      if (endpoint.role == Role::kLocalCache)
+        caches.push_back(&endpoint);
+      if (endpoint.role == Role::kParent)
+        parents.push_back(&endpoint);
+      if (endpoint.role == Role::kOrigin)
+        origins.push_back(&endpoint);
+      if (endpoint.role == Role::kRemoteZoneCache)
+        remote_caches[endpoint.zone].push_back(&endpoint);
     }
   }
 };
 
-// Machines by their scores, the least first; equals by their numbers.
-inline std::vector<Machine*> Sorted(std::vector<std::pair<double, Machine*>> scored) {
+// Endpoints by ascending score; equal scores by number.
+inline std::vector<Endpoint*> SortedByScore(std::vector<std::pair<double, Endpoint*>> scored) {
   std::sort(scored.begin(), scored.end(), [](auto& a, auto& b) {
-    return a.first != b.first ? a.first < b.first : a.second->cache < b.second->cache;
+    return a.first != b.first ? a.first < b.first : a.second->id < b.second->id;
   });
-  std::vector<Machine*> order;
-  for (auto& [score, m] : scored)
-    order.push_back(m);
+  std::vector<Endpoint*> order;
+  for (auto& [score, endpoint] : scored)
+    order.push_back(endpoint);
   return order;
 }
 
-// Memories in the order of their last use.
-struct Remembered {
-  std::list<Memory> all;  // oldest first
-  std::unordered_map<std::uint64_t, std::list<Memory>::iterator> at;
-  Memory* Use(std::uint64_t key, Ms now) {
-    auto found = at.find(key);
-    if (found == at.end())
+// The histories of parts, in the order of their last use.
+struct HistoryTable {
+  std::list<PartHistory> by_use;  // least recently used first
+  std::unordered_map<std::uint64_t, std::list<PartHistory>::iterator> by_key;
+  PartHistory* Touch(std::uint64_t key, Ms now) {
+    auto found = by_key.find(key);
+    if (found == by_key.end())
       return nullptr;
-    all.splice(all.end(), all, found->second);
+    by_use.splice(by_use.end(), by_use, found->second);
     found->second->used_at = now;
     return &*found->second;
   }
-  Memory* Add(std::uint64_t key, Ms now) {
-    all.push_back({key, now});
-    at[key] = std::prev(all.end());
-    return &all.back();
+  PartHistory* Add(std::uint64_t key, Ms now) {
+    by_use.push_back({key, now});
+    by_key[key] = std::prev(by_use.end());
+    return &by_use.back();
+  }
+  // Whether the oldest may be erased: no request refers to it.
+  bool IsOldestUnused() const {
+    return !by_use.empty() && by_use.front().open_requests == 0;
   }
-  bool Loose() const {
-    return !all.empty() && all.front().pins == 0;
-  }  // no pull points to the oldest
-  void Unlink(const Machine* m) {
-    for (Memory& x : all)
-      if (x.last_at == m)
-        x.last_at = nullptr;
+  void Unlink(const Endpoint* endpoint) {
+    for (PartHistory& history : by_use)
+      if (history.last_cache == endpoint)
+        history.last_cache = nullptr;
   }
-  void DropOldest() {
-    at.erase(all.front().key);
-    all.pop_front();
+  void EraseOldest() {
+    by_key.erase(by_use.front().key);
+    by_use.pop_front();
   }
 };
 
-inline std::string LineOf(const char* what, const Machine& m) {
-  static const char* const kRoles[] = {"cache ", "parent ", "origin ", "machine "};
-  return kRoles[static_cast<int>(m.role)] + std::to_string(m.cache) + " " + what + ": strikes " +
-         std::to_string(m.strikes) + ", legs " + std::to_string(std::lround(m.attempts.out));
+inline std::string LogLineOf(const char* change, const Endpoint& endpoint) {
+  static const char* const kRoles[] = {"cache ", "parent ", "origin ", "remote cache "};
+  return kRoles[static_cast<int>(endpoint.role)] + std::to_string(endpoint.id) + " " + change +
+         ": consecutive failures " + std::to_string(endpoint.consecutive_failures) +
+         ", attempts in flight " + std::to_string(std::lround(endpoint.in_flight.current));
 }
 
 }  // namespace dunlinwick::logic
--- a/src/logic_state/turn.hpp
+++ b/src/logic_state/turn.hpp
@@ -1,5 +1,5 @@
-// What the parts of the module share: the event under way, the settings' figures, and the pulls. No
-// decisions.
+// What the components of the routing policy share: the event being handled, the settings, and the
+// open requests. No decisions.
 #pragma once
 #include <cmath>
 #include <random>
@@ -10,90 +10,92 @@
 
 constexpr Ms kSecond = 1000;
 
-enum Wake : std::uint64_t {
-  kWakeRequest = 1,
-  kWakeMachine = 2,
-  kWakeList = 3
-};  // the upper byte of a WakeMe's handle
+// The upper byte of a timer's handle.
+enum TimerKind : std::uint64_t {
+  kRequestTimer = 1,
+  kEndpointTimer = 2,
+  kListTimer = 3
+};
 
-// The sheet as the parts use it; what they make of it they derive themselves, at start.
-struct Figures {
+// The deployment settings as the components use them; what follows from them each component derives
+// itself, at start.
+struct PolicySettings {
   int zone;
   int zone_replicas;
   int fronts;
-  int places;
+  int max_open_requests;
   int parent_kind;
   int origin_kind;
-  int most_attempts;
-  int link_report;
-  Permits may;
-  bool asks_for_list;
-  bool lateral;
-  bool remarks;
-  Weighing weighing;
-  Ms retry_limit;
-  Ms purge_done;
-  Ms cold_window;
+  int max_attempts;
+  int link_report_index;
+  Permissions permissions;
+  bool polls_endpoint_list;
+  bool fills_from_siblings;
+  bool reports_cache_status;
+  WeightSource weight_source;
+  Ms max_retry_after;
+  Ms purge_completion_time;
+  Ms slow_start_window;
   double stream_kb_per_ms;
-  double link_room;  // transfers that the link carries, 0: not told
-  ColdTerms cold_store;
-  ColdTerms cold_parent;
-  explicit Figures(const StoreSettings& s)
-      : zone(s.zone),
-        zone_replicas(std::max(1, s.zone_replicas)),
-        fronts(std::max(1, s.fronts)),
-        places(s.places),
-        parent_kind(s.parent_kind),
-        origin_kind(s.origin_kind),
-        most_attempts(s.most_attempts),
-        link_report(s.link_report),
-        may(s.may),
-        asks_for_list(s.asks_for_list),
-        lateral(s.lateral),
-        remarks(s.remarks),
-        weighing(s.weighing),
-        retry_limit(s.longest_retry_after),
-        purge_done(s.purge_done),
-        cold_window(s.cold_window),
-        stream_kb_per_ms(s.stream_kb_per_ms),
-        link_room(s.link_kb_per_ms > 0 && s.stream_kb_per_ms > 0
-                      ? s.link_kb_per_ms / s.stream_kb_per_ms
-                      : 0),
-        cold_store(s.cold_store),
-        cold_parent(s.cold_parent) {}
+  double link_capacity;  // in transfers at full speed; 0: unknown
+  SlowStartSettings cache_slow_start;
+  SlowStartSettings parent_slow_start;
+  explicit PolicySettings(const DeploymentSettings& deployment)
+      : zone(deployment.zone),
+        zone_replicas(std::max(1, deployment.zone_replicas)),
+        fronts(std::max(1, deployment.fronts)),
+        max_open_requests(deployment.max_open_requests),
+        parent_kind(deployment.parent_kind),
+        origin_kind(deployment.origin_kind),
+        max_attempts(deployment.max_attempts),
+        link_report_index(deployment.link_report_index),
+        permissions(deployment.permissions),
+        polls_endpoint_list(deployment.polls_endpoint_list),
+        fills_from_siblings(deployment.fills_from_siblings),
+        reports_cache_status(deployment.reports_cache_status),
+        weight_source(deployment.weight_source),
+        max_retry_after(deployment.max_retry_after),
+        purge_completion_time(deployment.purge_completion_time),
+        slow_start_window(deployment.slow_start_window),
+        stream_kb_per_ms(deployment.stream_kb_per_ms),
+        link_capacity(deployment.link_kb_per_ms > 0 && deployment.stream_kb_per_ms > 0
+                          ? deployment.link_kb_per_ms / deployment.stream_kb_per_ms
+                          : 0),
+        cache_slow_start(deployment.cache_slow_start),
+        parent_slow_start(deployment.parent_slow_start) {}
 };
 
-inline Role RoleOf(const ListEntry& e, const Figures& f) {
-  if (e.kind == f.origin_kind)
+inline Role RoleOf(const ListEntry& entry, const PolicySettings& settings) {
+  if (entry.kind == settings.origin_kind)
     return Role::kOrigin;
-  if (e.kind == f.parent_kind)
+  if (entry.kind == settings.parent_kind)
     return Role::kParent;
-  return e.zone == f.zone ? Role::kStore : Role::kForeign;
+  return entry.zone == settings.zone ? Role::kLocalCache : Role::kRemoteZoneCache;
 }
 
-// A value of an answer's report by its place; not a number where there is none.
-inline double Reported(const std::vector<float>& report, int place) {
-  bool there = place >= 0 && place < static_cast<int>(report.size());
-  return there ? static_cast<double>(report[static_cast<std::size_t>(place)]) : std::nan("");
+// The value at `index` of an answer's load report; NaN where there is none.
+inline double ReportedValue(const std::vector<float>& load_report, int index) {
+  bool exists = index >= 0 && index < static_cast<int>(load_report.size());
+  return exists ? static_cast<double>(load_report[static_cast<std::size_t>(index)]) : std::nan("");
 }
 
-struct Turn {
+struct EventContext {
   Ms now = 0;
-  std::vector<Action>* todo = nullptr;  // what is to be done, in order
-  std::knuth_b chance;
+  std::vector<Action>* actions = nullptr;  // to carry out, in order
+  std::knuth_b random_engine;
 };
 
-// What every part stands on.
-struct Part {
-  Turn& turn;
-  const Figures& f;
+// The base of each component of the policy.
+struct PolicyContext {
+  EventContext& event;
+  const PolicySettings& settings;
   Requests& requests;
-  const Ms& now = turn.now;
-  void Act(Action a) const {
-    turn.todo->push_back(std::move(a));
+  const Ms& now = event.now;
+  void Emit(Action action) const {
+    event.actions->push_back(std::move(action));
   }
-  double Drawn(double from = 0, double to = 1) const {
-    return std::uniform_real_distribution<>(from, to)(turn.chance);
+  double Uniform(double from = 0, double to = 1) const {
+    return std::uniform_real_distribution<>(from, to)(event.random_engine);
   }
 };
 
--- a/src/owner/membership.cpp
+++ b/src/owner/membership.cpp
@@ -37,7 +37,7 @@
   // The group refers to the store; and LMDB must not be opened twice in one process.
   node_.Leave(now);
   store_.reset();
-  retry_.Failed(now);
+  retry_.RecordFailure(now);
   if (!std::exchange(said_failure_, true))
     say_("owner store not used, tried again: " + reason);
 }
--- a/src/owner/membership.hpp
+++ b/src/owner/membership.hpp
@@ -44,7 +44,7 @@
   OpenStore open_store_;
   Say say_;
   std::unique_ptr<Store> store_;
-  backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
+  backoff::Backoff retry_{backoff::kInitialStoreRetry, backoff::kMaxStoreRetry};
   bool said_failure_ = false;
 };
 
--- a/src/record/replica.cpp
+++ b/src/record/replica.cpp
@@ -42,7 +42,7 @@
   log_.reset();
   disk_.reset();
   current_at_ = 0;
-  retry_.Failed(now);
+  retry_.RecordFailure(now);
   if (!std::exchange(said_failure_, true))
     say_(line + "; it acknowledges nothing until its store can be read and written again");
 }
--- a/src/record/replica.hpp
+++ b/src/record/replica.hpp
@@ -80,7 +80,7 @@
   std::unique_ptr<Log> log_;
   std::unique_ptr<Keeper> keeper_;
   std::unique_ptr<Server> server_;
-  backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
+  backoff::Backoff retry_{backoff::kInitialStoreRetry, backoff::kMaxStoreRetry};
   bool said_failure_ = false;
   Head head_at_opening_;
   std::uint64_t life_ = 0;
--- a/src/sheet/sheet.cpp
+++ b/src/sheet/sheet.cpp
@@ -8,243 +8,258 @@
 namespace dunlinwick::settings {
 namespace {
 
-std::vector<std::string_view> Split(std::string_view text, char at) {
+std::vector<std::string_view> Split(std::string_view text, char separator) {
   std::vector<std::string_view> parts;
   while (!text.empty()) {
-    std::size_t end = text.find(at);
+    std::size_t end = text.find(separator);
     parts.push_back(text.substr(0, end));
     text = end == text.npos ? std::string_view{} : text.substr(end + 1);
   }
   return parts;
 }
 
-class Facts {
+// The lines key=value of the settings text, by key. Its views point into the text, which has to
+// outlive it. What is missing or unreadable throws SettingsError.
+class KeyValues {
  public:
-  explicit Facts(std::string_view text) {
+  explicit KeyValues(std::string_view text) {
     for (std::string_view line : Split(text, '\n')) {
       if (!line.empty() && line.back() == '\r')
         line.remove_suffix(1);
-      std::size_t eq = line.find('=');
-      if (eq != line.npos)
-        by_key_[std::string(line.substr(0, eq))] = line.substr(eq + 1);
+      std::size_t separator = line.find('=');
+      if (separator != line.npos)
+        by_key_[std::string(line.substr(0, separator))] = line.substr(separator + 1);
     }
   }
-  std::string_view Need(const std::string& key) const {
-    auto at = by_key_.find(key);
-    if (at == by_key_.end())
-      throw SettingsFault("setting missing: " + key);
-    return at->second;
+  std::string_view Require(const std::string& key) const {
+    auto found = by_key_.find(key);
+    if (found == by_key_.end())
+      throw SettingsError("setting missing: " + key);
+    return found->second;
   }
   bool Has(const std::string& key) const {
     return by_key_.count(key) != 0;
   }
-  double number(const std::string& key) const {
-    return ToNumber(key, Need(key));
+  double Number(const std::string& key) const {
+    return ToNumber(key, Require(key));
   }
-  double number(const std::string& key, double absent) const {
-    return Has(key) ? number(key) : absent;
+  double Number(const std::string& key, double default_value) const {
+    return Has(key) ? Number(key) : default_value;
   }
-  int Whole(const std::string& key, double low, double high) const {
-    return ToWhole(key, number(key), low, high);
+  int Integer(const std::string& key, double min, double max) const {
+    return ToInteger(key, Number(key), min, max);
   }
-  bool Flag(const std::string& key, bool absent) const {
-    return Has(key) ? ToFlag(key, Need(key)) : absent;
+  bool Flag(const std::string& key, bool default_value) const {
+    return Has(key) ? ToFlag(key, Require(key)) : default_value;
   }
   std::vector<double> Numbers(const std::string& key) const {
-    std::vector<double> all;
+    std::vector<double> values;
     if (Has(key))
-      for (std::string_view v : Split(Need(key), ','))
-        all.push_back(ToNumber(key, v));
-    return all;
+      for (std::string_view value : Split(Require(key), ','))
+        values.push_back(ToNumber(key, value));
+    return values;
   }
   std::vector<bool> Flags(const std::string& key) const {
-    std::vector<bool> all;
+    std::vector<bool> values;
     if (Has(key))
-      for (std::string_view v : Split(Need(key), ','))
-        all.push_back(ToFlag(key, v));
-    return all;
+      for (std::string_view value : Split(Require(key), ','))
+        values.push_back(ToFlag(key, value));
+    return values;
   }
-  std::vector<std::string> Words(const std::string& key) const {
-    std::vector<std::string> all;
+  std::vector<std::string> Strings(const std::string& key) const {
+    std::vector<std::string> values;
     if (Has(key))
-      for (std::string_view v : Split(Need(key), ','))
-        all.emplace_back(v);
-    return all;
+      for (std::string_view value : Split(Require(key), ','))
+        values.emplace_back(value);
+    return values;
   }
   template <class T>
-  T choice(const std::string& key, T absent,
-           std::initializer_list<std::pair<std::string_view, T>> known) const {
+  T Choice(const std::string& key, T default_value,
+           std::initializer_list<std::pair<std::string_view, T>> choices) const {
     if (!Has(key))
-      return absent;
-    std::string all;
-    for (auto& [word, value] : known) {
-      if (word == Need(key))
+      return default_value;
+    std::string names;
+    for (auto& [name, value] : choices) {
+      if (name == Require(key))
         return value;
-      all += (all.empty() ? "" : ", ") + std::string(word);
+      names += (names.empty() ? "" : ", ") + std::string(name);
     }
-    throw SettingsFault("setting unreadable: " + key + " is none of " + all + ": " +
-                        Shown(Need(key)));
+    throw SettingsError("setting unreadable: " + key + " is none of " + names + ": " +
+                        Printable(Require(key)));
   }
-  static int ToWhole(const std::string& key, double v, double low, double high) {
-    if (!(v >= low && v <= high))
-      throw SettingsFault("setting unreadable: " + key + " is out of its range");
-    return static_cast<int>(v);
+  static int ToInteger(const std::string& key, double value, double min, double max) {
+    if (!(value >= min && value <= max))
+      throw SettingsError("setting unreadable: " + key + " is out of its range");
+    return static_cast<int>(value);
   }
 
  private:
   static double ToNumber(const std::string& key, std::string_view text) {
-    double v = 0;
-    auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), v);
-    if (fault != std::errc{} || end != text.data() + text.size() || !std::isfinite(v))
-      throw SettingsFault("setting unreadable: " + key + " is no number: " + Shown(text));
-    return v;
+    double value = 0;
+    auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value))
+      throw SettingsError("setting unreadable: " + key + " is no number: " + Printable(text));
+    return value;
   }
   static bool ToFlag(const std::string& key, std::string_view text) {
     if (text == "true")
       return true;
     if (text == "false")
       return false;
-    throw SettingsFault("setting unreadable: " + key +
-                        " is neither true nor false: " + Shown(text));
+    throw SettingsError("setting unreadable: " + key +
+                        " is neither true nor false: " + Printable(text));
   }
-  static std::string Shown(std::string_view text) {  // of one line, whatever it holds
-    std::string plain = PlainWord(text.substr(0, 40));
-    return plain.empty() ? "nothing" : plain;
+  // Cut short and free of line breaks, so that an error message stays on one line.
+  static std::string Printable(std::string_view text) {
+    std::string sanitized = SanitizedValue(text.substr(0, 40));
+    return sanitized.empty() ? "nothing" : sanitized;
   }
   std::map<std::string, std::string_view, std::less<>> by_key_;
 };
 
 }  // namespace
 
-StoreSettings ReadSettings(std::string_view text) {
-  Facts f(text);
-  StoreSettings s;
-  std::vector<double> fresh = f.Numbers("familyInfo.lifetimeByClass");
-  std::vector<bool> never_kept = f.Flags("familyInfo.neverKept");
-  int count = f.Whole("classes.count", 1, 255);
+DeploymentSettings ReadDeploymentSettings(std::string_view text) {
+  KeyValues values(text);
+  DeploymentSettings settings;
+  std::vector<double> freshness_lifetimes = values.Numbers("familyInfo.lifetimeByClass");
+  std::vector<bool> uncacheable = values.Flags("familyInfo.neverKept");
+  int count = values.Integer("classes.count", 1, 255);
   for (int i = 0; i < count; ++i) {
-    std::string at = "classes." + std::to_string(i) + ".";
-    std::size_t n = static_cast<std::size_t>(i);
-    RequestClass o;
-    o.effect = f.choice<Effect>(at + "idempotency", Effect::kExclusive,
-                                {{"repeatable", Effect::kIdempotent},
-                                 {"by_key", Effect::kIdempotentWithKey},
-                                 {"once", Effect::kExclusive}});
-    o.span =
-        f.choice<Span>(at + "group", Span::kCell,
-                       {{"all", Span::kEverywhere}, {"zone", Span::kZone}, {"cell", Span::kCell}});
-    o.memory = f.number(at + "memorySpan", 0);
-    o.agreed = f.number(at + "aim");
-    o.agreed_stretch = f.number(at + "aimStretch", 0);
-    o.expiry = f.number(at + "giveUp");
-    o.payoff = f.number(at + "importance", 1);
-    o.streams = f.Flag(at + "stream", false);
-    o.fresh_for = n < fresh.size() ? fresh[n] : 0;
-    o.never_kept = n < never_kept.size() && never_kept[n];
-    s.request_classes.push_back(o);
-  }
-  s.zone = f.Whole("zone", 0, 65535);
-  s.fronts = f.Whole("balancers", 1, 65535);
-  std::size_t zone = static_cast<std::size_t>(s.zone);
-  std::vector<double> crews = f.Numbers("familyInfo.crewByZone"),
-                      links = f.Numbers("familyInfo.pipeKbPerS");
-  s.zone_replicas = zone < crews.size()
-                        ? Facts::ToWhole("familyInfo.crewByZone", crews[zone], 0, 65535)
-                        : s.fronts;
-  s.link_kb_per_ms = zone < links.size() ? links[zone] / 1000 : 0;
-  s.parent_kind = static_cast<int>(f.number("familyInfo.parentKind", -1));
-  s.origin_kind = static_cast<int>(f.number("familyInfo.sourceKind", -1));
-  s.asks_for_list = f.choice<bool>("discovery", false, {{"push", false}, {"ask", true}});
-  s.weighing = f.choice<Weighing>("weights", Weighing::kNone,
-                                  {{"none", Weighing::kNone},
-                                   {"nominal", Weighing::kNominal},
-                                   {"rough", Weighing::kRough},
-                                   {"live", Weighing::kLive}});
-  s.may.probe = f.Flag("limits.probing", false);
-  s.may.cancel = f.Flag("limits.cancel", false);
-  s.may.two_attempts_at_once = f.Flag("limits.mayDuplicate", false);
-  s.may.join = f.Flag("familyInfo.canJoin", false);
-  s.may.direct = f.Flag("familyInfo.direct", false);
-  s.longest_retry_after =
-      f.Flag("limits.retryAfter", false) ? f.number("limits.maxRetryAfter", 0) : 0;
-  s.most_attempts = f.Whole("limits.maxAttempts", 1, 255);
-  s.places = f.Has("limits.maxOpen") ? f.Whole("limits.maxOpen", 0, 1e9) : 0;
-  s.lateral = f.choice<bool>("familyInfo.lateral", false,
-                             {{"none", false}, {"location", true}, {"any", true}});
-  s.stream_kb_per_ms = f.number("familyInfo.streamKbPerS", 0) / 1000;
-  s.remarks =
-      f.choice<bool>("familyInfo.detail", true, {{"all", true}, {"hit", false}, {"none", false}});
-  // A cache's x1 is how full its location's link is; the settings say so in words of their own.
-  std::vector<std::string> reported = f.Words("report.names");
-  bool in_answers =
-      f.choice<bool>("report.via", false, {{"answers", true}, {"probe", false}, {"none", false}});
-  auto full = std::find(reported.begin(), reported.end(), "x1");
-  if (full != reported.end() && in_answers && f.Has("familyInfo.reportX1") &&
-      f.Need("familyInfo.reportX1").find("link") != std::string_view::npos)
-    s.link_report = static_cast<int>(full - reported.begin());
-  s.purge_done = f.number("familyInfo.purgeDone", 0);
-  s.cold_store.from = f.number("obligations.coldFrom", 1);
-  s.cold_store.lasts = f.number("obligations.cold", 0);
-  s.cold_store.multiple = f.number("obligations.overloadFactor", 0);
-  s.cold_window = f.number("obligations.fall", 0);
-  s.cold_parent.from = f.number("familyInfo.parentFloor", s.cold_store.from);
-  s.cold_parent.lasts = f.number("familyInfo.parentRamp", s.cold_store.lasts);
-  s.cold_parent.multiple = f.number("familyInfo.parentFallMultiple", s.cold_store.multiple);
-  return s;
+    std::string prefix = "classes." + std::to_string(i) + ".";
+    std::size_t index = static_cast<std::size_t>(i);
+    RequestClass request_class;
+    request_class.effect = values.Choice<Effect>(prefix + "idempotency", Effect::kExclusive,
+                                                 {{"repeatable", Effect::kIdempotent},
+                                                  {"by_key", Effect::kIdempotentWithKey},
+                                                  {"once", Effect::kExclusive}});
+    request_class.deduplication_scope =
+        values.Choice<DeduplicationScope>(prefix + "group", DeduplicationScope::kCell,
+                                          {{"all", DeduplicationScope::kEverywhere},
+                                           {"zone", DeduplicationScope::kZone},
+                                           {"cell", DeduplicationScope::kCell}});
+    request_class.deduplication_window = values.Number(prefix + "memorySpan", 0);
+    request_class.latency_objective = values.Number(prefix + "aim");
+    request_class.latency_objective_stretch = values.Number(prefix + "aimStretch", 0);
+    request_class.max_deadline = values.Number(prefix + "giveUp");
+    request_class.priority_weight = values.Number(prefix + "importance", 1);
+    request_class.streams = values.Flag(prefix + "stream", false);
+    request_class.freshness_lifetime =
+        index < freshness_lifetimes.size() ? freshness_lifetimes[index] : 0;
+    request_class.uncacheable = index < uncacheable.size() && uncacheable[index];
+    settings.request_classes.push_back(request_class);
+  }
+  settings.zone = values.Integer("zone", 0, 65535);
+  settings.fronts = values.Integer("balancers", 1, 65535);
+  std::size_t zone = static_cast<std::size_t>(settings.zone);
+  std::vector<double> zone_replicas = values.Numbers("familyInfo.crewByZone"),
+                      link_rates = values.Numbers("familyInfo.pipeKbPerS");
+  settings.zone_replicas =
+      zone < zone_replicas.size()
+          ? KeyValues::ToInteger("familyInfo.crewByZone", zone_replicas[zone], 0, 65535)
+          : settings.fronts;
+  settings.link_kb_per_ms = zone < link_rates.size() ? link_rates[zone] / 1000 : 0;
+  settings.parent_kind = static_cast<int>(values.Number("familyInfo.parentKind", -1));
+  settings.origin_kind = static_cast<int>(values.Number("familyInfo.sourceKind", -1));
+  settings.polls_endpoint_list =
+      values.Choice<bool>("discovery", false, {{"push", false}, {"ask", true}});
+  settings.weight_source = values.Choice<WeightSource>("weights", WeightSource::kNone,
+                                                       {{"none", WeightSource::kNone},
+                                                        {"nominal", WeightSource::kNominal},
+                                                        {"rough", WeightSource::kRough},
+                                                        {"live", WeightSource::kLive}});
+  settings.permissions.probe = values.Flag("limits.probing", false);
+  settings.permissions.cancel = values.Flag("limits.cancel", false);
+  settings.permissions.concurrent_attempts = values.Flag("limits.mayDuplicate", false);
+  settings.permissions.coalesce = values.Flag("familyInfo.canJoin", false);
+  settings.permissions.direct_to_origin = values.Flag("familyInfo.direct", false);
+  settings.max_retry_after =
+      values.Flag("limits.retryAfter", false) ? values.Number("limits.maxRetryAfter", 0) : 0;
+  settings.max_attempts = values.Integer("limits.maxAttempts", 1, 255);
+  settings.max_open_requests =
+      values.Has("limits.maxOpen") ? values.Integer("limits.maxOpen", 0, 1e9) : 0;
+  settings.fills_from_siblings = values.Choice<bool>(
+      "familyInfo.lateral", false, {{"none", false}, {"location", true}, {"any", true}});
+  settings.stream_kb_per_ms = values.Number("familyInfo.streamKbPerS", 0) / 1000;
+  settings.reports_cache_status = values.Choice<bool>(
+      "familyInfo.detail", true, {{"all", true}, {"hit", false}, {"none", false}});
+  // A cache's report value x1 is the utilisation of its zone's link where the description of x1
+  // mentions the link.
+  std::vector<std::string> report_names = values.Strings("report.names");
+  bool reported_in_answers = values.Choice<bool>(
+      "report.via", false, {{"answers", true}, {"probe", false}, {"none", false}});
+  auto link_report = std::find(report_names.begin(), report_names.end(), "x1");
+  if (link_report != report_names.end() && reported_in_answers &&
+      values.Has("familyInfo.reportX1") &&
+      values.Require("familyInfo.reportX1").find("link") != std::string_view::npos)
+    settings.link_report_index = static_cast<int>(link_report - report_names.begin());
+  settings.purge_completion_time = values.Number("familyInfo.purgeDone", 0);
+  settings.cache_slow_start.initial_weight = values.Number("obligations.coldFrom", 1);
+  settings.cache_slow_start.duration = values.Number("obligations.cold", 0);
+  settings.cache_slow_start.overload_factor = values.Number("obligations.overloadFactor", 0);
+  settings.slow_start_window = values.Number("obligations.fall", 0);
+  settings.parent_slow_start.initial_weight =
+      values.Number("familyInfo.parentFloor", settings.cache_slow_start.initial_weight);
+  settings.parent_slow_start.duration =
+      values.Number("familyInfo.parentRamp", settings.cache_slow_start.duration);
+  settings.parent_slow_start.overload_factor =
+      values.Number("familyInfo.parentFallMultiple", settings.cache_slow_start.overload_factor);
+  return settings;
 }
 
-RoadTerms ReadRoadTerms(std::string_view text) {
-  Facts f(text);
-  RoadTerms t;
-  int count = f.Whole("classes.count", 1, 255);
+ConnectionSettings ReadConnectionSettings(std::string_view text) {
+  KeyValues values(text);
+  ConnectionSettings settings;
+  int count = values.Integer("classes.count", 1, 255);
   for (int i = 0; i < count; ++i)
-    t.request_classes.emplace_back(f.Need("classes." + std::to_string(i) + ".name"));
-  t.zones = f.Words("azs");
-  t.kinds = f.Words("flavors");
-  t.reported = f.Words("report.names");
-  t.connect_within = f.number("limits.connectTimeout");
-  t.idle_for = f.number("limits.connIdle");
-  t.attempts_at_once = f.Whole("limits.streamsPerConn", 1, 1e6);
-  t.may_probe = f.Flag("limits.probing", false);
-  return t;
+    settings.request_classes.emplace_back(values.Require("classes." + std::to_string(i) + ".name"));
+  settings.zones = values.Strings("azs");
+  settings.kinds = values.Strings("flavors");
+  settings.report_names = values.Strings("report.names");
+  settings.connect_timeout = values.Number("limits.connectTimeout");
+  settings.idle_timeout = values.Number("limits.connIdle");
+  settings.max_concurrent_attempts = values.Integer("limits.streamsPerConn", 1, 1e6);
+  settings.may_probe = values.Flag("limits.probing", false);
+  return settings;
 }
 
-std::string PlainWord(std::string_view text) {
-  std::string word(text);
-  for (char& c : word)
+std::string SanitizedValue(std::string_view text) {
+  std::string value(text);
+  for (char& c : value)
     if (c == ' ' || c == ',' || static_cast<unsigned char>(c) < ' ')
       c = '_';
-  return word;
+  return value;
 }
 
-static void Lay(const json::Value& v, const std::string& path, std::string& out) {
-  auto line = [&](const std::string& key, const std::string& value) {
-    out += key + '=' + value + '\n';
+static void AppendLines(const json::Value& value, const std::string& path, std::string& out) {
+  auto line = [&](const std::string& key, const std::string& text) {
+    out += key + '=' + text + '\n';
   };
-  auto simple = [](const json::Value& one) {
-    return one.items.empty() && one.members.empty();
+  auto is_scalar = [](const json::Value& item) {
+    return item.items.empty() && item.members.empty();
   };
-  if (v.kind == json::Kind::kObject) {
-    for (auto& [name, member] : v.members)
-      Lay(member, path.empty() ? PlainWord(name) : path + '.' + PlainWord(name), out);
-  } else if (v.kind == json::Kind::kList) {
-    if (std::all_of(v.items.begin(), v.items.end(), simple)) {
-      std::string all;
-      for (const json::Value& one : v.items)
-        (all += ',') += PlainWord(one.text);
-      return line(path, all.empty() ? all : all.substr(1));
+  if (value.kind == json::Kind::kObject) {
+    for (auto& [name, member] : value.members)
+      AppendLines(member, path.empty() ? SanitizedValue(name) : path + '.' + SanitizedValue(name),
+                  out);
+  } else if (value.kind == json::Kind::kList) {
+    if (std::all_of(value.items.begin(), value.items.end(), is_scalar)) {
+      std::string values;
+      for (const json::Value& item : value.items)
+        (values += ',') += SanitizedValue(item.text);
+      return line(path, values.empty() ? values : values.substr(1));
     }
-    line(path + ".count", std::to_string(v.items.size()));
-    for (std::size_t i = 0; i < v.items.size(); ++i)
-      Lay(v.items[i], path + '.' + std::to_string(i), out);
+    line(path + ".count", std::to_string(value.items.size()));
+    for (std::size_t i = 0; i < value.items.size(); ++i)
+      AppendLines(value.items[i], path + '.' + std::to_string(i), out);
   } else {
-    line(path, PlainWord(v.text));
+    line(path, SanitizedValue(value.text));
   }
 }
 
-std::string Dotted(const json::Value& settings) {
+std::string FlattenToLines(const json::Value& settings) {
   std::string out;
-  Lay(settings, "", out);
+  AppendLines(settings, "", out);
   return out;
 }
 
--- a/src/store/lasting_floors.cpp
+++ b/src/store/lasting_floors.cpp
@@ -68,7 +68,7 @@
 void LastingFloors::Failed(Ms now, const std::string& reason) {
   disk_.reset();
   is_kept_ = false;
-  retry_.Failed(now);
+  retry_.RecordFailure(now);
   if (!std::exchange(said_failure_, true))
     say_("recovery floors not kept, tried again: " + reason);
 }
--- a/src/store/lasting_floors.hpp
+++ b/src/store/lasting_floors.hpp
@@ -43,7 +43,7 @@
   OpenDisk open_disk_;
   Say say_;
   std::unique_ptr<FloorDisk> disk_;
-  backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
+  backoff::Backoff retry_{backoff::kInitialStoreRetry, backoff::kMaxStoreRetry};
   KeptFloors lasting_;
   KeptFloors held_before_;  // what the disk held of this front as it was opened late
   bool is_kept_ = false;
--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -28,10 +28,10 @@
   return std::stoll(bytes.substr(deadline + 5));
 }
 
-StoreSettings SettingsWithExpiry(Ms expiry, Effect effect = Effect::kExclusive) {
-  StoreSettings settings = SettingsWith(false, effect);
-  settings.request_classes[kVideo].expiry = expiry;
-  settings.request_classes[kWrite].expiry = expiry;
+DeploymentSettings SettingsWithExpiry(Ms expiry, Effect effect = Effect::kExclusive) {
+  DeploymentSettings settings = SettingsWith(false, effect);
+  settings.request_classes[kVideo].max_deadline = expiry;
+  settings.request_classes[kWrite].max_deadline = expiry;
   return settings;
 }
 
@@ -69,27 +69,27 @@
   SendAttempt Attempt(std::size_t server) const {
     SendAttempt attempt;
     attempt.request = request;
-    attempt.cache = servers.at(server);
-    attempt.source = attempt.cache;
-    attempt.proven = proven && server == 1;
+    attempt.endpoint = servers.at(server);
+    attempt.source = attempt.endpoint;
+    attempt.requires_live_connection = proven && server == 1;
     return attempt;
   }
   std::vector<Action> Decide(Ms now, const Event& event) {
-    if (auto* list = std::get_if<ListNews>(&event))
+    if (auto* list = std::get_if<EndpointListUpdate>(&event))
       for (const ListEntry& entry : list->entries)
-        servers.push_back(entry.cache);
-    if (auto* came = std::get_if<RequestCame>(&event)) {
+        servers.push_back(entry.id);
+    if (auto* came = std::get_if<RequestArrived>(&event)) {
       request = came->request;
       if (further != Further::kHedged)
         return {Attempt(0)};
-      return {Attempt(0), WakeMe{now + kBackoff, kWakeUp}};
+      return {Attempt(0), SetTimer{now + kBackoff, kWakeUp}};
     }
     auto* ended = std::get_if<AttemptEnded>(&event);
     if (ended && ended->attempt == 0 && further == Further::kRetry)
       return {Attempt(1)};
     if (ended && ended->attempt == 0 && further == Further::kRetryAfterBackoff)
-      return {WakeMe{now + kBackoff, kWakeUp}};
-    if (std::holds_alternative<WakeUp>(event))
+      return {SetTimer{now + kBackoff, kWakeUp}};
+    if (std::holds_alternative<TimerFired>(event))
       return {Attempt(1)};
     return {};
   }
@@ -147,8 +147,8 @@
   /// any client.
   void FillSecond() {
     SendAttempt how;
-    how.cache = script->servers.at(1);
-    how.source = how.cache;
+    how.endpoint = script->servers.at(1);
+    how.source = how.endpoint;
     how.timeout = 60000;
     for (int i = 0; i < 7; ++i) {
       Ask big = AskFor("00000000000000b" + std::to_string(i));
@@ -386,8 +386,8 @@
     CAPTURE(static_cast<int>(further));
     TwoServers servers(further, Pause::kDial);
     SendAttempt how;
-    how.cache = servers.script->servers.at(1);
-    how.source = how.cache;
+    how.endpoint = servers.script->servers.at(1);
+    how.source = how.endpoint;
     how.timeout = 60000;
     servers.caches.Send({1000000, 0}, AskFor(), how, {});
     servers.second = servers.second_listener.Next(servers.loop);
--- a/tests/board_test.cpp
+++ b/tests/board_test.cpp
@@ -43,7 +43,7 @@
   int calls = 0;
   std::uint64_t Send(AttemptKey, const Ask&, const SendAttempt& how,
                      const std::vector<std::uint64_t>&) override {
-    sent.push_back(how.cache);
+    sent.push_back(how.endpoint);
     return sent.size();
   }
   void GiveUp(AttemptKey, const Ask&, std::uint32_t) override {}
@@ -474,7 +474,7 @@
   Until(w.d.loop, [&] { return w.b.Last() == 4; });
   assert(w.counters.list_news == lists && w.counters.purges == 2 &&
          w.counters.discovery_connections == 2);
-  assert(noted.calls == 3 && noted.listed["s-a"].standing == Standing::kDraining);
+  assert(noted.calls == 3 && noted.listed["s-a"].state == EndpointState::kDraining);
   std::vector<Asked> asked(20);
   for (int i = 0; i < 20; ++i) {
     Ask ask = AskFor("00000000000000" + std::to_string(10 + i));
@@ -483,7 +483,7 @@
   }
   assert(!noted.sent.empty());
   for (std::uint32_t cache : noted.sent)
-    assert(cache == noted.listed["s-b"].cache);
+    assert(cache == noted.listed["s-b"].id);
 }
 
 // However its connections end, a board is not asked at full speed.
@@ -648,7 +648,7 @@
   Until(w.d.loop, [&] { return w.b.Last() == 3; });
   assert(w.counters.bad_watch_events == 0 && w.said.empty() && noted.calls == 6 &&
          noted.listed.size() == 5);
-  assert(noted.listed["s-twice"].standing == Standing::kDraining);  // the last word counts
+  assert(noted.listed["s-twice"].state == EndpointState::kDraining);  // the last word counts
   std::vector<Asked> asked(40);
   for (int i = 0; i < 40; ++i) {
     Ask ask = AskFor("00000000000000" + std::to_string(10 + i));
@@ -657,7 +657,7 @@
   }
   assert(!noted.sent.empty());
   for (std::uint32_t cache : noted.sent)
-    assert(cache != noted.listed["s-twice"].cache);
+    assert(cache != noted.listed["s-twice"].id);
   w.d.loop.Skip(100);
   w.d.loop.turn(0);
 }
--- a/tests/caches_test.cpp
+++ b/tests/caches_test.cpp
@@ -15,7 +15,7 @@
   caches::Caches caches;
   Asked client;
   explicit Road(const std::vector<exchange::Listed>& list,
-                const settings::RoadTerms& t = MakeTerms(), std::size_t most = 8)
+                const settings::ConnectionSettings& t = MakeTerms(), std::size_t most = 8)
       : exchange(loop, kit::Settings(), 1), caches(loop, exchange, t, most) {
     exchange.Meet(caches);
     exchange.ListCame(true, list);
@@ -26,7 +26,7 @@
   std::uint32_t number = 0;
   std::uint64_t Send(AttemptKey, const Ask&, const SendAttempt& how,
                      const std::vector<std::uint64_t>&) override {
-    number = how.cache;
+    number = how.endpoint;
     return 1;
   }
   void GiveUp(AttemptKey, const Ask&, std::uint32_t) override {}
@@ -35,7 +35,7 @@
   }
   void Probe(std::uint32_t) override {}
   void list(const ListEntry& e, const std::string&, const loop::Address&) override {
-    number = e.cache;
+    number = e.id;
   }
   void Forget(std::uint32_t) override {}
   std::uint32_t NumberIn(Road& r, const std::vector<exchange::Listed>& list) {
@@ -80,7 +80,7 @@
   Find find;
   std::uint32_t cache = find.NumberIn(r, Machines({{"s-1", far.at}}));
   SendAttempt how;
-  how.cache = how.source = cache;
+  how.endpoint = how.source = cache;
   how.timeout = 60000;
   std::uint64_t first = r.caches.Send({1, 0}, AskFor(), how, {});
   std::uint64_t second = r.caches.Send({1, 1}, AskFor(), how, {});  // while the first is out
@@ -179,7 +179,7 @@
 void ConnectionsThatCarryNothingEnd() {
   for (bool carries : {false, true}) {
     FarListener far;
-    settings::RoadTerms t = MakeTerms();
+    settings::ConnectionSettings t = MakeTerms();
     t.may_probe = true;
     Road r(Machines({{"s-1", far.at}}), t);
     std::vector<Asked> clients(3);
@@ -211,9 +211,9 @@
   AttemptKey key{1, 0};
   SendAttempt how;
   Find find;
-  how.cache = how.source = find.NumberIn(r, Machines({{"s-1", far.at}}));
+  how.endpoint = how.source = find.NumberIn(r, Machines({{"s-1", far.at}}));
   how.timeout = 60000;
-  how.proven = true;
+  how.requires_live_connection = true;
   for (int broken : {0, 2}) {
     r.caches.Send(key, AskFor(), how, {});
     for (int i = 0; i < broken; ++i) {
@@ -234,7 +234,7 @@
   r.caches.Send(key, AskFor(), how, {});
   Far peer = far.Next(r.loop);
   Until(r.loop, [&] { return peer.Hears("there call\r\n"); });
-  r.caches.GiveUp(key, AskFor(), how.cache);
+  r.caches.GiveUp(key, AskFor(), how.endpoint);
   peer.Send("call PONG - 0\r\n\r\n");
   for (int i = 0; i < 20; ++i)
     r.loop.turn(1);
@@ -327,10 +327,10 @@
   Far old = far.Next(r.loop);
   Until(r.loop, [&] { return old.Hears("want "); });
   auto fresh = Machines({{"s-2", far.at}});
-  fresh[0].entry.standing = Standing::kDraining;  // takes nothing itself yet
+  fresh[0].entry.state = EndpointState::kDraining;  // takes nothing itself yet
   r.exchange.ListCame(false, fresh);
   assert(!(old.Read(), old.over));
-  fresh[0].entry.standing = Standing::kReady;
+  fresh[0].entry.state = EndpointState::kReady;
   fresh[0].entry.weight = 1e-9;  // nobody's home
   r.exchange.ListCame(false, fresh);
   Until(r.loop, [&] {
@@ -345,8 +345,8 @@
 
 void ConnectionsToCachesAreBudgeted() {
   FarListener far;
-  settings::RoadTerms one = MakeTerms();
-  one.attempts_at_once = 1;
+  settings::ConnectionSettings one = MakeTerms();
+  one.max_concurrent_attempts = 1;
   Road r(Machines({{"s-1", far.at}}), one, 2);
   std::vector<Asked> clients(3);
   for (int i = 0; i < 3; ++i)
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -15,7 +15,7 @@
   Desk d;
   loop::Address at = FreeAddress();
   clients::Clients clients;
-  explicit Counter(std::size_t most = 50, StoreSettings s = kit::Settings())
+  explicit Counter(std::size_t most = 50, DeploymentSettings s = kit::Settings())
       : d(s), clients(d.loop, d.exchange, MakeTerms().request_classes, {false, true}, at, most) {}
   Far Come() {
     Far f = Far::To(at);
@@ -81,7 +81,7 @@
     assert(::connect(far.fd.Get(), reinterpret_cast<const sockaddr*>(&c.at), sizeof c.at) == 0);
     ::fcntl(far.fd.Get(), F_SETFL, O_NONBLOCK);
     far.Send(GetAs(1));
-    c.Finish(c.attempt(0), Said(Ending::kFinished), body);
+    c.Finish(c.attempt(0), Said(AttemptResult::kFinished), body);
     for (int i = 0; i < 3; ++i)
       c.d.loop.turn(0);
   }
@@ -97,13 +97,13 @@
     f.Send(std::string_view(&one, 1));
     c.d.loop.turn(0);
   }
-  c.Finish(c.attempt(0), Said(Ending::kFinished), "a\r\n\r\nb");
+  c.Finish(c.attempt(0), Said(AttemptResult::kFinished), "a\r\n\r\nb");
   c.Hear(f, "\r\n\r\na\r\n\r\nb");
   assert(f.Hears("HTTP/1.1 200 OK\r\n") && f.Hears("ETag: \"t1\"\r\n") &&
          f.Hears("Content-Length: 6\r\n"));
   f.got.clear();
   f.Send(Get("If-None-Match: \"t1\"\r\n"));  // the connection is kept
-  exchange::Word valid = Said(Ending::kFinished);
+  exchange::Word valid = Said(AttemptResult::kFinished);
   valid.unchanged = true;
   c.Finish(c.attempt(1), valid);
   c.Hear(f, "HTTP/1.1 304 Not Modified\r\nETag: \"t1\"\r\n\r\n");
@@ -130,13 +130,13 @@
   for (std::size_t i = 0; i < body.size(); ++i)
     body[i] = static_cast<char>(i * 7);
   f.Send(Get() + Get());  // the second waits until the first is out
-  c.Finish(c.attempt(0), Said(Ending::kFinished), body);
+  c.Finish(c.attempt(0), Said(AttemptResult::kFinished), body);
   Until(c.d.loop, [&] { return f.Read(1000).size() > 100000; });
   Until(c.d.loop, [&] {
     f.Read();
     return c.d.caches.sent.size() == 2;
   });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "end");
+  c.Finish(c.attempt(1), Said(AttemptResult::kFinished), "end");
   c.Hear(f, "\r\n\r\nend");
   assert(f.got.find(body) != std::string::npos);
 }
@@ -192,7 +192,7 @@
     });
   }
   assert(c.d.exchange.counters.bad_requests == 28 && c.d.caches.sent.size() == 1);
-  c.Finish(key, Said(Ending::kFinished), "still here");
+  c.Finish(key, Said(AttemptResult::kFinished), "still here");
   c.Hear(good, "still here");
 }
 
@@ -275,7 +275,7 @@
     AttemptKey key = c.attempt(0);
     Meanwhile now(c.d.loop, [&] {
       LeaveBy(f, how);
-      c.Finish(key, Said(Ending::kFinished), "ok");
+      c.Finish(key, Said(AttemptResult::kFinished), "ok");
     });
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.caches.sent.size() == 1);
@@ -293,7 +293,7 @@
     Meanwhile now(c.d.loop, [&] {
       f.Send(GetAs(2));
       LeaveBy(f, how);
-      c.Finish(key, Said(Ending::kFinished), "ok");
+      c.Finish(key, Said(AttemptResult::kFinished), "ok");
     });
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.caches.sent.size() == 1);
@@ -307,7 +307,7 @@
   Slow slow(c);
   c.d.loop.Skip(20000);
   Meanwhile now(c.d.loop, [&] { slow.far.Send(GetAs(2)); });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), Said(AttemptResult::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(!IsReset(slow.far) &&
          slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos);
@@ -341,7 +341,7 @@
   Far other = Far::To(c.at);
   c.attempt(1);
   Until(c.d.loop, [&] { return slow.HasAll(); });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), Said(AttemptResult::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Hears("\r\n\r\nsecond"); });
 }
 
@@ -354,7 +354,7 @@
     all.back().Send(GetAs(i));
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
-    c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
+    c.Finish(c.attempt(i), Said(AttemptResult::kFinished), "ok");
     for (int turns = 0; turns < 5; ++turns)
       c.d.loop.turn(0);
   }
@@ -444,7 +444,7 @@
       });
       c.d.loop.Skip(2000);  // though it never closes
     }
-    c.Finish(key, Said(Ending::kFinished), "still here");
+    c.Finish(key, Said(AttemptResult::kFinished), "still here");
     c.Hear(good, "still here");
     good.fd.Reset();
     Until(c.d.loop, [&] { return c.clients.empty(); });
@@ -503,7 +503,7 @@
       return c.d.caches.sent.size() == all;
     });
     for (std::size_t i = 0; i < all; ++i)
-      c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
+      c.Finish(c.attempt(i), Said(AttemptResult::kFinished), "ok");
     for (Far& f : waits) {
       c.Hear(f, "\r\n\r\nok");
       assert(f.Hears("Connection: close\r\n"));
@@ -527,7 +527,7 @@
     c.clients.Leave();
     return c.d.caches.sent.size() == 1;
   });
-  c.Finish(c.attempt(0), Said(Ending::kFinished), "ok");
+  c.Finish(c.attempt(0), Said(AttemptResult::kFinished), "ok");
   c.Hear(f, "\r\n\r\nok");
   assert(f.Hears("Connection: close\r\n"));
   c.leave();
@@ -545,7 +545,7 @@
     slow.far.Send(GetAs(2));
     c.clients.Leave();
   });
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), Said(AttemptResult::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos &&
          slow.far.Hears("Connection: close\r\n"));
@@ -589,7 +589,7 @@
       c.clients.Leave();
       c.d.loop.turn(0);
     }
-    c.Finish(c.attempt(i), Said(Ending::kFinished), "body" + std::to_string(i));
+    c.Finish(c.attempt(i), Said(AttemptResult::kFinished), "body" + std::to_string(i));
     c.Hear(f, "\r\n\r\nbody" + std::to_string(i));
     assert(f.Hears("Connection: close\r\n") == (i == 2));
   }
@@ -609,7 +609,7 @@
   f.Send(Get("", "/odd") + GetAs(1));
   AttemptKey key = c.attempt(0);
   c.Hear(f, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-  c.Finish(key, Said(Ending::kFinished), "ok");
+  c.Finish(key, Said(AttemptResult::kFinished), "ok");
   c.Hear(f, "\r\n\r\nok");
   f.Send(Get("", "/odd"));
   c.Hear(f, "Connection: close\r\n\r\n");
@@ -637,7 +637,7 @@
   for (int turns = 0; turns < 5; ++turns)
     c.d.loop.turn(0);
   newcomer.Send(GetAs(1));
-  c.Finish(c.attempt(1), Said(Ending::kFinished), "ok");
+  c.Finish(c.attempt(1), Said(AttemptResult::kFinished), "ok");
   c.Hear(newcomer, "\r\n\r\nok");
   next.Send(GetAs(2));
   c.attempt(2);
@@ -712,7 +712,7 @@
   std::size_t which = 0;
   for (f.Send(request); sent_on(which); ++which, f.Send(request)) {
     assert(which < 200);
-    c.Finish(c.attempt(which), Said(Ending::kFinished), body);
+    c.Finish(c.attempt(which), Said(AttemptResult::kFinished), body);
   }
   for (int i = 0; i < 3; ++i) {
     c.clients.Leave();
@@ -728,13 +728,13 @@
 }
 
 void ABrokenStreamCanBeNotified() {
-  StoreSettings s = kit::Settings();
+  DeploymentSettings s = kit::Settings();
   s.request_classes[0].streams = true;
   Counter c(50, s);
   Far f = c.Come();
   f.Send(Get());
   AttemptKey key = c.attempt(0);
-  c.d.exchange.AnswerBegun(key, Said(Ending::kFinished), 10);
+  c.d.exchange.AnswerBegun(key, Said(AttemptResult::kFinished), 10);
   c.d.exchange.AnswerBytes(key, "half");
   c.d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
   Until(c.d.loop, [&] {
@@ -767,7 +767,7 @@
   for (int i = 0; i < 20; ++i)
     c.d.loop.turn(1);
   assert(c.d.caches.sent.size() == 4);
-  c.Finish(c.attempt(0), Said(Ending::kFinished));
+  c.Finish(c.attempt(0), Said(AttemptResult::kFinished));
   c.attempt(4);
 }
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -51,9 +51,9 @@
 // A repeat that its window no longer covers when the connection is up is not begun; its client is
 // told at once.
 void RepeatsStayWithinTheirWindow() {
-  StoreSettings s = SettingsWith(true, Effect::kIdempotentWithKey);
-  s.request_classes[kWrite].memory = 500;
-  s.request_classes[kWrite].expiry = 60000;
+  DeploymentSettings s = SettingsWith(true, Effect::kIdempotentWithKey);
+  s.request_classes[kWrite].deduplication_window = 500;
+  s.request_classes[kWrite].max_deadline = 60000;
   for (bool late : {false, true}) {
     FarListener one, other;
     Road r(Machines({{"s-1", one.at}, {"s-2", other.at}}), s);
@@ -110,12 +110,12 @@
     Waiting w(kDial, SettingsWith(false), parents);
     assert(w.r.exchange.counters.attempts == 1);
     auto s1 = Machines({{"s-1", w.far.at}});
-    s1[0].entry.standing = Standing::kDraining;
+    s1[0].entry.state = EndpointState::kDraining;
     if (news == kDrained)
       w.r.exchange.ListCame(false, s1);
     if (news == kSourceDrained) {
-      parents[0].entry.standing = Standing::kDraining;
-      parents[1].entry.standing = Standing::kDraining;
+      parents[0].entry.state = EndpointState::kDraining;
+      parents[1].entry.state = EndpointState::kDraining;
       w.r.exchange.ListCame(false, parents);
     }
     if (news == kPurged)
@@ -216,8 +216,8 @@
 // may still come there, so the next attempt of the request goes elsewhere, and the duplicate is
 // nobody's.
 void MovedAttemptsAreKeptApart() {
-  StoreSettings s = SettingsWith(true, Effect::kExclusive);
-  s.may.direct = false;
+  DeploymentSettings s = SettingsWith(true, Effect::kExclusive);
+  s.permissions.direct_to_origin = false;
   std::vector<exchange::Listed> origin = Machines({{"origin", {}}});
   Waiting w(kCheck, s, origin, kWrite);
   w.peer.Reset();  // under the check: it moves
@@ -255,8 +255,8 @@
 // No descriptor for a connection is this front's own want: the caches stay in use.
 void WantOfDescriptorsIsNoSignOfTheCache() {
   FarListener far;
-  settings::RoadTerms t = MakeTerms(20000);
-  t.attempts_at_once = 1;
+  settings::ConnectionSettings t = MakeTerms(20000);
+  t.max_concurrent_attempts = 1;
   Road r(Machines({{"s-1", far.at}}), kit::Settings(), t, 1);
   Asked first;
   r.exchange.OnRequest(AskAs(0), first);
@@ -323,8 +323,8 @@
             left = true;
           }
           if (what >= 2) {
-            d.exchange.AnswerBegun(key, Said(Ending::kFinished), 0);
-            d.exchange.AnswerWhole(key, Said(Ending::kFinished));
+            d.exchange.AnswerBegun(key, Said(AttemptResult::kFinished), 0);
+            d.exchange.AnswerWhole(key, Said(AttemptResult::kFinished));
           }
           assert(client.notified.size() <= 1 && (!left || client.notified.size() == notified));
         }
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -105,7 +105,8 @@
   }
   assert(t.caches.sent.size() == 3);
   t.EventsIn(kWaits);
-  t.front.Act([&] { t.exchange->AnswerWhole(t.caches.sent[0].key, Said(Ending::kFinished)); });
+  t.front.Act(
+      [&] { t.exchange->AnswerWhole(t.caches.sent[0].key, Said(AttemptResult::kFinished)); });
   t.EventsIn(10);
   assert(t.caches.sent.size() == 4);
   assert(t.caches.sent[3].how.timeout <= 3000 - kWaits + kSlack);
@@ -126,7 +127,7 @@
   assert(t.caches.sent.size() == 1);
   t.front.Act([&] {
     t.exchange->AnswerBytes(t.caches.sent[0].key, std::string(kMuch, 'x'));
-    t.exchange->AnswerWhole(t.caches.sent[0].key, Said(Ending::kFinished));
+    t.exchange->AnswerWhole(t.caches.sent[0].key, Said(AttemptResult::kFinished));
   });
   t.peers.Act([&] { t.all[0]->connection->ReadUpTo(0); });
   t.EventsIn(kWaits);
--- a/tests/drift_test.cpp
+++ b/tests/drift_test.cpp
@@ -13,10 +13,10 @@
 #include "front/active.hpp"
 #include "rig/drift_script.hpp"
 
+using dunlinwick::DeduplicationScope;
+using dunlinwick::DeploymentSettings;
 using dunlinwick::Effect;
-using dunlinwick::Span;
-using dunlinwick::StoreSettings;
-using dunlinwick::Weighing;
+using dunlinwick::WeightSource;
 namespace rig = dunlinwick::rig;
 namespace settings = dunlinwick::settings;
 namespace front = dunlinwick::front;
@@ -168,68 +168,69 @@
 
 TEST_CASE(
     "every field of what a front decides by changes the digest of its section, and of no other") {
-  StoreSettings settings;
+  DeploymentSettings settings;
   settings.request_classes.resize(2);
-  settings::RoadTerms road;
+  settings::ConnectionSettings road;
   road.request_classes = {"a", "b"};
   front::FleetTerms fleet;
   front::OwnerTerms owner;
   fleet.on = owner.on = true;
-  auto form = [&](const StoreSettings& s) {
+  auto form = [&](const DeploymentSettings& s) {
     return ActiveForm(s, road, fleet, owner, "1");
   };
   const Form base = form(settings);
   struct Change {
     std::string section;
     std::string name;
-    std::function<void(StoreSettings&)> what;
+    std::function<void(DeploymentSettings&)> what;
   };
   std::vector<Change> all;
-  auto add = [&](const char* section, const char* name, std::function<void(StoreSettings&)> what) {
+  auto add = [&](const char* section, const char* name,
+                 std::function<void(DeploymentSettings&)> what) {
     all.push_back({section, name, std::move(what)});
   };
 #define OFFERING(field, value, name) \
-  add("offerings", "1." name, [](StoreSettings& s) { s.request_classes[1].field = value; })
+  add("offerings", "1." name, [](DeploymentSettings& s) { s.request_classes[1].field = value; })
   OFFERING(effect, Effect::kExclusive, "effect");
-  OFFERING(span, Span::kCell, "span");
-  OFFERING(memory, 7, "memory");
-  OFFERING(agreed, 7, "agreed");
-  OFFERING(agreed_stretch, 7, "agreed_stretch");
-  OFFERING(expiry, 7, "expiry");
-  OFFERING(payoff, 7, "payoff");
+  OFFERING(deduplication_scope, DeduplicationScope::kCell, "span");
+  OFFERING(deduplication_window, 7, "memory");
+  OFFERING(latency_objective, 7, "agreed");
+  OFFERING(latency_objective_stretch, 7, "agreed_stretch");
+  OFFERING(max_deadline, 7, "expiry");
+  OFFERING(priority_weight, 7, "payoff");
   OFFERING(streams, true, "streams");
-  OFFERING(fresh_for, 7, "fresh_for");
-  OFFERING(never_kept, true, "never_kept");
+  OFFERING(freshness_lifetime, 7, "fresh_for");
+  OFFERING(uncacheable, true, "never_kept");
 #define FIELD(section, field, value, name) \
-  add(section, name, [](StoreSettings& s) { s.field = value; })
+  add(section, name, [](DeploymentSettings& s) { s.field = value; })
   FIELD("sheet", zone, 7, "zone");
   FIELD("sheet", fronts, 7, "fronts");
   FIELD("sheet", zone_replicas, 7, "crew");
   FIELD("sheet", parent_kind, 7, "parent_kind");
   FIELD("sheet", origin_kind, 7, "origin_kind");
-  FIELD("sheet", asks_for_list, true, "asks_for_list");
-  FIELD("sheet", weighing, Weighing::kLive, "weighing");
-  FIELD("permits", may.probe, true, "probe");
-  FIELD("permits", may.cancel, true, "cancel");
-  FIELD("permits", may.two_attempts_at_once, true, "two_legs_at_once");
-  FIELD("permits", may.join, true, "join");
-  FIELD("permits", may.direct, true, "direct");
-  FIELD("sheet", longest_retry_after, 7, "longest_retry_after");
-  FIELD("sheet", most_attempts, 7, "most_legs");
-  FIELD("sheet", places, 7, "places");
-  FIELD("sheet", lateral, true, "lateral");
+  FIELD("sheet", polls_endpoint_list, true, "asks_for_list");
+  FIELD("sheet", weight_source, WeightSource::kLive, "weighing");
+  FIELD("permits", permissions.probe, true, "probe");
+  FIELD("permits", permissions.cancel, true, "cancel");
+  FIELD("permits", permissions.concurrent_attempts, true, "two_legs_at_once");
+  FIELD("permits", permissions.coalesce, true, "join");
+  FIELD("permits", permissions.direct_to_origin, true, "direct");
+  FIELD("sheet", max_retry_after, 7, "longest_retry_after");
+  FIELD("sheet", max_attempts, 7, "most_legs");
+  FIELD("sheet", max_open_requests, 7, "places");
+  FIELD("sheet", fills_from_siblings, true, "lateral");
   FIELD("sheet", stream_kb_per_ms, 7, "stream_kb_per_ms");
   FIELD("sheet", link_kb_per_ms, 7, "link_kb_per_ms");
-  FIELD("sheet", link_report, 7, "link_report");
-  FIELD("sheet", remarks, false, "remarks");
-  FIELD("sheet", purge_done, 7, "purge_done");
-  FIELD("cold", cold_store.from, 7, "store.from");
-  FIELD("cold", cold_store.multiple, 7, "store.multiple");
-  FIELD("cold", cold_store.lasts, 7, "store.lasts");
-  FIELD("cold", cold_parent.from, 7, "parent.from");
-  FIELD("cold", cold_parent.multiple, 7, "parent.multiple");
-  FIELD("cold", cold_parent.lasts, 7, "parent.lasts");
-  FIELD("cold", cold_window, 7, "window");
+  FIELD("sheet", link_report_index, 7, "link_report");
+  FIELD("sheet", reports_cache_status, false, "remarks");
+  FIELD("sheet", purge_completion_time, 7, "purge_done");
+  FIELD("cold", cache_slow_start.initial_weight, 7, "store.from");
+  FIELD("cold", cache_slow_start.overload_factor, 7, "store.multiple");
+  FIELD("cold", cache_slow_start.duration, 7, "store.lasts");
+  FIELD("cold", parent_slow_start.initial_weight, 7, "parent.from");
+  FIELD("cold", parent_slow_start.overload_factor, 7, "parent.multiple");
+  FIELD("cold", parent_slow_start.duration, 7, "parent.lasts");
+  FIELD("cold", slow_start_window, 7, "window");
   std::size_t notified = base.at("sheet").size() + base.at("permits").size() +
                          base.at("cold").size() + (base.at("offerings").size() - 1) / 2;
   CHECK(
@@ -239,7 +240,7 @@
   for (const Change& c : all) {
     INFO(c.section << "." << c.name);
     CHECK(tried.insert(c.section + "." + c.name).second);
-    StoreSettings s = settings;
+    DeploymentSettings s = settings;
     c.what(s);
     Form f = form(s);
     for (const auto& [name, section] : base)
@@ -268,12 +269,12 @@
   CHECK(breaks("build", "version") == Breaks::kNothing);
   // Many offerings: a row each, then a digest for the rest; a change anywhere shows.
   for (std::size_t n : {26, 250, 251, 400}) {
-    StoreSettings many;
+    DeploymentSettings many;
     many.request_classes.resize(n);
     Form before = form(many);
     for (const auto& [name, section] : before)
       CHECK(section.size() <= 256);
-    many.request_classes.back().payoff = 9;
+    many.request_classes.back().priority_weight = 9;
     CHECK(Digest(form(many)) != Digest(before));
   }
 }
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -10,12 +10,13 @@
 
 void EveryRequestGetsOneAnswer() {
   struct Case {
-    Ending ending;
+    AttemptResult ending;
     std::vector<std::string> notified;
     std::size_t attempts;
   };
-  for (const Case& c :
-       {Case{Ending::kFinished, {"200 t1"}, 1}, {Ending::kError, {}, 2}, {Ending::kFull, {}, 2}}) {
+  for (const Case& c : {Case{AttemptResult::kFinished, {"200 t1"}, 1},
+                        {AttemptResult::kError, {}, 2},
+                        {AttemptResult::kOverloaded, {}, 2}}) {
     Desk d;
     Asked client;
     d.exchange.OnRequest(AskFor(), client);
@@ -27,7 +28,7 @@
     d.exchange.AnswerWhole(key, Said(c.ending));
     assert(client.Is(c.notified) && d.caches.sent.size() == c.attempts);
     assert(c.notified.empty() || client.body == "a\rb");
-    d.exchange.AnswerWhole(key, Said(Ending::kFinished));  // late, or twice
+    d.exchange.AnswerWhole(key, Said(AttemptResult::kFinished));  // late, or twice
     d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
     assert(client.Is(c.notified) && d.exchange.OpenRequests() == (c.notified.empty() ? 1u : 0u));
   }
@@ -76,7 +77,7 @@
       a.request_class_at = 1;
     }
     d.exchange.OnRequest(a, client);
-    exchange::Word word = Said(Ending::kFinished);
+    exchange::Word word = Said(AttemptResult::kFinished);
     word.unchanged = c.valid;
     word.tag = c.tag;
     word.dated = c.dated;
@@ -92,7 +93,7 @@
   std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
   d.exchange.OnClientLeft(request);
   assert(d.caches.given_up.size() == 1 && d.exchange.OpenRequests() == 0);
-  d.exchange.AnswerWhole(d.caches.sent[0].key, Said(Ending::kFinished));
+  d.exchange.AnswerWhole(d.caches.sent[0].key, Said(AttemptResult::kFinished));
   assert(client.notified.empty());
 }
 
@@ -108,18 +109,18 @@
 }
 
 void StreamsArePassedOnAsTheyCome() {
-  StoreSettings s = kit::Settings();
+  DeploymentSettings s = kit::Settings();
   s.request_classes[0].streams = true;
   for (int end = 0; end < 3; ++end) {
     Desk d(s);
     Asked client;
     std::uint32_t request = d.exchange.OnRequest(AskFor(), client);
     AttemptKey key = d.caches.sent[0].key;
-    d.exchange.AnswerBegun(key, Said(Ending::kFinished), 4);
+    d.exchange.AnswerBegun(key, Said(AttemptResult::kFinished), 4);
     d.exchange.AnswerBytes(key, "ab");
     assert(client.Is({"begun t1"}) && client.body == "ab");
     if (end == 0)
-      d.exchange.AnswerWhole(key, Said(Ending::kFinished));
+      d.exchange.AnswerWhole(key, Said(AttemptResult::kFinished));
     if (end == 1)
       d.exchange.AttemptLost(key, loop::DisconnectReason::kReset, true);
     if (end == 2)
@@ -137,7 +138,7 @@
     Desk d(kit::Settings(), 2);
     auto two = Machines({{"s-0", {}}, {"s-1", {}}});
     if (notified)
-      two[1].entry.standing = Standing::kGone;
+      two[1].entry.state = EndpointState::kRemoved;
     else
       two.pop_back();
     d.exchange.ListCame(!notified, two);
@@ -190,13 +191,14 @@
   return found;
 }
 
-void ListAll(Desk& d, const std::vector<std::string>& names, Standing standing = Standing::kReady) {
+void ListAll(Desk& d, const std::vector<std::string>& names,
+             EndpointState standing = EndpointState::kReady) {
   std::vector<std::pair<std::string, loop::Address>> all;
   for (const std::string& name : names)
     all.push_back({name, {}});
   auto entries = Machines(all);
   for (exchange::Listed& one : entries)
-    one.entry.standing = standing;
+    one.entry.state = standing;
   d.exchange.ListCame(false, entries);
 }
 
@@ -238,14 +240,14 @@
   Desk d;
   ListAll(d, {first, second});
   assert(d.caches.numbers[first] == number && d.caches.numbers[second] == number + 1);
-  ListAll(d, {first}, Standing::kGone);
-  ListAll(d, {second}, Standing::kGone);
+  ListAll(d, {first}, EndpointState::kRemoved);
+  ListAll(d, {second}, EndpointState::kRemoved);
   ListAll(d, {second});  // it is back before it is forgotten
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});
   assert(d.caches.forgotten == std::vector<std::uint32_t>{number} &&
          d.caches.numbers[second] == number + 1);
-  ListAll(d, {second}, Standing::kGone);
+  ListAll(d, {second}, EndpointState::kRemoved);
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});  // forgotten and new in one
   assert(d.caches.forgotten.size() == 2 && d.caches.numbers[second] == number);
--- a/tests/fleet_budget_test.cpp
+++ b/tests/fleet_budget_test.cpp
@@ -67,7 +67,7 @@
 struct Fleet {
   Play play;
   std::knuth_b chance;
-  StoreSettings settings = kit::Settings();
+  DeploymentSettings settings = kit::Settings();
   std::vector<std::unique_ptr<Front>> fronts;
   std::vector<int> lives;  // by front: how often it was started
   std::vector<std::map<std::uint32_t, std::size_t>>
@@ -109,30 +109,33 @@
   }
   ListEntry Fresh(std::uint32_t id, std::size_t start) const {
     ListEntry e = MakeEntry(id, IsCache(id) ? kStoreKind : kParentKind, IsCache(id) ? 1 : 0,
-                            Standing::kReady, StartOf(start));
+                            EndpointState::kReady, StartOf(start));
     e.weight = WeightOf(id);
     return e;
   }
   // What the rule allows in the window that ends then, in work, without what is chance.
   double Allowed(std::uint32_t id, Ms started, Ms at) const {
-    const ColdTerms& t = IsCache(id) ? settings.cold_store : settings.cold_parent;
-    return t.multiple * WeightOf(id) *
-           (t.from + (1 - t.from) * std::min(1.0, (at - started) / t.lasts)) * kWindow;
+    const SlowStartSettings& t =
+        IsCache(id) ? settings.cache_slow_start : settings.parent_slow_start;
+    return t.overload_factor * WeightOf(id) *
+           (t.initial_weight +
+            (1 - t.initial_weight) * std::min(1.0, (at - started) / t.duration)) *
+           kWindow;
   }
   void TellStart(std::size_t front, std::size_t start) {
     const Start& s = play.starts[start];
-    ListNews news{Listing::kChanges, {}};
+    EndpointListUpdate news{ListUpdateKind::kChanges, {}};
     for (std::uint32_t id : s.servers) {
       news.entries.push_back(Fresh(id, start));
       notified[front][id] = start;
     }
     if (s.leaves)
-      news.entries.push_back(
-          MakeEntry(s.leaves, IsCache(s.leaves) ? kStoreKind : kParentKind, 1, Standing::kGone));
+      news.entries.push_back(MakeEntry(s.leaves, IsCache(s.leaves) ? kStoreKind : kParentKind, 1,
+                                       EndpointState::kRemoved));
     fronts[front]->Tell(news);
   }
-  ListNews ListAtStart() const {
-    ListNews news = List();
+  EndpointListUpdate ListAtStart() const {
+    EndpointListUpdate news = List();
     for (ListEntry& e : news.entries)
       e.weight = e.kind == kStoreKind ? play.weight : 5 * play.weight;
     return news;
@@ -142,7 +145,8 @@
     ++lives[front];
     requests[front].clear();
     auto seed = 1000 * play.seed + front + 1000000 * static_cast<std::size_t>(lives[front]);
-    fronts[front] = std::make_unique<Front>(settings, seed, ListNews{Listing::kWhole, {}});
+    fronts[front] =
+        std::make_unique<Front>(settings, seed, EndpointListUpdate{ListUpdateKind::kSnapshot, {}});
     fronts[front]->now = at;
     fronts[front]->Tell(ListAtStart());
     for (std::size_t start = 0; start < play.starts.size(); ++start)
@@ -155,12 +159,12 @@
     settings.fronts = settings.zone_replicas = p.fronts;
     settings.link_kb_per_ms = 1e9;
     for (RequestClass& o : settings.request_classes) {
-      o.expiry = 20000;
-      o.agreed_stretch = 4;
+      o.max_deadline = 20000;
+      o.latency_objective_stretch = 4;
     }
     if (!p.ramps)
-      settings.cold_store.from = 1;
-    ListNews news = ListAtStart();
+      settings.cache_slow_start.initial_weight = 1;
+    EndpointListUpdate news = ListAtStart();
     lives.resize(n);
     notified.resize(n);
     std::vector<double> busy;  // some fronts get several times the mean
@@ -185,8 +189,8 @@
     int came = 0;
     for (std::size_t i = 0; i < n; ++i) {
       std::exponential_distribution<> gap(rate * busy[i] / all);
-      RequestCame r;
-      for (Ms at = kBegan - 2000 + gap(chance); at < kBegan + settings.cold_store.lasts;
+      RequestArrived r;
+      for (Ms at = kBegan - 2000 + gap(chance); at < kBegan + settings.cache_slow_start.duration;
            at += gap(chance)) {
         if (came % p.row == 0 || r.request == 0) {
           r.object = ++object;
@@ -201,13 +205,13 @@
         ++r.request;
         ++came;
         works += r.size_kb / 10;
-        r.ttl = 15000;
+        r.time_left = 15000;
         r.group = 7;
         Later(at, i, r);
       }
     }
     mean = works / came;
-    for (; !due.empty() && due.top().at < kBegan + settings.cold_store.lasts;) {
+    for (; !due.empty() && due.top().at < kBegan + settings.cache_slow_start.duration;) {
       Due next = due.top();
       due.pop();
       turn(next);
@@ -231,40 +235,40 @@
     Front& f = *fronts[next.front];
     int life = lives[next.front];
     auto& open = requests[next.front];
-    if (auto* r = std::get_if<RequestCame>(&event))
+    if (auto* r = std::get_if<RequestArrived>(&event))
       open[r->request] = {0, r->size_kb / 10};
     f.now = next.at;
     f.Tell(event);
     for (const Action& a : std::vector<Action>(f.did)) {
-      if (auto* w = std::get_if<WakeMe>(&a))
-        Later(w->at, next.front, WakeUp{w->handle}, life);
+      if (auto* w = std::get_if<SetTimer>(&a))
+        Later(w->fires_at, next.front, TimerFired{w->handle}, life);
       auto* s = std::get_if<SendAttempt>(&a);
       if (!s)
         continue;
       auto& [attempts, work] = open[s->request];
       for (auto [id, start] : notified[next.front])
-        if (s->cache == id || s->source == id)
+        if (s->endpoint == id || s->source == id)
           sent[{start, id}].push_back({f.now, work});
       AttemptEnded e;
       e.request = s->request;
-      e.cache = s->cache;
+      e.endpoint = s->endpoint;
       e.attempt = attempts++;
       double u = Drawn();
-      bool fills = s->source != s->cache;
+      bool fills = s->source != s->endpoint;
       if (u < 0.08) {
-        e.ending = Ending::kFull;
-        e.took = 3;
+        e.result = AttemptResult::kOverloaded;
+        e.duration = 3;
       }  // refused
       else if (!fills && u < 0.4) {
-        e.ending = Ending::kMiss;
-        e.took = 5;
+        e.result = AttemptResult::kMiss;
+        e.duration = 5;
       } else {
-        e.ending = Ending::kFinished;
-        e.remark = fills && u < 0.4 ? Remark::kFilled : Remark::kHit;
-        e.took = 5 + work;
+        e.result = AttemptResult::kFinished;
+        e.cache_status = fills && u < 0.4 ? CacheStatus::kFilled : CacheStatus::kHit;
+        e.duration = 5 + work;
       }
-      e.final = e.ending == Ending::kFinished;
-      Later(f.now + e.took, next.front, e, life);
+      e.final = e.result == AttemptResult::kFinished;
+      Later(f.now + e.duration, next.front, e, life);
     }
   }
 
@@ -299,7 +303,7 @@
       if (s.at >= started + 3000)
         all += CountedFormerly(s);
     }
-    Ms lasts = kBegan + settings.cold_store.lasts - started - 3000;
+    Ms lasts = kBegan + settings.cache_slow_start.duration - started - 3000;
     out.usual = all / (Allowed(id, started, started + 3000 + lasts / 2) * lasts / kWindow);
     return out;
   }
@@ -485,10 +489,10 @@
 // Crossing: a start whose news comes late. What went there in the last window before the news
 // counts: with it the front keeps within its share, as if it had known.
 int WhatWentBeforeTheNewsCounts() {
-  StoreSettings s = Settings();
+  DeploymentSettings s = Settings();
   s.link_kb_per_ms = 1e9;
   Front f(s);
-  std::uint32_t home = f.Request(1).cache;
+  std::uint32_t home = f.Request(1).endpoint;
   f.Finish({1, home});
   Ms start = f.now += 10;
   std::uint64_t object = 1;
@@ -498,9 +502,9 @@
     while (f.now < until) {
       f.now += 5;
       SendAttempt a = f.Request(++object);
-      if (a.cache == home)
+      if (a.endpoint == home)
         sent += 100;
-      if (a.cache)
+      if (a.endpoint)
         f.Finish(a);
     }
   };
@@ -508,7 +512,8 @@
     play(f.now + 5);
   assert(sent >= share);
   double before = sent;
-  f.Tell(ListNews{Listing::kChanges, {MakeEntry(home, kStoreKind, 1, Standing::kReady, start)}});
+  f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
+                            {MakeEntry(home, kStoreKind, 1, EndpointState::kReady, start)}});
   play(start + 900);
   if (sent > before)
     std::printf("sent %.0f after the news, of a share of %.0f\n", sent - before, share - before);
@@ -530,8 +535,8 @@
   double works = 0;
   int came = 0;
 
-  LargestFirst(const StoreSettings& s, std::uint64_t seed) : front(s, seed) {
-    home = front.Request(1).cache;
+  LargestFirst(const DeploymentSettings& s, std::uint64_t seed) : front(s, seed) {
+    home = front.Request(1).endpoint;
     front.Finish({1, home});
     for (std::uint64_t object = 2;
          at_home.size() < (kFirstOnes + 1) * kWindows || front.last_request < 500; ++object)
@@ -541,8 +546,8 @@
     works = 0;
     came = 0;
     Ms start = front.now += 2 * kWindow;
-    front.Tell(
-        ListNews{Listing::kChanges, {MakeEntry(home, kStoreKind, 1, Standing::kReady, start)}});
+    front.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
+                                  {MakeEntry(home, kStoreKind, 1, EndpointState::kReady, start)}});
     auto next = at_home.begin();
     for (int w = 0; w < kWindows; ++w) {
       front.now = start + w * kWindow;
@@ -560,11 +565,11 @@
     works += work;
     ++came;
     SendAttempt a = front.Request(object, 0, 10 * work, 19000);
-    if (a.cache == home)
+    if (a.endpoint == home)
       sent.push_back({front.now, work});
-    if (a.cache)
+    if (a.endpoint)
       front.Finish(a);
-    return a.cache;
+    return a.endpoint;
   }
 };
 
@@ -575,12 +580,12 @@
 // it, and the draw alone bounded how many did.
 int LargestOfFewComeTogether() {
   int over = 0;
-  StoreSettings s = Settings();
+  DeploymentSettings s = Settings();
   s.link_kb_per_ms = 1e9;
-  s.cold_store.from = 1;
+  s.cache_slow_start.initial_weight = 1;
   for (RequestClass& o : s.request_classes) {
-    o.expiry = 20000;
-    o.agreed_stretch = 4;
+    o.max_deadline = 20000;
+    o.latency_objective_stretch = 4;
   }
   for (int fronts : {1, 2, 3, 4, 5, 6, 8, 12, 20}) {
     s.fronts = s.zone_replicas = fronts;
@@ -596,7 +601,8 @@
         came += one.came;
       }
       std::sort(all.begin(), all.end(), [](const Sent& a, const Sent& b) { return a.at < b.at; });
-      double mean = works / came, n = s.cold_store.multiple * 6 * kWindow / mean, sum = 0;
+      double mean = works / came, n = s.cache_slow_start.overload_factor * 6 * kWindow / mean,
+             sum = 0;
       std::size_t first = 0;
       for (const Sent& each : all) {
         for (sum += each.work; all[first].at <= each.at - kWindow; ++first)
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -117,26 +117,26 @@
   assert(h.Share() < 0);
   auto entry = [](std::uint32_t id, int zone, int kind, double weight) {
     ListEntry e;
-    e.cache = id;
+    e.id = id;
     e.zone = zone;
     e.kind = kind;
     e.weight = weight;
     return e;
   };
-  h.Take(ListNews{Listing::kWhole, {entry(9, 0, 7, 50)}});
+  h.Take(EndpointListUpdate{ListUpdateKind::kSnapshot, {entry(9, 0, 7, 50)}});
   assert(h.Share() < 0);  // no cache of its zone yet: no opinion
-  h.Take(
-      ListNews{Listing::kWhole,
-               {entry(1, 1, 0, 30), entry(2, 1, 0, 10), entry(3, 2, 0, 90), entry(4, 1, 7, 90)}});
+  h.Take(EndpointListUpdate{
+      ListUpdateKind::kSnapshot,
+      {entry(1, 1, 0, 30), entry(2, 1, 0, 10), entry(3, 2, 0, 90), entry(4, 1, 7, 90)}});
   assert(h.Share() == 1);
-  h.Take(TellHealth{2, true});
-  h.Take(TellHealth{3, true});
+  h.Take(ReportEndpointHealth{2, true});
+  h.Take(ReportEndpointHealth{3, true});
   assert(h.Share() == 0.75);
   ListEntry drains = entry(1, 1, 0, 30);
-  drains.standing = Standing::kDraining;
-  h.Take(ListNews{Listing::kChanges, {drains}});
+  drains.state = EndpointState::kDraining;
+  h.Take(EndpointListUpdate{ListUpdateKind::kChanges, {drains}});
   assert(h.Share() == 0);
-  h.Take(TellHealth{2, false});
+  h.Take(ReportEndpointHealth{2, false});
   assert(h.Share() == 1);
 }
 
--- a/tests/kit.hpp
+++ b/tests/kit.hpp
@@ -18,52 +18,52 @@
 
 constexpr int kStoreKind = 0, kParentKind = 1, kOriginKind = 2;
 
-inline StoreSettings Settings() {
-  StoreSettings s;
+inline DeploymentSettings Settings() {
+  DeploymentSettings s;
   RequestClass video, write;
-  video.agreed = 500;
-  video.agreed_stretch = 2;
-  video.expiry = 5000;
-  video.payoff = 2;
+  video.latency_objective = 500;
+  video.latency_objective_stretch = 2;
+  video.max_deadline = 5000;
+  video.priority_weight = 2;
   write.effect = Effect::kExclusive;
-  write.agreed = 700;
-  write.expiry = 3000;
-  write.payoff = 3;
-  write.never_kept = true;
+  write.latency_objective = 700;
+  write.max_deadline = 3000;
+  write.priority_weight = 3;
+  write.uncacheable = true;
   s.request_classes = {video, write};
   s.zone = 1;
   s.fronts = 2;
   s.zone_replicas = 1;
   s.parent_kind = kParentKind;
   s.origin_kind = kOriginKind;
-  s.weighing = Weighing::kNominal;
-  s.may = {true, true, true, false, true};
-  s.most_attempts = 8;
-  s.lateral = true;
+  s.weight_source = WeightSource::kNominal;
+  s.permissions = {true, true, true, false, true};
+  s.max_attempts = 8;
+  s.fills_from_siblings = true;
   s.stream_kb_per_ms = 10;
   s.link_kb_per_ms = 150;
-  s.purge_done = 6000;
-  s.cold_store = {0.3, 2, 15000};
-  s.cold_parent = {0.1, 2, 20000};
-  s.cold_window = 1000;
+  s.purge_completion_time = 6000;
+  s.cache_slow_start = {0.3, 2, 15000};
+  s.parent_slow_start = {0.1, 2, 20000};
+  s.slow_start_window = 1000;
   return s;
 }
 
 inline ListEntry MakeEntry(std::uint32_t id, int kind, int zone,
-                           Standing standing = Standing::kReady, Ms started_at = 0) {
+                           EndpointState standing = EndpointState::kReady, Ms started_at = 0) {
   ListEntry e;
-  e.cache = id;
+  e.id = id;
   e.kind = kind;
   e.zone = zone;
-  e.standing = standing;
+  e.state = standing;
   e.started_at = started_at;
   e.weight = kind == kStoreKind ? 6 : 30;
   return e;
 }
 
 // Caches 11 to 14, parents 21 and 22, origin 31.
-inline ListNews List() {
-  ListNews news{Listing::kWhole, {}};
+inline EndpointListUpdate List() {
+  EndpointListUpdate news{ListUpdateKind::kSnapshot, {}};
   for (std::uint32_t id : {11, 12, 13, 14})
     news.entries.push_back(MakeEntry(id, kStoreKind, 1));
   for (std::uint32_t id : {21, 22})
@@ -78,7 +78,8 @@
   std::uint32_t last_request = 0;
   std::vector<Action> did;  // by the last event
 
-  explicit Front(StoreSettings s = Settings(), std::uint64_t seed = 1, ListNews news = List())
+  explicit Front(DeploymentSettings s = Settings(), std::uint64_t seed = 1,
+                 EndpointListUpdate news = List())
       : router(s, seed) {
     Tell(news);
   }
@@ -96,11 +97,11 @@
   // The leg that a new pull leads to; cache 0 when it leads to none.
   SendAttempt Request(std::uint64_t object, int request_class = 0, double size_kb = 1000,
                       Ms ttl = 4000, int part = 0) {
-    RequestCame p;
+    RequestArrived p;
     p.request = ++last_request;
     p.request_class = request_class;
     p.object = object;
-    p.ttl = ttl;
+    p.time_left = ttl;
     p.size_kb = size_kb;
     p.part = part;
     p.group = 7;
@@ -111,25 +112,25 @@
     return all<SendAttempt>().empty() ? SendAttempt{} : all<SendAttempt>().front();
   }
   bool Declined() const {
-    return !all<DeclineRequest>().empty();
+    return !all<RejectRequest>().empty();
   }
   bool Abandoned() const {
-    return !all<AbandonRequest>().empty();
+    return !all<FailRequest>().empty();
   }
-  void end(const SendAttempt& a, Ending ending, Remark remark = Remark::kNone, int attempt = 0,
-           Ms took = 105) {
+  void end(const SendAttempt& a, AttemptResult ending, CacheStatus remark = CacheStatus::kNone,
+           int attempt = 0, Ms took = 105) {
     AttemptEnded e;
     e.request = a.request;
-    e.cache = a.cache;
+    e.endpoint = a.endpoint;
     e.attempt = attempt;
-    e.ending = ending;
-    e.remark = remark;
-    e.took = took;
-    e.final = ending == Ending::kFinished;
+    e.result = ending;
+    e.cache_status = remark;
+    e.duration = took;
+    e.final = ending == AttemptResult::kFinished;
     Tell(e);
   }
-  void Finish(const SendAttempt& a, Remark remark = Remark::kHit) {
-    end(a, Ending::kFinished, remark);
+  void Finish(const SendAttempt& a, CacheStatus remark = CacheStatus::kHit) {
+    end(a, AttemptResult::kFinished, remark);
   }
 };
 
--- a/tests/large_objects_test.cpp
+++ b/tests/large_objects_test.cpp
@@ -63,7 +63,7 @@
 struct Site {
   Play play;
   std::mt19937_64 chance;
-  StoreSettings settings = kit::Settings();
+  DeploymentSettings settings = kit::Settings();
   std::vector<Request> requests{};
   std::vector<Transfer> transfers{};
   std::multimap<Ms, Event> due{};
@@ -72,20 +72,20 @@
   int open = 0;
   std::size_t turned_away = 0;
   std::size_t declined = 0;
-  std::array<std::array<std::size_t, kSizeBands>, kRefusalReasons> refusals{};
+  std::array<std::array<std::size_t, kSizeBands>, kRejectionReasons> refusals{};
 
   explicit Site(const Play& p) : play(p), chance(p.seed) {
     settings.request_classes.clear();
     for (const Class& c : kClasses) {
       RequestClass o;
-      o.agreed = c.agreed;
-      o.agreed_stretch = 2;
-      o.expiry = kLongest;
-      o.payoff = c.payoff;
+      o.latency_objective = c.agreed;
+      o.latency_objective_stretch = 2;
+      o.max_deadline = kLongest;
+      o.priority_weight = c.payoff;
       settings.request_classes.push_back(o);
     }
     settings.fronts = settings.zone_replicas = 1;
-    settings.places = p.places;
+    settings.max_open_requests = p.places;
     settings.link_kb_per_ms = 10 * p.link;
     std::normal_distribution<> normal;
     std::uniform_real_distribution<> uniform;
@@ -132,12 +132,12 @@
       return;
     }
     ++open;
-    RequestCame e;
+    RequestArrived e;
     e.request = i + 1;
     e.request_class = static_cast<int>(r.request_class);
     e.object = i + 1;
     e.group = 7;
-    e.ttl = r.leaves_at - r.at;
+    e.time_left = r.leaves_at - r.at;
     e.size_kb = 10 * r.sending;
     due.emplace(r.leaves_at, ClientLeft{i + 1});
     Hear(f, e);
@@ -156,16 +156,16 @@
     }
     f.Tell(e);
     for (const Action& a : std::vector<Action>(f.did)) {
-      if (auto* w = std::get_if<WakeMe>(&a))
-        due.emplace(w->at, WakeUp{w->handle});
-      if (auto* p = std::get_if<ProbeCache>(&a))
-        due.emplace(f.now + kTick, ProbeEnded{p->cache, true, 1, {}});
-      if (auto* d = std::get_if<DeclineRequest>(&a)) {
+      if (auto* w = std::get_if<SetTimer>(&a))
+        due.emplace(w->fires_at, TimerFired{w->handle});
+      if (auto* p = std::get_if<ProbeEndpoint>(&a))
+        due.emplace(f.now + kTick, ProbeEnded{p->endpoint, true, 1, {}});
+      if (auto* d = std::get_if<RejectRequest>(&a)) {
         declined += requests[d->request - 1].open;
         ++refusals[static_cast<std::size_t>(d->reason)][static_cast<std::size_t>(d->size)];
         Close(requests[d->request - 1]);
       }
-      if (auto* d = std::get_if<AbandonRequest>(&a))
+      if (auto* d = std::get_if<FailRequest>(&a))
         Close(requests[d->request - 1]);
       if (auto* s = std::get_if<SendAttempt>(&a))
         Send(f, *s);
@@ -175,27 +175,27 @@
     }
   }
 
-  void end(const Transfer& t, Ms at, Ending ending, Remark remark) {
+  void end(const Transfer& t, Ms at, AttemptResult ending, CacheStatus remark) {
     AttemptEnded e;
     e.request = t.request;
-    e.cache = t.cache;
+    e.endpoint = t.cache;
     e.attempt = t.attempt;
-    e.ending = ending;
-    e.remark = remark;
-    e.took = at - t.began;
-    e.waited = t.fills ? 10 : 0;
-    e.final = ending == Ending::kFinished;
+    e.result = ending;
+    e.cache_status = remark;
+    e.duration = at - t.began;
+    e.fill_wait = t.fills ? 10 : 0;
+    e.final = ending == AttemptResult::kFinished;
     due.emplace(at, e);
   }
 
   void Send(Front& f, const SendAttempt& s) {
     Request& r = requests[s.request - 1];
-    Transfer t{s.request, s.cache, s.source, r.attempts++, f.now, r.sending, !r.kept};
-    bool fillable = s.source != s.cache && !s.held_only;
+    Transfer t{s.request, s.endpoint, s.source, r.attempts++, f.now, r.sending, !r.kept};
+    bool fillable = s.source != s.endpoint && !s.only_if_cached;
     if (t.fills && !fillable)
-      return end(t, f.now + 5, Ending::kMiss, Remark::kNone);
+      return end(t, f.now + 5, AttemptResult::kMiss, CacheStatus::kNone);
     if (held[t.cache] >= 5 * kCacheRoom)
-      return end(t, f.now + 3, Ending::kFull, Remark::kNone);
+      return end(t, f.now + 3, AttemptResult::kOverloaded, CacheStatus::kNone);
     ++held[t.cache];
     if (t.fills) {
       ++held[t.source];
@@ -232,10 +232,10 @@
         r.in_time = f.now + 5 <= r.agreed_at;
         Close(r);
       }
-      end(t, f.now + 5, t.left <= 0 ? Ending::kFinished : Ending::kCancelled,
-          t.left > 0 ? Remark::kNone
-          : t.fills  ? Remark::kFilled
-                     : Remark::kHit);
+      end(t, f.now + 5, t.left <= 0 ? AttemptResult::kFinished : AttemptResult::kCancelled,
+          t.left > 0 ? CacheStatus::kNone
+          : t.fills  ? CacheStatus::kFilled
+                     : CacheStatus::kHit);
     }
   }
 
@@ -276,10 +276,10 @@
 
 // Refused requests by reason, each with the small, the usual and the large ones of their class.
 void PrintRefusals(const Site& site) {
-  constexpr const char* kReasons[kRefusalReasons] = {"deadline",    "admission",  "places",
-                                                     "no endpoint", "slow start", "utilisation",
-                                                     "link",        "no source",  "attempts"};
-  for (std::size_t reason = 0; reason < kRefusalReasons; ++reason) {
+  constexpr const char* kReasons[kRejectionReasons] = {"deadline",    "admission",  "places",
+                                                       "no endpoint", "slow start", "utilisation",
+                                                       "link",        "no source",  "attempts"};
+  for (std::size_t reason = 0; reason < kRejectionReasons; ++reason) {
     auto [small, usual, large] = site.refusals[reason];
     if (small + usual + large > 0)
       std::printf("  refused for %s: %zu small, %zu usual, %zu large\n", kReasons[reason], small,
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -134,14 +134,14 @@
     text.replace(text.find(c.from), std::string(c.from).size(), c.to);
     std::string said;
     try {
-      settings::ReadSettings(text);
-    } catch (const settings::SettingsFault& fault) {
+      settings::ReadDeploymentSettings(text);
+    } catch (const settings::SettingsError& fault) {
       said = fault.what();
     }
     assert(said.find(c.named) != said.npos);
   }
-  StoreSettings s = settings::ReadSettings(kFacts);
-  assert(s.zone == 1 && s.longest_retry_after == 500 &&
+  DeploymentSettings s = settings::ReadDeploymentSettings(kFacts);
+  assert(s.zone == 1 && s.max_retry_after == 500 &&
          s.request_classes[0].effect == Effect::kIdempotent);
 }
 
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -7,88 +7,88 @@
 static void OneFinalAnswerInTime() {
   Front f;
   SendAttempt a = f.Request(1);
-  assert(a.cache != 0 && !a.proven);
+  assert(a.endpoint != 0 && !a.requires_live_connection);
   f.now +=
       4000 -
       3;  // nothing came: the answer goes out before the client leaves, and the leg is called off
-  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.request});
+  f.Tell(TimerFired{std::uint64_t{1} << 56 | a.request});
   assert(f.Declined() && f.all<CancelAttempt>().size() == 1);
-  f.end(a, Ending::kCancelled);
+  f.end(a, AttemptResult::kCancelled);
   assert(f.did.empty());
-  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.request});
+  f.Tell(TimerFired{std::uint64_t{1} << 56 | a.request});
   assert(f.did.empty());
-  f.end(a, Ending::kFinished);  // news of a pull already ended, of unknown legs and caches, and
-                                // stale timers
+  f.end(a, AttemptResult::kFinished);  // news of a pull already ended, of unknown legs and caches,
+                                       // and stale timers
   f.Tell(ClientLeft{a.request});
   f.Tell(ProbeEnded{99, true, 1, {}});
-  f.Tell(WakeUp{~std::uint64_t{0}});
-  f.Tell(ListNews{Listing::kWhole, {}});
+  f.Tell(TimerFired{~std::uint64_t{0}});
+  f.Tell(EndpointListUpdate{ListUpdateKind::kSnapshot, {}});
   assert(f.did.empty());
-  assert(f.Request(2).cache == 0 && f.Declined());  // an empty list: answered at once
+  assert(f.Request(2).endpoint == 0 && f.Declined());  // an empty list: answered at once
 }
 
 // What an exclusive pull may do after each ending of its leg.
 static void NoEffectTwice() {
   struct Case {
-    Ending ending;
+    AttemptResult ending;
     bool proven;
   };
-  for (Case c : {Case{Ending::kError, false},
-                 {Ending::kFull, true},
-                 {Ending::kTimedOut, false},
-                 {Ending::kNoConnection, true},
-                 {Ending::kBroken, false},
-                 {Ending::kCancelled, false},
-                 {Ending::kMiss, true}}) {
+  for (Case c : {Case{AttemptResult::kError, false},
+                 {AttemptResult::kOverloaded, true},
+                 {AttemptResult::kTimedOut, false},
+                 {AttemptResult::kNotSent, true},
+                 {AttemptResult::kDisconnected, false},
+                 {AttemptResult::kCancelled, false},
+                 {AttemptResult::kMiss, true}}) {
     Front f;
     SendAttempt a = f.Request(1, 1);
-    assert(a.cache == 31 && a.proven);  // it runs at the origin
+    assert(a.endpoint == 31 && a.requires_live_connection);  // it runs at the origin
     f.end(a, c.ending);
-    assert((f.attempt().cache != 0 || f.Declined()) == c.proven);
+    assert((f.attempt().endpoint != 0 || f.Declined()) == c.proven);
     assert(f.Abandoned() == !c.proven);
   }
   Front f;
   SendAttempt a = f.Request(1, 1);
   f.now += 3999;
-  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.request});
+  f.Tell(TimerFired{std::uint64_t{1} << 56 | a.request});
   assert(f.Abandoned() && !f.Declined());
 }
 
 // A ticketed pull that may have run stays in its group, and within the memory of it.
 static void TicketsStayInTheirGroup() {
-  for (Span span : {Span::kEverywhere, Span::kCell}) {
+  for (DeduplicationScope span : {DeduplicationScope::kEverywhere, DeduplicationScope::kCell}) {
     for (Ms later : {10.0, 9000.0}) {
-      StoreSettings s = Settings();
+      DeploymentSettings s = Settings();
       s.request_classes[0].effect = Effect::kIdempotentWithKey;
-      s.request_classes[0].span = span;
-      s.request_classes[0].memory = 5000;
-      ListNews news = List();
+      s.request_classes[0].deduplication_scope = span;
+      s.request_classes[0].deduplication_window = 5000;
+      EndpointListUpdate news = List();
       for (ListEntry& e : news.entries)
-        e.cell = static_cast<int>(e.cache);
+        e.cell = static_cast<int>(e.id);
       Front f(s, 1, news);
       SendAttempt a = f.Request(1, 0, 1000, 20000);
       f.now += later;
-      f.end(a, Ending::kError);
-      bool may = span == Span::kEverywhere && later < 5000;
-      assert((f.attempt().cache != 0) == may);
+      f.end(a, AttemptResult::kError);
+      bool may = span == DeduplicationScope::kEverywhere && later < 5000;
+      assert((f.attempt().endpoint != 0) == may);
       if (!may)
-        assert(f.Declined() == (span == Span::kEverywhere));
+        assert(f.Declined() == (span == DeduplicationScope::kEverywhere));
     }
   }
 }
 
 static void DrainsKept() {
-  for (Standing standing : {Standing::kDraining, Standing::kGone}) {
+  for (EndpointState standing : {EndpointState::kDraining, EndpointState::kRemoved}) {
     Front f;
-    ListNews news{
-        Listing::kChanges,
+    EndpointListUpdate news{
+        ListUpdateKind::kChanges,
         {MakeEntry(11, kStoreKind, 1, standing), MakeEntry(21, kParentKind, 0, standing)}};
     for (std::uint64_t o = 1; o <= 40; ++o)
-      f.Finish(f.Request(o), Remark::kFilled);
+      f.Finish(f.Request(o), CacheStatus::kFilled);
     f.Tell(news);
     for (std::uint64_t o = 1; o <= 40; ++o) {
       SendAttempt a = f.Request(o);
-      assert(a.cache != 0 && a.cache != 11 && a.source != 11 && a.source != 21);
+      assert(a.endpoint != 0 && a.endpoint != 11 && a.source != 11 && a.source != 21);
       f.Finish(a);
     }
   }
@@ -106,24 +106,24 @@
   for (Cold how : {Cold::kCache, Cold::kParent, Cold::kSilentlyNew}) {
     Front f;
     bool parent = how == Cold::kParent;
-    std::uint32_t cold = parent ? 21 : f.Request(1).cache;
+    std::uint32_t cold = parent ? 21 : f.Request(1).endpoint;
     if (how == Cold::kSilentlyNew) {
-      f.end({1, cold}, Ending::kBroken);
-      f.end(f.Request(1), Ending::kNoConnection);
+      f.end({1, cold}, AttemptResult::kDisconnected);
+      f.end(f.Request(1), AttemptResult::kNotSent);
       for (int i = 0; i < 2; ++i)
         f.Tell(ProbeEnded{cold, true, 1, {}});
     } else {
-      f.Tell(ListNews{Listing::kChanges,
-                      {MakeEntry(cold, parent ? kParentKind : kStoreKind, parent ? 0 : 1,
-                                 Standing::kReady, f.now)}});
+      f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
+                                {MakeEntry(cold, parent ? kParentKind : kStoreKind, parent ? 0 : 1,
+                                           EndpointState::kReady, f.now)}});
     }
     double sent = 0, share = parent ? 0.5 : 1, weight = parent ? 30 : 6, from = parent ? 0.1 : 0.3;
     for (std::uint64_t o = 1; o <= 400; ++o) {
       f.now += 1;
       SendAttempt a = f.Request(o);
-      if (a.cache == cold || a.source == cold)
+      if (a.endpoint == cold || a.source == cold)
         sent += 100;
-      if (a.cache)
+      if (a.endpoint)
         f.Finish(a);
     }
     assert(sent > 0 && sent <= share * 2 * weight * (from + 0.03) * 1000);
@@ -137,24 +137,25 @@
   for (std::uint64_t o = 1; o <= 400; ++o) {
     f.now += 20;
     SendAttempt a = f.Request(o, 0, 2500);
-    if (a.cache)
+    if (a.endpoint)
       f.Finish(a);
   }
   for (int part = 0; part < 100; ++part) {  // six small objects, part after part
     f.now += 20;
     SendAttempt a =
         f.Request(1000 + static_cast<std::uint64_t>(part / 17), 0, 100, 4000, part % 17);
-    if (a.cache)
+    if (a.endpoint)
       f.Finish(a);
   }
-  std::uint32_t cold = f.Request(2000).cache;
-  f.Tell(ListNews{Listing::kChanges, {MakeEntry(cold, kStoreKind, 1, Standing::kReady, f.now)}});
+  std::uint32_t cold = f.Request(2000).endpoint;
+  f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
+                            {MakeEntry(cold, kStoreKind, 1, EndpointState::kReady, f.now)}});
   int attempts = 0;
   for (std::uint64_t o = 3000; o < 3300; ++o) {
     f.now += 1;
     SendAttempt a = f.Request(o, 0, 2500);
-    attempts += a.cache == cold;
-    if (a.cache)
+    attempts += a.endpoint == cold;
+    if (a.endpoint)
       f.Finish(a);
   }
   // What it bears in a window, in legs of the true mean (250 ms less the small ones' fifth): under
@@ -178,14 +179,14 @@
                  {true, 300, 20000, 0, 0}}) {
     f.now += 60000;
     Purged p;
-    p.whole_group = c.group;
+    p.is_group = c.group;
     p.object = c.group ? 0 : 5;
     p.group = 7;
-    p.ago = c.ago;
+    p.age = c.ago;
     f.Tell(p);
     f.now += c.later;
     SendAttempt a = f.Request(5);
-    assert(a.oldest >= c.least && a.oldest <= c.most);
+    assert(a.max_age >= c.least && a.max_age <= c.most);
     f.Finish(a);
   }
 }
@@ -196,19 +197,20 @@
   std::vector<SendAttempt> before;
   for (std::uint64_t o = 1; o <= 200; ++o) {
     SendAttempt a = f.Request(o), b = g.Request(o);
-    assert(a.cache == b.cache && a.source == b.source);
-    used.insert(a.cache);
+    assert(a.endpoint == b.endpoint && a.source == b.source);
+    used.insert(a.endpoint);
     parents.insert(a.source);
     before.push_back(a);
     f.Finish(a);
     g.Finish(b);
   }
   assert(used.size() == 4 && parents.size() == 2);
-  f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1, Standing::kGone)}});
+  f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
+                            {MakeEntry(12, kStoreKind, 1, EndpointState::kRemoved)}});
   for (std::uint64_t o = 1; o <= 200; ++o) {
     SendAttempt a = f.Request(o);
-    assert(a.cache == before[o - 1].cache ||
-           before[o - 1].cache == 12);  // only its own objects move
+    assert(a.endpoint == before[o - 1].endpoint ||
+           before[o - 1].endpoint == 12);  // only its own objects move
     f.Finish(a);
   }
 }
@@ -217,22 +219,23 @@
 // lacks it.
 static void MovedHomesFillFromSiblings() {
   Front f;
-  f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1, Standing::kDraining)}});
+  f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
+                            {MakeEntry(12, kStoreKind, 1, EndpointState::kDraining)}});
   std::vector<SendAttempt> first;
   for (std::uint64_t o = 1; o <= 40; ++o) {
     first.push_back(f.Request(o));
-    f.Finish(first.back(), Remark::kFilled);
+    f.Finish(first.back(), CacheStatus::kFilled);
   }
-  f.Tell(ListNews{Listing::kChanges, {MakeEntry(12, kStoreKind, 1)}});
+  f.Tell(EndpointListUpdate{ListUpdateKind::kChanges, {MakeEntry(12, kStoreKind, 1)}});
   bool moved = false;
   for (std::uint64_t o = 1; o <= 40; ++o) {
     SendAttempt a = f.Request(o);
-    if (a.cache == 12) {
-      assert(a.source == first[o - 1].cache);
-      f.end(a, Ending::kMiss, Remark::kSourceLacks);
+    if (a.endpoint == 12) {
+      assert(a.source == first[o - 1].endpoint);
+      f.end(a, AttemptResult::kMiss, CacheStatus::kSourceMiss);
       SendAttempt again = f.attempt();
-      assert(again.cache == 12 && (again.source == 21 || again.source == 22));
-      f.end(again, Ending::kFinished, Remark::kFilled, 1);
+      assert(again.endpoint == 12 && (again.source == 21 || again.source == 22));
+      f.end(again, AttemptResult::kFinished, CacheStatus::kFilled, 1);
       moved = true;
     } else {
       f.Finish(a);
@@ -247,31 +250,33 @@
   for (int i = 0; i < 20; ++i) {
     f.now += 500;
     SendAttempt a = f.Request(1);
-    assert(a.rank >= 1 && a.rank <= 3);
-    ++ranks[a.rank];
+    assert(a.retention_rank >= 1 && a.retention_rank <= 3);
+    ++ranks[a.retention_rank];
     f.Finish(a);
   }
-  assert(ranks[1] > 0 && ranks[3] > 0 && f.Request(1).rank == 3 && f.Request(2).rank == 1);
+  assert(ranks[1] > 0 && ranks[3] > 0 && f.Request(1).retention_rank == 3 &&
+         f.Request(2).retention_rank == 1);
 }
 
 // One pull where many fronts serve a location does not rank an object high: it may be wanted only
 // once.
 static void SingleRequestsRankLowAtSize() {
-  StoreSettings s = Settings();
+  DeploymentSettings s = Settings();
   s.zone_replicas = 12;
   s.fronts = 200;
   Front f(s);
   SendAttempt a = f.Request(1);
   f.Finish(a);
   f.now += 3000;
-  assert(a.rank == 1 && f.Request(1).rank == 3 && f.Request(2).rank == 1);
+  assert(a.retention_rank == 1 && f.Request(1).retention_rank == 3 &&
+         f.Request(2).retention_rank == 1);
 }
 
 // Omega falls on misses at short gaps, but not on those of a cache that started lately.
 static void OmegaLearnsFromWarmCachesOnly() {
   for (bool cold : {false, true}) {
     Front f;
-    ListNews news = List();
+    EndpointListUpdate news = List();
     if (cold)
       for (ListEntry& e : news.entries)
         e.started_at = f.now - 10000;
@@ -279,13 +284,13 @@
     for (int round = 0; round < 30; ++round)
       for (std::uint64_t o = 1; o <= 5; ++o) {
         f.now += 20;
-        f.Finish(f.Request(o), Remark::kFilled);
+        f.Finish(f.Request(o), CacheStatus::kFilled);
       }
     f.now += 1000;
     int most = 0;
     for (int i = 0; i < 3; ++i) {
       SendAttempt a = f.Request(1000);
-      most = std::max(most, a.rank);
+      most = std::max(most, a.retention_rank);
       f.Finish(a);
     }
     assert(cold ? most > 1 : most == 1);
@@ -299,20 +304,21 @@
   Front f;
   SendAttempt a = f.Request(1), b = f.Request(1);
   AttemptEnded e;
-  e.ending = Ending::kBroken;
-  e.cache = a.cache;
-  for (e.request = a.request; e.request <= b.request; ++e.request, ++e.fell_with) {
+  e.result = AttemptResult::kDisconnected;
+  e.endpoint = a.endpoint;
+  for (e.request = a.request; e.request <= b.request; ++e.request, ++e.earlier_on_connection) {
     f.Tell(e);
-    assert((f.attempt().cache == a.cache) == (e.fell_with > 0));
+    assert((f.attempt().endpoint == a.endpoint) == (e.earlier_on_connection > 0));
   }
-  assert(f.Request(1).cache == a.cache);
-  f.end({f.last_request, a.cache}, Ending::kBroken);  // a second connection: set aside
-  assert(f.Request(1).cache != a.cache);
+  assert(f.Request(1).endpoint == a.endpoint);
+  f.end({f.last_request, a.endpoint},
+        AttemptResult::kDisconnected);  // a second connection: set aside
+  assert(f.Request(1).endpoint != a.endpoint);
   for (int i = 0; i < 2; ++i)
-    f.Tell(ProbeEnded{a.cache, true, 1, {}});
+    f.Tell(ProbeEnded{a.endpoint, true, 1, {}});
   for (int i = 0; i < 20; ++i) {  // more than a cold one would be sent
     SendAttempt again = f.Request(1, 0, 2000);
-    assert(again.cache == a.cache);
+    assert(again.endpoint == a.endpoint);
     f.Finish(again);
   }
 }
@@ -321,22 +327,22 @@
 // use. Where another answers it, the one that erred is struck.
 static void BadRequestsStrikeNobody() {
   Front f;
-  std::uint32_t home = f.Request(1).cache;
+  std::uint32_t home = f.Request(1).endpoint;
   f.Finish({f.last_request, home});
   for (int i = 0; i < 5; ++i) {
-    f.end(f.Request(1), Ending::kError);
+    f.end(f.Request(1), AttemptResult::kError);
     SendAttempt second = f.attempt();
-    assert(second.cache != home && second.cache != 0);
-    f.end(second, Ending::kError, Remark::kNone, 1);
+    assert(second.endpoint != home && second.endpoint != 0);
+    f.end(second, AttemptResult::kError, CacheStatus::kNone, 1);
     assert(f.Declined());
   }
-  assert(f.Request(1).cache == home);
+  assert(f.Request(1).endpoint == home);
   f.Finish({f.last_request, home});
   for (int i = 0; i < 2; ++i) {
-    f.end(f.Request(1), Ending::kError);
-    f.end(f.attempt(), Ending::kFinished, Remark::kHit, 1);
+    f.end(f.Request(1), AttemptResult::kError);
+    f.end(f.attempt(), AttemptResult::kFinished, CacheStatus::kHit, 1);
   }
-  assert(f.Request(1).cache != home);
+  assert(f.Request(1).endpoint != home);
 }
 
 // What is gone for long is forgotten, so that new ids all day fill no table: listed again it is a
@@ -345,54 +351,55 @@
   for (bool pointed_at : {false, true}) {
     Front f;
     SendAttempt held = f.Request(1);
-    std::uint32_t bad = held.cache;
+    std::uint32_t bad = held.endpoint;
     if (!pointed_at)
       f.Finish(held);
     for (int i = 0; i < 2; ++i) {
-      f.end(f.Request(1), Ending::kError);
-      f.end(f.attempt(), Ending::kFinished, Remark::kHit, 1);
+      f.end(f.Request(1), AttemptResult::kError);
+      f.end(f.attempt(), AttemptResult::kFinished, CacheStatus::kHit, 1);
     }
-    auto listed = [&](Standing standing) {
+    auto listed = [&](EndpointState standing) {
       f.now += 61000;
-      f.Tell(ListNews{Listing::kChanges, {MakeEntry(bad, kStoreKind, 1, standing)}});
+      f.Tell(
+          EndpointListUpdate{ListUpdateKind::kChanges, {MakeEntry(bad, kStoreKind, 1, standing)}});
     };
-    listed(Standing::kGone);
-    listed(Standing::kReady);
-    assert((f.Request(1).cache == bad) == !pointed_at);  // else it is still set aside
+    listed(EndpointState::kRemoved);
+    listed(EndpointState::kReady);
+    assert((f.Request(1).endpoint == bad) == !pointed_at);  // else it is still set aside
   }
 }
 
 static void FailingCachesRestAndComeBack() {
   for (bool probes : {true, false}) {
-    StoreSettings s = Settings();
-    s.may.probe = probes;
+    DeploymentSettings s = Settings();
+    s.permissions.probe = probes;
     Front f(s);
     std::uint64_t object = 1;
-    std::uint32_t bad = f.Request(object).cache;
-    f.end({f.last_request, bad}, Ending::kError);
-    assert(f.attempt().cache != bad);
-    f.end(f.attempt(), Ending::kFinished, Remark::kHit, 1);
+    std::uint32_t bad = f.Request(object).endpoint;
+    f.end({f.last_request, bad}, AttemptResult::kError);
+    assert(f.attempt().endpoint != bad);
+    f.end(f.attempt(), AttemptResult::kFinished, CacheStatus::kHit, 1);
     SendAttempt second = f.Request(object);
-    f.end(second, Ending::kError);
-    f.end(f.attempt(), Ending::kFinished, Remark::kHit, 1);
+    f.end(second, AttemptResult::kError);
+    f.end(f.attempt(), AttemptResult::kFinished, CacheStatus::kHit, 1);
     SendAttempt passed = f.Request(object);
-    assert(passed.cache != bad);
+    assert(passed.endpoint != bad);
     f.Finish(passed);
     f.now += 300;
     if (probes) {
       for (int i = 0; i < 2; ++i) {
-        f.Tell(WakeUp{std::uint64_t{2} << 56 | bad});
-        assert(f.all<ProbeCache>().size() == 1);
+        f.Tell(TimerFired{std::uint64_t{2} << 56 | bad});
+        assert(f.all<ProbeEndpoint>().size() == 1);
         f.Tell(ProbeEnded{bad, true, 1, {}});
       }
     }
     SendAttempt trial = f.Request(object);
-    assert(trial.cache == bad);
+    assert(trial.endpoint == bad);
     if (!probes)
-      assert(f.Request(object).cache != bad);  // one trial at a time
-    f.end(trial, Ending::kFinished, Remark::kHit);
+      assert(f.Request(object).endpoint != bad);  // one trial at a time
+    f.end(trial, AttemptResult::kFinished, CacheStatus::kHit);
     SendAttempt back = f.Request(object);
-    assert(back.cache == bad);
+    assert(back.endpoint == bad);
   }
 }
 
@@ -402,18 +409,18 @@
 static void CrowdedLinkLooksFirst() {
   int filled[2] = {};
   for (int notified : {0, 1}) {
-    StoreSettings s = Settings();
+    DeploymentSettings s = Settings();
     s.link_kb_per_ms = notified ? 80 : 0;  // as much as is guessed from the caches
     Front f(s);
     int looks = 0, declines = 0;
     for (std::uint64_t o = 1; o <= 200; ++o) {
       SendAttempt a = f.Request(o, 0, 2000);
-      assert(o > 1 || a.cache != a.source);
-      if (a.cache == 0 || a.cache != a.source)
+      assert(o > 1 || a.endpoint != a.source);
+      if (a.endpoint == 0 || a.endpoint != a.source)
         continue;
       ++looks;
-      f.end(a, Ending::kMiss);
-      f.attempt().cache ? ++filled[notified] : ++declines;
+      f.end(a, AttemptResult::kMiss);
+      f.attempt().endpoint ? ++filled[notified] : ++declines;
     }
     assert(looks > 0 && declines > 0);
   }
@@ -425,15 +432,15 @@
 static void LastingLevelsDeclineEarlier() {
   int filled[2] = {};
   for (int lasting : {0, 1}) {
-    StoreSettings s = Settings();
+    DeploymentSettings s = Settings();
     s.link_kb_per_ms = 40;  // four transfers
     Front f(s);
     std::uint64_t object = 0;
     auto fill = [&] {  // a pull, and after a look the fill
       SendAttempt a = f.Request(++object, 0, 2000, 20000);
-      if (a.cache == 0 || a.cache != a.source)
+      if (a.endpoint == 0 || a.endpoint != a.source)
         return a;
-      f.end(a, Ending::kMiss);
+      f.end(a, AttemptResult::kMiss);
       return f.attempt();
     };
     std::vector<SendAttempt> out;
@@ -442,14 +449,14 @@
     for (std::size_t i = 0; lasting && i < 200;
          ++i) {  // ten seconds with as many out, none of them overdue
       f.now += 50;
-      if (out[i].cache)
-        f.end(out[i], Ending::kFinished, Remark::kFilled, i < 8 ? 0 : 1);
-      out.push_back(out[i].cache ? fill() : SendAttempt{});
+      if (out[i].endpoint)
+        f.end(out[i], AttemptResult::kFinished, CacheStatus::kFilled, i < 8 ? 0 : 1);
+      out.push_back(out[i].endpoint ? fill() : SendAttempt{});
     }
     for (std::size_t i = out.size() - 14; i < out.size(); ++i)
-      filled[lasting] += out[i].cache != 0;  // still out
+      filled[lasting] += out[i].endpoint != 0;  // still out
     for (int i = 0; i < 100; ++i)
-      filled[lasting] += fill().cache != 0;
+      filled[lasting] += fill().endpoint != 0;
   }
   assert(filled[0] > 0 && filled[1] <= filled[0] / 2);
 }
@@ -459,19 +466,19 @@
   Front f;
   SendAttempt a = f.Request(1);
   for (int i = 0; i < 3; ++i)
-    f.end(f.Request(1), Ending::kFull, Remark::kNoFillPlace);
-  assert(f.Request(1).cache == a.cache);
+    f.end(f.Request(1), AttemptResult::kOverloaded, CacheStatus::kNoFillSlot);
+  assert(f.Request(1).endpoint == a.endpoint);
 }
 
 static void SlowCachesArePassedOver() {
   Front f;
-  std::uint32_t slow = f.Request(1).cache;
+  std::uint32_t slow = f.Request(1).endpoint;
   f.Finish({1, slow});
   for (int i = 0; i < 60; ++i) {
     SendAttempt a = f.Request(1);
-    f.end(a, Ending::kFinished, Remark::kHit, 0, a.cache == slow ? 2000 : 105);
+    f.end(a, AttemptResult::kFinished, CacheStatus::kHit, 0, a.endpoint == slow ? 2000 : 105);
   }
-  assert(f.Request(1).cache != slow);
+  assert(f.Request(1).endpoint != slow);
 }
 
 // A parent whose fills are stretched, or never end, is passed over: its objects move on to the
@@ -489,7 +496,7 @@
       if (o > 100)
         late += a.source == bad;
       if (a.source != bad || !swallows)
-        f.end(a, Ending::kFinished, Remark::kFilled, 0, a.source == bad ? 600 : 35);
+        f.end(a, AttemptResult::kFinished, CacheStatus::kFilled, 0, a.source == bad ? 600 : 35);
     }
     assert(late < 20);
   }
@@ -500,8 +507,8 @@
   Front f;
   SendAttempt a = f.Request(1);
   int attempts = 0;
-  for (; a.cache; ++attempts) {
-    f.end(a, Ending::kFull, Remark::kSourceRefused, attempts, 20);
+  for (; a.endpoint; ++attempts) {
+    f.end(a, AttemptResult::kOverloaded, CacheStatus::kSourceRefused, attempts, 20);
     a = f.attempt();
   }
   assert(attempts == 3 && f.Declined());  // two parents and the origin
@@ -517,17 +524,17 @@
     for (std::uint64_t o = from; o < from + 100; ++o) {
       f.now += 300;
       SendAttempt a = f.Request(o);
-      spared += a.held_only;
+      spared += a.only_if_cached;
       AttemptEnded e;
       e.request = a.request;
-      e.cache = a.cache;
-      e.took = 105 + waited;
-      e.waited = waited;
-      e.ending = a.held_only ? Ending::kMiss : Ending::kFinished;
-      e.final = !a.held_only;
-      e.remark = a.held_only ? Remark::kSourceLacks : Remark::kFilledByOrigin;
+      e.endpoint = a.endpoint;
+      e.duration = 105 + waited;
+      e.fill_wait = waited;
+      e.result = a.only_if_cached ? AttemptResult::kMiss : AttemptResult::kFinished;
+      e.final = !a.only_if_cached;
+      e.cache_status = a.only_if_cached ? CacheStatus::kSourceMiss : CacheStatus::kFilledByOrigin;
       f.Tell(e);
-      assert(f.Declined() == a.held_only && f.attempt().cache == 0);
+      assert(f.Declined() == a.only_if_cached && f.attempt().endpoint == 0);
     }
   };
   round(1, 60);
@@ -543,15 +550,15 @@
 // fill is kept.
 static void LostLocationsDecline() {
   Front f;
-  ListNews news{Listing::kChanges, {}};
+  EndpointListUpdate news{ListUpdateKind::kChanges, {}};
   for (std::uint32_t id : {11, 12, 13})
-    news.entries.push_back(MakeEntry(id, kStoreKind, 1, Standing::kGone));
+    news.entries.push_back(MakeEntry(id, kStoreKind, 1, EndpointState::kRemoved));
   f.Tell(news);
   int attempts = 0, declined = 0;
   for (std::uint64_t o = 1; o <= 100; ++o) {
     SendAttempt a = f.Request(o, 0, 300);
-    assert(a.cache == 0 || a.cache == 14);
-    attempts += a.cache != 0;
+    assert(a.endpoint == 0 || a.endpoint == 14);
+    attempts += a.endpoint != 0;
     declined += f.Declined();
   }
   assert(attempts > 0 && declined > 0 && attempts + declined == 100);
@@ -559,7 +566,7 @@
 
 // Where hundreds of fronts share a parent, a few legs of ours don't make it look full.
 static void OwnAttemptsAreNotTakenForDozens() {
-  StoreSettings s = Settings();
+  DeploymentSettings s = Settings();
   s.fronts = 200;
   Front f(s), alone;
   for (std::uint64_t o = 1; o <= 5; ++o)
@@ -568,8 +575,8 @@
 
 // A parent whose fills come stretched keeps a share of its objects, the same at all fronts.
 static void CrowdedParentsKeepAShare() {
-  StoreSettings s = Settings();
-  s.weighing = Weighing::kNone;
+  DeploymentSettings s = Settings();
+  s.weight_source = WeightSource::kNone;
   s.fronts = 200;
   Front f(s, 1), g(s, 99);
   std::map<std::uint64_t, std::uint32_t> home;
@@ -585,9 +592,9 @@
         a.source == 21 ? ++kept : ++moved;
         apart += a.source != b.source;
       }
-      f.end(a, Ending::kFinished, Remark::kFilled, 0,
+      f.end(a, AttemptResult::kFinished, CacheStatus::kFilled, 0,
             a.source == 21 && kept + moved < 30 ? 300 : 65);
-      g.end(b, Ending::kFinished, Remark::kFilled, 0,
+      g.end(b, AttemptResult::kFinished, CacheStatus::kFilled, 0,
             b.source == 21 && kept + moved < 30 ? 300 : 65);
     }
   assert(kept > 0 && moved > 0 && apart < 10);
@@ -596,12 +603,12 @@
 // With so many fronts that one's share of a cold parent is less than a leg, all together send it
 // some, and stay within the rule in every window.
 static void SharesBelowAAttemptAddUp() {
-  StoreSettings s = Settings();
+  DeploymentSettings s = Settings();
   s.fronts = 200;
   std::vector<std::unique_ptr<Front>> fronts;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     fronts.push_back(std::make_unique<Front>(s, seed));
-    ListNews news = List();
+    EndpointListUpdate news = List();
     for (ListEntry& e : news.entries)
       if (e.kind == kParentKind)
         e.started_at = 1e6;
@@ -615,7 +622,7 @@
       SendAttempt a = f->Request(o, 0, 1000);
       if (o > 10 && (a.source == 21 || a.source == 22))
         sent += 100;
-      f->Finish(a, Remark::kFilled);
+      f->Finish(a, CacheStatus::kFilled);
     }
   assert(sent > 0.1 * limit && sent <= limit);
 }
@@ -624,21 +631,22 @@
 // ready: each pull gets a leg or its one final answer at once.
 static void OddListsAreBorne() {
   Front f;
-  ListNews many{Listing::kWhole, {}}, draining = many;
+  EndpointListUpdate many{ListUpdateKind::kSnapshot, {}}, draining = many;
   for (std::uint32_t id = 100; id < 500; ++id) {
     many.entries.push_back(
-        MakeEntry(id, id % 20 ? kStoreKind : kParentKind, id % 3, Standing::kReady, f.now));
-    draining.entries.push_back(MakeEntry(id, kStoreKind, id % 3, Standing::kDraining, f.now));
+        MakeEntry(id, id % 20 ? kStoreKind : kParentKind, id % 3, EndpointState::kReady, f.now));
+    draining.entries.push_back(MakeEntry(id, kStoreKind, id % 3, EndpointState::kDraining, f.now));
   }
   std::uint64_t object = 0;
-  for (const ListNews& news : {many, draining, many, ListNews{Listing::kWhole, {}}, List()}) {
+  for (const EndpointListUpdate& news :
+       {many, draining, many, EndpointListUpdate{ListUpdateKind::kSnapshot, {}}, List()}) {
     f.Tell(news);
     for (int i = 0; i < 300; ++i) {
       f.now += 1;
       SendAttempt a = f.Request(++object, i % 7 == 0);
-      assert((a.cache != 0) + f.Declined() == 1 && f.did.size() < 5);
-      if (a.cache)
-        f.end(a, Ending::kFinished, Remark::kFilled, 0, 200);
+      assert((a.endpoint != 0) + f.Declined() == 1 && f.did.size() < 5);
+      if (a.endpoint)
+        f.end(a, AttemptResult::kFinished, CacheStatus::kFilled, 0, 200);
     }
   }
 }
@@ -646,25 +654,25 @@
 // Without parents, probes, reports, weights, direct routes or a told link; the list only when asked
 // for.
 static void WorksWithoutTheExtras() {
-  StoreSettings s = Settings();
+  DeploymentSettings s = Settings();
   s.parent_kind = -1;
-  s.may = {};
-  s.weighing = Weighing::kNone;
-  s.lateral = false;
+  s.permissions = {};
+  s.weight_source = WeightSource::kNone;
+  s.fills_from_siblings = false;
   s.link_kb_per_ms = 0;
-  s.asks_for_list = true;
-  ListNews news = List();
-  Front f(s, 1, {Listing::kRemembered, {news.entries[0], news.entries[1], news.entries[6]}});
-  assert(f.all<FollowList>().size() == 1);
+  s.polls_endpoint_list = true;
+  EndpointListUpdate news = List();
+  Front f(s, 1, {ListUpdateKind::kLastKnown, {news.entries[0], news.entries[1], news.entries[6]}});
+  assert(f.all<WatchEndpointList>().size() == 1);
   SendAttempt a = f.Request(1);
-  assert((a.cache == 11 || a.cache == 12) && a.source == 31);
-  f.Tell(AttemptStarted{a.request, a.cache, 0});
+  assert((a.endpoint == 11 || a.endpoint == 12) && a.source == 31);
+  f.Tell(AttemptStarted{a.request, a.endpoint, 0});
   f.now += 9000;
-  f.Tell(WakeUp{std::uint64_t{1} << 56 | a.request});
+  f.Tell(TimerFired{std::uint64_t{1} << 56 | a.request});
   assert(f.did.empty());  // a stream that has started is not called off
   f.Finish(a);
-  f.Tell(ListNews{Listing::kFailed, {}});
-  assert(f.all<WakeMe>().size() == 1);
+  f.Tell(EndpointListUpdate{ListUpdateKind::kFailed, {}});
+  assert(f.all<SetTimer>().size() == 1);
 }
 
 // Clients have ever so many places here: when nearly all are taken, what earns least for its time
@@ -680,10 +688,10 @@
                  {200, 100, 4000, false},
                  {100, 99, 4000, true},
                  {100, 99, 500, false}}) {
-    StoreSettings s = Settings();
-    s.places = c.places;
+    DeploymentSettings s = Settings();
+    s.max_open_requests = c.places;
     s.link_kb_per_ms = 1e6;
-    ListNews many{Listing::kWhole, {}};
+    EndpointListUpdate many{ListUpdateKind::kSnapshot, {}};
     for (std::uint32_t id = 11; id < 60; ++id)
       many.entries.push_back(MakeEntry(id, kStoreKind, 1));
     for (std::uint32_t id = 61; id < 80; ++id)
@@ -692,30 +700,30 @@
     for (int i = 0; i < c.open; ++i)
       f.Request(1000 + static_cast<std::uint64_t>(i));
     SendAttempt attempt = f.Request(7, 0, c.size_kb);
-    assert(f.Declined() == c.declined && (attempt.cache == 0) == c.declined);
+    assert(f.Declined() == c.declined && (attempt.endpoint == 0) == c.declined);
   }
 }
 
 // A sheet of the shape in which answers tell only hits, and caches report how full their link is.
-static StoreSettings PlainSettings() {
-  StoreSettings s = Settings();
-  s.remarks = false;
+static DeploymentSettings PlainSettings() {
+  DeploymentSettings s = Settings();
+  s.reports_cache_status = false;
   s.link_kb_per_ms = 0;
-  s.link_report = 1;
+  s.link_report_index = 1;
   return s;
 }
 
-static void Send(Front& f, const SendAttempt& a, Ending ending, Remark remark, int attempt, Ms took,
-                 float level) {
+static void Send(Front& f, const SendAttempt& a, AttemptResult ending, CacheStatus remark,
+                 int attempt, Ms took, float level) {
   AttemptEnded e;
   e.request = a.request;
-  e.cache = a.cache;
+  e.endpoint = a.endpoint;
   e.attempt = attempt;
-  e.ending = ending;
-  e.remark = remark;
-  e.took = took;
-  e.final = ending == Ending::kFinished;
-  e.report = {7, level};
+  e.result = ending;
+  e.cache_status = remark;
+  e.duration = took;
+  e.final = ending == AttemptResult::kFinished;
+  e.load_report = {7, level};
   f.Tell(e);
 }
 
@@ -730,44 +738,46 @@
       f.now += 300;
       SendAttempt a = f.Request(o);
       if (o > 50)
-        looks += a.cache == a.source;
-      Send(f, a, Ending::kFinished, Remark::kFilled, 0, 105 + 170,
+        looks += a.endpoint == a.source;
+      Send(f, a, AttemptResult::kFinished, CacheStatus::kFilled, 0, 105 + 170,
            level);  // half as long again in waiting
     }
     assert(level < 1 ? looks == 0 : looks == 50);
     f.now += 60000;
     SendAttempt after = f.Request(1000);
-    assert(after.cache && after.cache != after.source);
+    assert(after.endpoint && after.endpoint != after.source);
   }
 }
 
 // Where only hits are told: a refusal or an error that comes from behind the cache is its source's,
 // a quick one of a fill has found no place; the cache keeps its pulls.
 static void WhatFailsBehindACacheIsTheSources() {
-  StoreSettings s = PlainSettings();
-  s.may.probe = false;                 // sources set aside come back by trial legs
-  s.request_classes[0].agreed = 4000;  // there is time for another source
+  DeploymentSettings s = PlainSettings();
+  s.permissions.probe = false;                    // sources set aside come back by trial legs
+  s.request_classes[0].latency_objective = 4000;  // there is time for another source
   Front f(s);
   SendAttempt first = f.Request(1);
-  Send(f, first, Ending::kFinished, Remark::kHit, 0, 105, 0.2f);
+  Send(f, first, AttemptResult::kFinished, CacheStatus::kHit, 0, 105, 0.2f);
   for (Ms took : {30.0, 400.0, 1400.0}) {
     for (int i = 0; i < 3; ++i) {
       f.now += 60000;
       SendAttempt a = f.Request(1);
-      assert(a.cache == first.cache && a.source != a.cache);
+      assert(a.endpoint == first.endpoint && a.source != a.endpoint);
       f.now += took;
-      Send(f, a, took > 1000 ? Ending::kError : Ending::kFull, Remark::kNone, 0, took, 0.2f);
+      Send(f, a, took > 1000 ? AttemptResult::kError : AttemptResult::kOverloaded,
+           CacheStatus::kNone, 0, took, 0.2f);
       SendAttempt b = f.attempt();  // the same cache, another source
-      assert(b.cache == first.cache && b.source != a.source && b.source != b.cache);
-      Send(f, b, Ending::kFinished, Remark::kFilled, 1, 150, 0.2f);
+      assert(b.endpoint == first.endpoint && b.source != a.source && b.source != b.endpoint);
+      Send(f, b, AttemptResult::kFinished, CacheStatus::kFilled, 1, 150, 0.2f);
     }
   }
   f.now += 5000;
   SendAttempt a = f.Request(1);
-  Send(f, a, Ending::kFull, Remark::kNone, 0, 0.6, 0.2f);  // no place: another cache fills it
-  assert(f.attempt().cache && f.attempt().cache != a.cache);
-  Send(f, f.attempt(), Ending::kFinished, Remark::kFilled, 1, 150, 0.2f);
-  assert(f.Request(1).cache == first.cache);
+  Send(f, a, AttemptResult::kOverloaded, CacheStatus::kNone, 0, 0.6,
+       0.2f);  // no place: another cache fills it
+  assert(f.attempt().endpoint && f.attempt().endpoint != a.endpoint);
+  Send(f, f.attempt(), AttemptResult::kFinished, CacheStatus::kFilled, 1, 150, 0.2f);
+  assert(f.Request(1).endpoint == first.endpoint);
 }
 
 // Found at full size: a front asks a source once in seconds, and four slow ones in five took most
@@ -779,29 +789,29 @@
     for (std::uint64_t o = 1; o <= 20; ++o) {
       f.now += 300;
       SendAttempt a = f.Request(o);
-      Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
+      Send(f, a, AttemptResult::kFinished, CacheStatus::kFilled, 0, 150, 0.2f);
     }
     SendAttempt slow = f.Request(100);
     f.now += 3000;
     if (ends)
-      Send(f, slow, Ending::kFinished, Remark::kFilled, 0, 3000, 0.2f);
+      Send(f, slow, AttemptResult::kFinished, CacheStatus::kFilled, 0, 3000, 0.2f);
     int asked = 0;
     for (std::uint64_t o = 200; o < 240; ++o) {
       f.now += 20;
       SendAttempt a = f.Request(o);
       asked += a.source == slow.source;
-      if (a.cache)
-        Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
+      if (a.endpoint)
+        Send(f, a, AttemptResult::kFinished, CacheStatus::kFilled, 0, 150, 0.2f);
     }
     assert(asked == 0);
     if (!ends)
-      Send(f, slow, Ending::kFinished, Remark::kFilled, 0, 3800, 0.2f);
+      Send(f, slow, AttemptResult::kFinished, CacheStatus::kFilled, 0, 3800, 0.2f);
     f.now += 120000;
     for (std::uint64_t o = 300; o < 340; ++o) {
       SendAttempt a = f.Request(o);
       asked += a.source == slow.source;
-      if (a.cache)
-        Send(f, a, Ending::kFinished, Remark::kFilled, 0, 150, 0.2f);
+      if (a.endpoint)
+        Send(f, a, AttemptResult::kFinished, CacheStatus::kFilled, 0, 150, 0.2f);
     }
     assert(asked > 0);
   }
@@ -810,78 +820,79 @@
 // While all sources come late with what they fetch, one is asked for what it holds; if it lacks
 // that, the pull is declined at once, with a time to come back.
 static void LateSourcesAreAskedForWhatTheyHold() {
-  StoreSettings s = PlainSettings();
-  s.longest_retry_after = 500;
+  DeploymentSettings s = PlainSettings();
+  s.max_retry_after = 500;
   Front f(s);
   for (std::uint64_t o = 1; o <= 40; ++o) {
     f.now += 200;
     SendAttempt a = f.Request(o);
-    if (!a.cache)
+    if (!a.endpoint)
       continue;
-    if (a.held_only || a.cache == a.source)
-      Send(f, a, Ending::kMiss, Remark::kNone, 0, 20, 0.2f);
+    if (a.only_if_cached || a.endpoint == a.source)
+      Send(f, a, AttemptResult::kMiss, CacheStatus::kNone, 0, 20, 0.2f);
     else
-      Send(f, a, Ending::kFinished, Remark::kFilled, 0, o < 5 ? 150 : 2500, 0.2f);
+      Send(f, a, AttemptResult::kFinished, CacheStatus::kFilled, 0, o < 5 ? 150 : 2500, 0.2f);
   }
   SendAttempt a = f.Request(1000);
-  assert(a.held_only && (a.source == 21 || a.source == 22));
-  Send(f, a, Ending::kMiss, Remark::kNone, 0, 20, 0.2f);
-  assert(f.Declined() && f.all<DeclineRequest>().front().retry_after > 0 && f.attempt().cache == 0);
+  assert(a.only_if_cached && (a.source == 21 || a.source == 22));
+  Send(f, a, AttemptResult::kMiss, CacheStatus::kNone, 0, 20, 0.2f);
+  assert(f.Declined() && f.all<RejectRequest>().front().retry_after > 0 &&
+         f.attempt().endpoint == 0);
   SendAttempt b = f.Request(1001);
-  Send(f, b, Ending::kFinished, Remark::kFilled, 0, 120, 0.2f);
+  Send(f, b, AttemptResult::kFinished, CacheStatus::kFilled, 0, 120, 0.2f);
   assert(f.did.empty());
 }
 
 // A ticketed pull that is never kept runs at the origin by way of its home cache, whatever the
 // link's level, and is not looked for first; a repeat goes there as long as the origin drops it.
 static void TicketsRunAtTheOriginThroughACache() {
-  StoreSettings s = PlainSettings();
-  s.may.direct = false;
+  DeploymentSettings s = PlainSettings();
+  s.permissions.direct_to_origin = false;
   s.request_classes[1].effect = Effect::kIdempotentWithKey;
-  s.request_classes[1].memory = 6000;
+  s.request_classes[1].deduplication_window = 6000;
   Front f(s);
   for (std::uint64_t o = 1; o <= 20; ++o) {
     f.now += 300;
     SendAttempt a = f.Request(o);
-    if (a.cache)
-      Send(f, a, a.cache == a.source ? Ending::kMiss : Ending::kFinished, Remark::kNone, 0, 150,
-           9.0f);
+    if (a.endpoint)
+      Send(f, a, a.endpoint == a.source ? AttemptResult::kMiss : AttemptResult::kFinished,
+           CacheStatus::kNone, 0, 150, 9.0f);
   }
   SendAttempt a = f.Request(500, 1, 100);
-  assert(a.cache >= 11 && a.cache <= 14 && a.source == 31);
-  Send(f, a, Ending::kBroken, Remark::kNone, 0, 20, 9.0f);
-  assert(f.attempt().cache && f.attempt().source == 31);
+  assert(a.endpoint >= 11 && a.endpoint <= 14 && a.source == 31);
+  Send(f, a, AttemptResult::kDisconnected, CacheStatus::kNone, 0, 20, 9.0f);
+  assert(f.attempt().endpoint && f.attempt().source == 31);
 }
 
 // Found on reading: what a parent is asked for only if it holds it tells of that parent too, where
 // waits are told.
 static void HeldFillsTellOfCrowdedParents() {
   Front f;
-  auto end = [&](const SendAttempt& a, Remark remark, Ms took, Ms waited) {
+  auto end = [&](const SendAttempt& a, CacheStatus remark, Ms took, Ms waited) {
     AttemptEnded e;
     e.request = a.request;
-    e.cache = a.cache;
-    e.ending = Ending::kFinished;
-    e.remark = remark;
+    e.endpoint = a.endpoint;
+    e.result = AttemptResult::kFinished;
+    e.cache_status = remark;
     e.final = true;
-    e.took = took;
-    e.waited = waited;
+    e.duration = took;
+    e.fill_wait = waited;
     f.Tell(e);
   };
   int held = 0, crowded = 0;
   for (std::uint64_t o = 1; o <= 600; ++o) {
     f.now += 40;
     SendAttempt a = f.Request(o, 0, 300);
-    if (!a.cache)
+    if (!a.endpoint)
       continue;
     bool bad = a.source == 21;
-    if (a.held_only)
-      end(a, Remark::kFilled, bad ? 600 : 35, 0);
+    if (a.only_if_cached)
+      end(a, CacheStatus::kFilled, bad ? 600 : 35, 0);
     else
-      end(a, Remark::kFilledByOrigin, 35 + (o < 100 ? 60 : 1500), o < 100 ? 60 : 1500);
+      end(a, CacheStatus::kFilledByOrigin, 35 + (o < 100 ? 60 : 1500), o < 100 ? 60 : 1500);
     if (o > 400) {
-      held += a.held_only;
-      crowded += a.held_only && bad;
+      held += a.only_if_cached;
+      crowded += a.only_if_cached && bad;
     }
   }
   assert(held > 80 && crowded < held / 4);
@@ -891,13 +902,13 @@
 // with the whole share, the same ones each time; a ticket known to one zone stays; what is set
 // aside or back is told.
 static void SharesFollowTheVerdict() {
-  StoreSettings s = Settings();
-  s.lateral = true;
+  DeploymentSettings s = Settings();
+  s.fills_from_siblings = true;
   s.request_classes.push_back(s.request_classes[0]);
   s.request_classes[2].effect = Effect::kIdempotentWithKey;
-  s.request_classes[2].span = Span::kZone;
-  s.request_classes[2].memory = 5000;
-  ListNews news = List();
+  s.request_classes[2].deduplication_scope = DeduplicationScope::kZone;
+  s.request_classes[2].deduplication_window = 5000;
+  EndpointListUpdate news = List();
   int own = s.zone, other = own + 1;
   for (std::uint32_t id : {41u, 42u}) {
     news.entries.push_back(MakeEntry(id, kStoreKind, other));
@@ -909,12 +920,12 @@
     for (std::uint64_t o = 1; o <= 200; ++o) {
       f.now += 100;
       SendAttempt a = f.Request(o, request_class);
-      assert(a.cache != 0);
+      assert(a.endpoint != 0);
       assert((a.source != 41 && a.source != 42) ||
-             a.source == a.cache);  // no fill from another zone's cache
-      if (a.cache == 41 || a.cache == 42)
+             a.source == a.endpoint);  // no fill from another zone's cache
+      if (a.endpoint == 41 || a.endpoint == 42)
         went.push_back(o);
-      f.Finish(a, Remark::kFilled);
+      f.Finish(a, CacheStatus::kFilled);
     }
     return went;
   };
@@ -922,7 +933,7 @@
     std::vector<double> shares(static_cast<std::size_t>(other) + 1);
     shares[static_cast<std::size_t>(own)] = mine;
     shares[static_cast<std::size_t>(other)] = 1 - mine;
-    f.Tell(ZoneShares{shares});
+    f.Tell(ZoneTrafficWeights{shares});
     assert(f.did.empty());
   };
   assert(abroad(0).empty());
@@ -935,37 +946,40 @@
          std::includes(most.begin(), most.end(), half.begin(), half.end()));
   tell_shares(0);
   assert(abroad(0).size() == 200 && abroad(2).empty());
-  f.Tell(ListNews{Listing::kChanges, {MakeEntry(41, kStoreKind, other, Standing::kDraining)}});
+  f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
+                            {MakeEntry(41, kStoreKind, other, EndpointState::kDraining)}});
   for (std::uint64_t o = 1; o <= 50; ++o) {
     SendAttempt a = f.Request(o);
-    assert(a.cache != 41);
-    f.Finish(a, Remark::kHit);
+    assert(a.endpoint != 41);
+    f.Finish(a, CacheStatus::kHit);
   }
   for (std::uint32_t id : {41u, 42u})
-    f.Tell(ListNews{Listing::kChanges, {MakeEntry(id, kStoreKind, other, Standing::kGone)}});
+    f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
+                              {MakeEntry(id, kStoreKind, other, EndpointState::kRemoved)}});
   SendAttempt home =
       f.Request(900);  // nobody abroad any more: the own zone's caches, whatever the verdict
-  assert(home.cache != 0 && home.cache != 41 && home.cache != 42);
+  assert(home.endpoint != 0 && home.endpoint != 41 && home.endpoint != 42);
   f.Finish(home);
-  f.Tell(ZoneShares{});
+  f.Tell(ZoneTrafficWeights{});
   assert(abroad(0).empty());
   // Two failures in a row set a cache aside, which is told; two answered probes bring it back, and
   // that is told too.
   SendAttempt a = f.Request(901);
-  f.end(a, Ending::kBroken);
-  for (std::uint64_t o = 902; f.all<TellHealth>().empty() && o < 1000; ++o) {
+  f.end(a, AttemptResult::kDisconnected);
+  for (std::uint64_t o = 902; f.all<ReportEndpointHealth>().empty() && o < 1000; ++o) {
     SendAttempt b = f.Request(o);
-    if (b.cache == a.cache)
-      f.end(b, Ending::kBroken);
+    if (b.endpoint == a.endpoint)
+      f.end(b, AttemptResult::kDisconnected);
     else
-      f.Finish(b, Remark::kHit);
+      f.Finish(b, CacheStatus::kHit);
   }
-  assert(f.all<TellHealth>().size() == 1 && f.all<TellHealth>()[0].cache == a.cache &&
-         f.all<TellHealth>()[0].ejected);
+  assert(f.all<ReportEndpointHealth>().size() == 1 &&
+         f.all<ReportEndpointHealth>()[0].endpoint == a.endpoint &&
+         f.all<ReportEndpointHealth>()[0].ejected);
   f.now += 300;
   for (int i = 0; i < 2; ++i)
-    f.Tell(ProbeEnded{a.cache, true, 1, {}});
-  assert(f.all<TellHealth>().size() == 1 && !f.all<TellHealth>()[0].ejected);
+    f.Tell(ProbeEnded{a.endpoint, true, 1, {}});
+  assert(f.all<ReportEndpointHealth>().size() == 1 && !f.all<ReportEndpointHealth>()[0].ejected);
 }
 
 int main() {
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -42,18 +42,18 @@
   return std::any_of(notes.begin(), notes.end(),
                      [&](const migrate::Note& n) { return n.field == field; });
 }
-StoreSettings SettingsOf(const std::string& text) {
+DeploymentSettings SettingsOf(const std::string& text) {
   return front::ReadConfigurationText(text, "new", "").settings;
 }
 
 void TheNewShapeIsWhatTheModuleReads() {
-  StoreSettings old = SettingsOf(example);
-  assert(old.remarks && old.link_report < 0 && old.link_kb_per_ms > 0 &&
-         old.may.two_attempts_at_once && old.lateral);
+  DeploymentSettings old = SettingsOf(example);
+  assert(old.reports_cache_status && old.link_report_index < 0 && old.link_kb_per_ms > 0 &&
+         old.permissions.concurrent_attempts && old.fills_from_siblings);
   migrate::Outcome done = migrate::Migrated(example, "f", {});
-  StoreSettings s = SettingsOf(done.text);
-  assert(!s.remarks && s.link_report == 2 && s.link_kb_per_ms == 0 && !s.may.two_attempts_at_once &&
-         !s.lateral);
+  DeploymentSettings s = SettingsOf(done.text);
+  assert(!s.reports_cache_status && s.link_report_index == 2 && s.link_kb_per_ms == 0 &&
+         !s.permissions.concurrent_attempts && !s.fills_from_siblings);
   for (const char* field :
        {"settings.limits.mayDuplicate", "settings.familyInfo.detail", "settings.familyInfo.lateral",
         "settings.familyInfo.pipeKbPerS", "settings.report.names", "settings.report.via"})
@@ -61,9 +61,10 @@
   assert(done.left.size() == 2 && Names(done.left, "settings.familyInfo.pipeKbPerS") &&
          Names(done.left, "settings.classes.1.idempotency"));
   // All else as it was.
-  assert(s.request_classes[1].effect == Effect::kExclusive && s.may.direct && s.may.probe &&
-         s.most_attempts == old.most_attempts && s.purge_done == old.purge_done &&
-         s.zone_replicas == old.zone_replicas && s.longest_retry_after == old.longest_retry_after);
+  assert(s.request_classes[1].effect == Effect::kExclusive && s.permissions.direct_to_origin &&
+         s.permissions.probe && s.max_attempts == old.max_attempts &&
+         s.purge_completion_time == old.purge_completion_time &&
+         s.zone_replicas == old.zone_replicas && s.max_retry_after == old.max_retry_after);
 }
 
 void WhatIsMovedNeedsNoFurtherMove() {
@@ -72,9 +73,10 @@
   migrate::Outcome once = migrate::Migrated(example, "f", target),
                    twice = migrate::Migrated(once.text, "f", target);
   assert(twice.changed.empty() && twice.left.empty() && twice.text == once.text);
-  StoreSettings s = SettingsOf(once.text);
+  DeploymentSettings s = SettingsOf(once.text);
   assert(s.request_classes[1].effect == Effect::kIdempotentWithKey &&
-         s.request_classes[1].span == Span::kEverywhere && s.request_classes[1].memory == 6000);
+         s.request_classes[1].deduplication_scope == DeduplicationScope::kEverywhere &&
+         s.request_classes[1].deduplication_window == 6000);
 }
 
 void ChoicesAreTheOperators() {
@@ -83,13 +85,14 @@
   target.direct = false;
   target.joins = true;
   target.probes = false;
-  StoreSettings s = SettingsOf(migrate::Migrated(example, "f", target).text);
-  assert(s.lateral && !s.may.direct && s.may.join && !s.may.probe);
+  DeploymentSettings s = SettingsOf(migrate::Migrated(example, "f", target).text);
+  assert(s.fills_from_siblings && !s.permissions.direct_to_origin && s.permissions.coalesce &&
+         !s.permissions.probe);
   // Four values are the most in a report.
   migrate::Outcome full = migrate::Migrated(
       With(example, "[\"load_share\", \"concurrent\"]", "[\"depth\",\"tps\",\"x0\",\"err_ps\"]"),
       "f", {});
-  assert(Names(full.left, "settings.report.names") && SettingsOf(full.text).link_report == 3);
+  assert(Names(full.left, "settings.report.names") && SettingsOf(full.text).link_report_index == 3);
 }
 
 void BadInputIsRefusedWithPlaceAndReason() {
--- a/tests/mutants.cpp
+++ b/tests/mutants.cpp
@@ -16,10 +16,10 @@
 // Around the module: what it is told and what it wants pass through here.
 class Around : public Break {
  public:
-  Decider around(Decider module, const StoreSettings& settings) override {
+  Decider around(Decider module, const DeploymentSettings& settings) override {
     settings_ = settings;
     return [this, module = std::move(module)](Ms now, const Event& event) {
-      if (auto* p = std::get_if<RequestCame>(&event))
+      if (auto* p = std::get_if<RequestArrived>(&event))
         note(now, *p);
       Event notified = event;
       Actions actions;
@@ -35,7 +35,7 @@
 
  protected:
   struct Known {
-    RequestCame came;
+    RequestArrived came;
     Ms at = 0;
     std::vector<SendAttempt> attempts;
   };
@@ -49,15 +49,15 @@
         .effect;
   }
   static bool Unclear(const AttemptEnded& e) {
-    return e.ending == Ending::kBroken || e.ending == Ending::kTimedOut ||
-           e.ending == Ending::kError;
+    return e.result == AttemptResult::kDisconnected || e.result == AttemptResult::kTimedOut ||
+           e.result == AttemptResult::kError;
   }
 
-  StoreSettings settings_;
+  DeploymentSettings settings_;
   std::map<std::uint32_t, Known> requests_;  // the latest thousand
 
  private:
-  void note(Ms now, const RequestCame& p) {
+  void note(Ms now, const RequestArrived& p) {
     requests_[p.request] = {p, now, {}};
     if (requests_.size() > 1000)
       requests_.erase(requests_.begin());
@@ -67,15 +67,14 @@
 class LosesRefusals : public Around {
   void Act(Ms, const Event&, Actions& a) override {
     std::erase_if(a, [](const Action& one) {
-      return std::holds_alternative<DeclineRequest>(one) ||
-             std::holds_alternative<AbandonRequest>(one);
+      return std::holds_alternative<RejectRequest>(one) || std::holds_alternative<FailRequest>(one);
     });
   }
 };
 class ForgetsToWake : public Around {
   bool Tell(Ms, Event& e) override {
     auto* l = std::get_if<AttemptEnded>(&e);
-    return !std::holds_alternative<WakeUp>(e) && !(l && l->ending == Ending::kTimedOut);
+    return !std::holds_alternative<TimerFired>(e) && !(l && l->result == AttemptResult::kTimedOut);
   }
 };
 class AnswersTwice : public Break {
@@ -93,16 +92,16 @@
   void Act(Ms now, const Event& event, Actions& a) override {
     Actions now_;
     for (Action& one : a) {
-      auto* d = std::get_if<DeclineRequest>(&one);
+      auto* d = std::get_if<RejectRequest>(&one);
       if (!d) {
         now_.push_back(one);
         continue;
       }
       held_[d->request] = *d;
-      now_.push_back(WakeMe{requests_[d->request].at + requests_[d->request].came.ttl + 65,
-                            1ull << 62 | d->request});
+      now_.push_back(SetTimer{requests_[d->request].at + requests_[d->request].came.time_left + 65,
+                              1ull << 62 | d->request});
     }
-    if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1) {
+    if (auto* w = std::get_if<TimerFired>(&event); w && w->handle >> 62 == 1) {
       auto at = held_.find(static_cast<std::uint32_t>(w->handle));
       if (at != held_.end()) {
         now_.push_back(at->second);
@@ -113,25 +112,25 @@
     a = std::move(now_);
   }
   bool Tell(Ms, Event& e) override {
-    auto* w = std::get_if<WakeUp>(&e);
+    auto* w = std::get_if<TimerFired>(&e);
     return !w || w->handle >> 62 != 1;
   }
-  std::map<std::uint32_t, DeclineRequest> held_;
+  std::map<std::uint32_t, RejectRequest> held_;
 };
 class HoldsRefusals : public Around {  // until shortly before its client's time is over
   void Act(Ms, const Event& event, Actions& a) override {
     Actions out;
     for (Action& one : a) {
-      auto* d = std::get_if<DeclineRequest>(&one);
+      auto* d = std::get_if<RejectRequest>(&one);
       if (!d) {
         out.push_back(one);
         continue;
       }
       held_[d->request] = *d;
-      out.push_back(WakeMe{requests_[d->request].at + 0.8 * requests_[d->request].came.ttl,
-                           1ull << 62 | d->request});
+      out.push_back(SetTimer{requests_[d->request].at + 0.8 * requests_[d->request].came.time_left,
+                             1ull << 62 | d->request});
     }
-    if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1)
+    if (auto* w = std::get_if<TimerFired>(&event); w && w->handle >> 62 == 1)
       if (auto at = held_.find(static_cast<std::uint32_t>(w->handle)); at != held_.end()) {
         out.push_back(at->second);
         held_.erase(at);
@@ -139,24 +138,24 @@
     a = std::move(out);
   }
   bool Tell(Ms, Event& e) override {
-    auto* w = std::get_if<WakeUp>(&e);
+    auto* w = std::get_if<TimerFired>(&e);
     return !w || w->handle >> 62 != 1;
   }
-  std::map<std::uint32_t, DeclineRequest> held_;
+  std::map<std::uint32_t, RejectRequest> held_;
 };
 class HoldsAWhile : public Around {  // each refusal, for a second
   void Act(Ms now, const Event& event, Actions& a) override {
     Actions out;
     for (Action& one : a) {
-      auto* d = std::get_if<DeclineRequest>(&one);
-      if (!d || requests_[d->request].came.ttl < 1500) {
+      auto* d = std::get_if<RejectRequest>(&one);
+      if (!d || requests_[d->request].came.time_left < 1500) {
         out.push_back(one);
         continue;
       }
       held_[d->request] = *d;
-      out.push_back(WakeMe{now + 1000, 1ull << 62 | d->request});
+      out.push_back(SetTimer{now + 1000, 1ull << 62 | d->request});
     }
-    if (auto* w = std::get_if<WakeUp>(&event); w && w->handle >> 62 == 1)
+    if (auto* w = std::get_if<TimerFired>(&event); w && w->handle >> 62 == 1)
       if (auto at = held_.find(static_cast<std::uint32_t>(w->handle)); at != held_.end()) {
         out.push_back(at->second);
         held_.erase(at);
@@ -164,10 +163,10 @@
     a = std::move(out);
   }
   bool Tell(Ms, Event& e) override {
-    auto* w = std::get_if<WakeUp>(&e);
+    auto* w = std::get_if<TimerFired>(&e);
     return !w || w->handle >> 62 != 1;
   }
-  std::map<std::uint32_t, DeclineRequest> held_;
+  std::map<std::uint32_t, RejectRequest> held_;
 };
 class MakesUpBytes : public Break {
   std::string Sent(std::string bytes) override {
@@ -187,7 +186,7 @@
         effect(e->request) != Effect::kExclusive)
       return;
     std::erase_if(a, [&](const Action& one) {
-      auto* b = std::get_if<AbandonRequest>(&one);
+      auto* b = std::get_if<FailRequest>(&one);
       return b && b->request == e->request;
     });
     if (requests_[e->request].attempts.empty())
@@ -200,14 +199,13 @@
 class DeclinesWhatMayHaveRun : public Around {
   void Act(Ms, const Event&, Actions& a) override {
     for (Action& one : a)
-      if (auto* b = std::get_if<AbandonRequest>(&one);
-          b && effect(b->request) == Effect::kExclusive)
-        one = DeclineRequest{b->request, 0};
+      if (auto* b = std::get_if<FailRequest>(&one); b && effect(b->request) == Effect::kExclusive)
+        one = RejectRequest{b->request, 0};
   }
 };
 class DoublesExclusive : public Around {  // two legs at once, for speed
   void Act(Ms, const Event& event, Actions& a) override {
-    auto* p = std::get_if<RequestCame>(&event);
+    auto* p = std::get_if<RequestArrived>(&event);
     if (!p || effect(p->request) != Effect::kExclusive)
       return;
     for (std::size_t i = 0; i < a.size(); ++i)
@@ -220,10 +218,10 @@
 };
 class LeavesTheGroup : public Around {  // a ticketed pull goes to any machine once one fails
   void Act(Ms, const Event& event, Actions& a) override {
-    if (auto* p = std::get_if<RequestCame>(&event);
+    if (auto* p = std::get_if<RequestArrived>(&event);
         p && effect(p->request) == Effect::kIdempotentWithKey) {
       for (const Action& one : a)
-        if (auto* s = std::get_if<SendAttempt>(&one); s && s->source != s->cache)
+        if (auto* s = std::get_if<SendAttempt>(&one); s && s->source != s->endpoint)
           parent_ = s->source;
     }
     auto* e = std::get_if<AttemptEnded>(&event);
@@ -232,81 +230,81 @@
       return;
     std::erase_if(a, [&](const Action& one) {
       auto* s = std::get_if<SendAttempt>(&one);
-      auto* b = std::get_if<AbandonRequest>(&one);
+      auto* b = std::get_if<FailRequest>(&one);
       return (s && s->request == e->request) || (b && b->request == e->request);
     });
     SendAttempt again;
     again.request = e->request;
-    again.cache = again.source = parent_;
-    again.rank = 1;
+    again.endpoint = again.source = parent_;
+    again.retention_rank = 1;
     a.push_back(again);
   }
   std::uint32_t parent_ = 0;
 };
 class IgnoresDrains : public Around {
   bool Tell(Ms, Event& e) override {
-    if (auto* n = std::get_if<ListNews>(&e))
+    if (auto* n = std::get_if<EndpointListUpdate>(&e))
       for (ListEntry& one : n->entries)
-        if (one.standing == Standing::kDraining && one.kind == 0)
-          one.standing = Standing::kReady;
+        if (one.state == EndpointState::kDraining && one.kind == 0)
+          one.state = EndpointState::kReady;
     return true;
   }
 };
 class FillsFromDrained : public Around {
   bool Tell(Ms, Event& e) override {
-    if (auto* n = std::get_if<ListNews>(&e))
+    if (auto* n = std::get_if<EndpointListUpdate>(&e))
       for (ListEntry& one : n->entries)
-        if (one.standing == Standing::kDraining && one.kind == settings_.parent_kind)
-          one.standing = Standing::kReady;
+        if (one.state == EndpointState::kDraining && one.kind == settings_.parent_kind)
+          one.state = EndpointState::kReady;
     return true;
   }
 };
 class TakesColdForWarm : public Around {  // its module is handed no terms for caches that start
-  Decider around(Decider, const StoreSettings& settings) override {
-    StoreSettings other = settings;
-    other.cold_store = {};
+  Decider around(Decider, const DeploymentSettings& settings) override {
+    DeploymentSettings other = settings;
+    other.cache_slow_start = {};
     return Around::around(exchange::ModuleFor(other, 1), settings);
   }
 };
 class TakesColdAreaForWarm : public Around {
-  Decider around(Decider, const StoreSettings& settings) override {
-    StoreSettings other = settings;
-    other.cold_parent = {};
+  Decider around(Decider, const DeploymentSettings& settings) override {
+    DeploymentSettings other = settings;
+    other.parent_slow_start = {};
     return Around::around(exchange::ModuleFor(other, 1), settings);
   }
 };
 class ForgetsPurges : public Around {
   bool Tell(Ms, Event& e) override {
     auto* p = std::get_if<Purged>(&e);
-    return !p || p->whole_group;
+    return !p || p->is_group;
   }
 };
 class ForgetsGroupPurges : public Around {
   bool Tell(Ms, Event& e) override {
     auto* p = std::get_if<Purged>(&e);
-    return !p || !p->whole_group;
+    return !p || !p->is_group;
   }
 };
 class AsksNoAge : public Around {
   void Act(Ms, const Event&, Actions& a) override {
     for (Action& one : a)
       if (auto* s = std::get_if<SendAttempt>(&one))
-        s->oldest = 0;
+        s->max_age = 0;
   }
 };
 
 class GoesFar : public Around {  // half its pulls go to another zone, whatever its fleet says
   bool Tell(Ms, Event& e) override {
-    if (auto* notified = std::get_if<ZoneShares>(&e))
-      notified->shares = shares_;
+    if (auto* notified = std::get_if<ZoneTrafficWeights>(&e))
+      notified->weights = shares_;
     return true;
   }
-  Decider around(Decider module, const StoreSettings& settings) override {
+  Decider around(Decider module, const DeploymentSettings& settings) override {
     shares_.assign(4, 0);  // the hub and three stores
     for (std::size_t z : {static_cast<std::size_t>(settings.zone),
                           static_cast<std::size_t>(settings.zone == 1 ? 2 : 1)})
       shares_[z] = 0.5;
-    module(0, ZoneShares{shares_});
+    module(0, ZoneTrafficWeights{shares_});
     return Around::around(std::move(module), settings);
   }
   std::vector<double> shares_;
@@ -315,13 +313,13 @@
                                           // without asking its fleet
   void Act(Ms now, const Event&, Actions& a) override {
     for (const Action& one : a)
-      if (auto* notified = std::get_if<TellHealth>(&one); notified && notified->ejected) {
+      if (auto* notified = std::get_if<ReportEndpointHealth>(&one); notified && notified->ejected) {
         std::vector<double> shares(4, 0);
         shares[settings_.zone == 1 ? 2 : 1] = 1;
-        inner_(now, ZoneShares{shares});
+        inner_(now, ZoneTrafficWeights{shares});
       }
   }
-  Decider around(Decider module, const StoreSettings& settings) override {
+  Decider around(Decider module, const DeploymentSettings& settings) override {
     inner_ = module;
     return Around::around(std::move(module), settings);
   }
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -14,7 +14,7 @@
 
 inline const std::string kId = "9b1f03aa5c7e2d41";
 
-inline settings::RoadTerms MakeTerms(Ms within = 400, Ms idle = 30000) {
+inline settings::ConnectionSettings MakeTerms(Ms within = 400, Ms idle = 30000) {
   return {
       {"video", "write"}, {"hub", "e-1"}, {"box", "parent", "origin"}, {"util"}, within, idle, 100};
 }
@@ -91,7 +91,7 @@
   void Probe(std::uint32_t) override {}
   std::map<std::string, std::uint32_t> numbers;  // of all machines ever listed, by id
   void list(const ListEntry& one, const std::string& machine, const loop::Address&) override {
-    numbers[machine] = one.cache;
+    numbers[machine] = one.id;
   }
   std::vector<std::uint32_t> forgotten;
   void Forget(std::uint32_t cache) override {
@@ -99,7 +99,7 @@
   }
 };
 
-inline exchange::Word Said(Ending ending, Remark remark = Remark::kNone) {
+inline exchange::Word Said(AttemptResult ending, CacheStatus remark = CacheStatus::kNone) {
   exchange::Word w;
   w.ending = ending;
   w.remark = remark;
@@ -120,7 +120,7 @@
   loop::Loop loop;
   exchange::Exchange exchange;
   Sent caches;
-  explicit Desk(StoreSettings s = kit::Settings(), int stores = 4) : exchange(loop, s, 1) {
+  explicit Desk(DeploymentSettings s = kit::Settings(), int stores = 4) : exchange(loop, s, 1) {
     exchange.Meet(caches);
     std::vector<std::pair<std::string, loop::Address>> all{{"origin", {}}};
     for (int i = 0; i < stores; ++i)
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -99,7 +99,7 @@
     SendAttempt attempt;
     if (desk.caches.sent.size() > before) {
       attempt = desk.caches.sent.back().how;
-      desk.exchange.AnswerWhole({request, 0}, Said(Ending::kFinished, Remark::kHit));
+      desk.exchange.AnswerWhole({request, 0}, Said(AttemptResult::kFinished, CacheStatus::kHit));
     }
     return attempt;
   }
@@ -112,13 +112,13 @@
   d.desk.loop.Skip(500);
   Ms since_heard = d.Now() - heard;
   SendAttempt attempt = d.Request("7f3a");
-  REQUIRE(attempt.cache != 0);
-  CHECK(attempt.oldest > 0);
-  CHECK(attempt.oldest <= d.Now() - purged);
-  CHECK(attempt.oldest >= since_heard - 2);
+  REQUIRE(attempt.endpoint != 0);
+  CHECK(attempt.max_age > 0);
+  CHECK(attempt.max_age <= d.Now() - purged);
+  CHECK(attempt.max_age >= since_heard - 2);
   // It ends: copies are as good as ever some time after all caches have dropped the older ones.
   d.desk.loop.Skip(3 * kPurgeDone);
-  CHECK(d.Request("7f3a").oldest == 0);
+  CHECK(d.Request("7f3a").max_age == 0);
 }
 
 // How many of a row of requests for different objects go to the server that was last listed.
@@ -126,7 +126,7 @@
   int count = 0;
   for (int i = 0; i < 400; ++i) {
     d.desk.loop.Skip(1);
-    count += d.Request("object-" + std::to_string(d.asked)).cache == server;
+    count += d.Request("object-" + std::to_string(d.asked)).endpoint == server;
   }
   return count;
 }
@@ -138,7 +138,7 @@
   d.Begin(ServerNotice(1, id, 0, true));
   for (int i = 0;; ++i) {
     REQUIRE(i < 100);
-    if (std::uint32_t cache = d.Request("object-" + std::to_string(i)).cache; cache != 0)
+    if (std::uint32_t cache = d.Request("object-" + std::to_string(i)).endpoint; cache != 0)
       return cache;
   }
 }
@@ -226,8 +226,8 @@
       d.desk.loop.Skip(300);
       Ms before = d.Now();
       SendAttempt attempt = d.Request("7f3a");
-      CHECK(attempt.oldest >= before - purged - 1);
-      CHECK(attempt.oldest <= d.Now() - purged - 1);
+      CHECK(attempt.max_age >= before - purged - 1);
+      CHECK(attempt.max_age <= d.Now() - purged - 1);
     }
   Discovery d;
   d.Begin();
@@ -237,7 +237,7 @@
   d.Announce(PurgeNotice(d.last + 1, purged));
   Ms before = d.Now();
   SendAttempt attempt = d.Request("7f3a");
-  CHECK(attempt.oldest >= before - purged - 1);
+  CHECK(attempt.max_age >= before - purged - 1);
 }
 
 TEST_CASE("a server told of in a change starts slowly whatever its stamp says, and not for ever") {
@@ -334,18 +334,18 @@
       std::uint32_t number = exchange.OnRequest(ask, client);
       REQUIRE(caches.sent.size() > before);
       SendAttempt attempt = caches.sent.back().how;
-      exchange.AnswerWhole({number, 0}, Said(Ending::kFinished, Remark::kHit));
+      exchange.AnswerWhole({number, 0}, Said(AttemptResult::kFinished, CacheStatus::kHit));
       return attempt;
     };
     SendAttempt attempt = request("7f3a");
-    CHECK(attempt.oldest >= 498);
-    CHECK(attempt.oldest <= loop.now() - purged);
+    CHECK(attempt.max_age >= 498);
+    CHECK(attempt.max_age <= loop.now() - purged);
     auto sent = [&] {
       std::uint32_t server = NumberOf("s-new");
       int count = 0;
       for (int i = 0; i < 400; ++i) {
         loop.Skip(1);
-        count += request("object-" + std::to_string(i)).cache == server;
+        count += request("object-" + std::to_string(i)).endpoint == server;
       }
       return count;
     };
@@ -376,9 +376,9 @@
     auto answer = caches::ReadAnswer(
         "9b1f HIT entity=t1,issued=" + Stamp(1.76e12 + skew) + ",remark=local 5", {});
     REQUIRE(answer);
-    CHECK(answer->word.ending == Ending::kFinished);
+    CHECK(answer->word.ending == AttemptResult::kFinished);
     CHECK(answer->word.dated);
-    CHECK(answer->word.remark == Remark::kHit);
+    CHECK(answer->word.remark == CacheStatus::kHit);
     tags.insert(answer->word.tag);
   }
   CHECK(tags.size() == 1);
--- a/tests/upstream_fixture.hpp
+++ b/tests/upstream_fixture.hpp
@@ -13,8 +13,9 @@
   loop::Loop loop;
   exchange::Exchange exchange;
   caches::Caches caches;
-  explicit Road(const std::vector<exchange::Listed>& list, const StoreSettings& s = kit::Settings(),
-                const settings::RoadTerms& t = MakeTerms(20000), std::size_t most = 8)
+  explicit Road(const std::vector<exchange::Listed>& list,
+                const DeploymentSettings& s = kit::Settings(),
+                const settings::ConnectionSettings& t = MakeTerms(20000), std::size_t most = 8)
       : exchange(loop, s, 1), caches(loop, exchange, t, most) {
     exchange.Meet(caches);
     exchange.ListCame(true, list);
@@ -25,9 +26,9 @@
   }
 };
 
-inline StoreSettings SettingsWith(bool cancel, Effect effect = Effect::kIdempotent) {
-  StoreSettings s = kit::Settings();
-  s.may.cancel = cancel;
+inline DeploymentSettings SettingsWith(bool cancel, Effect effect = Effect::kIdempotent) {
+  DeploymentSettings s = kit::Settings();
+  s.permissions.cancel = cancel;
   s.request_classes[kWrite].effect = effect;
   return s;
 }
@@ -67,7 +68,7 @@
   Wait wait;
   int asked = 1;
 
-  Waiting(Wait how, StoreSettings s, std::vector<exchange::Listed> more = {},
+  Waiting(Wait how, DeploymentSettings s, std::vector<exchange::Listed> more = {},
           int request_class = kVideo)
       : r(ListOf(far, more), s), wait(how) {
     if (how == kQueue)
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -35,7 +35,7 @@
       "{\"zone\":1,\"azs\":[\"hub "
       "one\",\"e,1\"],\"tenants\":[],\"limits\":{\"connIdle\":30000.0,\"cancel\":true},"
       "\"classes\":[{\"aim\":200.0,\"name\":\"a\"},{\"aim\":100.0,\"name\":\"b\"}]}");
-  assert(settings::Dotted(*v) ==
+  assert(settings::FlattenToLines(*v) ==
          "zone=1\nazs=hub_one,e_1\ntenants=\nlimits.connIdle=30000.0\nlimits.cancel=true\nclasses."
          "count=2\n"
          "classes.0.aim=200.0\nclasses.0.name=a\nclasses.1.aim=100.0\nclasses.1.name=b\n");
@@ -101,9 +101,9 @@
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501 0\r\n\r\n");
   ask.tag = "4be0";
   ask.body = "a\r\nb";
-  how.join = how.held_only = how.renew = true;
-  how.rank = 2;
-  how.oldest = 0.001;
+  how.coalesce = how.only_if_cached = how.revalidate = true;
+  how.retention_rank = 2;
+  how.max_age = 0.001;
   // An age below a millisecond must not become 0, which would lift the cap after a purge.
   assert(caches::RequestLine(ask, how, "s-2").WithTimeLeft(1500.2) ==
          "want 9b1f03aa5c7e2d41 profile=video,thing=7f3a,nth=3,max=1501,miss=s-2,prio=2,within=1,"
@@ -117,19 +117,21 @@
 static void AnswersAreRead() {
   struct Case {
     const char* line;
-    Ending ending;
-    Remark remark;
+    AttemptResult ending;
+    CacheStatus remark;
     std::size_t length;
   };
-  for (Case c : {Case{"a HIT entity=x1,issued=17645,remark=local,delay=0.5 240000",
-                      Ending::kFinished, Remark::kHit, 240000},
-                 {"a VALID entity=x1,issued=1,remark=pulled_far 0", Ending::kFinished,
-                  Remark::kFilledByOrigin, 0},
-                 {"a NONE remark=not_there 0", Ending::kMiss, Remark::kSourceLacks, 0},
-                 {"a SHED remark=no_place 0", Ending::kFull, Remark::kNoFillPlace, 0},
-                 {"a FAULT remark=far_fault 0", Ending::kError, Remark::kOriginFailed, 0},
-                 {"a FAULT later=field,remark=cut_off 0", Ending::kError, Remark::kSourceLost, 0},
-                 {"a LATE - 0", Ending::kSuperseded, Remark::kNone, 0}}) {
+  for (Case c :
+       {Case{"a HIT entity=x1,issued=17645,remark=local,delay=0.5 240000", AttemptResult::kFinished,
+             CacheStatus::kHit, 240000},
+        {"a VALID entity=x1,issued=1,remark=pulled_far 0", AttemptResult::kFinished,
+         CacheStatus::kFilledByOrigin, 0},
+        {"a NONE remark=not_there 0", AttemptResult::kMiss, CacheStatus::kSourceMiss, 0},
+        {"a SHED remark=no_place 0", AttemptResult::kOverloaded, CacheStatus::kNoFillSlot, 0},
+        {"a FAULT remark=far_fault 0", AttemptResult::kError, CacheStatus::kOriginFailed, 0},
+        {"a FAULT later=field,remark=cut_off 0", AttemptResult::kError, CacheStatus::kSourceFailed,
+         0},
+        {"a LATE - 0", AttemptResult::kSuperseded, CacheStatus::kNone, 0}}) {
     auto answer = caches::ReadAnswer(c.line, {});
     assert(answer && answer->id == "a" && !answer->probe && answer->length == c.length);
     assert(answer->word.ending == c.ending && answer->word.remark == c.remark);
@@ -148,7 +150,7 @@
     assert(!caches::ReadAnswer(bad, {}));
 }
 
-static const settings::RoadTerms kTerms{
+static const settings::ConnectionSettings kTerms{
     {"video"}, {"hub", "e-1"}, {"box", "parent"}, {}, 400, 30000, 100};
 
 static void WatchEventsAreRead() {
@@ -168,7 +170,7 @@
   const exchange::Listed& one = list->entries[0];
   assert(one.id == "s-1" && ntohs(one.at.sin_port) == 5050 && one.entry.zone == 1 &&
          one.entry.kind == 1);
-  assert(one.entry.standing == Standing::kDraining && one.entry.weight == 4 &&
+  assert(one.entry.state == EndpointState::kDraining && one.entry.weight == 4 &&
          one.entry.started_at == 17);
   auto object = read("{\"rev\":42,\"flush\":{\"asset\":\"7f3a\",\"ms\":123}}");
   assert(object && object->purge && !object->whole_group && object->object == "7f3a" &&
@@ -209,16 +211,17 @@
   using loop::DisconnectReason;
   struct Case {
     DisconnectReason how;
-    Ending whole;
-    Ending part;
+    AttemptResult whole;
+    AttemptResult part;
   };
-  for (Case c : {Case{DisconnectReason::kRefused, Ending::kNoConnection, Ending::kNoConnection},
-                 {DisconnectReason::kNeverUp, Ending::kNoConnection, Ending::kNoConnection},
-                 {DisconnectReason::kNoDescriptor, Ending::kNoConnection, Ending::kNoConnection},
-                 {DisconnectReason::kClosed, Ending::kBroken, Ending::kNoConnection},
-                 {DisconnectReason::kReset, Ending::kBroken, Ending::kNoConnection},
-                 {DisconnectReason::kMalformed, Ending::kBroken, Ending::kNoConnection},
-                 {DisconnectReason::kReplaced, Ending::kBroken, Ending::kNoConnection}}) {
+  for (Case c :
+       {Case{DisconnectReason::kRefused, AttemptResult::kNotSent, AttemptResult::kNotSent},
+        {DisconnectReason::kNeverUp, AttemptResult::kNotSent, AttemptResult::kNotSent},
+        {DisconnectReason::kNoDescriptor, AttemptResult::kNotSent, AttemptResult::kNotSent},
+        {DisconnectReason::kClosed, AttemptResult::kDisconnected, AttemptResult::kNotSent},
+        {DisconnectReason::kReset, AttemptResult::kDisconnected, AttemptResult::kNotSent},
+        {DisconnectReason::kMalformed, AttemptResult::kDisconnected, AttemptResult::kNotSent},
+        {DisconnectReason::kReplaced, AttemptResult::kDisconnected, AttemptResult::kNotSent}}) {
     assert(exchange::EndingOf(c.how, true) == c.whole);
     assert(exchange::EndingOf(c.how, false) == c.part);
   }
