--- a/tests/large_objects_test.cpp
+++ b/tests/large_objects_test.cpp
@@ -1,5 +1,6 @@
-// What of a class's largest objects is answered beside the whole class (crossing 8): one Router
-// before a model of caches, parents and a link, in virtual time and by seeds that stay.
+// Which share of the requests for a class's largest objects is answered, compared to the whole
+// class: one Router in front of a model of caches, parents and a link, in virtual time, with fixed
+// seeds.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -13,42 +14,45 @@
 
 namespace {
 
-constexpr Ms kTick = 3, kLasts = 60000, kLeadIn = 5000,
-             kLongest = 30000;  // the lead-in is played and not counted
-constexpr double kCacheRoom = 6, kSourceRoom = 30, kCaches = 4;
+constexpr Ms kTick = 3, kDuration = 60000, kLeadIn = 5000,
+             kMaxDeadline = 30000;  // requests of the lead-in are not counted
+constexpr double kCacheCapacity = 6, kSourceCapacity = 30, kCaches = 4;
 
-// A class: its share of the offered work, and the mean sending time of its requests.
+// A request class: its share of the offered work, and the mean transfer time of its requests.
 struct Class {
   double work;
-  double payoff;
-  Ms agreed;
-  Ms mean;
+  double priority_weight;
+  Ms latency_objective;
+  Ms mean_transfer_time;
 };
-constexpr Class kClasses[] = {
-    {0.6, 2, 500, 100}, {0.3, 1, 300, 40}, {0.1, 4, 1000, 800}};  // the last is thin: under 400
+constexpr Class kClasses[] = {{0.6, 2, 500, 100},
+                              {0.3, 1, 300, 40},
+                              {0.1, 4, 1000, 800}};  // the last has few requests: under 400
 
-struct Play {
-  double sigma;  // of the sizes' logarithm
-  double load;   // of what the caches carry
-  double link;   // transfers that the link carries; a fifth of the requests is filled through it
-  int places;    // 0: not told, and no limit
+struct Scenario {
+  double sigma;  // of the logarithm of the sizes
+  double load;   // relative to what the caches carry
+  double link;   // transfers that the link carries at full speed; a fifth of the requests is filled
+                 // through it
+  int max_open;  // 0: unknown, and no limit
   std::uint64_t seed;
 };
 
 struct Request {
   std::size_t request_class;
   Ms at;
-  Ms sending;
-  Ms agreed_at;
+  Ms transfer_time;
+  Ms objective_at;
   Ms leaves_at;
-  bool kept;  // caches hold it
+  bool is_cached;  // a copy is in the caches
   int attempts = 0;
   bool open = true;
   bool answered = false;
   bool in_time = false;
 };
 
-// An attempt that is being sent, at the least pace of the machines and the link that it takes.
+// An attempt whose answer is under way, at the lowest rate of the servers and the link that it
+// uses.
 struct Transfer {
   std::uint32_t request;
   std::uint32_t cache;
@@ -57,76 +61,78 @@
   Ms began;
   Ms left;
   bool fills;
-  bool called = false;
+  bool is_cancelled = false;
 };
 
 struct Site {
-  Play play;
-  std::mt19937_64 chance;
+  Scenario scenario;
+  std::mt19937_64 random_engine;
   DeploymentSettings settings = kit::Settings();
   std::vector<Request> requests{};
   std::vector<Transfer> transfers{};
   std::multimap<Ms, Event> due{};
-  std::map<std::uint32_t, int> held{};  // transfers, by machine
-  int held_by_link = 0;
+  std::map<std::uint32_t, int> transfers_at{};  // transfers in progress, by server
+  int transfers_on_link = 0;
   int open = 0;
   std::size_t turned_away = 0;
-  std::size_t declined = 0;
-  std::array<std::array<std::size_t, kSizeBands>, kRejectionReasons> refusals{};
+  std::size_t rejected = 0;
+  std::array<std::array<std::size_t, kSizeBands>, kRejectionReasons> rejections{};
 
-  explicit Site(const Play& p) : play(p), chance(p.seed) {
+  explicit Site(const Scenario& p) : scenario(p), random_engine(p.seed) {
     settings.request_classes.clear();
     for (const Class& c : kClasses) {
       RequestClass o;
-      o.latency_objective = c.agreed;
+      o.latency_objective = c.latency_objective;
       o.latency_objective_stretch = 2;
-      o.max_deadline = kLongest;
-      o.priority_weight = c.payoff;
+      o.max_deadline = kMaxDeadline;
+      o.priority_weight = c.priority_weight;
       settings.request_classes.push_back(o);
     }
     settings.fronts = settings.zone_replicas = 1;
-    settings.max_open_requests = p.places;
+    settings.max_open_requests = p.max_open;
     settings.link_kb_per_ms = 10 * p.link;
     std::normal_distribution<> normal;
     std::uniform_real_distribution<> uniform;
     for (std::size_t i = 0; i < std::size(kClasses); ++i) {
       const Class& c = kClasses[i];
-      std::exponential_distribution<> gap(p.load * kCaches * kCacheRoom * c.work / c.mean);
+      std::exponential_distribution<> gap(p.load * kCaches * kCacheCapacity * c.work /
+                                          c.mean_transfer_time);
       std::size_t first = requests.size();
       double sum = 0;
-      for (Ms at = gap(chance); at < kLasts + kLeadIn; at += gap(chance)) {
-        double size = std::exp(p.sigma * normal(chance) - p.sigma * p.sigma / 2);
-        size =
-            std::clamp(size, 0.02, 8.0);  // a larger one would not be sent before its client leaves
-        requests.push_back(
-            {i, 1e6 + at, c.mean * size, 0, 1e6 + at + kLongest, uniform(chance) >= 0.2});
+      for (Ms at = gap(random_engine); at < kDuration + kLeadIn; at += gap(random_engine)) {
+        double size = std::exp(p.sigma * normal(random_engine) - p.sigma * p.sigma / 2);
+        size = std::clamp(size, 0.02,
+                          8.0);  // a larger one would not be transferred before its client leaves
+        requests.push_back({i, 1e6 + at, c.mean_transfer_time * size, 0, 1e6 + at + kMaxDeadline,
+                            uniform(random_engine) >= 0.2});
         sum += size;
       }
-      for (std::size_t k = first; k < requests.size(); ++k) {  // bounded sizes, and the same mean
+      for (std::size_t k = first; k < requests.size();
+           ++k) {  // restores the mean after the bounds on sizes
         Request& r = requests[k];
-        r.sending *= static_cast<double>(requests.size() - first) / sum;
-        r.agreed_at = r.at + std::min(c.agreed + 2 * r.sending, kLongest);
+        r.transfer_time *= static_cast<double>(requests.size() - first) / sum;
+        r.objective_at = r.at + std::min(c.latency_objective + 2 * r.transfer_time, kMaxDeadline);
       }
     }
     std::sort(requests.begin(), requests.end(),
               [](const Request& a, const Request& b) { return a.at < b.at; });
     Front f(settings, p.seed);
     std::size_t next = 0;
-    for (f.now = 1e6; f.now < 1e6 + kLasts + kLeadIn + 10000; f.now += kTick) {
+    for (f.now = 1e6; f.now < 1e6 + kDuration + kLeadIn + 10000; f.now += kTick) {
       for (; next < requests.size() && requests[next].at <= f.now; ++next)
-        Come(f, static_cast<std::uint32_t>(next));
+        HandleArrival(f, static_cast<std::uint32_t>(next));
       while (!due.empty() && due.begin()->first <= f.now) {
         Event e = due.begin()->second;
         due.erase(due.begin());
-        Hear(f, e);
+        Handle(f, e);
       }
-      Move(f);
+      AdvanceTransfers(f);
     }
   }
 
-  void Come(Front& f, std::uint32_t i) {
+  void HandleArrival(Front& f, std::uint32_t i) {
     Request& r = requests[i];
-    if (play.places > 0 && open >= play.places) {
+    if (scenario.max_open > 0 && open >= scenario.max_open) {
       r.open = false;
       ++turned_away;
       return;
@@ -138,9 +144,9 @@
     e.object = i + 1;
     e.group = 7;
     e.time_left = r.leaves_at - r.at;
-    e.size_kb = 10 * r.sending;
+    e.size_kb = 10 * r.transfer_time;
     due.emplace(r.leaves_at, ClientLeft{i + 1});
-    Hear(f, e);
+    Handle(f, e);
   }
 
   void Close(Request& r) {
@@ -148,7 +154,7 @@
       --open;
   }
 
-  void Hear(Front& f, const Event& e) {
+  void Handle(Front& f, const Event& e) {
     if (auto* left = std::get_if<ClientLeft>(&e)) {
       if (!requests[left->request - 1].open)
         return;
@@ -161,8 +167,8 @@
       if (auto* p = std::get_if<ProbeEndpoint>(&a))
         due.emplace(f.now + kTick, ProbeEnded{p->endpoint, true, 1, {}});
       if (auto* d = std::get_if<RejectRequest>(&a)) {
-        declined += requests[d->request - 1].open;
-        ++refusals[static_cast<std::size_t>(d->reason)][static_cast<std::size_t>(d->size)];
+        rejected += requests[d->request - 1].open;
+        ++rejections[static_cast<std::size_t>(d->reason)][static_cast<std::size_t>(d->size)];
         Close(requests[d->request - 1]);
       }
       if (auto* d = std::get_if<FailRequest>(&a))
@@ -171,65 +177,65 @@
         Send(f, *s);
       if (auto* c = std::get_if<CancelAttempt>(&a))
         for (Transfer& t : transfers)
-          t.called |= t.request == c->request && t.attempt == c->attempt;
+          t.is_cancelled |= t.request == c->request && t.attempt == c->attempt;
     }
   }
 
-  void end(const Transfer& t, Ms at, AttemptResult ending, CacheStatus remark) {
+  void end(const Transfer& t, Ms at, AttemptResult result, CacheStatus cache_status) {
     AttemptEnded e;
     e.request = t.request;
     e.endpoint = t.cache;
     e.attempt = t.attempt;
-    e.result = ending;
-    e.cache_status = remark;
+    e.result = result;
+    e.cache_status = cache_status;
     e.duration = at - t.began;
     e.fill_wait = t.fills ? 10 : 0;
-    e.final = ending == AttemptResult::kFinished;
+    e.final = result == AttemptResult::kFinished;
     due.emplace(at, e);
   }
 
   void Send(Front& f, const SendAttempt& s) {
     Request& r = requests[s.request - 1];
-    Transfer t{s.request, s.endpoint, s.source, r.attempts++, f.now, r.sending, !r.kept};
+    Transfer t{s.request, s.endpoint, s.source, r.attempts++, f.now, r.transfer_time, !r.is_cached};
     bool fillable = s.source != s.endpoint && !s.only_if_cached;
     if (t.fills && !fillable)
       return end(t, f.now + 5, AttemptResult::kMiss, CacheStatus::kNone);
-    if (held[t.cache] >= 5 * kCacheRoom)
+    if (transfers_at[t.cache] >= 5 * kCacheCapacity)
       return end(t, f.now + 3, AttemptResult::kOverloaded, CacheStatus::kNone);
-    ++held[t.cache];
+    ++transfers_at[t.cache];
     if (t.fills) {
-      ++held[t.source];
-      ++held_by_link;
+      ++transfers_at[t.source];
+      ++transfers_on_link;
     }
     transfers.push_back(t);
   }
 
-  // One tick of all transfers: machines and the link share what they carry evenly.
-  void Move(Front& f) {
-    auto pace = [&](std::uint32_t id, double room) {
-      return std::min(1.0, room / held[id]);
+  // Advances all transfers by one tick: each server and the link divide their capacity evenly.
+  void AdvanceTransfers(Front& f) {
+    auto rate_at = [&](std::uint32_t id, double capacity) {
+      return std::min(1.0, capacity / transfers_at[id]);
     };
-    double link_pace = std::min(1.0, play.link / std::max(held_by_link, 1));
-    std::vector<Transfer> over;
+    double link_rate = std::min(1.0, scenario.link / std::max(transfers_on_link, 1));
+    std::vector<Transfer> finished;
     for (Transfer& t : transfers) {
-      double at = pace(t.cache, t.cache < 20 ? kCacheRoom : kSourceRoom);
+      double at = rate_at(t.cache, t.cache < 20 ? kCacheCapacity : kSourceCapacity);
       if (t.fills)
-        at = std::min({at, link_pace, pace(t.source, kSourceRoom)});
+        at = std::min({at, link_rate, rate_at(t.source, kSourceCapacity)});
       t.left -= kTick * at;
-      if (t.left <= 0 || t.called)
-        over.push_back(t);
+      if (t.left <= 0 || t.is_cancelled)
+        finished.push_back(t);
     }
-    std::erase_if(transfers, [](const Transfer& t) { return t.left <= 0 || t.called; });
-    for (const Transfer& t : over) {
-      --held[t.cache];
+    std::erase_if(transfers, [](const Transfer& t) { return t.left <= 0 || t.is_cancelled; });
+    for (const Transfer& t : finished) {
+      --transfers_at[t.cache];
       if (t.fills) {
-        --held[t.source];
-        --held_by_link;
+        --transfers_at[t.source];
+        --transfers_on_link;
       }
       Request& r = requests[t.request - 1];
       if (t.left <= 0 && r.open) {
         r.answered = true;
-        r.in_time = f.now + 5 <= r.agreed_at;
+        r.in_time = f.now + 5 <= r.objective_at;
         Close(r);
       }
       end(t, f.now + 5, t.left <= 0 ? AttemptResult::kFinished : AttemptResult::kCancelled,
@@ -239,8 +245,8 @@
     }
   }
 
-  // The answered share of a class, of its largest tenth (a quarter when under 400), and of the next
-  // fifth.
+  // The answered share of the requests of a class, of its largest tenth (a quarter of a class with
+  // under 400 requests), and of the next fifth.
   struct Shares {
     double all;
     double largest;
@@ -248,92 +254,98 @@
     std::size_t count;
   };
   Shares shares(std::size_t request_class) const {
-    std::vector<const Request*> of;
+    std::vector<const Request*> of_class;
     for (const Request& r : requests)
       if (r.request_class == request_class && r.at >= 1e6 + kLeadIn)
-        of.push_back(&r);
-    std::sort(of.begin(), of.end(), [](auto* a, auto* b) { return a->sending > b->sending; });
+        of_class.push_back(&r);
+    std::sort(of_class.begin(), of_class.end(),
+              [](auto* a, auto* b) { return a->transfer_time > b->transfer_time; });
     auto share = [&](std::size_t from, std::size_t to) {
-      auto answered = std::count_if(of.begin() + static_cast<std::ptrdiff_t>(from),
-                                    of.begin() + static_cast<std::ptrdiff_t>(to),
+      auto answered = std::count_if(of_class.begin() + static_cast<std::ptrdiff_t>(from),
+                                    of_class.begin() + static_cast<std::ptrdiff_t>(to),
                                     [](auto* r) { return r->answered; });
       return static_cast<double>(answered) / static_cast<double>(to - from);
     };
-    std::size_t n = of.size(), top = n < 400 ? n / 4 : n / 10;
+    std::size_t n = of_class.size(), top = n < 400 ? n / 4 : n / 10;
     return {share(0, n), share(0, top), share(top, top + n / 5), n};
   }
-  // Payoff answered in the agreed time, of all that was offered.
-  double Worth() const {
-    double won = 0, offered = 0;
+  // The priority weight of the requests answered within their latency objective, over that of all
+  // requests.
+  double ValueInTime() const {
+    double answered = 0, offered = 0;
     for (const Request& r : requests)
       if (r.at >= 1e6 + kLeadIn) {
-        offered += kClasses[r.request_class].payoff;
-        won += r.in_time ? kClasses[r.request_class].payoff : 0;
+        offered += kClasses[r.request_class].priority_weight;
+        answered += r.in_time ? kClasses[r.request_class].priority_weight : 0;
       }
-    return won / offered;
+    return answered / offered;
   }
 };
 
-// Refused requests by reason, each with the small, the usual and the large ones of their class.
-void PrintRefusals(const Site& site) {
-  constexpr const char* kReasons[kRejectionReasons] = {"deadline",    "admission",  "places",
+// Rejected requests by reason, each split into the small, the usual and the large ones of their
+// class.
+void PrintRejections(const Site& site) {
+  constexpr const char* kReasons[kRejectionReasons] = {"deadline",    "admission",  "open requests",
                                                        "no endpoint", "slow start", "utilisation",
                                                        "link",        "no source",  "attempts"};
   for (std::size_t reason = 0; reason < kRejectionReasons; ++reason) {
-    auto [small, usual, large] = site.refusals[reason];
+    auto [small, usual, large] = site.rejections[reason];
     if (small + usual + large > 0)
-      std::printf("  refused for %s: %zu small, %zu usual, %zu large\n", kReasons[reason], small,
+      std::printf("  rejected for %s: %zu small, %zu usual, %zu large\n", kReasons[reason], small,
                   usual, large);
   }
 }
 
-// Each mix of sizes, load, link and places, by some seeds; every play is judged by itself.
+// Each combination of sizes, load, link and limit of open requests, with some seeds; every scenario
+// is checked by itself.
 int LargeObjectsAreAnswered() {
-  int broken = 0;
-  bool notified = std::getenv("LARGE_OBJECTS_ALL");
-  // Under sanitizers, where DUNLINWICK_SEEDS is set, the first seed of each.
+  int failures = 0;
+  bool print_all = std::getenv("LARGE_OBJECTS_ALL");
+  // Under sanitizers, where DUNLINWICK_SEEDS is set, only the first seed of each scenario.
   std::uint64_t seeds = std::getenv("DUNLINWICK_SEEDS") ? 1 : 3;
-  double worths[3] = {};
+  double values[3] = {};
   int counts[3] = {};
   for (double load : {0.5, 1.0, 1.3})
     for (double sigma : {0.7, 1.2, 1.7})
       for (double link : {15.0, 5.0})
-        for (int places : {0, link > 10 ? 40 : 60})
+        for (int max_open : {0, link > 10 ? 40 : 60})
           for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            bool quiet = load < 1;
-            Site site({sigma, load, link, places, seed});
-            double bound = quiet ? 2.0 / 3 : 0.5, worth = site.Worth();
-            auto day = load < 1 ? 0 : load < 1.2 ? 1 : 2;
-            worths[day] += worth;
-            ++counts[day];
+            bool is_underloaded = load < 1;
+            Site site({sigma, load, link, max_open, seed});
+            double bound = is_underloaded ? 2.0 / 3 : 0.5, value = site.ValueInTime();
+            auto load_index = load < 1 ? 0 : load < 1.2 ? 1 : 2;
+            values[load_index] += value;
+            ++counts[load_index];
             for (std::size_t i = 0; i < std::size(kClasses); ++i) {
               auto s = site.shares(i);
               bool wrong = s.largest < bound * s.all || s.next < bound * s.all;
-              broken += wrong;
-              if (wrong || notified)
+              failures += wrong;
+              if (wrong || print_all)
                 std::printf(
-                    "%s load %.1f sigma %.1f link %2.0f places %2d seed %d class %zu (%zu "
+                    "%s load %.1f sigma %.1f link %2.0f limit of open requests %2d seed %d class "
+                    "%zu (%zu "
                     "requests): answered %.3f, "
-                    "of the largest %.3f (%.2f), of the next fifth %.3f (%.2f); worth %.3f away "
-                    "%zu declined %zu\n",
-                    wrong ? "STARVED" : "fine", load, sigma, link, places, static_cast<int>(seed),
-                    i, s.count, s.all, s.largest, s.largest / s.all, s.next, s.next / s.all, worth,
-                    site.turned_away, site.declined);
+                    "of the largest %.3f (%.2f), of the next fifth %.3f (%.2f); value in time %.3f "
+                    "over the limit "
+                    "%zu rejected %zu\n",
+                    wrong ? "STARVED" : "fine", load, sigma, link, max_open, static_cast<int>(seed),
+                    i, s.count, s.all, s.largest, s.largest / s.all, s.next, s.next / s.all, value,
+                    site.turned_away, site.rejected);
             }
-            if (notified)
-              PrintRefusals(site);
+            if (print_all)
+              PrintRejections(site);
           }
-  std::printf("worth in time, by load: %.4f %.4f %.4f\n", worths[0] / counts[0],
-              worths[1] / counts[1], worths[2] / counts[2]);
-  return broken;
+  std::printf("value of the requests answered in time, by load: %.4f %.4f %.4f\n",
+              values[0] / counts[0], values[1] / counts[1], values[2] / counts[2]);
+  return failures;
 }
 
 }  // namespace
 
 int main() {
   std::puts("large objects are answered");
-  int broken = LargeObjectsAreAnswered();
-  std::printf("%d broken\n", broken);
+  int failures = LargeObjectsAreAnswered();
+  std::printf("%d broken\n", failures);
   std::fflush(stdout);
-  assert(broken == 0);
+  assert(failures == 0);
 }
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -1,37 +1,40 @@
+// Tests of the routing policy: one router, given events one by one, and the actions that it
+// returns.
 #include <map>
 
 #include "kit.hpp"
 
 using namespace kit;
 
-static void OneFinalAnswerInTime() {
+static void AnswersOnceBeforeTheDeadline() {
   Front f;
   SendAttempt a = f.Request(1);
   assert(a.endpoint != 0 && !a.requires_live_connection);
   f.now +=
       4000 -
-      3;  // nothing came: the answer goes out before the client leaves, and the leg is called off
+      3;  // without a result, the answer goes out before the deadline, and the attempt is cancelled
   f.Tell(TimerFired{std::uint64_t{1} << 56 | a.request});
   assert(f.Declined() && f.all<CancelAttempt>().size() == 1);
   f.end(a, AttemptResult::kCancelled);
   assert(f.did.empty());
   f.Tell(TimerFired{std::uint64_t{1} << 56 | a.request});
   assert(f.did.empty());
-  f.end(a, AttemptResult::kFinished);  // news of a pull already ended, of unknown legs and caches,
-                                       // and stale timers
+  f.end(a, AttemptResult::kFinished);  // events of a request that has ended, of unknown attempts
+                                       // and endpoints, and stale timers
   f.Tell(ClientLeft{a.request});
   f.Tell(ProbeEnded{99, true, 1, {}});
   f.Tell(TimerFired{~std::uint64_t{0}});
   f.Tell(EndpointListUpdate{ListUpdateKind::kSnapshot, {}});
   assert(f.did.empty());
-  assert(f.Request(2).endpoint == 0 && f.Declined());  // an empty list: answered at once
+  assert(f.Request(2).endpoint == 0 && f.Declined());  // an empty list: rejected at once
 }
 
-// What an exclusive pull may do after each ending of its leg.
-static void NoEffectTwice() {
+// An exclusive request gets another attempt only after a result that proves that it was not
+// executed.
+static void ExclusiveRequestsRunAtMostOnce() {
   struct Case {
-    AttemptResult ending;
-    bool proven;
+    AttemptResult result;
+    bool proven_not_executed;
   };
   for (Case c : {Case{AttemptResult::kError, false},
                  {AttemptResult::kOverloaded, true},
@@ -42,10 +45,10 @@
                  {AttemptResult::kMiss, true}}) {
     Front f;
     SendAttempt a = f.Request(1, 1);
-    assert(a.endpoint == 31 && a.requires_live_connection);  // it runs at the origin
-    f.end(a, c.ending);
-    assert((f.attempt().endpoint != 0 || f.Declined()) == c.proven);
-    assert(f.Abandoned() == !c.proven);
+    assert(a.endpoint == 31 && a.requires_live_connection);  // uncacheable: it goes to the origin
+    f.end(a, c.result);
+    assert((f.attempt().endpoint != 0 || f.Declined()) == c.proven_not_executed);
+    assert(f.Abandoned() == !c.proven_not_executed);
   }
   Front f;
   SendAttempt a = f.Request(1, 1);
@@ -54,38 +57,39 @@
   assert(f.Abandoned() && !f.Declined());
 }
 
-// A ticketed pull that may have run stays in its group, and within the memory of it.
-static void TicketsStayInTheirGroup() {
-  for (DeduplicationScope span : {DeduplicationScope::kEverywhere, DeduplicationScope::kCell}) {
+// A request with an idempotency key that may have been executed is repeated only within its
+// deduplication scope and window.
+static void RepeatsStayInTheirDeduplicationScope() {
+  for (DeduplicationScope scope : {DeduplicationScope::kEverywhere, DeduplicationScope::kCell}) {
     for (Ms later : {10.0, 9000.0}) {
       DeploymentSettings s = Settings();
       s.request_classes[0].effect = Effect::kIdempotentWithKey;
-      s.request_classes[0].deduplication_scope = span;
+      s.request_classes[0].deduplication_scope = scope;
       s.request_classes[0].deduplication_window = 5000;
-      EndpointListUpdate news = List();
-      for (ListEntry& e : news.entries)
+      EndpointListUpdate update = List();
+      for (ListEntry& e : update.entries)
         e.cell = static_cast<int>(e.id);
-      Front f(s, 1, news);
+      Front f(s, 1, update);
       SendAttempt a = f.Request(1, 0, 1000, 20000);
       f.now += later;
       f.end(a, AttemptResult::kError);
-      bool may = span == DeduplicationScope::kEverywhere && later < 5000;
-      assert((f.attempt().endpoint != 0) == may);
-      if (!may)
-        assert(f.Declined() == (span == DeduplicationScope::kEverywhere));
+      bool may_repeat = scope == DeduplicationScope::kEverywhere && later < 5000;
+      assert((f.attempt().endpoint != 0) == may_repeat);
+      if (!may_repeat)
+        assert(f.Declined() == (scope == DeduplicationScope::kEverywhere));
     }
   }
 }
 
-static void DrainsKept() {
-  for (EndpointState standing : {EndpointState::kDraining, EndpointState::kRemoved}) {
+static void DrainingEndpointsGetNoAttempts() {
+  for (EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     Front f;
-    EndpointListUpdate news{
+    EndpointListUpdate update{
         ListUpdateKind::kChanges,
-        {MakeEntry(11, kStoreKind, 1, standing), MakeEntry(21, kParentKind, 0, standing)}};
+        {MakeEntry(11, kStoreKind, 1, state), MakeEntry(21, kParentKind, 0, state)}};
     for (std::uint64_t o = 1; o <= 40; ++o)
       f.Finish(f.Request(o), CacheStatus::kFilled);
-    f.Tell(news);
+    f.Tell(update);
     for (std::uint64_t o = 1; o <= 40; ++o) {
       SendAttempt a = f.Request(o);
       assert(a.endpoint != 0 && a.endpoint != 11 && a.source != 11 && a.source != 21);
@@ -94,34 +98,34 @@
   }
 }
 
-// Work sent to a cold cache, and fills asked of a cold parent, in any window, against this front's
-// share. Likewise at a cache that could not be reached and answers again: it may be new, whatever
-// the list says.
-static void ColdMachinesSpared() {
-  enum class Cold {
+// The work sent to a cache in slow start, and the fills from a parent in slow start, stay within
+// this front's share. The same holds for a cache that could not be reached and answers again: it
+// may be a new process that the list does not show.
+static void SlowStartLimitsWork() {
+  enum class Restarted {
     kCache,
     kParent,
-    kSilentlyNew
+    kCacheUnnoticed
   };
-  for (Cold how : {Cold::kCache, Cold::kParent, Cold::kSilentlyNew}) {
+  for (Restarted restarted : {Restarted::kCache, Restarted::kParent, Restarted::kCacheUnnoticed}) {
     Front f;
-    bool parent = how == Cold::kParent;
-    std::uint32_t cold = parent ? 21 : f.Request(1).endpoint;
-    if (how == Cold::kSilentlyNew) {
-      f.end({1, cold}, AttemptResult::kDisconnected);
+    bool parent = restarted == Restarted::kParent;
+    std::uint32_t id = parent ? 21 : f.Request(1).endpoint;
+    if (restarted == Restarted::kCacheUnnoticed) {
+      f.end({1, id}, AttemptResult::kDisconnected);
       f.end(f.Request(1), AttemptResult::kNotSent);
       for (int i = 0; i < 2; ++i)
-        f.Tell(ProbeEnded{cold, true, 1, {}});
+        f.Tell(ProbeEnded{id, true, 1, {}});
     } else {
       f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
-                                {MakeEntry(cold, parent ? kParentKind : kStoreKind, parent ? 0 : 1,
+                                {MakeEntry(id, parent ? kParentKind : kStoreKind, parent ? 0 : 1,
                                            EndpointState::kReady, f.now)}});
     }
     double sent = 0, share = parent ? 0.5 : 1, weight = parent ? 30 : 6, from = parent ? 0.1 : 0.3;
     for (std::uint64_t o = 1; o <= 400; ++o) {
       f.now += 1;
       SendAttempt a = f.Request(o);
-      if (a.endpoint == cold || a.source == cold)
+      if (a.endpoint == id || a.source == id)
         sent += 100;
       if (a.endpoint)
         f.Finish(a);
@@ -130,9 +134,9 @@
   }
 }
 
-// Found by a drill: parts of one small object in a row halved what the front took for its
-// offering's mean, and a cold cache was sent twice its share.
-static void ARowOfSmallPartsMovesNoColdBudget() {
+// Consecutive parts of one small object must not move the mean work of a request much: they once
+// halved it, and a cache in slow start got twice its share.
+static void ConsecutiveSmallPartsKeepTheSlowStartBudget() {
   Front f;
   for (std::uint64_t o = 1; o <= 400; ++o) {
     f.now += 20;
@@ -140,38 +144,38 @@
     if (a.endpoint)
       f.Finish(a);
   }
-  for (int part = 0; part < 100; ++part) {  // six small objects, part after part
+  for (int part = 0; part < 100; ++part) {  // six small objects, each part after part
     f.now += 20;
     SendAttempt a =
         f.Request(1000 + static_cast<std::uint64_t>(part / 17), 0, 100, 4000, part % 17);
     if (a.endpoint)
       f.Finish(a);
   }
-  std::uint32_t cold = f.Request(2000).endpoint;
+  std::uint32_t cache = f.Request(2000).endpoint;
   f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
-                            {MakeEntry(cold, kStoreKind, 1, EndpointState::kReady, f.now)}});
+                            {MakeEntry(cache, kStoreKind, 1, EndpointState::kReady, f.now)}});
   int attempts = 0;
   for (std::uint64_t o = 3000; o < 3300; ++o) {
     f.now += 1;
     SendAttempt a = f.Request(o, 0, 2500);
-    attempts += a.endpoint == cold;
+    attempts += a.endpoint == cache;
     if (a.endpoint)
       f.Finish(a);
   }
-  // What it bears in a window, in legs of the true mean (250 ms less the small ones' fifth): under
-  // it all the same.
-  double bears = 2 * 6 * (0.3 + 0.02) * 1000 / 210;
-  assert(attempts > 0 && attempts <= 0.65 * bears);
+  // What is allowed in a window, in attempts of the true mean (250 ms, less the fifth of small
+  // ones): the front stays below it.
+  double allowed = 2 * 6 * (0.3 + 0.02) * 1000 / 210;
+  assert(attempts > 0 && attempts <= 0.65 * allowed);
 }
 
-static void PurgesKept() {
+static void PurgesLimitTheCopyAge() {
   Front f;
   struct Case {
     bool group;
-    Ms ago;
+    Ms age;
     Ms later;
-    Ms least;
-    Ms most;
+    Ms min_age;
+    Ms max_age;
   };
   for (Case c : {Case{false, 100, 50, 1, 150},
                  {true, 100, 50, 1, 150},
@@ -182,42 +186,42 @@
     p.is_group = c.group;
     p.object = c.group ? 0 : 5;
     p.group = 7;
-    p.age = c.ago;
+    p.age = c.age;
     f.Tell(p);
     f.now += c.later;
     SendAttempt a = f.Request(5);
-    assert(a.max_age >= c.least && a.max_age <= c.most);
+    assert(a.max_age >= c.min_age && a.max_age <= c.max_age);
     f.Finish(a);
   }
 }
 
-static void HomesAreSharedAndSteady() {
+static void RendezvousOrderIsStable() {
   Front f(Settings(), 1), g(Settings(), 99);
-  std::set<std::uint32_t> used, parents;
+  std::set<std::uint32_t> caches, parents;
   std::vector<SendAttempt> before;
   for (std::uint64_t o = 1; o <= 200; ++o) {
     SendAttempt a = f.Request(o), b = g.Request(o);
     assert(a.endpoint == b.endpoint && a.source == b.source);
-    used.insert(a.endpoint);
+    caches.insert(a.endpoint);
     parents.insert(a.source);
     before.push_back(a);
     f.Finish(a);
     g.Finish(b);
   }
-  assert(used.size() == 4 && parents.size() == 2);
+  assert(caches.size() == 4 && parents.size() == 2);
   f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
                             {MakeEntry(12, kStoreKind, 1, EndpointState::kRemoved)}});
   for (std::uint64_t o = 1; o <= 200; ++o) {
     SendAttempt a = f.Request(o);
     assert(a.endpoint == before[o - 1].endpoint ||
-           before[o - 1].endpoint == 12);  // only its own objects move
+           before[o - 1].endpoint == 12);  // only the objects of the removed cache move
     f.Finish(a);
   }
 }
 
-// A part finished elsewhere within omega is filled from there, and from the parent when the sibling
-// lacks it.
-static void MovedHomesFillFromSiblings() {
+// A part that another cache served within the idle window is filled from there, and from a parent
+// when the sibling lacks it.
+static void MovedObjectsFillFromSiblings() {
   Front f;
   f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
                             {MakeEntry(12, kStoreKind, 1, EndpointState::kDraining)}});
@@ -244,7 +248,7 @@
   assert(moved);
 }
 
-static void RanksFollowHeldChance() {
+static void RetentionRankFollowsHitProbability() {
   Front f;
   int ranks[4] = {};
   for (int i = 0; i < 20; ++i) {
@@ -258,9 +262,8 @@
          f.Request(2).retention_rank == 1);
 }
 
-// One pull where many fronts serve a location does not rank an object high: it may be wanted only
-// once.
-static void SingleRequestsRankLowAtSize() {
+// Where many fronts serve a zone, one request does not rank an object high: there may be no other.
+static void SingleRequestsRankLowWithManyFronts() {
   DeploymentSettings s = Settings();
   s.zone_replicas = 12;
   s.fronts = 200;
@@ -272,35 +275,36 @@
          f.Request(2).retention_rank == 1);
 }
 
-// Omega falls on misses at short gaps, but not on those of a cache that started lately.
-static void OmegaLearnsFromWarmCachesOnly() {
-  for (bool cold : {false, true}) {
+// The idle window shrinks on misses after short idle times, but not on those of a cache that
+// started lately.
+static void IdleWindowLearnsOutsideSlowStartOnly() {
+  for (bool in_slow_start : {false, true}) {
     Front f;
-    EndpointListUpdate news = List();
-    if (cold)
-      for (ListEntry& e : news.entries)
+    EndpointListUpdate update = List();
+    if (in_slow_start)
+      for (ListEntry& e : update.entries)
         e.started_at = f.now - 10000;
-    f.Tell(news);
+    f.Tell(update);
     for (int round = 0; round < 30; ++round)
       for (std::uint64_t o = 1; o <= 5; ++o) {
         f.now += 20;
         f.Finish(f.Request(o), CacheStatus::kFilled);
       }
     f.now += 1000;
-    int most = 0;
+    int highest_rank = 0;
     for (int i = 0; i < 3; ++i) {
       SendAttempt a = f.Request(1000);
-      most = std::max(most, a.retention_rank);
+      highest_rank = std::max(highest_rank, a.retention_rank);
       f.Finish(a);
     }
-    assert(cold ? most > 1 : most == 1);
+    assert(in_slow_start ? highest_rank > 1 : highest_rank == 1);
   }
 }
 
-// Legs that fell with one connection are one sign: the cache stays in use, the legs that only fell
-// with it are asked there again, and a cache whose answers can't be read is not taken for a new
-// process when it is back.
-static void OneBreakIsOneSign() {
+// Attempts that end with one connection count as one failure: the cache stays in use, and the
+// requests of the other attempts are sent there again. A cache that was reached but whose answers
+// were unreadable does not go through slow start when it returns to service.
+static void OneDisconnectIsOneFailure() {
   Front f;
   SendAttempt a = f.Request(1), b = f.Request(1);
   AttemptEnded e;
@@ -312,157 +316,156 @@
   }
   assert(f.Request(1).endpoint == a.endpoint);
   f.end({f.last_request, a.endpoint},
-        AttemptResult::kDisconnected);  // a second connection: set aside
+        AttemptResult::kDisconnected);  // a second connection: ejected
   assert(f.Request(1).endpoint != a.endpoint);
   for (int i = 0; i < 2; ++i)
     f.Tell(ProbeEnded{a.endpoint, true, 1, {}});
-  for (int i = 0; i < 20; ++i) {  // more than a cold one would be sent
+  for (int i = 0; i < 20; ++i) {  // more than a cache in slow start would get
     SendAttempt again = f.Request(1, 0, 2000);
     assert(again.endpoint == a.endpoint);
     f.Finish(again);
   }
 }
 
-// A pull that two machines call an error is at fault itself: it goes no further, and they stay in
-// use. Where another answers it, the one that erred is struck.
-static void BadRequestsStrikeNobody() {
+// A request that two endpoints answer with an error is malformed itself: it is not sent again, and
+// they stay in use. Where another endpoint answers it, the one that returned the error has failed.
+static void MalformedRequestsEjectNoEndpoint() {
   Front f;
-  std::uint32_t home = f.Request(1).endpoint;
-  f.Finish({f.last_request, home});
+  std::uint32_t first_cache = f.Request(1).endpoint;
+  f.Finish({f.last_request, first_cache});
   for (int i = 0; i < 5; ++i) {
     f.end(f.Request(1), AttemptResult::kError);
     SendAttempt second = f.attempt();
-    assert(second.endpoint != home && second.endpoint != 0);
+    assert(second.endpoint != first_cache && second.endpoint != 0);
     f.end(second, AttemptResult::kError, CacheStatus::kNone, 1);
     assert(f.Declined());
   }
-  assert(f.Request(1).endpoint == home);
-  f.Finish({f.last_request, home});
+  assert(f.Request(1).endpoint == first_cache);
+  f.Finish({f.last_request, first_cache});
   for (int i = 0; i < 2; ++i) {
     f.end(f.Request(1), AttemptResult::kError);
     f.end(f.attempt(), AttemptResult::kFinished, CacheStatus::kHit, 1);
   }
-  assert(f.Request(1).endpoint != home);
+  assert(f.Request(1).endpoint != first_cache);
 }
 
-// What is gone for long is forgotten, so that new ids all day fill no table: listed again it is a
-// new machine. Not while a pull points to it.
-static void MachinesThatLeftAreForgotten() {
-  for (bool pointed_at : {false, true}) {
+// An endpoint that was removed long ago is erased, so that new endpoints do not fill the table over
+// time: listed again, it is a new one. It stays while a request refers to it.
+static void RemovedEndpointsAreErased() {
+  for (bool is_referenced : {false, true}) {
     Front f;
-    SendAttempt held = f.Request(1);
-    std::uint32_t bad = held.endpoint;
-    if (!pointed_at)
-      f.Finish(held);
+    SendAttempt open_request = f.Request(1);
+    std::uint32_t cache = open_request.endpoint;
+    if (!is_referenced)
+      f.Finish(open_request);
     for (int i = 0; i < 2; ++i) {
       f.end(f.Request(1), AttemptResult::kError);
       f.end(f.attempt(), AttemptResult::kFinished, CacheStatus::kHit, 1);
     }
-    auto listed = [&](EndpointState standing) {
+    auto set_state = [&](EndpointState state) {
       f.now += 61000;
       f.Tell(
-          EndpointListUpdate{ListUpdateKind::kChanges, {MakeEntry(bad, kStoreKind, 1, standing)}});
+          EndpointListUpdate{ListUpdateKind::kChanges, {MakeEntry(cache, kStoreKind, 1, state)}});
     };
-    listed(EndpointState::kRemoved);
-    listed(EndpointState::kReady);
-    assert((f.Request(1).endpoint == bad) == !pointed_at);  // else it is still set aside
+    set_state(EndpointState::kRemoved);
+    set_state(EndpointState::kReady);
+    assert((f.Request(1).endpoint == cache) == !is_referenced);  // otherwise it is still ejected
   }
 }
 
-static void FailingCachesRestAndComeBack() {
+static void EjectedCachesReturnToService() {
   for (bool probes : {true, false}) {
     DeploymentSettings s = Settings();
     s.permissions.probe = probes;
     Front f(s);
     std::uint64_t object = 1;
-    std::uint32_t bad = f.Request(object).endpoint;
-    f.end({f.last_request, bad}, AttemptResult::kError);
-    assert(f.attempt().endpoint != bad);
+    std::uint32_t cache = f.Request(object).endpoint;
+    f.end({f.last_request, cache}, AttemptResult::kError);
+    assert(f.attempt().endpoint != cache);
     f.end(f.attempt(), AttemptResult::kFinished, CacheStatus::kHit, 1);
     SendAttempt second = f.Request(object);
     f.end(second, AttemptResult::kError);
     f.end(f.attempt(), AttemptResult::kFinished, CacheStatus::kHit, 1);
-    SendAttempt passed = f.Request(object);
-    assert(passed.endpoint != bad);
-    f.Finish(passed);
+    SendAttempt meanwhile = f.Request(object);
+    assert(meanwhile.endpoint != cache);
+    f.Finish(meanwhile);
     f.now += 300;
     if (probes) {
       for (int i = 0; i < 2; ++i) {
-        f.Tell(TimerFired{std::uint64_t{2} << 56 | bad});
+        f.Tell(TimerFired{std::uint64_t{2} << 56 | cache});
         assert(f.all<ProbeEndpoint>().size() == 1);
-        f.Tell(ProbeEnded{bad, true, 1, {}});
+        f.Tell(ProbeEnded{cache, true, 1, {}});
       }
     }
-    SendAttempt trial = f.Request(object);
-    assert(trial.endpoint == bad);
+    SendAttempt half_open = f.Request(object);
+    assert(half_open.endpoint == cache);
     if (!probes)
-      assert(f.Request(object).endpoint != bad);  // one trial at a time
-    f.end(trial, AttemptResult::kFinished, CacheStatus::kHit);
-    SendAttempt back = f.Request(object);
-    assert(back.endpoint == bad);
+      assert(f.Request(object).endpoint != cache);  // one half-open attempt at a time
+    f.end(half_open, AttemptResult::kFinished, CacheStatus::kHit);
+    SendAttempt returned = f.Request(object);
+    assert(returned.endpoint == cache);
   }
 }
 
-// When fills crowd the link a pull first looks; a miss is filled while its agreed time can be met,
-// else declined. Where the link's size is not told that is earlier, since crowded sources can't be
-// told apart.
-static void CrowdedLinkLooksFirst() {
+// While fills keep the link busy, the first attempt of a request goes without a fill; a miss is
+// filled while its latency objective can be met, and rejected otherwise. Where the link's capacity
+// is unknown that happens earlier, since busy sources cannot be distinguished from a busy link.
+static void BusyLinkTriesWithoutFillFirst() {
   int filled[2] = {};
-  for (int notified : {0, 1}) {
+  for (int is_known : {0, 1}) {
     DeploymentSettings s = Settings();
-    s.link_kb_per_ms = notified ? 80 : 0;  // as much as is guessed from the caches
+    s.link_kb_per_ms = is_known ? 80 : 0;  // as much as is estimated from the caches
     Front f(s);
-    int looks = 0, declines = 0;
+    int without_fill = 0, rejected = 0;
     for (std::uint64_t o = 1; o <= 200; ++o) {
       SendAttempt a = f.Request(o, 0, 2000);
       assert(o > 1 || a.endpoint != a.source);
       if (a.endpoint == 0 || a.endpoint != a.source)
         continue;
-      ++looks;
+      ++without_fill;
       f.end(a, AttemptResult::kMiss);
-      f.attempt().endpoint ? ++filled[notified] : ++declines;
+      f.attempt().endpoint ? ++filled[is_known] : ++rejected;
     }
-    assert(looks > 0 && declines > 0);
+    assert(without_fill > 0 && rejected > 0);
   }
   assert(filled[0] > 0 && filled[0] < filled[1]);
 }
 
-// A level of the link that lasts lets fewer known misses through than the same level in its first
-// moment.
-static void LastingLevelsDeclineEarlier() {
+// Lasting link utilisation admits fewer known misses than the same utilisation at its beginning.
+static void LastingLinkUtilisationRejectsEarlier() {
   int filled[2] = {};
-  for (int lasting : {0, 1}) {
+  for (int is_lasting : {0, 1}) {
     DeploymentSettings s = Settings();
-    s.link_kb_per_ms = 40;  // four transfers
+    s.link_kb_per_ms = 40;  // four transfers at full speed
     Front f(s);
     std::uint64_t object = 0;
-    auto fill = [&] {  // a pull, and after a look the fill
+    auto fill = [&] {  // a request; after an attempt without a fill, its attempt with one
       SendAttempt a = f.Request(++object, 0, 2000, 20000);
       if (a.endpoint == 0 || a.endpoint != a.source)
         return a;
       f.end(a, AttemptResult::kMiss);
       return f.attempt();
     };
-    std::vector<SendAttempt> out;
+    std::vector<SendAttempt> attempts;
     for (int i = 0; i < 14; ++i)
-      out.push_back(fill());
-    for (std::size_t i = 0; lasting && i < 200;
-         ++i) {  // ten seconds with as many out, none of them overdue
+      attempts.push_back(fill());
+    for (std::size_t i = 0; is_lasting && i < 200;
+         ++i) {  // ten seconds with as many in flight, none of them overdue
       f.now += 50;
-      if (out[i].endpoint)
-        f.end(out[i], AttemptResult::kFinished, CacheStatus::kFilled, i < 8 ? 0 : 1);
-      out.push_back(out[i].endpoint ? fill() : SendAttempt{});
+      if (attempts[i].endpoint)
+        f.end(attempts[i], AttemptResult::kFinished, CacheStatus::kFilled, i < 8 ? 0 : 1);
+      attempts.push_back(attempts[i].endpoint ? fill() : SendAttempt{});
     }
-    for (std::size_t i = out.size() - 14; i < out.size(); ++i)
-      filled[lasting] += out[i].endpoint != 0;  // still out
+    for (std::size_t i = attempts.size() - 14; i < attempts.size(); ++i)
+      filled[is_lasting] += attempts[i].endpoint != 0;  // still in flight
     for (int i = 0; i < 100; ++i)
-      filled[lasting] += fill().endpoint != 0;
+      filled[is_lasting] += fill().endpoint != 0;
   }
   assert(filled[0] > 0 && filled[1] <= filled[0] / 2);
 }
 
-// No place for a fill is no fault of the cache: hits still go there.
-static void FullFillPlacesAreNoFault() {
+// A cache without a free fill slot has not failed: requests still go there.
+static void MissingFillSlotsAreNoFailure() {
   Front f;
   SendAttempt a = f.Request(1);
   for (int i = 0; i < 3; ++i)
@@ -470,7 +473,7 @@
   assert(f.Request(1).endpoint == a.endpoint);
 }
 
-static void SlowCachesArePassedOver() {
+static void SlowCachesAreAvoided() {
   Front f;
   std::uint32_t slow = f.Request(1).endpoint;
   f.Finish({1, slow});
@@ -481,29 +484,29 @@
   assert(f.Request(1).endpoint != slow);
 }
 
-// A parent whose fills are stretched, or never end, is passed over: its objects move on to the
-// other.
-static void BadParentsArePassedOver() {
-  for (bool swallows : {false, true}) {
+// A parent whose fills are slow, or never end, is avoided: its objects move to the other one.
+static void BadParentsAreAvoided() {
+  for (bool never_answers : {false, true}) {
     Front f;
     SendAttempt first = f.Request(1);
-    std::uint32_t bad = first.source;
+    std::uint32_t bad_parent = first.source;
     f.Finish(first);
-    int late = 0;
+    int sent_to_bad_parent = 0;
     for (std::uint64_t o = 1; o <= 200; ++o) {
       f.now += 40;
       SendAttempt a = f.Request(o, 0, 300);
       if (o > 100)
-        late += a.source == bad;
-      if (a.source != bad || !swallows)
-        f.end(a, AttemptResult::kFinished, CacheStatus::kFilled, 0, a.source == bad ? 600 : 35);
+        sent_to_bad_parent += a.source == bad_parent;
+      if (a.source != bad_parent || !never_answers)
+        f.end(a, AttemptResult::kFinished, CacheStatus::kFilled, 0,
+              a.source == bad_parent ? 600 : 35);
     }
-    assert(late < 20);
+    assert(sent_to_bad_parent < 20);
   }
 }
 
-// A known miss whose sources all failed is declined at once: no further cache is looked at.
-static void MissesWithoutSourceAreDeclined() {
+// A known miss whose sources all failed is rejected at once, without an attempt at another cache.
+static void MissesWithoutSourceAreRejected() {
   Front f;
   SendAttempt a = f.Request(1);
   int attempts = 0;
@@ -511,25 +514,25 @@
     f.end(a, AttemptResult::kOverloaded, CacheStatus::kSourceRefused, attempts, 20);
     a = f.attempt();
   }
-  assert(attempts == 3 && f.Declined());  // two parents and the origin
+  assert(attempts == 3 && f.Declined());  // by two parents and the origin
 }
 
-// Once fills by way of the origin come late, most misses ask a parent only for what it holds, and
-// are declined if it lacks that; when they come early again, all may lead to the origin.
-static void SlowOriginsAreSpared() {
+// While fills from the origin are slow, most misses ask a parent with only_if_cached, and are
+// rejected if it lacks the object; once they are fast again, all may lead to the origin.
+static void SlowOriginsGetFewerFills() {
   Front f;
-  int spared = 0;
-  auto round = [&](std::uint64_t from, Ms waited) {
-    spared = 0;
+  int only_if_cached_attempts = 0;
+  auto round = [&](std::uint64_t from, Ms fill_wait) {
+    only_if_cached_attempts = 0;
     for (std::uint64_t o = from; o < from + 100; ++o) {
       f.now += 300;
       SendAttempt a = f.Request(o);
-      spared += a.only_if_cached;
+      only_if_cached_attempts += a.only_if_cached;
       AttemptEnded e;
       e.request = a.request;
       e.endpoint = a.endpoint;
-      e.duration = 105 + waited;
-      e.fill_wait = waited;
+      e.duration = 105 + fill_wait;
+      e.fill_wait = fill_wait;
       e.result = a.only_if_cached ? AttemptResult::kMiss : AttemptResult::kFinished;
       e.final = !a.only_if_cached;
       e.cache_status = a.only_if_cached ? CacheStatus::kSourceMiss : CacheStatus::kFilledByOrigin;
@@ -538,84 +541,85 @@
     }
   };
   round(1, 60);
-  assert(spared == 0);
+  assert(only_if_cached_attempts == 0);
   round(1000, 1500);
-  assert(spared > 50 && spared < 100);
+  assert(only_if_cached_attempts > 50 && only_if_cached_attempts < 100);
   for (std::uint64_t from : {2000u, 3000u, 4000u, 5000u})
     round(from, 60);
-  assert(spared == 0);
+  assert(only_if_cached_attempts == 0);
 }
 
-// When a location has lost most of its caches, what the rest can't take is declined at once: every
-// fill is kept.
-static void LostLocationsDecline() {
+// When a zone has lost most of its caches, what the rest cannot take is rejected at once, so that
+// no fill is wasted.
+static void ZonesWithFewCachesReject() {
   Front f;
-  EndpointListUpdate news{ListUpdateKind::kChanges, {}};
+  EndpointListUpdate update{ListUpdateKind::kChanges, {}};
   for (std::uint32_t id : {11, 12, 13})
-    news.entries.push_back(MakeEntry(id, kStoreKind, 1, EndpointState::kRemoved));
-  f.Tell(news);
-  int attempts = 0, declined = 0;
+    update.entries.push_back(MakeEntry(id, kStoreKind, 1, EndpointState::kRemoved));
+  f.Tell(update);
+  int attempts = 0, rejected = 0;
   for (std::uint64_t o = 1; o <= 100; ++o) {
     SendAttempt a = f.Request(o, 0, 300);
     assert(a.endpoint == 0 || a.endpoint == 14);
     attempts += a.endpoint != 0;
-    declined += f.Declined();
+    rejected += f.Declined();
   }
-  assert(attempts > 0 && declined > 0 && attempts + declined == 100);
+  assert(attempts > 0 && rejected > 0 && attempts + rejected == 100);
 }
 
-// Where hundreds of fronts share a parent, a few legs of ours don't make it look full.
-static void OwnAttemptsAreNotTakenForDozens() {
+// Where hundreds of fronts share a parent, a few attempts of one front do not make it look fully
+// utilised.
+static void FewOwnAttemptsDoNotFillASharedParent() {
   DeploymentSettings s = Settings();
   s.fronts = 200;
-  Front f(s), alone;
+  Front f(s), single;
   for (std::uint64_t o = 1; o <= 5; ++o)
-    assert(f.Request(o, 0, 300).source == alone.Request(o, 0, 300).source);
+    assert(f.Request(o, 0, 300).source == single.Request(o, 0, 300).source);
 }
 
-// A parent whose fills come stretched keeps a share of its objects, the same at all fronts.
-static void CrowdedParentsKeepAShare() {
+// A parent whose fills are slow keeps a share of its objects, the same ones at all fronts.
+static void OverloadedParentsKeepAShare() {
   DeploymentSettings s = Settings();
   s.weight_source = WeightSource::kNone;
   s.fronts = 200;
   Front f(s, 1), g(s, 99);
-  std::map<std::uint64_t, std::uint32_t> home;
-  int kept = 0, moved = 0, apart = 0;
+  std::map<std::uint64_t, std::uint32_t> first_parent;
+  int kept = 0, moved = 0, different = 0;
   for (int round = 0; round < 3; ++round)
     for (std::uint64_t o = 1; o <= 100; ++o) {
       f.now += 200;
       g.now += 200;
       SendAttempt a = f.Request(o, 0, 600), b = g.Request(o, 0, 600);
       if (round == 0)
-        home[o] = a.source;
-      if (round == 2 && home[o] == 21) {
+        first_parent[o] = a.source;
+      if (round == 2 && first_parent[o] == 21) {
         a.source == 21 ? ++kept : ++moved;
-        apart += a.source != b.source;
+        different += a.source != b.source;
       }
       f.end(a, AttemptResult::kFinished, CacheStatus::kFilled, 0,
             a.source == 21 && kept + moved < 30 ? 300 : 65);
       g.end(b, AttemptResult::kFinished, CacheStatus::kFilled, 0,
             b.source == 21 && kept + moved < 30 ? 300 : 65);
     }
-  assert(kept > 0 && moved > 0 && apart < 10);
+  assert(kept > 0 && moved > 0 && different < 10);
 }
 
-// With so many fronts that one's share of a cold parent is less than a leg, all together send it
-// some, and stay within the rule in every window.
-static void SharesBelowAAttemptAddUp() {
+// With so many fronts that the share of each in the budget of a parent in slow start is less than
+// one attempt, all together send it some, and stay within the limit in every window.
+static void SharesBelowOneAttemptAddUp() {
   DeploymentSettings s = Settings();
   s.fronts = 200;
   std::vector<std::unique_ptr<Front>> fronts;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     fronts.push_back(std::make_unique<Front>(s, seed));
-    EndpointListUpdate news = List();
-    for (ListEntry& e : news.entries)
+    EndpointListUpdate update = List();
+    for (ListEntry& e : update.entries)
       if (e.kind == kParentKind)
         e.started_at = 1e6;
-    fronts.back()->Tell(news);
+    fronts.back()->Tell(update);
   }
   double sent = 0,
-         limit = 2 * 60 * (0.1 + 0.9 * 2 / 20) * 1000;  // both parents, in the second window
+         limit = 2 * 60 * (0.1 + 0.9 * 2 / 20) * 1000;  // for both parents, in the second window
   for (std::uint64_t o = 1; o <= 20; ++o)
     for (auto& f : fronts) {
       f->now += 100;
@@ -627,9 +631,9 @@
   assert(sent > 0.1 * limit && sent <= limit);
 }
 
-// Hundreds of machines that start at one moment, a list that empties, a location with nothing
-// ready: each pull gets a leg or its one final answer at once.
-static void OddListsAreBorne() {
+// Hundreds of endpoints that start at the same time, a list that becomes empty, a zone with no
+// endpoint ready: each request gets an attempt or its only answer at once.
+static void UnusualListsAreHandled() {
   Front f;
   EndpointListUpdate many{ListUpdateKind::kSnapshot, {}}, draining = many;
   for (std::uint32_t id = 100; id < 500; ++id) {
@@ -638,9 +642,9 @@
     draining.entries.push_back(MakeEntry(id, kStoreKind, id % 3, EndpointState::kDraining, f.now));
   }
   std::uint64_t object = 0;
-  for (const EndpointListUpdate& news :
+  for (const EndpointListUpdate& update :
        {many, draining, many, EndpointListUpdate{ListUpdateKind::kSnapshot, {}}, List()}) {
-    f.Tell(news);
+    f.Tell(update);
     for (int i = 0; i < 300; ++i) {
       f.now += 1;
       SendAttempt a = f.Request(++object, i % 7 == 0);
@@ -651,9 +655,9 @@
   }
 }
 
-// Without parents, probes, reports, weights, direct routes or a told link; the list only when asked
-// for.
-static void WorksWithoutTheExtras() {
+// Without parents, probes, load reports, weights, direct requests to the origin or a known link
+// capacity, and with a list that is sent only on request.
+static void WorksWithoutOptionalFeatures() {
   DeploymentSettings s = Settings();
   s.parent_kind = -1;
   s.permissions = {};
@@ -661,35 +665,37 @@
   s.fills_from_siblings = false;
   s.link_kb_per_ms = 0;
   s.polls_endpoint_list = true;
-  EndpointListUpdate news = List();
-  Front f(s, 1, {ListUpdateKind::kLastKnown, {news.entries[0], news.entries[1], news.entries[6]}});
+  EndpointListUpdate update = List();
+  Front f(s, 1,
+          {ListUpdateKind::kLastKnown, {update.entries[0], update.entries[1], update.entries[6]}});
   assert(f.all<WatchEndpointList>().size() == 1);
   SendAttempt a = f.Request(1);
   assert((a.endpoint == 11 || a.endpoint == 12) && a.source == 31);
   f.Tell(AttemptStarted{a.request, a.endpoint, 0});
   f.now += 9000;
   f.Tell(TimerFired{std::uint64_t{1} << 56 | a.request});
-  assert(f.did.empty());  // a stream that has started is not called off
+  assert(f.did.empty());  // a streamed answer that has started is not cancelled
   f.Finish(a);
   f.Tell(EndpointListUpdate{ListUpdateKind::kFailed, {}});
   assert(f.all<SetTimer>().size() == 1);
 }
 
-// Clients have ever so many places here: when nearly all are taken, what earns least for its time
-// is declined at once, and the rest still goes; where places are not told or free, nothing is.
-static void FullPlacesDeclineWhatEarnsLeast() {
+// Clients may have a limited number of requests open: near the limit, those with the lowest value
+// for their time are rejected at once, and the others are served; with no limit, or far from it,
+// none is rejected.
+static void OpenRequestLimitRejectsLowestValue() {
   struct Case {
-    int places;
+    int max_open;
     int open;
     double size_kb;
-    bool declined;
+    bool is_rejected;
   };
   for (Case c : {Case{0, 100, 4000, false},
                  {200, 100, 4000, false},
                  {100, 99, 4000, true},
                  {100, 99, 500, false}}) {
     DeploymentSettings s = Settings();
-    s.max_open_requests = c.places;
+    s.max_open_requests = c.max_open;
     s.link_kb_per_ms = 1e6;
     EndpointListUpdate many{ListUpdateKind::kSnapshot, {}};
     for (std::uint32_t id = 11; id < 60; ++id)
@@ -700,12 +706,13 @@
     for (int i = 0; i < c.open; ++i)
       f.Request(1000 + static_cast<std::uint64_t>(i));
     SendAttempt attempt = f.Request(7, 0, c.size_kb);
-    assert(f.Declined() == c.declined && (attempt.endpoint == 0) == c.declined);
+    assert(f.Declined() == c.is_rejected && (attempt.endpoint == 0) == c.is_rejected);
   }
 }
 
-// A sheet of the shape in which answers tell only hits, and caches report how full their link is.
-static DeploymentSettings PlainSettings() {
+// Settings of a deployment whose answers tell hits from misses only, and whose caches report the
+// utilisation of their link.
+static DeploymentSettings HitOnlySettings() {
   DeploymentSettings s = Settings();
   s.reports_cache_status = false;
   s.link_kb_per_ms = 0;
@@ -713,59 +720,59 @@
   return s;
 }
 
-static void Send(Front& f, const SendAttempt& a, AttemptResult ending, CacheStatus remark,
-                 int attempt, Ms took, float level) {
+static void Send(Front& f, const SendAttempt& a, AttemptResult result, CacheStatus cache_status,
+                 int attempt, Ms duration, float link_utilisation) {
   AttemptEnded e;
   e.request = a.request;
   e.endpoint = a.endpoint;
   e.attempt = attempt;
-  e.result = ending;
-  e.cache_status = remark;
-  e.duration = took;
-  e.final = ending == AttemptResult::kFinished;
-  e.load_report = {7, level};
+  e.result = result;
+  e.cache_status = cache_status;
+  e.duration = duration;
+  e.final = result == AttemptResult::kFinished;
+  e.load_report = {7, link_utilisation};
   f.Tell(e);
 }
 
-// Found on a quiet day: the link was half full as reported, and held for crowded by what fills
-// waited for their first byte. The level reported is believed, and forgotten where nothing is heard
-// any more.
-static void ReportedLinkLevelsAreBelieved() {
-  for (float level : {0.3f, 30.0f}) {
-    Front f(PlainSettings());
-    int looks = 0;
+// The reported utilisation is used, and fades when no further report comes. The time that fills
+// wait for their first byte once made a link look busy that was reported to be half utilised.
+static void ReportedLinkUtilisationIsUsed() {
+  for (float link_utilisation : {0.3f, 30.0f}) {
+    Front f(HitOnlySettings());
+    int without_fill = 0;
     for (std::uint64_t o = 1; o <= 100; ++o) {
       f.now += 300;
       SendAttempt a = f.Request(o);
       if (o > 50)
-        looks += a.endpoint == a.source;
+        without_fill += a.endpoint == a.source;
       Send(f, a, AttemptResult::kFinished, CacheStatus::kFilled, 0, 105 + 170,
-           level);  // half as long again in waiting
+           link_utilisation);  // the fill waits for 170 ms
     }
-    assert(level < 1 ? looks == 0 : looks == 50);
+    assert(link_utilisation < 1 ? without_fill == 0 : without_fill == 50);
     f.now += 60000;
     SendAttempt after = f.Request(1000);
     assert(after.endpoint && after.endpoint != after.source);
   }
 }
 
-// Where only hits are told: a refusal or an error that comes from behind the cache is its source's,
-// a quick one of a fill has found no place; the cache keeps its pulls.
-static void WhatFailsBehindACacheIsTheSources() {
-  DeploymentSettings s = PlainSettings();
-  s.permissions.probe = false;                    // sources set aside come back by trial legs
+// Where answers tell hits from misses only: a rejection or error that comes from behind the cache
+// is attributed to its source, and a quick rejection of a fill to a lack of fill slots; the cache
+// keeps its requests.
+static void FailuresBehindACacheAreTheSources() {
+  DeploymentSettings s = HitOnlySettings();
+  s.permissions.probe = false;                    // ejected sources return by half-open attempts
   s.request_classes[0].latency_objective = 4000;  // there is time for another source
   Front f(s);
   SendAttempt first = f.Request(1);
   Send(f, first, AttemptResult::kFinished, CacheStatus::kHit, 0, 105, 0.2f);
-  for (Ms took : {30.0, 400.0, 1400.0}) {
+  for (Ms duration : {30.0, 400.0, 1400.0}) {
     for (int i = 0; i < 3; ++i) {
       f.now += 60000;
       SendAttempt a = f.Request(1);
       assert(a.endpoint == first.endpoint && a.source != a.endpoint);
-      f.now += took;
-      Send(f, a, took > 1000 ? AttemptResult::kError : AttemptResult::kOverloaded,
-           CacheStatus::kNone, 0, took, 0.2f);
+      f.now += duration;
+      Send(f, a, duration > 1000 ? AttemptResult::kError : AttemptResult::kOverloaded,
+           CacheStatus::kNone, 0, duration, 0.2f);
       SendAttempt b = f.attempt();  // the same cache, another source
       assert(b.endpoint == first.endpoint && b.source != a.source && b.source != b.endpoint);
       Send(f, b, AttemptResult::kFinished, CacheStatus::kFilled, 1, 150, 0.2f);
@@ -774,18 +781,18 @@
   f.now += 5000;
   SendAttempt a = f.Request(1);
   Send(f, a, AttemptResult::kOverloaded, CacheStatus::kNone, 0, 0.6,
-       0.2f);  // no place: another cache fills it
+       0.2f);  // no fill slot: another cache fills it
   assert(f.attempt().endpoint && f.attempt().endpoint != a.endpoint);
   Send(f, f.attempt(), AttemptResult::kFinished, CacheStatus::kFilled, 1, 150, 0.2f);
   assert(f.Request(1).endpoint == first.endpoint);
 }
 
-// Found at full size: a front asks a source once in seconds, and four slow ones in five took most
-// fills. One slow fill, or one still out, turns this front's fills away for a while; then it asks
-// again.
-static void OneSlowFillTellsOfItsSource() {
+// One slow fill, or one overdue in flight, keeps this front from its source for a while; then the
+// source gets fills again. In a large fleet a front fills from one source once in some seconds, and
+// four slow sources out of five got most fills.
+static void OneSlowFillAvoidsItsSource() {
   for (bool ends : {true, false}) {
-    Front f(PlainSettings());
+    Front f(HitOnlySettings());
     for (std::uint64_t o = 1; o <= 20; ++o) {
       f.now += 300;
       SendAttempt a = f.Request(o);
@@ -795,32 +802,32 @@
     f.now += 3000;
     if (ends)
       Send(f, slow, AttemptResult::kFinished, CacheStatus::kFilled, 0, 3000, 0.2f);
-    int asked = 0;
+    int sent_to_it = 0;
     for (std::uint64_t o = 200; o < 240; ++o) {
       f.now += 20;
       SendAttempt a = f.Request(o);
-      asked += a.source == slow.source;
+      sent_to_it += a.source == slow.source;
       if (a.endpoint)
         Send(f, a, AttemptResult::kFinished, CacheStatus::kFilled, 0, 150, 0.2f);
     }
-    assert(asked == 0);
+    assert(sent_to_it == 0);
     if (!ends)
       Send(f, slow, AttemptResult::kFinished, CacheStatus::kFilled, 0, 3800, 0.2f);
     f.now += 120000;
     for (std::uint64_t o = 300; o < 340; ++o) {
       SendAttempt a = f.Request(o);
-      asked += a.source == slow.source;
+      sent_to_it += a.source == slow.source;
       if (a.endpoint)
         Send(f, a, AttemptResult::kFinished, CacheStatus::kFilled, 0, 150, 0.2f);
     }
-    assert(asked > 0);
+    assert(sent_to_it > 0);
   }
 }
 
-// While all sources come late with what they fetch, one is asked for what it holds; if it lacks
-// that, the pull is declined at once, with a time to come back.
-static void LateSourcesAreAskedForWhatTheyHold() {
-  DeploymentSettings s = PlainSettings();
+// While no source can fetch an object in time, a parent is asked with only_if_cached; if it lacks
+// the object, the request is rejected at once, with a retry time.
+static void LateSourcesGetOnlyIfCached() {
+  DeploymentSettings s = HitOnlySettings();
   s.max_retry_after = 500;
   Front f(s);
   for (std::uint64_t o = 1; o <= 40; ++o) {
@@ -843,10 +850,11 @@
   assert(f.did.empty());
 }
 
-// A ticketed pull that is never kept runs at the origin by way of its home cache, whatever the
-// link's level, and is not looked for first; a repeat goes there as long as the origin drops it.
-static void TicketsRunAtTheOriginThroughACache() {
-  DeploymentSettings s = PlainSettings();
+// An uncacheable request with an idempotency key goes to the origin through a cache, whatever the
+// link's utilisation, and without an attempt without a fill before it; a repeat goes there as long
+// as the origin recognises it.
+static void UncacheableRepeatsReachTheOriginThroughACache() {
+  DeploymentSettings s = HitOnlySettings();
   s.permissions.direct_to_origin = false;
   s.request_classes[1].effect = Effect::kIdempotentWithKey;
   s.request_classes[1].deduplication_window = 6000;
@@ -864,59 +872,59 @@
   assert(f.attempt().endpoint && f.attempt().source == 31);
 }
 
-// Found on reading: what a parent is asked for only if it holds it tells of that parent too, where
-// waits are told.
-static void HeldFillsTellOfCrowdedParents() {
+// Where answers carry the wait of a fill, fills with only_if_cached show an overloaded parent too.
+static void OnlyIfCachedFillsShowOverloadedParents() {
   Front f;
-  auto end = [&](const SendAttempt& a, CacheStatus remark, Ms took, Ms waited) {
+  auto finish = [&](const SendAttempt& a, CacheStatus cache_status, Ms duration, Ms fill_wait) {
     AttemptEnded e;
     e.request = a.request;
     e.endpoint = a.endpoint;
     e.result = AttemptResult::kFinished;
-    e.cache_status = remark;
+    e.cache_status = cache_status;
     e.final = true;
-    e.duration = took;
-    e.fill_wait = waited;
+    e.duration = duration;
+    e.fill_wait = fill_wait;
     f.Tell(e);
   };
-  int held = 0, crowded = 0;
+  int only_if_cached_attempts = 0, of_overloaded_parent = 0;
   for (std::uint64_t o = 1; o <= 600; ++o) {
     f.now += 40;
     SendAttempt a = f.Request(o, 0, 300);
     if (!a.endpoint)
       continue;
-    bool bad = a.source == 21;
+    bool is_overloaded = a.source == 21;
     if (a.only_if_cached)
-      end(a, CacheStatus::kFilled, bad ? 600 : 35, 0);
+      finish(a, CacheStatus::kFilled, is_overloaded ? 600 : 35, 0);
     else
-      end(a, CacheStatus::kFilledByOrigin, 35 + (o < 100 ? 60 : 1500), o < 100 ? 60 : 1500);
+      finish(a, CacheStatus::kFilledByOrigin, 35 + (o < 100 ? 60 : 1500), o < 100 ? 60 : 1500);
     if (o > 400) {
-      held += a.only_if_cached;
-      crowded += a.only_if_cached && bad;
+      only_if_cached_attempts += a.only_if_cached;
+      of_overloaded_parent += a.only_if_cached && is_overloaded;
     }
   }
-  assert(held > 80 && crowded < held / 4);
+  assert(only_if_cached_attempts > 80 && of_overloaded_parent < only_if_cached_attempts / 4);
 }
 
-// By the fleet's verdict a share of the objects goes to another zone's caches: none without it, all
-// with the whole share, the same ones each time; a ticket known to one zone stays; what is set
-// aside or back is told.
-static void SharesFollowTheVerdict() {
+// By the zone weights of the failover decision a share of the objects goes to another zone's
+// caches: none without weights, all with the whole weight, and always the same ones. A request
+// whose idempotency key only its zone recognises stays. Ejections and returns to service are
+// reported.
+static void TrafficFollowsZoneWeights() {
   DeploymentSettings s = Settings();
   s.fills_from_siblings = true;
   s.request_classes.push_back(s.request_classes[0]);
   s.request_classes[2].effect = Effect::kIdempotentWithKey;
   s.request_classes[2].deduplication_scope = DeduplicationScope::kZone;
   s.request_classes[2].deduplication_window = 5000;
-  EndpointListUpdate news = List();
+  EndpointListUpdate update = List();
   int own = s.zone, other = own + 1;
   for (std::uint32_t id : {41u, 42u}) {
-    news.entries.push_back(MakeEntry(id, kStoreKind, other));
-    news.entries.back().weight = news.entries.front().weight;
+    update.entries.push_back(MakeEntry(id, kStoreKind, other));
+    update.entries.back().weight = update.entries.front().weight;
   }
-  Front f(s, 1, news);
-  auto abroad = [&](int request_class) {
-    std::vector<std::uint64_t> went;
+  Front f(s, 1, update);
+  auto sent_to_other_zone = [&](int request_class) {
+    std::vector<std::uint64_t> objects;
     for (std::uint64_t o = 1; o <= 200; ++o) {
       f.now += 100;
       SendAttempt a = f.Request(o, request_class);
@@ -924,28 +932,28 @@
       assert((a.source != 41 && a.source != 42) ||
              a.source == a.endpoint);  // no fill from another zone's cache
       if (a.endpoint == 41 || a.endpoint == 42)
-        went.push_back(o);
+        objects.push_back(o);
       f.Finish(a, CacheStatus::kFilled);
     }
-    return went;
+    return objects;
   };
-  auto tell_shares = [&](double mine) {
-    std::vector<double> shares(static_cast<std::size_t>(other) + 1);
-    shares[static_cast<std::size_t>(own)] = mine;
-    shares[static_cast<std::size_t>(other)] = 1 - mine;
-    f.Tell(ZoneTrafficWeights{shares});
+  auto set_own_weight = [&](double own_weight) {
+    std::vector<double> weights(static_cast<std::size_t>(other) + 1);
+    weights[static_cast<std::size_t>(own)] = own_weight;
+    weights[static_cast<std::size_t>(other)] = 1 - own_weight;
+    f.Tell(ZoneTrafficWeights{weights});
     assert(f.did.empty());
   };
-  assert(abroad(0).empty());
-  tell_shares(0.5);
-  auto half = abroad(0);
-  assert(half.size() > 70 && half.size() < 130 && half == abroad(0));
-  tell_shares(0.25);
-  auto most = abroad(0);
-  assert(most.size() > half.size() &&
-         std::includes(most.begin(), most.end(), half.begin(), half.end()));
-  tell_shares(0);
-  assert(abroad(0).size() == 200 && abroad(2).empty());
+  assert(sent_to_other_zone(0).empty());
+  set_own_weight(0.5);
+  auto half = sent_to_other_zone(0);
+  assert(half.size() > 70 && half.size() < 130 && half == sent_to_other_zone(0));
+  set_own_weight(0.25);
+  auto larger_share = sent_to_other_zone(0);
+  assert(larger_share.size() > half.size() &&
+         std::includes(larger_share.begin(), larger_share.end(), half.begin(), half.end()));
+  set_own_weight(0);
+  assert(sent_to_other_zone(0).size() == 200 && sent_to_other_zone(2).empty());
   f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
                             {MakeEntry(41, kStoreKind, other, EndpointState::kDraining)}});
   for (std::uint64_t o = 1; o <= 50; ++o) {
@@ -956,14 +964,14 @@
   for (std::uint32_t id : {41u, 42u})
     f.Tell(EndpointListUpdate{ListUpdateKind::kChanges,
                               {MakeEntry(id, kStoreKind, other, EndpointState::kRemoved)}});
-  SendAttempt home =
-      f.Request(900);  // nobody abroad any more: the own zone's caches, whatever the verdict
-  assert(home.endpoint != 0 && home.endpoint != 41 && home.endpoint != 42);
-  f.Finish(home);
+  SendAttempt own_zone = f.Request(
+      900);  // no cache left in the other zone: the own zone's caches, whatever the weights
+  assert(own_zone.endpoint != 0 && own_zone.endpoint != 41 && own_zone.endpoint != 42);
+  f.Finish(own_zone);
   f.Tell(ZoneTrafficWeights{});
-  assert(abroad(0).empty());
-  // Two failures in a row set a cache aside, which is told; two answered probes bring it back, and
-  // that is told too.
+  assert(sent_to_other_zone(0).empty());
+  // Two consecutive failures eject a cache, and two successful probes return it to service; both
+  // are reported.
   SendAttempt a = f.Request(901);
   f.end(a, AttemptResult::kDisconnected);
   for (std::uint64_t o = 902; f.all<ReportEndpointHealth>().empty() && o < 1000; ++o) {
@@ -987,43 +995,50 @@
     const char* name;
     void (*run)();
   };
-  for (Case c : {Case{"one final answer in time", OneFinalAnswerInTime},
-                 {"no effect twice", NoEffectTwice},
-                 {"tickets stay in their group", TicketsStayInTheirGroup},
-                 {"drains kept", DrainsKept},
-                 {"cold machines spared", ColdMachinesSpared},
-                 {"a row of small parts moves no cold budget", ARowOfSmallPartsMovesNoColdBudget},
-                 {"purges kept", PurgesKept},
-                 {"homes are shared and steady", HomesAreSharedAndSteady},
-                 {"moved homes fill from siblings", MovedHomesFillFromSiblings},
-                 {"ranks follow held chance", RanksFollowHeldChance},
-                 {"omega learns from warm caches only", OmegaLearnsFromWarmCachesOnly},
-                 {"one break is one sign", OneBreakIsOneSign},
-                 {"bad pulls strike nobody", BadRequestsStrikeNobody},
-                 {"machines that left are forgotten", MachinesThatLeftAreForgotten},
-                 {"failing caches rest and come back", FailingCachesRestAndComeBack},
-                 {"a crowded link looks first", CrowdedLinkLooksFirst},
-                 {"full fill places are no fault", FullFillPlacesAreNoFault},
-                 {"slow caches are passed over", SlowCachesArePassedOver},
-                 {"bad parents are passed over", BadParentsArePassedOver},
-                 {"misses without a source are declined", MissesWithoutSourceAreDeclined},
-                 {"slow origins are spared", SlowOriginsAreSpared},
-                 {"lost locations decline", LostLocationsDecline},
-                 {"single pulls rank low at size", SingleRequestsRankLowAtSize},
-                 {"lasting levels decline earlier", LastingLevelsDeclineEarlier},
-                 {"own legs are not taken for dozens", OwnAttemptsAreNotTakenForDozens},
-                 {"crowded parents keep a share", CrowdedParentsKeepAShare},
-                 {"shares below a leg add up", SharesBelowAAttemptAddUp},
-                 {"full places decline what earns least", FullPlacesDeclineWhatEarnsLeast},
-                 {"odd lists are borne", OddListsAreBorne},
-                 {"works without the extras", WorksWithoutTheExtras},
-                 {"held fills tell of crowded parents", HeldFillsTellOfCrowdedParents},
-                 {"reported link levels are believed", ReportedLinkLevelsAreBelieved},
-                 {"what fails behind a cache is the source's", WhatFailsBehindACacheIsTheSources},
-                 {"one slow fill tells of its source", OneSlowFillTellsOfItsSource},
-                 {"late sources are asked for what they hold", LateSourcesAreAskedForWhatTheyHold},
-                 {"tickets run at the origin through a cache", TicketsRunAtTheOriginThroughACache},
-                 {"shares follow the verdict", SharesFollowTheVerdict}}) {
+  for (Case c :
+       {Case{"each request is answered once, before its deadline", AnswersOnceBeforeTheDeadline},
+        {"exclusive requests run at most once", ExclusiveRequestsRunAtMostOnce},
+        {"repeats stay in their deduplication scope", RepeatsStayInTheirDeduplicationScope},
+        {"draining endpoints get no attempts", DrainingEndpointsGetNoAttempts},
+        {"slow start limits the work sent", SlowStartLimitsWork},
+        {"consecutive small parts keep the slow start budget",
+         ConsecutiveSmallPartsKeepTheSlowStartBudget},
+        {"purges limit the age of copies", PurgesLimitTheCopyAge},
+        {"the rendezvous order is stable, and the same at all fronts", RendezvousOrderIsStable},
+        {"moved objects are filled from siblings", MovedObjectsFillFromSiblings},
+        {"the retention rank follows the hit probability", RetentionRankFollowsHitProbability},
+        {"the idle window is not learnt from caches in slow start",
+         IdleWindowLearnsOutsideSlowStartOnly},
+        {"one disconnect is one failure", OneDisconnectIsOneFailure},
+        {"malformed requests eject no endpoint", MalformedRequestsEjectNoEndpoint},
+        {"removed endpoints are erased", RemovedEndpointsAreErased},
+        {"ejected caches return to service", EjectedCachesReturnToService},
+        {"on a busy link the first attempt goes without a fill", BusyLinkTriesWithoutFillFirst},
+        {"missing fill slots are no failure", MissingFillSlotsAreNoFailure},
+        {"slow caches are avoided", SlowCachesAreAvoided},
+        {"slow and unresponsive parents are avoided", BadParentsAreAvoided},
+        {"misses without a source are rejected", MissesWithoutSourceAreRejected},
+        {"slow origins get fewer fills", SlowOriginsGetFewerFills},
+        {"zones that lost most caches reject the excess", ZonesWithFewCachesReject},
+        {"single requests rank low where many fronts serve a zone",
+         SingleRequestsRankLowWithManyFronts},
+        {"lasting link utilisation rejects earlier", LastingLinkUtilisationRejectsEarlier},
+        {"few own attempts do not fill a shared parent", FewOwnAttemptsDoNotFillASharedParent},
+        {"overloaded parents keep a share of their objects", OverloadedParentsKeepAShare},
+        {"slow start shares below one attempt add up", SharesBelowOneAttemptAddUp},
+        {"near the limit of open requests the lowest value is rejected",
+         OpenRequestLimitRejectsLowestValue},
+        {"unusual lists are handled", UnusualListsAreHandled},
+        {"works without optional features", WorksWithoutOptionalFeatures},
+        {"fills with only_if_cached show overloaded parents",
+         OnlyIfCachedFillsShowOverloadedParents},
+        {"the reported link utilisation is used", ReportedLinkUtilisationIsUsed},
+        {"failures behind a cache are attributed to the source", FailuresBehindACacheAreTheSources},
+        {"one slow fill keeps the next ones from its source", OneSlowFillAvoidsItsSource},
+        {"late sources are asked with only_if_cached", LateSourcesGetOnlyIfCached},
+        {"uncacheable repeats reach the origin through a cache",
+         UncacheableRepeatsReachTheOriginThroughACache},
+        {"traffic follows the zone weights", TrafficFollowsZoneWeights}}) {
     std::puts(c.name);
     c.run();
   }
