--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -74,7 +74,7 @@
   int zone_replicas = 1;  // fronts serving this zone
   int parent_kind = -1;
   int origin_kind = -1;
-  bool polls_endpoint_list = false;  // list changes come only when asked for
+  bool polls_endpoint_list = false;  // list changes come only when requested
   WeightSource weight_source = WeightSource::kNone;
   Permissions permissions;
   Ms max_retry_after = 0;  // 0: a rejection must not carry a retry time
@@ -84,10 +84,10 @@
   double stream_kb_per_ms = 0;       // rate of one transfer at full speed
   double link_kb_per_ms =
       0;  // of the link from this zone to the parents and the origin; 0: unknown
-  int link_report_index = -1;        // position of the link's utilisation in the load reports of
-                                     // answers; -1: not reported
-  bool reports_cache_status = true;  // answers carry a CacheStatus; otherwise they tell at most
-                                     // hits from misses
+  int link_report_index = -1;  // position of the link's utilisation in the load reports of
+                               // answers; -1: not reported
+  bool reports_cache_status =
+      true;  // answers carry a CacheStatus; otherwise they distinguish hits from misses at most
   Ms purge_completion_time = 0;
   SlowStartSettings cache_slow_start;
   SlowStartSettings parent_slow_start;
@@ -98,8 +98,8 @@
 
 enum class ListUpdateKind {
   kChanges,
-  kSnapshot,
-  kLastKnown,
+  kSnapshot,   // the full list
+  kLastKnown,  // the full list as it was last known, possibly outdated
   kFailed
 };
 enum class EndpointState {
@@ -140,7 +140,7 @@
   kNotSent,       // no connection, or it broke before the request was sent whole
   kDisconnected,  // the connection broke after the request was sent
   kCancelled,
-  kSuperseded,  // not begun, since its start deadline had passed
+  kSuperseded,  // not begun, since it was too late: its start deadline had passed
   kMiss
 };
 // How a cache served an attempt, or why its fill failed.
@@ -173,8 +173,8 @@
   Ms fill_wait = 0;               // until the first byte of a fill, or until the fill failed
   int earlier_on_connection = 0;  // attempts reported before this one that ended with the same
                                   // connection
-  bool is_local_fault = false;    // this front lacked a resource, such as a descriptor; it says
-                                  // nothing about the endpoint
+  bool is_local_fault = false;  // this front lacked a resource, such as a descriptor; no sign of a
+                                // fault of the endpoint
   std::vector<float> load_report;
 };
 struct ClientLeft {
--- a/src/logic/choice.hpp
+++ b/src/logic/choice.hpp
@@ -111,8 +111,8 @@
     return !request.has_credit && ValueDensity(request) < open_request_price + kSwing * excess;
   }
 
-  // Whether a further attempt of this request at `endpoint` keeps its effect: an exclusive request
-  // must not be executed twice, and one with an idempotency key only where the repeat is
+  // Whether a further attempt of this request may go to `endpoint`. An exclusive request that may
+  // have been executed is not sent again, and one with an idempotency key only where the repeat is
   // recognised.
   bool MayAttempt(const Request& request, const Endpoint& endpoint) const {
     const RequestClass& request_class = *request.class_state;
@@ -166,7 +166,7 @@
       for (const Endpoint* cache : load.endpoints.caches)
         if (cache->ejected && health.IsUsable(*cache))
           return settings.zone;
-    // Another hash than that of the rendezvous order.
+    // Not the hash of the rendezvous order, so that the two are independent.
     double remainder = UnitFraction(MixHash(request.object ^ 0x5eedull));
     if ((remainder -= zone_weights[static_cast<std::size_t>(settings.zone)]) < 0)
       return settings.zone;
--- a/src/logic/legs.hpp
+++ b/src/logic/legs.hpp
@@ -109,7 +109,8 @@
     Endpoint* source = sources.SelectSource(request, *cache);
     selector.rejection_reason = source ? RejectionReason::kLink : RejectionReason::kNoSource;
     if (!source && request.known_miss)
-      return false;  // nothing can fill it, and another attempt without a fill would only add load
+      return false;  // nothing can fill it, and a further attempt without a fill would only add
+                     // load
     // When the link's utilisation is high, the first attempt goes without a source; a known miss is
     // filled while it can still be in time. Guards against any surge of misses (caches in slow
     // start, purges, scans, large objects). Cost: one round trip.
@@ -197,10 +198,10 @@
     load.CountFill(-attempt.fill_load);
     if (attempt.source)
       load.Count(*attempt.source, -1);
-    // Where answers tell at most hits from misses, a failure that took longer than the way to the
-    // cache happened behind it, and a quick rejection was for want of a fill slot. Guards against
-    // attributing a source's rejections and silence to the caches. Cost: a slow rejection by a
-    // cache is attributed to the source.
+    // Where answers distinguish hits from misses at most, a failure that took longer than the way
+    // to the cache happened behind it, and a quick rejection was due to a lack of fill slots.
+    // Guards against attributing a source's rejections and silence to the caches. Cost: a slow
+    // rejection by a cache is attributed to the source.
     if (!settings.reports_cache_status && attempt.source &&
         ended.cache_status == CacheStatus::kNone) {
       if (ended.result == AttemptResult::kMiss && attempt.only_if_cached)
@@ -312,7 +313,7 @@
                ended.result != AttemptResult::kSuperseded && ended.earlier_on_connection == 0) {
       request.failed.push_back(attempt.endpoint);
       if (ended.is_local_fault)
-        return;  // this front lacked a descriptor: that says nothing about the endpoint
+        return;  // this front lacked a descriptor, which is no failure of the endpoint
       attempt.endpoint->may_have_restarted |=
           ended.result == AttemptResult::kNotSent ||
           (attempt.endpoint->ejected && ended.result == AttemptResult::kDisconnected);
--- a/src/logic/memories.hpp
+++ b/src/logic/memories.hpp
@@ -88,7 +88,7 @@
   // Three ranks, even thirds of the probability that the part is requested again within the idle
   // window of its class.
   int RetentionRankOf(const Request& request) const {
-    // This request itself says nothing about the requests that other fronts get.
+    // This request itself is no evidence of requests to other fronts.
     double request_rate =
         ((request.history->request_count - 1) * settings.zone_replicas + 1) / kCountDecay;
     double hit_probability = 1 - std::exp(-request_rate * request.class_state->idle_window);
--- a/src/logic/sources.hpp
+++ b/src/logic/sources.hpp
@@ -11,7 +11,7 @@
   EndpointSelector& selector;
   Ms origin_wait = 0;           // until the origin's first byte, lately
   Ms origin_baseline_wait = 0;  // the same as it usually is
-  Ms typical_fill_wait = 0;  // of a fill until its first byte, learnt where answers don't tell it
+  Ms typical_fill_wait = 0;  // of a fill until its first byte, learnt where answers don't report it
 
   // A cache of the zone that served the part within the idle window, when the object has moved to
   // another cache since; otherwise a parent, in hash order; otherwise the origin. nullptr: no fill.
@@ -37,8 +37,8 @@
           candidates.push_back(parent);
     };
     add_candidates(false);
-    // If no source can fetch the object in time, a parent that can deliver what it has cached in
-    // time is asked for that only.
+    // If no source can fetch the object in time, a parent that delivers what it has cached in time
+    // gets a fill with only_if_cached.
     bool use_origin = origin && is_available(origin) && CanMeetObjective(request, *origin);
     if ((request.only_if_cached = candidates.empty() && !use_origin))
       add_candidates(true);
@@ -53,9 +53,10 @@
                                                                                         : best;
   }
 
-  // While the origin is slow compared to its usual wait, only a share of the misses that shrinks
-  // with the slowdown leads to it; the others ask a parent for what it has cached, and otherwise
-  // are rejected. Cost: a lasting change of the origin's speed is taken for a disturbance at first.
+  // While the origin is slow compared to its usual wait, only a share of the misses leads to it,
+  // which shrinks with the slowdown; the others get a fill with only_if_cached from a parent, and
+  // are rejected if it lacks the object. Cost: a lasting change of the origin's speed is taken for
+  // a disturbance at first.
   bool SparesOrigin(const Request& request) const {
     constexpr double kSlowdown = 3, kMinShare = 0.1;
     if (origin_wait <= kSlowdown * origin_baseline_wait)
@@ -91,11 +92,11 @@
     source.object_share_cut_at = is_overloaded ? now : source.object_share_cut_at;
   }
 
-  // Where answers don't tell what became of a fill, or how long it waited, its duration stands in
-  // for that, relative to its transfer time and the typical wait (half of the fills wait longer):
-  // of the source's last fills, fading, or of an attempt still in flight. Guards against slow
-  // sources that get only one attempt in some seconds from each of many fronts. Cost: a busy second
-  // moves objects.
+  // Where answers report neither the result of a fill nor its wait, the stretch is its duration
+  // relative to its transfer time and the typical wait (half of the fills wait longer): of the
+  // source's last fills, fading, or of an attempt still in flight. Guards against slow sources that
+  // get only one attempt in some seconds from each of many fronts. Cost: a busy second moves
+  // objects.
   double FillStretchOf(const Endpoint& source, bool only_if_cached) const {
     constexpr Ms kFade = 30 * kSecond;  // each of many fronts fills from a source once in seconds
     Ms learnt_at = only_if_cached ? source.cached_fill_stretch_at : source.fill_stretch_at;
@@ -155,8 +156,8 @@
                          load.OfAllFronts(load.fills_in_flight, settings.zone_replicas) + 1,
                          uncontended, duration, 1, growth);
   }
-  // A fill that succeeded. Where answers don't tell how long it waited, the typical wait is learnt
-  // and counted as part of an uncontended fill.
+  // A fill that succeeded. Where answers don't report how long it waited, the typical wait is
+  // learnt and counted as part of an uncontended fill.
   void LearnFinishedFill(const Attempt& attempt, Ms uncontended, Ms duration, Ms wait) {
     Ms excess = std::max(1.0, duration - uncontended);
     if (settings.reports_cache_status)
--- a/src/logic_state/records.hpp
+++ b/src/logic_state/records.hpp
@@ -40,7 +40,7 @@
 struct CapacityEstimate {
   double nominal = 0;       // from its weight or a default
   double present = 0;       // as its latest answers suggest
-  double demonstrated = 0;  // the highest load that it has demonstrably carried
+  double demonstrated = 0;  // the highest load that it has carried, approached slowly from below
   Ms updated_at = 0;
 };
 
--- a/tests/fleet_budget_test.cpp
+++ b/tests/fleet_budget_test.cpp
@@ -231,10 +231,10 @@
       else
         TellStart(next.front, *start);
     } else {
-      Tell(next, std::get<Event>(next.event));
+      HandleEvent(next, std::get<Event>(next.event));
     }
   }
-  void Tell(const Due& next, const Event& event) {
+  void HandleEvent(const Due& next, const Event& event) {
     Front& f = *fronts[next.front];
     int incarnation = incarnations[next.front];
     auto& open = requests[next.front];
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -517,8 +517,8 @@
   assert(attempts == 3 && f.Declined());  // by two parents and the origin
 }
 
-// While fills from the origin are slow, most misses ask a parent with only_if_cached, and are
-// rejected if it lacks the object; once they are fast again, all may lead to the origin.
+// While fills from the origin are slow, most misses get a fill with only_if_cached from a parent,
+// and are rejected if it lacks the object; once they are fast again, all may lead to the origin.
 static void SlowOriginsGetFewerFills() {
   Front f;
   int only_if_cached_attempts = 0;
@@ -710,8 +710,8 @@
   }
 }
 
-// Settings of a deployment whose answers tell hits from misses only, and whose caches report the
-// utilisation of their link.
+// Settings of a deployment whose answers only distinguish hits from misses, and whose caches report
+// the utilisation of their link.
 static DeploymentSettings HitOnlySettings() {
   DeploymentSettings s = Settings();
   s.reports_cache_status = false;
@@ -755,9 +755,9 @@
   }
 }
 
-// Where answers tell hits from misses only: a rejection or error that comes from behind the cache
-// is attributed to its source, and a quick rejection of a fill to a lack of fill slots; the cache
-// keeps its requests.
+// Where answers only distinguish hits from misses: a rejection or error that comes from behind the
+// cache is attributed to its source, and a quick rejection of a fill to a lack of fill slots; the
+// cache keeps its requests.
 static void FailuresBehindACacheAreTheSources() {
   DeploymentSettings s = HitOnlySettings();
   s.permissions.probe = false;                    // ejected sources return by half-open attempts
@@ -824,8 +824,8 @@
   }
 }
 
-// While no source can fetch an object in time, a parent is asked with only_if_cached; if it lacks
-// the object, the request is rejected at once, with a retry time.
+// While no source can fetch an object in time, a parent gets a fill with only_if_cached; if it
+// lacks the object, the request is rejected at once, with a retry time.
 static void LateSourcesGetOnlyIfCached() {
   DeploymentSettings s = HitOnlySettings();
   s.max_retry_after = 500;
@@ -1035,7 +1035,7 @@
         {"the reported link utilisation is used", ReportedLinkUtilisationIsUsed},
         {"failures behind a cache are attributed to the source", FailuresBehindACacheAreTheSources},
         {"one slow fill keeps the next ones from its source", OneSlowFillAvoidsItsSource},
-        {"late sources are asked with only_if_cached", LateSourcesGetOnlyIfCached},
+        {"late sources get fills with only_if_cached", LateSourcesGetOnlyIfCached},
         {"uncacheable repeats reach the origin through a cache",
          UncacheableRepeatsReachTheOriginThroughACache},
         {"traffic follows the zone weights", TrafficFollowsZoneWeights}}) {
