--- a/src/logic/choice.hpp
+++ b/src/logic/choice.hpp
@@ -17,6 +17,7 @@
       RejectionReason::kNoEndpoint;    // why the last request got no attempt
   std::vector<double> zone_weights{};  // of requests, by zone; empty: all stay in the own zone
 
+  // The cache for the next attempt; nullptr where none may get it, for `rejection_reason`.
   Endpoint* SelectCache(const Request& request) {
     auto remote = load.endpoints.remote_caches.find(ZoneOf(request));  // lacks the own zone
     Endpoint* cache = remote == load.endpoints.remote_caches.end()
@@ -50,8 +51,8 @@
     double in_flight = 0, capacity = 0;
     Endpoint* least_utilised = nullptr;
     for (Endpoint* endpoint : candidates) {
-      in_flight += load.OfAllFronts(endpoint->in_flight, load.SharersOf(*endpoint));
-      capacity += load.Transfers(endpoint->capacity) * load.endpoints.RampWeight(*endpoint);
+      in_flight += load.InFlightOfAllFronts(endpoint->in_flight, load.SharersOf(*endpoint));
+      capacity += load.EffectiveCapacity(endpoint->capacity) * load.endpoints.RampWeight(*endpoint);
       if (!least_utilised || load.Utilisation(*endpoint) < load.Utilisation(*least_utilised))
         least_utilised = endpoint;
     }
@@ -96,8 +97,9 @@
   // the next request is rejected whatever its priority. A price on open requests settles where nine
   // tenths of the limit are in use, and follows deviations from that; requests worth less are
   // rejected. Guards against surges or slowness that exhaust the limit. Cost: rejects some large
-  // objects.
-  bool IsBelowOpenRequestPrice(const Request& request) {
+  // objects. Called once per request: updates the means and the price, and returns whether the
+  // request is to be rejected.
+  bool RejectsByOpenRequestPrice(const Request& request) {
     // Averages over about the last hundred requests.
     mean_priority_weight += 0.01 * (request.class_state->priority_weight - mean_priority_weight);
     mean_work += 0.01 * (request.transfer_time - mean_work);
--- a/src/logic/legs.hpp
+++ b/src/logic/legs.hpp
@@ -34,7 +34,7 @@
     if (!selector.IsAdmitted(request))
       Reject(request, std::max(class_state.mean_transfer_time, selector.admission_ramp.retry_after),
              RejectionReason::kAdmission);
-    else if (selector.IsBelowOpenRequestPrice(request))
+    else if (selector.RejectsByOpenRequestPrice(request))
       Reject(request, class_state.mean_transfer_time, RejectionReason::kOpenRequests);
     else
       Advance(request);
@@ -58,9 +58,9 @@
     attempt.fill_load = !uses_link                                                 ? 0
                         : request.known_miss || endpoint.role != Role::kLocalCache ? 1
                                                                                    : 0.3;
-    load.CountFill(attempt.fill_load);
+    load.AddFillsInFlight(attempt.fill_load);
     auto count_in_flight = [&](Endpoint& target, double change) {
-      load.Count(target, change);
+      load.AddInFlight(target, change);
       selector.slow_start.Charge(target, selector.slow_start.WorkOf(request));
       target.half_open_probe_in_flight |= target.ejected;
     };
@@ -194,10 +194,10 @@
       return;
     if (attempt.endpoint->role == Role::kLocalCache)
       load.LearnLinkReport(ended.load_report);
-    load.Count(*attempt.endpoint, -attempt.load);
-    load.CountFill(-attempt.fill_load);
+    load.AddInFlight(*attempt.endpoint, -attempt.load);
+    load.AddFillsInFlight(-attempt.fill_load);
     if (attempt.source)
-      load.Count(*attempt.source, -1);
+      load.AddInFlight(*attempt.source, -1);
     // Where answers distinguish hits from misses at most, a failure that took longer than the way
     // to the cache happened behind it, and a quick rejection was due to a lack of fill slots.
     // Guards against attributing a source's rejections and silence to the caches. Cost: a slow
@@ -259,9 +259,10 @@
         attempt.endpoint->role == Role::kLocalCache)
       sources.LearnFinishedFill(attempt, uncontended, duration, ended.fill_wait);
     if (ended.cache_status == CacheStatus::kHit) {
-      load.LearnCapacity(attempt.endpoint->capacity,
-                         load.OfAllFronts(attempt.endpoint->in_flight, settings.zone_replicas) + 1,
-                         uncontended, duration);
+      load.LearnCapacity(
+          attempt.endpoint->capacity,
+          load.InFlightOfAllFronts(attempt.endpoint->in_flight, settings.zone_replicas) + 1,
+          uncontended, duration);
       if (!request.class_state->transfers_seen)
         request.class_state->mean_transfer_time +=
             0.02 * (std::min(ended.duration, 4 * request.class_state->mean_transfer_time) -
--- a/src/logic/load.hpp
+++ b/src/logic/load.hpp
@@ -19,22 +19,22 @@
   // least the transfers in flight; without answers it returns to the nominal value. Guards against
   // slow, pausing and overrated endpoints. Cost: a slow path to the clients looks like a slow
   // endpoint.
-  double Transfers(const CapacityEstimate& capacity) const {
+  double EffectiveCapacity(const CapacityEstimate& capacity) const {
     constexpr Ms kFade = 5 * kSecond;  // a slow endpoint gets attempts again within seconds
     double recovery = std::pow(std::max(1.0, capacity.nominal / capacity.present),
                                1 - std::exp((capacity.updated_at - now) / kFade));
     return std::max(0.25, capacity.present * recovery);
   }
-  // Learns from a transfer that took `duration` instead of `uncontended`, beside `in_flight` others
-  // in all. `common_stretch`: how much all transfers are slowed down at present, for reasons other
-  // than this endpoint.
+  // Learns from a transfer that took `duration` instead of `uncontended`, while `in_flight`
+  // transfers were in progress, itself included. `common_stretch`: how much all transfers are
+  // slowed down at present, for reasons other than this endpoint.
   void LearnCapacity(CapacityEstimate& capacity, double in_flight, Ms uncontended, Ms duration,
                      double common_stretch = 1, double growth = 1.05) const {
     constexpr Ms kTooShort = 10;  // below it, the network's delay outweighs the transfer time
     if (uncontended < kTooShort)
       return;
     double stretch = std::max(1.0, duration / (uncontended * common_stretch));
-    capacity.present = Transfers(capacity);
+    capacity.present = EffectiveCapacity(capacity);
     capacity.updated_at = now;
     double step = std::clamp(0.05 * stretch, 0.1, 0.3);  // larger for a clearer sign
     if (stretch > 1.5)
@@ -57,20 +57,20 @@
                               (1 - std::exp((counter.updated_at - now) /
                                             std::min(kPerSharer * sharers, kMaxWindow)));
   }
-  double OfAllFronts(const InFlightCounter& counter, int sharers) const {
+  double InFlightOfAllFronts(const InFlightCounter& counter, int sharers) const {
     return counter.current + (sharers - 1) * MeanOf(counter, sharers);
   }
-  void Count(InFlightCounter& counter, int sharers, double current) const {
+  void SetCurrent(InFlightCounter& counter, int sharers, double current) const {
     counter = {current, MeanOf(counter, sharers), now};
   }
-  void Count(Endpoint& endpoint, double change) const {
-    Count(endpoint.in_flight, SharersOf(endpoint), endpoint.in_flight.current + change);
+  void AddInFlight(Endpoint& endpoint, double change) const {
+    SetCurrent(endpoint.in_flight, SharersOf(endpoint), endpoint.in_flight.current + change);
   }
 
   // Transfers in flight at an endpoint, with one more of this front, over those that it carries.
   double Utilisation(const Endpoint& endpoint) const {
-    return (OfAllFronts(endpoint.in_flight, SharersOf(endpoint)) + 1) /
-           (Transfers(endpoint.capacity) * endpoints.RampWeight(endpoint));
+    return (InFlightOfAllFronts(endpoint.in_flight, SharersOf(endpoint)) + 1) /
+           (EffectiveCapacity(endpoint.capacity) * endpoints.RampWeight(endpoint));
   }
   // The number of fronts that send to the endpoint.
   int SharersOf(const Endpoint& endpoint) const {
@@ -95,7 +95,8 @@
   double LinkUtilisation() const {
     constexpr Ms kFade = 5 * kSecond;  // long beside the delay of the reports; an attempt without a
                                        // fill brings the next
-    double own = (OfAllFronts(fills_in_flight, settings.zone_replicas) + 1) / Transfers(link);
+    double own = (InFlightOfAllFronts(fills_in_flight, settings.zone_replicas) + 1) /
+                 EffectiveCapacity(link);
     return link_reported_at > kLongAgo
                ? std::max(own,
                           reported_link_utilisation * std::exp((link_reported_at - now) / kFade))
@@ -106,13 +107,13 @@
   }
   // A mean as for twenty sharers runs over four seconds.
   void SampleLink() {
-    Count(link_utilisation, 20, LinkUtilisation());
+    SetCurrent(link_utilisation, 20, LinkUtilisation());
   }
   double MeanLinkUtilisation() const {
     return MeanOf(link_utilisation, 20);
   }
-  void CountFill(double change) {
-    Count(fills_in_flight, settings.zone_replicas, fills_in_flight.current + change);
+  void AddFillsInFlight(double change) {
+    SetCurrent(fills_in_flight, settings.zone_replicas, fills_in_flight.current + change);
   }
   void LearnLinkReport(const std::vector<float>& load_report) {
     double reported =
--- a/src/logic/sources.hpp
+++ b/src/logic/sources.hpp
@@ -147,13 +147,14 @@
     if (load.IsLinkKnown())
       best = std::min(best, std::max(1.0, load.LinkUtilisation()));  // for a source without others
                                                                      // to compare with
-    load.LearnCapacity(source.capacity, load.OfAllFronts(source.in_flight, settings.fronts) + 1,
-                       uncontended, duration, best);
+    load.LearnCapacity(source.capacity,
+                       load.InFlightOfAllFronts(source.in_flight, settings.fronts) + 1, uncontended,
+                       duration, best);
     // Slower where durations are all there is to learn from.
     double growth = settings.reports_cache_status ? 1.05 : 1.02;
     if (!load.has_configured_link && source.fill_stretch <= 1.25 * best)
       load.LearnCapacity(load.link,
-                         load.OfAllFronts(load.fills_in_flight, settings.zone_replicas) + 1,
+                         load.InFlightOfAllFronts(load.fills_in_flight, settings.zone_replicas) + 1,
                          uncontended, duration, 1, growth);
   }
   // A fill that succeeded. Where answers don't report how long it waited, the typical wait is
