--- a/src/caches/caches.cpp
+++ b/src/caches/caches.cpp
@@ -37,7 +37,7 @@
         number_(number),
         last_received_at_(pool.loop_.now()),
         last_used_at_(last_received_at_),
-        connection_(pool.loop_, *this, address, pool.connection_settings_.connect_within) {}
+        connection_(pool.loop_, *this, address, pool.connection_settings_.connect_timeout) {}
   ~UpstreamConnection() {
     pool_.loop_.Cancel(check_timer_);
   }
@@ -62,9 +62,9 @@
     return !connection_.IsOver() && !connection_.PeerDone() && !presumed_dead_ && !IsSilent() &&
            !IsTrickling() && in_flight_.count(id) == 0 &&
            in_flight_.size() <
-               static_cast<std::size_t>(pool_.connection_settings_.attempts_at_once) &&
+               static_cast<std::size_t>(pool_.connection_settings_.max_concurrent_attempts) &&
            (!IsIdle() ||
-            pool_.loop_.now() - last_used_at_ < 0.9 * pool_.connection_settings_.idle_for);
+            pool_.loop_.now() - last_used_at_ < 0.9 * pool_.connection_settings_.idle_timeout);
   }
 
   void Start(QueuedAttempt attempt) {
@@ -91,7 +91,7 @@
     last_used_at_ = now;
     // A probe has no timeout of its own; the connect timeout is long enough for its short response
     // too.
-    pool_.loop_.at(now + pool_.connection_settings_.connect_within,
+    pool_.loop_.at(now + pool_.connection_settings_.connect_timeout,
                    [&pool = pool_, cache = cache_, number = number_, id] {
                      auto endpoint = pool.endpoints_.find(cache);
                      if (endpoint == pool.endpoints_.end())
@@ -129,7 +129,7 @@
 
   void CloseIfIdle(Ms now) {
     if (IsIdle() &&
-        (presumed_dead_ || now - last_used_at_ >= 0.9 * pool_.connection_settings_.idle_for))
+        (presumed_dead_ || now - last_used_at_ >= 0.9 * pool_.connection_settings_.idle_timeout))
       pool_.RemoveConnection(cache_, number_);
   }
   void Disconnect(DisconnectReason reason) {
@@ -324,7 +324,7 @@
   // Nothing has been received since long before the oldest message in flight was sent: nothing new
   // is sent on the connection for now. Cost: one more connection beside a slow response.
   bool IsSilent() const {
-    Ms oldest = pool_.loop_.now() - pool_.connection_settings_.connect_within;
+    Ms oldest = pool_.loop_.now() - pool_.connection_settings_.connect_timeout;
     return std::any_of(in_flight_.begin(), in_flight_.end(), [&](auto& entry) {
       return entry.second.sent_at < oldest && last_received_at_ <= entry.second.sent_at;
     });
@@ -334,7 +334,7 @@
   // connection shows whether the server is reachable.
   void PresumeDeadIfSilentSince(Ms sent_at) {
     if (last_received_at_ < sent_at &&
-        pool_.loop_.now() - sent_at > pool_.connection_settings_.connect_within)
+        pool_.loop_.now() - sent_at > pool_.connection_settings_.connect_timeout)
       presumed_dead_ = true;
   }
   void OnProbeTimeout(const std::string& id) {
@@ -356,7 +356,8 @@
           connection_.EndAs(DisconnectReason::kMalformed);
         return false;
       }
-      auto response = ParseResponseLine(bytes.substr(0, end), pool_.connection_settings_.reported);
+      auto response =
+          ParseResponseLine(bytes.substr(0, end), pool_.connection_settings_.report_names);
       if (!response) {
         connection_.EndAs(DisconnectReason::kMalformed);
         return false;
@@ -445,7 +446,7 @@
 };
 
 UpstreamConnectionPool::UpstreamConnectionPool(loop::Loop& loop, exchange::Exchange& exchange,
-                                               settings::RoadTerms connection_settings,
+                                               settings::ConnectionSettings connection_settings,
                                                std::size_t max_connections)
     : loop_(loop),
       exchange_(exchange),
@@ -516,18 +517,19 @@
 std::uint64_t UpstreamConnectionPool::Send(AttemptKey key, const RequestMetadata& metadata,
                                            const SendAttempt& action,
                                            const std::vector<std::uint64_t>& avoid) {
-  auto it = endpoints_.find(action.cache), source = endpoints_.find(action.source);
+  auto it = endpoints_.find(action.endpoint), source = endpoints_.find(action.source);
   if (it == endpoints_.end() || source == endpoints_.end()) {
     exchange_.OnAttemptDisconnected(key, DisconnectReason::kNoDescriptor, false);
     return 0;
   }
-  UpstreamRequest request(metadata, action, action.source == action.cache ? "" : source->second.id);
+  UpstreamRequest request(metadata, action,
+                          action.source == action.endpoint ? "" : source->second.id);
   return Enqueue({.key = key,
-                  .cache = action.cache,
+                  .cache = action.endpoint,
                   .id = metadata.id,
                   .request = std::move(request),
                   .timeout = action.timeout,
-                  .needs_live_connection = action.proven,
+                  .needs_live_connection = action.requires_live_connection,
                   .avoid = avoid});
 }
 
@@ -588,7 +590,7 @@
 
 void UpstreamConnectionPool::UpdateEndpoint(const ListEntry& entry, const std::string& id,
                                             const loop::Address& address) {
-  PooledEndpoint& endpoint = endpoints_[entry.cache];
+  PooledEndpoint& endpoint = endpoints_[entry.id];
   bool is_restarted =
       !endpoint.id.empty() &&
       (endpoint.started_at != entry.started_at || endpoint.address.sin_port != address.sin_port ||
@@ -596,7 +598,7 @@
   endpoint.id = id;
   endpoint.address = address;
   endpoint.started_at = entry.started_at;
-  endpoint.address_reassigned &= entry.standing != Standing::kReady;
+  endpoint.address_reassigned &= entry.state != EndpointState::kReady;
   // The endpoint's connections lead to its previous process, which may have vanished without
   // closing them. So do those of another endpoint whose former address this one has been given:
   // nothing more is sent there in its name.
@@ -604,9 +606,9 @@
     bool same_address = other.address.sin_port == address.sin_port &&
                         other.address.sin_addr.s_addr == address.sin_addr.s_addr;
     bool takes_address =
-        other_number != entry.cache && same_address && entry.standing == Standing::kReady;
+        other_number != entry.id && same_address && entry.state == EndpointState::kReady;
     other.address_reassigned |= takes_address;
-    if (other_number == entry.cache ? is_restarted : takes_address)
+    if (other_number == entry.id ? is_restarted : takes_address)
       for (auto& [number, connection] : other.connections)
         connection->Disconnect(DisconnectReason::kReplaced);
   }
--- a/src/caches/caches.hpp
+++ b/src/caches/caches.hpp
@@ -12,7 +12,8 @@
  public:
   // `max_connections`: over all endpoints.
   UpstreamConnectionPool(loop::Loop& loop, exchange::Exchange& exchange,
-                         settings::RoadTerms connection_settings, std::size_t max_connections);
+                         settings::ConnectionSettings connection_settings,
+                         std::size_t max_connections);
   ~UpstreamConnectionPool();
   std::uint64_t Send(exchange::AttemptKey key, const exchange::RequestMetadata& metadata,
                      const SendAttempt& action, const std::vector<std::uint64_t>& avoid) override;
@@ -51,7 +52,7 @@
 
   loop::Loop& loop_;
   exchange::Exchange& exchange_;
-  settings::RoadTerms connection_settings_;
+  settings::ConnectionSettings connection_settings_;
   std::size_t max_connections_;
   std::size_t connection_count_ = 0;
   std::uint64_t last_number_ = 0;
--- a/src/caches/lines.cpp
+++ b/src/caches/lines.cpp
@@ -75,7 +75,7 @@
     auto it = std::find(kCacheStatuses.begin(), kCacheStatuses.end(), value);
     if (it == kCacheStatuses.end())
       return false;
-    head.cache_status = static_cast<Remark>(it - kCacheStatuses.begin() + 1);
+    head.cache_status = static_cast<CacheStatus>(it - kCacheStatuses.begin() + 1);
   }
   return true;
 }
@@ -98,19 +98,19 @@
   std::string& line = after_deadline_;
   if (!source.empty())
     line.append(",miss=").append(source);
-  if (action.rank > 0)
-    line += ",prio=" + std::to_string(action.rank);
+  if (action.retention_rank > 0)
+    line += ",prio=" + std::to_string(action.retention_rank);
   // Rounded down, since the age limit enforces a purge.
-  if (action.oldest > 0)
-    line += ",within=" + FormatWholeMs(action.oldest);
+  if (action.max_age > 0)
+    line += ",within=" + FormatWholeMs(action.max_age);
   std::string flags;
   auto add_flag = [&](bool is_set, const char* flag) {
     if (is_set)
       flags.append(flags.empty() ? "" : "+").append(flag);
   };
-  add_flag(action.join, "coalesce");
-  add_flag(action.held_only, "shallow");
-  add_flag(action.renew, "freshen");
+  add_flag(action.coalesce, "coalesce");
+  add_flag(action.only_if_cached, "shallow");
+  add_flag(action.revalidate, "freshen");
   if (!flags.empty())
     line += ",f=" + flags;
   if (!metadata.entity_tag.empty())
@@ -149,14 +149,15 @@
                                                   const std::vector<std::string>& reported) {
   struct ResponseCode {
     std::string_view code;
-    Ending result;
+    AttemptResult result;
   };
-  static constexpr std::array<ResponseCode, 6> kResponseCodes{{{"HIT", Ending::kFinished},
-                                                               {"VALID", Ending::kFinished},
-                                                               {"NONE", Ending::kMiss},
-                                                               {"SHED", Ending::kFull},
-                                                               {"FAULT", Ending::kError},
-                                                               {"LATE", Ending::kSuperseded}}};
+  static constexpr std::array<ResponseCode, 6> kResponseCodes{
+      {{"HIT", AttemptResult::kFinished},
+       {"VALID", AttemptResult::kFinished},
+       {"NONE", AttemptResult::kMiss},
+       {"SHED", AttemptResult::kOverloaded},
+       {"FAULT", AttemptResult::kError},
+       {"LATE", AttemptResult::kSuperseded}}};
   UpstreamResponse response;
   response.id = NextToken(line, ' ');
   std::string_view code = NextToken(line, ' '), fields = NextToken(line, ' ');
--- a/src/drill/run.hpp
+++ b/src/drill/run.hpp
@@ -16,7 +16,8 @@
 class Break {
  public:
   virtual ~Break() = default;
-  virtual exchange::RequestRouter around(exchange::RequestRouter module, const StoreSettings&) {
+  virtual exchange::RequestRouter around(exchange::RequestRouter module,
+                                         const DeploymentSettings&) {
     return module;
   }
   virtual std::string Sent(std::string bytes) {
--- a/src/exchange/counters.hpp
+++ b/src/exchange/counters.hpp
@@ -46,7 +46,7 @@
   Count config_reloads = 0;
   /// The requests of `rejected`, by reason and by the request's size relative to the mean of its
   /// class.
-  std::array<std::array<Count, kSizeBands>, kRefusalReasons> refused{};
+  std::array<std::array<Count, kSizeBands>, kRejectionReasons> refused{};
 };
 
 }  // namespace dunlinwick::exchange
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -10,12 +10,12 @@
 
 using loop::DisconnectReason;
 
-Ending ToAttemptResult(DisconnectReason reason, bool fully_written) {
+AttemptResult ToAttemptResult(DisconnectReason reason, bool fully_written) {
   switch (reason) {
     case DisconnectReason::kRefused:
     case DisconnectReason::kNeverUp:
     case DisconnectReason::kNoDescriptor:
-      return Ending::kNoConnection;
+      return AttemptResult::kNotSent;
     case DisconnectReason::kClosed:
     case DisconnectReason::kReset:
     case DisconnectReason::kSilent:
@@ -25,9 +25,9 @@
     case DisconnectReason::kLetGo:
       // A partial request can't be executed, so an attempt that was not fully written has not run.
       // One that was fully written may have run.
-      return fully_written ? Ending::kBroken : Ending::kNoConnection;
+      return fully_written ? AttemptResult::kDisconnected : AttemptResult::kNotSent;
   }
-  return Ending::kBroken;
+  return AttemptResult::kDisconnected;
 }
 
 // FNV-1a. The hash must be the same on all fronts, since routing decisions depend on it.
@@ -38,18 +38,19 @@
   return hash;
 }
 
-RequestRouter MakeRequestRouter(const StoreSettings& settings, std::uint64_t seed) {
+RequestRouter MakeRequestRouter(const DeploymentSettings& settings, std::uint64_t seed) {
   return [router = std::make_shared<Router>(settings, seed)](Ms now, const Event& event) {
     return router->Handle(now, event);
   };
 }
 
-Exchange::Exchange(loop::Loop& loop, const StoreSettings& settings, RequestRouter request_router)
+Exchange::Exchange(loop::Loop& loop, const DeploymentSettings& settings,
+                   RequestRouter request_router)
     : loop_(loop),
       request_router_(std::move(request_router)),
       request_classes_(settings.request_classes) {}
 
-Exchange::Exchange(loop::Loop& loop, const StoreSettings& settings, std::uint64_t seed)
+Exchange::Exchange(loop::Loop& loop, const DeploymentSettings& settings, std::uint64_t seed)
     : Exchange(loop, settings, MakeRequestRouter(settings, seed)) {}
 
 // ---- events and actions
@@ -130,36 +131,36 @@
   // The attempts of a request share its id. On a connection that carried one of them, its response,
   // or a duplicate of it, would be taken for the response to this attempt.
   for (const Attempt& attempt : request->attempts)
-    if (attempt.cache == action.cache && attempt.connection != 0)
+    if (attempt.cache == action.endpoint && attempt.connection != 0)
       avoid.push_back(attempt.connection);
   Ms now = loop_.now();
   Attempt attempt;
-  attempt.cache = action.cache;
+  attempt.cache = action.endpoint;
   attempt.source = action.source;
   attempt.sent_at = now;
-  attempt.not_after = action.not_after;
+  attempt.not_after = action.start_deadline;
   attempt.deadline = action.timeout > 0 ? std::min(request->expires_at, now + action.timeout)
                                         : request->expires_at;
   request->attempts.push_back(std::move(attempt));
   ++counters.attempts;
-  counters.fills += action.source != action.cache;
+  counters.fills += action.source != action.endpoint;
   if (!request->response_sink || request->streamed_attempt >= 0)
-    return EndAttempt(key, Ending::kSuperseded);
+    return EndAttempt(key, AttemptResult::kSuperseded);
   SendAttempt bounded_action = action;
   bounded_action.timeout = action.timeout > 0 ? std::min(action.timeout, request->expires_at - now)
                                               : request->expires_at - now;
   if (bounded_action.timeout <= 0)
-    return EndAttempt(key, Ending::kSuperseded);
+    return EndAttempt(key, AttemptResult::kSuperseded);
   request->attempts.back().timer = loop_.at(now + bounded_action.timeout, [this, key] {
     if (!FindInFlightAttempt(key) || FindRequest(key.request)->streamed_attempt == key.attempt)
       return;
     upstream_->Cancel(key, FindRequest(key.request)->metadata, FindInFlightAttempt(key)->cache);
-    EndAttempt(key, Ending::kTimedOut);
+    EndAttempt(key, AttemptResult::kTimedOut);
   });
   // An attempt that has not been started by then ends at once: waiting longer can't help it.
-  if (action.not_after > 0)
+  if (action.start_deadline > 0)
     request->attempts.back().not_after_timer =
-        loop_.at(std::max(now, action.not_after), [this, key] {
+        loop_.at(std::max(now, action.start_deadline), [this, key] {
           CancelUnsent(key.request, [&](const Attempt& attempt) {
             return &attempt == FindInFlightAttempt(key);
           });
@@ -175,10 +176,10 @@
   if (!attempt || FindRequest(action.request)->streamed_attempt == action.attempt)
     return;
   upstream_->Cancel(key, FindRequest(action.request)->metadata, attempt->cache);
-  EndAttempt(key, Ending::kCancelled);
+  EndAttempt(key, AttemptResult::kCancelled);
 }
 
-void Exchange::Execute(const DeclineRequest& action) {
+void Exchange::Execute(const RejectRequest& action) {
   Request* request = FindRequest(action.request);
   if (!request || !request->response_sink || request->streamed_attempt >= 0)
     return;
@@ -188,7 +189,7 @@
   CloseRequest(action.request)->OnRejected(action.retry_after);
 }
 
-void Exchange::Execute(const AbandonRequest& action) {
+void Exchange::Execute(const FailRequest& action) {
   Request* request = FindRequest(action.request);
   if (!request || !request->response_sink || request->streamed_attempt >= 0)
     return;
@@ -196,16 +197,16 @@
   CloseRequest(action.request)->OnFailed();
 }
 
-void Exchange::Execute(const WakeMe& action) {
-  loop_.at(action.at, [this, handle = action.handle] { HandleEvent(WakeUp{handle}); });
+void Exchange::Execute(const SetTimer& action) {
+  loop_.at(action.fires_at, [this, handle = action.handle] { HandleEvent(TimerFired{handle}); });
 }
 
-void Exchange::Execute(const ProbeCache& action) {
+void Exchange::Execute(const ProbeEndpoint& action) {
   ++counters.probes;
-  upstream_->Probe(action.cache);
+  upstream_->Probe(action.endpoint);
 }
 
-void Exchange::Execute(const WriteLine& action) {
+void Exchange::Execute(const WriteLogLine& action) {
   log::Say("%s", action.text.c_str());
 }
 
@@ -225,20 +226,20 @@
 std::uint32_t Exchange::OnRequest(RequestMetadata metadata, ResponseSink& response_sink) {
   // No request lasts longer than its class's maximum deadline; a later client deadline would only
   // keep it in memory for longer.
-  metadata.ttl =
-      std::min(metadata.ttl,
-               request_classes_[static_cast<std::size_t>(metadata.request_class_index)].expiry);
+  metadata.ttl = std::min(
+      metadata.ttl,
+      request_classes_[static_cast<std::size_t>(metadata.request_class_index)].max_deadline);
   do
     ++last_request_;
   while (requests_.count(last_request_));
   std::uint32_t number = last_request_;
-  RequestCame event;
+  RequestArrived event;
   event.request = number;
   event.request_class = metadata.request_class_index;
   event.object = HashName(metadata.object);
   event.part = metadata.part_index;
   event.group = metadata.group;
-  event.ttl = metadata.ttl;
+  event.time_left = metadata.ttl;
   event.size_kb = metadata.size_kb;
   Request& request = requests_[number];
   request.expires_at = loop_.now() + metadata.ttl;
@@ -280,7 +281,7 @@
   return attempt.in_flight ? &attempt : nullptr;
 }
 
-void Exchange::CountResult(Ending result) {
+void Exchange::CountResult(AttemptResult result) {
   Counters::Count* counts[] = {
       &counters.attempts_succeeded, &counters.errors,      &counters.shed,
       &counters.timed_out,          &counters.lost_unsent, &counters.lost_after_send,
@@ -288,7 +289,7 @@
   ++*counts[static_cast<int>(result)];
 }
 
-void Exchange::EndAttempt(AttemptKey key, Ending result, const ResponseHead& head,
+void Exchange::EndAttempt(AttemptKey key, AttemptResult result, const ResponseHead& head,
                           int lost_with_connection, bool local_cause) {
   Request* request = FindRequest(key.request);
   Attempt& attempt = request->attempts[static_cast<std::size_t>(key.attempt)];
@@ -299,16 +300,16 @@
   CountResult(result);
   AttemptEnded event;
   event.request = key.request;
-  event.cache = attempt.cache;
+  event.endpoint = attempt.cache;
   event.attempt = key.attempt;
-  event.ending = result;
-  event.took = loop_.now() - attempt.sent_at;
+  event.result = result;
+  event.duration = loop_.now() - attempt.sent_at;
   event.final = !request->response_sink;
-  event.remark = head.cache_status;
-  event.waited = head.queue_delay;
-  event.fell_with = lost_with_connection;
-  event.ours = local_cause;
-  event.report = head.report;
+  event.cache_status = head.cache_status;
+  event.fill_wait = head.queue_delay;
+  event.earlier_on_connection = lost_with_connection;
+  event.is_local_fault = local_cause;
+  event.load_report = head.report;
   if (!request->response_sink)
     closed_requests_.push_back(key.request);
   HandleEvent(std::move(event));
@@ -322,8 +323,9 @@
   attempt->body.reserve(length);
   Request& request = *FindRequest(key.request);
   if (!request_classes_[static_cast<std::size_t>(request.metadata.request_class_index)].streams ||
-      !request.response_sink || request.streamed_attempt >= 0 || head.result != Ending::kFinished ||
-      head.not_modified || head.entity_tag.empty() || !head.has_issue_time)
+      !request.response_sink || request.streamed_attempt >= 0 ||
+      head.result != AttemptResult::kFinished || head.not_modified || head.entity_tag.empty() ||
+      !head.has_issue_time)
     return;
   request.streamed_attempt = key.attempt;
   request.response_sink->OnResponseStarted(head.entity_tag, length);
@@ -350,12 +352,12 @@
   // none, or a cacheable object comes without its entity tag or age, and so may be any content of
   // any age.
   bool is_cacheable =
-      !request_classes_[static_cast<std::size_t>(request.metadata.request_class_index)].never_kept;
+      !request_classes_[static_cast<std::size_t>(request.metadata.request_class_index)].uncacheable;
   bool lacks_metadata = is_cacheable && (head.entity_tag.empty() || !head.has_issue_time);
-  if (head.result == Ending::kFinished && request.streamed_attempt < 0 &&
+  if (head.result == AttemptResult::kFinished && request.streamed_attempt < 0 &&
       (lacks_metadata || (head.not_modified && request.metadata.entity_tag.empty())))
-    return EndAttempt(key, Ending::kError);
-  if (head.result == Ending::kFinished && request.response_sink &&
+    return EndAttempt(key, AttemptResult::kError);
+  if (head.result == AttemptResult::kFinished && request.response_sink &&
       (request.streamed_attempt < 0 || request.streamed_attempt == key.attempt)) {
     ResponseSink* response_sink = CloseRequest(key.request);
     ++(head.not_modified ? counters.not_modified : counters.succeeded);
@@ -407,7 +409,7 @@
     return;
   attempt->connection = 0;  // nothing was sent there, so no response can arrive there
   attempt->sent_at = loop_.now();
-  EndAttempt(key, Ending::kSuperseded, {}, 0, true);
+  EndAttempt(key, AttemptResult::kSuperseded, {}, 0, true);
 }
 
 void Exchange::OnAttemptMoved(AttemptKey key, std::uint64_t connection) {
@@ -456,8 +458,8 @@
 void Exchange::OnListUpdate(bool is_complete, const std::vector<ListedEndpoint>& entries,
                             std::optional<Ms> up_to_date_at) {
   ++counters.list_updates;
-  ListNews update;
-  update.listing = is_complete ? Listing::kWhole : Listing::kChanges;
+  EndpointListUpdate update;
+  update.kind = is_complete ? ListUpdateKind::kSnapshot : ListUpdateKind::kChanges;
   RemoveStaleEndpoints();
   if (is_complete)
     for (auto& [id, endpoint] : endpoints_)  // an endpoint that a complete list lacks has left
@@ -465,7 +467,7 @@
         endpoint.removed_at = loop_.now();
   for (const ListedEndpoint& listed : entries) {
     KnownEndpoint& endpoint = FindOrAddEndpoint(listed.id);
-    if (listed.entry.standing != Standing::kGone)
+    if (listed.entry.state != EndpointState::kRemoved)
       endpoint.removed_at = 0;
     else if (endpoint.removed_at == 0)
       endpoint.removed_at = loop_.now();
@@ -476,7 +478,7 @@
       endpoint.notified = {.at = loop_.now(), .up_to_date_at = up_to_date_at};
     }
     update.entries.push_back(listed.entry);
-    update.entries.back().cache = endpoint.number;
+    update.entries.back().id = endpoint.number;
     update.entries.back().notified = endpoint.notified;
     upstream_->UpdateEndpoint(update.entries.back(), listed.id, listed.address);
   }
@@ -485,8 +487,8 @@
   // again: a drain that is announced between the decision and the write applies to them too.
   std::vector<std::uint32_t> unavailable;
   for (const ListEntry& entry : update.entries)
-    if (entry.standing != Standing::kReady)
-      unavailable.push_back(entry.cache);
+    if (entry.state != EndpointState::kReady)
+      unavailable.push_back(entry.id);
   if (is_complete)
     for (auto& [id, endpoint] : endpoints_)
       if (endpoint.removed_at > 0)
@@ -514,12 +516,12 @@
                         Ms ago) {
   ++counters.purges;
   Purged purge;
-  purge.whole_group = object.empty() && request_class < 0;
+  purge.is_group = object.empty() && request_class < 0;
   purge.object = object.empty() ? 0 : HashName(object);
   purge.group = group;
-  purge.ago = ago;
-  purge.standing = true;
-  purge.lifted = lifted;
+  purge.age = ago;
+  purge.is_recall = true;
+  purge.is_lifted = lifted;
   purge.request_class = request_class;
   HandleEvent(purge);
   if (!lifted)
@@ -527,7 +529,7 @@
 }
 
 void Exchange::SetMaxCopyAge(Ms max_age) {
-  HandleEvent(NoOlder{max_age});
+  HandleEvent(MaxCopyAge{max_age});
   if (max_age > 0)
     CancelUnsentWhere([](const Request&, const Attempt&) { return true; });
 }
@@ -536,7 +538,7 @@
                        std::optional<Ms> up_to_date_at) {
   ++counters.purges;
   Purged purge;
-  purge.whole_group = whole_group;
+  purge.is_group = whole_group;
   purge.object = whole_group ? 0 : HashName(object);
   purge.group = group;
   purge.stamped = Purged::Stamped{.stamp = purged_at,
--- a/src/exchange/exchange.hpp
+++ b/src/exchange/exchange.hpp
@@ -64,9 +64,9 @@
 
 // A cache's response to an attempt, without the body.
 struct ResponseHead {
-  Ending result = Ending::kFinished;
+  AttemptResult result = AttemptResult::kFinished;
   bool not_modified = false;  // the client's cached copy is current
-  Remark cache_status = Remark::kNone;
+  CacheStatus cache_status = CacheStatus::kNone;
   Ms queue_delay = 0;
   std::string entity_tag;
   bool has_issue_time = false;  // the response states when the origin issued its copy
@@ -105,16 +105,16 @@
 
 // Maps the end of a connection to the result of an attempt on it. This is the only place that
 // decides it.
-Ending ToAttemptResult(loop::DisconnectReason reason, bool fully_written);
+AttemptResult ToAttemptResult(loop::DisconnectReason reason, bool fully_written);
 
 // Decides how requests are routed: the Router, or a wrapper that a test puts around it.
 using RequestRouter = std::function<std::vector<Action>(Ms now, const Event& event)>;
-RequestRouter MakeRequestRouter(const StoreSettings& settings, std::uint64_t seed);
+RequestRouter MakeRequestRouter(const DeploymentSettings& settings, std::uint64_t seed);
 
 class Exchange {
  public:
-  Exchange(loop::Loop& loop, const StoreSettings& settings, RequestRouter request_router);
-  Exchange(loop::Loop& loop, const StoreSettings& settings, std::uint64_t seed);
+  Exchange(loop::Loop& loop, const DeploymentSettings& settings, RequestRouter request_router);
+  Exchange(loop::Loop& loop, const DeploymentSettings& settings, std::uint64_t seed);
   void SetUpstreamTransport(UpstreamTransport& upstream) {
     upstream_ = &upstream;
   }
@@ -166,7 +166,7 @@
 
   // Called on a change of the fleet's failover decision.
   void OnZoneTrafficWeights(std::vector<double> by_zone) {
-    HandleEvent(ZoneShares{std::move(by_zone)});
+    HandleEvent(ZoneTrafficWeights{std::move(by_zone)});
   }
   // Called by the fleet's record and its recovery.
   void OnRecall(std::string_view object, int group, int request_class, bool lifted, Ms ago);
@@ -174,12 +174,12 @@
   // Replaces the settings: new requests use the new request classes, and the request router is
   // called at once. Which classes are never cached, and which are streamed, must not change during
   // the life of a process, since that would change the kind of a request in flight.
-  void ApplySettings(const StoreSettings& settings) {
+  void ApplySettings(const DeploymentSettings& settings) {
     request_classes_ = settings.request_classes;
-    HandleEvent(PeerSaid{});
+    HandleEvent(PeerMessageReceived{});
   }
   void SetAdmissionRamp(std::vector<double> by_request_class, Ms retry_after) {
-    HandleEvent(LetIn{std::move(by_request_class), retry_after});
+    HandleEvent(AdmissionRamp{std::move(by_request_class), retry_after});
   }
 
  private:
@@ -212,16 +212,16 @@
   ResponseSink* CloseRequest(std::uint32_t request_id);  // no response is due from here on
   void Execute(const SendAttempt& action);
   void Execute(const CancelAttempt& action);
-  void Execute(const DeclineRequest& action);
-  void Execute(const AbandonRequest& action);
-  void Execute(const WakeMe& action);
-  void Execute(const ProbeCache& action);
-  void Execute(const FollowList&) {}  // the list is always watched
-  void Execute(const WriteLine& action);
-  void Execute(const TellHealth&) {}  // handled by the wrapper in src/front/front.cpp
+  void Execute(const RejectRequest& action);
+  void Execute(const FailRequest& action);
+  void Execute(const SetTimer& action);
+  void Execute(const ProbeEndpoint& action);
+  void Execute(const WatchEndpointList&) {}  // the list is always watched
+  void Execute(const WriteLogLine& action);
+  void Execute(const ReportEndpointHealth&) {}  // handled by the wrapper in src/front/front.cpp
   Request* FindRequest(std::uint32_t request_id);
   Attempt* FindInFlightAttempt(AttemptKey key);
-  void EndAttempt(AttemptKey key, Ending result, const ResponseHead& head = {},
+  void EndAttempt(AttemptKey key, AttemptResult result, const ResponseHead& head = {},
                   int lost_with_connection = 0, bool local_cause = false);
   // Ends those attempts of a request that are still queued in this process and satisfy `predicate`.
   template <class Predicate>
@@ -230,7 +230,7 @@
   void CancelUnsentWhere(Predicate predicate);
   void CancelUnsentPurged(std::string_view object, int group, int request_class);
   void CleanUpRequest(std::uint32_t request_id);
-  void CountResult(Ending result);
+  void CountResult(AttemptResult result);
   struct KnownEndpoint {
     std::uint32_t number = 0;
     Ms removed_at = 0;    // 0: still in the list
--- a/src/front/active.cpp
+++ b/src/front/active.cpp
@@ -10,12 +10,12 @@
 #if defined(__x86_64__) && defined(__GLIBCXX__) && !defined(_GLIBCXX_DEBUG)
 static_assert(sizeof(RequestClass) == 72,
               "RequestClass changed: add its new field below (10 fields)");
-static_assert(sizeof(Permits) == 5, "permissions changed: add the new field below (5 fields)");
-static_assert(sizeof(ColdTerms) == 24,
+static_assert(sizeof(Permissions) == 5, "permissions changed: add the new field below (5 fields)");
+static_assert(sizeof(SlowStartSettings) == 24,
               "slow start settings changed: add the new field below (3 fields)");
-static_assert(sizeof(StoreSettings) == 176,
+static_assert(sizeof(DeploymentSettings) == 176,
               "deployment settings changed: add the new field below (21 fields)");
-static_assert(sizeof(settings::RoadTerms) == 120,
+static_assert(sizeof(settings::ConnectionSettings) == 120,
               "connection settings changed: add the new field below (8 fields)");
 static_assert(sizeof(owner::Terms) == 32 && sizeof(owner::GroupTerms) == 24,
               "owner settings changed: add the new field below");
@@ -40,14 +40,16 @@
          : v == Effect::kIdempotentWithKey ? "ticketed"
                                            : "exclusive";
 }
-std::string Text(Span v) {
-  return v == Span::kEverywhere ? "everywhere" : v == Span::kZone ? "zone" : "cell";
+std::string Text(DeduplicationScope v) {
+  return v == DeduplicationScope::kEverywhere ? "everywhere"
+         : v == DeduplicationScope::kZone     ? "zone"
+                                              : "cell";
 }
-std::string Text(Weighing v) {
-  return v == Weighing::kNone      ? "none"
-         : v == Weighing::kNominal ? "nominal"
-         : v == Weighing::kRough   ? "rough"
-                                   : "live";
+std::string Text(WeightSource v) {
+  return v == WeightSource::kNone      ? "none"
+         : v == WeightSource::kNominal ? "nominal"
+         : v == WeightSource::kRough   ? "rough"
+                                       : "live";
 }
 std::string Text(const std::string& v) {
   return v;
@@ -76,27 +78,27 @@
 
 Section RequestClassSection(const RequestClass& request_class) {
   return {{"effect", Text(request_class.effect)},
-          {"span", Text(request_class.span)},
-          {"memory", Text(request_class.memory)},
-          {"agreed", Text(request_class.agreed)},
-          {"agreed_stretch", Text(request_class.agreed_stretch)},
-          {"expiry", Text(request_class.expiry)},
-          {"payoff", Text(request_class.payoff)},
+          {"span", Text(request_class.deduplication_scope)},
+          {"memory", Text(request_class.deduplication_window)},
+          {"agreed", Text(request_class.latency_objective)},
+          {"agreed_stretch", Text(request_class.latency_objective_stretch)},
+          {"expiry", Text(request_class.max_deadline)},
+          {"payoff", Text(request_class.priority_weight)},
           {"streams", Text(request_class.streams)},
-          {"fresh_for", Text(request_class.fresh_for)},
-          {"never_kept", Text(request_class.never_kept)}};
+          {"fresh_for", Text(request_class.freshness_lifetime)},
+          {"never_kept", Text(request_class.uncacheable)}};
 }
 
-void AddSlowStart(Section& s, const std::string& name, const ColdTerms& c) {
-  s[name + ".from"] = Text(c.from);
-  s[name + ".multiple"] = Text(c.multiple);
-  s[name + ".lasts"] = Text(c.lasts);
+void AddSlowStart(Section& s, const std::string& name, const SlowStartSettings& c) {
+  s[name + ".from"] = Text(c.initial_weight);
+  s[name + ".multiple"] = Text(c.overload_factor);
+  s[name + ".lasts"] = Text(c.duration);
 }
 
 }  // namespace
 
-Form ActiveConfiguration(const StoreSettings& settings,
-                         const settings::RoadTerms& connection_settings,
+Form ActiveConfiguration(const DeploymentSettings& settings,
+                         const settings::ConnectionSettings& connection_settings,
                          const front::FleetSettings& fleet, const front::OwnerSettings& owner,
                          const std::string& build) {
   Form form;
@@ -126,34 +128,34 @@
                    {"crew", Text(settings.zone_replicas)},
                    {"parent_kind", Text(settings.parent_kind)},
                    {"origin_kind", Text(settings.origin_kind)},
-                   {"asks_for_list", Text(settings.asks_for_list)},
-                   {"weighing", Text(settings.weighing)},
-                   {"longest_retry_after", Text(settings.longest_retry_after)},
-                   {"most_legs", Text(settings.most_attempts)},
-                   {"places", Text(settings.places)},
-                   {"lateral", Text(settings.lateral)},
+                   {"asks_for_list", Text(settings.polls_endpoint_list)},
+                   {"weighing", Text(settings.weight_source)},
+                   {"longest_retry_after", Text(settings.max_retry_after)},
+                   {"most_legs", Text(settings.max_attempts)},
+                   {"places", Text(settings.max_open_requests)},
+                   {"lateral", Text(settings.fills_from_siblings)},
                    {"stream_kb_per_ms", Text(settings.stream_kb_per_ms)},
                    {"link_kb_per_ms", Text(settings.link_kb_per_ms)},
-                   {"link_report", Text(settings.link_report)},
-                   {"remarks", Text(settings.remarks)},
-                   {"purge_done", Text(settings.purge_done)}};
-  form["permits"] = {{"probe", Text(settings.may.probe)},
-                     {"cancel", Text(settings.may.cancel)},
-                     {"two_legs_at_once", Text(settings.may.two_attempts_at_once)},
-                     {"join", Text(settings.may.join)},
-                     {"direct", Text(settings.may.direct)}};
+                   {"link_report", Text(settings.link_report_index)},
+                   {"remarks", Text(settings.reports_cache_status)},
+                   {"purge_done", Text(settings.purge_completion_time)}};
+  form["permits"] = {{"probe", Text(settings.permissions.probe)},
+                     {"cancel", Text(settings.permissions.cancel)},
+                     {"two_legs_at_once", Text(settings.permissions.concurrent_attempts)},
+                     {"join", Text(settings.permissions.coalesce)},
+                     {"direct", Text(settings.permissions.direct_to_origin)}};
   Section& slow_start = form["cold"];
-  AddSlowStart(slow_start, "store", settings.cold_store);
-  AddSlowStart(slow_start, "parent", settings.cold_parent);
-  slow_start["window"] = Text(settings.cold_window);
+  AddSlowStart(slow_start, "store", settings.cache_slow_start);
+  AddSlowStart(slow_start, "parent", settings.parent_slow_start);
+  slow_start["window"] = Text(settings.slow_start_window);
 
   form["road"] = {{"offerings", Bounded(JoinList(connection_settings.request_classes))},
                   {"zones", Bounded(JoinList(connection_settings.zones))},
                   {"kinds", Bounded(JoinList(connection_settings.kinds))},
-                  {"reported", Bounded(JoinList(connection_settings.reported))},
-                  {"connect_within", Text(connection_settings.connect_within)},
-                  {"idle_for", Text(connection_settings.idle_for)},
-                  {"legs_at_once", Text(connection_settings.attempts_at_once)},
+                  {"reported", Bounded(JoinList(connection_settings.report_names))},
+                  {"connect_within", Text(connection_settings.connect_timeout)},
+                  {"idle_for", Text(connection_settings.idle_timeout)},
+                  {"legs_at_once", Text(connection_settings.max_concurrent_attempts)},
                   {"may_probe", Text(connection_settings.may_probe)}};
 
   if (fleet.enabled) {
--- a/src/front/active.hpp
+++ b/src/front/active.hpp
@@ -12,8 +12,8 @@
 namespace dunlinwick::drift {
 
 // Sections: build, sheet, offerings, permits, cold, road, fleet, owner.
-Form ActiveConfiguration(const StoreSettings& settings,
-                         const settings::RoadTerms& connection_settings,
+Form ActiveConfiguration(const DeploymentSettings& settings,
+                         const settings::ConnectionSettings& connection_settings,
                          const front::FleetSettings& fleet, const front::OwnerSettings& owner,
                          const std::string& build);
 
--- a/src/front/charter.cpp
+++ b/src/front/charter.cpp
@@ -315,14 +315,16 @@
         "limits are out of range: memory_mb must be at least 32, sockets in [64, 1000000]");
   configuration.descriptors = static_cast<std::size_t>(sockets);
   configuration.known_updates = RequireField(*root, "known", Kind::kObject);
-  std::string settings = settings::Dotted(RequireField(*root, "settings", Kind::kObject));
-  configuration.settings = settings::ReadSettings(settings);
-  configuration.connection_settings = settings::ReadRoadTerms(settings);
+  std::string settings = settings::FlattenToLines(RequireField(*root, "settings", Kind::kObject));
+  configuration.settings = settings::ReadDeploymentSettings(settings);
+  configuration.connection_settings = settings::ReadConnectionSettings(settings);
   // By the protocol clients hold at most a third of the descriptor limit, with one request on each
   // connection.
   int third = static_cast<int>(configuration.descriptors / 3);
-  configuration.settings.places =
-      configuration.settings.places > 0 ? std::min(configuration.settings.places, third) : third;
+  configuration.settings.max_open_requests =
+      configuration.settings.max_open_requests > 0
+          ? std::min(configuration.settings.max_open_requests, third)
+          : third;
   // A list of that name is the platform's own field with the fronts' addresses, not the peers
   // block: reading it as the block would keep fronts from starting on such a platform.
   if (const Value* peers = root->Find("peers"); peers && peers->kind != Kind::kList) {
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -86,8 +86,8 @@
   std::size_t descriptors = 0;  // at least `kMinDescriptors`
   double memory_mb = 0;
   json::Value known_updates;  // the discovery service's updates up to the start
-  StoreSettings settings;
-  settings::RoadTerms connection_settings;
+  DeploymentSettings settings;
+  settings::ConnectionSettings connection_settings;
   PeersSettings peers;
   FleetSettings fleet;
   OwnerSettings owner;
--- a/src/front/exposition.cpp
+++ b/src/front/exposition.cpp
@@ -65,7 +65,7 @@
                   sizeof(Counters),
               "each counter is exported");
 
-constexpr std::array<const char*, kRefusalReasons> kReasonLabels{
+constexpr std::array<const char*, kRejectionReasons> kReasonLabels{
     "deadline",    "admission", "places",    "no_endpoint", "slow_start",
     "utilisation", "link",      "no_source", "attempts"};
 constexpr std::array<const char*, kSizeBands> kSizeLabels{"small", "usual", "large"};
@@ -77,7 +77,7 @@
                                   "mean (large: over twice, small: under half)",
                                   prometheus::MetricType::Counter,
                                   {}};
-  for (std::size_t reason = 0; reason < kRefusalReasons; ++reason) {
+  for (std::size_t reason = 0; reason < kRejectionReasons; ++reason) {
     for (std::size_t size = 0; size < kSizeBands; ++size) {
       const Counters::Count count = counters.refused[reason][size];
       if (count == 0)
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -53,10 +53,10 @@
 }
 
 // Which request classes write, by number.
-std::vector<bool> WriteClasses(const StoreSettings& settings) {
+std::vector<bool> WriteClasses(const DeploymentSettings& settings) {
   std::vector<bool> writes;
   for (const RequestClass& request_class : settings.request_classes)
-    writes.push_back(request_class.never_kept);
+    writes.push_back(request_class.uncacheable);
   return writes;
 }
 
@@ -99,11 +99,11 @@
 
 exchange::RequestRouter Front::ObserveHealth(exchange::RequestRouter router) {
   return [this, router = std::move(router)](Ms now, const Event& event) {
-    if (auto* update = std::get_if<ListNews>(&event))
+    if (auto* update = std::get_if<EndpointListUpdate>(&event))
       health_.Take(*update);
     std::vector<Action> actions = router(now, event);
     for (const Action& action : actions)
-      if (auto* report = std::get_if<TellHealth>(&action))
+      if (auto* report = std::get_if<ReportEndpointHealth>(&action))
         health_.Take(*report);
     return actions;
   };
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -29,15 +29,15 @@
   std::unique_ptr<RecoveryComponent> recovery;
   bool ejected = false;
   bool may_serve = true;
-  LetIn admitted;
+  AdmissionRamp admitted;
   // A front whose drift can break a rule takes no requests: each is rejected at once.
   void ApplyAdmission() {
     if (may_serve)
-      dependencies.exchange->SetAdmissionRamp(admitted.by_request_class, admitted.come_back);
+      dependencies.exchange->SetAdmissionRamp(admitted.share_by_class, admitted.retry_after);
     else
       dependencies.exchange->SetAdmissionRamp(
           std::vector<double>(configuration.settings.request_classes.size(), 0.0),
-          std::max(admitted.come_back, configuration.rules.policy.repair_within));
+          std::max(admitted.retry_after, configuration.rules.policy.repair_within));
   }
   std::uint64_t overload_count =
       0;  // of the caches: full responses and time-outs, as counted at the last update
@@ -57,7 +57,7 @@
     return configuration.peers.self;
   }
   drift::Form ActiveConfiguration() const {
-    StoreSettings settings =
+    DeploymentSettings settings =
         dependencies.generations ? dependencies.generations->settings() : configuration.settings;
     return drift::ActiveConfiguration(settings, configuration.connection_settings,
                                       configuration.fleet, configuration.owner, DUNLINWICK_VERSION);
@@ -190,7 +190,7 @@
     // ramping up, say nothing about the rules. If they counted, the repair that corrects the front
     // would be taken for the cause, and repairs would be stopped because of the front that they had
     // just corrected.
-    if (!may_serve || !admitted.by_request_class.empty()) {
+    if (!may_serve || !admitted.share_by_class.empty()) {
       window.begins_at = loop.now() - kWindow;
       window.requests = counters.requests;
       window.abandoned = counters.failed;
@@ -259,7 +259,7 @@
     callbacks.apply = [&impl](const drift::Form& form) -> std::string {
       if (!impl.dependencies.generations)
         return "this front cannot change its settings while it serves";
-      StoreSettings settings = impl.dependencies.generations->settings();
+      DeploymentSettings settings = impl.dependencies.generations->settings();
       std::string why = ApplyConfiguration(form, impl.ActiveConfiguration(), settings);
       if (why.empty())
         impl.dependencies.apply_settings(settings);
@@ -361,8 +361,8 @@
     settings.policy.margin = configuration.owner.lease.margin;
     settings.policy.drift = configuration.owner.lease.drift;
     for (const RequestClass& request_class : configuration.settings.request_classes) {
-      settings.policy.payoff.push_back(request_class.payoff);
-      settings.policy.certain.push_back(request_class.never_kept);
+      settings.policy.payoff.push_back(request_class.priority_weight);
+      settings.policy.certain.push_back(request_class.uncacheable);
     }
     recovery::StoreSeen store = impl.CheckStore();
     impl.recovery =
--- a/src/front/layer.hpp
+++ b/src/front/layer.hpp
@@ -26,7 +26,7 @@
     exchange::Exchange* exchange = nullptr;
     generations::Generations* generations =
         nullptr;  // null: the settings cannot change while the front serves
-    std::function<void(const StoreSettings&)>
+    std::function<void(const DeploymentSettings&)>
         apply_settings;  // to a new generation, from the next event on
     OwnerComponent* owner = nullptr;
   };
--- a/src/front/parts.cpp
+++ b/src/front/parts.cpp
@@ -30,13 +30,13 @@
   RequestRouting routing;
   routing.generations =
       std::make_shared<generations::Generations>(configuration.settings, configuration.seed);
-  routing.pending_settings = std::make_shared<std::optional<StoreSettings>>();
+  routing.pending_settings = std::make_shared<std::optional<DeploymentSettings>>();
   routing.router = [generations = routing.generations, pending = routing.pending_settings](
                        Ms now, const Event& event) {
     std::vector<Action> actions;
-    if (std::optional<StoreSettings> settings = std::exchange(*pending, std::nullopt);
+    if (std::optional<DeploymentSettings> settings = std::exchange(*pending, std::nullopt);
         settings && generations->turn(now, *settings, actions) == 0)
-      actions.push_back(WriteLine{
+      actions.push_back(WriteLogLine{
           "rules: configuration not applied, the maximum number of generations is in use; "
           "the drift stays and is repaired later"});
     std::vector<Action> rest = generations->Handle(now, event);
@@ -81,7 +81,7 @@
     // Between two turns of the loop: the settings are stored as pending, and the next event (the
     // exchange's, sent only for this) makes the generations switch to them.
     dependencies.apply_settings =
-        [&exchange, pending = routing.pending_settings](const StoreSettings& settings) {
+        [&exchange, pending = routing.pending_settings](const DeploymentSettings& settings) {
           *pending = settings;
           exchange.ApplySettings(settings);
         };
--- a/src/front/parts.hpp
+++ b/src/front/parts.hpp
@@ -23,7 +23,8 @@
 struct RequestRouting {
   exchange::RequestRouter router;
   std::shared_ptr<generations::Generations> generations;
-  std::shared_ptr<std::optional<StoreSettings>> pending_settings;  // applied with the next event
+  std::shared_ptr<std::optional<DeploymentSettings>>
+      pending_settings;  // applied with the next event
 };
 RequestRouting MakeRequestRouting(const FrontConfiguration& configuration);
 // Null when the configuration asks for no component. Membership is among them when it runs over the
--- a/src/front/turning.cpp
+++ b/src/front/turning.cpp
@@ -27,15 +27,17 @@
                               : Effect::kExclusive;
   return text == "rerunnable" || text == "ticketed" || text == "exclusive";
 }
-bool Parse(const std::string& text, Span& into) {
-  into = text == "everywhere" ? Span::kEverywhere : text == "zone" ? Span::kZone : Span::kCell;
+bool Parse(const std::string& text, DeduplicationScope& into) {
+  into = text == "everywhere" ? DeduplicationScope::kEverywhere
+         : text == "zone"     ? DeduplicationScope::kZone
+                              : DeduplicationScope::kCell;
   return text == "everywhere" || text == "zone" || text == "cell";
 }
-bool Parse(const std::string& text, Weighing& into) {
-  static const std::map<std::string, Weighing> names{{"none", Weighing::kNone},
-                                                     {"nominal", Weighing::kNominal},
-                                                     {"rough", Weighing::kRough},
-                                                     {"live", Weighing::kLive}};
+bool Parse(const std::string& text, WeightSource& into) {
+  static const std::map<std::string, WeightSource> names{{"none", WeightSource::kNone},
+                                                         {"nominal", WeightSource::kNominal},
+                                                         {"rough", WeightSource::kRough},
+                                                         {"live", WeightSource::kLive}};
   auto at = names.find(text);
   if (at != names.end())
     into = at->second;
@@ -50,56 +52,56 @@
   };
 }
 void AddSlowStart(std::map<std::string, FieldSetter>& setters, const std::string& name,
-                  ColdTerms& c) {
-  setters["cold." + name + ".from"] = SetterOf(c.from);
-  setters["cold." + name + ".multiple"] = SetterOf(c.multiple);
-  setters["cold." + name + ".lasts"] = SetterOf(c.lasts);
+                  SlowStartSettings& c) {
+  setters["cold." + name + ".from"] = SetterOf(c.initial_weight);
+  setters["cold." + name + ".multiple"] = SetterOf(c.overload_factor);
+  setters["cold." + name + ".lasts"] = SetterOf(c.duration);
 }
 
-std::map<std::string, FieldSetter> FieldSetters(StoreSettings& settings) {
+std::map<std::string, FieldSetter> FieldSetters(DeploymentSettings& settings) {
   std::map<std::string, FieldSetter> setters;
   for (std::size_t i = 0; i < settings.request_classes.size(); ++i) {
     RequestClass& request_class = settings.request_classes[i];
     std::string prefix = "offerings." + std::to_string(i) + ".";
     setters[prefix + "effect"] = SetterOf(request_class.effect);
-    setters[prefix + "span"] = SetterOf(request_class.span);
-    setters[prefix + "memory"] = SetterOf(request_class.memory);
-    setters[prefix + "agreed"] = SetterOf(request_class.agreed);
-    setters[prefix + "agreed_stretch"] = SetterOf(request_class.agreed_stretch);
-    setters[prefix + "expiry"] = SetterOf(request_class.expiry);
-    setters[prefix + "payoff"] = SetterOf(request_class.payoff);
+    setters[prefix + "span"] = SetterOf(request_class.deduplication_scope);
+    setters[prefix + "memory"] = SetterOf(request_class.deduplication_window);
+    setters[prefix + "agreed"] = SetterOf(request_class.latency_objective);
+    setters[prefix + "agreed_stretch"] = SetterOf(request_class.latency_objective_stretch);
+    setters[prefix + "expiry"] = SetterOf(request_class.max_deadline);
+    setters[prefix + "payoff"] = SetterOf(request_class.priority_weight);
     // `streams` and `never_kept` hold for the life of the process: the exchange and the clients'
     // side use them too.
-    setters[prefix + "fresh_for"] = SetterOf(request_class.fresh_for);
+    setters[prefix + "fresh_for"] = SetterOf(request_class.freshness_lifetime);
   }
-  setters["permits.probe"] = SetterOf(settings.may.probe);
-  setters["permits.cancel"] = SetterOf(settings.may.cancel);
-  setters["permits.two_legs_at_once"] = SetterOf(settings.may.two_attempts_at_once);
-  setters["permits.join"] = SetterOf(settings.may.join);
-  setters["permits.direct"] = SetterOf(settings.may.direct);
-  AddSlowStart(setters, "store", settings.cold_store);
-  AddSlowStart(setters, "parent", settings.cold_parent);
-  setters["cold.window"] = SetterOf(settings.cold_window);
+  setters["permits.probe"] = SetterOf(settings.permissions.probe);
+  setters["permits.cancel"] = SetterOf(settings.permissions.cancel);
+  setters["permits.two_legs_at_once"] = SetterOf(settings.permissions.concurrent_attempts);
+  setters["permits.join"] = SetterOf(settings.permissions.coalesce);
+  setters["permits.direct"] = SetterOf(settings.permissions.direct_to_origin);
+  AddSlowStart(setters, "store", settings.cache_slow_start);
+  AddSlowStart(setters, "parent", settings.parent_slow_start);
+  setters["cold.window"] = SetterOf(settings.slow_start_window);
   setters["sheet.fronts"] = SetterOf(settings.fronts);
   setters["sheet.crew"] = SetterOf(settings.zone_replicas);
-  setters["sheet.weighing"] = SetterOf(settings.weighing);
-  setters["sheet.longest_retry_after"] = SetterOf(settings.longest_retry_after);
-  setters["sheet.most_legs"] = SetterOf(settings.most_attempts);
-  setters["sheet.places"] = SetterOf(settings.places);
-  setters["sheet.lateral"] = SetterOf(settings.lateral);
+  setters["sheet.weighing"] = SetterOf(settings.weight_source);
+  setters["sheet.longest_retry_after"] = SetterOf(settings.max_retry_after);
+  setters["sheet.most_legs"] = SetterOf(settings.max_attempts);
+  setters["sheet.places"] = SetterOf(settings.max_open_requests);
+  setters["sheet.lateral"] = SetterOf(settings.fills_from_siblings);
   setters["sheet.stream_kb_per_ms"] = SetterOf(settings.stream_kb_per_ms);
   setters["sheet.link_kb_per_ms"] = SetterOf(settings.link_kb_per_ms);
-  setters["sheet.link_report"] = SetterOf(settings.link_report);
-  setters["sheet.remarks"] = SetterOf(settings.remarks);
-  setters["sheet.purge_done"] = SetterOf(settings.purge_done);
+  setters["sheet.link_report"] = SetterOf(settings.link_report_index);
+  setters["sheet.remarks"] = SetterOf(settings.reports_cache_status);
+  setters["sheet.purge_done"] = SetterOf(settings.purge_completion_time);
   return setters;
 }
 
 }  // namespace
 
 std::string ApplyConfiguration(const drift::Form& approved, const drift::Form& active,
-                               StoreSettings& settings) {
-  StoreSettings next = settings;
+                               DeploymentSettings& settings) {
+  DeploymentSettings next = settings;
   auto setters = FieldSetters(next);
   for (const auto& [section, rows] : approved) {
     auto active_section = active.find(section);
--- a/src/record/replica.cpp
+++ b/src/record/replica.cpp
@@ -43,7 +43,7 @@
   log_.reset();
   storage_.reset();
   current_at_ = 0;
-  retry_.Failed(now);
+  retry_.RecordFailure(now);
   if (!std::exchange(is_failure_logged_, true))
     log_line_(line + "; it acknowledges nothing until its store can be read and written again");
 }
--- a/src/record/replica.hpp
+++ b/src/record/replica.hpp
@@ -82,7 +82,7 @@
   std::unique_ptr<Log> log_;
   std::unique_ptr<LogReplica> replica_;
   std::unique_ptr<SubscriptionServer> server_;
-  backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
+  backoff::Backoff retry_{backoff::kInitialStoreRetry, backoff::kMaxStoreRetry};
   bool is_failure_logged_ = false;
   LogMetadata metadata_at_opening_;
   std::uint64_t incarnation_ = 0;
--- a/src/store/lasting_floors.cpp
+++ b/src/store/lasting_floors.cpp
@@ -69,7 +69,7 @@
 void DurableMinimums::HandleFailure(Ms now, const std::string& reason) {
   storage_.reset();
   is_persisted_ = false;
-  retry_.Failed(now);
+  retry_.RecordFailure(now);
   if (!std::exchange(is_failure_logged_, true))
     log_line_("recovery minimums not persisted, retrying: " + reason);
 }
--- a/src/store/lasting_floors.hpp
+++ b/src/store/lasting_floors.hpp
@@ -43,7 +43,7 @@
   OpenStorage open_storage_;
   LogLine log_line_;
   std::unique_ptr<MinimumsStorage> storage_;
-  backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
+  backoff::Backoff retry_{backoff::kInitialStoreRetry, backoff::kMaxStoreRetry};
   PersistedMinimums persisted_;
   PersistedMinimums previously_stored_;  // what the storage held when it was opened after the start
   bool is_persisted_ = false;
--- a/tests/caches_test.cpp
+++ b/tests/caches_test.cpp
@@ -17,7 +17,7 @@
   caches::UpstreamConnectionPool caches;
   RecordingResponseSink client;
   explicit PoolFixture(const std::vector<exchange::ListedEndpoint>& list,
-                       const settings::RoadTerms& t = MakeConnectionSettings(),
+                       const settings::ConnectionSettings& t = MakeConnectionSettings(),
                        std::size_t most = 8)
       : exchange(loop, kit::Settings(), 1), caches(loop, exchange, t, most) {
     exchange.SetUpstreamTransport(caches);
@@ -30,7 +30,7 @@
   std::uint32_t number = 0;
   std::uint64_t Send(AttemptKey, const RequestMetadata&, const SendAttempt& how,
                      const std::vector<std::uint64_t>&) override {
-    number = how.cache;
+    number = how.endpoint;
     return 1;
   }
   void Cancel(AttemptKey, const RequestMetadata&, std::uint32_t) override {}
@@ -39,7 +39,7 @@
   }
   void Probe(std::uint32_t) override {}
   void UpdateEndpoint(const ListEntry& e, const std::string&, const loop::Address&) override {
-    number = e.cache;
+    number = e.id;
   }
   void RemoveEndpoint(std::uint32_t) override {}
   std::uint32_t NumberIn(PoolFixture& fixture, const std::vector<exchange::ListedEndpoint>& list) {
@@ -85,7 +85,7 @@
   EndpointNumberFinder find;
   std::uint32_t cache = find.NumberIn(fixture, MakeEndpointList({{"s-1", far.at}}));
   SendAttempt how;
-  how.cache = how.source = cache;
+  how.endpoint = how.source = cache;
   how.timeout = 60000;
   std::uint64_t first = fixture.caches.Send({1, 0}, MakeRequest(), how, {});
   std::uint64_t second =
@@ -190,7 +190,7 @@
 void DeadConnectionsAreClosed() {
   for (bool carries : {false, true}) {
     FarListener far;
-    settings::RoadTerms t = MakeConnectionSettings();
+    settings::ConnectionSettings t = MakeConnectionSettings();
     t.may_probe = true;
     PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}), t);
     std::vector<RecordingResponseSink> clients(3);
@@ -222,9 +222,9 @@
   AttemptKey key{1, 0};
   SendAttempt how;
   EndpointNumberFinder find;
-  how.cache = how.source = find.NumberIn(fixture, MakeEndpointList({{"s-1", far.at}}));
+  how.endpoint = how.source = find.NumberIn(fixture, MakeEndpointList({{"s-1", far.at}}));
   how.timeout = 60000;
-  how.proven = true;
+  how.requires_live_connection = true;
   for (int broken : {0, 2}) {
     fixture.caches.Send(key, MakeRequest(), how, {});
     for (int i = 0; i < broken; ++i) {
@@ -245,7 +245,7 @@
   fixture.caches.Send(key, MakeRequest(), how, {});
   Far peer = far.Next(fixture.loop);
   Until(fixture.loop, [&] { return peer.Hears("there call\r\n"); });
-  fixture.caches.Cancel(key, MakeRequest(), how.cache);
+  fixture.caches.Cancel(key, MakeRequest(), how.endpoint);
   peer.Send("call PONG - 0\r\n\r\n");
   for (int i = 0; i < 20; ++i)
     fixture.loop.turn(1);
@@ -341,10 +341,10 @@
   Far old = far.Next(fixture.loop);
   Until(fixture.loop, [&] { return old.Hears("want "); });
   auto fresh = MakeEndpointList({{"s-2", far.at}});
-  fresh[0].entry.standing = Standing::kDraining;  // does not take requests yet
+  fresh[0].entry.state = EndpointState::kDraining;  // does not take requests yet
   fixture.exchange.OnListUpdate(false, fresh);
   assert(!(old.Read(), old.over));
-  fresh[0].entry.standing = Standing::kReady;
+  fresh[0].entry.state = EndpointState::kReady;
   fresh[0].entry.weight = 1e-9;  // the home cache of no object
   fixture.exchange.OnListUpdate(false, fresh);
   Until(fixture.loop, [&] {
@@ -359,8 +359,8 @@
 
 void UpstreamConnectionsAreLimited() {
   FarListener far;
-  settings::RoadTerms one = MakeConnectionSettings();
-  one.attempts_at_once = 1;
+  settings::ConnectionSettings one = MakeConnectionSettings();
+  one.max_concurrent_attempts = 1;
   PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}), one, 2);
   std::vector<RecordingResponseSink> clients(3);
   for (int i = 0; i < 3; ++i)
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -16,7 +16,7 @@
   ExchangeFixture d;
   loop::Address at = FreeAddress();
   clients::HttpServer clients;
-  explicit ServerFixture(std::size_t most = 50, StoreSettings s = kit::Settings())
+  explicit ServerFixture(std::size_t most = 50, DeploymentSettings s = kit::Settings())
       : d(s),
         clients(d.loop, d.exchange, MakeConnectionSettings().request_classes, {false, true}, at,
                 most) {}
@@ -84,7 +84,7 @@
     assert(::connect(far.fd.Get(), reinterpret_cast<const sockaddr*>(&c.at), sizeof c.at) == 0);
     ::fcntl(far.fd.Get(), F_SETFL, O_NONBLOCK);
     far.Send(GetWithId(1));
-    c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), body);
+    c.Finish(c.attempt(0), MakeResponseHead(AttemptResult::kFinished), body);
     for (int i = 0; i < 3; ++i)
       c.d.loop.turn(0);
   }
@@ -100,13 +100,13 @@
     f.Send(std::string_view(&one, 1));
     c.d.loop.turn(0);
   }
-  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), "a\r\n\r\nb");
+  c.Finish(c.attempt(0), MakeResponseHead(AttemptResult::kFinished), "a\r\n\r\nb");
   c.WaitFor(f, "\r\n\r\na\r\n\r\nb");
   assert(f.Hears("HTTP/1.1 200 OK\r\n") && f.Hears("ETag: \"t1\"\r\n") &&
          f.Hears("Content-Length: 6\r\n"));
   f.got.clear();
   f.Send(Get("If-None-Match: \"t1\"\r\n"));  // the connection is kept
-  exchange::ResponseHead valid = MakeResponseHead(Ending::kFinished);
+  exchange::ResponseHead valid = MakeResponseHead(AttemptResult::kFinished);
   valid.not_modified = true;
   c.Finish(c.attempt(1), valid);
   c.WaitFor(f, "HTTP/1.1 304 Not Modified\r\nETag: \"t1\"\r\n\r\n");
@@ -133,13 +133,13 @@
   for (std::size_t i = 0; i < body.size(); ++i)
     body[i] = static_cast<char>(i * 7);
   f.Send(Get() + Get());  // the second waits until the first is written
-  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), body);
+  c.Finish(c.attempt(0), MakeResponseHead(AttemptResult::kFinished), body);
   Until(c.d.loop, [&] { return f.Read(1000).size() > 100000; });
   Until(c.d.loop, [&] {
     f.Read();
     return c.d.caches.sent.size() == 2;
   });
-  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "end");
+  c.Finish(c.attempt(1), MakeResponseHead(AttemptResult::kFinished), "end");
   c.WaitFor(f, "\r\n\r\nend");
   assert(f.got.find(body) != std::string::npos);
 }
@@ -195,7 +195,7 @@
     });
   }
   assert(c.d.exchange.counters.bad_requests == 28 && c.d.caches.sent.size() == 1);
-  c.Finish(key, MakeResponseHead(Ending::kFinished), "still here");
+  c.Finish(key, MakeResponseHead(AttemptResult::kFinished), "still here");
   c.WaitFor(good, "still here");
 }
 
@@ -279,7 +279,7 @@
     AttemptKey key = c.attempt(0);
     MidIteration now(c.d.loop, [&] {
       Disconnect(f, how);
-      c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
+      c.Finish(key, MakeResponseHead(AttemptResult::kFinished), "ok");
     });
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.caches.sent.size() == 1);
@@ -297,7 +297,7 @@
     MidIteration now(c.d.loop, [&] {
       f.Send(GetWithId(2));
       Disconnect(f, how);
-      c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
+      c.Finish(key, MakeResponseHead(AttemptResult::kFinished), "ok");
     });
     Until(c.d.loop, [&] { return c.clients.empty(); });
     assert(c.d.caches.sent.size() == 1);
@@ -311,7 +311,7 @@
   SlowClient slow(c);
   c.d.loop.Skip(20000);
   MidIteration now(c.d.loop, [&] { slow.far.Send(GetWithId(2)); });
-  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), MakeResponseHead(AttemptResult::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(!IsReset(slow.far) &&
          slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos);
@@ -345,7 +345,7 @@
   Far other = Far::To(c.at);
   c.attempt(1);
   Until(c.d.loop, [&] { return slow.HasAll(); });
-  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), MakeResponseHead(AttemptResult::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Hears("\r\n\r\nsecond"); });
 }
 
@@ -358,7 +358,7 @@
     all.back().Send(GetWithId(i));
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
-    c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "ok");
+    c.Finish(c.attempt(i), MakeResponseHead(AttemptResult::kFinished), "ok");
     for (int turns = 0; turns < 5; ++turns)
       c.d.loop.turn(0);
   }
@@ -448,7 +448,7 @@
       });
       c.d.loop.Skip(2000);  // though the client never closes
     }
-    c.Finish(key, MakeResponseHead(Ending::kFinished), "still here");
+    c.Finish(key, MakeResponseHead(AttemptResult::kFinished), "still here");
     c.WaitFor(good, "still here");
     good.fd.Reset();
     Until(c.d.loop, [&] { return c.clients.empty(); });
@@ -508,7 +508,7 @@
       return c.d.caches.sent.size() == all;
     });
     for (std::size_t i = 0; i < all; ++i)
-      c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "ok");
+      c.Finish(c.attempt(i), MakeResponseHead(AttemptResult::kFinished), "ok");
     for (Far& f : waits) {
       c.WaitFor(f, "\r\n\r\nok");
       assert(f.Hears("Connection: close\r\n"));
@@ -533,7 +533,7 @@
     c.clients.ContinueShutdown();
     return c.d.caches.sent.size() == 1;
   });
-  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished), "ok");
+  c.Finish(c.attempt(0), MakeResponseHead(AttemptResult::kFinished), "ok");
   c.WaitFor(f, "\r\n\r\nok");
   assert(f.Hears("Connection: close\r\n"));
   c.RunShutdown();
@@ -551,7 +551,7 @@
     slow.far.Send(GetWithId(2));
     c.clients.ContinueShutdown();
   });
-  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "second");
+  c.Finish(c.attempt(1), MakeResponseHead(AttemptResult::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
   assert(slow.far.got.find("\r\n\r\n" + slow.body + "HTTP/1.1 200") != std::string::npos &&
          slow.far.Hears("Connection: close\r\n"));
@@ -596,7 +596,7 @@
       c.clients.ContinueShutdown();
       c.d.loop.turn(0);
     }
-    c.Finish(c.attempt(i), MakeResponseHead(Ending::kFinished), "body" + std::to_string(i));
+    c.Finish(c.attempt(i), MakeResponseHead(AttemptResult::kFinished), "body" + std::to_string(i));
     c.WaitFor(f, "\r\n\r\nbody" + std::to_string(i));
     assert(f.Hears("Connection: close\r\n") == (i == 2));
   }
@@ -616,7 +616,7 @@
   f.Send(Get("", "/odd") + GetWithId(1));
   AttemptKey key = c.attempt(0);
   c.WaitFor(f, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-  c.Finish(key, MakeResponseHead(Ending::kFinished), "ok");
+  c.Finish(key, MakeResponseHead(AttemptResult::kFinished), "ok");
   c.WaitFor(f, "\r\n\r\nok");
   f.Send(Get("", "/odd"));
   c.WaitFor(f, "Connection: close\r\n\r\n");
@@ -644,7 +644,7 @@
   for (int turns = 0; turns < 5; ++turns)
     c.d.loop.turn(0);
   newcomer.Send(GetWithId(1));
-  c.Finish(c.attempt(1), MakeResponseHead(Ending::kFinished), "ok");
+  c.Finish(c.attempt(1), MakeResponseHead(AttemptResult::kFinished), "ok");
   c.WaitFor(newcomer, "\r\n\r\nok");
   next.Send(GetWithId(2));
   c.attempt(2);
@@ -720,7 +720,7 @@
   std::size_t which = 0;
   for (f.Send(request); sent_on(which); ++which, f.Send(request)) {
     assert(which < 200);
-    c.Finish(c.attempt(which), MakeResponseHead(Ending::kFinished), body);
+    c.Finish(c.attempt(which), MakeResponseHead(AttemptResult::kFinished), body);
   }
   for (int i = 0; i < 3; ++i) {
     c.clients.ContinueShutdown();
@@ -736,13 +736,13 @@
 }
 
 void AnAbortedStreamIsDetectable() {
-  StoreSettings s = kit::Settings();
+  DeploymentSettings s = kit::Settings();
   s.request_classes[0].streams = true;
   ServerFixture c(50, s);
   Far f = c.Connect();
   f.Send(Get());
   AttemptKey key = c.attempt(0);
-  c.d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(Ending::kFinished), 10);
+  c.d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(AttemptResult::kFinished), 10);
   c.d.exchange.OnAttemptResponseData(key, "half");
   c.d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
   Until(c.d.loop, [&] {
@@ -775,7 +775,7 @@
   for (int i = 0; i < 20; ++i)
     c.d.loop.turn(1);
   assert(c.d.caches.sent.size() == 4);
-  c.Finish(c.attempt(0), MakeResponseHead(Ending::kFinished));
+  c.Finish(c.attempt(0), MakeResponseHead(AttemptResult::kFinished));
   c.attempt(4);
 }
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -53,9 +53,9 @@
 // A retry that its deduplication window no longer covers when the connection is established is not
 // started; its client gets its response at once.
 void RetriesStayWithinTheDeduplicationWindow() {
-  StoreSettings s = SettingsWith(true, Effect::kIdempotentWithKey);
-  s.request_classes[kWrite].memory = 500;
-  s.request_classes[kWrite].expiry = 60000;
+  DeploymentSettings s = SettingsWith(true, Effect::kIdempotentWithKey);
+  s.request_classes[kWrite].deduplication_window = 500;
+  s.request_classes[kWrite].max_deadline = 60000;
   for (bool late : {false, true}) {
     FarListener one, other;
     PoolFixture fixture(MakeEndpointList({{"s-1", one.at}, {"s-2", other.at}}), s);
@@ -112,12 +112,12 @@
     QueuedAttemptFixture w(kConnecting, SettingsWith(false), parents);
     assert(w.fixture.exchange.counters.attempts == 1);
     auto s1 = MakeEndpointList({{"s-1", w.far.at}});
-    s1[0].entry.standing = Standing::kDraining;
+    s1[0].entry.state = EndpointState::kDraining;
     if (update == kDrained)
       w.fixture.exchange.OnListUpdate(false, s1);
     if (update == kSourceDrained) {
-      parents[0].entry.standing = Standing::kDraining;
-      parents[1].entry.standing = Standing::kDraining;
+      parents[0].entry.state = EndpointState::kDraining;
+      parents[1].entry.state = EndpointState::kDraining;
       w.fixture.exchange.OnListUpdate(false, parents);
     }
     if (update == kPurged)
@@ -219,8 +219,8 @@
 // of its request may still arrive there, so the request's next attempt uses another connection, and
 // the duplicate belongs to no request.
 void MovedAttemptsAreKeptApart() {
-  StoreSettings s = SettingsWith(true, Effect::kExclusive);
-  s.may.direct = false;
+  DeploymentSettings s = SettingsWith(true, Effect::kExclusive);
+  s.permissions.direct_to_origin = false;
   std::vector<exchange::ListedEndpoint> origin = MakeEndpointList({{"origin", {}}});
   QueuedAttemptFixture w(kLivenessCheck, s, origin, kWrite);
   w.peer.Reset();  // during the check: the attempt moves
@@ -260,8 +260,8 @@
 // use.
 void AConnectionShortageDoesNotBlameTheCache() {
   FarListener far;
-  settings::RoadTerms t = MakeConnectionSettings(20000);
-  t.attempts_at_once = 1;
+  settings::ConnectionSettings t = MakeConnectionSettings(20000);
+  t.max_concurrent_attempts = 1;
   PoolFixture fixture(MakeEndpointList({{"s-1", far.at}}), kit::Settings(), t, 1);
   RecordingResponseSink first;
   fixture.exchange.OnRequest(MakeNumberedRequest(0), first);
@@ -331,8 +331,8 @@
             left = true;
           }
           if (what >= 2) {
-            d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(Ending::kFinished), 0);
-            d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(Ending::kFinished));
+            d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(AttemptResult::kFinished), 0);
+            d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(AttemptResult::kFinished));
           }
           assert(client.notified.size() <= 1 && (!left || client.notified.size() == notified));
         }
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -109,7 +109,7 @@
   t.EventsIn(kWaits);
   t.front.Act([&] {
     t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key,
-                                          MakeResponseHead(Ending::kFinished));
+                                          MakeResponseHead(AttemptResult::kFinished));
   });
   t.EventsIn(10);
   assert(t.caches.sent.size() == 4);
@@ -132,7 +132,7 @@
   t.front.Act([&] {
     t.exchange->OnAttemptResponseData(t.caches.sent[0].key, std::string(kMuch, 'x'));
     t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key,
-                                          MakeResponseHead(Ending::kFinished));
+                                          MakeResponseHead(AttemptResult::kFinished));
   });
   t.peers.Act([&] { t.all[0]->connection->ReadUpTo(0); });
   t.EventsIn(kWaits);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -11,12 +11,13 @@
 
 void EveryRequestGetsOneResponse() {
   struct Case {
-    Ending ending;
+    AttemptResult ending;
     std::vector<std::string> notified;
     std::size_t attempts;
   };
-  for (const Case& c :
-       {Case{Ending::kFinished, {"200 t1"}, 1}, {Ending::kError, {}, 2}, {Ending::kFull, {}, 2}}) {
+  for (const Case& c : {Case{AttemptResult::kFinished, {"200 t1"}, 1},
+                        {AttemptResult::kError, {}, 2},
+                        {AttemptResult::kOverloaded, {}, 2}}) {
     ExchangeFixture d;
     RecordingResponseSink client;
     d.exchange.OnRequest(MakeRequest(), client);
@@ -29,7 +30,7 @@
     assert(client.Is(c.notified) && d.caches.sent.size() == c.attempts);
     assert(c.notified.empty() || client.body == "a\rb");
     d.exchange.OnAttemptResponseComplete(
-        key, MakeResponseHead(Ending::kFinished));  // late, or a duplicate
+        key, MakeResponseHead(AttemptResult::kFinished));  // late, or a duplicate
     d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
     assert(client.Is(c.notified) &&
            d.exchange.OpenRequestCount() == (c.notified.empty() ? 1u : 0u));
@@ -78,7 +79,7 @@
       a.request_class_index = 1;
     }
     d.exchange.OnRequest(a, client);
-    exchange::ResponseHead word = MakeResponseHead(Ending::kFinished);
+    exchange::ResponseHead word = MakeResponseHead(AttemptResult::kFinished);
     word.not_modified = c.valid;
     word.entity_tag = c.tag;
     word.has_issue_time = c.dated;
@@ -94,7 +95,8 @@
   std::uint32_t request = d.exchange.OnRequest(MakeRequest(), client);
   d.exchange.OnClientDisconnected(request);
   assert(d.caches.cancelled.size() == 1 && d.exchange.OpenRequestCount() == 0);
-  d.exchange.OnAttemptResponseComplete(d.caches.sent[0].key, MakeResponseHead(Ending::kFinished));
+  d.exchange.OnAttemptResponseComplete(d.caches.sent[0].key,
+                                       MakeResponseHead(AttemptResult::kFinished));
   assert(client.notified.empty());
 }
 
@@ -110,18 +112,18 @@
 }
 
 void StreamsAreForwardedAsTheyArrive() {
-  StoreSettings s = kit::Settings();
+  DeploymentSettings s = kit::Settings();
   s.request_classes[0].streams = true;
   for (int end = 0; end < 3; ++end) {
     ExchangeFixture d(s);
     RecordingResponseSink client;
     std::uint32_t request = d.exchange.OnRequest(MakeRequest(), client);
     AttemptKey key = d.caches.sent[0].key;
-    d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(Ending::kFinished), 4);
+    d.exchange.OnAttemptResponseStarted(key, MakeResponseHead(AttemptResult::kFinished), 4);
     d.exchange.OnAttemptResponseData(key, "ab");
     assert(client.Is({"begun t1"}) && client.body == "ab");
     if (end == 0)
-      d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(Ending::kFinished));
+      d.exchange.OnAttemptResponseComplete(key, MakeResponseHead(AttemptResult::kFinished));
     if (end == 1)
       d.exchange.OnAttemptDisconnected(key, loop::DisconnectReason::kReset, true);
     if (end == 2)
@@ -139,7 +141,7 @@
     ExchangeFixture d(kit::Settings(), 2);
     auto two = MakeEndpointList({{"s-0", {}}, {"s-1", {}}});
     if (notified)
-      two[1].entry.standing = Standing::kGone;
+      two[1].entry.state = EndpointState::kRemoved;
     else
       two.pop_back();
     d.exchange.OnListUpdate(!notified, two);
@@ -193,13 +195,13 @@
 }
 
 void ListAll(ExchangeFixture& d, const std::vector<std::string>& names,
-             Standing standing = Standing::kReady) {
+             EndpointState standing = EndpointState::kReady) {
   std::vector<std::pair<std::string, loop::Address>> all;
   for (const std::string& name : names)
     all.push_back({name, {}});
   auto entries = MakeEndpointList(all);
   for (exchange::ListedEndpoint& one : entries)
-    one.entry.standing = standing;
+    one.entry.state = standing;
   d.exchange.OnListUpdate(false, entries);
 }
 
@@ -241,14 +243,14 @@
   ExchangeFixture d;
   ListAll(d, {first, second});
   assert(d.caches.numbers[first] == number && d.caches.numbers[second] == number + 1);
-  ListAll(d, {first}, Standing::kGone);
-  ListAll(d, {second}, Standing::kGone);
+  ListAll(d, {first}, EndpointState::kRemoved);
+  ListAll(d, {second}, EndpointState::kRemoved);
   ListAll(d, {second});  // it is listed again before it is forgotten
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});
   assert(d.caches.removed == std::vector<std::uint32_t>{number} &&
          d.caches.numbers[second] == number + 1);
-  ListAll(d, {second}, Standing::kGone);
+  ListAll(d, {second}, EndpointState::kRemoved);
   d.loop.Skip(kLongAfter);
   ListAll(d, {second});  // forgotten and added in one call
   assert(d.caches.removed.size() == 2 && d.caches.numbers[second] == number);
--- a/tests/sides.hpp
+++ b/tests/sides.hpp
@@ -14,7 +14,7 @@
 
 inline const std::string kId = "9b1f03aa5c7e2d41";
 
-inline settings::RoadTerms MakeConnectionSettings(Ms within = 400, Ms idle = 30000) {
+inline settings::ConnectionSettings MakeConnectionSettings(Ms within = 400, Ms idle = 30000) {
   return {
       {"video", "write"}, {"hub", "e-1"}, {"box", "parent", "origin"}, {"util"}, within, idle, 100};
 }
@@ -92,7 +92,7 @@
   std::map<std::string, std::uint32_t> numbers;  // of all endpoints ever listed, by id
   void UpdateEndpoint(const ListEntry& entry, const std::string& id,
                       const loop::Address&) override {
-    numbers[id] = entry.cache;
+    numbers[id] = entry.id;
   }
   std::vector<std::uint32_t> removed;
   void RemoveEndpoint(std::uint32_t cache) override {
@@ -100,7 +100,8 @@
   }
 };
 
-inline exchange::ResponseHead MakeResponseHead(Ending ending, Remark remark = Remark::kNone) {
+inline exchange::ResponseHead MakeResponseHead(AttemptResult ending,
+                                               CacheStatus remark = CacheStatus::kNone) {
   exchange::ResponseHead w;
   w.result = ending;
   w.cache_status = remark;
@@ -121,7 +122,7 @@
   loop::Loop loop;
   exchange::Exchange exchange;
   RecordingTransport caches;
-  explicit ExchangeFixture(StoreSettings s = kit::Settings(), int stores = 4)
+  explicit ExchangeFixture(DeploymentSettings s = kit::Settings(), int stores = 4)
       : exchange(loop, s, 1) {
     exchange.SetUpstreamTransport(caches);
     std::vector<std::pair<std::string, loop::Address>> all{{"origin", {}}};
--- a/tests/upstream_fixture.hpp
+++ b/tests/upstream_fixture.hpp
@@ -15,8 +15,8 @@
   exchange::Exchange exchange;
   caches::UpstreamConnectionPool caches;
   explicit PoolFixture(const std::vector<exchange::ListedEndpoint>& list,
-                       const StoreSettings& s = kit::Settings(),
-                       const settings::RoadTerms& t = MakeConnectionSettings(20000),
+                       const DeploymentSettings& s = kit::Settings(),
+                       const settings::ConnectionSettings& t = MakeConnectionSettings(20000),
                        std::size_t most = 8)
       : exchange(loop, s, 1), caches(loop, exchange, t, most) {
     exchange.SetUpstreamTransport(caches);
@@ -28,9 +28,9 @@
   }
 };
 
-inline StoreSettings SettingsWith(bool cancel, Effect effect = Effect::kIdempotent) {
-  StoreSettings s = kit::Settings();
-  s.may.cancel = cancel;
+inline DeploymentSettings SettingsWith(bool cancel, Effect effect = Effect::kIdempotent) {
+  DeploymentSettings s = kit::Settings();
+  s.permissions.cancel = cancel;
   s.request_classes[kWrite].effect = effect;
   return s;
 }
@@ -70,7 +70,7 @@
   WaitReason wait;
   int asked = 1;
 
-  QueuedAttemptFixture(WaitReason reason, StoreSettings s,
+  QueuedAttemptFixture(WaitReason reason, DeploymentSettings s,
                        std::vector<exchange::ListedEndpoint> more = {}, int request_class = kVideo)
       : fixture(ListOf(far, more), s), wait(reason) {
     if (reason == kWriteBuffer)
