--- a/bench/steady.cpp
+++ b/bench/steady.cpp
@@ -28,7 +28,7 @@
         static_cast<unsigned>(todo % 97), todo % 7, static_cast<unsigned>(todo));
     connection.Send(text);
   }
-  void Came() override {
+  void OnBytesReceived() override {
     std::string_view bytes = connection.in.bytes();
     std::size_t end = bytes.find("\r\n\r\n"), at = bytes.find("Content-Length: ");
     if (end == bytes.npos || at == bytes.npos)
@@ -40,7 +40,7 @@
     connection.in.Consume(end + 4 + length);
     Next();
   }
-  void Ended(DisconnectReason) override {
+  void OnDisconnected(DisconnectReason) override {
     --busy;
   }
   Loop& loop;
@@ -71,7 +71,7 @@
     all.push_back(std::make_unique<Client>(loop, *at, left, busy));
   Ms end = loop.now() + 300000;
   while (busy > 0 && loop.now() < end)
-    loop.turn(100);
+    loop.RunOnce(100);
   std::printf("%d of %d pulls answered with 200\n", Client::answered, requests);
   return Client::answered == requests ? 0 : 1;
 }
--- a/examples/toy.cpp
+++ b/examples/toy.cpp
@@ -33,10 +33,10 @@
         kept(names),
         connection(l, *this, std::move(fd)) {}
 
-  void Ended(DisconnectReason) override {
+  void OnDisconnected(DisconnectReason) override {
     connection.Close();
   }
-  void Came() override {
+  void OnBytesReceived() override {
     for (;;) {
       std::string_view bytes = connection.in.bytes();
       std::size_t end = bytes.find('\n');
@@ -77,10 +77,10 @@
                     "\r\n" + bytes + "\r\n");
   }
   void TellNumber(const std::string& number) {
-    if (connection.IsOver())
+    if (connection.IsEnded())
       return;
     connection.Send(number + "\n");
-    loop.at(loop.now() + 1000, [this, number] { TellNumber(number); });
+    loop.RunAt(loop.now() + 1000, [this, number] { TellNumber(number); });
   }
 };
 
--- a/src/board/board.cpp
+++ b/src/board/board.cpp
@@ -65,7 +65,7 @@
   at_ = at;
   if (connection_) {
     connection_->Close();
-    loop_.Bury(std::move(connection_));
+    loop_.DeferDelete(std::move(connection_));
     connection_ = nullptr;
   }
   for (const Notice& notice : *all)
@@ -85,7 +85,7 @@
   asked_at_ = loop_.now();
   ++exchange_.counters.discovery_connections;
   connection_ = std::make_shared<loop::Connection>(loop_, *this, at_, terms_.connect_within);
-  connection_->ReadUpTo(kLongest);
+  connection_->SetReadLimit(kLongest);
   connection_->Send("watch " + std::to_string(last_) + "\n");
   Heard();
 }
@@ -94,7 +94,7 @@
 // connection if it was only late, and what is told there binds whether it arrived or not.
 void Discovery::Heard() {
   loop_.Cancel(timer_);
-  timer_ = loop_.at(loop_.now() + silence_, [this] { WasSilent(); });
+  timer_ = loop_.RunAt(loop_.now() + silence_, [this] { WasSilent(); });
 }
 
 // Where a line was under way, the next connection has twice as long for it, so that a long list on
@@ -105,16 +105,16 @@
   if (!connection_)
     return;
   silence_ = connection_->in.size() > 0 ? std::min(2 * silence_, kNotified) : kSilence;
-  connection_->EndAs(DisconnectReason::kSilent);
+  connection_->Disconnect(DisconnectReason::kReceiveTimeout);
 }
 
-void Discovery::Came() {
+void Discovery::OnBytesReceived() {
   for (;;) {
     std::string_view bytes = connection_->in.bytes();
     std::size_t end = bytes.find('\n');
     // Whether its end has come or not: else it would hang on how the bytes were cut.
     if (std::min(end, bytes.size()) >= kLongest)
-      return connection_->EndAs(DisconnectReason::kMalformed);
+      return connection_->Disconnect(DisconnectReason::kMalformed);
     if (end == bytes.npos)
       return;
     std::string line(bytes.substr(0, end));
@@ -122,7 +122,7 @@
     if (!line.empty() && line.back() == '\r')
       line.pop_back();
     if (!TakeLine(line))
-      return connection_->EndAs(DisconnectReason::kMalformed);
+      return connection_->Disconnect(DisconnectReason::kMalformed);
     // Silence counts from a whole line. Counted from any byte, half a line that drips in keeps a
     // dead watch for ever.
     silence_ = kSilence;
@@ -165,17 +165,17 @@
     exchange_.PurgeCame(n.whole_group, n.object, n.group, n.at, up_to_date_at);
 }
 
-void Discovery::Ended(DisconnectReason how) {
+void Discovery::OnDisconnected(DisconnectReason how) {
   if (how == DisconnectReason::kMalformed)
     ++exchange_.counters.bad_watch_events;
   if (pause_ == 0)  // the first in a row
     log::Say("notice board: connection %s after event %llu", loop::ToString(how),
              static_cast<unsigned long long>(last_));
-  loop_.Bury(std::move(connection_));
+  loop_.DeferDelete(std::move(connection_));
   connection_ = nullptr;
   loop_.Cancel(timer_);
   pause_ = std::clamp(2 * pause_, kFirstPause, kLongestPause);
-  timer_ = loop_.at(loop_.now() + pause_, [this] { Follow(); });
+  timer_ = loop_.RunAt(loop_.now() + pause_, [this] { Follow(); });
 }
 
 }  // namespace dunlinwick::discovery
--- a/src/board/board.hpp
+++ b/src/board/board.hpp
@@ -23,8 +23,8 @@
   }
 
  private:
-  void Came() override;
-  void Ended(loop::DisconnectReason how) override;
+  void OnBytesReceived() override;
+  void OnDisconnected(loop::DisconnectReason how) override;
   std::optional<std::vector<Notice>> ReadKnown(const json::Value& known, std::uint64_t& last) const;
   bool TakeLine(std::string_view line);
   void Pass(const Notice& notice, std::optional<Ms> up_to_date_at);
--- a/src/caches/caches.cpp
+++ b/src/caches/caches.cpp
@@ -56,8 +56,8 @@
   // The peer closes what has been idle for the stated time. A request could cross that close and be
   // taken for one that may have run; so it is not used in the last tenth of that time.
   bool Fit(const std::string& id) const {
-    return !connection_.IsOver() && !connection_.PeerDone() && !stale_ && !Mute() && !Dripping() &&
-           open_.count(id) == 0 &&
+    return !connection_.IsEnded() && !connection_.HasPeerClosed() && !stale_ && !Mute() &&
+           !Dripping() && open_.count(id) == 0 &&
            open_.size() < static_cast<std::size_t>(all_.terms_.attempts_at_once) &&
            (!Idle() || all_.loop_.now() - used_at_ < 0.9 * all_.terms_.idle_for);
   }
@@ -84,14 +84,14 @@
     used_at_ = now;
     // No time is stated for a probe; what a connection is given to come up does for a small answer
     // too.
-    all_.loop_.at(now + all_.terms_.connect_within,
-                  [&all = all_, cache = cache_, number = number_, id] {
-                    auto m = all.machines_.find(cache);
-                    if (m == all.machines_.end())
-                      return;
-                    if (auto at = m->second.lines.find(number); at != m->second.lines.end())
-                      at->second->ProbeOverdue(id);
-                  });
+    all_.loop_.RunAt(now + all_.terms_.connect_within,
+                     [&all = all_, cache = cache_, number = number_, id] {
+                       auto m = all.machines_.find(cache);
+                       if (m == all.machines_.end())
+                         return;
+                       if (auto at = m->second.lines.find(number); at != m->second.lines.end())
+                         at->second->ProbeOverdue(id);
+                     });
   }
 
   bool Has(AttemptKey key, const std::string& id) const {
@@ -112,7 +112,7 @@
   bool TakeBack(const std::string& id) {
     auto at = open_.find(id);
     bool held = std::erase_if(held_, [&](const QueuedAttempt& one) { return one.id == id; }) > 0;
-    if (!held && !connection_.TakeBack(at->second.mark))
+    if (!held && !connection_.CancelSend(at->second.mark))
       return false;
     open_.erase(at);
     return true;
@@ -123,27 +123,27 @@
       all_.Drop(cache_, number_);
   }
   void end(DisconnectReason how) {
-    connection_.EndAs(how);
+    connection_.Disconnect(how);
   }
 
-  void Came() override {
+  void OnBytesReceived() override {
     heard_at_ = used_at_ = all_.loop_.now();
     carried_ = true;
     bytes_since_look_ += connection_.in.size() - unread_;
-    while (!connection_.IsOver() && ReadOne()) {
+    while (!connection_.IsEnded() && ReadOne()) {
     }
     unread_ = connection_.in.size();
     if (look_ == 0 && InPart())
       LookAgain(0);
   }
 
-  void Ended(DisconnectReason how) override {
+  void OnDisconnected(DisconnectReason how) override {
     exchange::Counters& counters = all_.exchange_.counters;
     counters.bad_lines += how == DisconnectReason::kMalformed;
     counters.stalled += how == DisconnectReason::kStalled;
-    counters.silent += how == DisconnectReason::kSilent;
+    counters.silent += how == DisconnectReason::kReceiveTimeout;
     if (how == DisconnectReason::kMalformed || how == DisconnectReason::kStalled ||
-        how == DisconnectReason::kSilent)
+        how == DisconnectReason::kReceiveTimeout)
       log::Say("%s: %s; its connection ends, %zu open", all_.machines_[cache_].id.c_str(),
                loop::ToString(how), open_.size());
     struct Lost {
@@ -152,7 +152,7 @@
     };
     std::vector<Lost> lost;
     for (auto& [id, open] : open_)
-      lost.push_back({open, open.mark != 0 && !connection_.Unsent(open.mark)});
+      lost.push_back({open, open.mark != 0 && !connection_.IsUnsent(open.mark)});
     // The one whose answer was being read is told first: the others only fell with it.
     if (Open* culprit = reading_ ? Theirs() : nullptr)
       std::stable_partition(lost.begin(), lost.end(),
@@ -161,8 +161,8 @@
     // never left.
     constexpr int kMost = 3;
     auto held = std::move(held_);
-    bool there = how != DisconnectReason::kRefused && how != DisconnectReason::kNeverUp &&
-                 how != DisconnectReason::kNoDescriptor && how != DisconnectReason::kReplaced;
+    bool there = how != DisconnectReason::kRefused && how != DisconnectReason::kConnectFailed &&
+                 how != DisconnectReason::kLocalShortage && how != DisconnectReason::kReplaced;
     std::erase_if(held, [&](const QueuedAttempt& one) { return !there || one.moves >= kMost; });
     std::erase_if(lost, [&](const Lost& one) {
       return std::any_of(held.begin(), held.end(), [&](const QueuedAttempt& h) {
@@ -210,20 +210,20 @@
   void LookAgain(int quiet) {
     constexpr Ms kLook =
         75;  // two are beyond a busy machine's standstills (40 ms); four, below an agreed time
-    look_ = all_.loop_.at(all_.loop_.now() + kLook, [this, quiet, heard = heard_at_] {
+    look_ = all_.loop_.RunAt(all_.loop_.now() + kLook, [this, quiet, heard = heard_at_] {
       look_ = 0;
-      if (connection_.IsOver() || (!InPart() && open_.empty()))
+      if (connection_.IsEnded() || (!InPart() && open_.empty()))
         return;
-      int now = heard == heard_at_ && connection_.DrainedOut() ? quiet + 1 : 0;
+      int now = heard == heard_at_ && connection_.IsSendQueueEmpty() ? quiet + 1 : 0;
       bool called = open_.count(kCallId) != 0;
       NoteDrip();
       if (Dripping() && !(reading_ && Theirs()))
-        return connection_.EndAs(DisconnectReason::kStalled);
+        return connection_.Disconnect(DisconnectReason::kStalled);
       if (now >= 2 && (InPart() || now >= 4)) {
         if (InPart())
-          return connection_.EndAs(DisconnectReason::kStalled);
+          return connection_.Disconnect(DisconnectReason::kStalled);
         if (called)
-          return connection_.EndAs(DisconnectReason::kSilent);
+          return connection_.Disconnect(DisconnectReason::kReceiveTimeout);
       }
       if (now >= 2 && !called && all_.terms_.may_probe && WaitedFor() >= 2 * kLook) {
         Call();
@@ -257,7 +257,7 @@
     // The answer and the peer's close came together: what waits goes over another connection, when
     // this one's end is told. Harm without: what may run once is written where nobody reads it, and
     // can't be asked again.
-    if (connection_.PeerDone())
+    if (connection_.HasPeerClosed())
       return;
     for (QueuedAttempt& one : std::exchange(held_, {}))
       if (open_.count(one.id) != 0)
@@ -325,12 +325,12 @@
       std::size_t end = bytes.substr(0, kLongestLine).find("\r\n");
       if (end == bytes.npos) {
         if (bytes.size() >= kLongestLine)
-          connection_.EndAs(DisconnectReason::kMalformed);
+          connection_.Disconnect(DisconnectReason::kMalformed);
         return false;
       }
       auto answer = ReadAnswer(bytes.substr(0, end), all_.terms_.reported);
       if (!answer) {
-        connection_.EndAs(DisconnectReason::kMalformed);
+        connection_.Disconnect(DisconnectReason::kMalformed);
         return false;
       }
       connection_.in.Consume(end + 2);
@@ -355,7 +355,7 @@
     if (bytes.size() < 2)
       return false;
     if (bytes.substr(0, 2) != "\r\n") {
-      connection_.EndAs(DisconnectReason::kMalformed);
+      connection_.Disconnect(DisconnectReason::kMalformed);
       return false;
     }
     connection_.in.Consume(2);
@@ -426,7 +426,7 @@
   auto at = lines.find(line);
   if (at == lines.end())
     return;
-  loop_.Bury(std::move(at->second));
+  loop_.DeferDelete(std::move(at->second));
   lines.erase(at);
   --count_;
 }
@@ -472,7 +472,7 @@
                            const std::vector<std::uint64_t>& avoid) {
   auto at = machines_.find(how.cache), source = machines_.find(how.source);
   if (at == machines_.end() || source == machines_.end()) {
-    exchange_.AttemptLost(key, DisconnectReason::kNoDescriptor, false);
+    exchange_.AttemptLost(key, DisconnectReason::kLocalShortage, false);
     return 0;
   }
   RequestLine request(ask, how, how.source == how.cache ? "" : source->second.id);
@@ -487,7 +487,7 @@
 
 // Told in a turn of its own, since it may come up within any call.
 void Caches::Lapse(AttemptKey key) {
-  loop_.at(loop_.now(), [this, key] { exchange_.Lapsed(key); });
+  loop_.RunAt(loop_.now(), [this, key] { exchange_.Lapsed(key); });
 }
 
 std::uint64_t Caches::place(QueuedAttempt attempt) {
@@ -499,7 +499,7 @@
     return line->number();
   }
   exchange_.AttemptLost(
-      attempt.key, none ? DisconnectReason::kReplaced : DisconnectReason::kNoDescriptor, false);
+      attempt.key, none ? DisconnectReason::kReplaced : DisconnectReason::kLocalShortage, false);
   return 0;
 }
 
@@ -575,7 +575,7 @@
       all.push_back(line);
   for (auto& line : all)
     line->Sweep(loop_.now());
-  sweep_ = loop_.at(loop_.now() + kOften, [this] { Sweep(); });
+  sweep_ = loop_.RunAt(loop_.now() + kOften, [this] { Sweep(); });
 }
 
 }  // namespace dunlinwick::caches
--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -79,7 +79,7 @@
 
   /// Ends it where it has been idle, half read, or not been taking its answer for too long.
   void Sweep(Ms now) {
-    if (open_ || connection_.IsOver())
+    if (open_ || connection_.IsEnded())
       return;
     if (half_closed_) {
       Close(CloseReason::kDrainOver);
@@ -87,13 +87,14 @@
     }
     if (Close(CloseReason::kAnswerNotTaken) || Close(CloseReason::kIdleTimeout))
       return;
-    if (connection_.DrainedOut() && connection_.in.size() > 0 && now - since_ >= kSlowestRequest)
+    if (connection_.IsSendQueueEmpty() && connection_.in.size() > 0 &&
+        now - since_ >= kSlowestRequest)
       RefuseHalfRequest(408);
   }
   /// In a stop: what is open gets its answer first, half a request its refusal, which is harmless
   /// to repeat.
   void Leave() {
-    if (connection_.IsOver())
+    if (connection_.IsEnded())
       return;
     if (half_closed_) {
       Close(CloseReason::kDrainOverInStop);
@@ -104,7 +105,7 @@
     // last.
     if (Close(CloseReason::kAnswerNotTakenInStop))
       return;
-    if (open_ || closing_ || !connection_.DrainedOut())
+    if (open_ || closing_ || !connection_.IsSendQueueEmpty())
       return;
     if (connection_.in.size() == 0)
       Close(CloseReason::kServerStops);
@@ -112,9 +113,9 @@
       RefuseHalfRequest(503);
   }
 
-  void Came() override {
+  void OnBytesReceived() override {
     NoteRead();
-    const bool is_held_back = open_ || !connection_.DrainedOut() || !waiting_.IsEmpty();
+    const bool is_held_back = open_ || !connection_.IsSendQueueEmpty() || !waiting_.IsEmpty();
     if (is_held_back && !closing_) {
       NoteWaiting();
       LimitOpenRequest();
@@ -123,14 +124,14 @@
     if (connection_.in.size() >= kMostHeld && !unread_since_)
       unread_since_ = all_.loop_.now();
   }
-  void Drained() override {
+  void OnDrained() override {
     since_ = all_.loop_.now();
     if (closing_)
       Close(CloseReason::kLastAnswerSent);
     else
       ReadOn();
   }
-  void Ended(DisconnectReason) override {
+  void OnDisconnected(DisconnectReason) override {
     if (open_)
       all_.exchange_.OnClientLeft(request_);
     else if (!closing_ && !last_empty_)
@@ -139,7 +140,7 @@
   }
 
   bool HasLeft() override {
-    if (connection_.IsOver())
+    if (connection_.IsEnded())
       return true;
     pollfd leaving{descriptor_, POLLRDHUP, 0};
     return all_.loop_.environment().Wait({&leaving, 1}, 0) > 0;
@@ -175,7 +176,7 @@
   // Fewer bytes than the head promised, then the end: the client can tell.
   void BrokeOff() override {
     open_ = false;
-    connection_.BePatient(false);
+    connection_.SetRarelyPolled(false);
     closing_ = true;
     since_ = all_.loop_.now();
     Close(CloseReason::kLastAnswerSent);
@@ -186,7 +187,7 @@
     const Ms now = all_.loop_.now();
     return {.request_open = open_,
             .bytes_unanswered = connection_.in.size() > 0,
-            .output_pending = !connection_.DrainedOut(),
+            .output_pending = !connection_.IsSendQueueEmpty(),
             .last_answer_said = closing_,
             .half_closed = half_closed_,
             .served = served_,
@@ -200,7 +201,7 @@
     if (std::exchange(half_closed_, true))
       return;
     since_ = all_.loop_.now();
-    connection_.SayNoMore();
+    connection_.ShutdownWrite();
     all_.Lingers(number_);
   }
   /// Ends it at once.
@@ -243,11 +244,11 @@
     constexpr std::size_t kChunk = 1 << 14;
     const std::size_t before = connection_.in.size();
     while (connection_.in.size() < kMostHeld) {
-      std::span<char> room = connection_.in.room(kChunk);
-      ssize_t got = all_.loop_.environment().receive(descriptor_, room.first(kChunk));
+      std::span<char> room = connection_.in.Prepare(kChunk);
+      ssize_t got = all_.loop_.environment().Receive(descriptor_, room.first(kChunk));
       if (got <= 0)
         break;  // an end or a fault shows in the next poll as well
-      connection_.in.Wrote(static_cast<std::size_t>(got));
+      connection_.in.Commit(static_cast<std::size_t>(got));
     }
     if (connection_.in.size() == before)
       return;
@@ -289,7 +290,7 @@
   }
   void Done() {
     open_ = false;
-    connection_.BePatient(false);
+    connection_.SetRarelyPolled(false);
     since_ = all_.loop_.now();
     if (!answer_keeps_)
       closing_ = true;
@@ -330,7 +331,7 @@
     reading_ = true;
     // One request at a time, and none while the last answer is still going out: that bounds what is
     // held.
-    while (!open_ && !closing_ && connection_.DrainedOut() && connection_.in.size() > 0 &&
+    while (!open_ && !closing_ && connection_.IsSendQueueEmpty() && connection_.in.size() > 0 &&
            ReadOne()) {
     }
     if (closing_)
@@ -386,7 +387,7 @@
       return Refuse(409);
     // Its client left with its last words: no answer is owed, and an attempt begun long after it
     // left breaks a rule.
-    if (connection_.PeerDone())
+    if (connection_.HasPeerClosed())
       return HalfClose();
     // What is taken late in a stop must have its answer before the process may be killed.
     const Ms waited = all_.loop_.now() - arrived_at;
@@ -395,7 +396,7 @@
       return answer(503, {}, {});
     open_ = true;
     wanted_until_ = all_.loop_.now() + ask.ttl;
-    connection_.BePatient(true);
+    connection_.SetRarelyPolled(true);
     std::uint32_t request = all_.exchange_.OnRequest(std::move(ask), *this);
     request_ = request;
   }
@@ -447,7 +448,8 @@
 
 // A timer set by a timer runs in the next turn, after its poll.
 void Clients::AfterNextPoll(std::function<void()> what) {
-  loop_.at(loop_.now(), [&loop = loop_, what = std::move(what)] { loop.at(loop.now(), what); });
+  loop_.RunAt(loop_.now(),
+              [&loop = loop_, what = std::move(what)] { loop.RunAt(loop.now(), what); });
 }
 
 void Clients::Taken(loop::Descriptor fd) {
@@ -473,7 +475,7 @@
   // Who was spared for now, since its request may be on its way, is asked again.
   if (room_timer_ != 0)
     return;
-  room_timer_ = loop_.at(loop_.now() + kNewcomerGrace, [this] {
+  room_timer_ = loop_.RunAt(loop_.now() + kNewcomerGrace, [this] {
     room_timer_ = 0;
     if (!making_room_)
       MakeRoom();
@@ -512,7 +514,7 @@
   auto at = open_.find(number);
   if (at == open_.end())
     return;
-  loop_.Bury(std::move(at->second));
+  loop_.DeferDelete(std::move(at->second));
   open_.erase(at);
   bool was_live = std::erase(lingering_, number) == 0;
   if (was_live && !leaving_ && !making_room_)
@@ -534,7 +536,7 @@
     else
       DropIdle();
   }
-  sweep_ = loop_.at(now + kSecond / 4, [this] { Sweep(); });
+  sweep_ = loop_.RunAt(now + kSecond / 4, [this] { Sweep(); });
 }
 
 void Clients::Leave() {
--- a/src/ctl/fleet.cpp
+++ b/src/ctl/fleet.cpp
@@ -110,7 +110,7 @@
     std::stable_sort(due.begin(), due.end(), [](auto& a, auto& b) { return a.first < b.first; });
   }
 
-  void Ready(short) override {
+  void OnReady(short) override {
     std::vector<char> buffer(kLargestFile + 1);
     loop::Address from{};
     ssize_t got = loop_->environment().ReceiveFrom(control.Get(), buffer, from);
@@ -198,7 +198,7 @@
           table(h, loop.now() - from);
           table_at = loop.now() + 1000;
         }
-        loop.turn(10);
+        loop.RunOnce(10);
       }
       h.Ask(0);
       h.Wait(2200);  // the last pulls come to their end
@@ -221,7 +221,7 @@
         std::puts(broken.empty() ? "all promises kept" : "promises broken");
       }
       code = broken.empty() ? 0 : 3;
-      loop.Forget(control.Get());
+      loop.Unwatch(control.Get());
     }
     if (!scratch.empty() && code == 0)
       fs::remove_all(scratch);
@@ -249,7 +249,7 @@
   loop.environment().SendTo(fd.Get(), what, ControlAt(port));
   constexpr Ms kWithin = 3000;
   std::vector<char> buffer(65536);
-  for (Ms end = loop.now() + kWithin; loop.now() < end; loop.turn(5)) {
+  for (Ms end = loop.now() + kWithin; loop.now() < end; loop.RunOnce(5)) {
     loop::Address from{};
     ssize_t got = loop.environment().ReceiveFrom(fd.Get(), buffer, from);
     if (got > 0)
--- a/src/ctl/record.cpp
+++ b/src/ctl/record.cpp
@@ -64,7 +64,7 @@
           proto::record::PutAnswer a;
           if (got <= 0 || !a.ParseFromArray(buffer.data(), static_cast<int>(got)) ||
               a.number() != batch.number()) {
-            loop.turn(5);
+            loop.RunOnce(5);
             continue;
           }
           last = a;
@@ -74,7 +74,7 @@
         }
       }
       for (double rest = loop.now() + 200; loop.now() < rest;)
-        loop.turn(20);
+        loop.RunOnce(20);
     }
     return last;
   }
--- a/src/drill/client_line.cpp
+++ b/src/drill/client_line.cpp
@@ -46,28 +46,28 @@
   if (o.never_kept)
     head += want_->thing;
   connection_.Send(std::move(head));
-  if (up_ && connection_.DrainedOut())
+  if (up_ && connection_.IsSendQueueEmpty())
     Written();
   else
-    timer_ = all_.loop_.at(sent_at_ + want_->ttl, [this] { GiveUp(); });
+    timer_ = all_.loop_.RunAt(sent_at_ + want_->ttl, [this] { GiveUp(); });
 }
 
-void Clients::Line::Drained() {
+void Clients::Line::OnDrained() {
   up_ = true;
   if (want_ && !asked_)
     Written();
 }
 
-void Clients::Line::Came() {
-  while (!connection_.IsOver() && ReadOne()) {
+void Clients::Line::OnBytesReceived() {
+  while (!connection_.IsEnded() && ReadOne()) {
   }
 }
 
-void Clients::Line::Ended(DisconnectReason how) {
+void Clients::Line::OnDisconnected(DisconnectReason how) {
   all_.loop_.Cancel(timer_);
   connection_.Close();
   auto self = shared_from_this();
-  all_.loop_.Bury(self);
+  all_.loop_.DeferDelete(self);
   all_.lines_.erase(number_);
   if (!want_)
     return;
@@ -77,7 +77,7 @@
   if (!asked_) {
     ++all_.takings_.refused;
     // A front that can't be reached is left alone once that has been noticed.
-    if (how == DisconnectReason::kRefused || how == DisconnectReason::kNeverUp) {
+    if (how == DisconnectReason::kRefused || how == DisconnectReason::kConnectFailed) {
       if (all_.failing_since_[at] == 0)
         all_.failing_since_[at] = now;
       if (now - all_.failing_since_[at] >= all_.terms_.notice)
@@ -105,7 +105,7 @@
 
 void Clients::Line::Shut() {
   connection_.Close();
-  all_.loop_.Bury(shared_from_this());
+  all_.loop_.DeferDelete(shared_from_this());
   all_.lines_.erase(number_);
 }
 
@@ -135,7 +135,7 @@
   bool leaves = world::Between(all_.random_engine_, 0, 1) < all_.terms_.impatient;
   if (leaves)
     until = now + want_->ttl * world::Between(all_.random_engine_, 0.02, 0.5);
-  timer_ = all_.loop_.at(until, [this, leaves] {
+  timer_ = all_.loop_.RunAt(until, [this, leaves] {
     if (leaves && want_) {
       tell(Deed::kLeft);
       ++all_.takings_.left;
--- a/src/drill/client_line.hpp
+++ b/src/drill/client_line.hpp
@@ -26,13 +26,13 @@
         front_(front),
         used_at_(all.loop_.now()),
         connection_(all.loop_, *this, all.fronts_[static_cast<std::size_t>(front)].at, 1000) {
-    connection_.ReadUpTo(1 << 18);
+    connection_.SetReadLimit(1 << 18);
   }
   ~Line() {
     all_.loop_.Cancel(timer_);
   }
   bool IdleFor(int front) const {
-    return front_ == front && !want_ && !connection_.IsOver() && up_;
+    return front_ == front && !want_ && !connection_.IsEnded() && up_;
   }
   bool IdleSince(Ms when) const {
     return !want_ && used_at_ < when;
@@ -43,9 +43,9 @@
 
   void Ask(std::shared_ptr<Want> want);
 
-  void Drained() override;
-  void Came() override;
-  void Ended(loop::DisconnectReason how) override;
+  void OnDrained() override;
+  void OnBytesReceived() override;
+  void OnDisconnected(loop::DisconnectReason how) override;
   void Shut();
 
  private:
--- a/src/drill/clients.cpp
+++ b/src/drill/clients.cpp
@@ -83,7 +83,7 @@
   Ms when = now + std::min(wait, 1000.0);
   if (when >= end_)
     return;
-  loop_.at(when, [this, request_class, none] {
+  loop_.RunAt(when, [this, request_class, none] {
     if (!none)
       Arrive(request_class);
     Schedule(request_class);
@@ -152,7 +152,7 @@
     if (part == 0)
       begin();
     else
-      loop_.at(when, begin);
+      loop_.RunAt(when, begin);
   }
 }
 
@@ -235,7 +235,7 @@
   Ms wait = terms_.wait;
   if (retry_after > 0 && world::Between(random_engine_, 0, 1) < terms_.honour)
     wait = std::max(wait, retry_after);
-  loop_.at(now + wait, [this, want] { Ask(want); });
+  loop_.RunAt(now + wait, [this, want] { Ask(want); });
 }
 
 }  // namespace dunlinwick::drill
--- a/src/drill/machine.cpp
+++ b/src/drill/machine.cpp
@@ -49,17 +49,17 @@
  public:
   Caller(MachineSpeaker& all, std::uint64_t number, loop::Descriptor fd)
       : all_(all), number_(number), connection_(all.loop_, *this, std::move(fd)) {
-    connection_.ReadUpTo(1 << 17);
+    connection_.SetReadLimit(1 << 17);
   }
 
-  void Came() override {
-    while (!connection_.IsOver() && ReadOne()) {
+  void OnBytesReceived() override {
+    while (!connection_.IsEnded() && ReadOne()) {
     }
   }
-  void Ended(DisconnectReason) override {
+  void OnDisconnected(DisconnectReason) override {
     connection_.Close();
     Drop();
-    all_.loop_.Bury(shared_from_this());
+    all_.loop_.DeferDelete(shared_from_this());
     all_.callers_.erase(number_);
   }
   void Drop() {
@@ -81,7 +81,7 @@
     std::size_t one = line.find(' '), two = line.find(' ', one + 1);
     std::string what = line.substr(0, one);
     if (one == line.npos) {
-      connection_.EndAs(DisconnectReason::kMalformed);
+      connection_.Disconnect(DisconnectReason::kMalformed);
       return false;
     }
     std::string id = line.substr(one + 1, two == line.npos ? two : two - one - 1);
@@ -113,7 +113,7 @@
       }
       connection_.Send(id + " PONG " + fields + " 0\r\n\r\n");
     } else {
-      connection_.EndAs(DisconnectReason::kMalformed);
+      connection_.Disconnect(DisconnectReason::kMalformed);
     }
     return true;
   }
@@ -157,7 +157,7 @@
   }
 
   void reply(const std::string& id, const world::Reply& r) {
-    if (open_.erase(id) == 0 || connection_.IsOver())
+    if (open_.erase(id) == 0 || connection_.IsEnded())
       return;
     static const char* const kWords[] = {"HIT", "VALID", "NONE", "SHED", "FAULT", "LATE"};
     static const char* const kPlain[] = {"hit", "valid", "none", "shed", "fault", "late"};
@@ -202,7 +202,7 @@
     std::string message = id + ' ' + text;
     if (random_engine < s.swallowed + s.broken_off) {
       connection_.Send(message.substr(0, message.size() / 2));
-      return connection_.SayNoMore();
+      return connection_.ShutdownWrite();
     }
     if (corrupted)
       message = "\x01\x02 noise " + message;
--- a/src/drill/noticeboard.cpp
+++ b/src/drill/noticeboard.cpp
@@ -11,7 +11,7 @@
  public:
   Watcher(DiscoverySpeaker& all, std::uint64_t number, loop::Descriptor fd)
       : all_(all), number_(number), connection_(all.loop_, *this, std::move(fd)) {}
-  void Came() override {
+  void OnBytesReceived() override {
     std::string_view bytes = connection_.in.bytes();
     std::size_t end = bytes.find('\n');
     if (end == bytes.npos)
@@ -21,13 +21,13 @@
     connection_.in.Consume(end + 1);
     TellAll();
   }
-  void Ended(DisconnectReason) override {
+  void OnDisconnected(DisconnectReason) override {
     connection_.Close();
-    all_.loop_.Bury(shared_from_this());
+    all_.loop_.DeferDelete(shared_from_this());
     all_.watchers_.erase(number_);
   }
   void TellAll() {
-    if (next_ == 0 || connection_.IsOver() || all_.loop_.now() < all_.silent_until_)
+    if (next_ == 0 || connection_.IsEnded() || all_.loop_.now() < all_.silent_until_)
       return;
     for (; next_ <= all_.Last(); ++next_) {
       if (next_ < all_.first_)
@@ -39,14 +39,14 @@
     }
   }
   void SayNumber() {
-    if (next_ == 0 || connection_.IsOver() || all_.loop_.now() < all_.silent_until_)
+    if (next_ == 0 || connection_.IsEnded() || all_.loop_.now() < all_.silent_until_)
       return;
     TellAll();
     connection_.Send(std::to_string(all_.Last()) + "\n");
   }
   void BreakOff() {
     connection_.Send("{\"rev\":" + std::to_string(all_.Last() + 1) + ",\"pool\":{\"serv");
-    connection_.SayNoMore();
+    connection_.ShutdownWrite();
     next_ = 0;
   }
 
@@ -77,7 +77,7 @@
   auto all = watchers_;
   for (auto& [number, watcher] : all)
     watcher->SayNumber();
-  timer_ = loop_.at(loop_.now() + 1000, [this] { SayNumber(); });
+  timer_ = loop_.RunAt(loop_.now() + 1000, [this] { SayNumber(); });
 }
 
 std::uint64_t DiscoverySpeaker::Publish(std::string json) {
--- a/src/drill/scene.cpp
+++ b/src/drill/scene.cpp
@@ -63,7 +63,7 @@
     process_.Act([this] { front_->Stop(); });
   }
   bool Ended() override {
-    return process_.loop().Stopped();
+    return process_.loop().IsStopped();
   }
 
  private:
@@ -193,11 +193,11 @@
     return loop_.now();
   }
   void at(Ms when, std::function<void()> what) override {
-    loop_.at(when, std::move(what));
+    loop_.RunAt(when, std::move(what));
   }
   void RunUntil(Ms time) override {
     while (loop_.now() < time)
-      loop_.turn(std::min(50.0, time - loop_.now()));
+      loop_.RunOnce(std::min(50.0, time - loop_.now()));
   }
   // A network of loopback's for each process that plays, so that two may play at once.
   loop::Address address(std::uint32_t host, std::uint16_t port) override {
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -13,16 +13,16 @@
 Ending EndingOf(DisconnectReason how, bool written_whole) {
   switch (how) {
     case DisconnectReason::kRefused:
-    case DisconnectReason::kNeverUp:
-    case DisconnectReason::kNoDescriptor:
+    case DisconnectReason::kConnectFailed:
+    case DisconnectReason::kLocalShortage:
       return Ending::kNoConnection;
     case DisconnectReason::kClosed:
     case DisconnectReason::kReset:
-    case DisconnectReason::kSilent:
+    case DisconnectReason::kReceiveTimeout:
     case DisconnectReason::kMalformed:
     case DisconnectReason::kStalled:
     case DisconnectReason::kReplaced:
-    case DisconnectReason::kLetGo:
+    case DisconnectReason::kReleased:
       // Half a line is no request: what was not written whole never ran. What was may have.
       return written_whole ? Ending::kBroken : Ending::kNoConnection;
   }
@@ -140,7 +140,7 @@
   how.timeout = a.timeout > 0 ? std::min(a.timeout, p->expires_at - now) : p->expires_at - now;
   if (how.timeout <= 0)
     return EndAttempt(key, Ending::kSuperseded);
-  p->attempts.back().timer = loop_.at(now + how.timeout, [this, key] {
+  p->attempts.back().timer = loop_.RunAt(now + how.timeout, [this, key] {
     if (!AttemptOut(key) || FindRequest(key.request)->streaming == key.attempt)
       return;
     caches_->GiveUp(key, FindRequest(key.request)->ask, AttemptOut(key)->cache);
@@ -148,7 +148,7 @@
   });
   // What is still not begun then is answered at once: waiting on can't help it.
   if (a.not_after > 0)
-    p->attempts.back().limit = loop_.at(std::max(now, a.not_after), [this, key] {
+    p->attempts.back().limit = loop_.RunAt(std::max(now, a.not_after), [this, key] {
       TakeBack(key.request, [&](const Attempt& one) { return &one == AttemptOut(key); });
     });
   std::uint64_t via = caches_->Send(key, p->ask, how, avoid);
@@ -183,7 +183,7 @@
 }
 
 void Exchange::Act(const WakeMe& a) {
-  loop_.at(a.at, [this, handle = a.handle] { Tell(WakeUp{handle}); });
+  loop_.RunAt(a.at, [this, handle = a.handle] { Tell(WakeUp{handle}); });
 }
 
 void Exchange::Act(const ProbeCache& a) {
@@ -359,7 +359,7 @@
     Close(key.request)->BrokeOff();
   }
   EndAttempt(key, EndingOf(how, written_whole), {}, fell_with,
-             how == DisconnectReason::kNoDescriptor);
+             how == DisconnectReason::kLocalShortage);
 }
 
 Ms Exchange::TimeLeft(AttemptKey key) {
--- a/src/exchange/exchange.hpp
+++ b/src/exchange/exchange.hpp
@@ -223,9 +223,9 @@
   void count(Ending ending);
   struct Known {
     std::uint32_t number = 0;
-    Ms gone_at = 0;       // 0: listed
-    WallTime started_at;  // as last listed; 0: never a late start
-    Notified notified;    // first, of that start
+    Ms gone_at = 0;              // 0: listed
+    WallTime started_at;         // as last listed; 0: never a late start
+    NotificationTimes notified;  // first, of that start
   };
   Known& NumberOf(const std::string& machine);
   void ForgetGone();
--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -84,7 +84,7 @@
   if (peers_)
     return;  // it asks wakeAt()
   loop_.Cancel(timer_);
-  timer_ = loop_.at(WakeAt(), [this] { Wake(); });
+  timer_ = loop_.RunAt(WakeAt(), [this] { Wake(); });
 }
 
 void Fleet::Wake() {
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -110,7 +110,7 @@
     return;
   log::Say("stopping: %zu pulls open", exchange_.OpenRequests());
   clients_.Wind();
-  loop_.at(loop_.now() + kClientsStillCome, [this] { LeaveWhenDone(); });
+  loop_.RunAt(loop_.now() + kClientsStillCome, [this] { LeaveWhenDone(); });
 }
 
 void Front::LeaveWhenDone() {
@@ -118,7 +118,7 @@
   clients_.Leave();
   if (clients_.empty())
     return loop_.Stop();
-  loop_.at(loop_.now() + kLook, [this] { LeaveWhenDone(); });
+  loop_.RunAt(loop_.now() + kLook, [this] { LeaveWhenDone(); });
 }
 
 std::string Front::counters() const {
@@ -157,7 +157,7 @@
   ~Signals() {
     for (int which : kCaught)
       ::signal(which, SIG_IGN);
-    loop_.Forget(from_.Get());
+    loop_.Unwatch(from_.Get());
   }
   void Reach(Front& front) {
     front_ = &front;
@@ -167,7 +167,7 @@
  private:
   static constexpr int kCaught[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP};
 
-  void Ready(short) override {
+  void OnReady(short) override {
     char byte = 0;
     bool again = false;
     while (::read(from_.Get(), &byte, 1) == 1)
--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -107,7 +107,7 @@
     inner_->membership->Tick(loop_.now());
   inner_->tick_at = loop_.now() + kEach;
   if (!inner_->peers)
-    inner_->timer = loop_.at(inner_->tick_at, [this] { Wake(); });
+    inner_->timer = loop_.RunAt(inner_->tick_at, [this] { Wake(); });
 }
 
 Ms Owner::WakeAt() const {
--- a/src/front/peers.cpp
+++ b/src/front/peers.cpp
@@ -83,7 +83,7 @@
     first = std::min(first, p->WakeAt());
   loop_.Cancel(timer_);
   if (first < 1e299)
-    timer_ = loop_.at(first, [this] { Wake(); });
+    timer_ = loop_.RunAt(first, [this] { Wake(); });
 }
 
 void Peers::Wake() {
--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -46,7 +46,7 @@
       61 * 60 * 1000;  // a step by an hour, as by a wrong time zone, and a minute
   if (fresh)
     return 0;
-  Ms given = OnOwnClock(written, kEarliest, now);
+  Ms given = ToLocalClock(written, kEarliest, now);
   return std::max(0.0, now - given - kMostClockError);
 }
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -81,7 +81,7 @@
 };
 
 Log& Standard() {
-  static Log one([] { return loop::MakeSystem().now(); });
+  static Log one([] { return loop::PosixEnvironment().now(); });
   return one;
 }
 
@@ -125,7 +125,7 @@
   while (!text.empty()) {
     // Writable, a pipe has room for PIPE_BUF bytes at least.
     pollfd standard_error{STDERR_FILENO, POLLOUT, 0};
-    int ready = loop::MakeSystem().Wait({&standard_error, 1}, 0);
+    int ready = loop::PosixEnvironment().Wait({&standard_error, 1}, 0);
     if (ready == -EINTR)
       continue;
     if (ready != 1 || (standard_error.revents & POLLOUT) == 0)
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -107,7 +107,7 @@
   WallTime started_at;  // 0: long ago
   /// When this front was first told of that start. None: the stamp is of this front's own clock, as
   /// on the bench.
-  std::optional<Notified> notified;
+  std::optional<NotificationTimes> notified;
 };
 struct ListNews {
   Listing listing = Listing::kChanges;
@@ -198,7 +198,7 @@
   /// `ago`.
   struct Stamped {
     WallTime stamp;
-    Notified notified;
+    NotificationTimes notified;
   };
   std::optional<Stamped> stamped;
 };
--- a/src/logic/purges.hpp
+++ b/src/logic/purges.hpp
@@ -40,9 +40,9 @@
     constexpr Ms kAnnouncingTakes = kSecond;
     if (!e.stamped)
       return now - e.ago;
-    const Notified& notified = e.stamped->notified;
+    const NotificationTimes& notified = e.stamped->notified;
     Ms earliest = notified.up_to_date_at.value_or(notified.at - f.purge_done) - kAnnouncingTakes;
-    return OnOwnClock(e.stamped->stamp, earliest, notified.at);
+    return ToLocalClock(e.stamped->stamp, earliest, notified.at);
   }
 
   Ms at(const Request& p) const {
--- a/src/logic/roster.hpp
+++ b/src/logic/roster.hpp
@@ -80,7 +80,7 @@
     if (!e.notified)
       return e.started_at.UnixMs();
     Ms earliest = e.notified->up_to_date_at ? *e.notified->up_to_date_at - kListingTakes : 0;
-    return OnOwnClock(e.started_at, earliest, e.notified->at);
+    return ToLocalClock(e.started_at, earliest, e.notified->at);
   }
 
   const ColdTerms* cold_terms(const Machine& m) const {
--- a/src/loop/buffer.hpp
+++ b/src/loop/buffer.hpp
@@ -1,5 +1,5 @@
-// The one buffer of a connection: bytes that came in and are not yet taken. Grows as needed, is
-// compacted in place, and gives back what a large message took.
+// The receive buffer of a connection: bytes that were received and are not yet consumed. It grows
+// as needed, is compacted in place, and frees the memory that a large message took.
 #pragma once
 #include <cstring>
 #include <span>
@@ -11,45 +11,45 @@
 class Buffer {
  public:
   std::string_view bytes() const {
-    return {store_.data() + from_, to_ - from_};
+    return {storage_.data() + begin_, end_ - begin_};
   }
   std::size_t size() const {
-    return to_ - from_;
+    return end_ - begin_;
   }
 
-  // Room for at least `n` bytes more; what is written there counts after wrote().
-  std::span<char> room(std::size_t n) {
-    if (store_.size() - to_ < n && from_ > 0) {
-      std::memmove(store_.data(), store_.data() + from_, size());
-      to_ -= from_;
-      from_ = 0;
+  // Writable space for at least `n` more bytes; bytes written there count after Commit().
+  std::span<char> Prepare(std::size_t n) {
+    if (storage_.size() - end_ < n && begin_ > 0) {
+      std::memmove(storage_.data(), storage_.data() + begin_, size());
+      end_ -= begin_;
+      begin_ = 0;
     }
-    if (store_.size() - to_ < n)
-      store_.resize(to_ + n);
-    return {store_.data() + to_, store_.size() - to_};
+    if (storage_.size() - end_ < n)
+      storage_.resize(end_ + n);
+    return {storage_.data() + end_, storage_.size() - end_};
   }
-  void Wrote(std::size_t n) {
-    to_ += n;
+  void Commit(std::size_t n) {
+    end_ += n;
   }
 
   void Consume(std::size_t n) {
-    from_ += n;
-    if (from_ < to_)
+    begin_ += n;
+    if (begin_ < end_)
       return;
-    from_ = to_ = 0;
-    constexpr std::size_t kSmall =
-        1 << 14;  // one read; 256 of these are 4 MB of the 32 that go with them
-    if (store_.size() > kSmall)
-      std::vector<char>().swap(store_);
+    begin_ = end_ = 0;
+    constexpr std::size_t kKeptCapacity =
+        1 << 14;  // one read; 256 buffers of this size take 4 MB, of the 32 MB allowed for them
+    if (storage_.size() > kKeptCapacity)
+      std::vector<char>().swap(storage_);
   }
   void Release() {
     *this = Buffer();
   }
 
  private:
-  std::vector<char> store_;
-  std::size_t from_ = 0;
-  std::size_t to_ = 0;
+  std::vector<char> storage_;
+  std::size_t begin_ = 0;
+  std::size_t end_ = 0;
 };
 
 }  // namespace dunlinwick::loop
--- a/src/loop/connection.cpp
+++ b/src/loop/connection.cpp
@@ -8,11 +8,12 @@
 
 namespace dunlinwick::loop {
 
-const char* ToString(DisconnectReason how) {
-  static const char* const kWords[] = {"refused",  "never up", "no descriptor", "closed",
-                                       "reset",    "silent",   "malformed",     "stalled",
-                                       "replaced", "let go"};
-  return kWords[static_cast<int>(how)];
+const char* ToString(DisconnectReason reason) {
+  static const char* const kTexts[] = {"refused",   "connect failed", "local resource shortage",
+                                       "closed",    "reset",          "receive timeout",
+                                       "malformed", "stalled",        "replaced",
+                                       "released"};
+  return kTexts[static_cast<int>(reason)];
 }
 
 std::optional<Address> ReadAddress(std::string_view text) {
@@ -21,22 +22,22 @@
     return std::nullopt;
   std::string host(text.substr(0, colon));
   std::string_view port = text.substr(colon + 1);
-  std::uint16_t number = 0;
-  auto [end, fault] = std::from_chars(port.data(), port.data() + port.size(), number);
-  Address a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(number);
-  if (fault != std::errc{} || end != port.data() + port.size() || number == 0)
+  std::uint16_t port_number = 0;
+  auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), port_number);
+  Address address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port_number);
+  if (error != std::errc{} || end != port.data() + port.size() || port_number == 0)
     return std::nullopt;
-  if (::inet_pton(AF_INET, host.c_str(), &a.sin_addr) != 1)
+  if (::inet_pton(AF_INET, host.c_str(), &address.sin_addr) != 1)
     return std::nullopt;
-  return a;
+  return address;
 }
 
 namespace {
 
-// Errors of connect(2) that this machine gives on its own: they tell nothing of the other side.
-// ETIMEDOUT and EHOSTUNREACH are the network's word on the other side.
+// Errors of connect(2) that have their cause on this host and tell nothing about the peer.
+// ETIMEDOUT and EHOSTUNREACH, in contrast, are reported by the network about the peer.
 bool IsLocalShortage(int error) {
   switch (error) {
     case EADDRNOTAVAIL:  // no local port left
@@ -44,9 +45,9 @@
     case EAGAIN:
     case ENOBUFS:
     case ENOMEM:
-    case ENETUNREACH:  // no route from here
+    case ENETUNREACH:  // no route from this host
     case ENETDOWN:
-    case EACCES:  // a rule of this machine
+    case EACCES:  // a firewall rule or policy of this host
     case EPERM:
       return true;
     default:
@@ -61,31 +62,31 @@
 }  // namespace
 
 Connection::Connection(Loop& loop, Owner& owner, Descriptor accepted)
-    : loop_(loop), owner_(owner), fd_(std::move(accepted)), up_(true) {
-  Rewatch();
+    : loop_(loop), owner_(owner), descriptor_(std::move(accepted)), connected_(true) {
+  UpdateWatch();
 }
 
-Connection::Connection(Loop& loop, Owner& owner, const Address& to, Ms within)
+Connection::Connection(Loop& loop, Owner& owner, const Address& to, Ms timeout)
     : loop_(loop), owner_(owner) {
-  fd_ = Descriptor(loop.environment(), loop.environment().OpenStream());
-  if (!fd_) {
-    EndAs(DisconnectReason::kNoDescriptor);
+  descriptor_ = Descriptor(loop.environment(), loop.environment().OpenStream());
+  if (!descriptor_) {
+    Disconnect(DisconnectReason::kLocalShortage);
     return;
   }
-  limit_ = loop_.at(loop_.now() + within, [this] { Finish(DisconnectReason::kNeverUp); });
-  int result = loop.environment().Connect(fd_.Get(), to);
+  timer_ = loop_.RunAt(loop_.now() + timeout, [this] { Finish(DisconnectReason::kConnectFailed); });
+  int result = loop.environment().Connect(descriptor_.Get(), to);
   if (result == 0)
-    up_ = true;
+    connected_ = true;
   else if (result == -ECONNREFUSED)
-    EndAs(DisconnectReason::kRefused);
+    Disconnect(DisconnectReason::kRefused);
   else if (IsLocalShortage(-result))
-    EndAs(DisconnectReason::kNoDescriptor);
-  // Interrupted, it proceeds as one in progress does.
+    Disconnect(DisconnectReason::kLocalShortage);
+  // After EINTR the connection attempt continues, as after EINPROGRESS.
   else if (result != -EINPROGRESS && result != -EINTR)
-    EndAs(DisconnectReason::kNeverUp);
-  if (up_)
-    loop_.Cancel(limit_);
-  Rewatch();
+    Disconnect(DisconnectReason::kConnectFailed);
+  if (connected_)
+    loop_.Cancel(timer_);
+  UpdateWatch();
 }
 
 Connection::~Connection() {
@@ -93,48 +94,48 @@
 }
 
 void Connection::Close() {
-  loop_.Cancel(limit_);
-  loop_.Cancel(report_);
+  loop_.Cancel(timer_);
+  loop_.Cancel(disconnect_timer_);
   loop_.Cancel(buffer_wait_timer_);
-  loop_.Forget(fd_.Get());
-  fd_.Reset();
-  over_ = true;
+  loop_.Unwatch(descriptor_.Get());
+  descriptor_.Reset();
+  ended_ = true;
 }
 
-void Connection::EndAs(DisconnectReason how) {
-  if (IsOver())
+void Connection::Disconnect(DisconnectReason reason) {
+  if (IsEnded())
     return;
-  loop_.Forget(fd_.Get());
-  report_ = loop_.at(loop_.now(), [this, how] { Finish(how); });
+  loop_.Unwatch(descriptor_.Get());
+  disconnect_timer_ = loop_.RunAt(loop_.now(), [this, reason] { Finish(reason); });
 }
 
-void Connection::Finish(DisconnectReason how) {
-  if (over_)
+void Connection::Finish(DisconnectReason reason) {
+  if (ended_)
     return;
   Close();
-  owner_.Ended(how);
+  owner_.OnDisconnected(reason);
 }
 
-void Connection::Rewatch() {
-  if (IsOver() || broken_ || buffer_wait_timer_ != 0)
+void Connection::UpdateWatch() {
+  if (IsEnded() || write_failed_ || buffer_wait_timer_ != 0)
     return;
-  // POLLRDHUP shows a peer that left while nothing is read from it.
+  // POLLRDHUP reports a peer that closes while nothing is read from it.
   short events = POLLRDHUP;
-  if (up_ && in.size() < most_)
+  if (connected_ && in.size() < read_limit_)
     events |= POLLIN;
-  if (!up_ || !out_.empty())
+  if (!connected_ || !send_queue_.empty())
     events |= POLLOUT;
-  loop_.WatchDescriptor(fd_.Get(), *this, events, patient_ && out_.empty());
+  loop_.WatchDescriptor(descriptor_.Get(), *this, events, rarely_polled_ && send_queue_.empty());
 }
 
-void Connection::BePatient(bool patient) {
-  patient_ = patient;
-  Rewatch();
+void Connection::SetRarelyPolled(bool rarely_polled) {
+  rarely_polled_ = rarely_polled;
+  UpdateWatch();
 }
 
-void Connection::ReadUpTo(std::size_t most) {
-  most_ = most;
-  Rewatch();
+void Connection::SetReadLimit(std::size_t limit) {
+  read_limit_ = limit;
+  UpdateWatch();
 }
 
 std::uint64_t Connection::Send(std::string message, bool more) {
@@ -146,42 +147,43 @@
 }
 
 std::uint64_t Connection::Enqueue(Message message, bool more) {
-  // Where messages wait already, the socket is full: what is sent now goes out after them.
-  bool waits = !out_.empty() && !held_;
-  message.mark = ++marks_;
-  out_.push_back(std::move(message));
-  held_ = more && !waits;
-  if (held_)
-    return marks_;
-  if (up_ && !IsOver() && !waits)
+  // If messages are queued already, the socket is full: this one is written after them.
+  bool is_queued = !send_queue_.empty() && !corked_;
+  message.sequence = ++last_sequence_;
+  send_queue_.push_back(std::move(message));
+  corked_ = more && !is_queued;
+  if (corked_)
+    return last_sequence_;
+  if (connected_ && !IsEnded() && !is_queued)
     Flush();
-  Rewatch();
-  return marks_;
+  UpdateWatch();
+  return last_sequence_;
 }
 
-bool Connection::Unsent(std::uint64_t mark) const {
-  // Marks only grow, so all from the first waiting one on are unsent.
-  return !out_.empty() && mark >= out_.front().mark;
+bool Connection::IsUnsent(std::uint64_t sequence) const {
+  // Sequence numbers only grow, so all from the first queued one on are unsent.
+  return !send_queue_.empty() && sequence >= send_queue_.front().sequence;
 }
 
-bool Connection::TakeBack(std::uint64_t mark) {
-  for (auto at = out_.begin(); at != out_.end(); ++at)
-    if (at->mark == mark && (at != out_.begin() || out_done_ == 0)) {
-      out_.erase(at);
+bool Connection::CancelSend(std::uint64_t sequence) {
+  for (auto message = send_queue_.begin(); message != send_queue_.end(); ++message)
+    if (message->sequence == sequence &&
+        (message != send_queue_.begin() || head_bytes_sent_ == 0)) {
+      send_queue_.erase(message);
       return true;
     }
   return false;
 }
 
-void Connection::SayNoMore() {
-  if (!over_ && !shut_)
-    loop_.environment().SayNoMore(fd_.Get());
-  shut_ = true;
+void Connection::ShutdownWrite() {
+  if (!ended_ && !write_shut_)
+    loop_.environment().ShutdownWrite(descriptor_.Get());
+  write_shut_ = true;
 }
 
-// False: the first message has no bytes, and is not to be written.
+// False: the first message yields no bytes and is not to be written.
 bool Connection::ComposeFirst() {
-  Message& first = out_.front();
+  Message& first = send_queue_.front();
   if (!first.compose)
     return true;
   std::optional<std::string> bytes = first.compose();
@@ -191,125 +193,127 @@
 }
 
 void Connection::Flush() {
-  while (!IsOver() && !broken_ && !out_.empty()) {
+  while (!IsEnded() && !write_failed_ && !send_queue_.empty()) {
     if (!ComposeFirst()) {
-      out_.pop_front();
+      send_queue_.pop_front();
       continue;
     }
-    iovec parts[16];
+    iovec buffers[16];
     int count = 0;
-    for (Message& m : out_) {
+    for (Message& m : send_queue_) {
       if (m.compose && count > 0)
-        break;  // its own moment is when everything before it is written
-      std::size_t skip = count == 0 ? out_done_ : 0;
-      parts[count++] = {m.bytes.data() + skip, m.bytes.size() - skip};
+        break;  // it is composed once everything before it is written
+      std::size_t skip = count == 0 ? head_bytes_sent_ : 0;
+      buffers[count++] = {m.bytes.data() + skip, m.bytes.size() - skip};
       if (count == 16)
         break;
     }
-    ssize_t put = loop_.environment().Send(fd_.Get(), {parts, static_cast<std::size_t>(count)});
-    if (put == -EINTR)
+    ssize_t written =
+        loop_.environment().Send(descriptor_.Get(), {buffers, static_cast<std::size_t>(count)});
+    if (written == -EINTR)
       continue;
-    if (put == -EAGAIN || put == -EWOULDBLOCK)
+    if (written == -EAGAIN || written == -EWOULDBLOCK)
       return;
-    if (IsOutOfBuffers(put))
+    if (IsOutOfBuffers(written))
       return WaitForBuffers();
-    if (put < 0)
-      return LastWords();
-    out_done_ += static_cast<std::size_t>(put);
-    if (put > 0)
-      out_.front().compose = nullptr;
-    while (!out_.empty() && !out_.front().compose && out_done_ >= out_.front().bytes.size()) {
-      out_done_ -= out_.front().bytes.size();
-      out_.pop_front();
+    if (written < 0)
+      return ReadRemaining();
+    head_bytes_sent_ += static_cast<std::size_t>(written);
+    if (written > 0)
+      send_queue_.front().compose = nullptr;
+    while (!send_queue_.empty() && !send_queue_.front().compose &&
+           head_bytes_sent_ >= send_queue_.front().bytes.size()) {
+      head_bytes_sent_ -= send_queue_.front().bytes.size();
+      send_queue_.pop_front();
     }
   }
 }
 
-// Nothing can be written any more, but what the other side said before it broke off still lies in
-// the system's buffers: it is read in the next turn, then the end is reported. Harm without: an
-// answer that had come counts as lost.
-void Connection::LastWords() {
-  broken_ = true;
-  peer_done_ = true;
-  loop_.Forget(fd_.Get());
-  limit_ = loop_.at(loop_.now(), [this] {
-    constexpr int kMost = 64;  // reads: 1 MB, beyond any answer
-    for (int i = 0; i < kMost && !IsOver() && in.size() < most_; ++i) {
-      std::span<char> room = in.room(1 << 14);
-      ssize_t got = loop_.environment().receive(fd_.Get(), room);
-      if (got == -EINTR)
+// After a failed write nothing more can be written, but bytes that the peer sent before may still
+// be in the kernel's receive buffer: they are read in the next iteration of the loop, then the end
+// is reported. Otherwise an answer that had arrived would count as lost.
+void Connection::ReadRemaining() {
+  write_failed_ = true;
+  peer_closed_ = true;
+  loop_.Unwatch(descriptor_.Get());
+  timer_ = loop_.RunAt(loop_.now(), [this] {
+    constexpr int kMaxReads = 64;  // reads: 1 MB, beyond any answer
+    for (int i = 0; i < kMaxReads && !IsEnded() && in.size() < read_limit_; ++i) {
+      std::span<char> space = in.Prepare(1 << 14);
+      ssize_t received = loop_.environment().Receive(descriptor_.Get(), space);
+      if (received == -EINTR)
         continue;
-      if (got <= 0)
+      if (received <= 0)
         break;
-      in.Wrote(static_cast<std::size_t>(got));
-      owner_.Came();
+      in.Commit(static_cast<std::size_t>(received));
+      owner_.OnBytesReceived();
     }
-    if (!IsOver())
+    if (!IsEnded())
       Finish(DisconnectReason::kReset);
   });
 }
 
-void Connection::Fetch() {
-  // One read a turn, so that a fast sender does not hold up the others.
+void Connection::ReadOnce() {
+  // One read per iteration, so that a fast sender does not delay the other connections.
   constexpr std::size_t kChunk = 1 << 14;
-  std::span<char> room = in.room(kChunk);
-  ssize_t got = loop_.environment().receive(fd_.Get(), room);
-  if (got > 0) {
-    has_read_all_ = static_cast<std::size_t>(got) < room.size();
-    in.Wrote(static_cast<std::size_t>(got));
-    owner_.Came();
-    Rewatch();
-  } else if (got == 0) {
+  std::span<char> space = in.Prepare(kChunk);
+  ssize_t received = loop_.environment().Receive(descriptor_.Get(), space);
+  if (received > 0) {
+    has_read_all_ = static_cast<std::size_t>(received) < space.size();
+    in.Commit(static_cast<std::size_t>(received));
+    owner_.OnBytesReceived();
+    UpdateWatch();
+  } else if (received == 0) {
     Finish(DisconnectReason::kClosed);
-  } else if (IsOutOfBuffers(got)) {
+  } else if (IsOutOfBuffers(received)) {
     WaitForBuffers();
-  } else if (got != -EAGAIN && got != -EWOULDBLOCK && got != -EINTR) {
+  } else if (received != -EAGAIN && received != -EWOULDBLOCK && received != -EINTR) {
     Finish(DisconnectReason::kReset);
   }
 }
 
 void Connection::WaitForBuffers() {
-  // Short beside any deadline, long beside a turn of the loop.
-  constexpr Ms kWait = 5;
-  if (IsOver() || buffer_wait_timer_ != 0)
+  // Short compared with any deadline, long compared with an iteration of the loop.
+  constexpr Ms kBufferWait = 5;
+  if (IsEnded() || buffer_wait_timer_ != 0)
     return;
-  loop_.Forget(fd_.Get());
-  buffer_wait_timer_ = loop_.at(loop_.now() + kWait, [this] {
+  loop_.Unwatch(descriptor_.Get());
+  buffer_wait_timer_ = loop_.RunAt(loop_.now() + kBufferWait, [this] {
     buffer_wait_timer_ = 0;
-    Rewatch();
+    UpdateWatch();
   });
 }
 
-void Connection::Ready(short events) {
-  if (!up_) {
-    int fault = loop_.environment().Fault(fd_.Get());
-    if (fault == ECONNREFUSED)
+void Connection::OnReady(short events) {
+  if (!connected_) {
+    int error = loop_.environment().SocketError(descriptor_.Get());
+    if (error == ECONNREFUSED)
       return Finish(DisconnectReason::kRefused);
-    if (fault != 0 || (events & (POLLERR | POLLHUP)))
-      return Finish(DisconnectReason::kNeverUp);
+    if (error != 0 || (events & (POLLERR | POLLHUP)))
+      return Finish(DisconnectReason::kConnectFailed);
     if (!(events & POLLOUT))
       return;
-    up_ = true;
-    loop_.Cancel(limit_);
+    connected_ = true;
+    loop_.Cancel(timer_);
     Flush();
-    if (!IsOver() && out_.empty())
-      owner_.Drained();
-    return Rewatch();
+    if (!IsEnded() && send_queue_.empty())
+      owner_.OnDrained();
+    return UpdateWatch();
   }
-  peer_done_ |= (events & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
-  // Answers that came before a break are read first.
-  if ((events & POLLIN) && in.size() < most_)
-    Fetch();
+  peer_closed_ |= (events & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  // Answers that arrived before a failure are read first.
+  if ((events & POLLIN) && in.size() < read_limit_)
+    ReadOnce();
   else if (events & (POLLERR | POLLHUP))
     return Finish(DisconnectReason::kReset);
   else if (events & POLLRDHUP)
     return Finish(DisconnectReason::kClosed);
-  if (IsOver() || broken_ || !(events & POLLOUT) || out_.empty())
+  if (IsEnded() || write_failed_ || !(events & POLLOUT) || send_queue_.empty())
     return;
   Flush();
-  if (!IsOver() && out_.empty())
-    owner_.Drained();
-  Rewatch();
+  if (!IsEnded() && send_queue_.empty())
+    owner_.OnDrained();
+  UpdateWatch();
 }
 
 }  // namespace dunlinwick::loop
--- a/src/loop/connection.hpp
+++ b/src/loop/connection.hpp
@@ -1,4 +1,5 @@
-// A TCP connection: one buffer for what comes in, and the messages that are still to go out.
+// A TCP connection: one receive buffer, and a queue of the messages that are still to be sent. The
+// owner outlives it; all calls are made on the loop's thread.
 #pragma once
 #include <deque>
 #include <functional>
@@ -13,19 +14,19 @@
 
 // Every way in which a connection can end.
 enum class DisconnectReason {
-  kRefused,       // the other side said no
-  kNeverUp,       // not up within the limit
-  kNoDescriptor,  // this machine has no descriptor, port, buffer or route for it: nothing is known
-                  // of the other side
-  kClosed,        // the other side closed it
-  kReset,         // it broke
-  kSilent,        // nothing came for too long
-  kMalformed,     // what came can't be read
-  kStalled,       // what came stopped short
-  kReplaced,      // another process is listed in the other side's place
-  kLetGo          // closed from here, with nothing open on it
+  kRefused,         // the peer refused the connection
+  kConnectFailed,   // not established within the limit
+  kLocalShortage,   // this host has no descriptor, port, buffer or route for it; this tells
+                    // nothing about the peer
+  kClosed,          // the peer closed it
+  kReset,           // it was reset or failed
+  kReceiveTimeout,  // nothing was received for too long
+  kMalformed,       // a received message cannot be parsed
+  kStalled,         // a message stopped arriving before its end
+  kReplaced,        // another process is now listed at the peer's address
+  kReleased         // closed by this side, with nothing outstanding on it
 };
-const char* ToString(DisconnectReason how);
+const char* ToString(DisconnectReason reason);
 
 std::optional<Address> ReadAddress(std::string_view text);  // 127.0.0.1:5050
 
@@ -33,89 +34,92 @@
  public:
   class Owner {
    public:
-    virtual void Came() = 0;   // there are bytes in the buffer
-    virtual void Drained() {}  // all messages are out
-    virtual void Ended(
-        DisconnectReason how) = 0;  // once; never called out of a call of the owner's
+    virtual void OnBytesReceived() = 0;  // the buffer holds new bytes
+    virtual void OnDrained() {}          // all messages are written
+    virtual void OnDisconnected(
+        DisconnectReason reason) = 0;  // once; never called from within a call that the owner makes
 
    protected:
     ~Owner() = default;
   };
 
-  /// Gives a message's bytes in the moment before the first of them is written, and is asked again
-  /// where the socket took none. Nothing: the message is dropped unwritten, and the sender sees to
-  /// what hung on it. Must not send or close from within.
+  /// Returns a message's bytes just before the first of them is written, and is called again if the
+  /// socket accepts none. Without a result the message is dropped unwritten, and the sender handles
+  /// the consequences. It must not send or close on this connection.
   using Composer = std::function<std::optional<std::string>()>;
 
   Connection(Loop& loop, Owner& owner, Descriptor accepted);
-  Connection(Loop& loop, Owner& owner, const Address& to, Ms within);  // opens one
+  Connection(Loop& loop, Owner& owner, const Address& to, Ms timeout);  // connects
   ~Connection();
 
   Buffer in;
-  // Returns its mark. `more`: another follows at once, and both go out together.
+  // Returns the message's sequence number. With `more`, the message is held back until the next one
+  // is sent, so that both are written together.
   std::uint64_t Send(std::string message, bool more = false);
-  /// Sends what `compose` gives once everything before it is written, which may be within this
-  /// call. Returns its mark.
+  /// Sends what `compose` returns once everything before it is written, which may be within this
+  /// call. Returns the message's sequence number.
   std::uint64_t SendComposed(Composer compose);
-  bool Unsent(std::uint64_t mark) const;  // not written whole
-  bool TakeBack(std::uint64_t mark);      // drops a message of which nothing was written
-  bool DrainedOut() const {
-    return out_.empty();
+  bool IsUnsent(std::uint64_t sequence) const;  // not completely written
+  // Drops a message of which nothing is written. False: some of it is, or the message is gone.
+  bool CancelSend(std::uint64_t sequence);
+  bool IsSendQueueEmpty() const {
+    return send_queue_.empty();
   }
-  bool IsOver() const {
-    return over_ || report_ != 0;
-  }  // or about to be reported so
-  // The other side has closed or broken it. Known before came() hands on the bytes that were read
-  // in the same moment: they may be the last words of somebody who has left.
-  bool PeerDone() const {
-    return peer_done_;
+  // It has ended, or its end is about to be reported.
+  bool IsEnded() const {
+    return ended_ || disconnect_timer_ != 0;
   }
-  /// The last read took all that the system held: what is read next came after it.
+  // The peer has closed or reset it. This is set before OnBytesReceived() reports the bytes that
+  // were read in the same iteration: they may be the last that a departed peer sent.
+  bool HasPeerClosed() const {
+    return peer_closed_;
+  }
+  /// The last read emptied the kernel's buffer: bytes that are read next arrived after it.
   bool HasReadAll() const {
     return has_read_all_;
   }
-  void ReadUpTo(std::size_t most);   // reads no more while the buffer holds that much
-  void BePatient(bool patient);      // nothing but its end is waited for
-  void EndAs(DisconnectReason how);  // reports it to the owner in the next turn
-  void SayNoMore();                  // shuts the way out; reading goes on
-  void Close();                      // without a report
+  void SetReadLimit(std::size_t limit);      // stops reading while the buffer holds this much
+  void SetRarelyPolled(bool rarely_polled);  // set while only its end is expected
+  void Disconnect(DisconnectReason reason);  // reported in the next iteration of the loop
+  void ShutdownWrite();                      // shuts down the sending side; reading continues
+  void Close();                              // without a report
 
  private:
   struct Message {
     std::string bytes;
-    std::uint64_t mark = 0;
-    Composer compose = nullptr;  // until the first byte is written; none where the bytes were known
-                                 // when it was sent
+    std::uint64_t sequence = 0;
+    Composer compose = nullptr;  // until the first byte is written; null if the bytes were known
+                                 // when the message was queued
   };
-  void Ready(short events) override;
-  void Finish(DisconnectReason how);
-  void Fetch();
+  void OnReady(short events) override;
+  void Finish(DisconnectReason reason);
+  void ReadOnce();
   std::uint64_t Enqueue(Message message, bool more);
   bool ComposeFirst();
   void Flush();
-  void LastWords();
-  void Rewatch();
-  /// Watches nothing for a moment: this machine is out of buffers for this connection, so that
-  /// polling on would spin.
+  void ReadRemaining();
+  void UpdateWatch();
+  /// Stops polling briefly: the kernel is out of buffers for this connection, so polling would
+  /// spin.
   void WaitForBuffers();
 
   Loop& loop_;
   Owner& owner_;
-  Descriptor fd_;
-  bool up_ = false;
-  bool over_ = false;
-  bool shut_ = false;
-  bool patient_ = false;
-  bool held_ = false;
-  bool peer_done_ = false;
-  bool broken_ = false;
+  Descriptor descriptor_;
+  bool connected_ = false;
+  bool ended_ = false;
+  bool write_shut_ = false;
+  bool rarely_polled_ = false;
+  bool corked_ = false;
+  bool peer_closed_ = false;
+  bool write_failed_ = false;
   bool has_read_all_ = true;
-  std::size_t most_ = 1 << 16;
-  std::deque<Message> out_;   // emptied as the other side takes it
-  std::size_t out_done_ = 0;  // bytes of the first message that are written
-  std::uint64_t marks_ = 0;
-  std::uint64_t limit_ = 0;
-  std::uint64_t report_ = 0;             // timers
+  std::size_t read_limit_ = 1 << 16;
+  std::deque<Message> send_queue_;   // emptied as the peer accepts it
+  std::size_t head_bytes_sent_ = 0;  // bytes of the first message that are written
+  std::uint64_t last_sequence_ = 0;
+  std::uint64_t timer_ = 0;  // limits the connecting; later reads what remains after a failed write
+  std::uint64_t disconnect_timer_ = 0;   // 0: no end to be reported
   std::uint64_t buffer_wait_timer_ = 0;  // 0: not waiting for buffers
 };
 
--- a/src/loop/ground.hpp
+++ b/src/loop/ground.hpp
@@ -1,7 +1,7 @@
-// What a loop stands on: a clock, descriptors and the wait for them. The system's own (poll(2), TCP
-// and UDP) is one ground; the staged one (src/stage/) has a virtual clock and an in-memory network.
-// Nothing above reads a clock or touches a descriptor but through here, so that the same code
-// serves on both.
+// The platform interface of an event loop: a clock, descriptors and the wait for them. There are
+// two implementations: the POSIX environment (poll(2), TCP and UDP), and the simulated network
+// (src/stage/), with a virtual clock and in-memory connections. All other code reads the clock and
+// uses descriptors through this interface only, so that the same code runs on both.
 #pragma once
 #include <netinet/in.h>
 #include <poll.h>
@@ -16,45 +16,50 @@
 using Ms = double;
 using Address = sockaddr_in;
 
-// Calls answer as the system's do, with a negative errno in place of -1. Descriptors never block.
+// Calls return what the system calls return, with a negative errno in place of -1. Descriptors
+// never block.
 class Environment {
  public:
-  virtual Ms now() = 0;  // Unix time in milliseconds as at the start; it never goes back
-  // As poll(2); waits no longer than `ms`. A staged ground does not wait: it notes what was asked
-  // for.
+  virtual Ms now() = 0;  // Unix time in milliseconds as of the start, then monotonic
+                         // As poll(2); waits no longer than `ms`. The simulated network does not
+                         // wait: it records what was
+  // asked for.
   virtual int Wait(std::span<pollfd> watched, int ms) = 0;
   virtual int OpenStream() = 0;
   virtual int Connect(int fd,
-                      const Address& to) = 0;  // -EINPROGRESS: writable once it is up or failed
-  virtual int Fault(int fd) = 0;               // why it failed (SO_ERROR), 0 if it did not
+                      const Address& to) = 0;  // -EINPROGRESS: writable once established or failed
+  virtual int SocketError(int fd) = 0;         // SO_ERROR: why it failed, or 0
   virtual int Listen(const Address& at) = 0;
   virtual int Accept(int fd) = 0;
-  virtual ssize_t receive(int fd, std::span<char> into) = 0;  // 0: the other side says no more
-  /// How long ago the last bytes came to a stream, read or not. 0 where that can't be told.
+  virtual ssize_t Receive(int fd,
+                          std::span<char> into) = 0;  // 0: the peer sends no more
+                                                      /// How long ago the last bytes arrived on a
+                                                      /// stream, read or not. 0 if that is unknown.
   virtual Ms SinceLastArrival(int) {
     return 0;
   }
   virtual ssize_t Send(int fd, std::span<const iovec> parts) = 0;
-  virtual void SayNoMore(int fd) = 0;
+  virtual void ShutdownWrite(int fd) = 0;
   virtual void Close(int fd) = 0;
-  virtual void Abort(int fd) = 0;  // close, with a reset to the other side
-  // Datagrams come whole or never, perhaps late, twice or out of order. `at` port 0: any.
+  virtual void Abort(int fd) = 0;  // closes, and resets the connection at the peer
+                                   // Datagrams arrive whole or never, perhaps late, twice or out of
+                                   // order. Port 0 of `at`: any port.
   virtual int OpenDatagrams(const Address& at) = 0;
   virtual ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) = 0;
   virtual ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) = 0;
-  virtual std::size_t DescriptorLimit() = 0;  // that a process may hold
+  virtual std::size_t DescriptorLimit() = 0;  // how many descriptors a process may hold
 
  protected:
   ~Environment() = default;
 };
 
-Environment& MakeSystem();  // the machine's own
+Environment& PosixEnvironment();  // of this host; lives as long as the process
 
-// Owns a descriptor of a ground.
+// Owns a descriptor of an environment.
 class Descriptor {
  public:
   Descriptor() = default;
-  explicit Descriptor(int fd) : Descriptor(MakeSystem(), fd) {}
+  explicit Descriptor(int fd) : Descriptor(PosixEnvironment(), fd) {}
   Descriptor(Environment& environment, int fd) : environment_(&environment), fd_(fd) {}
   Descriptor(Descriptor&& other) noexcept
       : environment_(other.environment_), fd_(std::exchange(other.fd_, -1)) {}
@@ -78,7 +83,7 @@
   }
   int Release() {
     return std::exchange(fd_, -1);
-  }  // the caller's from here on
+  }  // the caller owns it from then on
   void Abort() {
     if (fd_ >= 0)
       environment_->Abort(std::exchange(fd_, -1));
--- a/src/loop/listener.cpp
+++ b/src/loop/listener.cpp
@@ -7,83 +7,83 @@
 
 namespace {
 
-// Everything else that accept(2) fails with concerns the one connection it was about to hand over.
+// All other errors of accept(2) concern the one connection that it was about to return.
 bool IsShortage(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
 
 }  // namespace
 
-Listener::Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> taken)
-    : loop_(loop), taken_(std::move(taken)) {
+Listener::Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> on_accepted)
+    : loop_(loop), on_accepted_(std::move(on_accepted)) {
   int fd = loop.environment().Listen(at);
   if (fd < 0)
     throw std::system_error(-fd, std::generic_category(), "cannot listen");
-  fd_ = Descriptor(loop.environment(), fd);
+  descriptor_ = Descriptor(loop.environment(), fd);
   Resume();
 }
 
 void Listener::Pause() {
   paused_ = true;
-  loop_.Forget(fd_.Get());
+  loop_.Unwatch(descriptor_.Get());
 }
 
 void Listener::Resume() {
   paused_ = false;
-  if (fd_)
-    loop_.WatchDescriptor(fd_.Get(), *this, POLLIN);
+  if (descriptor_)
+    loop_.WatchDescriptor(descriptor_.Get(), *this, POLLIN);
 }
 
 bool Listener::Drain() {
   unsigned long before = short_of_descriptors;
-  while (fd_ && AcceptOne()) {
+  while (descriptor_ && AcceptOne()) {
   }
   return short_of_descriptors == before;
 }
 
 void Listener::Close() {
-  loop_.Cancel(again_);
-  loop_.Forget(fd_.Get());
-  fd_.Reset();
+  loop_.Cancel(resume_timer_);
+  loop_.Unwatch(descriptor_.Get());
+  descriptor_.Reset();
 }
 
 bool Listener::AcceptOne() {
-  int fd = loop_.environment().Accept(fd_.Get());
+  int fd = loop_.environment().Accept(descriptor_.Get());
   if (fd >= 0) {
-    failed_in_row_ = 0;
-    taken_(Descriptor(loop_.environment(), fd));
+    consecutive_failures_ = 0;
+    on_accepted_(Descriptor(loop_.environment(), fd));
     return true;
   }
   if (fd == -EAGAIN || fd == -EWOULDBLOCK)
     return false;
   if (IsShortage(-fd)) {
     ++short_of_descriptors;
-    Rest();
+    PauseAfterFailure();
     return false;
   }
-  // The next one may be well. Far more in a row than peers that give up in one moment are a fault
-  // that lasts.
-  constexpr int kMostInRow = 64;
-  if (++failed_in_row_ < kMostInRow)
+  // The next connection may be fine. More consecutive failures than peers would give up at one time
+  // mean that the fault persists.
+  constexpr int kMaxConsecutiveFailures = 64;
+  if (++consecutive_failures_ < kMaxConsecutiveFailures)
     return true;
-  failed_in_row_ = 0;
-  Rest();
+  consecutive_failures_ = 0;
+  PauseAfterFailure();
   return false;
 }
 
-void Listener::Rest() {
-  // A moment later a descriptor may be free.
-  constexpr Ms kMoment = 50;
-  loop_.Forget(fd_.Get());
-  loop_.Cancel(again_);
-  again_ = loop_.at(loop_.now() + kMoment, [this] {
+void Listener::PauseAfterFailure() {
+  // By then a descriptor may be free.
+  constexpr Ms kPauseDuration = 50;
+  loop_.Unwatch(descriptor_.Get());
+  loop_.Cancel(resume_timer_);
+  resume_timer_ = loop_.RunAt(loop_.now() + kPauseDuration, [this] {
     if (!paused_)
       Resume();
   });
 }
 
-void Listener::Ready(short) {
-  while (fd_ && !paused_ && AcceptOne()) {
+void Listener::OnReady(short) {
+  while (descriptor_ && !paused_ && AcceptOne()) {
   }
 }
 
--- a/src/loop/listener.hpp
+++ b/src/loop/listener.hpp
@@ -1,4 +1,4 @@
-// Accepts connections while the owner wants more.
+// Accepts connections on one address until it is paused or closed. Runs on the loop's thread.
 #pragma once
 #include <functional>
 
@@ -8,32 +8,31 @@
 
 class Listener final : Handler {
  public:
-  // Throws std::system_error where the address can't be had.
-  Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> taken);
+  // Throws std::system_error if it cannot listen on the address.
+  Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> on_accepted);
   ~Listener() {
     Close();
   }
-  void Pause();  // accepts no more; those who come wait in the backlog
+  void Pause();  // accepts no more; new connections stay in the backlog
   void Resume();
-  // Accepts all who wait, paused or not. False: out of descriptors, some still do.
+  // Accepts all connections of the backlog, paused or not. False: out of descriptors, some remain.
   bool Drain();
   void Close();
   unsigned long short_of_descriptors =
-      0;  // times that accepting failed for want of descriptors or memory
+      0;  // how often accepting failed for lack of descriptors or memory
 
  private:
-  void Ready(short) override;
+  void OnReady(short) override;
   bool AcceptOne();
-  /// Accepts nothing for a moment: those who wait stay in the backlog, which stays readable, so
-  /// that polling on would spin.
-  void Rest();
+  /// Accepts nothing for a short time: the backlog stays readable, so polling would spin.
+  void PauseAfterFailure();
 
   Loop& loop_;
-  Descriptor fd_;
-  std::function<void(Descriptor)> taken_;
+  Descriptor descriptor_;
+  std::function<void(Descriptor)> on_accepted_;
   bool paused_ = false;
-  std::uint64_t again_ = 0;
-  int failed_in_row_ = 0;  // connections that failed before they could be accepted, since one was
+  std::uint64_t resume_timer_ = 0;
+  int consecutive_failures_ = 0;  // of accept(2), since the last success
 };
 
 }  // namespace dunlinwick::loop
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -1,4 +1,5 @@
-// One loop on a ground: descriptors, timers and the one clock of what runs on it.
+// An event loop on one environment: descriptors, timers, and the clock of everything that runs on
+// it. Single-threaded; handlers outlive their watch.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,7 +13,7 @@
 
 class Handler {
  public:
-  virtual void Ready(short events) = 0;
+  virtual void OnReady(short events) = 0;
 
  protected:
   ~Handler() = default;
@@ -20,47 +21,49 @@
 
 class Loop {
  public:
-  explicit Loop(Environment& environment = MakeSystem()) : environment_(environment) {}
+  explicit Loop(Environment& environment = PosixEnvironment()) : environment_(environment) {}
   Environment& environment() const {
     return environment_;
   }
   Ms now() const {
-    return environment_.now() + skipped_;
+    return environment_.now() + clock_offset_;
   }
-  void Skip(Ms by) {
-    skipped_ += by;
-  }  // for tests: so much time has passed
+  void AdvanceClock(Ms by) {
+    clock_offset_ += by;
+  }  // for tests, as if this time had passed
 
-  // Again: changes the events. A patient one is looked at every few milliseconds only.
-  void WatchDescriptor(int fd, Handler& handler, short events, bool patient = false);
-  void Forget(int fd);
+  // Called again for a descriptor, it changes the events. A rarely polled descriptor is polled
+  // every
+  // few milliseconds only.
+  void WatchDescriptor(int fd, Handler& handler, short events, bool rarely_polled = false);
+  void Unwatch(int fd);
 
-  std::uint64_t at(Ms when, std::function<void()> what);
+  std::uint64_t RunAt(Ms when, std::function<void()> callback);
   void Cancel(std::uint64_t timer) {
-    if (auto found = timer_at_.find(timer); found != timer_at_.end()) {
+    if (auto found = timer_times_.find(timer); found != timer_times_.end()) {
       timers_.erase({found->second, timer});
-      timer_at_.erase(found);
+      timer_times_.erase(found);
     }
   }
 
-  // Keeps what may still be on the call stack until the turn is over.
-  void Bury(std::shared_ptr<void> what) {
-    buried_.push_back(std::move(what));
+  // Keeps an object that may still be on the call stack until the iteration ends.
+  void DeferDelete(std::shared_ptr<void> object) {
+    deferred_deletes_.push_back(std::move(object));
   }
 
-  /// When the last wait for descriptors returned: what has happened to them since is not seen yet.
+  /// When the last wait for descriptors returned: later events on them are not seen yet.
   Ms LastWaitEnded() const {
     return last_wait_ended_;
   }
-  void turn(Ms longest);  // waits for events or timers, at most that long, and handles them
+  void RunOnce(Ms max_wait);  // waits for events or timers for at most `max_wait` and handles them
   void Run() {
     while (!stopped_)
-      turn(1000);
+      RunOnce(1000);
   }
   void Stop() {
     stopped_ = true;
   }
-  bool Stopped() const {
+  bool IsStopped() const {
     return stopped_;
   }
 
@@ -68,28 +71,30 @@
   struct Watch {
     Handler* handler = nullptr;
     short events = 0;
-    bool patient = false;
-    std::uint64_t since = 0;  // tells a descriptor from an earlier one of the same number
+    bool rarely_polled = false;
+    std::uint64_t generation =
+        0;  // distinguishes a descriptor from an earlier one of the same number
   };
   void RunTimers();
-  /// What is watched, as poll(2) takes it; the patient ones only where `all`. False: some were left
-  /// out.
-  bool Gather(bool all, std::vector<pollfd>& polled, std::vector<std::uint64_t>& since) const;
-  int LookAtAll(std::vector<pollfd>& polled, std::vector<std::uint64_t>& since);
+  /// Fills the array for poll(2) with the watched descriptors; with the rarely polled ones only if
+  /// `poll_all`. False: some were omitted.
+  bool CollectPolled(bool poll_all, std::vector<pollfd>& polled,
+                     std::vector<std::uint64_t>& generations) const;
+  int PollAll(std::vector<pollfd>& polled, std::vector<std::uint64_t>& generations);
 
   Environment& environment_;
-  Ms skipped_ = 0;
-  Ms looked_at_all_ = 0;
+  Ms clock_offset_ = 0;
+  Ms last_full_poll_ = 0;
   Ms last_wait_ended_ = 0;
   bool stopped_ = false;
-  std::uint64_t last_ = 0;
-  std::vector<Watch> by_fd_;
-  std::vector<pollfd> polled_;  // of the present turn, as its watches were then
-  std::vector<std::uint64_t> since_;
+  std::uint64_t last_id_ = 0;
+  std::vector<Watch> watches_;
+  std::vector<pollfd> polled_;  // of the current iteration, as its watches were at its start
+  std::vector<std::uint64_t> generations_;
   std::map<std::pair<Ms, std::uint64_t>, std::function<void()>>
-      timers_;                                 // emptied as they fall due
-  std::map<std::uint64_t, Ms> timer_at_;       // the same
-  std::vector<std::shared_ptr<void>> buried_;  // emptied every turn
+      timers_;                                           // by time and id; removed when due
+  std::map<std::uint64_t, Ms> timer_times_;              // of the same timers, by id
+  std::vector<std::shared_ptr<void>> deferred_deletes_;  // emptied in each iteration
 };
 
 }  // namespace dunlinwick::loop
--- a/src/loop/system.cpp
+++ b/src/loop/system.cpp
@@ -1,4 +1,4 @@
-// The machine's own ground: poll(2), TCP and UDP over IPv4.
+// The POSIX environment: poll(2), TCP and UDP over IPv4.
 #include <netinet/tcp.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
@@ -15,65 +15,66 @@
 namespace {
 
 template <class Clock>
-Ms MakeMs() {
+Ms Milliseconds() {
   return std::chrono::duration<double, std::milli>(Clock::now().time_since_epoch()).count();
 }
 
 template <class T>
-T OrError(T result) {
+T ResultOrErrno(T result) {
   return result < 0 ? static_cast<T>(-errno) : result;
 }
 
-void SendAtOnce(int fd) {
+void DisableSendDelay(int fd) {
   int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-const sockaddr* Plain(const Address& at) {
+const sockaddr* AsSockaddr(const Address& at) {
   return reinterpret_cast<const sockaddr*>(&at);
 }
 
-class System final : public Environment {
+class SystemCallEnvironment final : public Environment {
  public:
   Ms now() override {
-    return MakeMs<std::chrono::steady_clock>() + offset_;
+    return Milliseconds<std::chrono::steady_clock>() + offset_;
   }
   int Wait(std::span<pollfd> watched, int ms) override {
-    return OrError(::poll(watched.data(), watched.size(), ms));
+    return ResultOrErrno(::poll(watched.data(), watched.size(), ms));
   }
   int OpenStream() override {
-    int fd = OrError(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    int fd = ResultOrErrno(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (fd >= 0)
-      SendAtOnce(fd);
+      DisableSendDelay(fd);
     return fd;
   }
   int Connect(int fd, const Address& to) override {
-    return OrError(::connect(fd, Plain(to), sizeof to));
+    return ResultOrErrno(::connect(fd, AsSockaddr(to), sizeof to));
   }
-  int Fault(int fd) override {
-    int fault = 0;
-    socklen_t size = sizeof fault;
-    ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &fault, &size);
-    return fault;
+  int SocketError(int fd) override {
+    int error = 0;
+    socklen_t size = sizeof error;
+    ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
+    return error;
   }
   int Listen(const Address& at) override {
-    Descriptor fd(*this, OrError(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
+    Descriptor fd(*this,
+                  ResultOrErrno(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
     int on = 1;
     if (!fd)
       return fd.Get();
     if (::setsockopt(fd.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-        ::bind(fd.Get(), Plain(at), sizeof at) != 0 || ::listen(fd.Get(), SOMAXCONN) != 0)
+        ::bind(fd.Get(), AsSockaddr(at), sizeof at) != 0 || ::listen(fd.Get(), SOMAXCONN) != 0)
       return -errno;
     return fd.Release();
   }
   int Accept(int fd) override {
-    int got = OrError(::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (got >= 0)
-      SendAtOnce(got);
-    return got;
+    int accepted = ResultOrErrno(::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (accepted >= 0)
+      DisableSendDelay(accepted);
+    return accepted;
   }
-  ssize_t receive(int fd, std::span<char> into) override {
-    return OrError(::recv(fd, into.data(), into.size(), 0));
+  ssize_t Receive(int fd, std::span<char> into) override {
+    return ResultOrErrno(::recv(fd, into.data(), into.size(), 0));
   }
   Ms SinceLastArrival(int fd) override {
     tcp_info info{};
@@ -85,36 +86,38 @@
     return info.tcpi_last_data_recv;
   }
   ssize_t Send(int fd, std::span<const iovec> parts) override {
-    msghdr head{};
-    head.msg_iov = const_cast<iovec*>(parts.data());
-    head.msg_iovlen = parts.size();
-    return OrError(::sendmsg(fd, &head, MSG_NOSIGNAL));
+    msghdr message{};
+    message.msg_iov = const_cast<iovec*>(parts.data());
+    message.msg_iovlen = parts.size();
+    return ResultOrErrno(::sendmsg(fd, &message, MSG_NOSIGNAL));
   }
-  void SayNoMore(int fd) override {
+  void ShutdownWrite(int fd) override {
     ::shutdown(fd, SHUT_WR);
   }
   void Close(int fd) override {
     ::close(fd);
   }
   void Abort(int fd) override {
-    linger now{1, 0};
-    ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    linger reset{1, 0};
+    ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
     ::close(fd);
   }
   int OpenDatagrams(const Address& at) override {
-    Descriptor fd(*this, OrError(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
+    Descriptor fd(*this,
+                  ResultOrErrno(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
     if (!fd)
       return fd.Get();
-    if (::bind(fd.Get(), Plain(at), sizeof at) != 0)
+    if (::bind(fd.Get(), AsSockaddr(at), sizeof at) != 0)
       return -errno;
     return fd.Release();
   }
   ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) override {
-    return OrError(::sendto(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL, Plain(to), sizeof to));
+    return ResultOrErrno(
+        ::sendto(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL, AsSockaddr(to), sizeof to));
   }
   ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) override {
     socklen_t size = sizeof from;
-    return OrError(
+    return ResultOrErrno(
         ::recvfrom(fd, into.data(), into.size(), 0, reinterpret_cast<sockaddr*>(&from), &size));
   }
   std::size_t DescriptorLimit() override {
@@ -125,14 +128,15 @@
   }
 
  private:
-  Ms offset_ = MakeMs<std::chrono::system_clock>() - MakeMs<std::chrono::steady_clock>();
+  Ms offset_ =
+      Milliseconds<std::chrono::system_clock>() - Milliseconds<std::chrono::steady_clock>();
 };
 
 }  // namespace
 
-Environment& MakeSystem() {
-  static System one;
-  return one;
+Environment& PosixEnvironment() {
+  static SystemCallEnvironment environment;
+  return environment;
 }
 
 }  // namespace dunlinwick::loop
--- a/src/rig/clients.cpp
+++ b/src/rig/clients.cpp
@@ -23,14 +23,14 @@
       : harness(h), request(p) {
     connection = std::make_unique<loop::Connection>(h.loop_, *this, to, kRequestTime);
     connection->Send(std::move(request));
-    timer = h.loop_.at(h.loop_.now() + kRequestTime + 600, [this] { Over(); });
+    timer = h.loop_.RunAt(h.loop_.now() + kRequestTime + 600, [this] { Over(); });
   }
-  void Came() override {
+  void OnBytesReceived() override {
     got += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Ended(loop::DisconnectReason) override {
-    Came();
+  void OnDisconnected(loop::DisconnectReason) override {
+    OnBytesReceived();
     Over();
   }
   void Over() {
@@ -52,7 +52,7 @@
     p.ended = true;
     connection->Close();
     auto self = harness.clients_.extract(request);
-    harness.loop_.Bury(self.mapped());
+    harness.loop_.DeferDelete(self.mapped());
   }
 };
 
@@ -90,8 +90,8 @@
     clients_[number] = std::make_shared<Client>(
         *this, number, at(f, static_cast<std::uint16_t>(fleet_.port + 200)), request);
   }
-  asking_ = loop_.at(loop_.now() + 1000 / (requests_per_s_ * static_cast<double>(pids_.size())),
-                     [this] { NextRequest(); });
+  asking_ = loop_.RunAt(loop_.now() + 1000 / (requests_per_s_ * static_cast<double>(pids_.size())),
+                        [this] { NextRequest(); });
 }
 
 void Harness::EndClients() {
--- a/src/rig/harness.cpp
+++ b/src/rig/harness.cpp
@@ -221,7 +221,7 @@
 void Harness::Wait(double ms) {
   double end = loop_.now() + ms;
   while (loop_.now() < end)
-    loop_.turn(std::min(20.0, end - loop_.now()));
+    loop_.RunOnce(std::min(20.0, end - loop_.now()));
 }
 
 }  // namespace dunlinwick::fleet
--- a/src/rig/place.cpp
+++ b/src/rig/place.cpp
@@ -24,7 +24,7 @@
   owner::Fence fence;
   Place(loop::Loop& l, int fd, owner::Id i) : loop(l), socket(l.environment(), fd), id(i) {}
 
-  void Ready(short) override {
+  void OnReady(short) override {
     std::vector<char> buffer(2048);
     loop::Address from{};
     for (ssize_t got = 0;
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -18,7 +18,7 @@
   std::size_t to = 0;
   loop::Descriptor fd;
   loop::Ms busy_until = 0;  // of its bandwidth
-  void Ready(short) override {
+  void OnReady(short) override {
     relay->Pass(*this);
   }
 };
@@ -34,10 +34,10 @@
   loop::Ms last = 0;
   bool over = false;
   Way(Stream& s, Fault& f) : stream(s), fault(f) {}
-  void Came() override {
+  void OnBytesReceived() override {
     Take();
   }
-  void Ended(loop::DisconnectReason) override {
+  void OnDisconnected(loop::DisconnectReason) override {
     Take();
     over = true;
     from->Close();
@@ -133,7 +133,7 @@
 Relay::~Relay() {
   loop_.Cancel(sweep_);
   for (auto& f : faces_)
-    loop_.Forget(f->fd.Get());
+    loop_.Unwatch(f->fd.Get());
 }
 
 // Held bytes that are due go on, what waited behind a cut is taken up, and a stream with one end
@@ -153,17 +153,17 @@
   for (auto& s : streams_)
     for (Way* w : {&s->to_cache, &s->from_cache})
       if (w->over && !w->other->over && w->held.empty() && !w->fault.Cut() &&
-          w->other->from->DrainedOut()) {
+          w->other->from->IsSendQueueEmpty()) {
         w->other->from->Close();
         w->other->over = true;
       }
   std::erase_if(streams_, [&](auto& s) {
     if (!s->to_cache.over || !s->from_cache.over)
       return false;
-    loop_.Bury(s);
+    loop_.DeferDelete(s);
     return true;
   });
-  sweep_ = loop_.at(loop_.now() + kEvery, [this] { Sweep(); });
+  sweep_ = loop_.RunAt(loop_.now() + kEvery, [this] { Sweep(); });
 }
 
 void Relay::CutAround(const std::vector<std::size_t>& group, bool one_way_out, int by) {
@@ -228,7 +228,7 @@
       }
       ++held_;
       Face* through = &face;
-      loop_.at(loop_.now() + after, [this, through, bytes] {
+      loop_.RunAt(loop_.now() + after, [this, through, bytes] {
         --held_;
         loop_.environment().SendTo(through->fd.Get(), bytes, fronts_[through->to]);
       });
--- a/src/rig/seen.cpp
+++ b/src/rig/seen.cpp
@@ -81,7 +81,7 @@
         return v;
       }
     }
-    loop.turn(5);  // the relay goes on meanwhile
+    loop.RunOnce(5);  // the relay goes on meanwhile
   }
   return std::nullopt;
 }
@@ -112,7 +112,7 @@
         from.sin_port == to.sin_port)
       return std::string(buffer.data(), static_cast<std::size_t>(got));
     if (got <= 0)
-      loop_.turn(5);
+      loop_.RunOnce(5);
   }
   return std::nullopt;
 }
--- a/src/stage/stage.cpp
+++ b/src/stage/stage.cpp
@@ -163,12 +163,12 @@
   int turns = 0;
   do {
     quiet_ = false;
-    loop_->turn(1000);
+    loop_->RunOnce(1000);
     if (++turns > kMost)
       throw StageFault(name_ + " spins: " + std::to_string(kMost) + " turns without rest");
-  } while (!quiet_ && !loop_->Stopped() && alive_);
+  } while (!quiet_ && !loop_->IsStopped() && alive_);
   running_ = false;
-  if (!alive_ || loop_->Stopped())
+  if (!alive_ || loop_->IsStopped())
     return;
   due_ = net_.now_ + client_request_;
   due_seq_ = net_.seq_;
@@ -223,7 +223,7 @@
   return -EINPROGRESS;
 }
 
-int Process::Fault(int fd) {
+int Process::SocketError(int fd) {
   Slot* s = slot(fd, Kind::kStream);
   if (!s || !s->stream)
     return EBADF;
@@ -264,7 +264,7 @@
   return got;
 }
 
-ssize_t Process::receive(int fd, std::span<char> into) {
+ssize_t Process::Receive(int fd, std::span<char> into) {
   Slot* s = slot(fd, Kind::kStream);
   if (!s || !s->stream)
     return -ENOTCONN;
@@ -335,7 +335,7 @@
   return static_cast<ssize_t>(put);
 }
 
-void Process::SayNoMore(int fd) {
+void Process::ShutdownWrite(int fd) {
   Slot* s = slot(fd, Kind::kStream);
   if (!s || !s->stream)
     return;
--- a/src/stage/stage.hpp
+++ b/src/stage/stage.hpp
@@ -86,13 +86,13 @@
   int Wait(std::span<pollfd> watched, int ms) override;
   int OpenStream() override;
   int Connect(int fd, const Address& to) override;
-  int Fault(int fd) override;
+  int SocketError(int fd) override;
   int Listen(const Address& at) override;
   int Accept(int fd) override;
-  ssize_t receive(int fd, std::span<char> into) override;
+  ssize_t Receive(int fd, std::span<char> into) override;
   Ms SinceLastArrival(int fd) override;
   ssize_t Send(int fd, std::span<const iovec> parts) override;
-  void SayNoMore(int fd) override;
+  void ShutdownWrite(int fd) override;
   void Close(int fd) override;
   void Abort(int fd) override;
   int OpenDatagrams(const Address& at) override;
--- a/src/wall_time.hpp
+++ b/src/wall_time.hpp
@@ -3,8 +3,8 @@
 // A front's clock (loop::Ground) never steps: it is the system's Unix time as at its start, and
 // runs on from there. The wall clock of another machine, or of this one in an earlier life, may
 // differ from it by any amount, and by another amount a moment later. What such a clock wrote is a
-// WallTime; it becomes a time on this front's clock by OnOwnClock() alone. docs/notes/time.md lists
-// all of them.
+// WallTime; it becomes a time on this front's clock by ToLocalClock() alone. docs/notes/time.md
+// lists all of them.
 #pragma once
 #include <optional>
 
@@ -20,7 +20,7 @@
   // Implicit: whatever number is read as a stamp may become one. The way back has a name.
   constexpr WallTime(Ms unix_ms) : unix_ms_(unix_ms) {}
 
-  /// The number as it was read. For encoding, and for OnOwnClock().
+  /// The number as it was read. For encoding, and for ToLocalClock().
   constexpr Ms UnixMs() const {
     return unix_ms_;
   }
@@ -37,7 +37,7 @@
 
 /// When this front was told of an event, on its own clock. Bounds from both sides what the event's
 /// stamp can mean.
-struct Notified {
+struct NotificationTimes {
   Ms at = 0;
   /// The last moment at which nothing was missing here: the event was announced after it. None:
   /// told at the start of this front.
@@ -47,7 +47,7 @@
 /// `stamp` on this front's clock. One that lies outside [`earliest`, `notified_at`] was written by
 /// a clock that disagrees with this one, and counts as `notified_at`: no event is told of before it
 /// happened.
-constexpr Ms OnOwnClock(WallTime stamp, Ms earliest, Ms notified_at) {
+constexpr Ms ToLocalClock(WallTime stamp, Ms earliest, Ms notified_at) {
   bool plausible = earliest <= stamp.UnixMs() && stamp.UnixMs() <= notified_at;
   return plausible ? stamp.UnixMs() : notified_at;
 }
--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -141,7 +141,7 @@
   }
   void Turns(int count = 20) {
     for (int i = 0; i < count; ++i)
-      loop.turn(1);
+      loop.RunOnce(1);
   }
   /// Until the second server, which reads nothing, takes no more; what it is asked for is not of
   /// any client.
@@ -167,7 +167,7 @@
     if (pause == Pause::kBackoff)
       return;
     if (script->further != Further::kRetry)
-      loop.Skip(kBackoff + 1);
+      loop.AdvanceClock(kBackoff + 1);
     Until(loop, [&] { return exchange.counters.attempts == 2; });
     if (pause != Pause::kCheck)
       return;
@@ -188,7 +188,7 @@
     int quiet_turns = 0;
     while (quiet_turns < 20) {
       std::size_t before = second.got.size();
-      loop.turn(1);
+      loop.RunOnce(1);
       quiet_turns = second.Read(1 << 20).size() == before ? quiet_turns + 1 : 0;
       if (second.got.size() > (1 << 21))
         second.got.erase(0, second.got.size() - 4096);
@@ -223,10 +223,10 @@
     for (Case c : {Case{5000, 1229}, {2500, 1021}, {5000, 0}}) {
       CAPTURE(static_cast<int>(wait));
       CAPTURE(c.waited);
-      Ms before = loop::MakeSystem().now();
+      Ms before = loop::PosixEnvironment().now();
       Waiting waiting(wait, SettingsWithExpiry(c.expiry), {}, wait == kCheck ? kWrite : kVideo);
       Deadline deadline{before + c.expiry, waiting.r.loop.now() + c.expiry};
-      waiting.r.loop.Skip(c.waited);
+      waiting.r.loop.AdvanceClock(c.waited);
       Ms skipped = waiting.r.loop.now();
       waiting.LetGo();
       Until(waiting.r.loop, [&] { return waiting.Began(); });
@@ -235,14 +235,14 @@
 }
 
 TEST_CASE("an attempt that moves to another connection tells what is left then") {
-  Ms before = loop::MakeSystem().now();
+  Ms before = loop::PosixEnvironment().now();
   Waiting waiting(kCheck, SettingsWithExpiry(5000), {}, kWrite);
   Deadline deadline{before + 5000, waiting.r.loop.now() + 5000};
   for (Ms waited : {700, 600}) {
     waiting.peer.Reset();
     waiting.peer = waiting.far.Next(waiting.r.loop);
     Until(waiting.r.loop, [&] { return waiting.peer.Hears("there call\r\n"); });
-    waiting.r.loop.Skip(waited);
+    waiting.r.loop.AdvanceClock(waited);
   }
   Ms skipped = waiting.r.loop.now();
   waiting.LetGo();
@@ -258,12 +258,12 @@
     for (Ms left : {40.0, 3.0, 0.4, -1.0}) {
       CAPTURE(static_cast<int>(wait));
       CAPTURE(left);
-      Ms before = loop::MakeSystem().now();
+      Ms before = loop::PosixEnvironment().now();
       Waiting waiting(wait, SettingsWithExpiry(kExpiry), {}, wait == kCheck ? kWrite : kVideo);
       Deadline deadline{before + kExpiry, waiting.r.loop.now() + kExpiry};
       if (wait == kCheck)
         waiting.peer.Send(kCheckAnswer);  // read in the turn in which time is up
-      waiting.r.loop.Skip(deadline.latest - left - waiting.r.loop.now());
+      waiting.r.loop.AdvanceClock(deadline.latest - left - waiting.r.loop.now());
       Ms skipped = waiting.r.loop.now();
       waiting.r.Turns();
       if (wait == kDial)
@@ -306,9 +306,9 @@
     CAPTURE(static_cast<int>(crossing.further));
     CAPTURE(static_cast<int>(crossing.pause));
     TwoServers servers(crossing.further, crossing.pause, 5000);
-    servers.loop.Skip(800);
+    servers.loop.AdvanceClock(800);
     servers.ReachPause(crossing.pause);
-    servers.loop.Skip(1229);
+    servers.loop.AdvanceClock(1229);
     Ms skipped = servers.loop.now();
     servers.Release(crossing.pause);
     Until(servers.loop, [&] { return servers.second.Hears(TwoServers::WantLine()); });
@@ -337,7 +337,7 @@
   Ms before = loop.now();
   exchange.OnRequest(AskAs(1), client);
   Deadline timeout{before + 1500, loop.now() + 1500};
-  loop.Skip(700);
+  loop.AdvanceClock(700);
   Ms skipped = loop.now();
   Far server = listener.Next(loop);
   Until(loop, [&] { return server.Hears(WantOf(1)); });
@@ -356,7 +356,7 @@
     servers.client.fd.Reset();
     if (crossing.pause == Pause::kCheck)
       servers.second.Send(kCheckAnswer);
-    servers.loop.Skip(200);
+    servers.loop.AdvanceClock(200);
     Until(servers.loop, [&] { return servers.exchange.counters.left == 1; });
     if (crossing.pause == Pause::kQueue)
       servers.Drain();
@@ -399,8 +399,8 @@
     if (further == Further::kRetryAfterBackoff)
       servers.ReachPause(Pause::kBackoff);
     servers.client.fd.Reset();
-    servers.loop.Skip(200);  // the backoff ends, the client's close and the first server's answer
-                             // are there: one turn
+    servers.loop.AdvanceClock(200);  // the backoff ends, the client's close and the first server's
+                                     // answer are there: one turn
     Until(servers.loop, [&] { return servers.exchange.counters.left == 1; });
     servers.Turns();
     CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
--- a/tests/board_test.cpp
+++ b/tests/board_test.cpp
@@ -103,7 +103,7 @@
       if (n > 0)
         text.remove_prefix(static_cast<std::size_t>(n));
       else
-        d.loop.turn(1);
+        d.loop.RunOnce(1);
     }
   }
   // A byte each tenth of a second, for so long; stops when the near side has ended it, and says
@@ -112,9 +112,9 @@
     for (int i = 0; i < tenths; ++i) {
       f.Send("x");
       for (int turns = 0; turns < 3; ++turns)
-        d.loop.turn(1);
-      d.loop.Skip(100);
-      d.loop.turn(1);
+        d.loop.RunOnce(1);
+      d.loop.AdvanceClock(100);
+      d.loop.RunOnce(1);
       f.Read();
       if (f.over)
         return i;
@@ -167,8 +167,8 @@
     std::string line = Purge(rev);
     w.peer.Send(line.substr(0, 9));
     for (int turns = 0; turns < 3; ++turns)
-      w.d.loop.turn(1);
-    w.d.loop.Skip(800);
+      w.d.loop.RunOnce(1);
+    w.d.loop.AdvanceClock(800);
     w.peer.Send(line.substr(9));
     w.Passed(rev);
   }
@@ -188,9 +188,9 @@
     for (std::size_t at = 0; at < line.size() && !w.peer.over; at += piece) {
       w.peer.Send(line.substr(at, piece));
       for (int turns = 0; turns < 3; ++turns)
-        w.d.loop.turn(1);
-      w.d.loop.Skip(100);
-      w.d.loop.turn(1);
+        w.d.loop.RunOnce(1);
+      w.d.loop.AdvanceClock(100);
+      w.d.loop.RunOnce(1);
       w.peer.Read();
     }
     whole = !w.peer.over;
@@ -222,7 +222,7 @@
     for (std::size_t cut = 1; cut < line.size(); ++cut) {
       w.peer.Send(line.substr(0, cut));
       for (int turns = 0; turns < 3; ++turns)
-        w.d.loop.turn(1);
+        w.d.loop.RunOnce(1);
       assert(w.b.Last() == rev - 1);
       w.peer.Send(line.substr(cut));
       w.Passed(rev);
@@ -236,7 +236,7 @@
     assert(w.b.Last() == rev - 1);
     w.peer.Send({&c, 1});
     for (int turns = 0; turns < 3; ++turns)
-      w.d.loop.turn(1);
+      w.d.loop.RunOnce(1);
   }
   w.Passed(rev);
   assert(w.counters.discovery_connections == 1 && w.counters.bad_watch_events == 0);
@@ -305,8 +305,8 @@
   Far there = w.Next(other);
   assert(w.counters.discovery_connections == 2);
   for (int i = 0; i < 8; ++i) {
-    w.d.loop.Skip(50);
-    w.d.loop.turn(1);
+    w.d.loop.AdvanceClock(50);
+    w.d.loop.RunOnce(1);
   }
   assert(w.counters.discovery_connections == 2);  // what waited is no second one
   there.Send(Purge(2));
@@ -323,12 +323,12 @@
   }
   assert(w.b.MoveTo(hung.at, Known("", 1)));
   for (int i = 0; i < 5; ++i)
-    w.d.loop.turn(1);
+    w.d.loop.RunOnce(1);
   assert(w.b.MoveTo(other.at, Known("", 1)));
   Far there = w.Next(other);
   for (int i = 0; i < 5; ++i) {
-    w.d.loop.Skip(100);
-    w.d.loop.turn(1);
+    w.d.loop.AdvanceClock(100);
+    w.d.loop.RunOnce(1);
   }  // the old dial's time is over
   assert(w.counters.discovery_connections == 3 && w.said.empty());
   there.Send(Purge(2));
@@ -415,8 +415,8 @@
     what = std::move(w);
     assert(::write(far.Get(), "x", 1) == 1);
   }
-  void Ready(short) override {
-    loop.Forget(near.Get());
+  void OnReady(short) override {
+    loop.Unwatch(near.Get());
     what();
   }
 };
@@ -450,8 +450,8 @@
       there.Send(Purge(2) + Purge(3));  // once, whether the old one's was read or not
       w.Passed(3);
       for (int i = 0; i < 5; ++i) {
-        w.d.loop.Skip(100);
-        w.d.loop.turn(1);
+        w.d.loop.AdvanceClock(100);
+        w.d.loop.RunOnce(1);
       }
       assert(w.counters.discovery_connections == 2);
     }
@@ -502,8 +502,8 @@
       int got = ::accept4(w.far.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
       if (got >= 0)
         w.peer = Far(loop::Descriptor(got));
-      w.d.loop.turn(1);
-      w.d.loop.Skip(10);
+      w.d.loop.RunOnce(1);
+      w.d.loop.AdvanceClock(10);
       stalls += w.d.loop.now() - last > 200;
       last = w.d.loop.now();
     }
@@ -527,14 +527,14 @@
   Ms start = w.d.loop.now();
   w.b.Follow();
   for (int i = 0; i < 300; ++i) {
-    w.d.loop.turn(1);
-    w.d.loop.Skip(10);
+    w.d.loop.RunOnce(1);
+    w.d.loop.AdvanceClock(10);
   }
   double most = 7 + (w.d.loop.now() - start) / 500;
   ::setrlimit(RLIMIT_NOFILE, &before);
   assert(w.counters.discovery_connections >= 3 &&
          static_cast<double>(w.counters.discovery_connections) <= most);
-  assert(w.said.size() == 1 && w.said[0].find("no descriptor") != std::string::npos);
+  assert(w.said.size() == 1 && w.said[0].find("local resource shortage") != std::string::npos);
   Far peer = w.Next(w.far);
   peer.Send(Purge(2));
   w.Passed(2);
@@ -658,8 +658,8 @@
   assert(!noted.sent.empty());
   for (std::uint32_t cache : noted.sent)
     assert(cache != noted.listed["s-twice"].cache);
-  w.d.loop.Skip(100);
-  w.d.loop.turn(0);
+  w.d.loop.AdvanceClock(100);
+  w.d.loop.RunOnce(0);
 }
 
 // More machines than a line holds: it ends at its bound, and nothing is kept of it.
--- a/tests/caches_test.cpp
+++ b/tests/caches_test.cpp
@@ -66,7 +66,7 @@
       body + "\r\n" + kId + " VALID entity=t1,issued=1,remark=local 0\r\n\r\n";
   for (char c : all) {
     peer.Send(std::string_view(&c, 1));
-    r.loop.turn(0);
+    r.loop.RunOnce(0);
   }
   Until(r.loop, [&] { return !one.notified.empty(); });
   assert(one.Is({"304 t1"}) && two.Is({"200 t2"}) && two.body == body);
@@ -228,7 +228,7 @@
     Until(r.loop, [&] { return peer.Hears("want " + kId); });
     peer.Reset();
     for (int i = 0; i < 20; ++i)
-      r.loop.turn(1);
+      r.loop.RunOnce(1);
   }
   assert(r.exchange.counters.cache_connections == 4);
   r.caches.Send(key, AskFor(), how, {});
@@ -237,7 +237,7 @@
   r.caches.GiveUp(key, AskFor(), how.cache);
   peer.Send("call PONG - 0\r\n\r\n");
   for (int i = 0; i < 20; ++i)
-    r.loop.turn(1);
+    r.loop.RunOnce(1);
   assert(!peer.Hears("want") && !peer.Hears("never_mind"));
 }
 
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -19,7 +19,7 @@
       : d(s), clients(d.loop, d.exchange, MakeTerms().request_classes, {false, true}, at, most) {}
   Far Come() {
     Far f = Far::To(at);
-    d.loop.turn(1);
+    d.loop.RunOnce(1);
     return f;
   }
   void Hear(Far& f, std::string_view text) {
@@ -54,11 +54,11 @@
     Until(loop, [&] { return !what; });
   }
   ~Meanwhile() {
-    loop.Forget(ends[0]);
+    loop.Unwatch(ends[0]);
     ::close(ends[0]);
     ::close(ends[1]);
   }
-  void Ready(short) override {
+  void OnReady(short) override {
     if (what)
       std::exchange(what, nullptr)();
   }
@@ -83,7 +83,7 @@
     far.Send(GetAs(1));
     c.Finish(c.attempt(0), Said(Ending::kFinished), body);
     for (int i = 0; i < 3; ++i)
-      c.d.loop.turn(0);
+      c.d.loop.RunOnce(0);
   }
   bool HasAll() {
     return far.Read(1000).ends_with("\r\n\r\n" + body);
@@ -95,7 +95,7 @@
   Far f = c.Come();
   for (char one : Get("If-None-Match: \"4be0\"\r\nX-Memory-Kb: 412.5\r\n")) {
     f.Send(std::string_view(&one, 1));
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   }
   c.Finish(c.attempt(0), Said(Ending::kFinished), "a\r\n\r\nb");
   c.Hear(f, "\r\n\r\na\r\n\r\nb");
@@ -205,8 +205,8 @@
   c.Hear(served, "HTTP/1.1 200");
   half.Send("GET /alive HTTP/1.1\r\nA: ");
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(1);
-  c.d.loop.Skip(2600);
+    c.d.loop.RunOnce(1);
+  c.d.loop.AdvanceClock(2600);
   c.Hear(half, "HTTP/1.1 408");
   Until(c.d.loop, [&] {
     silent.Read();
@@ -305,7 +305,7 @@
 void ARequestThatComesBeforeTheSweepsCloseIsServed() {
   Counter c;
   Slow slow(c);
-  c.d.loop.Skip(20000);
+  c.d.loop.AdvanceClock(20000);
   Meanwhile now(c.d.loop, [&] { slow.far.Send(GetAs(2)); });
   c.Finish(c.attempt(1), Said(Ending::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
@@ -319,8 +319,8 @@
 void ARequestThatCrossesTheSweepTakesNoAnswerWithIt() {
   Counter c;
   Slow slow(c);
-  c.d.loop.Skip(20000);
-  c.d.loop.turn(0);  // the sweep is due
+  c.d.loop.AdvanceClock(20000);
+  c.d.loop.RunOnce(0);  // the sweep is due
   slow.far.Send(GetAs(2));
   Until(c.d.loop, [&] { return slow.HasAll(); });
   Until(c.d.loop, [&] {
@@ -356,7 +356,7 @@
   for (std::size_t i = 0; i < all.size(); ++i) {
     c.Finish(c.attempt(i), Said(Ending::kFinished), "ok");
     for (int turns = 0; turns < 5; ++turns)
-      c.d.loop.turn(0);
+      c.d.loop.RunOnce(0);
   }
   for (Far& f : all)
     c.Hear(f, "\r\n\r\nok");
@@ -377,11 +377,11 @@
     good.back().Send(GetAs(i));
   }
   for (int turns = 0; turns < 50; ++turns)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   assert(c.d.caches.sent.size() == 3);
   bad[0].Send("x");
   Until(c.d.loop, [&] { return IsReset(bad[0]); });  // closed outright
-  c.d.loop.Skip(2000);
+  c.d.loop.AdvanceClock(2000);
   for (Far& f : bad)
     Until(c.d.loop, [&] {
       f.Read();
@@ -431,7 +431,7 @@
     AttemptKey key = c.attempt(0);
     f.Send(one.bytes);
     if (one.then != kStays || one.bytes.size() > 10000)
-      c.d.loop.turn(1);
+      c.d.loop.RunOnce(1);
     if (one.then == kCloses)
       f.fd.Reset();
     if (one.then == kResets)
@@ -442,7 +442,7 @@
         f.Read();
         return f.over;
       });
-      c.d.loop.Skip(2000);  // though it never closes
+      c.d.loop.AdvanceClock(2000);  // though it never closes
     }
     c.Finish(key, Said(Ending::kFinished), "still here");
     c.Hear(good, "still here");
@@ -492,7 +492,7 @@
       none = full;
       none.rlim_cur = static_cast<rlim_t>(waits.back().fd.Get() + 1);
       ::setrlimit(RLIMIT_NOFILE, &none);
-      c.d.loop.turn(0);
+      c.d.loop.RunOnce(0);
       ::setrlimit(RLIMIT_NOFILE, &full);
     }
     for (int i = 2; i < 5; ++i)
@@ -521,7 +521,7 @@
   Counter c;
   Far f = c.Come();
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   f.Send(GetAs(1));
   Until(c.d.loop, [&] {
     c.clients.Leave();
@@ -540,7 +540,7 @@
   Slow slow(c);
   c.clients.Leave();
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   Meanwhile now(c.d.loop, [&] {
     slow.far.Send(GetAs(2));
     c.clients.Leave();
@@ -563,7 +563,7 @@
   Slow slow(c);
   c.clients.Leave();
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   Meanwhile now(c.d.loop, [&] {
     c.clients.Leave();
     slow.far.Send(GetAs(2));
@@ -587,7 +587,7 @@
   for (std::size_t i = 0; i < 3; ++i) {
     for (int turns = 0; turns < 3; ++turns) {
       c.clients.Leave();
-      c.d.loop.turn(0);
+      c.d.loop.RunOnce(0);
     }
     c.Finish(c.attempt(i), Said(Ending::kFinished), "body" + std::to_string(i));
     c.Hear(f, "\r\n\r\nbody" + std::to_string(i));
@@ -635,7 +635,7 @@
     return served.over;
   });
   for (int turns = 0; turns < 5; ++turns)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   newcomer.Send(GetAs(1));
   c.Finish(c.attempt(1), Said(Ending::kFinished), "ok");
   c.Hear(newcomer, "\r\n\r\nok");
@@ -664,7 +664,7 @@
 void WhoNeverSpokeDoesNotLinger() {
   Counter c;
   Far silent = c.Come();
-  c.d.loop.Skip(2600);
+  c.d.loop.AdvanceClock(2600);
   Until(c.d.loop, [&] {
     silent.Read();
     return silent.over;
@@ -677,7 +677,7 @@
   Far f = c.Come();
   f.Send(Get().substr(0, 40));
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   Until(c.d.loop, [&] {
     c.clients.Leave();
     return f.Hears("\r\n\r\n");
@@ -706,7 +706,7 @@
   std::string body(exchange::kMostBytes, 'x');
   auto sent_on = [&](std::size_t which) {
     for (int i = 0; i < 50 && c.d.caches.sent.size() <= which; ++i)
-      c.d.loop.turn(1);
+      c.d.loop.RunOnce(1);
     return c.d.caches.sent.size() > which;
   };
   std::size_t which = 0;
@@ -716,13 +716,13 @@
   }
   for (int i = 0; i < 3; ++i) {
     c.clients.Leave();
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   }
   assert(!c.clients.empty());
-  c.d.loop.Skip(3100);
+  c.d.loop.AdvanceClock(3100);
   for (int i = 0; i < 3; ++i) {
     c.clients.Leave();
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   }
   assert(c.clients.empty());
 }
@@ -765,7 +765,7 @@
   c.attempt(3);
   six.Send(GetAs(5));
   for (int i = 0; i < 20; ++i)
-    c.d.loop.turn(1);
+    c.d.loop.RunOnce(1);
   assert(c.d.caches.sent.size() == 4);
   c.Finish(c.attempt(0), Said(Ending::kFinished));
   c.attempt(4);
--- a/tests/connection_test.cpp
+++ b/tests/connection_test.cpp
@@ -10,8 +10,8 @@
   FarListener far;
   struct Owner final : loop::Connection::Owner {
     std::optional<loop::DisconnectReason> how;
-    void Came() override {}
-    void Ended(loop::DisconnectReason p) override {
+    void OnBytesReceived() override {}
+    void OnDisconnected(loop::DisconnectReason p) override {
       how = p;
     }
   } owner;
@@ -19,12 +19,12 @@
   std::uint64_t first = c.Send("small"), second = c.Send(std::string(32 << 20, 'x')),
                 third = c.Send("last");
   Far peer = far.Next(loop);
-  Until(loop, [&] { return !c.Unsent(first); });
-  loop.turn(1);
-  assert(c.Unsent(second) && c.Unsent(third) && !c.TakeBack(second) && c.TakeBack(third));
+  Until(loop, [&] { return !c.IsUnsent(first); });
+  loop.RunOnce(1);
+  assert(c.IsUnsent(second) && c.IsUnsent(third) && !c.CancelSend(second) && c.CancelSend(third));
   peer.Reset();
   Until(loop, [&] { return owner.how.has_value(); });
-  assert(*owner.how == loop::DisconnectReason::kReset && c.Unsent(second) && !c.Unsent(first));
+  assert(*owner.how == loop::DisconnectReason::kReset && c.IsUnsent(second) && !c.IsUnsent(first));
 }
 
 }  // namespace
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -39,7 +39,7 @@
     Waiting w(how, SettingsWith(false, Effect::kExclusive), {}, how == kCheck ? kWrite : kVideo);
     if (how == kCheck)
       w.peer.Send("call PONG - 0\r\n\r\n");
-    w.r.loop.Skip(61000);
+    w.r.loop.AdvanceClock(61000);
     w.r.Turns();
     if (how == kDial)
       w.peer = w.far.Next(w.r.loop);
@@ -78,7 +78,7 @@
     // The repeat is on its way to a connection that is not up yet: no turn has passed since.
     assert(r.exchange.counters.attempts == 2 && client.notified.empty());
     if (late)
-      r.loop.Skip(501);
+      r.loop.AdvanceClock(501);
     r.Turns();
     Far second = next->Next(r.loop);
     if (!late)
@@ -315,8 +315,8 @@
         for (int what : order) {
           std::size_t notified = client.notified.size();
           if (what == 0) {
-            d.loop.Skip(200);
-            d.loop.turn(0);
+            d.loop.AdvanceClock(200);
+            d.loop.RunOnce(0);
           }
           if (what == 1) {
             d.exchange.OnClientLeft(request);
@@ -392,7 +392,7 @@
   auto attempts = t.road.exchange.counters.attempts;
   t.home->Send(kId + " SHED - 0\r\n\r\n");
   t.client.fd.Reset();
-  t.road.loop.Skip(10);  // as after a standstill: all are looked at
+  t.road.loop.AdvanceClock(10);  // as after a standstill: all are looked at
   Until(t.road.loop, [&] { return t.road.exchange.counters.full == 1; });
   assert(t.road.exchange.counters.attempts == attempts && t.road.exchange.counters.left == 1);
 }
@@ -411,7 +411,7 @@
       ::close(ends[0]);
       ::close(ends[1]);
     }
-    void Ready(short) override {
+    void OnReady(short) override {
       if (what)
         std::exchange(what, nullptr)();
     }
@@ -420,13 +420,13 @@
   TwoServers t;
   standstill.what = [&] {
     t.client.fd.Reset();
-    t.road.loop.Skip(300);
+    t.road.loop.AdvanceClock(300);
   };
   t.road.loop.WatchDescriptor(standstill.ends[0], standstill, POLLIN);
   t.home->Send(kId + " SHED - 0\r\n\r\n");
   assert(::write(standstill.ends[1], "x", 1) == 1);
   Until(t.road.loop, [&] { return t.road.exchange.counters.left == 1; });
-  t.road.loop.Forget(standstill.ends[0]);
+  t.road.loop.Unwatch(standstill.ends[0]);
   t.road.Turns();
   assert(t.road.exchange.counters.full == 1);
   assert(!t.other->Hears("want " + kId));
@@ -455,7 +455,7 @@
   int Connect(int, const loop::Address&) override {
     return -1;
   }
-  int Fault(int) override {
+  int SocketError(int) override {
     return 0;
   }
   int Listen(const loop::Address&) override {
@@ -464,13 +464,13 @@
   int Accept(int) override {
     return -1;
   }
-  ssize_t receive(int, std::span<char>) override {
+  ssize_t Receive(int, std::span<char>) override {
     return -1;
   }
   ssize_t Send(int, std::span<const iovec>) override {
     return -1;
   }
-  void SayNoMore(int) override {}
+  void ShutdownWrite(int) override {}
   void Close(int) override {}
   void Abort(int) override {}
   int OpenDatagrams(const loop::Address&) override {
@@ -494,7 +494,7 @@
     std::vector<int>& order;
     int which;
     Note(std::vector<int>& o, int w) : order(o), which(w) {}
-    void Ready(short) override {
+    void OnReady(short) override {
       order.push_back(which);
     }
   };
@@ -506,12 +506,12 @@
     loop.WatchDescriptor(1, busy, POLLIN);
     loop.WatchDescriptor(2, resting, POLLRDHUP, true);
     for (int i = 0; i < 20; ++i)
-      loop.turn(1000);
+      loop.RunOnce(1000);
     assert(std::count(order.begin(), order.end(), 1) == 20);
     environment.ends_at = environment.clock + phase;
     while (std::count(order.begin(), order.end(), 2) == 0) {
       order.clear();
-      loop.turn(1000);
+      loop.RunOnce(1000);
       assert(environment.clock <= environment.ends_at + 7);
     }
     assert((order == std::vector<int>{2, 1}));
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -14,11 +14,11 @@
   std::string got;
   bool over = false;
   std::unique_ptr<loop::Connection> connection;
-  void Came() override {
+  void OnBytesReceived() override {
     got += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Ended(loop::DisconnectReason) override {
+  void OnDisconnected(loop::DisconnectReason) override {
     over = true;
   }
 };
@@ -121,17 +121,17 @@
   std::string second = GetAs(2);
   second.replace(second.find(deadline), deadline.size(), shorter);
   t.Come(GetAs(1) + second);
-  t.peers.Act([&] { t.all[0]->connection->ReadUpTo(1); });
+  t.peers.Act([&] { t.all[0]->connection->SetReadLimit(1); });
   t.EventsIn(10);
   assert(t.caches.sent.size() == 1);
   t.front.Act([&] {
     t.exchange->AnswerBytes(t.caches.sent[0].key, std::string(kMuch, 'x'));
     t.exchange->AnswerWhole(t.caches.sent[0].key, Said(Ending::kFinished));
   });
-  t.peers.Act([&] { t.all[0]->connection->ReadUpTo(0); });
+  t.peers.Act([&] { t.all[0]->connection->SetReadLimit(0); });
   t.EventsIn(kWaits);
   assert(t.caches.sent.size() == 1);
-  t.peers.Act([&] { t.all[0]->connection->ReadUpTo(kMuch); });
+  t.peers.Act([&] { t.all[0]->connection->SetReadLimit(kMuch); });
   t.EventsIn(100);
   assert(t.caches.sent.size() == 2);
   assert(t.caches.sent[1].how.timeout <= 3000 - kWaits + kSlack);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -141,11 +141,11 @@
     else
       two.pop_back();
     d.exchange.ListCame(!notified, two);
-    d.loop.Skip(100000);
+    d.loop.AdvanceClock(100000);
     two.resize(1);
     d.exchange.ListCame(false, two);
     assert(d.caches.forgotten.empty());
-    d.loop.Skip(100000);
+    d.loop.AdvanceClock(100000);
     d.exchange.ListCame(false, two);
     assert(d.caches.forgotten.size() ==
            (notified ? 1u : 2u));  // the origin was not on the second list either
@@ -241,12 +241,12 @@
   ListAll(d, {first}, Standing::kGone);
   ListAll(d, {second}, Standing::kGone);
   ListAll(d, {second});  // it is back before it is forgotten
-  d.loop.Skip(kLongAfter);
+  d.loop.AdvanceClock(kLongAfter);
   ListAll(d, {second});
   assert(d.caches.forgotten == std::vector<std::uint32_t>{number} &&
          d.caches.numbers[second] == number + 1);
   ListAll(d, {second}, Standing::kGone);
-  d.loop.Skip(kLongAfter);
+  d.loop.AdvanceClock(kLongAfter);
   ListAll(d, {second});  // forgotten and new in one
   assert(d.caches.forgotten.size() == 2 && d.caches.numbers[second] == number);
   ListAll(d, {first});
--- a/tests/front_terms_test.cpp
+++ b/tests/front_terms_test.cpp
@@ -107,7 +107,7 @@
       deployment.net.RunUntil(stopped_at + kKillAfter);
       deployment.CheckAnswers(requests);
       deployment.RunFor(300);
-      CHECK(deployment.front_process.loop().Stopped());
+      CHECK(deployment.front_process.loop().IsStopped());
     }
   }
 }
--- a/tests/kit.hpp
+++ b/tests/kit.hpp
@@ -141,7 +141,7 @@
   Ms end = loop.now() + 20000;
   bool held = holds();
   for (; !held && loop.now() < end; held = holds())
-    loop.turn(1);
+    loop.RunOnce(1);
   assert(held);
 }
 
--- a/tests/owner_storage_test.cpp
+++ b/tests/owner_storage_test.cpp
@@ -379,7 +379,7 @@
   bool Until(const std::function<bool()>& holds) {
     constexpr Ms kAtMost = 30000;
     for (Ms end = loop.now() + kAtMost; loop.now() < end && !holds();)
-      loop.turn(20);
+      loop.RunOnce(20);
     return holds();
   }
   bool Shows(owner::Id id, const std::string& text) {
--- a/tests/peers_front_test.cpp
+++ b/tests/peers_front_test.cpp
@@ -111,7 +111,7 @@
   for (const char* q : {"DW?", "DO?", "DP?"})
     say(q);
   for (double end = loop.now() + 20000; loop.now() < end && record.came.empty();)
-    loop.turn(20);
+    loop.RunOnce(20);
   REQUIRE(record.came.size() == 1);
   CHECK(record.came[0].first == 1);
   CHECK(record.came[0].second == bulk);
--- a/tests/stage_test.cpp
+++ b/tests/stage_test.cpp
@@ -22,11 +22,11 @@
   std::string got;
   std::vector<DisconnectReason> ends;
   std::unique_ptr<loop::Connection> connection;
-  void Came() override {
+  void OnBytesReceived() override {
     got += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Ended(DisconnectReason how) override {
+  void OnDisconnected(DisconnectReason how) override {
     ends.push_back(how);
   }
 };
@@ -95,13 +95,13 @@
   Pair p;
   p.Open();
   p.Pass(50);
-  p.b.Act([&] { p.far[0]->connection->ReadUpTo(0); });
+  p.b.Act([&] { p.far[0]->connection->SetReadLimit(0); });
   p.Send(p.near, p.a, Pattern(1 << 20));
   p.Pass(1000);
-  assert(!p.near.connection->DrainedOut() && p.far[0]->got.empty());
-  p.b.Act([&] { p.far[0]->connection->ReadUpTo(1 << 16); });
+  assert(!p.near.connection->IsSendQueueEmpty() && p.far[0]->got.empty());
+  p.b.Act([&] { p.far[0]->connection->SetReadLimit(1 << 16); });
   p.Pass(60000);
-  assert(p.near.connection->DrainedOut() && p.far[0]->got == Pattern(1 << 20));
+  assert(p.near.connection->IsSendQueueEmpty() && p.far[0]->got == Pattern(1 << 20));
 }
 
 void EndsAreNotifiedAsTheyAre() {
@@ -118,12 +118,12 @@
             true,
             false,
             [](Pair& p) { p.net.SetCut(0x0a000002, true, true); },
-            {DisconnectReason::kNeverUp}},
+            {DisconnectReason::kConnectFailed}},
            {"the host has vanished",
             true,
             false,
             [](Pair& p) { p.net.Vanish(p.b); },
-            {DisconnectReason::kNeverUp}},
+            {DisconnectReason::kConnectFailed}},
            {"closed",
             true,
             true,
@@ -132,7 +132,7 @@
            {"half closed",
             true,
             true,
-            [](Pair& p) { p.b.Act([&] { p.far[0]->connection->SayNoMore(); }); },
+            [](Pair& p) { p.b.Act([&] { p.far[0]->connection->ShutdownWrite(); }); },
             {DisconnectReason::kClosed}},
            {"killed", true, true, [](Pair& p) { p.net.Kill(p.b); }, {DisconnectReason::kReset}},
            {"vanished under it: silent", true, true, [](Pair& p) { p.net.Vanish(p.b); }, {}},
@@ -234,7 +234,7 @@
   Net net(1);
   Process& a = net.Start(0x0a000001, "a");
   std::function<void()> again = [&] {
-    a.loop().at(a.loop().now(), again);
+    a.loop().RunAt(a.loop().now(), again);
   };
   a.Act(again);
   bool found = false;
--- a/tests/support/failing_environment.hpp
+++ b/tests/support/failing_environment.hpp
@@ -146,10 +146,10 @@
     return -failure->error;
   }
 
-  int Fault(int fd) override {
+  int SocketError(int fd) override {
     if (auto failure = Ask(Call::kConnectResult))
       return failure->error;
-    return inner_.Fault(fd);
+    return inner_.SocketError(fd);
   }
 
   int Listen(const loop::Address& at) override {
@@ -162,11 +162,11 @@
     return Progressed(Opened(inner_.Accept(fd), Origin::kAccepted));
   }
 
-  ssize_t receive(int fd, std::span<char> into) override {
+  ssize_t Receive(int fd, std::span<char> into) override {
     auto failure = Ask(Call::kReceive);
     if (failure && failure->error != 0)
       return -Failed(Call::kReceive, fd, failure->error);
-    ssize_t got = Progressed(inner_.receive(fd, failure ? into.first(1) : into));
+    ssize_t got = Progressed(inner_.Receive(fd, failure ? into.first(1) : into));
     return got == -EAGAIN && IsBroken(fd) ? -ECONNRESET : got;
   }
 
@@ -187,8 +187,8 @@
     return Progressed(inner_.Send(fd, {&one, 1}));
   }
 
-  void SayNoMore(int fd) override {
-    inner_.SayNoMore(fd);
+  void ShutdownWrite(int fd) override {
+    inner_.ShutdownWrite(fd);
   }
 
   void Close(int fd) override {
--- a/tests/support/simulated_front.hpp
+++ b/tests/support/simulated_front.hpp
@@ -81,7 +81,7 @@
     loop::Connection connection;
     Peer(FakeServers& servers, loop::Descriptor fd)
         : all(servers), connection(servers.process_.loop(), *this, std::move(fd)) {}
-    void Came() override {
+    void OnBytesReceived() override {
       std::string_view bytes = connection.in.bytes();
       std::size_t end = bytes.find("\r\n");
       while (end != bytes.npos) {
@@ -105,18 +105,18 @@
       if (all.mode_ == ServerMode::kAnswerFirst && all.attempts_.size() == 1)
         AnswerLater(answer, kFirstAnswerAfter);
       if (all.mode_ == ServerMode::kReset)
-        connection.EndAs(loop::DisconnectReason::kLetGo);
+        connection.Disconnect(loop::DisconnectReason::kReleased);
     }
     void AnswerLater(const std::string& answer, Ms after) {
       loop::Loop& loop = all.process_.loop();
       answer_timers.push_back(
-          loop.at(loop.now() + after, [this, answer] { connection.Send(answer); }));
+          loop.RunAt(loop.now() + after, [this, answer] { connection.Send(answer); }));
     }
     static Ms DeadlineIn(std::string_view line) {
       constexpr std::string_view kField = "max=";
       return std::atof(std::string(line.substr(line.find(kField) + kField.size())).c_str());
     }
-    void Ended(loop::DisconnectReason) override {
+    void OnDisconnected(loop::DisconnectReason) override {
       for (std::uint64_t timer : answer_timers)
         all.process_.loop().Cancel(timer);
       connection.Close();
@@ -141,7 +141,7 @@
   stage::Process* process = nullptr;
   std::unique_ptr<loop::Connection> connection;
 
-  void Came() override {
+  void OnBytesReceived() override {
     received += connection->in.bytes();
     connection->in.Consume(connection->in.size());
     while (answers_at.size() < CountAnswers())
@@ -151,11 +151,11 @@
   }
   /// A request's time counts from when its last byte is written to a connection that was accepted
   /// by the machine. A dial that finds the listener's queue full is repeated a second later.
-  void Drained() override {
+  void OnDrained() override {
     if (answers_at.empty())
       sent_at = std::max(sent_at, process->loop().now());
   }
-  void Ended(loop::DisconnectReason) override {
+  void OnDisconnected(loop::DisconnectReason) override {
     ended_by_front = true;
   }
   std::size_t CountAnswers() const {
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -35,14 +35,14 @@
   std::string received;
   std::vector<DisconnectReason> ends;
   int drains = 0;
-  void Came() override {
+  void OnBytesReceived() override {
     received += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Drained() override {
+  void OnDrained() override {
     ++drains;
   }
-  void Ended(DisconnectReason how) override {
+  void OnDisconnected(DisconnectReason how) override {
     ends.push_back(how);
   }
 };
@@ -111,7 +111,7 @@
     test.environment.plan = FailOnce(Call::kConnect, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{DisconnectReason::kNoDescriptor});
+    CHECK(test.near.ends == std::vector{DisconnectReason::kLocalShortage});
   }
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     CAPTURE(error);
@@ -119,7 +119,7 @@
     test.environment.plan = FailOnce(Call::kOpenStream, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{DisconnectReason::kNoDescriptor});
+    CHECK(test.near.ends == std::vector{DisconnectReason::kLocalShortage});
   }
 }
 
@@ -131,8 +131,9 @@
       test.environment.plan = FailOnce(call, 0, {error});
       test.Dial();
       test.Run(100);
-      CHECK(test.near.ends == std::vector{error == ECONNREFUSED ? DisconnectReason::kRefused
-                                                                : DisconnectReason::kNeverUp});
+      CHECK(test.near.ends == std::vector{error == ECONNREFUSED
+                                              ? DisconnectReason::kRefused
+                                              : DisconnectReason::kConnectFailed});
     }
   }
 }
@@ -185,7 +186,7 @@
     test.environment.plan = FailUntil(test.net, Call::kReceive, error, test.net.now() + 60);
     test.listening.Act([&] {
       test.far.connection->Send("answer");
-      test.far.connection->SayNoMore();
+      test.far.connection->ShutdownWrite();
     });
     CHECK_NOTHROW(test.Run(200));
     CHECK(test.near.received == "answer");
@@ -205,7 +206,7 @@
     Ms ran_at = 0;
     test.environment.plan = FailUntil(test.net, Call::kWait, error, start + 60);
     test.dialling.Act(
-        [&] { test.dialling.loop().at(start + 30, [&] { ran_at = test.net.now(); }); });
+        [&] { test.dialling.loop().RunAt(start + 30, [&] { ran_at = test.net.now(); }); });
     test.listening.Act([&] { test.far.connection->Send("answer"); });
     CHECK_NOTHROW(test.Run(200));
     CHECK(ran_at >= start + 30);
@@ -352,11 +353,11 @@
   struct Line final : loop::Connection::Owner {
     Line(FakeServer& all, loop::Descriptor fd)
         : server(all), connection(all.process_.loop(), *this, std::move(fd)) {}
-    void Came() override {
+    void OnBytesReceived() override {
       while (ReadOne()) {
       }
     }
-    void Ended(DisconnectReason) override {}
+    void OnDisconnected(DisconnectReason) override {}
 
     bool ReadOne() {
       std::string_view bytes = connection.in.bytes();
@@ -428,7 +429,7 @@
     if (sent_ < requests_.size())
       connection_->Send(requests_[sent_++]);
   }
-  void Came() override {
+  void OnBytesReceived() override {
     received_ += connection_->in.bytes();
     connection_->in.Consume(connection_->in.size());
     while (ReadOne()) {
@@ -450,7 +451,7 @@
     SendNext();
     return true;
   }
-  void Ended(DisconnectReason) override {
+  void OnDisconnected(DisconnectReason) override {
     lost = statuses.size() < requests_.size();
     unasked += received_.find("HTTP/1.1 ", 1) != received_.npos ? 1 : 0;
   }
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -73,7 +73,7 @@
   // Seconds pass, in each of which the board says that there is nothing new.
   void Wait(int seconds) {
     for (int i = 0; i < seconds; ++i) {
-      desk.loop.Skip(kSecond);
+      desk.loop.AdvanceClock(kSecond);
       BeUpToDate();
     }
   }
@@ -109,7 +109,7 @@
 // whatever its stamp said: no copy that is older, but one that was made since this front heard of
 // it.
 void CheckPurgeBinds(Discovery& d, Ms purged, Ms heard) {
-  d.desk.loop.Skip(500);
+  d.desk.loop.AdvanceClock(500);
   Ms since_heard = d.Now() - heard;
   SendAttempt attempt = d.Request("7f3a");
   REQUIRE(attempt.cache != 0);
@@ -117,7 +117,7 @@
   CHECK(attempt.oldest <= d.Now() - purged);
   CHECK(attempt.oldest >= since_heard - 2);
   // It ends: copies are as good as ever some time after all caches have dropped the older ones.
-  d.desk.loop.Skip(3 * kPurgeDone);
+  d.desk.loop.AdvanceClock(3 * kPurgeDone);
   CHECK(d.Request("7f3a").oldest == 0);
 }
 
@@ -125,7 +125,7 @@
 int SentTo(Discovery& d, std::uint32_t server) {
   int count = 0;
   for (int i = 0; i < 400; ++i) {
-    d.desk.loop.Skip(1);
+    d.desk.loop.AdvanceClock(1);
     count += d.Request("object-" + std::to_string(d.asked)).cache == server;
   }
   return count;
@@ -149,7 +149,7 @@
   d.Begin();
   d.Follow();
   d.Announce(ServerNotice(d.last + 1, id, 0));
-  d.desk.loop.Skip(kSlowStart + 2 * kSecond);
+  d.desk.loop.AdvanceClock(kSlowStart + 2 * kSecond);
   return SentTo(d, NumberOf(id));
 }
 
@@ -159,7 +159,7 @@
   std::uint32_t server = NumberOf(id);
   REQUIRE(warm > 40);
   CHECK(SentTo(d, server) <= warm / 2);
-  d.desk.loop.Skip(kSlowStart + 2 * kSecond);
+  d.desk.loop.AdvanceClock(kSlowStart + 2 * kSecond);
   CHECK(SentTo(d, server) >= warm * 8 / 10);
 }
 
@@ -223,7 +223,7 @@
         purged = std::floor(d.Now()) - age;
       if (!at_start)
         d.Announce(PurgeNotice(d.last + 1, purged));
-      d.desk.loop.Skip(300);
+      d.desk.loop.AdvanceClock(300);
       Ms before = d.Now();
       SendAttempt attempt = d.Request("7f3a");
       CHECK(attempt.oldest >= before - purged - 1);
@@ -232,7 +232,7 @@
   Discovery d;
   d.Begin();
   d.Follow();
-  d.desk.loop.Skip(1200);  // the board says nothing for a while, and then what it has
+  d.desk.loop.AdvanceClock(1200);  // the board says nothing for a while, and then what it has
   Ms purged = std::floor(d.Now()) - 1100;
   d.Announce(PurgeNotice(d.last + 1, purged));
   Ms before = d.Now();
@@ -321,7 +321,7 @@
     std::string news =
         PurgeNotice(2, purged + skew) + "," + ServerNotice(3, "s-new", purged + skew);
     REQUIRE(discovery.MoveTo(FreeAddress(), known(news, 3)));  // announced after the start
-    loop.Skip(500);
+    loop.AdvanceClock(500);
     std::vector<Action> out;
     REQUIRE(rules.turn(loop.now(), kit::Settings(), out) != 0);
     auto request = [&](const std::string& object) {
@@ -344,13 +344,13 @@
       std::uint32_t server = NumberOf("s-new");
       int count = 0;
       for (int i = 0; i < 400; ++i) {
-        loop.Skip(1);
+        loop.AdvanceClock(1);
         count += request("object-" + std::to_string(i)).cache == server;
       }
       return count;
     };
     CHECK(sent() <= warm / 2);
-    loop.Skip(kSlowStart + 2 * kSecond);
+    loop.AdvanceClock(kSlowStart + 2 * kSecond);
     CHECK(sent() >= warm * 8 / 10);
   }
 }
@@ -366,7 +366,7 @@
   late.Follow();
   late.Announce(ServerNotice(late.last + 1, "s-new",
                              late.Now() - 4 * kSecond));  // it took four seconds to be listed
-  late.desk.loop.Skip(kSlowStart - 4 * kSecond);
+  late.desk.loop.AdvanceClock(kSlowStart - 4 * kSecond);
   CHECK(SentTo(late, NumberOf("s-new")) >= warm * 8 / 10);
 }
 
--- a/tests/upstream_answers_test.cpp
+++ b/tests/upstream_answers_test.cpp
@@ -37,8 +37,8 @@
     dialled_ = true;
     return system_.Connect(fd, to);
   }
-  int Fault(int fd) override {
-    return system_.Fault(fd);
+  int SocketError(int fd) override {
+    return system_.SocketError(fd);
   }
   int Listen(const loop::Address& at) override {
     return system_.Listen(at);
@@ -46,14 +46,14 @@
   int Accept(int fd) override {
     return system_.Accept(fd);
   }
-  ssize_t receive(int fd, std::span<char> into) override {
-    return system_.receive(fd, into);
+  ssize_t Receive(int fd, std::span<char> into) override {
+    return system_.Receive(fd, into);
   }
   ssize_t Send(int fd, std::span<const iovec> parts) override {
     return system_.Send(fd, parts);
   }
-  void SayNoMore(int fd) override {
-    system_.SayNoMore(fd);
+  void ShutdownWrite(int fd) override {
+    system_.ShutdownWrite(fd);
   }
   void Close(int fd) override {
     if (fd == held_)
@@ -81,7 +81,7 @@
  private:
   static constexpr int kNone = -2;
   static constexpr int kIgnoredByPoll = -1;
-  loop::Environment& system_ = loop::MakeSystem();
+  loop::Environment& system_ = loop::PosixEnvironment();
   bool dialled_ = false;
   int held_ = kNone;
 };
@@ -150,7 +150,7 @@
     }
     return other != nullptr;
   });
-  loop.Skip(kConnectWithin + 1);
+  loop.AdvanceClock(kConnectWithin + 1);
   Until(loop, [&] { return exchange.counters.never_ran == 1; });
   environment.AllowDial();
   Far server = other->Next(loop);
@@ -174,7 +174,7 @@
   Road road(Machines({{"s-1", listener.at}}), SettingsWith(false), MakeTerms(kConnectWithin));
   Asked client;
   road.exchange.OnRequest(AskAs(1), client);
-  road.loop.Skip(kConnectWithin + 1);
+  road.loop.AdvanceClock(kConnectWithin + 1);
   road.Turns();
   Far server = listener.Next(road.loop);
   Until(road.loop, [&] { return server.Hears(WantOf(1)); });
@@ -213,7 +213,7 @@
       bool is_over = (server.Read(), server.over);
       if (!is_over && sent < c.answer.size())
         server.Send(c.answer.substr(sent++, 1));
-      road.loop.Skip(kStep);
+      road.loop.AdvanceClock(kStep);
       road.Turns(2);
     };
     Ms passed = 0;
@@ -257,7 +257,7 @@
     if (own_answer_comes)
       open.server.Send(AnswerTo(1, "own"));
     else
-      open.road.loop.Skip(60001);
+      open.road.loop.AdvanceClock(60001);
     Until(open.road.loop, [&] { return !open.first.notified.empty(); });
     CHECK(open.first.notified.size() == 1);
     if (own_answer_comes)
--- a/tests/upstream_fixture.hpp
+++ b/tests/upstream_fixture.hpp
@@ -21,7 +21,7 @@
   }
   void Turns(int count = 20) {
     for (int i = 0; i < count; ++i)
-      loop.turn(1);
+      loop.RunOnce(1);
   }
 };
 
@@ -117,7 +117,7 @@
   bool Quiet() {
     for (int i = 0; i < 20; ++i) {
       std::size_t before = peer.got.size();
-      r.loop.turn(1);
+      r.loop.RunOnce(1);
       if (peer.Read(1 << 20).size() != before)
         return false;
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -213,8 +213,8 @@
     Ending part;
   };
   for (Case c : {Case{DisconnectReason::kRefused, Ending::kNoConnection, Ending::kNoConnection},
-                 {DisconnectReason::kNeverUp, Ending::kNoConnection, Ending::kNoConnection},
-                 {DisconnectReason::kNoDescriptor, Ending::kNoConnection, Ending::kNoConnection},
+                 {DisconnectReason::kConnectFailed, Ending::kNoConnection, Ending::kNoConnection},
+                 {DisconnectReason::kLocalShortage, Ending::kNoConnection, Ending::kNoConnection},
                  {DisconnectReason::kClosed, Ending::kBroken, Ending::kNoConnection},
                  {DisconnectReason::kReset, Ending::kBroken, Ending::kNoConnection},
                  {DisconnectReason::kMalformed, Ending::kBroken, Ending::kNoConnection},
