--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -1,3 +1,5 @@
+// The adapter to the simulator: a batch is answered, malformed frames are rejected, and an error in
+// the settings names the setting.
 #include "benchlink/host.hpp"
 #include "kit.hpp"
 #include "sheet/sheet.hpp"
@@ -5,7 +7,7 @@
 using namespace kit;
 using namespace dunlinwick::benchlink;
 
-static const std::string kFacts =
+static const std::string kSettings =
     "zone=1\nbalancers=2\nclasses.count=1\nclasses.0.aim=500.0\nclasses.0.giveUp=5000.0\nclasses.0."
     "idempotency=repeatable\n"
     "familyInfo.parentKind=1\nfamilyInfo.sourceKind=2\nfamilyInfo.streamKbPerS=8800.0\nlimits."
@@ -18,11 +20,11 @@
   w.U16(3);
   w.U16(2);
   w.U64(42);
-  w.U32(static_cast<std::uint32_t>(kFacts.size()));
-  return w.bytes + kFacts;
+  w.U32(static_cast<std::uint32_t>(kSettings.size()));
+  return w.bytes + kSettings;
 }
 
-static std::string Registry() {
+static std::string EndpointList() {
   Writer w;
   w.U16(9);
   w.U8(2);
@@ -40,7 +42,7 @@
   return w.bytes;
 }
 
-static std::string Inbound(std::uint32_t id) {
+static std::string RequestArrived(std::uint32_t id) {
   Writer w;
   w.U16(7);
   w.U32(id);
@@ -54,75 +56,76 @@
   return w.bytes;
 }
 
-static bool Refused(std::string_view body, std::uint32_t records) {
+static bool IsRejected(std::string_view body, std::uint32_t records) {
   try {
-    Host().answer({1000, static_cast<std::uint32_t>(body.size()), records, 1}, body);
-  } catch (const WireFault&) {
+    Host().HandleBatch({1000, static_cast<std::uint32_t>(body.size()), records, 1}, body);
+  } catch (const FrameError&) {
     return true;
   }
   return false;
 }
 
-static void AnswersABatch() {
+static void ABatchIsAnswered() {
   Host host;
-  std::string body = Attach() + Registry() + Inbound(5), reply = host.answer({1000, 0, 4, 9}, body);
+  std::string body = Attach() + EndpointList() + RequestArrived(5),
+              reply = host.HandleBatch({1000, 0, 4, 9}, body);
   Reader in(reply);
   assert(in.U32() == reply.size() - 8 && in.U32() == 9);
   assert(in.U16() == 74 && in.U16() == 3);  // Source
   assert(in.U16() == 70);                   // Arm, then FetchThrough
-  in.Take(16);
+  in.ReadBytes(16);
   assert(in.U16() == 67 && in.U32() == 5);
-  in.Take(10);
-  assert(in.U32() == 12 && in.U32() == 10);  // fed by the origin, at the one cache
+  in.ReadBytes(10);
+  assert(in.U32() == 12 && in.U32() == 10);  // source: the origin; cache: the only one
   Writer kill;
   kill.U16(12);
   kill.U16(3);
   kill.U16(1);
-  assert(host.answer({1001, 0, 2, 10}, kill.bytes).size() == 8);
-  assert(host.answer({1002, 0, 4, 11}, body).size() == reply.size());  // a new life
+  assert(host.HandleBatch({1001, 0, 2, 10}, kill.bytes).size() == 8);
+  assert(host.HandleBatch({1002, 0, 4, 11}, body).size() == reply.size());  // attached again
 }
 
-static void RefusesWhatIsMalformed() {
-  std::string body = Attach() + Registry() + Inbound(5);
+static void MalformedFramesAreRejected() {
+  std::string body = Attach() + EndpointList() + RequestArrived(5);
   for (std::size_t cut = 1; cut < body.size(); ++cut)
-    assert(Refused(std::string_view(body).substr(0, cut), 4));
-  assert(Refused(body + "x", 4));
-  Writer unknown, before, count, verdict;
+    assert(IsRejected(std::string_view(body).substr(0, cut), 4));
+  assert(IsRejected(body + "x", 4));
+  Writer unknown, before_on, count, result;
   unknown.U16(12);
   unknown.U16(3);
   unknown.U16(99);
-  before.U16(3);
-  before.U64(1);
+  before_on.U16(3);
+  before_on.U64(1);
   count.U16(12);
   count.U16(3);
   count.U16(9);
   count.U8(1);
   count.U32(1);
   count.U32(0xffffffff);
-  verdict.U16(12);
-  verdict.U16(3);
-  verdict.U16(4);
-  verdict.U32(1);
-  verdict.F64(1);
-  verdict.U16(42);
-  verdict.U8(0);
-  assert(Refused(unknown.bytes, 2) && Refused(before.bytes, 1) && Refused(count.bytes, 2) &&
-         Refused(verdict.bytes, 2));
+  result.U16(12);
+  result.U16(3);
+  result.U16(4);
+  result.U32(1);
+  result.F64(1);
+  result.U16(42);
+  result.U8(0);
+  assert(IsRejected(unknown.bytes, 2) && IsRejected(before_on.bytes, 1) &&
+         IsRejected(count.bytes, 2) && IsRejected(result.bytes, 2));
   Writer header;
   header.F64(1);
   header.U32(4);
   header.U32(3);
   header.U32(1);
-  bool impossible = false;
+  bool rejected = false;
   try {
     ReadHeader(header.bytes);
-  } catch (const WireFault&) {
-    impossible = true;
+  } catch (const FrameError&) {
+    rejected = true;
   }
-  assert(impossible);
+  assert(rejected);
 }
 
-static void NamesTheSettingAtFault() {
+static void AnErrorNamesTheSetting() {
   struct Case {
     const char *from, *to, *named;
   };
@@ -130,23 +133,23 @@
                  {"aim=500.0", "aim=soon", "classes.0.aim"},
                  {"limits.maxAttempts=8", "limits.maxAttempts=0", "limits.maxAttempts"},
                  {"idempotency=repeatable", "idempotency=often", "classes.0.idempotency"}}) {
-    std::string text = kFacts;
+    std::string text = kSettings;
     text.replace(text.find(c.from), std::string(c.from).size(), c.to);
-    std::string said;
+    std::string message;
     try {
       settings::ReadSettings(text);
-    } catch (const settings::SettingsFault& fault) {
-      said = fault.what();
+    } catch (const settings::SettingsFault& error) {
+      message = error.what();
     }
-    assert(said.find(c.named) != said.npos);
+    assert(message.find(c.named) != message.npos);
   }
-  StoreSettings s = settings::ReadSettings(kFacts);
+  StoreSettings s = settings::ReadSettings(kSettings);
   assert(s.zone == 1 && s.longest_retry_after == 500 &&
          s.request_classes[0].effect == Effect::kIdempotent);
 }
 
 int main() {
-  AnswersABatch();
-  RefusesWhatIsMalformed();
-  NamesTheSettingAtFault();
+  ABatchIsAnswered();
+  MalformedFramesAreRejected();
+  AnErrorNamesTheSetting();
 }
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,4 +1,4 @@
-// The log: its limit, whose it is, and that no bytes from a peer make a line of their own.
+// The log: its rate limit, which log is current, and that bytes from a peer cannot forge a line.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <fcntl.h>
@@ -26,13 +26,14 @@
   std::string Of(std::string_view line) {
     lines.clear();
     now += 1000;
-    log.Say(line);
+    log.Write(line);
     REQUIRE(lines.size() == 1);
     return lines[0];
   }
 };
 
-// What a terminal or a reader of lines may take for an end, or for an order.
+// False if a terminal or a line reader may interpret a character as a line break or a control
+// sequence.
 bool Plain(std::string_view line) {
   for (char c : line)
     if (static_cast<unsigned char>(c) < ' ' || c == 127)
@@ -47,7 +48,7 @@
   return true;
 }
 
-// Undoes the escapes of bytes below 0x80 and of one byte each.
+// Reverts the escapes of single bytes below 0x80.
 std::string Reverted(std::string_view line) {
   std::string all;
   for (std::size_t i = 0; i < line.size(); ++i) {
@@ -65,7 +66,7 @@
   return all;
 }
 
-// Bytes as a hostile peer picks them.
+// Bytes that a hostile peer might send.
 rc::Gen<std::string> Hostile() {
   return rc::gen::container<std::string>(rc::gen::weightedOneOf<char>(
       {{2, rc::gen::elementOf("\n\r\t\v\f\x1b\x7f\\\"x0an\xc2\x85\x9b\xe2\x80\xa8\xa9\xff"s)},
@@ -74,7 +75,7 @@
 
 }  // namespace
 
-TEST_CASE("a plain line stays as it is") {
+TEST_CASE("a plain line is unchanged") {
   Kept k;
   CHECK(k.Of("cache-1: silent; its connection ends, 3 open") ==
         "cache-1: silent; its connection ends, 3 open");
@@ -82,7 +83,7 @@
   CHECK(k.Of("") == "");
 }
 
-TEST_CASE("what could end a line or give an order is escaped, and an escape can't be written") {
+TEST_CASE("line breaks and control characters are escaped, and an escape cannot be forged") {
   Kept k;
   CHECK(k.Of("a\nb\r\tc") == "a\\nb\\r\\tc");
   CHECK(k.Of("\x1b[2J\x7f"s + '\0') == "\\x1b[2J\\x7f\\x00");
@@ -91,73 +92,73 @@
   CHECK(k.Of("\xff\xc3") == "\\xff\\xc3");
 }
 
-TEST_CASE("no bytes make two lines, nor a line that another's bytes would make") {
+TEST_CASE("no bytes produce two lines, and different bytes produce different lines") {
   CHECK(rc::check("one record, one line", [] {
     std::string bytes = *Hostile();
     Kept k;
-    log::Use use(k.log);
-    log::Say("%.*s", static_cast<int>(bytes.size()), bytes.data());
+    log::ScopedLog use(k.log);
+    log::Write("%.*s", static_cast<int>(bytes.size()), bytes.data());
     RC_ASSERT(k.lines.size() == 1u);
     RC_ASSERT(Plain(k.lines[0]));
   }));
-  CHECK(rc::check("what is escaped can be told from what is not", [] {
+  CHECK(rc::check("escaping is reversible", [] {
     std::string bytes = *rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127));
     Kept k;
-    k.log.Say(bytes);
+    k.log.Write(bytes);
     RC_ASSERT(Reverted(k.lines.at(0)) == bytes);
   }));
 }
 
-TEST_CASE("a line has a bound before it is escaped, and one after") {
+TEST_CASE("a line is bounded before and after escaping") {
   Kept k;
-  CHECK(k.Of(std::string(5000, 'a')) == std::string(log::kLongest, 'a'));
-  CHECK(k.Of(std::string(5000, '\n')).size() == 2 * log::kLongest);
-  CHECK(k.Of(std::string(5000, '\xff')).size() == 4 * log::kLongest);
-  log::Use use(k.log);
+  CHECK(k.Of(std::string(5000, 'a')) == std::string(log::kMaxLineBytes, 'a'));
+  CHECK(k.Of(std::string(5000, '\n')).size() == 2 * log::kMaxLineBytes);
+  CHECK(k.Of(std::string(5000, '\xff')).size() == 4 * log::kMaxLineBytes);
+  log::ScopedLog use(k.log);
   k.lines.clear();
-  log::Say("%s", std::string(5000, 'b').c_str());
-  CHECK(k.lines.at(0) == std::string(log::kLongest, 'b'));
+  log::Write("%s", std::string(5000, 'b').c_str());
+  CHECK(k.lines.at(0) == std::string(log::kMaxLineBytes, 'b'));
 }
 
-TEST_CASE("200 at once, then 10 a second; what is left out is told") {
+TEST_CASE("200 lines in a burst, then 10 a second; dropped lines are reported") {
   Kept k;
   for (int i = 0; i < 250; ++i)
-    k.log.Say("x");
+    k.log.Write("x");
   CHECK(k.lines.size() == 200);
   k.now += 99;
-  k.log.Say("y");
+  k.log.Write("y");
   CHECK(k.lines.size() == 200);
   k.now += 2;
-  k.log.Say("z");
+  k.log.Write("z");
   REQUIRE(k.lines.size() == 202);
   CHECK(k.lines[200] == "51 lines left out");
   CHECK(k.lines[201] == "z");
   k.now += 1e9;
   k.lines.clear();
   for (int i = 0; i < 250; ++i)
-    k.log.Say("x");
+    k.log.Write("x");
   CHECK(k.lines.size() == 200);
 }
 
-TEST_CASE("lines go to the log in use, and back to the one before it") {
+TEST_CASE("lines go to the current log, and afterwards to the previous one") {
   Kept one, two;
-  log::Use a(one.log);
-  log::Say("%d", 1);
+  log::ScopedLog a(one.log);
+  log::Write("%d", 1);
   {
-    log::Use b(two.log);
-    log::Say("%s", "2");
+    log::ScopedLog b(two.log);
+    log::Write("%s", "2");
   }
-  log::Say("%d", 3);
+  log::Write("%d", 3);
   CHECK(one.lines == std::vector<std::string>{"1", "3"});
   CHECK(two.lines == std::vector<std::string>{"2"});
 }
 
-TEST_CASE("without one they go to standard error, each by one write") {
+TEST_CASE("without a current log lines go to standard error, each by one write") {
   int ends[2], before = ::dup(2);
-  REQUIRE(::pipe2(ends, O_DIRECT) == 0);  // a pipe that keeps writes apart
+  REQUIRE(::pipe2(ends, O_DIRECT) == 0);  // a pipe in packet mode, which keeps writes separate
   ::dup2(ends[1], 2);
-  log::Say("a%sb", "\nforged");
-  log::Say("%s", "second");
+  log::Write("a%sb", "\nforged");
+  log::Write("%s", "second");
   ::dup2(before, 2);
   ::close(before);
   ::close(ends[1]);
@@ -172,7 +173,7 @@
 
 namespace {
 
-// Standard error as a pipe that is full, until it goes.
+// Replaces standard error by a full pipe during its lifetime.
 class FullStandardError {
  public:
   FullStandardError() : before_(::dup(STDERR_FILENO)) {
@@ -191,7 +192,7 @@
     ::close(before_);
     ::close(from_);
   }
-  /// What lies in the pipe.
+  /// Reads the content of the pipe.
   std::string Read() {
     std::string all(1 << 20, 0);
     std::size_t size = 0;
@@ -208,33 +209,33 @@
 
 }  // namespace
 
-TEST_CASE("a full standard error holds up nobody, and what was left out is told") {
-  // Ends the test where a write waits for a reader.
+TEST_CASE("a full standard error does not block, and dropped lines are reported") {
+  // Aborts the test if a write blocks.
   constexpr unsigned kHangsAfterSeconds = 20;
   ::alarm(kHangsAfterSeconds);
   std::string received;
   {
     FullStandardError standard_error;
-    log::Say("lost");
-    log::Say("lost as well");
+    log::Write("lost");
+    log::Write("lost as well");
     standard_error.Read();
-    log::Say("after");
+    log::Write("after");
     received = standard_error.Read();
   }
   ::alarm(0);
-  CHECK(received == "2 lines left out: standard error took none\nafter\n");
+  CHECK(received == "2 lines left out: standard error was not writable\nafter\n");
 }
 
-TEST_CASE("a closed standard error is borne, and what was left out is told") {
+TEST_CASE("a closed standard error is tolerated, and dropped lines are reported") {
   int before = ::dup(STDERR_FILENO);
   ::close(STDERR_FILENO);
-  log::Say("lost");
+  log::Write("lost");
   int ends[2];
-  // The lowest free number: that of standard error stays free.
+  // Takes the lowest free descriptor, so that standard error's number stays free.
   int kept = ::open("/dev/null", O_RDWR);
   bool opened = ::pipe2(ends, O_NONBLOCK) == 0;
   ::dup2(ends[1], STDERR_FILENO);
-  log::Say("after");
+  log::Write("after");
   ::dup2(before, STDERR_FILENO);
   ::close(before);
   ::close(ends[1]);
@@ -245,5 +246,5 @@
   ::close(ends[0]);
   REQUIRE(got > 0);
   CHECK(std::string(buffer, static_cast<std::size_t>(got)) ==
-        "1 lines left out: standard error took none\nafter\n");
+        "1 lines left out: standard error was not writable\nafter\n");
 }
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -179,7 +179,7 @@
   assert(Read(old) == example && Read(fresh) == before && Files() == 3);
   Said again = Run(Quoted(fresh) + " --ticketed order-handover=6000 --dry-run --json");
   assert(again.code == 0 && again.out.find("\"written\": null") != again.out.npos &&
-         json::Read(again.out));
+         json::Parse(again.out));
   // Bad input: one line, 2, nothing written.
   fs::path bad = folder / "bad.json", none = folder / "none.json";
   Write(bad, "{\n  \"name\": 1,,\n}");
--- a/tests/owner_fleet_test.cpp
+++ b/tests/owner_fleet_test.cpp
@@ -118,7 +118,7 @@
       if (!v)
         continue;
       for (const json::Value& held : v->Find("holds")->items)
-        if (held.word("work") == work && held.number("acts_for_ms").value_or(-1) > 0)
+        if (held.GetString("work") == work && held.GetNumber("acts_for_ms").value_or(-1) > 0)
           return static_cast<int>(i);
     }
     return -1;
@@ -139,7 +139,7 @@
         continue;
       int finished = 0;
       for (const json::Value& w : v->Find("works")->items)
-        finished += w.word("state") == "finished";
+        finished += w.GetString("state") == "finished";
       if (finished == 2)
         return true;
     }
@@ -264,7 +264,7 @@
            std::string::npos;
   });
   auto v = s.h->OwnerStatus(who);
-  assert(v && v->word("group") == "lost");
+  assert(v && v->GetString("group") == "lost");
   s.Judged();  // the other two go on, and the lost one still does work: it asks them
 }
 
--- a/tests/peers_front_test.cpp
+++ b/tests/peers_front_test.cpp
@@ -127,13 +127,13 @@
   REQUIRE(answers.size() == 3);
   CHECK(answers[0] == "{\"part\":\"members\"}");
   CHECK(answers[1] == "{\"part\":\"owner\"}");
-  auto v = json::Read(answers[2]);
+  auto v = json::Parse(answers[2]);
   REQUIRE(v);
-  auto now = json::Read(b.view());
+  auto now = json::Parse(b.view());
   REQUIRE(now);
-  CHECK(now->number("strangers") == 2.0);
-  CHECK(now->number("junk") == 4.0);
-  CHECK(json::Read(a.view())->number("unsent") == 1.0);
+  CHECK(now->GetNumber("strangers") == 2.0);
+  CHECK(now->GetNumber("junk") == 4.0);
+  CHECK(json::Parse(a.view())->GetNumber("unsent") == 1.0);
 }
 
 TEST_CASE("a peers block is refused whole, with field and reason") {
--- a/tests/support/failing_environment.hpp
+++ b/tests/support/failing_environment.hpp
@@ -1,9 +1,9 @@
-// An environment of the event loop whose calls fail by a plan. It wraps another one (the POSIX
-// environment or a process of the simulated network), passes on what the plan lets through, and
-// counts calls, turns at one instant and open descriptors.
+// An environment of the event loop whose calls fail according to a plan. It wraps another one (the
+// POSIX environment or a process of the simulated network), forwards the calls that do not fail,
+// and counts calls, consecutive idle waits and open descriptors.
 //
-// A plan is asked before each call. It is told which call it is and how many of that kind came
-// before, so that a test can fail each call once, at every ordinal, or draw faults from a seed.
+// The plan is called before each call, with the kind of the call and its ordinal, so that a test
+// can fail each call once, at every ordinal, or draw faults from a seed.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -42,13 +42,13 @@
   return kNames[static_cast<std::size_t>(call)];
 }
 
-/// What a call does in place of its work: it fails with `error`, or, where that is 0, moves one
-/// byte only.
+/// What a call does instead of its work: it fails with `error`, or, if that is 0, moves only one
+/// byte.
 struct Failure {
   int error = 0;
 };
 
-/// The failures that each call is documented to have and that end nothing for good.
+/// The documented failures of each call that have no permanent effect on the process.
 inline std::vector<Failure> FailuresOf(Call call) {
   switch (call) {
     case Call::kWait:
@@ -76,7 +76,7 @@
   return {};
 }
 
-/// Whether the connection that a call failed on is lost by that error.
+/// Whether the error ends the connection on which the call failed.
 inline bool EndsConnection(Call call, int error) {
   bool on_connection = call == Call::kReceive || call == Call::kSend;
   return on_connection && (error == ETIMEDOUT || error == EHOSTUNREACH || error == EPIPE);
@@ -84,8 +84,8 @@
 
 class FailingEnvironment final : public loop::Environment {
  public:
-  /// Asked before each call with its ordinal among calls of its kind, from 0. Nothing: the call
-  /// goes through.
+  /// Called before each call with its ordinal among calls of its kind, from 0. Without a result the
+  /// call is forwarded.
   using Plan = std::function<std::optional<Failure>(Call call, std::size_t ordinal)>;
 
   explicit FailingEnvironment(loop::Environment& inner) : inner_(inner) {}
@@ -95,26 +95,26 @@
   std::size_t Calls(Call call) const {
     return calls_[static_cast<std::size_t>(call)];
   }
-  /// Failures that the plan asked for.
+  /// Failures that the plan returned.
   std::size_t Failures() const {
     return failures_;
   }
-  /// Connections taken from a listener that were ended by a failure.
+  /// Accepted connections that a failure ended.
   std::size_t AcceptedLost() const {
     return accepted_lost_;
   }
-  /// Opened and not closed.
+  /// Descriptors that were opened and not closed.
   std::size_t OpenDescriptors() const {
     return open_.size();
   }
-  /// Closed without being open: a descriptor closed twice, or one of somebody else's.
-  std::size_t StrangeCloses() const {
-    return strange_closes_;
+  /// Closes of descriptors that were not open: closed twice, or owned by someone else.
+  std::size_t InvalidCloses() const {
+    return invalid_closes_;
   }
-  /// The longest run of waits without the clock going on, a byte moved or a connection accepted: of
-  /// turns that led to nothing.
+  /// The longest series of waits during which the clock did not advance, no byte was moved and no
+  /// connection was accepted.
   std::size_t MostIdleWaits() const {
-    return most_waits_;
+    return most_idle_waits_;
   }
 
   loop::Ms now() override {
@@ -123,31 +123,31 @@
 
   int Wait(std::span<pollfd> watched, int ms) override {
     CountWait();
-    // A wait for nothing but time needs no memory, and none is asked for it.
-    std::optional<Failure> failure = watched.empty() ? std::nullopt : Ask(Call::kWait);
+    // A wait without descriptors needs no memory, so the plan is not called.
+    std::optional<Failure> failure = watched.empty() ? std::nullopt : NextFailure(Call::kWait);
     if (failure)
       return -failure->error;
     return inner_.Wait(watched, ms);
   }
 
   int OpenStream() override {
-    if (auto failure = Ask(Call::kOpenStream))
+    if (auto failure = NextFailure(Call::kOpenStream))
       return -failure->error;
-    return Opened(inner_.OpenStream(), Origin::kOpened);
+    return Opened(inner_.OpenStream(), Origin::kConnected);
   }
 
   int Connect(int fd, const loop::Address& to) override {
-    auto failure = Ask(Call::kConnect);
+    auto failure = NextFailure(Call::kConnect);
     if (!failure)
       return inner_.Connect(fd, to);
-    // Interrupted, it proceeds, as connect(2) states.
+    // After EINTR it continues, as connect(2) states.
     if (failure->error == EINTR)
       inner_.Connect(fd, to);
     return -failure->error;
   }
 
   int SocketError(int fd) override {
-    if (auto failure = Ask(Call::kConnectResult))
+    if (auto failure = NextFailure(Call::kConnectResult))
       return failure->error;
     return inner_.SocketError(fd);
   }
@@ -157,13 +157,13 @@
   }
 
   int Accept(int fd) override {
-    if (auto failure = Ask(Call::kAccept))
+    if (auto failure = NextFailure(Call::kAccept))
       return -failure->error;
     return Progressed(Opened(inner_.Accept(fd), Origin::kAccepted));
   }
 
   ssize_t Receive(int fd, std::span<char> into) override {
-    auto failure = Ask(Call::kReceive);
+    auto failure = NextFailure(Call::kReceive);
     if (failure && failure->error != 0)
       return -Failed(Call::kReceive, fd, failure->error);
     ssize_t got = Progressed(inner_.Receive(fd, failure ? into.first(1) : into));
@@ -175,7 +175,7 @@
   }
 
   ssize_t Send(int fd, std::span<const iovec> parts) override {
-    auto failure = Ask(Call::kSend);
+    auto failure = NextFailure(Call::kSend);
     if (failure && failure->error != 0)
       return -Failed(Call::kSend, fd, failure->error);
     if (IsBroken(fd))
@@ -194,7 +194,7 @@
   void Close(int fd) override {
     auto found = open_.find(fd);
     if (found == open_.end()) {
-      ++strange_closes_;
+      ++invalid_closes_;
       return;
     }
     bool broken = found->second.broken;
@@ -206,24 +206,24 @@
   }
 
   void Abort(int fd) override {
-    strange_closes_ += open_.erase(fd) == 0 ? 1 : 0;
+    invalid_closes_ += open_.erase(fd) == 0 ? 1 : 0;
     inner_.Abort(fd);
   }
 
   int OpenDatagrams(const loop::Address& at) override {
-    if (auto failure = Ask(Call::kOpenDatagrams))
+    if (auto failure = NextFailure(Call::kOpenDatagrams))
       return -failure->error;
-    return Opened(inner_.OpenDatagrams(at), Origin::kOpened);
+    return Opened(inner_.OpenDatagrams(at), Origin::kConnected);
   }
 
   ssize_t SendTo(int fd, std::span<const char> bytes, const loop::Address& to) override {
-    if (auto failure = Ask(Call::kSendTo))
+    if (auto failure = NextFailure(Call::kSendTo))
       return -failure->error;
     return inner_.SendTo(fd, bytes, to);
   }
 
   ssize_t ReceiveFrom(int fd, std::span<char> into, loop::Address& from) override {
-    if (auto failure = Ask(Call::kReceiveFrom))
+    if (auto failure = NextFailure(Call::kReceiveFrom))
       return -failure->error;
     return inner_.ReceiveFrom(fd, into, from);
   }
@@ -234,16 +234,16 @@
 
  private:
   enum class Origin {
-    kOpened,
+    kConnected,
     kListening,
     kAccepted
   };
   struct Open {
-    Origin origin = Origin::kOpened;
-    bool broken = false;  // a failure ended it: what has come can be read, nothing can be written
+    Origin origin = Origin::kConnected;
+    bool broken = false;  // a failure ended it: received bytes can be read, nothing can be written
   };
 
-  std::optional<Failure> Ask(Call call) {
+  std::optional<Failure> NextFailure(Call call) {
     std::size_t ordinal = calls_[static_cast<std::size_t>(call)]++;
     if (!plan)
       return std::nullopt;
@@ -274,30 +274,30 @@
     return found != open_.end() && found->second.broken;
   }
 
-  /// Passes on the result of a call; where it is positive, something was done.
+  /// Returns the result of a call unchanged; a positive one counts as progress.
   template <class Result>
   Result Progressed(Result result) {
     if (result > 0)
-      waits_ = 0;
+      idle_waits_ = 0;
     return result;
   }
 
   void CountWait() {
     loop::Ms now = inner_.now();
-    waits_ = now == waited_at_ ? waits_ + 1 : 1;
-    waited_at_ = now;
-    most_waits_ = std::max(most_waits_, waits_);
+    idle_waits_ = now == last_wait_at_ ? idle_waits_ + 1 : 1;
+    last_wait_at_ = now;
+    most_idle_waits_ = std::max(most_idle_waits_, idle_waits_);
   }
 
   loop::Environment& inner_;
   std::array<std::size_t, kCallCount> calls_{};
-  std::map<int, Open> open_;  // by descriptor; emptied by close()
+  std::map<int, Open> open_;  // by descriptor; removed by Close()
   std::size_t failures_ = 0;
   std::size_t accepted_lost_ = 0;
-  std::size_t strange_closes_ = 0;
-  std::size_t waits_ = 0;
-  std::size_t most_waits_ = 0;
-  loop::Ms waited_at_ = -1;
+  std::size_t invalid_closes_ = 0;
+  std::size_t idle_waits_ = 0;
+  std::size_t most_idle_waits_ = 0;
+  loop::Ms last_wait_at_ = -1;
 };
 
 /// One call of one kind fails once.
@@ -309,8 +309,8 @@
   };
 }
 
-/// Each call fails with the given probability until `ends`, by `clock`. The same seed gives the
-/// same plan.
+/// Each call fails with the given probability until `ends` on `clock`. The same seed gives the same
+/// plan.
 inline FailingEnvironment::Plan FailAtRandom(std::uint64_t seed, double share, loop::Ms ends,
                                              std::function<loop::Ms()> clock) {
   return [=, random = std::mt19937_64(seed)](Call call,
--- a/tests/support/port_block.hpp
+++ b/tests/support/port_block.hpp
@@ -1,4 +1,4 @@
-/// Ports for the processes of one test, so that tests can run side by side.
+/// Ports for the processes of one test, so that tests can run in parallel.
 #pragma once
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -11,8 +11,8 @@
 
 namespace dunlinwick::testing {
 
-/// A block of ports of the loopback hosts that no other process holds a PortBlock of. Given back
-/// when this object or its process ends.
+/// A block of ports of the loopback addresses that no other process has claimed. Released when this
+/// object is destroyed or its process ends.
 class PortBlock {
  public:
   static constexpr int kPorts = 1000;
@@ -32,8 +32,8 @@
   }
 
  private:
-  /// The claim is a bound socket of a host that nothing else uses: the system lets go of it with
-  /// the process, however that ends.
+  /// The claim is a socket bound to a loopback address that nothing else uses: the kernel closes it
+  /// with the process, however that ends.
   bool Claim() {
     constexpr std::uint32_t kHost = 0x7f00fffe;
     claim_ = loop::Descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,7 +1,7 @@
-// Every system call may fail. The environment of a front's parts is wrapped by one whose calls fail
-// by a plan, on the simulated network: each call once, at every ordinal of one serving scenario,
-// then at random by seeds. After each: no request lost, no effect twice, no spin, no descriptor
-// leaked.
+// Every system call may fail. The environment of a front's components is wrapped by one whose calls
+// fail according to a plan, on the simulated network: each call once, at every ordinal of one
+// serving scenario, then at random by seed. After each: no request is lost, no effect happens
+// twice, nothing spins, and no descriptor leaks.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -47,7 +47,7 @@
   }
 };
 
-/// A process that dials, through a failing environment, one that listens.
+/// A process that connects, through a failing environment, to one that listens.
 struct ConnectionFixture {
   stage::Net net{1};
   stage::Process& dialling = net.Start(0x0a000001, "dialling");
@@ -95,7 +95,7 @@
   };
 }
 
-TEST_CASE("a connect that is interrupted proceeds") {
+TEST_CASE("an interrupted connect continues") {
   ConnectionFixture test;
   test.environment.plan = FailOnce(Call::kConnect, 0, {EINTR});
   test.Dial();
@@ -104,7 +104,7 @@
   CHECK(test.far.received == "hello");
 }
 
-TEST_CASE("what this machine lacks for a connect is not told as the server's failure") {
+TEST_CASE("a local resource shortage at connect is not reported as the server's failure") {
   for (int error : {EADDRNOTAVAIL, ENOBUFS, ENOMEM, EAGAIN, ENETUNREACH, ENETDOWN}) {
     CAPTURE(error);
     ConnectionFixture test;
@@ -123,7 +123,7 @@
   }
 }
 
-TEST_CASE("what the network says of the server is told as the server's failure") {
+TEST_CASE("a network error about the server is reported as the server's failure") {
   for (int error : {ETIMEDOUT, EHOSTUNREACH, ECONNREFUSED}) {
     for (Call call : {Call::kConnect, Call::kConnectResult}) {
       CAPTURE(error);
@@ -138,12 +138,13 @@
   }
 }
 
-TEST_CASE("an answer that had come is read though the read after a broken write is interrupted") {
+TEST_CASE(
+    "an answer that had arrived is read though the read after a failed write is interrupted") {
   ConnectionFixture test;
   test.Dial();
   test.Run(100);
   test.listening.Act([&] { test.far.connection->Send("answer"); });
-  // The answer lies in the buffers of a process that stands still; then its write fails before it
+  // The answer is in the receive buffer of a suspended process; then its write fails before it
   // reads.
   test.dialling.StandStill(test.net.now() + 50);
   test.Run(40);
@@ -163,7 +164,7 @@
   CHECK(test.near.ends == std::vector{DisconnectReason::kReset});
 }
 
-TEST_CASE("want of buffers for a write is waited out, and the message goes") {
+TEST_CASE("a write waits until buffers are available, and the message is sent") {
   for (int error : {ENOBUFS, ENOMEM}) {
     CAPTURE(error);
     ConnectionFixture test;
@@ -177,7 +178,7 @@
   }
 }
 
-TEST_CASE("want of buffers for a read is waited out, and nothing is lost") {
+TEST_CASE("a read waits until buffers are available, and nothing is lost") {
   for (int error : {ENOBUFS, ENOMEM}) {
     CAPTURE(error);
     ConnectionFixture test;
@@ -196,7 +197,8 @@
 }
 
 TEST_CASE(
-    "a poll that keeps failing neither spins nor holds up timers, and what came is read after it") {
+    "a poll that keeps failing neither spins nor delays timers, and received bytes are read "
+    "later") {
   for (int error : {ENOMEM, EINVAL}) {
     CAPTURE(error);
     ConnectionFixture test;
@@ -216,7 +218,7 @@
   }
 }
 
-TEST_CASE("a poll that is interrupted is asked again") {
+TEST_CASE("an interrupted poll is repeated") {
   ConnectionFixture test;
   std::size_t interrupted = 0;
   test.environment.plan = [&](Call call, std::size_t) -> std::optional<Failure> {
@@ -269,8 +271,8 @@
   }
 };
 
-TEST_CASE("an error of accept that lasts neither spins nor ends accepting") {
-  // Bounded by the number of calls as well, so that a loop within one turn ends and is told.
+TEST_CASE("a persistent error of accept neither spins nor stops accepting") {
+  // Bounded by the number of calls as well, so that an endless loop in one iteration is reported.
   constexpr std::size_t kMostFailures = 2000;
   for (Failure failure : FailuresOf(Call::kAccept)) {
     CAPTURE(failure.error);
@@ -287,8 +289,7 @@
   }
 }
 
-TEST_CASE(
-    "an error of one pending connection is not told as want of descriptors, and holds up nobody") {
+TEST_CASE("an error of one pending connection is not reported as a shortage, and delays no other") {
   for (int error : {EPROTO, ECONNABORTED, ENETDOWN, EHOSTUNREACH, ETIMEDOUT}) {
     CAPTURE(error);
     ListenerFixture test;
@@ -309,7 +310,7 @@
   }
 }
 
-TEST_CASE("a stop accepts all who wait though one of them is broken") {
+TEST_CASE("a stop accepts the whole backlog though one connection in it has failed") {
   ListenerFixture test;
   test.listening.Act([&] { test.listener->Pause(); });
   test.Come(3);
@@ -321,7 +322,7 @@
   CHECK(test.taken.size() == 3);
 }
 
-// ---- a front's parts, serving
+// ---- a front's components, serving
 
 const std::string kLargeObject = "large";
 
@@ -330,7 +331,7 @@
   return std::string(16 - digits.size(), '0') + digits;
 }
 
-/// A server that answers every request, and counts how often each ran.
+/// A server that answers every request, and counts the executions of each.
 class FakeServer {
  public:
   FakeServer(stage::Process& process, const loop::Address& at) : process_(process) {
@@ -401,7 +402,8 @@
   std::vector<std::unique_ptr<Line>> lines_;
 };
 
-/// A client that sends one request after another over one connection, and notes the whole answers.
+/// A client that sends requests one after another over one connection, and records complete
+/// answers.
 class FakeClient final : public loop::Connection::Owner {
  public:
   FakeClient(stage::Process& process, std::vector<std::string> requests)
@@ -416,7 +418,7 @@
     process_.Act([&] { connection_.reset(); });
   }
 
-  /// Of each request that had its answer, in order.
+  /// The status of each answered request, in order.
   std::vector<int> statuses;
   bool lost = false;        // the connection ended before the last answer
   std::size_t unasked = 0;  // answers beyond the requests sent
@@ -463,7 +465,7 @@
   std::unique_ptr<loop::Connection> connection_;
 };
 
-/// Clients, a front's parts on a failing environment, and two servers.
+/// Clients, a front's components on a failing environment, and two servers.
 class ServingScenario {
  public:
   explicit ServingScenario(FailingEnvironment::Plan plan = nullptr) {
@@ -488,8 +490,8 @@
     TakeDown();
   }
 
-  /// Reads, writes that must not run twice, and a large object, some at once and some in a row on
-  /// one connection.
+  /// Reads, writes that must not run twice, and a large object, some concurrently and some
+  /// consecutively on one connection.
   void Serve() {
     constexpr int kClientCount = 5;
     for (int i = 0; i < kClientCount; ++i) {
@@ -513,8 +515,8 @@
     return Request("PUT", "write", "order", "pay", true);
   }
 
-  /// What holds after every plan: each request has its one final answer, unless its own connection
-  /// was ended by a failure; nothing that may run once ran twice; no spin; nothing is left open.
+  /// Invariants after every plan: each request has exactly one final answer, unless a failure ended
+  /// its own connection; no request that may run once ran twice; nothing spins or stays open.
   void CheckInvariants() {
     std::size_t lost = 0;
     for (auto& client : clients) {
@@ -534,7 +536,7 @@
     CHECK(environment.MostIdleWaits() < kMostIdleWaits);
     TakeDown();
     CHECK(environment.OpenDescriptors() == 0);
-    CHECK(environment.StrangeCloses() == 0);
+    CHECK(environment.InvalidCloses() == 0);
   }
   bool AllAnsweredWith200() const {
     for (auto& client : clients)
@@ -581,8 +583,7 @@
   int last_request_ = 0;
 };
 
-/// Failures after which every request still has its 200: nothing that the system takes back is lost
-/// by them.
+/// Failures after which every request still gets a 200: they do not lose any data that was sent.
 bool MustNotShow(Call call, int error) {
   bool passes = error == 0 || error == EINTR || error == ENOBUFS || error == ENOMEM;
   return call == Call::kWait || call == Call::kAccept ||
@@ -603,7 +604,7 @@
   scenario.CheckInvariants();
 }
 
-TEST_CASE("every call at every ordinal fails once") {
+TEST_CASE("each call fails once at every ordinal") {
   ServingScenario whole;
   whole.Serve();
   std::size_t plans = 0;
@@ -629,11 +630,11 @@
   MESSAGE(plans << " plans");
 }
 
-TEST_CASE("failures that last half a second end nothing for good") {
+TEST_CASE("failures that last half a second have no permanent effect") {
   constexpr Ms kLastingFor = 500;
   for (Call call : kServingCalls) {
     for (Failure failure : FailuresOf(call)) {
-      // Interrupted calls are made again at once, and nothing interrupts a process without end.
+      // Interrupted calls are repeated at once, and no process is interrupted indefinitely.
       if (failure.error == EINTR)
         continue;
       CAPTURE(Name(call));
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -1,6 +1,6 @@
-// Stamps of other machines' clocks, off by an hour and by ten seconds, ahead and behind, as this
-// front starts and later on. Each is played through the notice board's lines up to what a cache is
-// asked for.
+// Timestamps of other hosts' clocks that are off by an hour and by ten seconds, ahead and behind,
+// at this front's start and later. Each goes from the lines of the discovery service to the
+// requests that a cache receives.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -24,9 +24,9 @@
 constexpr Ms kSecond = 1000;
 constexpr Ms kHour = 3600 * kSecond;
 constexpr Ms kSkews[] = {kHour, -kHour, 10 * kSecond,
-                         -10 * kSecond};  // the other machine's clock against this front's
+                         -10 * kSecond};  // the other host's clock relative to this front's
 constexpr Ms kPurgeDone = 6 * kSecond;    // of kit::sheet()
-constexpr Ms kSlowStart = 15 * kSecond;   // likewise
+constexpr Ms kSlowStart = 15 * kSecond;   // of the same settings
 
 std::string Stamp(Ms at) {
   return std::to_string(static_cast<long long>(at));
@@ -46,12 +46,12 @@
          state + "\",\"started_ms\":" + Stamp(started) + "}]}}";
 }
 
-// A front's discovery on a socket, with five servers listed that started long ago, and a client
-// that asks.
+// A front's discovery client on a socket, with five listed servers that started long ago, and a
+// client that sends requests.
 struct Discovery {
   Desk desk{kit::Settings(), 5};
   FarListener listener;
-  discovery::Discovery discovery{desk.loop, desk.exchange, MakeTerms(), listener.at};
+  discovery::DiscoveryClient discovery{desk.loop, desk.exchange, MakeTerms(), listener.at};
   Far peer;
   std::uint64_t last = 1;
   int asked = 0;
@@ -61,34 +61,34 @@
   }
 
   void Begin(const std::string& watch_events = "") {
-    auto known = json::Read("{\"notices\":[" + watch_events + "],\"rev\":1}");
+    auto known = json::Parse("{\"notices\":[" + watch_events + "],\"rev\":1}");
     REQUIRE(known);
-    REQUIRE(discovery.begin(*known));
+    REQUIRE(discovery.ApplyInitialEvents(*known));
   }
   void Follow() {
-    discovery.Follow();
+    discovery.StartWatch();
     peer = listener.Next(desk.loop);
     BeUpToDate();
   }
-  // Seconds pass, in each of which the board says that there is nothing new.
+  // Waits; in each second the service sends that there is no new event.
   void Wait(int seconds) {
     for (int i = 0; i < seconds; ++i) {
       desk.loop.AdvanceClock(kSecond);
       BeUpToDate();
     }
   }
-  // An event of neither kind, and behind it the line that says it is the last.
+  // An event of neither kind, followed by the line that states it is the last.
   void BeUpToDate() {
     std::string rev = std::to_string(last + 1);
     Announce("{\"rev\":" + rev + "}\n" + rev);
   }
-  // A notice that the board announces now.
+  // An event that the service announces now.
   void Announce(const std::string& notice) {
     peer.Send(notice + "\n");
     ++last;
-    Until(desk.loop, [&] { return discovery.Last() == last; });
+    Until(desk.loop, [&] { return discovery.LastRevision() == last; });
   }
-  // A request for a new object, or for the one that is purged; what a cache is then asked for.
+  // Sends a request for a new object, or for the purged one; returns the attempt at a cache.
   SendAttempt Request(const std::string& object) {
     Ask ask = AskFor("request-" + std::to_string(++asked));
     ask.object = object;
@@ -105,9 +105,8 @@
   }
 };
 
-// What a cache may be asked for after a purge that happened at `purged` on this front's clock,
-// whatever its stamp said: no copy that is older, but one that was made since this front heard of
-// it.
+// Checks which copies attempts accept after a purge at `purged` on this front's clock, whatever its
+// timestamp: none that is older, but one that was made after this front was notified.
 void CheckPurgeBinds(Discovery& d, Ms purged, Ms heard) {
   d.desk.loop.AdvanceClock(500);
   Ms since_heard = d.Now() - heard;
@@ -116,12 +115,12 @@
   CHECK(attempt.oldest > 0);
   CHECK(attempt.oldest <= d.Now() - purged);
   CHECK(attempt.oldest >= since_heard - 2);
-  // It ends: copies are as good as ever some time after all caches have dropped the older ones.
+  // The purge expires: any copy is accepted some time after all caches have dropped older ones.
   d.desk.loop.AdvanceClock(3 * kPurgeDone);
   CHECK(d.Request("7f3a").oldest == 0);
 }
 
-// How many of a row of requests for different objects go to the server that was last listed.
+// How many of a series of requests for different objects go to the server that was last listed.
 int SentTo(Discovery& d, std::uint32_t server) {
   int count = 0;
   for (int i = 0; i < 400; ++i) {
@@ -131,8 +130,7 @@
   return count;
 }
 
-// The number by which the exchange knows a server: the only one that is asked after the others are
-// gone.
+// The exchange's number for a server: the only one that gets requests after the others are removed.
 std::uint32_t NumberOf(const std::string& id) {
   Discovery d;
   d.Begin(ServerNotice(1, id, 0, true));
@@ -143,7 +141,7 @@
   }
 }
 
-// Requests that a server gets once its slow start is over.
+// The number of requests that a server gets once its slow start is over.
 int SentToWarm(const std::string& id) {
   Discovery d;
   d.Begin();
@@ -153,8 +151,8 @@
   return SentTo(d, NumberOf(id));
 }
 
-// A server whose start was just told gets what a cold one carries, and after the slow start what a
-// warm one gets.
+// A server whose start was just announced gets the share of slow start, and afterwards the full
+// one.
 void CheckSlowStart(Discovery& d, const std::string& id, int warm) {
   std::uint32_t server = NumberOf(id);
   REQUIRE(warm > 40);
@@ -165,7 +163,7 @@
 
 }  // namespace
 
-TEST_CASE("a purge told in a change binds whatever its stamp says, and ends") {
+TEST_CASE("a purge announced in a change takes effect whatever its timestamp, and expires") {
   for (Ms skew : kSkews)
     for (Ms age : {50.0, 400.0}) {
       CAPTURE(skew);
@@ -179,7 +177,7 @@
     }
 }
 
-TEST_CASE("a purge told at the start binds whatever its stamp says, and ends") {
+TEST_CASE("a purge announced at the start takes effect whatever its timestamp, and expires") {
   for (Ms skew : kSkews)
     for (Ms age : {50.0, 5500.0}) {
       CAPTURE(skew);
@@ -192,8 +190,9 @@
 }
 
 TEST_CASE(
-    "a purge told after the board's clock was stepped back binds, though one before it carries a "
-    "later stamp") {
+    "a purge announced after the service's clock was stepped back takes effect, though an earlier "
+    "one "
+    "has a later timestamp") {
   Discovery d;
   d.Begin();
   d.Follow();
@@ -205,7 +204,7 @@
 }
 
 TEST_CASE(
-    "where clocks agree a purge counts from its stamp, at the start, in a change and after a "
+    "if clocks agree a purge counts from its timestamp, at the start, in a change and after a "
     "silence") {
   for (bool at_start : {true, false})
     for (Ms age : {20.0, 250.0, 900.0}) {
@@ -232,7 +231,7 @@
   Discovery d;
   d.Begin();
   d.Follow();
-  d.desk.loop.AdvanceClock(1200);  // the board says nothing for a while, and then what it has
+  d.desk.loop.AdvanceClock(1200);  // the service is silent for a while, then sends its events
   Ms purged = std::floor(d.Now()) - 1100;
   d.Announce(PurgeNotice(d.last + 1, purged));
   Ms before = d.Now();
@@ -240,7 +239,7 @@
   CHECK(attempt.oldest >= before - purged - 1);
 }
 
-TEST_CASE("a server told of in a change starts slowly whatever its stamp says, and not for ever") {
+TEST_CASE("a server announced in a change has a slow start that ends, whatever its timestamp") {
   int warm = SentToWarm("s-new");
   for (Ms skew : kSkews) {
     CAPTURE(skew);
@@ -253,7 +252,7 @@
 }
 
 TEST_CASE(
-    "a server listed at the start with a stamp ahead of now starts slowly, and not for ever") {
+    "a server listed at the start with a timestamp in the future has a slow start that ends") {
   int warm = SentToWarm("s-new");
   for (Ms skew : {kHour, 10 * kSecond}) {
     CAPTURE(skew);
@@ -263,7 +262,7 @@
   }
 }
 
-TEST_CASE("a server that restarts after its clock was stepped starts slowly again") {
+TEST_CASE("a server that restarts after its clock was stepped has a slow start again") {
   int warm = SentToWarm("s-new");
   for (Ms skew : kSkews) {
     CAPTURE(skew);
@@ -277,7 +276,7 @@
   }
 }
 
-TEST_CASE("what else is told of a server does not begin its slow start anew") {
+TEST_CASE("other updates of a server do not restart its slow start") {
   int warm = SentToWarm("s-new");
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     CAPTURE(skew);
@@ -293,11 +292,11 @@
 }
 
 TEST_CASE(
-    "rules that are turned over know purges and starts by when they were told, not by their "
-    "stamps") {
+    "a new generation takes purges and server starts from their announcement, not their "
+    "timestamp") {
   auto known = [](const std::string& watch_events, std::uint64_t rev) {
     auto value =
-        json::Read("{\"notices\":[" + watch_events + "],\"rev\":" + std::to_string(rev) + "}");
+        json::Parse("{\"notices\":[" + watch_events + "],\"rev\":" + std::to_string(rev) + "}");
     REQUIRE(value);
     return *value;
   };
@@ -315,15 +314,15 @@
         true,
         Machines(
             {{"origin", {}}, {"s-0", {}}, {"s-1", {}}, {"s-2", {}}, {"s-3", {}}, {"s-4", {}}}));
-    discovery::Discovery discovery(loop, exchange, MakeTerms(), FreeAddress());
-    REQUIRE(discovery.begin(known("", 1)));
+    discovery::DiscoveryClient discovery(loop, exchange, MakeTerms(), FreeAddress());
+    REQUIRE(discovery.ApplyInitialEvents(known("", 1)));
     Ms purged = loop.now();
     std::string news =
         PurgeNotice(2, purged + skew) + "," + ServerNotice(3, "s-new", purged + skew);
-    REQUIRE(discovery.MoveTo(FreeAddress(), known(news, 3)));  // announced after the start
+    REQUIRE(discovery.SwitchTo(FreeAddress(), known(news, 3)));  // announced after the start
     loop.AdvanceClock(500);
     std::vector<Action> out;
-    REQUIRE(rules.turn(loop.now(), kit::Settings(), out) != 0);
+    REQUIRE(rules.StartGeneration(loop.now(), kit::Settings(), out) != 0);
     auto request = [&](const std::string& object) {
       static int asked = 0;
       Ask ask = AskFor("request-" + std::to_string(++asked));
@@ -355,11 +354,12 @@
   }
 }
 
-TEST_CASE("where clocks agree a slow start goes by its stamp") {
+TEST_CASE("if clocks agree a slow start counts from its timestamp") {
   int warm = SentToWarm("s-new");
   Discovery d;
-  d.Begin(ServerNotice(1, "s-new",
-                       d.Now() - kSlowStart - kSecond));  // listed at the start, warm by then
+  d.Begin(ServerNotice(
+      1, "s-new",
+      d.Now() - kSlowStart - kSecond));  // listed at the start, its slow start over by then
   CHECK(SentTo(d, NumberOf("s-new")) >= warm * 8 / 10);
   Discovery late;
   late.Begin();
@@ -370,7 +370,7 @@
   CHECK(SentTo(late, NumberOf("s-new")) >= warm * 8 / 10);
 }
 
-TEST_CASE("when the origin gave out a copy, by its clock, is told on and changes nothing else") {
+TEST_CASE("the time at which the origin issued a copy is passed on and has no other effect") {
   std::set<std::string> tags;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     auto answer = caches::ReadAnswer(
@@ -385,8 +385,7 @@
 }
 
 TEST_CASE(
-    "an approval's term is held within its bounds by whatever clock it was given, and begins "
-    "once") {
+    "an approval's term stays within its bounds whatever clock it was given by, and starts once") {
   using namespace drift;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     CAPTURE(skew);
@@ -395,7 +394,7 @@
     Drift front(1, {{1, 0}, {2, 0}}, {}, terms, 1, 0, {});
     auto form = std::make_shared<const Form>(Form{{"sheet", {{"most_legs", "3"}}}});
     front.Handle(0, Active{*form});
-    front.Handle(0, Owns{1});  // the owner's verdict needs no others
+    front.Handle(0, Owns{1});  // the lease holder's decision needs no other fronts
     Ms given = 1.76e12;
     front.Handle(0, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond, given, form});
     drift::ActiveReport lacks;
@@ -424,7 +423,7 @@
 }
 
 TEST_CASE(
-    "a recall read at a start is never taken for older than it is, by a writer's clock an hour "
+    "a recall read at a start never counts as older than it is, with a writer's clock an hour "
     "off") {
   constexpr Ms kNow = 1.76e12;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond, -kNow})
@@ -440,7 +439,7 @@
         3 * kHour);  // an old one does not count as new
 }
 
-TEST_CASE("a tombstone is let go in the end, by a writer's clock an hour off") {
+TEST_CASE("a tombstone is removed eventually, with a writer's clock an hour off") {
   constexpr Ms kWritten = 1.76e12;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     CAPTURE(skew);
@@ -469,9 +468,9 @@
   }
 }
 
-// A front that was stopped, and started again under a clock that was set back: its words are
-// numbered by that clock.
-TEST_CASE("a front restarted under a clock that was set back is heard again") {
+// A front that was stopped, and restarted with a clock that was set back: its messages are numbered
+// by that clock.
+TEST_CASE("messages of a front restarted with a clock that was set back are accepted again") {
   using namespace drift;
   for (Ms back : {kHour, 10 * kSecond}) {
     CAPTURE(back);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -24,14 +24,14 @@
                         {"1 2", false},        {"\"\\ud83d\"", false},
                         {"\"\\x\"", false},    {"\"a\nb\"", false},
                         {"\"open", false},     {deep + std::string(40, ']'), false}})
-    assert(json::Read(c.text).has_value() == c.good);
-  auto v = json::Read("{\"s\":\"\\u00e9\\ud83d\\ude00\\/\",\"n\":-2.5e3,\"t\":true}");
-  assert(v->word("s") == "\xc3\xa9\xf0\x9f\x98\x80/" && v->number("n") == -2500.0 &&
-         !v->number("t"));
+    assert(json::Parse(c.text).has_value() == c.good);
+  auto v = json::Parse("{\"s\":\"\\u00e9\\ud83d\\ude00\\/\",\"n\":-2.5e3,\"t\":true}");
+  assert(v->GetString("s") == "\xc3\xa9\xf0\x9f\x98\x80/" && v->GetNumber("n") == -2500.0 &&
+         !v->GetNumber("t"));
 }
 
 static void SettingsAreLaidOutAsOnTheWire() {
-  auto v = json::Read(
+  auto v = json::Parse(
       "{\"zone\":1,\"azs\":[\"hub "
       "one\",\"e,1\"],\"tenants\":[],\"limits\":{\"connIdle\":30000.0,\"cancel\":true},"
       "\"classes\":[{\"aim\":200.0,\"name\":\"a\"},{\"aim\":100.0,\"name\":\"b\"}]}");
@@ -153,8 +153,8 @@
 
 static void WatchEventsAreRead() {
   auto read = [](const char* text) {
-    auto v = json::Read(text);
-    return v ? discovery::ReadNotice(*v, kTerms) : std::nullopt;
+    auto v = json::Parse(text);
+    return v ? discovery::ReadWatchEvent(*v, kTerms) : std::nullopt;
   };
   auto list = read(
       "{\"rev\":41,\"pool\":{\"version\":7,\"full\":false,\"servers\":[{\"id\":\"s-1\",\"addr\":"
@@ -163,16 +163,16 @@
       "\"zone\":\"e-1\",\"kind\":\"parent\",\"cell\":2,\"state\":\"terminating\",\"weight\":4,"
       "\"started_ms\":"
       "17}]}}");
-  assert(list && list->rev == 41 && list->list && !list->whole && !list->purge &&
-         list->entries.size() == 1);
+  assert(list && list->revision == 41 && list->has_list && !list->is_full_list &&
+         !list->has_purge && list->entries.size() == 1);
   const exchange::Listed& one = list->entries[0];
   assert(one.id == "s-1" && ntohs(one.at.sin_port) == 5050 && one.entry.zone == 1 &&
          one.entry.kind == 1);
   assert(one.entry.standing == Standing::kDraining && one.entry.weight == 4 &&
          one.entry.started_at == 17);
   auto object = read("{\"rev\":42,\"flush\":{\"asset\":\"7f3a\",\"ms\":123}}");
-  assert(object && object->purge && !object->whole_group && object->object == "7f3a" &&
-         object->at == 123);
+  assert(object && object->has_purge && !object->whole_group && object->object == "7f3a" &&
+         object->purged_at == 123);
   auto group = read("{\"rev\":43,\"flush\":{\"collection\":17,\"ms\":480}}");
   assert(group && group->whole_group && group->group == 17);
   assert(read("{\"rev\":44,\"news\":1}"));  // of a kind to come
@@ -240,8 +240,8 @@
     auto request = clients::ReadRequest(bytes, 100);
     assert(!request.whole || request.request.size <= bytes.size());
     read += request.whole + caches::ReadAnswer(bytes, {"a"}).has_value();
-    if (auto v = json::Read(bytes))
-      read += discovery::ReadNotice(*v, kTerms).has_value();
+    if (auto v = json::Parse(bytes))
+      read += discovery::ReadWatchEvent(*v, kTerms).has_value();
   }
   assert(read > 0);
 }
