--- a/src/loop/ground.hpp
+++ b/src/loop/ground.hpp
@@ -21,8 +21,7 @@
 class Environment {
  public:
   virtual Ms now() = 0;  // Unix time in milliseconds as of the start, then monotonic
-                         // As poll(2); waits no longer than `ms`. The simulated network does not
-                         // wait: it records what was
+  // As poll(2); waits no longer than `ms`. The simulated network does not wait: it records what was
   // asked for.
   virtual int Wait(std::span<pollfd> watched, int ms) = 0;
   virtual int OpenStream() = 0;
@@ -33,8 +32,7 @@
   virtual int Accept(int fd) = 0;
   virtual ssize_t Receive(int fd,
                           std::span<char> into) = 0;  // 0: the peer sends no more
-                                                      /// How long ago the last bytes arrived on a
-                                                      /// stream, read or not. 0 if that is unknown.
+  /// How long ago the last bytes arrived on a stream, read or not. 0 if that is unknown.
   virtual Ms SinceLastArrival(int) {
     return 0;
   }
@@ -42,8 +40,7 @@
   virtual void ShutdownWrite(int fd) = 0;
   virtual void Close(int fd) = 0;
   virtual void Abort(int fd) = 0;  // closes, and resets the connection at the peer
-                                   // Datagrams arrive whole or never, perhaps late, twice or out of
-                                   // order. Port 0 of `at`: any port.
+  // Datagrams arrive whole or never, perhaps late, twice or out of order. Port 0 of `at`: any port.
   virtual int OpenDatagrams(const Address& at) = 0;
   virtual ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) = 0;
   virtual ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) = 0;
--- a/src/loop/listener.hpp
+++ b/src/loop/listener.hpp
@@ -18,8 +18,8 @@
   // Accepts all connections of the backlog, paused or not. False: out of descriptors, some remain.
   bool Drain();
   void Close();
-  unsigned long short_of_descriptors =
-      0;  // how often accepting failed for lack of descriptors or memory
+  // How often accepting failed for lack of descriptors or memory.
+  unsigned long short_of_descriptors = 0;
 
  private:
   void OnReady(short) override;
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -28,13 +28,13 @@
   Ms now() const {
     return environment_.now() + clock_offset_;
   }
+  // For tests, as if this time had passed.
   void AdvanceClock(Ms by) {
     clock_offset_ += by;
-  }  // for tests, as if this time had passed
+  }
 
   // Called again for a descriptor, it changes the events. A rarely polled descriptor is polled
-  // every
-  // few milliseconds only.
+  // every few milliseconds only.
   void WatchDescriptor(int fd, Handler& handler, short events, bool rarely_polled = false);
   void Unwatch(int fd);
 
@@ -72,8 +72,8 @@
     Handler* handler = nullptr;
     short events = 0;
     bool rarely_polled = false;
-    std::uint64_t generation =
-        0;  // distinguishes a descriptor from an earlier one of the same number
+    // Distinguishes a descriptor from an earlier one of the same number.
+    std::uint64_t generation = 0;
   };
   void RunTimers();
   /// Fills the array for poll(2) with the watched descriptors; with the rarely polled ones only if
@@ -91,8 +91,8 @@
   std::vector<Watch> watches_;
   std::vector<pollfd> polled_;  // of the current iteration, as its watches were at its start
   std::vector<std::uint64_t> generations_;
-  std::map<std::pair<Ms, std::uint64_t>, std::function<void()>>
-      timers_;                                           // by time and id; removed when due
+  // By time and id; removed when due.
+  std::map<std::pair<Ms, std::uint64_t>, std::function<void()>> timers_;
   std::map<std::uint64_t, Ms> timer_times_;              // of the same timers, by id
   std::vector<std::shared_ptr<void>> deferred_deletes_;  // emptied in each iteration
 };
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -123,11 +123,11 @@
   if (keyword == "type" && limit && limit->IsString()) {
     std::string type = limit->GetString();
     std::string description = type == "object"    ? "an object"
-                              : type == "array"   ? "a list"
-                              : type == "integer" ? "a whole number"
+                              : type == "array"   ? "an array"
+                              : type == "integer" ? "an integer"
                               : type == "number"  ? "a number"
                               : type == "boolean" ? "true or false"
-                                                  : "a text";
+                                                  : "a string";
     return "must be " + description + ", not " + shown;
   }
   if (keyword == "enum" && limit) {
@@ -144,9 +144,9 @@
     return shown + " is none of " + JoinValues(*limit) + hint;
   }
   if (keyword == "minimum" && limit)
-    return shown + " is below " + ToText(*limit) + ", the least";
+    return shown + " is below " + ToText(*limit) + ", the minimum";
   if (keyword == "maximum" && limit)
-    return shown + " is above " + ToText(*limit) + ", the most";
+    return shown + " is above " + ToText(*limit) + ", the maximum";
   if (keyword == "required" && limit && value && value->IsObject()) {
     for (auto& one : limit->GetArray())
       if (!value->HasMember(one))
@@ -160,7 +160,7 @@
     return shown + " is not of the form " + ToText(*limit);
   if (keyword == "minLength")
     return "is empty";
-  return shown + " breaks the rule '" + keyword + "'";
+  return shown + " violates the schema keyword '" + keyword + "'";
 }
 
 }  // namespace
@@ -176,7 +176,7 @@
 }
 
 ValidationError::ValidationError(std::vector<FieldError> all)
-    : std::runtime_error(all.empty() ? "refused" : all.front().ToString()),
+    : std::runtime_error(all.empty() ? "rejected" : all.front().ToString()),
       errors(std::move(all)) {}
 
 std::string ClosestMatch(const std::string& word, const std::vector<std::string>& candidates) {
@@ -245,7 +245,7 @@
   DuplicateNames{*this}.Check(root_, "");
   rapidjson::Document schema;
   if (schema.Parse(schema_text).HasParseError())
-    throw std::logic_error(std::string("schema of the program's own: ") +
+    throw std::logic_error(std::string("built-in schema: ") +
                            rapidjson::GetParseError_En(schema.GetParseError()));
   rapidjson::SchemaDocument compiled(schema);
   rapidjson::SchemaValidator validator(compiled);
--- a/tests/board_test.cpp
+++ b/tests/board_test.cpp
@@ -37,7 +37,7 @@
 }
 
 // A fake for the caches that records the announced endpoint list.
-struct Noted final : exchange::CacheSide {
+struct RecordingCaches final : exchange::CacheSide {
   std::vector<std::uint32_t> sent;
   std::map<std::string, ListEntry> listed;
   int calls = 0;
@@ -60,11 +60,11 @@
 
 // A client that has event 1 and watches the service, and its log lines.
 struct Watch {
-  std::vector<std::string> said;
+  std::vector<std::string> log_lines;
   Desk d;
   log::Log log{[this] { return d.loop.now(); },
                [this](std::string_view line) {
-                 said.emplace_back(line);
+                 log_lines.emplace_back(line);
                }};
   log::ScopedLog use{log};
   FarListener far;
@@ -72,9 +72,9 @@
   exchange::Counters& counters = d.exchange.counters;
   Far peer;
 
-  explicit Watch(bool follows = true) {
+  explicit Watch(bool watches = true) {
     assert(b.ApplyInitialEvents(Known(Purge(1), 1)) && counters.purges == 1);
-    if (!follows)
+    if (!watches)
       return;
     b.StartWatch();
     peer = Next(far);
@@ -82,20 +82,20 @@
   // The next connection to the service, once it has requested the events after `last`.
   Far Next(FarListener& at, std::uint64_t last = 1) {
     Far f = at.Next(d.loop);
-    HasAsked(f, last);
+    ExpectWatch(f, last);
     return f;
   }
-  void HasAsked(Far& f, std::uint64_t last) {
+  void ExpectWatch(Far& f, std::uint64_t last) {
     std::string wanted = "watch " + std::to_string(last) + "\n";
     Until(d.loop, [&] { return f.Hears(wanted); });
     assert(f.got == wanted);
   }
-  void Passed(std::uint64_t last) {
+  void ExpectDelivered(std::uint64_t last) {
     Until(d.loop, [&] { return b.LastRevision() >= last; });
     assert(b.LastRevision() == last && counters.purges == last);  // each once
   }
   // Sends as fast as the kernel accepts it.
-  void Pour(Far& f, std::string_view text) {
+  void SendAll(Far& f, std::string_view text) {
     while (!text.empty()) {
       ssize_t n = ::send(f.fd.Get(), text.data(), text.size(), MSG_NOSIGNAL);
       if (n < 0 && errno != EAGAIN)
@@ -108,10 +108,10 @@
   }
   // Sends a byte every tenth of a second for the given time; stops when the client closes the
   // connection, and returns when that was.
-  int Drip(Far& f, int tenths) {
+  int SendSlowly(Far& f, int tenths) {
     for (int i = 0; i < tenths; ++i) {
       f.Send("x");
-      for (int turns = 0; turns < 3; ++turns)
+      for (int iterations = 0; iterations < 3; ++iterations)
         d.loop.RunOnce(1);
       d.loop.AdvanceClock(100);
       d.loop.RunOnce(1);
@@ -132,27 +132,27 @@
   assert(b.ApplyInitialEvents(
       *json::Parse("{\"notices\":[{\"rev\":1,\"flush\":{\"asset\":\"a\",\"ms\":1}}],\"rev\":1}")));
   b.StartWatch();
-  auto notice = [](int rev) {
+  auto event = [](int rev) {
     return "{\"rev\":" + std::to_string(rev) + ",\"flush\":{\"collection\":3,\"ms\":1}}\n";
   };
   auto& purges = d.exchange.counters.purges;
   std::uint64_t last = 1;
   // What makes the client reconnect: a gap, invalid input, a revision beyond its own, a close, and
   // silence.
-  for (const std::string& odd : {notice(9), std::string("junk\n"), std::string("99\n"),
-                                 std::string("close"), std::string("silence")}) {
+  for (const std::string& invalid_input : {event(9), std::string("junk\n"), std::string("99\n"),
+                                           std::string("close"), std::string("silence")}) {
     Far peer = far.Next(d.loop);
     Until(d.loop, [&] { return peer.Hears("watch " + std::to_string(last) + "\n"); });
     std::uint64_t seen = purges;
-    peer.Send(notice(static_cast<int>(last)) + "1\n" +
-              notice(static_cast<int>(last) + 1));  // one is a duplicate
+    peer.Send(event(static_cast<int>(last)) + "1\n" +
+              event(static_cast<int>(last) + 1));  // one is a duplicate
     Until(d.loop, [&] { return b.LastRevision() == last + 1; });
     assert(purges == seen + 1);
     ++last;
-    if (odd == "close")
+    if (invalid_input == "close")
       peer.fd.Reset();
-    else if (odd != "silence")
-      peer.Send(odd);
+    else if (invalid_input != "silence")
+      peer.Send(invalid_input);
     std::uint64_t connections = d.exchange.counters.discovery_connections;
     Until(d.loop, [&] { return d.exchange.counters.discovery_connections > connections; });
     assert(purges == seen + 1 && b.LastRevision() == last);
@@ -167,14 +167,14 @@
        ++rev) {  // a line each second keeps it open, also one in two pieces
     std::string line = Purge(rev);
     w.peer.Send(line.substr(0, 9));
-    for (int turns = 0; turns < 3; ++turns)
+    for (int iterations = 0; iterations < 3; ++iterations)
       w.d.loop.RunOnce(1);
     w.d.loop.AdvanceClock(800);
     w.peer.Send(line.substr(9));
-    w.Passed(rev);
+    w.ExpectDelivered(rev);
   }
   assert(w.counters.discovery_connections == 1);
-  assert(w.Drip(w.peer, 60) < 60);
+  assert(w.SendSlowly(w.peer, 60) < 60);
   w.Next(w.far, 7);
 }
 
@@ -188,7 +188,7 @@
     std::size_t piece = (line.size() + 49) / 50;
     for (std::size_t at = 0; at < line.size() && !w.peer.over; at += piece) {
       w.peer.Send(line.substr(at, piece));
-      for (int turns = 0; turns < 3; ++turns)
+      for (int iterations = 0; iterations < 3; ++iterations)
         w.d.loop.RunOnce(1);
       w.d.loop.AdvanceClock(100);
       w.d.loop.RunOnce(1);
@@ -198,16 +198,16 @@
     if (!whole)
       w.peer = w.Next(w.far);
   }
-  w.Passed(2);
+  w.ExpectDelivered(2);
   // After a complete line the limit for silence is the initial one again.
-  assert(w.Drip(w.peer, 30) < 30);
+  assert(w.SendSlowly(w.peer, 30) < 30);
   w.peer = w.Next(w.far, 2);
 }
 
 void NoLineIsAwaitedLongerThanAnEventTakesToBecomeEffective() {
   Watch w;
   for (int i = 0; i < 6; ++i) {
-    assert(w.Drip(w.peer, 90) < 90);
+    assert(w.SendSlowly(w.peer, 90) < 90);
     w.peer = w.Next(w.far);
   }
 }
@@ -222,11 +222,11 @@
     line.replace(line.size() - 1, 1, end);
     for (std::size_t cut = 1; cut < line.size(); ++cut) {
       w.peer.Send(line.substr(0, cut));
-      for (int turns = 0; turns < 3; ++turns)
+      for (int iterations = 0; iterations < 3; ++iterations)
         w.d.loop.RunOnce(1);
       assert(w.b.LastRevision() == rev - 1);
       w.peer.Send(line.substr(cut));
-      w.Passed(rev);
+      w.ExpectDelivered(rev);
       line = Purge(++rev);
       line.replace(line.size() - 1, 1, end);
     }
@@ -236,25 +236,26 @@
   for (char c : line) {  // each byte on its own
     assert(w.b.LastRevision() == rev - 1);
     w.peer.Send({&c, 1});
-    for (int turns = 0; turns < 3; ++turns)
+    for (int iterations = 0; iterations < 3; ++iterations)
       w.d.loop.RunOnce(1);
   }
-  w.Passed(rev);
+  w.ExpectDelivered(rev);
   assert(w.counters.discovery_connections == 1 && w.counters.bad_watch_events == 0);
 }
 
 void AGapInOneReadEndsTheConnection() {
-  for (const std::string& odd :
+  for (const std::string& invalid_input :
        {Purge(5), std::string("junk\n"), std::string("\n"), std::string("9\n")}) {
     Watch w;
-    w.peer.Send(Purge(2) + Purge(3) + odd + Purge(4) + Purge(5));  // the rest after it is not read
-    w.Passed(3);
+    w.peer.Send(Purge(2) + Purge(3) + invalid_input + Purge(4) +
+                Purge(5));  // the rest after it is not read
+    w.ExpectDelivered(3);
     Far again = w.Next(w.far, 3);
     assert(w.counters.bad_watch_events == 1 && w.counters.discovery_connections == 2 &&
-           w.said.size() == 1);
+           w.log_lines.size() == 1);
     w.peer.Send(Purge(4));  // the old connection sends more
     again.Send("3\n" + Purge(4) + Purge(5));
-    w.Passed(5);
+    w.ExpectDelivered(5);
     assert(w.counters.bad_watch_events == 1 && w.counters.discovery_connections == 2);
   }
 }
@@ -268,9 +269,9 @@
       assert(line.size() == kBound + over);
       std::string first = before > 0 ? std::string(before, '0') + "\n"
                                      : std::string();  // splits the reads differently
-      w.Pour(w.peer, first + line);
+      w.SendAll(w.peer, first + line);
       if (over == 0) {
-        w.Passed(2);
+        w.ExpectDelivered(2);
         assert(w.counters.bad_watch_events == 0);
       } else {
         w.Next(w.far);
@@ -288,10 +289,10 @@
       w.peer.Reset();
     else
       w.peer.fd.Reset();
-    w.Passed(3);
+    w.ExpectDelivered(3);
     Far again = w.Next(w.far, 3);  // the partial line was ignored and is sent again
     again.Send(Purge(4));
-    w.Passed(4);
+    w.ExpectDelivered(4);
   }
 }
 
@@ -301,7 +302,7 @@
   Watch w;
   FarListener other;
   w.peer.fd.Reset();
-  Until(w.d.loop, [&] { return !w.said.empty(); });  // ended, and waiting for the backoff
+  Until(w.d.loop, [&] { return !w.log_lines.empty(); });  // ended, and waiting for the backoff
   assert(w.b.SwitchTo(other.at, Known("", 1)));
   Far there = w.Next(other);
   assert(w.counters.discovery_connections == 2);
@@ -311,7 +312,7 @@
   }
   assert(w.counters.discovery_connections == 2);  // the pending reconnect opens no second one
   there.Send(Purge(2));
-  w.Passed(2);
+  w.ExpectDelivered(2);
 }
 
 void SwitchedWhileConnecting() {
@@ -332,9 +333,9 @@
     w.d.loop.AdvanceClock(100);
     w.d.loop.RunOnce(1);
   }  // the old connect timeout is over
-  assert(w.counters.discovery_connections == 3 && w.said.empty());
+  assert(w.counters.discovery_connections == 3 && w.log_lines.empty());
   there.Send(Purge(2));
-  w.Passed(2);
+  w.ExpectDelivered(2);
 }
 
 void SwitchedTwiceAndToTheSameAddress() {
@@ -350,13 +351,13 @@
   });
   assert(w.b.LastRevision() == 1);
   there.Send(Purge(2));
-  w.Passed(2);
+  w.ExpectDelivered(2);
   assert(w.b.SwitchTo(third.at, Known("", 2)));
   Far again = w.Next(third, 2);
   there.Send(Purge(3));
   again.Send(Purge(3));
-  w.Passed(3);
-  assert(w.counters.discovery_connections == 4 && w.said.empty());
+  w.ExpectDelivered(3);
+  assert(w.counters.discovery_connections == 4 && w.log_lines.empty());
 }
 
 void SwitchedWithEventsThatHaveAGap() {
@@ -368,11 +369,11 @@
   assert(w.b.LastRevision() == 3 && w.counters.purges == 3);
   Far there = w.Next(other, 3);
   there.Send(Purge(4) + Purge(5));
-  w.Passed(5);
+  w.ExpectDelivered(5);
   assert(w.b.SwitchTo(w.far.at, Known(Purge(1) + "," + Purge(2), 2)));  // all are older
   there = w.Next(w.far, 5);
   there.Send("2\n" + Purge(2) + Purge(6));
-  w.Passed(6);
+  w.ExpectDelivered(6);
   assert(w.counters.discovery_connections == 3 && w.counters.bad_watch_events == 0);
 }
 
@@ -394,19 +395,19 @@
   }
   assert(w.b.LastRevision() == 1 && w.counters.purges == 1);
   w.peer.Send(Purge(2));  // the old service is still watched
-  w.Passed(2);
-  assert(w.counters.discovery_connections == 1 && w.said.empty());
+  w.ExpectDelivered(2);
+  assert(w.counters.discovery_connections == 1 && w.log_lines.empty());
   pollfd asked{other.fd.Get(), POLLIN, 0};
   assert(::poll(&asked, 1, 0) == 0);
 }
 
 // Runs in an iteration of the loop before or after the client's connection.
-struct InTurn final : loop::Handler {
+struct LoopHook final : loop::Handler {
   loop::Loop& loop;
   loop::Descriptor near;
   loop::Descriptor far;
   std::function<void()> what;
-  explicit InTurn(loop::Loop& l) : loop(l) {
+  explicit LoopHook(loop::Loop& l) : loop(l) {
     int ends[2];
     assert(::pipe(ends) == 0);
     near = loop::Descriptor(ends[0]);
@@ -429,7 +430,7 @@
                                     Purge(2) + Purge(9), Purge(2) + "close"}) {
       Watch w(false);
       FarListener other;
-      std::optional<InTurn> hook;
+      std::optional<LoopHook> hook;
       if (before)
         hook.emplace(w.d.loop);  // descriptors are handled in their order
       w.b.StartWatch();
@@ -450,7 +451,7 @@
       std::uint64_t had = w.b.LastRevision();
       Far there = w.Next(other, had);
       there.Send(Purge(2) + Purge(3));  // delivered once, whether the old one's was read or not
-      w.Passed(3);
+      w.ExpectDelivered(3);
       for (int i = 0; i < 5; ++i) {
         w.d.loop.AdvanceClock(100);
         w.d.loop.RunOnce(1);
@@ -463,7 +464,7 @@
 
 void AServiceWithAnOlderRevisionRepeatsNothing() {
   Watch w;
-  Noted noted;
+  RecordingCaches noted;
   w.d.exchange.Meet(noted);
   w.peer.Send(Servers(2, Server("s-a") + "," + Server("s-b"), true) + "\n" +
               Servers(3, Server("s-a", "terminating")) + "\n");
@@ -501,9 +502,9 @@
         w.peer.Send(word);
         w.peer.fd.Reset();
       }
-      int got = ::accept4(w.far.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
-      if (got >= 0)
-        w.peer = Far(loop::Descriptor(got));
+      int accepted = ::accept4(w.far.fd.Get(), nullptr, nullptr, SOCK_NONBLOCK);
+      if (accepted >= 0)
+        w.peer = Far(loop::Descriptor(accepted));
       w.d.loop.RunOnce(1);
       w.d.loop.AdvanceClock(10);
       stalls += w.d.loop.now() - last > 200;
@@ -513,7 +514,7 @@
     double most = 7.0 * static_cast<double>(1 + stalls) + (last - start) / 500;
     std::uint64_t asked = w.counters.discovery_connections - before;
     assert(asked >= 3 && static_cast<double>(asked) <= most);
-    assert(w.said.size() <= 1 + stalls);
+    assert(w.log_lines.size() <= 1 + stalls);
   }
 }
 
@@ -536,10 +537,11 @@
   ::setrlimit(RLIMIT_NOFILE, &before);
   assert(w.counters.discovery_connections >= 3 &&
          static_cast<double>(w.counters.discovery_connections) <= most);
-  assert(w.said.size() == 1 && w.said[0].find("local resource shortage") != std::string::npos);
+  assert(w.log_lines.size() == 1 &&
+         w.log_lines[0].find("local resource shortage") != std::string::npos);
   Far peer = w.Next(w.far);
   peer.Send(Purge(2));
-  w.Passed(2);
+  w.ExpectDelivered(2);
 }
 
 // ---- bad lists
@@ -614,28 +616,28 @@
       flush("\"collection\":1,\"ms\":-1e300")};
   for (const std::string& line : bad) {
     Watch w;
-    Noted noted;
+    RecordingCaches noted;
     w.d.exchange.Meet(noted);
     std::uint64_t lists = w.counters.list_news;
-    w.Pour(w.peer, line + "\n" + Purge(2));
+    w.SendAll(w.peer, line + "\n" + Purge(2));
     Far again = w.Next(w.far);
     assert(w.counters.bad_watch_events == 1 && w.counters.discovery_connections == 2);
-    assert(w.said == std::vector<std::string>{
-                         "discovery service: connection ended (malformed) after event 1"});
+    assert(w.log_lines == std::vector<std::string>{
+                              "discovery service: connection ended (malformed) after event 1"});
     assert(w.b.LastRevision() == 1 && w.counters.purges == 1 && w.counters.list_news == lists &&
            noted.calls == 0);
     Asked asked;
     w.d.exchange.OnRequest(AskFor(), asked);  // the endpoints listed before still serve
     assert(noted.sent.size() == 1);
     again.Send(Purge(2));
-    w.Passed(2);
+    w.ExpectDelivered(2);
   }
 }
 
 // Unusual but valid entries are accepted.
 void UnusualEntriesAreAccepted() {
   Watch w;
-  Noted noted;
+  RecordingCaches noted;
   w.d.exchange.Meet(noted);
   w.peer.Send(
       Servers(2,
@@ -649,7 +651,7 @@
               true) +
       "\n" + Servers(3, "") + "\n");
   Until(w.d.loop, [&] { return w.b.LastRevision() == 3; });
-  assert(w.counters.bad_watch_events == 0 && w.said.empty() && noted.calls == 6 &&
+  assert(w.counters.bad_watch_events == 0 && w.log_lines.empty() && noted.calls == 6 &&
          noted.listed.size() == 5);
   assert(noted.listed["s-twice"].standing == Standing::kDraining);  // the last entry counts
   std::vector<Asked> asked(40);
@@ -675,11 +677,11 @@
     all += Server("s-" + std::to_string(i));
   }
   std::uint64_t lists = w.counters.list_news;
-  w.Pour(w.peer, Servers(2, all, true) + "\n");
+  w.SendAll(w.peer, Servers(2, all, true) + "\n");
   w.Next(w.far);
   assert(w.counters.bad_watch_events == 1 && w.counters.list_news == lists &&
          w.b.LastRevision() == 1);
-  assert(w.said ==
+  assert(w.log_lines ==
          std::vector<std::string>{"discovery service: connection ended (malformed) after event 1"});
 }
 
--- a/tests/drill_test.cpp
+++ b/tests/drill_test.cpp
@@ -26,8 +26,8 @@
            {"{\n \"length_s\": 10,,\n}", "s.json:2: Missing a name for object member."},
            {"{}", "s.json:1: lacks \"length_s\""},
            {"{\"length_s\": \"long\"}", "s.json:1: /length_s: must be a number, not \"long\""},
-           {"{\"length_s\": 0.5}", "s.json:1: /length_s: 0.5 is below 1, the least"},
-           {"{\"length_s\": 9999}", "s.json:1: /length_s: 9999 is above 3600, the most"},
+           {"{\"length_s\": 0.5}", "s.json:1: /length_s: 0.5 is below 1, the minimum"},
+           {"{\"length_s\": 9999}", "s.json:1: /length_s: 9999 is above 3600, the maximum"},
            {"{\"length_s\": 1, \"length_s\": 2}", "s.json:1: has \"length_s\" twice"},
            {"// two\n// lines\n{\"length_s\": 10, \"fleet\":\n {\"stores\": 5, \"caches\": 3, "
             "\"fronts\": 5}}",
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -16,14 +16,14 @@
 
 namespace {
 
-struct Kept {
+struct RecordingLog {
   double now = 1e12;
   std::vector<std::string> lines;
   log::Log log{[this] { return now; },
                [this](std::string_view line) {
                  lines.emplace_back(line);
                }};
-  std::string Of(std::string_view line) {
+  std::string Written(std::string_view line) {
     lines.clear();
     now += 1000;
     log.Write(line);
@@ -34,7 +34,7 @@
 
 // False if a terminal or a line reader may interpret a character as a line break or a control
 // sequence.
-bool Plain(std::string_view line) {
+bool IsPlain(std::string_view line) {
   for (char c : line)
     if (static_cast<unsigned char>(c) < ' ' || c == 127)
       return false;
@@ -49,7 +49,7 @@
 }
 
 // Reverts the escapes of single bytes below 0x80.
-std::string Reverted(std::string_view line) {
+std::string Unescape(std::string_view line) {
   std::string all;
   for (std::size_t i = 0; i < line.size(); ++i) {
     if (line[i] != '\\') {
@@ -67,7 +67,7 @@
 }
 
 // Bytes that a hostile peer might send.
-rc::Gen<std::string> Hostile() {
+rc::Gen<std::string> HostileBytes() {
   return rc::gen::container<std::string>(rc::gen::weightedOneOf<char>(
       {{2, rc::gen::elementOf("\n\r\t\v\f\x1b\x7f\\\"x0an\xc2\x85\x9b\xe2\x80\xa8\xa9\xff"s)},
        {1, rc::gen::arbitrary<char>()}}));
@@ -76,44 +76,44 @@
 }  // namespace
 
 TEST_CASE("a plain line is unchanged") {
-  Kept k;
-  CHECK(k.Of("cache-1: silent; its connection ends, 3 open") ==
+  RecordingLog k;
+  CHECK(k.Written("cache-1: silent; its connection ends, 3 open") ==
         "cache-1: silent; its connection ends, 3 open");
-  CHECK(k.Of("caf\xc3\xa9 serves") == "caf\xc3\xa9 serves");
-  CHECK(k.Of("") == "");
+  CHECK(k.Written("caf\xc3\xa9 serves") == "caf\xc3\xa9 serves");
+  CHECK(k.Written("") == "");
 }
 
 TEST_CASE("line breaks and control characters are escaped, and an escape cannot be forged") {
-  Kept k;
-  CHECK(k.Of("a\nb\r\tc") == "a\\nb\\r\\tc");
-  CHECK(k.Of("\x1b[2J\x7f"s + '\0') == "\\x1b[2J\\x7f\\x00");
-  CHECK(k.Of("a\\nb \"q\"") == "a\\\\nb \\\"q\\\"");
-  CHECK(Plain(k.Of("\xc2\x85 \xc2\x9b \xe2\x80\xa8 \xe2\x80\xa9")));
-  CHECK(k.Of("\xff\xc3") == "\\xff\\xc3");
+  RecordingLog k;
+  CHECK(k.Written("a\nb\r\tc") == "a\\nb\\r\\tc");
+  CHECK(k.Written("\x1b[2J\x7f"s + '\0') == "\\x1b[2J\\x7f\\x00");
+  CHECK(k.Written("a\\nb \"q\"") == "a\\\\nb \\\"q\\\"");
+  CHECK(IsPlain(k.Written("\xc2\x85 \xc2\x9b \xe2\x80\xa8 \xe2\x80\xa9")));
+  CHECK(k.Written("\xff\xc3") == "\\xff\\xc3");
 }
 
 TEST_CASE("no bytes produce two lines, and different bytes produce different lines") {
   CHECK(rc::check("one record, one line", [] {
-    std::string bytes = *Hostile();
-    Kept k;
+    std::string bytes = *HostileBytes();
+    RecordingLog k;
     log::ScopedLog use(k.log);
     log::Write("%.*s", static_cast<int>(bytes.size()), bytes.data());
     RC_ASSERT(k.lines.size() == 1u);
-    RC_ASSERT(Plain(k.lines[0]));
+    RC_ASSERT(IsPlain(k.lines[0]));
   }));
   CHECK(rc::check("escaping is reversible", [] {
     std::string bytes = *rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127));
-    Kept k;
+    RecordingLog k;
     k.log.Write(bytes);
-    RC_ASSERT(Reverted(k.lines.at(0)) == bytes);
+    RC_ASSERT(Unescape(k.lines.at(0)) == bytes);
   }));
 }
 
 TEST_CASE("a line is bounded before and after escaping") {
-  Kept k;
-  CHECK(k.Of(std::string(5000, 'a')) == std::string(log::kMaxLineBytes, 'a'));
-  CHECK(k.Of(std::string(5000, '\n')).size() == 2 * log::kMaxLineBytes);
-  CHECK(k.Of(std::string(5000, '\xff')).size() == 4 * log::kMaxLineBytes);
+  RecordingLog k;
+  CHECK(k.Written(std::string(5000, 'a')) == std::string(log::kMaxLineBytes, 'a'));
+  CHECK(k.Written(std::string(5000, '\n')).size() == 2 * log::kMaxLineBytes);
+  CHECK(k.Written(std::string(5000, '\xff')).size() == 4 * log::kMaxLineBytes);
   log::ScopedLog use(k.log);
   k.lines.clear();
   log::Write("%s", std::string(5000, 'b').c_str());
@@ -121,7 +121,7 @@
 }
 
 TEST_CASE("200 lines in a burst, then 10 a second; dropped lines are reported") {
-  Kept k;
+  RecordingLog k;
   for (int i = 0; i < 250; ++i)
     k.log.Write("x");
   CHECK(k.lines.size() == 200);
@@ -141,7 +141,7 @@
 }
 
 TEST_CASE("lines go to the current log, and afterwards to the previous one") {
-  Kept one, two;
+  RecordingLog one, two;
   log::ScopedLog a(one.log);
   log::Write("%d", 1);
   {
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -30,7 +30,7 @@
 
 // ---- one connection, whose environment fails
 
-struct NotedOwner final : loop::Connection::Owner {
+struct RecordingOwner final : loop::Connection::Owner {
   std::unique_ptr<loop::Connection> connection;
   std::string received;
   std::vector<DisconnectReason> ends;
@@ -42,43 +42,43 @@
   void OnDrained() override {
     ++drains;
   }
-  void OnDisconnected(DisconnectReason how) override {
-    ends.push_back(how);
+  void OnDisconnected(DisconnectReason reason) override {
+    ends.push_back(reason);
   }
 };
 
 /// A process that connects, through a failing environment, to one that listens.
 struct ConnectionFixture {
   stage::Net net{1};
-  stage::Process& dialling = net.Start(0x0a000001, "dialling");
+  stage::Process& connecting = net.Start(0x0a000001, "connecting");
   stage::Process& listening = net.Start(0x0a000002, "listening");
-  FailingEnvironment environment{dialling};
-  NotedOwner near;
-  NotedOwner far;
+  FailingEnvironment environment{connecting};
+  RecordingOwner client_side;
+  RecordingOwner server_side;
   std::unique_ptr<loop::Listener> listener;
 
   ConnectionFixture() {
-    dialling.UseEnvironment(environment);
+    connecting.UseEnvironment(environment);
     listening.Act([&] {
       listener = std::make_unique<loop::Listener>(
           listening.loop(), kFrontAddress, [this](loop::Descriptor fd) {
-            far.connection =
-                std::make_unique<loop::Connection>(listening.loop(), far, std::move(fd));
+            server_side.connection =
+                std::make_unique<loop::Connection>(listening.loop(), server_side, std::move(fd));
           });
     });
   }
   ~ConnectionFixture() {
     listening.Act([&] {
-      far.connection.reset();
+      server_side.connection.reset();
       listener.reset();
     });
-    dialling.Act([&] { near.connection.reset(); });
+    connecting.Act([&] { client_side.connection.reset(); });
   }
   void Dial() {
-    dialling.Act([&] {
-      near.connection =
-          std::make_unique<loop::Connection>(dialling.loop(), near, kFrontAddress, 1000);
-      near.connection->Send("hello");
+    connecting.Act([&] {
+      client_side.connection =
+          std::make_unique<loop::Connection>(connecting.loop(), client_side, kFrontAddress, 1000);
+      client_side.connection->Send("hello");
     });
   }
   void Run(Ms time) {
@@ -100,8 +100,8 @@
   test.environment.plan = FailOnce(Call::kConnect, 0, {EINTR});
   test.Dial();
   test.Run(100);
-  CHECK(test.near.ends.empty());
-  CHECK(test.far.received == "hello");
+  CHECK(test.client_side.ends.empty());
+  CHECK(test.server_side.received == "hello");
 }
 
 TEST_CASE("a local resource shortage at connect is not reported as the server's failure") {
@@ -111,7 +111,7 @@
     test.environment.plan = FailOnce(Call::kConnect, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{DisconnectReason::kLocalShortage});
+    CHECK(test.client_side.ends == std::vector{DisconnectReason::kLocalShortage});
   }
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     CAPTURE(error);
@@ -119,7 +119,7 @@
     test.environment.plan = FailOnce(Call::kOpenStream, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{DisconnectReason::kLocalShortage});
+    CHECK(test.client_side.ends == std::vector{DisconnectReason::kLocalShortage});
   }
 }
 
@@ -131,9 +131,9 @@
       test.environment.plan = FailOnce(call, 0, {error});
       test.Dial();
       test.Run(100);
-      CHECK(test.near.ends == std::vector{error == ECONNREFUSED
-                                              ? DisconnectReason::kRefused
-                                              : DisconnectReason::kConnectFailed});
+      CHECK(test.client_side.ends == std::vector{error == ECONNREFUSED
+                                                     ? DisconnectReason::kRefused
+                                                     : DisconnectReason::kConnectFailed});
     }
   }
 }
@@ -143,12 +143,12 @@
   ConnectionFixture test;
   test.Dial();
   test.Run(100);
-  test.listening.Act([&] { test.far.connection->Send("answer"); });
+  test.listening.Act([&] { test.server_side.connection->Send("answer"); });
   // The answer is in the receive buffer of a suspended process; then its write fails before it
   // reads.
-  test.dialling.StandStill(test.net.now() + 50);
+  test.connecting.StandStill(test.net.now() + 50);
   test.Run(40);
-  REQUIRE(test.near.received.empty());
+  REQUIRE(test.client_side.received.empty());
   std::size_t next_read = test.environment.Calls(Call::kReceive);
   std::size_t next_write = test.environment.Calls(Call::kSend);
   test.environment.plan = [=](Call call, std::size_t ordinal) -> std::optional<Failure> {
@@ -158,10 +158,10 @@
       return Failure{EINTR};
     return std::nullopt;
   };
-  test.dialling.Act([&] { test.near.connection->Send("next"); });
+  test.connecting.Act([&] { test.client_side.connection->Send("next"); });
   test.Run(100);
-  CHECK(test.near.received == "answer");
-  CHECK(test.near.ends == std::vector{DisconnectReason::kReset});
+  CHECK(test.client_side.received == "answer");
+  CHECK(test.client_side.ends == std::vector{DisconnectReason::kReset});
 }
 
 TEST_CASE("a write waits until buffers are available, and the message is sent") {
@@ -171,9 +171,9 @@
     test.environment.plan = FailUntil(test.net, Call::kSend, error, test.net.now() + 60);
     test.Dial();
     CHECK_NOTHROW(test.Run(200));
-    CHECK(test.near.ends.empty());
-    CHECK(test.far.received == "hello");
-    CHECK(test.near.drains == 1);
+    CHECK(test.client_side.ends.empty());
+    CHECK(test.server_side.received == "hello");
+    CHECK(test.client_side.drains == 1);
     CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
@@ -186,12 +186,12 @@
     test.Run(100);
     test.environment.plan = FailUntil(test.net, Call::kReceive, error, test.net.now() + 60);
     test.listening.Act([&] {
-      test.far.connection->Send("answer");
-      test.far.connection->ShutdownWrite();
+      test.server_side.connection->Send("answer");
+      test.server_side.connection->ShutdownWrite();
     });
     CHECK_NOTHROW(test.Run(200));
-    CHECK(test.near.received == "answer");
-    CHECK(test.near.ends == std::vector{DisconnectReason::kClosed});
+    CHECK(test.client_side.received == "answer");
+    CHECK(test.client_side.ends == std::vector{DisconnectReason::kClosed});
     CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
@@ -207,13 +207,13 @@
     Ms start = test.net.now();
     Ms ran_at = 0;
     test.environment.plan = FailUntil(test.net, Call::kWait, error, start + 60);
-    test.dialling.Act(
-        [&] { test.dialling.loop().RunAt(start + 30, [&] { ran_at = test.net.now(); }); });
-    test.listening.Act([&] { test.far.connection->Send("answer"); });
+    test.connecting.Act(
+        [&] { test.connecting.loop().RunAt(start + 30, [&] { ran_at = test.net.now(); }); });
+    test.listening.Act([&] { test.server_side.connection->Send("answer"); });
     CHECK_NOTHROW(test.Run(200));
     CHECK(ran_at >= start + 30);
     CHECK(ran_at < start + 60);
-    CHECK(test.near.received == "answer");
+    CHECK(test.client_side.received == "answer");
     CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
@@ -230,7 +230,7 @@
   test.Dial();
   test.Run(100);
   CHECK(interrupted == 20);
-  CHECK(test.far.received == "hello");
+  CHECK(test.server_side.received == "hello");
 }
 
 // ---- a listener, whose environment fails
@@ -238,11 +238,11 @@
 struct ListenerFixture {
   stage::Net net{1};
   stage::Process& listening = net.Start(0x0a000002, "listening");
-  stage::Process& dialling = net.Start(0x0a000001, "dialling");
+  stage::Process& connecting = net.Start(0x0a000001, "connecting");
   FailingEnvironment environment{listening};
   std::vector<loop::Descriptor> taken;
   std::unique_ptr<loop::Listener> listener;
-  std::vector<std::unique_ptr<NotedOwner>> peers;
+  std::vector<std::unique_ptr<RecordingOwner>> peers;
 
   ListenerFixture() {
     listening.UseEnvironment(environment);
@@ -253,18 +253,18 @@
     });
   }
   ~ListenerFixture() {
-    dialling.Act([&] { peers.clear(); });
+    connecting.Act([&] { peers.clear(); });
     listening.Act([&] {
       taken.clear();
       listener.reset();
     });
   }
   void Come(int count) {
-    dialling.Act([&] {
+    connecting.Act([&] {
       for (int i = 0; i < count; ++i) {
-        auto peer = std::make_unique<NotedOwner>();
+        auto peer = std::make_unique<RecordingOwner>();
         peer->connection =
-            std::make_unique<loop::Connection>(dialling.loop(), *peer, kFrontAddress, 60000);
+            std::make_unique<loop::Connection>(connecting.loop(), *peer, kFrontAddress, 60000);
         peers.push_back(std::move(peer));
       }
     });
@@ -420,8 +420,8 @@
 
   /// The status of each answered request, in order.
   std::vector<int> statuses;
-  bool lost = false;        // the connection ended before the last answer
-  std::size_t unasked = 0;  // answers beyond the requests sent
+  bool lost = false;                   // the connection ended before the last answer
+  std::size_t unexpected_answers = 0;  // answers beyond the requests sent
   std::size_t RequestCount() const {
     return requests_.size();
   }
@@ -449,13 +449,13 @@
     statuses.push_back(std::stoi(received_.substr(9, 3)));
     received_.erase(0, head + 4 + length);
     if (statuses.size() > sent_)
-      ++unasked;
+      ++unexpected_answers;
     SendNext();
     return true;
   }
   void OnDisconnected(DisconnectReason) override {
     lost = statuses.size() < requests_.size();
-    unasked += received_.find("HTTP/1.1 ", 1) != received_.npos ? 1 : 0;
+    unexpected_answers += received_.find("HTTP/1.1 ", 1) != received_.npos ? 1 : 0;
   }
 
   stage::Process& process_;
@@ -521,7 +521,7 @@
     std::size_t lost = 0;
     for (auto& client : clients) {
       lost += client->lost ? 1 : 0;
-      CHECK(client->unasked == 0);
+      CHECK(client->unexpected_answers == 0);
       if (!client->lost)
         CHECK(client->statuses.size() == client->RequestCount());
     }
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -28,27 +28,27 @@
 constexpr Ms kPurgeDone = 6 * kSecond;    // of kit::sheet()
 constexpr Ms kSlowStart = 15 * kSecond;   // of the same settings
 
-std::string Stamp(Ms at) {
+std::string TimestampText(Ms at) {
   return std::to_string(static_cast<long long>(at));
 }
 
-std::string PurgeNotice(std::uint64_t rev, Ms stamp) {
+std::string PurgeEvent(std::uint64_t rev, Ms timestamp) {
   return "{\"rev\":" + std::to_string(rev) +
-         ",\"flush\":{\"asset\":\"7f3a\",\"ms\":" + Stamp(stamp) + "}}";
+         ",\"flush\":{\"asset\":\"7f3a\",\"ms\":" + TimestampText(timestamp) + "}}";
 }
 
-std::string ServerNotice(std::uint64_t rev, const std::string& id, Ms started, bool full = false,
-                         const char* state = "in_service") {
+std::string ServerEvent(std::uint64_t rev, const std::string& id, Ms started, bool full = false,
+                        const char* state = "in_service") {
   return "{\"rev\":" + std::to_string(rev) + ",\"pool\":{\"full\":" + (full ? "true" : "false") +
          ",\"servers\":[{\"id\":\"" + id +
          "\",\"addr\":\"127.0.0.9:5050\",\"zone\":\"e-1\",\"kind\":\"box\",\"weight\":6,\"state\":"
          "\"" +
-         state + "\",\"started_ms\":" + Stamp(started) + "}]}}";
+         state + "\",\"started_ms\":" + TimestampText(started) + "}]}}";
 }
 
 // A front's discovery client on a socket, with five listed servers that started long ago, and a
 // client that sends requests.
-struct Discovery {
+struct DiscoveryFixture {
   Desk desk{kit::Settings(), 5};
   FarListener listener;
   discovery::DiscoveryClient discovery{desk.loop, desk.exchange, MakeTerms(), listener.at};
@@ -83,8 +83,8 @@
     Announce("{\"rev\":" + rev + "}\n" + rev);
   }
   // An event that the service announces now.
-  void Announce(const std::string& notice) {
-    peer.Send(notice + "\n");
+  void Announce(const std::string& event) {
+    peer.Send(event + "\n");
     ++last;
     Until(desk.loop, [&] { return discovery.LastRevision() == last; });
   }
@@ -107,21 +107,21 @@
 
 // Checks which copies attempts accept after a purge at `purged` on this front's clock, whatever its
 // timestamp: none that is older, but one that was made after this front was notified.
-void CheckPurgeBinds(Discovery& d, Ms purged, Ms heard) {
+void CheckPurgeBinds(DiscoveryFixture& d, Ms purged, Ms notified_at) {
   d.desk.loop.AdvanceClock(500);
-  Ms since_heard = d.Now() - heard;
+  Ms since_notified = d.Now() - notified_at;
   SendAttempt attempt = d.Request("7f3a");
   REQUIRE(attempt.cache != 0);
   CHECK(attempt.oldest > 0);
   CHECK(attempt.oldest <= d.Now() - purged);
-  CHECK(attempt.oldest >= since_heard - 2);
+  CHECK(attempt.oldest >= since_notified - 2);
   // The purge expires: any copy is accepted some time after all caches have dropped older ones.
   d.desk.loop.AdvanceClock(3 * kPurgeDone);
   CHECK(d.Request("7f3a").oldest == 0);
 }
 
 // How many of a series of requests for different objects go to the server that was last listed.
-int SentTo(Discovery& d, std::uint32_t server) {
+int SentTo(DiscoveryFixture& d, std::uint32_t server) {
   int count = 0;
   for (int i = 0; i < 400; ++i) {
     d.desk.loop.AdvanceClock(1);
@@ -132,8 +132,8 @@
 
 // The exchange's number for a server: the only one that gets requests after the others are removed.
 std::uint32_t NumberOf(const std::string& id) {
-  Discovery d;
-  d.Begin(ServerNotice(1, id, 0, true));
+  DiscoveryFixture d;
+  d.Begin(ServerEvent(1, id, 0, true));
   for (int i = 0;; ++i) {
     REQUIRE(i < 100);
     if (std::uint32_t cache = d.Request("object-" + std::to_string(i)).cache; cache != 0)
@@ -143,17 +143,17 @@
 
 // The number of requests that a server gets once its slow start is over.
 int SentToWarm(const std::string& id) {
-  Discovery d;
+  DiscoveryFixture d;
   d.Begin();
   d.Follow();
-  d.Announce(ServerNotice(d.last + 1, id, 0));
+  d.Announce(ServerEvent(d.last + 1, id, 0));
   d.desk.loop.AdvanceClock(kSlowStart + 2 * kSecond);
   return SentTo(d, NumberOf(id));
 }
 
 // A server whose start was just announced gets the share of slow start, and afterwards the full
 // one.
-void CheckSlowStart(Discovery& d, const std::string& id, int warm) {
+void CheckSlowStart(DiscoveryFixture& d, const std::string& id, int warm) {
   std::uint32_t server = NumberOf(id);
   REQUIRE(warm > 40);
   CHECK(SentTo(d, server) <= warm / 2);
@@ -168,11 +168,11 @@
     for (Ms age : {50.0, 400.0}) {
       CAPTURE(skew);
       CAPTURE(age);
-      Discovery d;
+      DiscoveryFixture d;
       d.Begin();
       d.Follow();
       Ms purged = d.Now() - age;
-      d.Announce(PurgeNotice(d.last + 1, purged + skew));
+      d.Announce(PurgeEvent(d.last + 1, purged + skew));
       CheckPurgeBinds(d, purged, d.Now());
     }
 }
@@ -182,9 +182,9 @@
     for (Ms age : {50.0, 5500.0}) {
       CAPTURE(skew);
       CAPTURE(age);
-      Discovery d;
+      DiscoveryFixture d;
       Ms purged = d.Now() - age;
-      d.Begin(PurgeNotice(1, purged + skew));
+      d.Begin(PurgeEvent(1, purged + skew));
       CheckPurgeBinds(d, purged, d.Now());
     }
 }
@@ -193,13 +193,13 @@
     "a purge announced after the service's clock was stepped back takes effect, though an earlier "
     "one "
     "has a later timestamp") {
-  Discovery d;
+  DiscoveryFixture d;
   d.Begin();
   d.Follow();
-  d.Announce(PurgeNotice(d.last + 1, d.Now() + kHour));
+  d.Announce(PurgeEvent(d.last + 1, d.Now() + kHour));
   d.Wait(2);
   Ms purged = d.Now();
-  d.Announce(PurgeNotice(d.last + 1, purged));
+  d.Announce(PurgeEvent(d.last + 1, purged));
   CheckPurgeBinds(d, purged, d.Now());
 }
 
@@ -210,10 +210,10 @@
     for (Ms age : {20.0, 250.0, 900.0}) {
       CAPTURE(at_start);
       CAPTURE(age);
-      Discovery d;
+      DiscoveryFixture d;
       Ms purged = std::floor(d.Now()) - age;
       if (at_start)
-        d.Begin(PurgeNotice(1, purged));
+        d.Begin(PurgeEvent(1, purged));
       else
         d.Begin();
       if (!at_start)
@@ -221,19 +221,19 @@
       if (!at_start)
         purged = std::floor(d.Now()) - age;
       if (!at_start)
-        d.Announce(PurgeNotice(d.last + 1, purged));
+        d.Announce(PurgeEvent(d.last + 1, purged));
       d.desk.loop.AdvanceClock(300);
       Ms before = d.Now();
       SendAttempt attempt = d.Request("7f3a");
       CHECK(attempt.oldest >= before - purged - 1);
       CHECK(attempt.oldest <= d.Now() - purged - 1);
     }
-  Discovery d;
+  DiscoveryFixture d;
   d.Begin();
   d.Follow();
   d.desk.loop.AdvanceClock(1200);  // the service is silent for a while, then sends its events
   Ms purged = std::floor(d.Now()) - 1100;
-  d.Announce(PurgeNotice(d.last + 1, purged));
+  d.Announce(PurgeEvent(d.last + 1, purged));
   Ms before = d.Now();
   SendAttempt attempt = d.Request("7f3a");
   CHECK(attempt.oldest >= before - purged - 1);
@@ -243,10 +243,10 @@
   int warm = SentToWarm("s-new");
   for (Ms skew : kSkews) {
     CAPTURE(skew);
-    Discovery d;
+    DiscoveryFixture d;
     d.Begin();
     d.Follow();
-    d.Announce(ServerNotice(d.last + 1, "s-new", d.Now() - 300 + skew));
+    d.Announce(ServerEvent(d.last + 1, "s-new", d.Now() - 300 + skew));
     CheckSlowStart(d, "s-new", warm);
   }
 }
@@ -256,8 +256,8 @@
   int warm = SentToWarm("s-new");
   for (Ms skew : {kHour, 10 * kSecond}) {
     CAPTURE(skew);
-    Discovery d;
-    d.Begin(ServerNotice(1, "s-new", d.Now() - 300 + skew));
+    DiscoveryFixture d;
+    d.Begin(ServerEvent(1, "s-new", d.Now() - 300 + skew));
     CheckSlowStart(d, "s-new", warm);
   }
 }
@@ -266,12 +266,12 @@
   int warm = SentToWarm("s-new");
   for (Ms skew : kSkews) {
     CAPTURE(skew);
-    Discovery d;
+    DiscoveryFixture d;
     d.Begin();
     d.Follow();
-    d.Announce(ServerNotice(d.last + 1, "s-new", d.Now() - 300 + skew));
+    d.Announce(ServerEvent(d.last + 1, "s-new", d.Now() - 300 + skew));
     d.Wait(40);
-    d.Announce(ServerNotice(d.last + 1, "s-new", d.Now() - 300));
+    d.Announce(ServerEvent(d.last + 1, "s-new", d.Now() - 300));
     CheckSlowStart(d, "s-new", warm);
   }
 }
@@ -280,13 +280,13 @@
   int warm = SentToWarm("s-new");
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     CAPTURE(skew);
-    Discovery d;
+    DiscoveryFixture d;
     d.Begin();
     d.Follow();
-    Ms stamp = d.Now() - 300 + skew;
-    d.Announce(ServerNotice(d.last + 1, "s-new", stamp));
+    Ms timestamp = d.Now() - 300 + skew;
+    d.Announce(ServerEvent(d.last + 1, "s-new", timestamp));
     d.Wait(17);
-    d.Announce(ServerNotice(d.last + 1, "s-new", stamp));
+    d.Announce(ServerEvent(d.last + 1, "s-new", timestamp));
     CHECK(SentTo(d, NumberOf("s-new")) >= warm * 8 / 10);
   }
 }
@@ -304,9 +304,9 @@
     CAPTURE(skew);
     int warm = SentToWarm("s-new");
     loop::Loop loop;
-    generations::Generations rules(kit::Settings(), 1);
+    generations::Generations generations(kit::Settings(), 1);
     exchange::Exchange exchange(loop, kit::Settings(), [&](Ms now, const Event& event) {
-      return rules.Handle(now, event);
+      return generations.Handle(now, event);
     });
     Sent caches;
     exchange.Meet(caches);
@@ -317,12 +317,12 @@
     discovery::DiscoveryClient discovery(loop, exchange, MakeTerms(), FreeAddress());
     REQUIRE(discovery.ApplyInitialEvents(known("", 1)));
     Ms purged = loop.now();
-    std::string news =
-        PurgeNotice(2, purged + skew) + "," + ServerNotice(3, "s-new", purged + skew);
-    REQUIRE(discovery.SwitchTo(FreeAddress(), known(news, 3)));  // announced after the start
+    std::string events =
+        PurgeEvent(2, purged + skew) + "," + ServerEvent(3, "s-new", purged + skew);
+    REQUIRE(discovery.SwitchTo(FreeAddress(), known(events, 3)));  // announced after the start
     loop.AdvanceClock(500);
     std::vector<Action> out;
-    REQUIRE(rules.StartGeneration(loop.now(), kit::Settings(), out) != 0);
+    REQUIRE(generations.StartGeneration(loop.now(), kit::Settings(), out) != 0);
     auto request = [&](const std::string& object) {
       static int asked = 0;
       Ask ask = AskFor("request-" + std::to_string(++asked));
@@ -356,16 +356,16 @@
 
 TEST_CASE("if clocks agree a slow start counts from its timestamp") {
   int warm = SentToWarm("s-new");
-  Discovery d;
-  d.Begin(ServerNotice(
+  DiscoveryFixture d;
+  d.Begin(ServerEvent(
       1, "s-new",
       d.Now() - kSlowStart - kSecond));  // listed at the start, its slow start over by then
   CHECK(SentTo(d, NumberOf("s-new")) >= warm * 8 / 10);
-  Discovery late;
+  DiscoveryFixture late;
   late.Begin();
   late.Follow();
-  late.Announce(ServerNotice(late.last + 1, "s-new",
-                             late.Now() - 4 * kSecond));  // it took four seconds to be listed
+  late.Announce(ServerEvent(late.last + 1, "s-new",
+                            late.Now() - 4 * kSecond));  // it took four seconds to be listed
   late.desk.loop.AdvanceClock(kSlowStart - 4 * kSecond);
   CHECK(SentTo(late, NumberOf("s-new")) >= warm * 8 / 10);
 }
@@ -374,7 +374,7 @@
   std::set<std::string> tags;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     auto answer = caches::ReadAnswer(
-        "9b1f HIT entity=t1,issued=" + Stamp(1.76e12 + skew) + ",remark=local 5", {});
+        "9b1f HIT entity=t1,issued=" + TimestampText(1.76e12 + skew) + ",remark=local 5", {});
     REQUIRE(answer);
     CHECK(answer->word.ending == Ending::kFinished);
     CHECK(answer->word.dated);
@@ -495,9 +495,9 @@
           if (fronts.count(id) == 0)
             continue;
           for (const drift::Action& action : fronts.at(id).Handle(now, Tick{})) {
-            const auto* tell = std::get_if<Tell>(&action);
-            if (tell && fronts.count(tell->to))
-              fronts.at(tell->to).Handle(now, Hears{id, tell->notified});
+            const auto* message = std::get_if<Tell>(&action);
+            if (message && fronts.count(message->to))
+              fronts.at(message->to).Handle(now, Hears{id, message->notified});
           }
         }
     };
