--- a/src/benchlink/codec.cpp
+++ b/src/benchlink/codec.cpp
@@ -7,9 +7,9 @@
 std::string_view Reader::ReadBytes(std::size_t n) {
   if (n > rest_.size())
     throw FrameError("truncated frame: a record extends past the frame's end");
-  std::string_view taken = rest_.substr(0, n);
+  std::string_view bytes = rest_.substr(0, n);
   rest_.remove_prefix(n);
-  return taken;
+  return bytes;
 }
 
 std::uint64_t Reader::ReadInteger(int bytes) {
--- a/src/board/board.cpp
+++ b/src/board/board.cpp
@@ -18,11 +18,11 @@
                                  // long enough not to overload a failing discovery service
 
 DiscoveryClient::DiscoveryClient(loop::Loop& loop, exchange::Exchange& exchange,
-                                 const settings::RoadTerms& terms, const loop::Address& at)
+                                 const settings::RoadTerms& terms, const loop::Address& address)
     : loop_(loop),
       exchange_(exchange),
       terms_(terms),
-      address_(at),
+      address_(address),
       silence_limit_(kSilenceLimit) {}
 
 DiscoveryClient::~DiscoveryClient() {
@@ -61,12 +61,12 @@
   return true;
 }
 
-bool DiscoveryClient::SwitchTo(const loop::Address& at, const json::Value& initial_events) {
+bool DiscoveryClient::SwitchTo(const loop::Address& address, const json::Value& initial_events) {
   std::uint64_t last_revision = 0;
   auto events = ReadInitialEvents(initial_events, last_revision);
   if (!events)
     return false;
-  address_ = at;
+  address_ = address;
   if (connection_) {
     connection_->Close();
     loop_.DeferDelete(std::move(connection_));
--- a/src/board/board.hpp
+++ b/src/board/board.hpp
@@ -10,7 +10,7 @@
 class DiscoveryClient final : public loop::Connection::Owner {
  public:
   DiscoveryClient(loop::Loop& loop, exchange::Exchange& exchange, const settings::RoadTerms& terms,
-                  const loop::Address& at);
+                  const loop::Address& address);
   ~DiscoveryClient();
   // Delivers the events of the configuration; false, with nothing changed, if they are malformed.
   bool ApplyInitialEvents(const json::Value& initial_events);
@@ -19,7 +19,7 @@
   // `initial_events`: events up to now, of which the newer ones that follow without a gap are
   // delivered; the discovery service sends the rest. False, with nothing changed, if they are
   // malformed.
-  bool SwitchTo(const loop::Address& at, const json::Value& initial_events);
+  bool SwitchTo(const loop::Address& address, const json::Value& initial_events);
   std::uint64_t LastRevision() const {
     return last_revision_;
   }
--- a/src/generations/generations.cpp
+++ b/src/generations/generations.cpp
@@ -20,9 +20,10 @@
 }
 
 Generations::Generation* Generations::FindGeneration(GenerationNumber number) {
-  auto at = std::find_if(generations_.begin(), generations_.end(),
-                         [&](const Generation& generation) { return generation.number == number; });
-  return at == generations_.end() ? nullptr : &*at;
+  auto found =
+      std::find_if(generations_.begin(), generations_.end(),
+                   [&](const Generation& generation) { return generation.number == number; });
+  return found == generations_.end() ? nullptr : &*found;
 }
 
 void Generations::Deliver(Generation& generation, Ms now, const Event& event,
@@ -39,10 +40,10 @@
     if (newest_only && !newest)
       continue;
     auto count_request = [&](std::uint32_t id, bool attempt) {
-      auto at = open_requests_.find(id);
-      if (at == open_requests_.end())
+      auto found = open_requests_.find(id);
+      if (found == open_requests_.end())
         return;
-      attempt ? void(++at->second.attempts_out) : void(at->second.ended = true);
+      attempt ? void(++found->second.attempts_out) : void(found->second.ended = true);
     };
     if (auto* send = std::get_if<SendAttempt>(&action))
       count_request(send->request, true);
@@ -57,12 +58,12 @@
 // Removes a request that has ended, and each generation that has no requests left and is not the
 // newest.
 void Generations::CloseIfDone(std::uint32_t request) {
-  auto at = open_requests_.find(request);
-  if (at == open_requests_.end() || !at->second.ended || at->second.attempts_out > 0)
+  auto found = open_requests_.find(request);
+  if (found == open_requests_.end() || !found->second.ended || found->second.attempts_out > 0)
     return;
-  if (Generation* generation = FindGeneration(at->second.number))
+  if (Generation* generation = FindGeneration(found->second.number))
     --generation->requests;
-  open_requests_.erase(at);
+  open_requests_.erase(found);
   std::erase_if(generations_, [&](const Generation& generation) {
     return generation.number != newest_ && generation.requests == 0;
   });
@@ -109,10 +110,10 @@
   std::vector<Action> out;
   RecordState(now, event);
   auto deliver_to_owner = [&](std::uint32_t request) {
-    auto at = open_requests_.find(request);
-    if (at == open_requests_.end())
+    auto found = open_requests_.find(request);
+    if (found == open_requests_.end())
       return;
-    if (Generation* generation = FindGeneration(at->second.number))
+    if (Generation* generation = FindGeneration(found->second.number))
       Deliver(*generation, now, event, out);
     CloseIfDone(request);
   };
@@ -125,14 +126,14 @@
   } else if (auto* started = std::get_if<AttemptStarted>(&event)) {
     deliver_to_owner(started->request);
   } else if (auto* ended = std::get_if<AttemptEnded>(&event)) {
-    if (auto at = open_requests_.find(ended->request); at != open_requests_.end()) {
-      --at->second.attempts_out;
-      at->second.ended |= ended->final;
+    if (auto found = open_requests_.find(ended->request); found != open_requests_.end()) {
+      --found->second.attempts_out;
+      found->second.ended |= ended->final;
     }
     deliver_to_owner(ended->request);
   } else if (auto* left = std::get_if<ClientLeft>(&event)) {
-    if (auto at = open_requests_.find(left->request); at != open_requests_.end())
-      at->second.ended = true;
+    if (auto found = open_requests_.find(left->request); found != open_requests_.end())
+      found->second.ended = true;
     deliver_to_owner(left->request);
   } else if (auto* shortened = std::get_if<DeadlineShortened>(&event)) {
     deliver_to_owner(shortened->request);
--- a/src/loop/ground.hpp
+++ b/src/loop/ground.hpp
@@ -28,7 +28,7 @@
   virtual int Connect(int fd,
                       const Address& to) = 0;  // -EINPROGRESS: writable once established or failed
   virtual int SocketError(int fd) = 0;         // SO_ERROR: why it failed, or 0
-  virtual int Listen(const Address& at) = 0;
+  virtual int Listen(const Address& address) = 0;
   virtual int Accept(int fd) = 0;
   virtual ssize_t Receive(int fd,
                           std::span<char> into) = 0;  // 0: the peer sends no more
@@ -40,8 +40,9 @@
   virtual void ShutdownWrite(int fd) = 0;
   virtual void Close(int fd) = 0;
   virtual void Abort(int fd) = 0;  // closes, and resets the connection at the peer
-  // Datagrams arrive whole or never, perhaps late, twice or out of order. Port 0 of `at`: any port.
-  virtual int OpenDatagrams(const Address& at) = 0;
+  // Datagrams arrive whole or never, perhaps late, twice or out of order. Port 0 of `address`: any
+  // port.
+  virtual int OpenDatagrams(const Address& address) = 0;
   virtual ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) = 0;
   virtual ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) = 0;
   virtual std::size_t DescriptorLimit() = 0;  // how many descriptors a process may hold
--- a/src/loop/listener.cpp
+++ b/src/loop/listener.cpp
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-Listener::Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> on_accepted)
+Listener::Listener(Loop& loop, const Address& address, std::function<void(Descriptor)> on_accepted)
     : loop_(loop), on_accepted_(std::move(on_accepted)) {
-  int fd = loop.environment().Listen(at);
+  int fd = loop.environment().Listen(address);
   if (fd < 0)
     throw std::system_error(-fd, std::generic_category(), "cannot listen");
   descriptor_ = Descriptor(loop.environment(), fd);
--- a/src/loop/listener.hpp
+++ b/src/loop/listener.hpp
@@ -9,7 +9,7 @@
 class Listener final : Handler {
  public:
   // Throws std::system_error if it cannot listen on the address.
-  Listener(Loop& loop, const Address& at, std::function<void(Descriptor)> on_accepted);
+  Listener(Loop& loop, const Address& address, std::function<void(Descriptor)> on_accepted);
   ~Listener() {
     Close();
   }
--- a/src/loop/system.cpp
+++ b/src/loop/system.cpp
@@ -29,8 +29,8 @@
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-const sockaddr* AsSockaddr(const Address& at) {
-  return reinterpret_cast<const sockaddr*>(&at);
+const sockaddr* AsSockaddr(const Address& address) {
+  return reinterpret_cast<const sockaddr*>(&address);
 }
 
 class SystemCallEnvironment final : public Environment {
@@ -56,14 +56,15 @@
     ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
     return error;
   }
-  int Listen(const Address& at) override {
+  int Listen(const Address& address) override {
     Descriptor fd(*this,
                   ResultOrErrno(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
     int on = 1;
     if (!fd)
       return fd.Get();
     if (::setsockopt(fd.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-        ::bind(fd.Get(), AsSockaddr(at), sizeof at) != 0 || ::listen(fd.Get(), SOMAXCONN) != 0)
+        ::bind(fd.Get(), AsSockaddr(address), sizeof address) != 0 ||
+        ::listen(fd.Get(), SOMAXCONN) != 0)
       return -errno;
     return fd.Release();
   }
@@ -102,12 +103,12 @@
     ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
     ::close(fd);
   }
-  int OpenDatagrams(const Address& at) override {
+  int OpenDatagrams(const Address& address) override {
     Descriptor fd(*this,
                   ResultOrErrno(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)));
     if (!fd)
       return fd.Get();
-    if (::bind(fd.Get(), AsSockaddr(at), sizeof at) != 0)
+    if (::bind(fd.Get(), AsSockaddr(address), sizeof address) != 0)
       return -errno;
     return fd.Release();
   }
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -28,7 +28,7 @@
 // Handler for RapidJSON's reader that records the line of each value.
 struct LineRecorder : rapidjson::BaseReaderHandler<rapidjson::UTF8<>, LineRecorder> {
   struct Level {
-    bool list;
+    bool is_array;
     std::string name;
     std::size_t index;
   };
@@ -43,15 +43,15 @@
   std::string Path() const {
     std::string p;
     for (const Level& l : levels)
-      p += "/" + (l.list ? std::to_string(l.index) : l.name);
+      p += "/" + (l.is_array ? std::to_string(l.index) : l.name);
     return p;
   }
   bool RecordLine() {
-    std::size_t at = std::min(stream.Tell(), text.size());
-    if (at > scanned) {
+    std::size_t position = std::min(stream.Tell(), text.size());
+    if (position > scanned) {
       line += static_cast<int>(std::count(text.begin() + static_cast<long>(scanned),
-                                          text.begin() + static_cast<long>(at), '\n'));
-      scanned = at;
+                                          text.begin() + static_cast<long>(position), '\n'));
+      scanned = position;
     }
     lines.push_back({Path(), line});
     return true;
@@ -61,7 +61,7 @@
     return Next();
   }
   bool Next() {
-    if (!levels.empty() && levels.back().list)
+    if (!levels.empty() && levels.back().is_array)
       ++levels.back().index;
     return true;
   }
@@ -104,10 +104,10 @@
 }
 
 std::string JoinValues(const rapidjson::Value& names) {
-  std::string all;
-  for (auto& one : names.GetArray())
-    all += (all.empty() ? "" : ", ") + ToText(one);
-  return all;
+  std::string joined;
+  for (auto& name : names.GetArray())
+    joined += (joined.empty() ? "" : ", ") + ToText(name);
+  return joined;
 }
 
 // Describes how a value violates a keyword of the schema.
@@ -134,9 +134,9 @@
     std::string hint;
     if (value && value->IsString()) {
       std::vector<std::string> candidates;
-      for (auto& one : limit->GetArray())
-        if (one.IsString())
-          candidates.push_back(one.GetString());
+      for (auto& candidate : limit->GetArray())
+        if (candidate.IsString())
+          candidates.push_back(candidate.GetString());
       std::string closest = ClosestMatch(value->GetString(), candidates);
       if (!closest.empty())
         hint = "; did you mean \"" + closest + "\"?";
@@ -148,9 +148,9 @@
   if (keyword == "maximum" && limit)
     return shown + " is above " + ToText(*limit) + ", the maximum";
   if (keyword == "required" && limit && value && value->IsObject()) {
-    for (auto& one : limit->GetArray())
-      if (!value->HasMember(one))
-        return "lacks " + ToText(one);
+    for (auto& name : limit->GetArray())
+      if (!value->HasMember(name))
+        return "lacks " + ToText(name);
   }
   if (keyword == "minItems")
     return "has too few entries";
@@ -175,28 +175,28 @@
   return out + reason;
 }
 
-ValidationError::ValidationError(std::vector<FieldError> all)
-    : std::runtime_error(all.empty() ? "rejected" : all.front().ToString()),
-      errors(std::move(all)) {}
+ValidationError::ValidationError(std::vector<FieldError> found)
+    : std::runtime_error(found.empty() ? "rejected" : found.front().ToString()),
+      errors(std::move(found)) {}
 
 std::string ClosestMatch(const std::string& word, const std::vector<std::string>& candidates) {
   std::string best;
   std::size_t best_distance = std::max<std::size_t>(2, word.size() / 3) + 1;
-  for (const std::string& one : candidates) {
-    std::vector<std::size_t> row(one.size() + 1);
+  for (const std::string& candidate : candidates) {
+    std::vector<std::size_t> row(candidate.size() + 1);
     std::iota(row.begin(), row.end(), 0);
     for (std::size_t i = 1; i <= word.size(); ++i) {
       std::size_t corner = row[0];
       row[0] = i;
-      for (std::size_t j = 1; j <= one.size(); ++j) {
+      for (std::size_t j = 1; j <= candidate.size(); ++j) {
         std::size_t above = row[j];
-        row[j] = std::min({row[j] + 1, row[j - 1] + 1, corner + (word[i - 1] != one[j - 1])});
+        row[j] = std::min({row[j] + 1, row[j - 1] + 1, corner + (word[i - 1] != candidate[j - 1])});
         corner = above;
       }
     }
     if (row.back() < best_distance) {
       best_distance = row.back();
-      best = one;
+      best = candidate;
     }
   }
   return best;
@@ -266,8 +266,8 @@
     std::string name = pointer.substr(slash + 1);
     std::vector<std::string> names;
     if (rule && rule->IsObject() && rule->HasMember("properties"))
-      for (auto& one : (*rule)["properties"].GetObject())
-        names.push_back(one.name.GetString());
+      for (auto& property : (*rule)["properties"].GetObject())
+        names.push_back(property.name.GetString());
     std::string closest = ClosestMatch(name, names);
     reason = "unknown field \"" + name + "\"" +
              (closest.empty() ? "" : "; did you mean \"" + closest + "\"?");
--- a/src/schema/schema.hpp
+++ b/src/schema/schema.hpp
@@ -19,7 +19,7 @@
 };
 
 struct ValidationError : std::runtime_error {
-  explicit ValidationError(std::vector<FieldError> all);
+  explicit ValidationError(std::vector<FieldError> found);
   std::vector<FieldError> errors;  // at least one; the first is what()
 };
 
@@ -49,12 +49,12 @@
 // multiplied by `times`), which is left unchanged if the member is absent. Use them only after the
 // schema has checked the types.
 inline const rapidjson::Value* FindMember(const rapidjson::Value& v, const char* name) {
-  auto at = v.FindMember(name);
-  return at == v.MemberEnd() ? nullptr : &at->value;
+  auto found = v.FindMember(name);
+  return found == v.MemberEnd() ? nullptr : &found->value;
 }
 template <class T>
-void ReadMember(const rapidjson::Value* in, const char* name, T& into, double times = 1) {
-  const rapidjson::Value* v = in ? FindMember(*in, name) : nullptr;
+void ReadMember(const rapidjson::Value* object, const char* name, T& into, double times = 1) {
+  const rapidjson::Value* v = object ? FindMember(*object, name) : nullptr;
   if (!v)
     return;
   if constexpr (std::is_same_v<T, bool>)
