--- a/src/caches/caches.cpp
+++ b/src/caches/caches.cpp
@@ -59,8 +59,8 @@
   // close and would then count as one that may have run, so the connection is not used in the last
   // tenth of that time.
   bool CanCarry(const std::string& id) const {
-    return !connection_.IsOver() && !connection_.PeerDone() && !presumed_dead_ && !IsSilent() &&
-           !IsTrickling() && in_flight_.count(id) == 0 &&
+    return !connection_.IsEnded() && !connection_.HasPeerClosed() && !presumed_dead_ &&
+           !IsSilent() && !IsTrickling() && in_flight_.count(id) == 0 &&
            in_flight_.size() <
                static_cast<std::size_t>(pool_.connection_settings_.max_concurrent_attempts) &&
            (!IsIdle() ||
@@ -91,15 +91,15 @@
     last_used_at_ = now;
     // A probe has no timeout of its own; the connect timeout is long enough for its short response
     // too.
-    pool_.loop_.at(now + pool_.connection_settings_.connect_timeout,
-                   [&pool = pool_, cache = cache_, number = number_, id] {
-                     auto endpoint = pool.endpoints_.find(cache);
-                     if (endpoint == pool.endpoints_.end())
-                       return;
-                     if (auto it = endpoint->second.connections.find(number);
-                         it != endpoint->second.connections.end())
-                       it->second->OnProbeTimeout(id);
-                   });
+    pool_.loop_.RunAt(now + pool_.connection_settings_.connect_timeout,
+                      [&pool = pool_, cache = cache_, number = number_, id] {
+                        auto endpoint = pool.endpoints_.find(cache);
+                        if (endpoint == pool.endpoints_.end())
+                          return;
+                        if (auto it = endpoint->second.connections.find(number);
+                            it != endpoint->second.connections.end())
+                          it->second->OnProbeTimeout(id);
+                      });
   }
 
   bool HasAttempt(AttemptKey key, const std::string& id) const {
@@ -121,7 +121,7 @@
     auto it = in_flight_.find(id);
     bool was_queued =
         std::erase_if(queued_, [&](const QueuedAttempt& attempt) { return attempt.id == id; }) > 0;
-    if (!was_queued && !connection_.TakeBack(it->second.send_mark))
+    if (!was_queued && !connection_.CancelSend(it->second.send_mark))
       return false;
     in_flight_.erase(it);
     return true;
@@ -133,36 +133,36 @@
       pool_.RemoveConnection(cache_, number_);
   }
   void Disconnect(DisconnectReason reason) {
-    connection_.EndAs(reason);
+    connection_.Disconnect(reason);
   }
 
-  void Came() override {
+  void OnBytesReceived() override {
     last_received_at_ = last_used_at_ = pool_.loop_.now();
     has_received_ = true;
     bytes_since_check_ += connection_.in.size() - buffered_bytes_;
-    while (!connection_.IsOver() && ReadNext()) {
+    while (!connection_.IsEnded() && ReadNext()) {
     }
     buffered_bytes_ = connection_.in.size();
     if (check_timer_ == 0 && HasPartialResponse())
       ScheduleCheck(0);
   }
 
-  void Ended(DisconnectReason reason) override {
+  void OnDisconnected(DisconnectReason reason) override {
     exchange::Counters& counters = pool_.exchange_.counters;
     counters.malformed_responses += reason == DisconnectReason::kMalformed;
     counters.stalled_connections += reason == DisconnectReason::kStalled;
-    counters.silent_connections += reason == DisconnectReason::kSilent;
+    counters.silent_connections += reason == DisconnectReason::kReceiveTimeout;
     if (reason == DisconnectReason::kMalformed || reason == DisconnectReason::kStalled ||
-        reason == DisconnectReason::kSilent)
-      log::Say("%s: connection closed (%s) with %zu messages in flight",
-               pool_.endpoints_[cache_].id.c_str(), loop::ToString(reason), in_flight_.size());
+        reason == DisconnectReason::kReceiveTimeout)
+      log::Write("%s: connection closed (%s) with %zu messages in flight",
+                 pool_.endpoints_[cache_].id.c_str(), loop::ToString(reason), in_flight_.size());
     struct LostMessage {
       InFlightMessage message;
       bool fully_written;
     };
     std::vector<LostMessage> lost;
     for (auto& [id, message] : in_flight_)
-      lost.push_back({message, message.send_mark != 0 && !connection_.Unsent(message.send_mark)});
+      lost.push_back({message, message.send_mark != 0 && !connection_.IsUnsent(message.send_mark)});
     // The attempt whose response was being read is reported first: the others were only lost with
     // the connection.
     if (InFlightMessage* current = reading_response_ ? FindCurrentMessage() : nullptr)
@@ -174,8 +174,8 @@
     constexpr int kMaxMoves = 3;
     auto queued = std::move(queued_);
     bool is_reachable =
-        reason != DisconnectReason::kRefused && reason != DisconnectReason::kNeverUp &&
-        reason != DisconnectReason::kNoDescriptor && reason != DisconnectReason::kReplaced;
+        reason != DisconnectReason::kRefused && reason != DisconnectReason::kConnectFailed &&
+        reason != DisconnectReason::kLocalShortage && reason != DisconnectReason::kReplaced;
     std::erase_if(queued, [&](const QueuedAttempt& attempt) {
       return !is_reachable || attempt.moves >= kMaxMoves;
     });
@@ -227,22 +227,23 @@
   void ScheduleCheck(int silent_checks) {
     constexpr Ms kCheckInterval = 75;  // two are longer than the pauses of a busy server (40 ms);
                                        // four are shorter than a latency objective
-    check_timer_ = pool_.loop_.at(
+    check_timer_ = pool_.loop_.RunAt(
         pool_.loop_.now() + kCheckInterval, [this, silent_checks, received_at = last_received_at_] {
           check_timer_ = 0;
-          if (connection_.IsOver() || (!HasPartialResponse() && in_flight_.empty()))
+          if (connection_.IsEnded() || (!HasPartialResponse() && in_flight_.empty()))
             return;
-          int silent_now =
-              received_at == last_received_at_ && connection_.DrainedOut() ? silent_checks + 1 : 0;
+          int silent_now = received_at == last_received_at_ && connection_.IsSendQueueEmpty()
+                               ? silent_checks + 1
+                               : 0;
           bool check_pending = in_flight_.count(kLivenessCheckId) != 0;
           UpdateTrickle();
           if (IsTrickling() && !(reading_response_ && FindCurrentMessage()))
-            return connection_.EndAs(DisconnectReason::kStalled);
+            return connection_.Disconnect(DisconnectReason::kStalled);
           if (silent_now >= 2 && (HasPartialResponse() || silent_now >= 4)) {
             if (HasPartialResponse())
-              return connection_.EndAs(DisconnectReason::kStalled);
+              return connection_.Disconnect(DisconnectReason::kStalled);
             if (check_pending)
-              return connection_.EndAs(DisconnectReason::kSilent);
+              return connection_.Disconnect(DisconnectReason::kReceiveTimeout);
           }
           if (silent_now >= 2 && !check_pending && pool_.connection_settings_.may_probe &&
               LongestWait() >= 2 * kCheckInterval) {
@@ -282,7 +283,7 @@
     // The response and the server's close arrived together: what is queued moves to another
     // connection when the end of this one is reported. Otherwise a request that may run only once
     // would be written where nobody reads it, and could not be sent again.
-    if (connection_.PeerDone())
+    if (connection_.HasPeerClosed())
       return;
     for (QueuedAttempt& attempt : std::exchange(queued_, {}))
       if (in_flight_.count(attempt.id) != 0)
@@ -353,13 +354,13 @@
       std::size_t end = bytes.substr(0, kMaxLineBytes).find("\r\n");
       if (end == bytes.npos) {
         if (bytes.size() >= kMaxLineBytes)
-          connection_.EndAs(DisconnectReason::kMalformed);
+          connection_.Disconnect(DisconnectReason::kMalformed);
         return false;
       }
       auto response =
           ParseResponseLine(bytes.substr(0, end), pool_.connection_settings_.report_names);
       if (!response) {
-        connection_.EndAs(DisconnectReason::kMalformed);
+        connection_.Disconnect(DisconnectReason::kMalformed);
         return false;
       }
       connection_.in.Consume(end + 2);
@@ -387,7 +388,7 @@
     if (bytes.size() < 2)
       return false;
     if (bytes.substr(0, 2) != "\r\n") {
-      connection_.EndAs(DisconnectReason::kMalformed);
+      connection_.Disconnect(DisconnectReason::kMalformed);
       return false;
     }
     connection_.in.Consume(2);
@@ -468,7 +469,7 @@
   auto it = connections.find(connection_number);
   if (it == connections.end())
     return;
-  loop_.Bury(std::move(it->second));
+  loop_.DeferDelete(std::move(it->second));
   connections.erase(it);
   --connection_count_;
 }
@@ -519,7 +520,7 @@
                                            const std::vector<std::uint64_t>& avoid) {
   auto it = endpoints_.find(action.endpoint), source = endpoints_.find(action.source);
   if (it == endpoints_.end() || source == endpoints_.end()) {
-    exchange_.OnAttemptDisconnected(key, DisconnectReason::kNoDescriptor, false);
+    exchange_.OnAttemptDisconnected(key, DisconnectReason::kLocalShortage, false);
     return 0;
   }
   UpstreamRequest request(metadata, action,
@@ -535,7 +536,7 @@
 
 // Reported in an iteration of its own, since it can occur within any call.
 void UpstreamConnectionPool::ReportExpired(AttemptKey key) {
-  loop_.at(loop_.now(), [this, key] { exchange_.OnAttemptExpired(key); });
+  loop_.RunAt(loop_.now(), [this, key] { exchange_.OnAttemptExpired(key); });
 }
 
 std::uint64_t UpstreamConnectionPool::Enqueue(QueuedAttempt attempt) {
@@ -549,7 +550,7 @@
     return connection->number();
   }
   exchange_.OnAttemptDisconnected(
-      attempt.key, unavailable ? DisconnectReason::kReplaced : DisconnectReason::kNoDescriptor,
+      attempt.key, unavailable ? DisconnectReason::kReplaced : DisconnectReason::kLocalShortage,
       false);
   return 0;
 }
@@ -634,7 +635,7 @@
       connections.push_back(connection);
   for (auto& connection : connections)
     connection->CloseIfIdle(loop_.now());
-  idle_timer_ = loop_.at(loop_.now() + kIdleCheckInterval, [this] { CloseIdleConnections(); });
+  idle_timer_ = loop_.RunAt(loop_.now() + kIdleCheckInterval, [this] { CloseIdleConnections(); });
 }
 
 }  // namespace dunlinwick::caches
--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -80,7 +80,7 @@
   /// Closes the connection where it has been idle, has held a partial request, or has not read its
   /// response for too long.
   void CheckTimeouts(Ms now) {
-    if (request_open_ || connection_.IsOver())
+    if (request_open_ || connection_.IsEnded())
       return;
     if (half_closed_) {
       Close(CloseReason::kLingerTimeout);
@@ -88,14 +88,14 @@
     }
     if (Close(CloseReason::kWriteStalled) || Close(CloseReason::kIdleTimeout))
       return;
-    if (connection_.DrainedOut() && connection_.in.size() > 0 &&
+    if (connection_.IsSendQueueEmpty() && connection_.in.size() > 0 &&
         now - last_activity_at_ >= kMaxRequestReadTime)
       RejectPartialRequest(408);
   }
   /// During shutdown: open requests get their response first; a partial request is rejected with
   /// 503, so that it is safe to repeat.
   void ContinueShutdown() {
-    if (connection_.IsOver())
+    if (connection_.IsEnded())
       return;
     if (half_closed_) {
       Close(CloseReason::kLingerTimeoutInShutdown);
@@ -106,7 +106,7 @@
     // the time limit of a shutdown.
     if (Close(CloseReason::kWriteStalledInShutdown))
       return;
-    if (request_open_ || closing_ || !connection_.DrainedOut())
+    if (request_open_ || closing_ || !connection_.IsSendQueueEmpty())
       return;
     if (connection_.in.size() == 0)
       Close(CloseReason::kShutdown);
@@ -114,9 +114,10 @@
       RejectPartialRequest(503);
   }
 
-  void Came() override {
+  void OnBytesReceived() override {
     RecordArrival();
-    const bool is_held_back = request_open_ || !connection_.DrainedOut() || !pipelined_.IsEmpty();
+    const bool is_held_back =
+        request_open_ || !connection_.IsSendQueueEmpty() || !pipelined_.IsEmpty();
     if (is_held_back && !closing_) {
       RecordPipelinedRequests();
       ShortenOpenRequestDeadline();
@@ -125,14 +126,14 @@
     if (connection_.in.size() >= kMaxInputBytes && !input_blocked_since_)
       input_blocked_since_ = server_.loop_.now();
   }
-  void Drained() override {
+  void OnDrained() override {
     last_activity_at_ = server_.loop_.now();
     if (closing_)
       Close(CloseReason::kFinalResponseSent);
     else
       ProcessInput();
   }
-  void Ended(DisconnectReason) override {
+  void OnDisconnected(DisconnectReason) override {
     if (request_open_)
       server_.exchange_.OnClientDisconnected(request_id_);
     else if (!closing_ && !at_request_boundary_)
@@ -141,7 +142,7 @@
   }
 
   bool HasClientDisconnected() override {
-    if (connection_.IsOver())
+    if (connection_.IsEnded())
       return true;
     pollfd hangup_poll{descriptor_, POLLRDHUP, 0};
     return server_.loop_.environment().Wait({&hangup_poll, 1}, 0) > 0;
@@ -179,7 +180,7 @@
   // truncation.
   void OnResponseAborted() override {
     request_open_ = false;
-    connection_.BePatient(false);
+    connection_.SetRarelyPolled(false);
     closing_ = true;
     last_activity_at_ = server_.loop_.now();
     Close(CloseReason::kFinalResponseSent);
@@ -190,7 +191,7 @@
     const Ms now = server_.loop_.now();
     return {.request_open = request_open_,
             .has_unprocessed_input = connection_.in.size() > 0,
-            .output_pending = !connection_.DrainedOut(),
+            .output_pending = !connection_.IsSendQueueEmpty(),
             .close_announced = closing_,
             .half_closed = half_closed_,
             .has_served = has_served_,
@@ -205,7 +206,7 @@
     if (std::exchange(half_closed_, true))
       return;
     last_activity_at_ = server_.loop_.now();
-    connection_.SayNoMore();
+    connection_.ShutdownWrite();
     server_.OnLingering(number_);
   }
   /// Closes the connection in both directions at once.
@@ -248,11 +249,11 @@
     constexpr std::size_t kChunk = 1 << 14;
     const std::size_t before = connection_.in.size();
     while (connection_.in.size() < kMaxInputBytes) {
-      std::span<char> space = connection_.in.room(kChunk);
-      ssize_t received = server_.loop_.environment().receive(descriptor_, space.first(kChunk));
+      std::span<char> space = connection_.in.Prepare(kChunk);
+      ssize_t received = server_.loop_.environment().Receive(descriptor_, space.first(kChunk));
       if (received <= 0)
         break;  // the next poll reports a close or an error as well
-      connection_.in.Wrote(static_cast<std::size_t>(received));
+      connection_.in.Commit(static_cast<std::size_t>(received));
     }
     if (connection_.in.size() == before)
       return;
@@ -296,7 +297,7 @@
   }
   void FinishResponse() {
     request_open_ = false;
-    connection_.BePatient(false);
+    connection_.SetRarelyPolled(false);
     last_activity_at_ = server_.loop_.now();
     if (!response_keeps_connection_)
       closing_ = true;
@@ -319,7 +320,7 @@
   }
   void LogBadRequest(const std::string& message) {
     ++server_.exchange_.counters.bad_requests;
-    log::Say("client %llu: %s", static_cast<unsigned long long>(number_), message.c_str());
+    log::Write("client %llu: %s", static_cast<unsigned long long>(number_), message.c_str());
   }
   void RejectRequest(int status) {
     LogBadRequest("request rejected with status " + std::to_string(status));
@@ -340,8 +341,8 @@
     processing_input_ = true;
     // One request at a time, and none while the last response is still being written: this bounds
     // the memory in use.
-    while (!request_open_ && !closing_ && connection_.DrainedOut() && connection_.in.size() > 0 &&
-           ProcessNextRequest()) {
+    while (!request_open_ && !closing_ && connection_.IsSendQueueEmpty() &&
+           connection_.in.size() > 0 && ProcessNextRequest()) {
     }
     if (closing_)
       DiscardInput();  // lingering: further input is not processed
@@ -398,7 +399,7 @@
       return RejectRequest(409);
     // The client closed the connection right after this request: no response is due, and an attempt
     // started long after the client left violates an invariant.
-    if (connection_.PeerDone())
+    if (connection_.HasPeerClosed())
       return HalfClose();
     // A request that is accepted late in a shutdown must have its response before the process may
     // be killed.
@@ -408,7 +409,7 @@
       return SendResponse(503, {}, {});
     request_open_ = true;
     deadline_at_ = server_.loop_.now() + metadata.ttl;
-    connection_.BePatient(true);
+    connection_.SetRarelyPolled(true);
     std::uint32_t request_id = server_.exchange_.OnRequest(std::move(metadata), *this);
     request_id_ = request_id;
   }
@@ -467,8 +468,9 @@
 
 // A timer set by a timer fires in the next iteration, after its poll.
 void HttpServer::AfterNextPoll(std::function<void()> callback) {
-  loop_.at(loop_.now(),
-           [&loop = loop_, callback = std::move(callback)] { loop.at(loop.now(), callback); });
+  loop_.RunAt(loop_.now(), [&loop = loop_, callback = std::move(callback)] {
+    loop.RunAt(loop.now(), callback);
+  });
 }
 
 void HttpServer::OnAccepted(loop::Descriptor fd) {
@@ -494,7 +496,7 @@
   // Connections that were kept because their request may be in transit are checked again.
   if (slot_timer_ != 0)
     return;
-  slot_timer_ = loop_.at(loop_.now() + kNewConnectionGrace, [this] {
+  slot_timer_ = loop_.RunAt(loop_.now() + kNewConnectionGrace, [this] {
     slot_timer_ = 0;
     if (!slot_check_pending_)
       FreeConnectionSlot();
@@ -534,7 +536,7 @@
   auto it = connections_.find(number);
   if (it == connections_.end())
     return;
-  loop_.Bury(std::move(it->second));
+  loop_.DeferDelete(std::move(it->second));
   connections_.erase(it);
   bool was_live = std::erase(lingering_, number) == 0;
   if (was_live && !shutting_down_ && !slot_check_pending_)
@@ -557,7 +559,7 @@
     else
       CloseLongestIdle();
   }
-  timeout_timer_ = loop_.at(now + kSecond / 4, [this] { CheckTimeouts(); });
+  timeout_timer_ = loop_.RunAt(now + kSecond / 4, [this] { CheckTimeouts(); });
 }
 
 void HttpServer::ContinueShutdown() {
--- a/src/ctl/record.cpp
+++ b/src/ctl/record.cpp
@@ -64,7 +64,7 @@
           proto::record::PutAnswer a;
           if (got <= 0 || !a.ParseFromArray(buffer.data(), static_cast<int>(got)) ||
               a.number() != batch.number()) {
-            loop.turn(5);
+            loop.RunOnce(5);
             continue;
           }
           last = a;
@@ -74,7 +74,7 @@
         }
       }
       for (double rest = loop.now() + 200; loop.now() < rest;)
-        loop.turn(20);
+        loop.RunOnce(20);
     }
     return last;
   }
@@ -150,7 +150,7 @@
     a.by = by;
     a.second = second;
     a.hold_by = static_cast<double>(UnixMs()) + within * 1000;
-    schema::Settings settings(
+    schema::ValidatedFile settings(
         file, schema::ReadFile(file),
         R"({"type": "object", "minProperties": 1, "maxProperties": 32, "additionalProperties":
       {"type": "object", "minProperties": 1, "maxProperties": 256, "additionalProperties": {"type": ["string", "number", "boolean"]}}})");
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -13,16 +13,16 @@
 AttemptResult ToAttemptResult(DisconnectReason reason, bool fully_written) {
   switch (reason) {
     case DisconnectReason::kRefused:
-    case DisconnectReason::kNeverUp:
-    case DisconnectReason::kNoDescriptor:
+    case DisconnectReason::kConnectFailed:
+    case DisconnectReason::kLocalShortage:
       return AttemptResult::kNotSent;
     case DisconnectReason::kClosed:
     case DisconnectReason::kReset:
-    case DisconnectReason::kSilent:
+    case DisconnectReason::kReceiveTimeout:
     case DisconnectReason::kMalformed:
     case DisconnectReason::kStalled:
     case DisconnectReason::kReplaced:
-    case DisconnectReason::kLetGo:
+    case DisconnectReason::kReleased:
       // A partial request can't be executed, so an attempt that was not fully written has not run.
       // One that was fully written may have run.
       return fully_written ? AttemptResult::kDisconnected : AttemptResult::kNotSent;
@@ -151,7 +151,7 @@
                                               : request->expires_at - now;
   if (bounded_action.timeout <= 0)
     return EndAttempt(key, AttemptResult::kSuperseded);
-  request->attempts.back().timer = loop_.at(now + bounded_action.timeout, [this, key] {
+  request->attempts.back().timer = loop_.RunAt(now + bounded_action.timeout, [this, key] {
     if (!FindInFlightAttempt(key) || FindRequest(key.request)->streamed_attempt == key.attempt)
       return;
     upstream_->Cancel(key, FindRequest(key.request)->metadata, FindInFlightAttempt(key)->cache);
@@ -160,7 +160,7 @@
   // An attempt that has not been started by then ends at once: waiting longer can't help it.
   if (action.start_deadline > 0)
     request->attempts.back().not_after_timer =
-        loop_.at(std::max(now, action.start_deadline), [this, key] {
+        loop_.RunAt(std::max(now, action.start_deadline), [this, key] {
           CancelUnsent(key.request, [&](const Attempt& attempt) {
             return &attempt == FindInFlightAttempt(key);
           });
@@ -198,7 +198,7 @@
 }
 
 void Exchange::Execute(const SetTimer& action) {
-  loop_.at(action.fires_at, [this, handle = action.handle] { HandleEvent(TimerFired{handle}); });
+  loop_.RunAt(action.fires_at, [this, handle = action.handle] { HandleEvent(TimerFired{handle}); });
 }
 
 void Exchange::Execute(const ProbeEndpoint& action) {
@@ -207,7 +207,7 @@
 }
 
 void Exchange::Execute(const WriteLogLine& action) {
-  log::Say("%s", action.text.c_str());
+  log::Write("%s", action.text.c_str());
 }
 
 // ---- requests
@@ -381,7 +381,7 @@
     CloseRequest(key.request)->OnResponseAborted();
   }
   EndAttempt(key, ToAttemptResult(reason, fully_written), {}, lost_with_connection,
-             reason == DisconnectReason::kNoDescriptor);
+             reason == DisconnectReason::kLocalShortage);
 }
 
 Ms Exchange::TimeLeft(AttemptKey key) {
--- a/src/exchange/exchange.hpp
+++ b/src/exchange/exchange.hpp
@@ -233,9 +233,9 @@
   void CountResult(AttemptResult result);
   struct KnownEndpoint {
     std::uint32_t number = 0;
-    Ms removed_at = 0;    // 0: still in the list
-    WallTime started_at;  // as last listed; 0: never started late
-    Notified notified;    // when this start was first announced
+    Ms removed_at = 0;           // 0: still in the list
+    WallTime started_at;         // as last listed; 0: never started late
+    NotificationTimes notified;  // when this start was first announced
   };
   KnownEndpoint& FindOrAddEndpoint(const std::string& endpoint_id);
   void RemoveStaleEndpoints();
--- a/src/front/charter.cpp
+++ b/src/front/charter.cpp
@@ -48,14 +48,14 @@
     if (block.Find(name))
       into = integer(block, name, min, max);
   };
-  const Value* zones = block.Find("zones", Kind::kList);
+  const Value* zones = block.Find("zones", Kind::kArray);
   if (!zones || zones->items.empty() || zones->items.size() > 16)
     throw error("zones", "must list 1 to 16 zones");
   std::vector<std::string> regions;
   for (std::size_t i = 0; i < zones->items.size(); ++i) {
     const Value& item = zones->items[i];
     std::string where = "zones[" + std::to_string(i) + "]";
-    std::string name(item.word("name")), region(item.word("region"));
+    std::string name(item.GetString("name")), region(item.GetString("region"));
     if (name.empty() || region.empty())
       throw error(where, "must have a name and a region");
     if (std::find(settings.zones.begin(), settings.zones.end(), name) != settings.zones.end())
@@ -68,7 +68,7 @@
     settings.zones.push_back(name);
     settings.zone_region.push_back(static_cast<int>(known_region - regions.begin()));
   }
-  const Value* members = block.Find("members", Kind::kList);
+  const Value* members = block.Find("members", Kind::kArray);
   if (!members || members->items.empty() || members->items.size() > 1000)
     throw error("members", "must list 1 to 1000 members");
   settings.self = static_cast<std::uint32_t>(integer(block, "self", 0, 1e9));
@@ -89,12 +89,12 @@
         throw error(where + ".at",
                     "is allowed only with fleet.listen; addresses come from peers.members");
     } else {
-      auto address = loop::ReadAddress(item.word("at"));
+      auto address = loop::ReadAddress(item.GetString("at"));
       if (!address)
         throw error(where + ".at", "must be an address such as 127.0.0.10:7400");
       member.address = *address;
     }
-    auto zone = std::find(settings.zones.begin(), settings.zones.end(), item.word("zone"));
+    auto zone = std::find(settings.zones.begin(), settings.zones.end(), item.GetString("zone"));
     if (zone == settings.zones.end())
       throw error(where + ".zone", "is not in zones");
     member.zone = static_cast<int>(zone - settings.zones.begin());
@@ -108,7 +108,7 @@
     throw error("self", "is not in members");
   if (settings.over_peers && settings.self != peers.self)
     throw error("self", "must equal peers.self, whose socket the fleet uses");
-  auto listen = loop::ReadAddress(block.word("listen"));
+  auto listen = loop::ReadAddress(block.GetString("listen"));
   if (!listen && !settings.over_peers)
     throw error("listen", "must be an address such as 127.0.0.10:7400");
   if (listen)
@@ -173,14 +173,14 @@
   settings.self = static_cast<std::uint32_t>(integer(block, "", "self", 1, 1e9));
   if (settings.over_peers && settings.self != peers.self)
     throw error("self", "must equal peers.self, whose socket the owner uses");
-  auto listen = loop::ReadAddress(block.word("listen"));
+  auto listen = loop::ReadAddress(block.GetString("listen"));
   if (!listen && !settings.over_peers)
     throw error("listen", "must be an address such as 127.0.0.10:7600");
   if (listen)
     settings.listen = *listen;
   std::vector<std::uint32_t> ids;
   for (const char* field : {"members", "places"}) {
-    const Value* list = block.Find(field, Kind::kList);
+    const Value* list = block.Find(field, Kind::kArray);
     if (!list && std::string_view(field) == "places")
       continue;  // tasks with steps name their executors, and are rejected without
     if (!list || list->items.empty() || list->items.size() > 1000)
@@ -201,7 +201,7 @@
       }
       if (settings.over_peers && peers.addresses.count(id))
         throw error(where + "id", "is the id of a peer");
-      auto address = loop::ReadAddress(list->items[i].word("at"));
+      auto address = loop::ReadAddress(list->items[i].GetString("at"));
       if (!address)
         throw error(where + "at", "must be an address such as 127.0.0.10:7600");
       settings.addresses.emplace(id, *address);
@@ -209,10 +209,10 @@
   }
   auto has_id = [](const Value* list, double id) {
     return list && std::any_of(list->items.begin(), list->items.end(),
-                               [&](const Value& v) { return v.number("id") == id; });
+                               [&](const Value& v) { return v.GetNumber("id") == id; });
   };
   const Value *members = block.Find("members"), *places = block.Find("places"),
-              *group = block.Find("group", Kind::kList);
+              *group = block.Find("group", Kind::kArray);
   if (!has_id(members, settings.self))
     throw error("self", "is not in members");
   if (!group || (group->items.size() != 3 && group->items.size() != 5))
@@ -226,7 +226,7 @@
       throw error("group", "has a duplicate id");
     settings.group.push_back(static_cast<std::uint32_t>(id));
   }
-  settings.store = block.word("store");
+  settings.store = block.GetString("store");
   optional_integer("lease_ms", settings.lease.lease, 500, 600000);
   optional_integer("margin_ms", settings.lease.margin, 10, 60000);
   optional_integer("renew_ms", settings.lease.renew_every, 50, 200000);
@@ -242,14 +242,14 @@
     throw error("renew_ms",
                 "must be at most a third of the " + std::to_string(static_cast<long long>(usable)) +
                     " ms for which a lease is usable, so that two renewals may be lost");
-  const Value* tasks = block.Find("works", Kind::kList);
+  const Value* tasks = block.Find("works", Kind::kArray);
   if (!tasks || tasks->items.empty() || tasks->items.size() > owner::kMostWorks)
     throw error("works", "must list 1 to 64 tasks");
   for (std::size_t i = 0; i < tasks->items.size(); ++i) {
     const Value& item = tasks->items[i];
     std::string where = "works[" + std::to_string(i) + "].";
     OwnerSettings::LeasedTask task;
-    task.name = item.word("name");
+    task.name = item.GetString("name");
     if (!owner::GoodName(task.name))
       throw error(where + "name", "must be 1 to 48 of a-z, 0-9 and dashes");
     for (const auto& other : settings.tasks)
@@ -269,7 +269,7 @@
     task.steps = static_cast<std::uint64_t>(integer(item, where, "steps", 1, 1e9));
     if (item.Find("each_ms"))
       task.step_time = integer(item, where, "each_ms", 0, 3600000);
-    const Value* executors = item.Find("places", Kind::kList);
+    const Value* executors = item.Find("places", Kind::kArray);
     if (!executors || executors->items.empty())
       throw error(where + "places", "must list the ids of the task's executors");
     for (const Value& executor : executors->items) {
@@ -293,11 +293,11 @@
 
 FrontConfiguration ParseConfiguration(const std::string& text, const std::string& source,
                                       const std::string& listen) {
-  auto root = json::Read(text);
+  auto root = json::Parse(text);
   if (!root || root->kind != Kind::kObject)
     throw std::runtime_error("configuration is not a JSON object: " + source);
   FrontConfiguration configuration;
-  configuration.name = root->word("name");
+  configuration.name = root->GetString("name");
   configuration.listen = RequireAddress(
       listen.empty() ? RequireField(*root, "listen", Kind::kString).text : listen, "listen");
   configuration.discovery_text = RequireField(*root, "board", Kind::kString).text;
@@ -327,7 +327,7 @@
           : third;
   // A list of that name is the platform's own field with the fronts' addresses, not the peers
   // block: reading it as the block would keep fronts from starting on such a platform.
-  if (const Value* peers = root->Find("peers"); peers && peers->kind != Kind::kList) {
+  if (const Value* peers = root->Find("peers"); peers && peers->kind != Kind::kArray) {
     if (peers->kind != Kind::kObject)
       throw std::runtime_error("peers: must be an object");
     configuration.peers = ReadPeersSettings(*peers);
--- a/src/front/charter_layer.cpp
+++ b/src/front/charter_layer.cpp
@@ -74,7 +74,7 @@
         "keepers",
         "requires an owner block with a standing task named record, whose lease holder writes");
   const Value* keepers = block.Find("keepers");
-  if (!keepers || keepers->kind != Kind::kList ||
+  if (!keepers || keepers->kind != Kind::kArray ||
       (keepers->items.size() != 3 && keepers->items.size() != 5))
     throw block.MakeError("keepers", "must list the ids of 3 or 5 peers");
   for (const Value& item : keepers->items) {
--- a/src/front/charter_peers.cpp
+++ b/src/front/charter_peers.cpp
@@ -23,11 +23,11 @@
     return static_cast<std::uint32_t>(n);
   };
   settings.self = id(block, "", "self");
-  auto listen = loop::ReadAddress(block.word("listen"));
+  auto listen = loop::ReadAddress(block.GetString("listen"));
   if (!listen)
     throw error("listen", "must be an address such as 127.0.0.10:7400");
   settings.listen = *listen;
-  const Value* members = block.Find("members", Kind::kList);
+  const Value* members = block.Find("members", Kind::kArray);
   constexpr std::size_t kMaxMembers = peers::Terms{}.most_peers;
   if (!members || members->items.empty() || members->items.size() > kMaxMembers)
     throw error("members",
@@ -38,7 +38,7 @@
     if (item.kind != Kind::kObject)
       throw error("members[" + std::to_string(i) + "]", "must be an object with id and at");
     std::uint32_t member = id(item, where, "id");
-    auto address = loop::ReadAddress(item.word("at"));
+    auto address = loop::ReadAddress(item.GetString("at"));
     if (!address)
       throw error(where + "at", "must be an address such as 127.0.0.10:7400");
     if (!settings.addresses.emplace(member, *address).second)
--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -68,10 +68,10 @@
     reader_.emplace(loop_, socket_.Get(), kLongestDatagram, std::move(receive),
                     std::move(after_turn));
   }
-  log::Say("fleet member %u of %zu, zone %s, quorum %d", settings_.self, settings_.members.size(),
-           settings_.zones[static_cast<std::size_t>(Locations(settings_).at(settings_.self).zone)]
-               .c_str(),
-           failover_.Quorum());
+  log::Write("fleet member %u of %zu, zone %s, quorum %d", settings_.self, settings_.members.size(),
+             settings_.zones[static_cast<std::size_t>(Locations(settings_).at(settings_.self).zone)]
+                 .c_str(),
+             failover_.Quorum());
   Evaluate();
   ArmTimer();
 }
@@ -92,7 +92,7 @@
   if (peers_)
     return;  // the peers' socket calls NextTimerAt()
   loop_.Cancel(timer_);
-  timer_ = loop_.at(NextTimerAt(), [this] { HandleTimer(); });
+  timer_ = loop_.RunAt(NextTimerAt(), [this] { HandleTimer(); });
 }
 
 void MembershipComponent::HandleTimer() {
@@ -152,8 +152,8 @@
 void MembershipComponent::Evaluate() {
   for (const members::Change& change : swim_.Changes())
     if (!change.note_only)
-      log::Say("fleet member %u %s incarnation %u", change.who, members::ToString(change.state),
-               change.incarnation);
+      log::Write("fleet member %u %s incarnation %u", change.who, members::ToString(change.state),
+                 change.incarnation);
   bool changed = false;
   failover::Opinion observation =
       failover_.Look(loop_.now(), health_.Share(), failover::Living(swim_), changed);
@@ -168,9 +168,9 @@
                     decision.shares[z]);
       weights += weight;
     }
-    log::Say("fleet verdict epoch %u out %s shares %s%s at %.0f", decision.epoch,
-             zones_out.empty() ? "none" : zones_out.c_str(), weights.c_str(),
-             decision.panic ? " panic" : "", loop_.now());
+    log::Write("fleet verdict epoch %u out %s shares %s%s at %.0f", decision.epoch,
+               zones_out.empty() ? "none" : zones_out.c_str(), weights.c_str(),
+               decision.panic ? " panic" : "", loop_.now());
     if (settings_.steer) {
       std::vector<double> by_platform(settings_.platform_zone_count, 0);
       for (std::size_t z = 0; z < settings_.zones.size(); ++z)
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -83,9 +83,9 @@
                MaxClientConnections(configuration, loop),
                MaxLingeringConnections(configuration, loop)) {
   exchange_.SetUpstreamTransport(caches_);
-  if (!discovery_.begin(configuration.known_updates))
+  if (!discovery_.ApplyInitialEvents(configuration.known_updates))
     throw std::runtime_error("configuration has no valid updates under known");
-  discovery_.Follow();
+  discovery_.StartWatch();
   MembershipComponent::TrafficWeightsCallback set_traffic_weights =
       [this](std::vector<double> weights) {
         exchange_.OnZoneTrafficWeights(std::move(weights));
@@ -110,7 +110,7 @@
 }
 
 void Front::Reload(const FrontConfiguration& configuration) {
-  if (!discovery_.MoveTo(configuration.discovery, configuration.known_updates))
+  if (!discovery_.SwitchTo(configuration.discovery, configuration.known_updates))
     throw std::runtime_error("configuration has no valid updates under known");
   ++exchange_.counters.config_reloads;
 }
@@ -121,9 +121,9 @@
   constexpr Ms kAcceptAfterStop = 700;
   if (std::exchange(stopping_, true))
     return;
-  log::Say("stopping: %zu requests open", exchange_.OpenRequestCount());
+  log::Write("stopping: %zu requests open", exchange_.OpenRequestCount());
   clients_.AnnounceShutdown();
-  loop_.at(loop_.now() + kAcceptAfterStop, [this] { StopWhenIdle(); });
+  loop_.RunAt(loop_.now() + kAcceptAfterStop, [this] { StopWhenIdle(); });
 }
 
 void Front::StopWhenIdle() {
@@ -131,7 +131,7 @@
   clients_.ContinueShutdown();
   if (clients_.empty())
     return loop_.Stop();
-  loop_.at(loop_.now() + kCheckEvery, [this] { StopWhenIdle(); });
+  loop_.RunAt(loop_.now() + kCheckEvery, [this] { StopWhenIdle(); });
 }
 
 std::string Front::counters() const {
@@ -170,7 +170,7 @@
   ~SignalReceiver() {
     for (int signal : kHandledSignals)
       ::signal(signal, SIG_IGN);
-    loop_.Forget(read_end_.Get());
+    loop_.Unwatch(read_end_.Get());
   }
   void Attach(Front& front) {
     front_ = &front;
@@ -180,7 +180,7 @@
  private:
   static constexpr int kHandledSignals[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP};
 
-  void Ready(short) override {
+  void OnReady(short) override {
     char byte = 0;
     bool reload = false;
     while (::read(read_end_.Get(), &byte, 1) == 1)
@@ -199,10 +199,10 @@
     try {
       FrontConfiguration configuration = ReadConfiguration(path_, listen_);
       front_->Reload(configuration);
-      log::Say("configuration reloaded: the discovery service is at %s",
-               configuration.discovery_text.c_str());
+      log::Write("configuration reloaded: the discovery service is at %s",
+                 configuration.discovery_text.c_str());
     } catch (const std::exception& error) {
-      log::Say("configuration not reloaded, the previous one stays in use: %s", error.what());
+      log::Write("configuration not reloaded, the previous one stays in use: %s", error.what());
     }
   }
   loop::Loop& loop_;
@@ -239,7 +239,7 @@
   FrontConfiguration configuration = ReadConfiguration(path, listen);
   Front front(loop, configuration);
   signals.Attach(front);
-  log::Say("%s serves", configuration.name.c_str());
+  log::Write("%s serves", configuration.name.c_str());
   loop.Run();
   log::WriteToStandardError(front.counters());
   return 0;
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -35,7 +35,7 @@
   failover::Health health_;
   exchange::Exchange exchange_;
   caches::UpstreamConnectionPool caches_;
-  discovery::Discovery discovery_;
+  discovery::DiscoveryClient discovery_;
   clients::HttpServer clients_;
   std::unique_ptr<MembershipComponent> membership_;  // with a fleet block that has its own socket
   std::unique_ptr<FleetComponents> components_;      // with an owner or a peers block
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -77,7 +77,7 @@
         return std::make_unique<store::LmdbMinimumsStorage>(folder);
       };
       auto log_line = [this](const std::string& line) {
-        log::Say("%s at %.0f", line.c_str(), loop.now());
+        log::Write("%s at %.0f", line.c_str(), loop.now());
       };
       minimums_store = std::make_unique<store::DurableMinimums>(open_disk, log_line);
       switch (minimums_store->Load(loop.now(), Self(), found)) {
@@ -396,7 +396,7 @@
                      ",\"generations\":[";
   if (impl_->dependencies.generations) {
     bool first = true;
-    for (const auto& generation : impl_->dependencies.generations->alive()) {
+    for (const auto& generation : impl_->dependencies.generations->LiveGenerations()) {
       json += std::string(first ? "" : ",") + "{\"number\":" + std::to_string(generation.number) +
               ",\"pulls\":" + std::to_string(generation.requests) + "}";
       first = false;
--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -69,17 +69,17 @@
         address->second);  // lost if the system refuses it, as on the network
   };
   callbacks.say = [this](const std::string& line) {
-    log::Say("%s at %.0f", line.c_str(), loop_.now());
+    log::Write("%s at %.0f", line.c_str(), loop_.now());
   };
   auto now = loop.now();
   impl.node =
       std::make_unique<owner::Node>(std::move(node_terms), nullptr, static_cast<std::uint64_t>(now),
                                     seed, now, std::move(callbacks));
-  log::Say("owner: front %u, %s, %zu tasks%s", settings.self,
-           member ? "in the group" : "not in the group", settings.tasks.size(),
-           member && settings.store.empty()
-               ? "; in memory: a member that restarts is lost to the group"
-               : "");
+  log::Write("owner: front %u, %s, %zu tasks%s", settings.self,
+             member ? "in the group" : "not in the group", settings.tasks.size(),
+             member && settings.store.empty()
+                 ? "; in memory: a member that restarts is lost to the group"
+                 : "");
   if (member) {
     auto open_store = [folder = settings.store]() -> std::unique_ptr<owner::Store> {
       if (folder.empty())
@@ -87,7 +87,7 @@
       return std::make_unique<store::LmdbOwnerStore>(folder);
     };
     auto log_line = [this](const std::string& line) {
-      log::Say("%s at %.0f", line.c_str(), loop_.now());
+      log::Write("%s at %.0f", line.c_str(), loop_.now());
     };
     impl.membership = std::make_unique<owner::Membership>(*impl.node, open_store, log_line);
     impl.membership->Tick(now);
@@ -113,7 +113,7 @@
     impl_->membership->Tick(loop_.now());
   impl_->next_tick_at = loop_.now() + kTickInterval;
   if (!impl_->peers)
-    impl_->timer = loop_.at(impl_->next_tick_at, [this] { HandleTimer(); });
+    impl_->timer = loop_.RunAt(impl_->next_tick_at, [this] { HandleTimer(); });
 }
 
 Ms OwnerComponent::NextTimerAt() const {
--- a/src/front/parts.cpp
+++ b/src/front/parts.cpp
@@ -35,7 +35,7 @@
                        Ms now, const Event& event) {
     std::vector<Action> actions;
     if (std::optional<DeploymentSettings> settings = std::exchange(*pending, std::nullopt);
-        settings && generations->turn(now, *settings, actions) == 0)
+        settings && generations->StartGeneration(now, *settings, actions) == 0)
       actions.push_back(WriteLogLine{
           "rules: configuration not applied, the maximum number of generations is in use; "
           "the drift stays and is repaired later"});
--- a/src/front/peers.cpp
+++ b/src/front/peers.cpp
@@ -40,7 +40,7 @@
   };
   reader_.emplace(loop_, socket_.Get(), kLongestDatagram, std::move(receive),
                   [this] { ArmTimer(); });
-  log::Say("peers: front %u of %zu on one socket", self_, addresses_.size());
+  log::Write("peers: front %u of %zu on one socket", self_, addresses_.size());
 }
 
 PeerSocket::~PeerSocket() {
@@ -86,7 +86,7 @@
     earliest = std::min(earliest, component->NextTimerAt());
   loop_.Cancel(timer_);
   if (earliest < 1e299)
-    timer_ = loop_.at(earliest, [this] { HandleTimer(); });
+    timer_ = loop_.RunAt(earliest, [this] { HandleTimer(); });
 }
 
 void PeerSocket::HandleTimer() {
--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -46,7 +46,7 @@
   constexpr Ms kMaxClockError = 61 * 60 * 1000;  // an hour, as by a wrong time zone, and a minute
   if (fresh)
     return 0;
-  Ms given = OnOwnClock(written, kEarliest, now);
+  Ms given = ToLocalClock(written, kEarliest, now);
   return std::max(0.0, now - given - kMaxClockError);
 }
 
@@ -97,7 +97,7 @@
             },
             [this](const Entry& entry) { HandleEntry(entry); },
             [this] {
-              log::Say("record starts over at %.0f", loop.now());
+              log::Write("record starts over at %.0f", loop.now());
               callbacks.reset_recalls();
             }};
   }
@@ -106,10 +106,10 @@
   // whatever the timestamps say, so an entry's time is the latest timestamp so far.
   void HandleEntry(const Entry& entry) {
     latest_written_at = std::max(latest_written_at, entry.written_at);
-    log::Say("record read %llu %s %s%s token %llu at %.0f",
-             static_cast<unsigned long long>(entry.offset), record::ToString(entry.stream),
-             entry.tombstone ? "without " : "", entry.key.c_str(),
-             static_cast<unsigned long long>(entry.token), loop.now());
+    log::Write("record read %llu %s %s%s token %llu at %.0f",
+               static_cast<unsigned long long>(entry.offset), record::ToString(entry.stream),
+               entry.tombstone ? "without " : "", entry.key.c_str(),
+               static_cast<unsigned long long>(entry.token), loop.now());
     if (entry.stream != record::Stream::kRecalls)
       return callbacks.entry(entry);
     auto recall = ReadRecall(entry);
@@ -126,24 +126,24 @@
     if (current && behind) {
       behind = false;
       callbacks.limit_copy_age(0);
-      log::Say("record caught up to %llu at %.0f",
-               static_cast<unsigned long long>(subscriber->Position()), now);
+      log::Write("record caught up to %llu at %.0f",
+                 static_cast<unsigned long long>(subscriber->Position()), now);
     } else if (!current && !behind) {
       behind = true;
       callbacks.limit_copy_age(settings.stale_after);
-      log::Say("record behind since %.0f at %.0f", subscriber->CurrentAsOf(), now);
+      log::Write("record behind since %.0f at %.0f", subscriber->CurrentAsOf(), now);
     }
     if (writer && writer->phase() == record::Phase::kServing && !logged_serving) {
       logged_serving = true;
       if (writer->IsBootstrapped())
-        log::Say(
+        log::Write(
             "record founded from empty stores: every log replica was empty; anything written "
             "before "
             "is lost at %.0f",
             now);
-      log::Say("record writer token %llu serving from %llu at %.0f",
-               static_cast<unsigned long long>(writer->token()),
-               static_cast<unsigned long long>(writer->Committed() + 1), now);
+      log::Write("record writer token %llu serving from %llu at %.0f",
+                 static_cast<unsigned long long>(writer->token()),
+                 static_cast<unsigned long long>(writer->Committed() + 1), now);
     }
   }
 
@@ -152,8 +152,8 @@
     auto [token, usable] = callbacks.lease();
     if (writer &&
         (token != writer->token() || !usable || writer->phase() == record::Phase::kFenced)) {
-      log::Say("record writer stopped token %llu at %.0f",
-               static_cast<unsigned long long>(writer->token()), loop.now());
+      log::Write("record writer stopped token %llu at %.0f",
+                 static_cast<unsigned long long>(writer->token()), loop.now());
       writer->Stop();
       fenced_token = writer->phase() == record::Phase::kFenced ? writer->token() : fenced_token;
       writer.reset();
@@ -202,7 +202,7 @@
     // With a store that is another front's or unreadable, this front is no log replica, and logs
     // so; it serves on with the record of the others.
     auto log_line = [&impl](const std::string& line) {
-      log::Say("%s at %.0f", line.c_str(), impl.loop.now());
+      log::Write("%s at %.0f", line.c_str(), impl.loop.now());
     };
     record::ReplicaHostSettings replica_terms{settings.keeper, settings.log, settings.subscriber};
     impl.replica = std::make_unique<record::ReplicaHost>(self, settings.keepers, replica_terms,
@@ -217,9 +217,9 @@
   impl.subscriber = std::make_unique<record::Subscriber>(
       self, static_cast<std::uint64_t>(now), log_replicas, settings.subscriber, 0, seed, now);
   impl.callbacks.limit_copy_age(settings.stale_after);
-  log::Say("record: front %u, %s, %zu log replicas%s", self,
-           HasReplica() ? "log replica" : "subscriber only", settings.keepers.size(),
-           HasReplica() && settings.store.empty() ? "; in memory" : "");
+  log::Write("record: front %u, %s, %zu log replicas%s", self,
+             HasReplica() ? "log replica" : "subscriber only", settings.keepers.size(),
+             HasReplica() && settings.store.empty() ? "; in memory" : "");
 }
 
 RecordComponent::~RecordComponent() = default;
@@ -379,9 +379,9 @@
         --impl.writes_in_flight;
         impl.rules_writes_in_flight -= changes_rules;
         if (outcome == record::LeaderWriter::Outcome::kAcknowledged)
-          log::Say("record put %llu acknowledged %zu token %llu at %.0f",
-                   static_cast<unsigned long long>(first), count,
-                   static_cast<unsigned long long>(token), impl.loop.now());
+          log::Write("record put %llu acknowledged %zu token %llu at %.0f",
+                     static_cast<unsigned long long>(first), count,
+                     static_cast<unsigned long long>(token), impl.loop.now());
         answer.set_outcome(static_cast<unsigned>(outcome));
         answer.set_first(first);
         answer.set_owner(impl.self);
--- a/src/front/recovery.cpp
+++ b/src/front/recovery.cpp
@@ -21,10 +21,10 @@
     : loop_(loop), callbacks_(std::move(callbacks)) {
   recovery_ = std::make_unique<recovery::Recovery>(
       self, std::move(fronts), settings.policy, static_cast<std::uint64_t>(loop.now()), loop.now());
-  log::Say("recovery store %s token %llu offset %llu incarnation %llu at %.0f",
-           ToString(store.state), static_cast<unsigned long long>(store.floors.token),
-           static_cast<unsigned long long>(store.floors.offset),
-           static_cast<unsigned long long>(store.floors.incarnation), loop.now());
+  log::Write("recovery store %s token %llu offset %llu incarnation %llu at %.0f",
+             ToString(store.state), static_cast<unsigned long long>(store.floors.token),
+             static_cast<unsigned long long>(store.floors.offset),
+             static_cast<unsigned long long>(store.floors.incarnation), loop.now());
   Execute(recovery_->Handle(loop.now(), recovery::Said{incarnation}));
   Execute(recovery_->Handle(loop.now(), recovery::StoreChecked{store}));
   Execute(recovery_->Handle(loop.now(), recovery::Tick{}));
@@ -37,8 +37,8 @@
       hello.of_you = callbacks_.witnessed_incarnation(send->to);
       callbacks_.send(send->to, recovery::Encode(hello));
     } else if (auto* entered = std::get_if<recovery::Entered>(&a)) {
-      log::Say("recovery phase %s %s: %s at %.0f", recovery::ToString(entered->phase),
-               entered->by_time ? "by time" : "by condition", entered->why.c_str(), loop_.now());
+      log::Write("recovery phase %s %s: %s at %.0f", recovery::ToString(entered->phase),
+                 entered->by_time ? "by time" : "by condition", entered->why.c_str(), loop_.now());
     } else if (auto* admit = std::get_if<recovery::Admit>(&a)) {
       // Logged once a second at most while the shares grow; a change of what is served at once.
       if (admit->certain_only != certain_only_ || admit->by_request_class.empty() ||
@@ -49,19 +49,19 @@
           std::snprintf(text, sizeof text, "%s%.3f", shares.empty() ? "" : ",", share);
           shares += text;
         }
-        log::Say("recovery admits %s%s at %.0f", shares.empty() ? "all" : shares.c_str(),
-                 admit->certain_only ? " certain only" : "", loop_.now());
+        log::Write("recovery admits %s%s at %.0f", shares.empty() ? "all" : shares.c_str(),
+                   admit->certain_only ? " certain only" : "", loop_.now());
         admission_logged_at_ = loop_.now();
       }
       certain_only_ = admit->certain_only;
       callbacks_.admit(admit->by_request_class, admit->come_back);
     } else if (auto* loss = std::get_if<recovery::Loss>(&a)) {
-      log::Say("recovery loss %s restarted %d kept running %d: %s at %.0f",
-               loss->whole ? "whole" : "part", loss->back, loss->kept,
-               loss->lost.empty() ? "nothing was lost" : loss->lost.c_str(), loop_.now());
+      log::Write("recovery loss %s restarted %d kept running %d: %s at %.0f",
+                 loss->whole ? "whole" : "part", loss->back, loss->kept,
+                 loss->lost.empty() ? "nothing was lost" : loss->lost.c_str(), loop_.now());
     } else if (auto* corrupted = std::get_if<recovery::Corrupted>(&a)) {
-      log::Say("recovery corrupted store of front %u: %s at %.0f", corrupted->whose,
-               corrupted->why.c_str(), loop_.now());
+      log::Write("recovery corrupted store of front %u: %s at %.0f", corrupted->whose,
+                 corrupted->why.c_str(), loop_.now());
     }
   }
 }
--- a/src/front/rules.cpp
+++ b/src/front/rules.cpp
@@ -82,9 +82,9 @@
       if (auto* report = std::get_if<drift::Tell>(&a)) {
         callbacks.send(report->to, drift::Encode(report->notified));
       } else if (auto* repair = std::get_if<drift::Repair>(&a)) {
-        log::Say("rules repair %u version %llu token %llu at %.0f", repair->front,
-                 static_cast<unsigned long long>(repair->version),
-                 static_cast<unsigned long long>(repair->token), now);
+        log::Write("rules repair %u version %llu token %llu at %.0f", repair->front,
+                   static_cast<unsigned long long>(repair->version),
+                   static_cast<unsigned long long>(repair->token), now);
         if (repair->front == self)
           Execute(drift.RepairAsked(now, self, *repair));
         else
@@ -92,30 +92,30 @@
       } else if (auto* apply = std::get_if<drift::TakeUp>(&a)) {
         std::string why = callbacks.apply(apply->form);
         if (why.empty())
-          log::Say("rules taken up %llu at %.0f", static_cast<unsigned long long>(apply->version),
-                   now);
+          log::Write("rules taken up %llu at %.0f", static_cast<unsigned long long>(apply->version),
+                     now);
         else
-          log::Say("rules not taken up %llu: %s at %.0f",
-                   static_cast<unsigned long long>(apply->version), why.c_str(), now);
+          log::Write("rules not taken up %llu: %s at %.0f",
+                     static_cast<unsigned long long>(apply->version), why.c_str(), now);
         Execute(drift.Handle(now, drift::Active{ActiveOfApproved()}));
       } else if (auto* found = std::get_if<drift::Found>(&a)) {
         std::string fields;
         for (const drift::Difference& d : found->fields)
           fields +=
               " " + d.field.section + "." + d.field.name + " " + d.active + " for " + d.approved;
-        log::Say("rules found %u %s%s since %.0f at %.0f", found->front,
-                 drift::ToString(found->standing), fields.c_str(), found->since, now);
+        log::Write("rules found %u %s%s since %.0f at %.0f", found->front,
+                   drift::ToString(found->standing), fields.c_str(), found->since, now);
       } else if (auto* may = std::get_if<drift::MayServe>(&a)) {
-        log::Say("rules: this front %s at %.0f",
-                 may->may ? "may serve" : "may not serve: its drift can break a rule", now);
+        log::Write("rules: this front %s at %.0f",
+                   may->may ? "may serve" : "may not serve: its drift can break a rule", now);
         callbacks.set_may_serve(may->may);
       } else if (auto* ejected = std::get_if<drift::SetEjected>(&a)) {
-        log::Say("rules %s %u: %s at %.0f", ejected->on ? "ejected" : "readmitted", ejected->front,
-                 ejected->why.c_str(), now);
+        log::Write("rules %s %u: %s at %.0f", ejected->on ? "ejected" : "readmitted",
+                   ejected->front, ejected->why.c_str(), now);
         if (ejected->front == self)
           callbacks.set_ejected(ejected->on);
       } else if (auto* stopped = std::get_if<drift::Stopped>(&a)) {
-        log::Say("rules stopped: %s at %.0f", stopped->why.c_str(), now);
+        log::Write("rules stopped: %s at %.0f", stopped->why.c_str(), now);
       }
     }
   }
@@ -144,9 +144,9 @@
   } else if (auto approval = drift::DecodeApproval(value)) {
     auto form = std::make_shared<const Form>(approval->form);
     std::uint64_t digest = drift::Digest(*form);
-    log::Say("rules approved %llu for %s by %s digest %016llx at %.0f",
-             static_cast<unsigned long long>(offset), key.c_str(), approval->by.c_str(),
-             static_cast<unsigned long long>(digest), impl.loop.now());
+    log::Write("rules approved %llu for %s by %s digest %016llx at %.0f",
+               static_cast<unsigned long long>(offset), key.c_str(), approval->by.c_str(),
+               static_cast<unsigned long long>(digest), impl.loop.now());
     impl.approved[key] = {offset, std::move(*approval), std::move(form), digest};
   }
   impl.UpdateApprovals();
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -117,7 +117,7 @@
   WallTime started_at;  // 0: long ago
   /// When this front was first notified of that start. None: the stamp is of this front's own
   /// clock, as in the simulator.
-  std::optional<Notified> notified;
+  std::optional<NotificationTimes> notified;
 };
 struct EndpointListUpdate {
   ListUpdateKind kind = ListUpdateKind::kChanges;
@@ -210,7 +210,7 @@
   /// in place of `age`.
   struct Stamped {
     WallTime stamp;
-    Notified notified;
+    NotificationTimes notified;
   };
   std::optional<Stamped> stamped;
 };
--- a/src/logic/purges.hpp
+++ b/src/logic/purges.hpp
@@ -43,10 +43,10 @@
     constexpr Ms kAnnouncementDelay = kSecond;
     if (!purge.stamped)
       return now - purge.age;
-    const Notified& notified = purge.stamped->notified;
+    const NotificationTimes& notified = purge.stamped->notified;
     Ms earliest = notified.up_to_date_at.value_or(notified.at - settings.purge_completion_time) -
                   kAnnouncementDelay;
-    return OnOwnClock(purge.stamped->stamp, earliest, notified.at);
+    return ToLocalClock(purge.stamped->stamp, earliest, notified.at);
   }
 
   // The latest purge or recall that covers the request's object; kLongAgo if there is none.
--- a/src/logic/roster.hpp
+++ b/src/logic/roster.hpp
@@ -90,7 +90,7 @@
       return entry.started_at.UnixMs();
     Ms earliest =
         entry.notified->up_to_date_at ? *entry.notified->up_to_date_at - kListingDelay : 0;
-    return OnOwnClock(entry.started_at, earliest, entry.notified->at);
+    return ToLocalClock(entry.started_at, earliest, entry.notified->at);
   }
 
   // The settings of the endpoint's slow start; nullptr when it is not in slow start.
--- a/src/sheet/sheet.cpp
+++ b/src/sheet/sheet.cpp
@@ -242,7 +242,7 @@
     for (auto& [name, member] : value.members)
       AppendLines(member, path.empty() ? SanitizedValue(name) : path + '.' + SanitizedValue(name),
                   out);
-  } else if (value.kind == json::Kind::kList) {
+  } else if (value.kind == json::Kind::kArray) {
     if (std::all_of(value.items.begin(), value.items.end(), is_scalar)) {
       std::string values;
       for (const json::Value& item : value.items)
--- a/tests/attempt_write_test.cpp
+++ b/tests/attempt_write_test.cpp
@@ -144,7 +144,7 @@
   }
   void RunIterations(int count = 20) {
     for (int i = 0; i < count; ++i)
-      loop.turn(1);
+      loop.RunOnce(1);
   }
   /// Fills the connection to the second server, which reads nothing, until it accepts no more
   /// bytes; these requests belong to no client.
@@ -170,7 +170,7 @@
     if (pause == AttemptWait::kBackoff)
       return;
     if (script->further != FurtherAttempt::kRetry)
-      loop.Skip(kBackoff + 1);
+      loop.AdvanceClock(kBackoff + 1);
     Until(loop, [&] { return exchange.counters.attempts == 2; });
     if (pause != AttemptWait::kLivenessCheck)
       return;
@@ -191,7 +191,7 @@
     int quiet_turns = 0;
     while (quiet_turns < 20) {
       std::size_t before = second.got.size();
-      loop.turn(1);
+      loop.RunOnce(1);
       quiet_turns = second.Read(1 << 20).size() == before ? quiet_turns + 1 : 0;
       if (second.got.size() > (1 << 21))
         second.got.erase(0, second.got.size() - 4096);
@@ -227,11 +227,11 @@
     for (Case c : {Case{5000, 1229}, {2500, 1021}, {5000, 0}}) {
       CAPTURE(static_cast<int>(wait));
       CAPTURE(c.waited);
-      Ms before = loop::MakeSystem().now();
+      Ms before = loop::PosixEnvironment().now();
       QueuedAttemptFixture waiting(wait, SettingsWithExpiry(c.expiry), {},
                                    wait == kLivenessCheck ? kWrite : kVideo);
       Deadline deadline{before + c.expiry, waiting.fixture.loop.now() + c.expiry};
-      waiting.fixture.loop.Skip(c.waited);
+      waiting.fixture.loop.AdvanceClock(c.waited);
       Ms skipped = waiting.fixture.loop.now();
       waiting.EndWait();
       Until(waiting.fixture.loop, [&] { return waiting.HasStarted(); });
@@ -241,14 +241,14 @@
 }
 
 TEST_CASE("an attempt that moves to another connection forwards the time left then") {
-  Ms before = loop::MakeSystem().now();
+  Ms before = loop::PosixEnvironment().now();
   QueuedAttemptFixture waiting(kLivenessCheck, SettingsWithExpiry(5000), {}, kWrite);
   Deadline deadline{before + 5000, waiting.fixture.loop.now() + 5000};
   for (Ms waited : {700, 600}) {
     waiting.peer.Reset();
     waiting.peer = waiting.far.Next(waiting.fixture.loop);
     Until(waiting.fixture.loop, [&] { return waiting.peer.Hears("there call\r\n"); });
-    waiting.fixture.loop.Skip(waited);
+    waiting.fixture.loop.AdvanceClock(waited);
   }
   Ms skipped = waiting.fixture.loop.now();
   waiting.EndWait();
@@ -265,13 +265,13 @@
     for (Ms left : {40.0, 3.0, 0.4, -1.0}) {
       CAPTURE(static_cast<int>(wait));
       CAPTURE(left);
-      Ms before = loop::MakeSystem().now();
+      Ms before = loop::PosixEnvironment().now();
       QueuedAttemptFixture waiting(wait, SettingsWithExpiry(kExpiry), {},
                                    wait == kLivenessCheck ? kWrite : kVideo);
       Deadline deadline{before + kExpiry, waiting.fixture.loop.now() + kExpiry};
       if (wait == kLivenessCheck)
         waiting.peer.Send(kCheckAnswer);  // read in the iteration in which the time is up
-      waiting.fixture.loop.Skip(deadline.latest - left - waiting.fixture.loop.now());
+      waiting.fixture.loop.AdvanceClock(deadline.latest - left - waiting.fixture.loop.now());
       Ms skipped = waiting.fixture.loop.now();
       waiting.fixture.RunIterations();
       if (wait == kConnecting)
@@ -315,9 +315,9 @@
     CAPTURE(static_cast<int>(race.further));
     CAPTURE(static_cast<int>(race.pause));
     TwoServers servers(race.further, race.pause, 5000);
-    servers.loop.Skip(800);
+    servers.loop.AdvanceClock(800);
     servers.ReachWait(race.pause);
-    servers.loop.Skip(1229);
+    servers.loop.AdvanceClock(1229);
     Ms skipped = servers.loop.now();
     servers.Release(race.pause);
     Until(servers.loop, [&] { return servers.second.Hears(TwoServers::WantLine()); });
@@ -346,7 +346,7 @@
   Ms before = loop.now();
   exchange.OnRequest(MakeNumberedRequest(1), client);
   Deadline timeout{before + 1500, loop.now() + 1500};
-  loop.Skip(700);
+  loop.AdvanceClock(700);
   Ms skipped = loop.now();
   Far server = listener.Next(loop);
   Until(loop, [&] { return server.Hears(RequestPrefix(1)); });
@@ -365,7 +365,7 @@
     servers.client.fd.Reset();
     if (race.pause == AttemptWait::kLivenessCheck)
       servers.second.Send(kCheckAnswer);
-    servers.loop.Skip(200);
+    servers.loop.AdvanceClock(200);
     Until(servers.loop, [&] { return servers.exchange.counters.client_disconnects == 1; });
     if (race.pause == AttemptWait::kWriteBuffer)
       servers.Drain();
@@ -409,8 +409,8 @@
     if (further == FurtherAttempt::kRetryAfterBackoff)
       servers.ReachWait(AttemptWait::kBackoff);
     servers.client.fd.Reset();
-    servers.loop.Skip(200);  // the backoff ends, the client's close and the first server's response
-                             // have arrived: one iteration
+    servers.loop.AdvanceClock(200);  // the backoff ends, the client's close and the first server's
+                                     // response have arrived: one iteration
     Until(servers.loop, [&] { return servers.exchange.counters.client_disconnects == 1; });
     servers.RunIterations();
     CHECK_FALSE(servers.second.Hears(TwoServers::WantLine()));
--- a/tests/caches_test.cpp
+++ b/tests/caches_test.cpp
@@ -70,7 +70,7 @@
       body + "\r\n" + kId + " VALID entity=t1,issued=1,remark=local 0\r\n\r\n";
   for (char c : all) {
     peer.Send(std::string_view(&c, 1));
-    fixture.loop.turn(0);
+    fixture.loop.RunOnce(0);
   }
   Until(fixture.loop, [&] { return !one.notified.empty(); });
   assert(one.Is({"304 t1"}) && two.Is({"200 t2"}) && two.body == body);
@@ -239,7 +239,7 @@
     Until(fixture.loop, [&] { return peer.Hears("want " + kId); });
     peer.Reset();
     for (int i = 0; i < 20; ++i)
-      fixture.loop.turn(1);
+      fixture.loop.RunOnce(1);
   }
   assert(fixture.exchange.counters.cache_connections == 4);
   fixture.caches.Send(key, MakeRequest(), how, {});
@@ -248,7 +248,7 @@
   fixture.caches.Cancel(key, MakeRequest(), how.endpoint);
   peer.Send("call PONG - 0\r\n\r\n");
   for (int i = 0; i < 20; ++i)
-    fixture.loop.turn(1);
+    fixture.loop.RunOnce(1);
   assert(!peer.Hears("want") && !peer.Hears("never_mind"));
 }
 
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -22,7 +22,7 @@
                 most) {}
   Far Connect() {
     Far f = Far::To(at);
-    d.loop.turn(1);
+    d.loop.RunOnce(1);
     return f;
   }
   void WaitFor(Far& f, std::string_view text) {
@@ -57,11 +57,11 @@
     Until(loop, [&] { return !what; });
   }
   ~MidIteration() {
-    loop.Forget(ends[0]);
+    loop.Unwatch(ends[0]);
     ::close(ends[0]);
     ::close(ends[1]);
   }
-  void Ready(short) override {
+  void OnReady(short) override {
     if (what)
       std::exchange(what, nullptr)();
   }
@@ -86,7 +86,7 @@
     far.Send(GetWithId(1));
     c.Finish(c.attempt(0), MakeResponseHead(AttemptResult::kFinished), body);
     for (int i = 0; i < 3; ++i)
-      c.d.loop.turn(0);
+      c.d.loop.RunOnce(0);
   }
   bool HasAll() {
     return far.Read(1000).ends_with("\r\n\r\n" + body);
@@ -98,7 +98,7 @@
   Far f = c.Connect();
   for (char one : Get("If-None-Match: \"4be0\"\r\nX-Memory-Kb: 412.5\r\n")) {
     f.Send(std::string_view(&one, 1));
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   }
   c.Finish(c.attempt(0), MakeResponseHead(AttemptResult::kFinished), "a\r\n\r\nb");
   c.WaitFor(f, "\r\n\r\na\r\n\r\nb");
@@ -208,8 +208,8 @@
   c.WaitFor(served, "HTTP/1.1 200");
   half.Send("GET /alive HTTP/1.1\r\nA: ");
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(1);
-  c.d.loop.Skip(2600);
+    c.d.loop.RunOnce(1);
+  c.d.loop.AdvanceClock(2600);
   c.WaitFor(half, "HTTP/1.1 408");
   Until(c.d.loop, [&] {
     silent.Read();
@@ -309,7 +309,7 @@
 void ARequestThatArrivesBeforeTheIdleCloseIsServed() {
   ServerFixture c;
   SlowClient slow(c);
-  c.d.loop.Skip(20000);
+  c.d.loop.AdvanceClock(20000);
   MidIteration now(c.d.loop, [&] { slow.far.Send(GetWithId(2)); });
   c.Finish(c.attempt(1), MakeResponseHead(AttemptResult::kFinished), "second");
   Until(c.d.loop, [&] { return slow.far.Read(1000).ends_with("\r\n\r\nsecond"); });
@@ -323,8 +323,8 @@
 void ARequestThatCrossesTheIdleCloseLosesNoResponse() {
   ServerFixture c;
   SlowClient slow(c);
-  c.d.loop.Skip(20000);
-  c.d.loop.turn(0);  // the timeout check is due
+  c.d.loop.AdvanceClock(20000);
+  c.d.loop.RunOnce(0);  // the timeout check is due
   slow.far.Send(GetWithId(2));
   Until(c.d.loop, [&] { return slow.HasAll(); });
   Until(c.d.loop, [&] {
@@ -360,7 +360,7 @@
   for (std::size_t i = 0; i < all.size(); ++i) {
     c.Finish(c.attempt(i), MakeResponseHead(AttemptResult::kFinished), "ok");
     for (int turns = 0; turns < 5; ++turns)
-      c.d.loop.turn(0);
+      c.d.loop.RunOnce(0);
   }
   for (Far& f : all)
     c.WaitFor(f, "\r\n\r\nok");
@@ -381,11 +381,11 @@
     good.back().Send(GetWithId(i));
   }
   for (int turns = 0; turns < 50; ++turns)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   assert(c.d.caches.sent.size() == 3);
   bad[0].Send("x");
   Until(c.d.loop, [&] { return IsReset(bad[0]); });  // closed at once
-  c.d.loop.Skip(2000);
+  c.d.loop.AdvanceClock(2000);
   for (Far& f : bad)
     Until(c.d.loop, [&] {
       f.Read();
@@ -428,14 +428,14 @@
         {std::string(1, 0) + "zebra\n\x1b[31m", "400", kStays, 1, 0}}) {
     std::vector<std::string> lines;
     log::Log to([] { return 0.0; }, [&](std::string_view line) { lines.emplace_back(line); });
-    log::Use use(to);
+    log::ScopedLog use(to);
     ServerFixture c;
     Far good = c.Connect(), f = c.Connect();
     good.Send(Get());
     AttemptKey key = c.attempt(0);
     f.Send(one.bytes);
     if (one.then != kStays || one.bytes.size() > 10000)
-      c.d.loop.turn(1);
+      c.d.loop.RunOnce(1);
     if (one.then == kCloses)
       f.fd.Reset();
     if (one.then == kResets)
@@ -446,7 +446,7 @@
         f.Read();
         return f.over;
       });
-      c.d.loop.Skip(2000);  // though the client never closes
+      c.d.loop.AdvanceClock(2000);  // though the client never closes
     }
     c.Finish(key, MakeResponseHead(AttemptResult::kFinished), "still here");
     c.WaitFor(good, "still here");
@@ -497,7 +497,7 @@
       none = full;
       none.rlim_cur = static_cast<rlim_t>(waits.back().fd.Get() + 1);
       ::setrlimit(RLIMIT_NOFILE, &none);
-      c.d.loop.turn(0);
+      c.d.loop.RunOnce(0);
       ::setrlimit(RLIMIT_NOFILE, &full);
     }
     for (int i = 2; i < 5; ++i)
@@ -527,7 +527,7 @@
   ServerFixture c;
   Far f = c.Connect();
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   f.Send(GetWithId(1));
   Until(c.d.loop, [&] {
     c.clients.ContinueShutdown();
@@ -546,7 +546,7 @@
   SlowClient slow(c);
   c.clients.ContinueShutdown();
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   MidIteration now(c.d.loop, [&] {
     slow.far.Send(GetWithId(2));
     c.clients.ContinueShutdown();
@@ -570,7 +570,7 @@
   SlowClient slow(c);
   c.clients.ContinueShutdown();
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   MidIteration now(c.d.loop, [&] {
     c.clients.ContinueShutdown();
     slow.far.Send(GetWithId(2));
@@ -594,7 +594,7 @@
   for (std::size_t i = 0; i < 3; ++i) {
     for (int turns = 0; turns < 3; ++turns) {
       c.clients.ContinueShutdown();
-      c.d.loop.turn(0);
+      c.d.loop.RunOnce(0);
     }
     c.Finish(c.attempt(i), MakeResponseHead(AttemptResult::kFinished), "body" + std::to_string(i));
     c.WaitFor(f, "\r\n\r\nbody" + std::to_string(i));
@@ -642,7 +642,7 @@
     return served.over;
   });
   for (int turns = 0; turns < 5; ++turns)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   newcomer.Send(GetWithId(1));
   c.Finish(c.attempt(1), MakeResponseHead(AttemptResult::kFinished), "ok");
   c.WaitFor(newcomer, "\r\n\r\nok");
@@ -672,7 +672,7 @@
 void ConnectionsWithoutARequestDoNotLinger() {
   ServerFixture c;
   Far silent = c.Connect();
-  c.d.loop.Skip(2600);
+  c.d.loop.AdvanceClock(2600);
   Until(c.d.loop, [&] {
     silent.Read();
     return silent.over;
@@ -685,7 +685,7 @@
   Far f = c.Connect();
   f.Send(Get().substr(0, 40));
   for (int i = 0; i < 3; ++i)
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   Until(c.d.loop, [&] {
     c.clients.ContinueShutdown();
     return f.Hears("\r\n\r\n");
@@ -714,7 +714,7 @@
   std::string body(exchange::kMaxObjectBytes, 'x');
   auto sent_on = [&](std::size_t which) {
     for (int i = 0; i < 50 && c.d.caches.sent.size() <= which; ++i)
-      c.d.loop.turn(1);
+      c.d.loop.RunOnce(1);
     return c.d.caches.sent.size() > which;
   };
   std::size_t which = 0;
@@ -724,13 +724,13 @@
   }
   for (int i = 0; i < 3; ++i) {
     c.clients.ContinueShutdown();
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   }
   assert(!c.clients.empty());
-  c.d.loop.Skip(3100);
+  c.d.loop.AdvanceClock(3100);
   for (int i = 0; i < 3; ++i) {
     c.clients.ContinueShutdown();
-    c.d.loop.turn(0);
+    c.d.loop.RunOnce(0);
   }
   assert(c.clients.empty());
 }
@@ -773,7 +773,7 @@
   c.attempt(3);
   six.Send(GetWithId(5));
   for (int i = 0; i < 20; ++i)
-    c.d.loop.turn(1);
+    c.d.loop.RunOnce(1);
   assert(c.d.caches.sent.size() == 4);
   c.Finish(c.attempt(0), MakeResponseHead(AttemptResult::kFinished));
   c.attempt(4);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -41,7 +41,7 @@
                            how == kLivenessCheck ? kWrite : kVideo);
     if (how == kLivenessCheck)
       w.peer.Send("call PONG - 0\r\n\r\n");
-    w.fixture.loop.Skip(61000);
+    w.fixture.loop.AdvanceClock(61000);
     w.fixture.RunIterations();
     if (how == kConnecting)
       w.peer = w.far.Next(w.fixture.loop);
@@ -80,7 +80,7 @@
     // The retry waits for a connection that is not established yet: no iteration has run since.
     assert(fixture.exchange.counters.attempts == 2 && client.notified.empty());
     if (late)
-      fixture.loop.Skip(501);
+      fixture.loop.AdvanceClock(501);
     fixture.RunIterations();
     Far second = next->Next(fixture.loop);
     if (!late)
@@ -323,8 +323,8 @@
         for (int what : order) {
           std::size_t notified = client.notified.size();
           if (what == 0) {
-            d.loop.Skip(200);
-            d.loop.turn(0);
+            d.loop.AdvanceClock(200);
+            d.loop.RunOnce(0);
           }
           if (what == 1) {
             d.exchange.OnClientDisconnected(request);
@@ -401,7 +401,7 @@
   auto attempts = t.road.exchange.counters.attempts;
   t.home->Send(kId + " SHED - 0\r\n\r\n");
   t.client.fd.Reset();
-  t.road.loop.Skip(10);  // as after a pause: all descriptors are polled
+  t.road.loop.AdvanceClock(10);  // as after a pause: all descriptors are polled
   Until(t.road.loop, [&] { return t.road.exchange.counters.shed == 1; });
   assert(t.road.exchange.counters.attempts == attempts &&
          t.road.exchange.counters.client_disconnects == 1);
@@ -422,7 +422,7 @@
       ::close(ends[0]);
       ::close(ends[1]);
     }
-    void Ready(short) override {
+    void OnReady(short) override {
       if (what)
         std::exchange(what, nullptr)();
     }
@@ -431,13 +431,13 @@
   TwoServers t;
   pause.what = [&] {
     t.client.fd.Reset();
-    t.road.loop.Skip(300);
+    t.road.loop.AdvanceClock(300);
   };
   t.road.loop.WatchDescriptor(pause.ends[0], pause, POLLIN);
   t.home->Send(kId + " SHED - 0\r\n\r\n");
   assert(::write(pause.ends[1], "x", 1) == 1);
   Until(t.road.loop, [&] { return t.road.exchange.counters.client_disconnects == 1; });
-  t.road.loop.Forget(pause.ends[0]);
+  t.road.loop.Unwatch(pause.ends[0]);
   t.road.RunIterations();
   assert(t.road.exchange.counters.shed == 1);
   assert(!t.other->Hears("want " + kId));
@@ -466,7 +466,7 @@
   int Connect(int, const loop::Address&) override {
     return -1;
   }
-  int Fault(int) override {
+  int SocketError(int) override {
     return 0;
   }
   int Listen(const loop::Address&) override {
@@ -475,13 +475,13 @@
   int Accept(int) override {
     return -1;
   }
-  ssize_t receive(int, std::span<char>) override {
+  ssize_t Receive(int, std::span<char>) override {
     return -1;
   }
   ssize_t Send(int, std::span<const iovec>) override {
     return -1;
   }
-  void SayNoMore(int) override {}
+  void ShutdownWrite(int) override {}
   void Close(int) override {}
   void Abort(int) override {}
   int OpenDatagrams(const loop::Address&) override {
@@ -505,7 +505,7 @@
     std::vector<int>& order;
     int which;
     Note(std::vector<int>& o, int w) : order(o), which(w) {}
-    void Ready(short) override {
+    void OnReady(short) override {
       order.push_back(which);
     }
   };
@@ -517,12 +517,12 @@
     loop.WatchDescriptor(1, busy, POLLIN);
     loop.WatchDescriptor(2, resting, POLLRDHUP, true);
     for (int i = 0; i < 20; ++i)
-      loop.turn(1000);
+      loop.RunOnce(1000);
     assert(std::count(order.begin(), order.end(), 1) == 20);
     environment.ends_at = environment.clock + phase;
     while (std::count(order.begin(), order.end(), 2) == 0) {
       order.clear();
-      loop.turn(1000);
+      loop.RunOnce(1000);
       assert(environment.clock <= environment.ends_at + 7);
     }
     assert((order == std::vector<int>{2, 1}));
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -145,11 +145,11 @@
     else
       two.pop_back();
     d.exchange.OnListUpdate(!notified, two);
-    d.loop.Skip(100000);
+    d.loop.AdvanceClock(100000);
     two.resize(1);
     d.exchange.OnListUpdate(false, two);
     assert(d.caches.removed.empty());
-    d.loop.Skip(100000);
+    d.loop.AdvanceClock(100000);
     d.exchange.OnListUpdate(false, two);
     assert(d.caches.removed.size() ==
            (notified ? 1u : 2u));  // the origin was not on the second list either
@@ -246,12 +246,12 @@
   ListAll(d, {first}, EndpointState::kRemoved);
   ListAll(d, {second}, EndpointState::kRemoved);
   ListAll(d, {second});  // it is listed again before it is forgotten
-  d.loop.Skip(kLongAfter);
+  d.loop.AdvanceClock(kLongAfter);
   ListAll(d, {second});
   assert(d.caches.removed == std::vector<std::uint32_t>{number} &&
          d.caches.numbers[second] == number + 1);
   ListAll(d, {second}, EndpointState::kRemoved);
-  d.loop.Skip(kLongAfter);
+  d.loop.AdvanceClock(kLongAfter);
   ListAll(d, {second});  // forgotten and added in one call
   assert(d.caches.removed.size() == 2 && d.caches.numbers[second] == number);
   ListAll(d, {first});
--- a/tests/front_terms_test.cpp
+++ b/tests/front_terms_test.cpp
@@ -110,7 +110,7 @@
       deployment.net.RunUntil(stopped_at + kKillAfter);
       deployment.CheckAnswers(requests);
       deployment.RunFor(300);
-      CHECK(deployment.front_process.loop().Stopped());
+      CHECK(deployment.front_process.loop().IsStopped());
     }
   }
 }
--- a/tests/peers_front_test.cpp
+++ b/tests/peers_front_test.cpp
@@ -115,7 +115,7 @@
   for (const char* request : {"DW?", "DO?", "DP?"})
     send(request);
   for (double end = loop.now() + 20000; loop.now() < end && record.messages.empty();)
-    loop.turn(20);
+    loop.RunOnce(20);
   REQUIRE(record.messages.size() == 1);
   CHECK(record.messages[0].first == 1);
   CHECK(record.messages[0].second == large);
@@ -131,13 +131,13 @@
   REQUIRE(answers.size() == 3);
   CHECK(answers[0] == "{\"part\":\"members\"}");
   CHECK(answers[1] == "{\"part\":\"owner\"}");
-  auto v = json::Read(answers[2]);
+  auto v = json::Parse(answers[2]);
   REQUIRE(v);
-  auto status = json::Read(b.StatusJson());
+  auto status = json::Parse(b.StatusJson());
   REQUIRE(status);
-  CHECK(status->number("strangers") == 2.0);
-  CHECK(status->number("junk") == 4.0);
-  CHECK(json::Read(a.StatusJson())->number("unsent") == 1.0);
+  CHECK(status->GetNumber("strangers") == 2.0);
+  CHECK(status->GetNumber("junk") == 4.0);
+  CHECK(json::Parse(a.StatusJson())->GetNumber("unsent") == 1.0);
 }
 
 TEST_CASE("an invalid peers block is rejected with the field and the reason") {
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,7 +1,7 @@
-// Every system call may fail. The environment of a front's parts is wrapped by one whose calls fail
-// by a plan, on the simulated network: each call once, at every ordinal of one serving scenario,
-// then at random by seeds. After each: no request lost, no effect twice, no spin, no descriptor
-// leaked.
+// Every system call may fail. The environment of a front's components is wrapped by one whose calls
+// fail according to a plan, on the simulated network: each call once, at every ordinal of one
+// serving scenario, then at random by seed. After each: no request is lost, no effect happens
+// twice, nothing spins, and no descriptor leaks.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -30,55 +30,55 @@
 
 // ---- one connection, whose environment fails
 
-struct NotedOwner final : loop::Connection::Owner {
+struct RecordingOwner final : loop::Connection::Owner {
   std::unique_ptr<loop::Connection> connection;
   std::string received;
   std::vector<DisconnectReason> ends;
   int drains = 0;
-  void Came() override {
+  void OnBytesReceived() override {
     received += connection->in.bytes();
     connection->in.Consume(connection->in.size());
   }
-  void Drained() override {
+  void OnDrained() override {
     ++drains;
   }
-  void Ended(DisconnectReason how) override {
-    ends.push_back(how);
+  void OnDisconnected(DisconnectReason reason) override {
+    ends.push_back(reason);
   }
 };
 
-/// A process that dials, through a failing environment, one that listens.
+/// A process that connects, through a failing environment, to one that listens.
 struct ConnectionFixture {
   stage::Net net{1};
-  stage::Process& dialling = net.Start(0x0a000001, "dialling");
+  stage::Process& connecting = net.Start(0x0a000001, "connecting");
   stage::Process& listening = net.Start(0x0a000002, "listening");
-  FailingEnvironment environment{dialling};
-  NotedOwner near;
-  NotedOwner far;
+  FailingEnvironment environment{connecting};
+  RecordingOwner client_side;
+  RecordingOwner server_side;
   std::unique_ptr<loop::Listener> listener;
 
   ConnectionFixture() {
-    dialling.UseEnvironment(environment);
+    connecting.UseEnvironment(environment);
     listening.Act([&] {
       listener = std::make_unique<loop::Listener>(
           listening.loop(), kFrontAddress, [this](loop::Descriptor fd) {
-            far.connection =
-                std::make_unique<loop::Connection>(listening.loop(), far, std::move(fd));
+            server_side.connection =
+                std::make_unique<loop::Connection>(listening.loop(), server_side, std::move(fd));
           });
     });
   }
   ~ConnectionFixture() {
     listening.Act([&] {
-      far.connection.reset();
+      server_side.connection.reset();
       listener.reset();
     });
-    dialling.Act([&] { near.connection.reset(); });
+    connecting.Act([&] { client_side.connection.reset(); });
   }
   void Dial() {
-    dialling.Act([&] {
-      near.connection =
-          std::make_unique<loop::Connection>(dialling.loop(), near, kFrontAddress, 1000);
-      near.connection->Send("hello");
+    connecting.Act([&] {
+      client_side.connection =
+          std::make_unique<loop::Connection>(connecting.loop(), client_side, kFrontAddress, 1000);
+      client_side.connection->Send("hello");
     });
   }
   void Run(Ms time) {
@@ -95,23 +95,23 @@
   };
 }
 
-TEST_CASE("a connect that is interrupted proceeds") {
+TEST_CASE("an interrupted connect continues") {
   ConnectionFixture test;
   test.environment.plan = FailOnce(Call::kConnect, 0, {EINTR});
   test.Dial();
   test.Run(100);
-  CHECK(test.near.ends.empty());
-  CHECK(test.far.received == "hello");
+  CHECK(test.client_side.ends.empty());
+  CHECK(test.server_side.received == "hello");
 }
 
-TEST_CASE("what this machine lacks for a connect is not told as the server's failure") {
+TEST_CASE("a local resource shortage at connect is not reported as the server's failure") {
   for (int error : {EADDRNOTAVAIL, ENOBUFS, ENOMEM, EAGAIN, ENETUNREACH, ENETDOWN}) {
     CAPTURE(error);
     ConnectionFixture test;
     test.environment.plan = FailOnce(Call::kConnect, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{DisconnectReason::kNoDescriptor});
+    CHECK(test.client_side.ends == std::vector{DisconnectReason::kLocalShortage});
   }
   for (int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
     CAPTURE(error);
@@ -119,11 +119,11 @@
     test.environment.plan = FailOnce(Call::kOpenStream, 0, {error});
     test.Dial();
     test.Run(100);
-    CHECK(test.near.ends == std::vector{DisconnectReason::kNoDescriptor});
+    CHECK(test.client_side.ends == std::vector{DisconnectReason::kLocalShortage});
   }
 }
 
-TEST_CASE("what the network says of the server is told as the server's failure") {
+TEST_CASE("a network error about the server is reported as the server's failure") {
   for (int error : {ETIMEDOUT, EHOSTUNREACH, ECONNREFUSED}) {
     for (Call call : {Call::kConnect, Call::kConnectResult}) {
       CAPTURE(error);
@@ -131,22 +131,24 @@
       test.environment.plan = FailOnce(call, 0, {error});
       test.Dial();
       test.Run(100);
-      CHECK(test.near.ends == std::vector{error == ECONNREFUSED ? DisconnectReason::kRefused
-                                                                : DisconnectReason::kNeverUp});
+      CHECK(test.client_side.ends == std::vector{error == ECONNREFUSED
+                                                     ? DisconnectReason::kRefused
+                                                     : DisconnectReason::kConnectFailed});
     }
   }
 }
 
-TEST_CASE("an answer that had come is read though the read after a broken write is interrupted") {
+TEST_CASE(
+    "an answer that had arrived is read though the read after a failed write is interrupted") {
   ConnectionFixture test;
   test.Dial();
   test.Run(100);
-  test.listening.Act([&] { test.far.connection->Send("answer"); });
-  // The answer lies in the buffers of a process that stands still; then its write fails before it
+  test.listening.Act([&] { test.server_side.connection->Send("answer"); });
+  // The answer is in the receive buffer of a suspended process; then its write fails before it
   // reads.
-  test.dialling.StandStill(test.net.now() + 50);
+  test.connecting.StandStill(test.net.now() + 50);
   test.Run(40);
-  REQUIRE(test.near.received.empty());
+  REQUIRE(test.client_side.received.empty());
   std::size_t next_read = test.environment.Calls(Call::kReceive);
   std::size_t next_write = test.environment.Calls(Call::kSend);
   test.environment.plan = [=](Call call, std::size_t ordinal) -> std::optional<Failure> {
@@ -156,27 +158,27 @@
       return Failure{EINTR};
     return std::nullopt;
   };
-  test.dialling.Act([&] { test.near.connection->Send("next"); });
+  test.connecting.Act([&] { test.client_side.connection->Send("next"); });
   test.Run(100);
-  CHECK(test.near.received == "answer");
-  CHECK(test.near.ends == std::vector{DisconnectReason::kReset});
+  CHECK(test.client_side.received == "answer");
+  CHECK(test.client_side.ends == std::vector{DisconnectReason::kReset});
 }
 
-TEST_CASE("want of buffers for a write is waited out, and the message goes") {
+TEST_CASE("a write waits until buffers are available, and the message is sent") {
   for (int error : {ENOBUFS, ENOMEM}) {
     CAPTURE(error);
     ConnectionFixture test;
     test.environment.plan = FailUntil(test.net, Call::kSend, error, test.net.now() + 60);
     test.Dial();
     CHECK_NOTHROW(test.Run(200));
-    CHECK(test.near.ends.empty());
-    CHECK(test.far.received == "hello");
-    CHECK(test.near.drains == 1);
+    CHECK(test.client_side.ends.empty());
+    CHECK(test.server_side.received == "hello");
+    CHECK(test.client_side.drains == 1);
     CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
 
-TEST_CASE("want of buffers for a read is waited out, and nothing is lost") {
+TEST_CASE("a read waits until buffers are available, and nothing is lost") {
   for (int error : {ENOBUFS, ENOMEM}) {
     CAPTURE(error);
     ConnectionFixture test;
@@ -184,18 +186,19 @@
     test.Run(100);
     test.environment.plan = FailUntil(test.net, Call::kReceive, error, test.net.now() + 60);
     test.listening.Act([&] {
-      test.far.connection->Send("answer");
-      test.far.connection->SayNoMore();
+      test.server_side.connection->Send("answer");
+      test.server_side.connection->ShutdownWrite();
     });
     CHECK_NOTHROW(test.Run(200));
-    CHECK(test.near.received == "answer");
-    CHECK(test.near.ends == std::vector{DisconnectReason::kClosed});
+    CHECK(test.client_side.received == "answer");
+    CHECK(test.client_side.ends == std::vector{DisconnectReason::kClosed});
     CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
 
 TEST_CASE(
-    "a poll that keeps failing neither spins nor holds up timers, and what came is read after it") {
+    "a poll that keeps failing neither spins nor delays timers, and received bytes are read "
+    "later") {
   for (int error : {ENOMEM, EINVAL}) {
     CAPTURE(error);
     ConnectionFixture test;
@@ -204,18 +207,18 @@
     Ms start = test.net.now();
     Ms ran_at = 0;
     test.environment.plan = FailUntil(test.net, Call::kWait, error, start + 60);
-    test.dialling.Act(
-        [&] { test.dialling.loop().at(start + 30, [&] { ran_at = test.net.now(); }); });
-    test.listening.Act([&] { test.far.connection->Send("answer"); });
+    test.connecting.Act(
+        [&] { test.connecting.loop().RunAt(start + 30, [&] { ran_at = test.net.now(); }); });
+    test.listening.Act([&] { test.server_side.connection->Send("answer"); });
     CHECK_NOTHROW(test.Run(200));
     CHECK(ran_at >= start + 30);
     CHECK(ran_at < start + 60);
-    CHECK(test.near.received == "answer");
+    CHECK(test.client_side.received == "answer");
     CHECK(test.environment.MostIdleWaits() < kMostIdleWaits);
   }
 }
 
-TEST_CASE("a poll that is interrupted is asked again") {
+TEST_CASE("an interrupted poll is repeated") {
   ConnectionFixture test;
   std::size_t interrupted = 0;
   test.environment.plan = [&](Call call, std::size_t) -> std::optional<Failure> {
@@ -227,7 +230,7 @@
   test.Dial();
   test.Run(100);
   CHECK(interrupted == 20);
-  CHECK(test.far.received == "hello");
+  CHECK(test.server_side.received == "hello");
 }
 
 // ---- a listener, whose environment fails
@@ -235,11 +238,11 @@
 struct ListenerFixture {
   stage::Net net{1};
   stage::Process& listening = net.Start(0x0a000002, "listening");
-  stage::Process& dialling = net.Start(0x0a000001, "dialling");
+  stage::Process& connecting = net.Start(0x0a000001, "connecting");
   FailingEnvironment environment{listening};
   std::vector<loop::Descriptor> taken;
   std::unique_ptr<loop::Listener> listener;
-  std::vector<std::unique_ptr<NotedOwner>> peers;
+  std::vector<std::unique_ptr<RecordingOwner>> peers;
 
   ListenerFixture() {
     listening.UseEnvironment(environment);
@@ -250,26 +253,26 @@
     });
   }
   ~ListenerFixture() {
-    dialling.Act([&] { peers.clear(); });
+    connecting.Act([&] { peers.clear(); });
     listening.Act([&] {
       taken.clear();
       listener.reset();
     });
   }
   void Come(int count) {
-    dialling.Act([&] {
+    connecting.Act([&] {
       for (int i = 0; i < count; ++i) {
-        auto peer = std::make_unique<NotedOwner>();
+        auto peer = std::make_unique<RecordingOwner>();
         peer->connection =
-            std::make_unique<loop::Connection>(dialling.loop(), *peer, kFrontAddress, 60000);
+            std::make_unique<loop::Connection>(connecting.loop(), *peer, kFrontAddress, 60000);
         peers.push_back(std::move(peer));
       }
     });
   }
 };
 
-TEST_CASE("an error of accept that lasts neither spins nor ends accepting") {
-  // Bounded by the number of calls as well, so that a loop within one turn ends and is told.
+TEST_CASE("a persistent error of accept neither spins nor stops accepting") {
+  // Bounded by the number of calls as well, so that an endless loop in one iteration is reported.
   constexpr std::size_t kMostFailures = 2000;
   for (Failure failure : FailuresOf(Call::kAccept)) {
     CAPTURE(failure.error);
@@ -286,8 +289,7 @@
   }
 }
 
-TEST_CASE(
-    "an error of one pending connection is not told as want of descriptors, and holds up nobody") {
+TEST_CASE("an error of one pending connection is not reported as a shortage, and delays no other") {
   for (int error : {EPROTO, ECONNABORTED, ENETDOWN, EHOSTUNREACH, ETIMEDOUT}) {
     CAPTURE(error);
     ListenerFixture test;
@@ -308,7 +310,7 @@
   }
 }
 
-TEST_CASE("a stop accepts all who wait though one of them is broken") {
+TEST_CASE("a stop accepts the whole backlog though one connection in it has failed") {
   ListenerFixture test;
   test.listening.Act([&] { test.listener->Pause(); });
   test.Come(3);
@@ -320,7 +322,7 @@
   CHECK(test.taken.size() == 3);
 }
 
-// ---- a front's parts, serving
+// ---- a front's components, serving
 
 const std::string kLargeObject = "large";
 
@@ -329,7 +331,7 @@
   return std::string(16 - digits.size(), '0') + digits;
 }
 
-/// A server that answers every request, and counts how often each ran.
+/// A server that answers every request, and counts the executions of each.
 class FakeServer {
  public:
   FakeServer(stage::Process& process, const loop::Address& at) : process_(process) {
@@ -352,11 +354,11 @@
   struct Line final : loop::Connection::Owner {
     Line(FakeServer& all, loop::Descriptor fd)
         : server(all), connection(all.process_.loop(), *this, std::move(fd)) {}
-    void Came() override {
+    void OnBytesReceived() override {
       while (ReadOne()) {
       }
     }
-    void Ended(DisconnectReason) override {}
+    void OnDisconnected(DisconnectReason) override {}
 
     bool ReadOne() {
       std::string_view bytes = connection.in.bytes();
@@ -400,7 +402,8 @@
   std::vector<std::unique_ptr<Line>> lines_;
 };
 
-/// A client that sends one request after another over one connection, and notes the whole answers.
+/// A client that sends requests one after another over one connection, and records complete
+/// answers.
 class FakeClient final : public loop::Connection::Owner {
  public:
   FakeClient(stage::Process& process, std::vector<std::string> requests)
@@ -415,10 +418,10 @@
     process_.Act([&] { connection_.reset(); });
   }
 
-  /// Of each request that had its answer, in order.
+  /// The status of each answered request, in order.
   std::vector<int> statuses;
-  bool lost = false;        // the connection ended before the last answer
-  std::size_t unasked = 0;  // answers beyond the requests sent
+  bool lost = false;                   // the connection ended before the last answer
+  std::size_t unexpected_answers = 0;  // answers beyond the requests sent
   std::size_t RequestCount() const {
     return requests_.size();
   }
@@ -428,7 +431,7 @@
     if (sent_ < requests_.size())
       connection_->Send(requests_[sent_++]);
   }
-  void Came() override {
+  void OnBytesReceived() override {
     received_ += connection_->in.bytes();
     connection_->in.Consume(connection_->in.size());
     while (ReadOne()) {
@@ -446,13 +449,13 @@
     statuses.push_back(std::stoi(received_.substr(9, 3)));
     received_.erase(0, head + 4 + length);
     if (statuses.size() > sent_)
-      ++unasked;
+      ++unexpected_answers;
     SendNext();
     return true;
   }
-  void Ended(DisconnectReason) override {
+  void OnDisconnected(DisconnectReason) override {
     lost = statuses.size() < requests_.size();
-    unasked += received_.find("HTTP/1.1 ", 1) != received_.npos ? 1 : 0;
+    unexpected_answers += received_.find("HTTP/1.1 ", 1) != received_.npos ? 1 : 0;
   }
 
   stage::Process& process_;
@@ -462,7 +465,7 @@
   std::unique_ptr<loop::Connection> connection_;
 };
 
-/// Clients, a front's parts on a failing environment, and two servers.
+/// Clients, a front's components on a failing environment, and two servers.
 class ServingScenario {
  public:
   explicit ServingScenario(FailingEnvironment::Plan plan = nullptr) {
@@ -488,8 +491,8 @@
     TakeDown();
   }
 
-  /// Reads, writes that must not run twice, and a large object, some at once and some in a row on
-  /// one connection.
+  /// Reads, writes that must not run twice, and a large object, some concurrently and some
+  /// consecutively on one connection.
   void Serve() {
     constexpr int kClientCount = 5;
     for (int i = 0; i < kClientCount; ++i) {
@@ -513,13 +516,13 @@
     return Request("PUT", "write", "order", "pay", true);
   }
 
-  /// What holds after every plan: each request has its one final answer, unless its own connection
-  /// was ended by a failure; nothing that may run once ran twice; no spin; nothing is left open.
+  /// Invariants after every plan: each request has exactly one final answer, unless a failure ended
+  /// its own connection; no request that may run once ran twice; nothing spins or stays open.
   void CheckInvariants() {
     std::size_t lost = 0;
     for (auto& client : clients) {
       lost += client->lost ? 1 : 0;
-      CHECK(client->unasked == 0);
+      CHECK(client->unexpected_answers == 0);
       if (!client->lost)
         CHECK(client->statuses.size() == client->RequestCount());
     }
@@ -534,7 +537,7 @@
     CHECK(environment.MostIdleWaits() < kMostIdleWaits);
     TakeDown();
     CHECK(environment.OpenDescriptors() == 0);
-    CHECK(environment.StrangeCloses() == 0);
+    CHECK(environment.InvalidCloses() == 0);
   }
   bool AllAnsweredWith200() const {
     for (auto& client : clients)
@@ -581,8 +584,7 @@
   int last_request_ = 0;
 };
 
-/// Failures after which every request still has its 200: nothing that the system takes back is lost
-/// by them.
+/// Failures after which every request still gets a 200: they do not lose any data that was sent.
 bool MustNotShow(Call call, int error) {
   bool passes = error == 0 || error == EINTR || error == ENOBUFS || error == ENOMEM;
   return call == Call::kWait || call == Call::kAccept ||
@@ -603,7 +605,7 @@
   scenario.CheckInvariants();
 }
 
-TEST_CASE("every call at every ordinal fails once") {
+TEST_CASE("each call fails once at every ordinal") {
   ServingScenario whole;
   whole.Serve();
   std::size_t plans = 0;
@@ -629,11 +631,11 @@
   MESSAGE(plans << " plans");
 }
 
-TEST_CASE("failures that last half a second end nothing for good") {
+TEST_CASE("failures that last half a second have no permanent effect") {
   constexpr Ms kLastingFor = 500;
   for (Call call : kServingCalls) {
     for (Failure failure : FailuresOf(call)) {
-      // Interrupted calls are made again at once, and nothing interrupts a process without end.
+      // Interrupted calls are repeated at once, and no process is interrupted indefinitely.
       if (failure.error == EINTR)
         continue;
       CAPTURE(Name(call));
--- a/tests/upstream_fixture.hpp
+++ b/tests/upstream_fixture.hpp
@@ -24,7 +24,7 @@
   }
   void RunIterations(int count = 20) {
     for (int i = 0; i < count; ++i)
-      loop.turn(1);
+      loop.RunOnce(1);
   }
 };
 
@@ -120,7 +120,7 @@
   bool IsQuiet() {
     for (int i = 0; i < 20; ++i) {
       std::size_t before = peer.got.size();
-      fixture.loop.turn(1);
+      fixture.loop.RunOnce(1);
       if (peer.Read(1 << 20).size() != before)
         return false;
     }
