--- a/src/front/charter_layer.cpp
+++ b/src/front/charter_layer.cpp
@@ -115,18 +115,18 @@
       throw block.MakeError("store", "must be the path of a folder");
     settings.store = store->text;
   }
-  block.ReadNumber("hello_every_ms", settings.policy.hello_every, 50, 10000);
-  block.ReadNumber("forget_ms", settings.policy.forget, 500, 600000);
-  block.ReadNumber("young_ms", settings.policy.young, 1000, 3600000);
-  block.ReadNumber("neighbours_at_most_ms", settings.policy.neighbours_at_most, 100, 600000);
-  block.ReadNumber("group_at_most_ms", settings.policy.group_at_most, 100, 3600000);
-  block.ReadNumber("record_at_most_ms", settings.policy.record_at_most, 100, 3600000);
-  block.ReadNumber("rules_at_most_ms", settings.policy.rules_at_most, 100, 3600000);
-  block.ReadNumber("first", settings.policy.first, 0.001, 1, false);
-  block.ReadNumber("grow", settings.policy.grow, 1.01, 4, false);
-  block.ReadNumber("least", settings.policy.least, 0.0001, 1, false);
-  block.ReadNumber("step_ms", settings.policy.step_every, 20, 60000);
-  if (settings.policy.least > settings.policy.first)
+  block.ReadNumber("hello_every_ms", settings.policy.hello_interval, 50, 10000);
+  block.ReadNumber("forget_ms", settings.policy.presence_timeout, 500, 600000);
+  block.ReadNumber("young_ms", settings.policy.restart_window, 1000, 3600000);
+  block.ReadNumber("neighbours_at_most_ms", settings.policy.peers_timeout, 100, 600000);
+  block.ReadNumber("group_at_most_ms", settings.policy.group_timeout, 100, 3600000);
+  block.ReadNumber("record_at_most_ms", settings.policy.record_timeout, 100, 3600000);
+  block.ReadNumber("rules_at_most_ms", settings.policy.configuration_timeout, 100, 3600000);
+  block.ReadNumber("first", settings.policy.initial_share, 0.001, 1, false);
+  block.ReadNumber("grow", settings.policy.growth_factor, 1.01, 4, false);
+  block.ReadNumber("least", settings.policy.min_share, 0.0001, 1, false);
+  block.ReadNumber("step_ms", settings.policy.step_interval, 20, 60000);
+  if (settings.policy.min_share > settings.policy.initial_share)
     throw block.MakeError("least", "must be at most first");
   block.RejectUnknownFields();
   return settings;
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -63,9 +63,9 @@
                                       configuration.fleet, configuration.owner, DUNLINWICK_VERSION);
   }
 
-  recovery::StoreSeen CheckStore() {
-    recovery::StoreSeen seen;
-    using State = recovery::StoreSeen::State;
+  recovery::StoreInspection CheckStore() {
+    recovery::StoreInspection seen;
+    using State = recovery::StoreInspection::State;
     if (configuration.recovery.store.empty()) {
       seen.state = State::kNone;
     } else {
@@ -91,10 +91,10 @@
           seen.state = found.whose == Self() ? State::kGood : State::kForeign;
           break;
       }
-      seen.whose = found.whose;
-      seen.floors = {found.token, found.offset, found.incarnation, found.rules_digest,
-                     found.rules_version};
-      seen.witnessed = found.witnessed;
+      seen.owner_id = found.whose;
+      seen.minimums = {found.token, found.offset, found.incarnation, found.rules_digest,
+                       found.rules_version};
+      seen.witnessed_incarnations = found.witnessed;
       if (seen.state == State::kGood)
         minimums = found;
     }
@@ -102,9 +102,9 @@
       record::Head head = record->head();
       if (record->Corrupted() &&
           (seen.state == State::kGood || seen.state == State::kNone || seen.state == State::kEmpty))
-        seen.state = State::kHoled;
-      seen.floors.token = std::max(seen.floors.token, head.promised);
-      seen.floors.offset = std::max(seen.floors.offset, head.committed);
+        seen.state = State::kIncomplete;
+      seen.minimums.token = std::max(seen.minimums.token, head.promised);
+      seen.minimums.offset = std::max(seen.minimums.offset, head.committed);
     }
     minimums.whose = Self();
     minimums.incarnation =
@@ -356,14 +356,15 @@
         static_cast<int>(std::count_if(zone_of.begin(), zone_of.end(), [&](auto& front) {
           return front.second == zone_of[impl.Self()];
         }));
-    settings.policy.lease = configuration.owner.enabled ? configuration.owner.lease.lease : 0;
-    settings.policy.margin = configuration.owner.lease.margin;
-    settings.policy.drift = configuration.owner.lease.drift;
+    settings.policy.lease_duration =
+        configuration.owner.enabled ? configuration.owner.lease.lease : 0;
+    settings.policy.lease_margin = configuration.owner.lease.margin;
+    settings.policy.clock_drift = configuration.owner.lease.drift;
     for (const RequestClass& request_class : configuration.settings.request_classes) {
-      settings.policy.payoff.push_back(request_class.payoff);
-      settings.policy.certain.push_back(request_class.never_kept);
+      settings.policy.priority_weights.push_back(request_class.payoff);
+      settings.policy.certain_classes.push_back(request_class.never_kept);
     }
-    recovery::StoreSeen store = impl.CheckStore();
+    recovery::StoreInspection store = impl.CheckStore();
     impl.recovery =
         std::make_unique<RecoveryComponent>(loop, settings, impl.Self(), fronts, store,
                                             impl.minimums.incarnation, std::move(callbacks));
--- a/src/front/layer_terms.hpp
+++ b/src/front/layer_terms.hpp
@@ -31,7 +31,7 @@
 struct RecoverySettings {
   bool enabled = false;
   std::string store;  // a folder for the persisted minimums; "": none are kept
-  recovery::Terms policy;
+  recovery::Settings policy;
 };
 
 // "rules": {"round_ms": 500, "second_approver": false, "at_once": 1, "least_serving": 0.5, ...}
--- a/src/front/recovery.hpp
+++ b/src/front/recovery.hpp
@@ -18,9 +18,9 @@
 class RecoveryComponent final : public FleetComponent {
  public:
   struct State {  // of the other components, asked for each time the timer fires
-    recovery::GroupNow group;
-    recovery::RecordNow record;
-    recovery::RulesNow rules;
+    recovery::GroupState group;
+    recovery::RecordState record;
+    recovery::ConfigurationState rules;
     bool overloaded = false;
   };
   struct Callbacks {
@@ -34,7 +34,7 @@
     std::function<std::uint64_t(peers::Id of)> witnessed_incarnation;
   };
   RecoveryComponent(loop::Loop& loop, const RecoverySettings& settings, peers::Id self,
-                    std::vector<peers::Id> fronts, const recovery::StoreSeen& store,
+                    std::vector<peers::Id> fronts, const recovery::StoreInspection& store,
                     std::uint64_t incarnation, Callbacks callbacks);
   peers::Channel channel() const override {
     return peers::Channel::kRecovery;
@@ -45,7 +45,7 @@
   std::string StatusJson() const override;
   bool MayAcquireLeases() const;
   recovery::Phase phase() const;
-  recovery::Floors persisted_minimums() const;
+  recovery::PersistedMinimums persisted_minimums() const;
 
  private:
   void Execute(const std::vector<recovery::Action>& actions);
--- a/src/recovery/floors.cpp
+++ b/src/recovery/floors.cpp
@@ -6,35 +6,35 @@
 
 namespace {
 
-// What a majority of the fleet knows at least: of the sound claims in falling order the one that
-// makes up the majority. Nothing where too few disks are sound: then no disk can be judged by the
-// others.
-std::optional<std::uint64_t> MajorityKnows(const std::vector<Claim>& all, std::size_t fronts,
-                                           std::uint64_t Floors::*field) {
-  std::vector<std::uint64_t> said;
+// The value that a majority of the fleet knows at least: of the usable claims in descending order
+// the one that completes the majority. Nothing if too few stores are usable: then no store can be
+// judged by the others.
+std::optional<std::uint64_t> MajorityMinimum(const std::vector<Claim>& all, std::size_t fronts,
+                                             std::uint64_t PersistedMinimums::*field) {
+  std::vector<std::uint64_t> values;
   for (const Claim& c : all)
-    if (Sound(c.store))
-      said.push_back(c.floors.*field);
-  std::size_t most = fronts / 2 + 1;
-  if (said.size() < most)
+    if (IsUsable(c.store))
+      values.push_back(c.minimums.*field);
+  std::size_t majority = fronts / 2 + 1;
+  if (values.size() < majority)
     return {};
-  std::nth_element(said.begin(), said.begin() + static_cast<long>(most - 1), said.end(),
+  std::nth_element(values.begin(), values.begin() + static_cast<long>(majority - 1), values.end(),
                    std::greater<>());
-  return said[most - 1];
+  return values[majority - 1];
 }
 
-std::uint64_t Highest(const std::vector<Claim>& all, std::size_t fronts,
-                      std::uint64_t Floors::*field, std::uint64_t ahead) {
-  auto known = MajorityKnows(all, fronts, field);
-  std::uint64_t best = 0;
+std::uint64_t HighestPlausible(const std::vector<Claim>& all, std::size_t fronts,
+                               std::uint64_t PersistedMinimums::*field, std::uint64_t max_lead) {
+  auto majority_minimum = MajorityMinimum(all, fronts, field);
+  std::uint64_t highest = 0;
   for (const Claim& c : all)
-    if (Sound(c.store) &&
-        (!known || c.floors.*field <= *known || c.floors.*field - *known <= ahead))
-      best = std::max(best, c.floors.*field);
-  return best;
+    if (IsUsable(c.store) && (!majority_minimum || c.minimums.*field <= *majority_minimum ||
+                              c.minimums.*field - *majority_minimum <= max_lead))
+      highest = std::max(highest, c.minimums.*field);
+  return highest;
 }
 
-std::vector<Claim> With(const std::vector<Claim>& others, const Claim& own) {
+std::vector<Claim> AllClaims(const std::vector<Claim>& others, const Claim& own) {
   std::vector<Claim> all = others;
   all.push_back(own);
   return all;
@@ -42,68 +42,74 @@
 
 }  // namespace
 
-// Of those who have seen this front, the higher half's lowest word: one bad disk alone can't raise
-// it, nor can one old disk lower it.
-std::uint64_t ByWitnesses(const std::vector<Claim>& others) {
-  std::vector<std::uint64_t> said;
+// The lower median of the incarnations that were seen of this front: one corrupted store alone
+// can't raise it, nor can one stale store lower it.
+std::uint64_t WitnessedIncarnation(const std::vector<Claim>& others) {
+  std::vector<std::uint64_t> values;
   for (const Claim& c : others)
-    if (Sound(c.store) && c.of_us > 0)
-      said.push_back(c.of_us);
-  if (said.empty())
+    if (IsUsable(c.store) && c.own_incarnation_seen > 0)
+      values.push_back(c.own_incarnation_seen);
+  if (values.empty())
     return 0;
-  std::sort(said.begin(), said.end());
-  return said[(said.size() - 1) / 2];
+  std::sort(values.begin(), values.end());
+  return values[(values.size() - 1) / 2];
 }
 
-Floors Together(const std::vector<Claim>& others, const Claim& own, std::size_t fronts,
-                const Terms& terms) {
-  std::vector<Claim> all = With(others, own);
-  Floors f;
-  f.token = Highest(all, fronts, &Floors::token, terms.ahead_tokens);
-  f.offset = Highest(all, fronts, &Floors::offset, terms.ahead_offsets);
-  f.incarnation = std::max(Sound(own.store) ? own.floors.incarnation : 0, ByWitnesses(others));
-  f.rules_version = Highest(all, fronts, &Floors::rules_version, terms.ahead_tokens);
-  // The digest that most say of that version; of two said equally often the lower, so that all
-  // fronts choose alike.
-  std::map<std::uint64_t, int> said;
+PersistedMinimums CombineMinimums(const std::vector<Claim>& others, const Claim& own,
+                                  std::size_t fronts, const Settings& settings) {
+  std::vector<Claim> all = AllClaims(others, own);
+  PersistedMinimums combined;
+  combined.token =
+      HighestPlausible(all, fronts, &PersistedMinimums::token, settings.max_token_lead);
+  combined.offset =
+      HighestPlausible(all, fronts, &PersistedMinimums::offset, settings.max_offset_lead);
+  combined.incarnation =
+      std::max(IsUsable(own.store) ? own.minimums.incarnation : 0, WitnessedIncarnation(others));
+  combined.configuration_version = HighestPlausible(
+      all, fronts, &PersistedMinimums::configuration_version, settings.max_token_lead);
+  // The digest that most report for that version; the lower of two equally frequent ones, so that
+  // all fronts choose the same.
+  std::map<std::uint64_t, int> values;
   for (const Claim& c : all)
-    if (Sound(c.store) && c.floors.rules_version == f.rules_version)
-      ++said[c.floors.rules_digest];
+    if (IsUsable(c.store) && c.minimums.configuration_version == combined.configuration_version)
+      ++values[c.minimums.configuration_digest];
   int most = 0;
-  for (auto& [digest, times] : said)
+  for (auto& [digest, times] : values)
     if (times > most) {
       most = times;
-      f.rules_digest = digest;
+      combined.configuration_digest = digest;
     }
-  return f;
+  return combined;
 }
 
-std::string FoundOut(const std::vector<Claim>& others, const Claim& own, std::size_t fronts,
-                     const Terms& terms) {
-  if (!Sound(own.store))
+std::string RejectionReason(const std::vector<Claim>& others, const Claim& own, std::size_t fronts,
+                            const Settings& settings) {
+  if (!IsUsable(own.store))
     return {};
-  std::uint64_t seen = ByWitnesses(others);
-  if (own.floors.incarnation < seen)
-    return "behind what others witness of it: incarnation " +
-           std::to_string(own.floors.incarnation) + ", seen " + std::to_string(seen);
-  std::vector<Claim> all = With(others, own);
-  auto above = [&](std::uint64_t Floors::*field, std::uint64_t ahead) {
-    auto known = MajorityKnows(all, fronts, field);
-    return known && own.floors.*field > *known && own.floors.*field - *known > ahead;
+  std::uint64_t witnessed_incarnation = WitnessedIncarnation(others);
+  if (own.minimums.incarnation < witnessed_incarnation)
+    return "behind its witnesses: incarnation " +
+           std::to_string(own.minimums.incarnation) + ", witnessed " +
+           std::to_string(witnessed_incarnation);
+  std::vector<Claim> all = AllClaims(others, own);
+  auto above = [&](std::uint64_t PersistedMinimums::*field, std::uint64_t max_lead) {
+    auto majority_minimum = MajorityMinimum(all, fronts, field);
+    return majority_minimum && own.minimums.*field > *majority_minimum &&
+           own.minimums.*field - *majority_minimum > max_lead;
   };
-  if (above(&Floors::token, terms.ahead_tokens))
+  if (above(&PersistedMinimums::token, settings.max_token_lead))
     return "token above what any majority knows";
-  if (above(&Floors::offset, terms.ahead_offsets))
+  if (above(&PersistedMinimums::offset, settings.max_offset_lead))
     return "offset above what any majority knows";
-  if (above(&Floors::rules_version, terms.ahead_tokens))
-    return "rules' version above what any majority knows";
-  std::map<std::uint64_t, std::size_t> said;
+  if (above(&PersistedMinimums::configuration_version, settings.max_token_lead))
+    return "configuration version above what any majority knows";
+  std::map<std::uint64_t, std::size_t> values;
   for (const Claim& c : all)
-    if (Sound(c.store) && c.floors.rules_version == own.floors.rules_version)
-      ++said[c.floors.rules_digest];
-  for (auto& [digest, times] : said)
-    if (times >= fronts / 2 + 1 && digest != own.floors.rules_digest)
-      return "rules' digest is not a majority's at the same version";
+    if (IsUsable(c.store) && c.minimums.configuration_version == own.minimums.configuration_version)
+      ++values[c.minimums.configuration_digest];
+  for (auto& [digest, times] : values)
+    if (times >= fronts / 2 + 1 && digest != own.minimums.configuration_digest)
+      return "configuration digest differs from a majority's at the same version";
   return {};
 }
 
--- a/src/recovery/floors.hpp
+++ b/src/recovery/floors.hpp
@@ -1,5 +1,5 @@
-// Floors by what all disks say together, and disks found out. Pure; rows bounded by the fronts of
-// the fleet.
+// Combines the persisted minimums that all fronts report and detects a store that must not be
+// trusted. Pure; memory is bounded by the number of fronts in the fleet.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,24 +8,25 @@
 
 namespace dunlinwick::recovery {
 
-struct Claim {  // one front's disk, as it tells
-  StoreSeen::State store = StoreSeen::State::kNone;
-  Floors floors;
-  std::uint64_t of_us = 0;  // incarnation it has seen of this front
+struct Claim {  // what one front reports about its store
+  StoreInspection::State store = StoreInspection::State::kNone;
+  PersistedMinimums minimums;
+  std::uint64_t own_incarnation_seen = 0;  // the highest incarnation it has seen of this front
 };
-inline bool Sound(StoreSeen::State s) {
-  return s == StoreSeen::State::kGood || s == StoreSeen::State::kHoled;
+inline bool IsUsable(StoreInspection::State s) {
+  return s == StoreInspection::State::kGood || s == StoreInspection::State::kIncomplete;
 }
 
-// The highest of all sound claims (this front's own among them). Where so many disks are sound that
-// they are a majority of the fleet, nothing counts that is further above what a majority knows than
-// `ahead`. `incarnation`: this front's own, by its disk or most witnesses.
-Floors Together(const std::vector<Claim>& others, const Claim& own, std::size_t fronts,
-                const Terms& terms);
-// Why this front's own disk is not to be trusted; empty: nothing against it is known.
-std::string FoundOut(const std::vector<Claim>& others, const Claim& own, std::size_t fronts,
-                     const Terms& terms);
-// The incarnation that most of those who have seen this front say at least; 0: nobody has.
-std::uint64_t ByWitnesses(const std::vector<Claim>& others);
+// The highest values of all usable claims, this front's own among them. Where the usable stores are
+// a majority of the fleet, a value that exceeds what a majority knows by more than the permitted
+// lead is ignored. `incarnation` is this front's own, by its store or by most witnesses.
+PersistedMinimums CombineMinimums(const std::vector<Claim>& others, const Claim& own,
+                                  std::size_t fronts, const Settings& settings);
+// Why this front's own store is not trusted; empty if nothing is known against it.
+std::string RejectionReason(const std::vector<Claim>& others, const Claim& own, std::size_t fronts,
+                            const Settings& settings);
+// The incarnation that most of the fronts that have seen this front report as a minimum; 0 if none
+// has.
+std::uint64_t WitnessedIncarnation(const std::vector<Claim>& others);
 
 }  // namespace dunlinwick::recovery
--- a/src/recovery/letting_in.hpp
+++ b/src/recovery/letting_in.hpp
@@ -1,6 +1,6 @@
-// How much of its usual work a front lets in, and which classes first. Pure; a step for each front
-// alone, bounded over all of them since each starts at a part of what cold parents bear from
-// everybody, and all hear of crowding.
+// Which share of its usual work a front admits, and which request classes first. Pure. Each front
+// takes its steps independently; the total over all fronts is bounded because each starts at a
+// share of what cold parents can serve to the whole fleet, and all fronts learn of an overload.
 #pragma once
 #include <vector>
 
@@ -8,38 +8,38 @@
 
 namespace dunlinwick::recovery {
 
-class LettingIn {
+class AdmissionRamp {
  public:
-  explicit LettingIn(const Terms& terms);
-  void begin(Ms now);  // from the share it has; zones step one after the other within a step's time
-  void all() {
+  explicit AdmissionRamp(const Settings& settings);
+  void Start(Ms now);  // from the current share; zones step one after the other within an interval
+  void AdmitAll() {
     share_ = 1;
   }
-  void Again() {
-    share_ = std::min(share_, terms_.first);
-    edge_ = 0;
+  void Restart() {
+    share_ = std::min(share_, settings_.initial_share);
+    last_overload_share_ = 0;
   }
-  void Crowded(Ms now, bool halve);
-  bool Step(Ms now);  // true: the share moved
+  void OnOverload(Ms now, bool halve);
+  bool Step(Ms now);  // true if a step was taken
   double Share() const {
     return share_;
   }
-  Ms Next() const {
-    return next_;
+  Ms NextStepAt() const {
+    return next_step_at_;
   }
-  // By offering: those of most payoff first until `share` of the usual work is let in. certainOnly:
-  // none of the rest.
+  // The admitted share of each request class: those with the highest priority weight first until
+  // `share` of the usual work is admitted. With `certain_only`, the other classes get 0.
   std::vector<double> ByRequestClass(bool certain_only) const;
 
  private:
-  const Terms& terms_;
+  const Settings& settings_;
   double share_;
-  double edge_ = 0;  // where it was crowded last
-  Ms next_ = 0;
-  Ms halved_at_;
-  bool held_ = false;  // crowded since the last step
+  double last_overload_share_ = 0;  // the share at the last overload
+  Ms next_step_at_ = 0;
+  Ms last_halved_at_;
+  bool overloaded_since_step_ = false;
 };
-Ms LettingInTakes(
-    const Terms& terms);  // from `least` to all, by the slow steps alone, with nothing crowded
+// From the minimum share to everything, by slow steps alone and without an overload.
+Ms AdmissionRampDuration(const Settings& settings);
 
 }  // namespace dunlinwick::recovery
--- a/src/rig/recovery_judge.cpp
+++ b/src/rig/recovery_judge.cpp
@@ -39,14 +39,14 @@
         break;
       case Seen::What::kEntered: {
         bool next = static_cast<int>(s.phase) == static_cast<int>(f.phase) + 1;
-        bool back = s.phase == Phase::kNeighbours && f.may_go_back;
+        bool back = s.phase == Phase::kPeers && f.may_go_back;
         if (f.started && !next && !back)
           say("order", s, std::string("from ") + ToString(f.phase) + " to " + ToString(s.phase));
         if (back)
           f.may_go_back = false;
         f.phase = s.phase;
         // By time alone it may go on, serving what is certain; never on to letting everything in.
-        if (f.started && s.bad && s.phase == Phase::kWhole)
+        if (f.started && s.bad && s.phase == Phase::kComplete)
           say("spoilt", s, "whole by a bad disk that it believes");
         break;
       }
@@ -88,7 +88,7 @@
     }
   }
   Seen end{.what = Seen::What::kPower, .at = run.end};
-  if (!run.all_whole || run.end - run.faults_over > recovery::Whole(run.terms))
+  if (!run.all_whole || run.end - run.faults_over > recovery::MaxRecoveryTime(run.terms))
     say("whole", end, "not every front was whole in time");
   if (run.whole_loss)
     for (auto& [id, f] : fronts) {
--- a/src/rig/recoverysim.cpp
+++ b/src/rig/recoverysim.cpp
@@ -6,7 +6,7 @@
 namespace dunlinwick::rig {
 
 using namespace recovery;
-using State = StoreSeen::State;
+using State = StoreInspection::State;
 
 const char* ToString(Fault f) {
   static constexpr const char* kWords[] = {"all at once",
@@ -32,10 +32,10 @@
   t.each.zones = zones;
   t.each.zone_replicas = fronts / zones;
   // Kept objects of three payoffs, and one class that is never kept.
-  t.each.payoff = {3, 1, 2, 1.5};
-  t.each.work = {0.2, 0.4, 0.3, 0.1};
-  t.each.certain = {false, false, false, true};
-  t.each = Fit(t.each, t.parent_from, t.usual_miss);
+  t.each.priority_weights = {3, 1, 2, 1.5};
+  t.each.class_work = {0.2, 0.4, 0.3, 0.1};
+  t.each.certain_classes = {false, false, false, true};
+  t.each = FitToCapacity(t.each, t.parent_from, t.usual_miss);
   return t;
 }
 
@@ -47,7 +47,7 @@
   bool there = true;
   State claims = State::kGood;  // what its own check can find
   Id whose = 0;
-  Floors floors;
+  PersistedMinimums floors;
   std::map<Id, std::uint64_t> witnessed;
   std::uint64_t position = 0;  // whole prefix of the record
   bool log = false;            // a group member's: its log is there
@@ -81,7 +81,7 @@
   bool was_member = false;
   bool current = false;
   bool believed = false;
-  Admit admit;
+  AdmissionUpdate admit;
   bool any_admit = false;
 };
 
@@ -138,7 +138,7 @@
   f.on = true;
   f.start = now_;
   f.rec = nullptr;
-  Terms t = terms_.each;
+  Settings t = terms_.each;
   t.zone = f.zone;
   t.zone_replicas = terms_.fronts / terms_.zones + (f.zone < terms_.fronts % terms_.zones);
   std::vector<Id> ids;
@@ -170,22 +170,22 @@
 
 void RecoverySim::Give(Front& f, Event e) {
   // Broken: the front asks nobody about its own disk.
-  if (auto* h = std::get_if<Heard>(&e); h && terms_.breaks.own_disk) {
-    h->hello.floors = {};
+  if (auto* h = std::get_if<HelloReceived>(&e); h && terms_.breaks.own_disk) {
+    h->hello.minimums = {};
     h->hello.store = State::kNone;
-    h->hello.of_you = 0;
+    h->hello.receiver_incarnation = 0;
   }
   if (auto* s = std::get_if<StoreChecked>(&e)) {
     if (terms_.breaks.foreign) {
-      if (s->seen.state == State::kForeign)
-        s->seen.state = State::kGood;
-      s->seen.whose = f.id;
+      if (s->inspection.state == State::kForeign)
+        s->inspection.state = State::kGood;
+      s->inspection.owner_id = f.id;
     }
-    if (terms_.breaks.skip && s->seen.state == State::kGood) {
+    if (terms_.breaks.skip && s->inspection.state == State::kGood) {
       run_.seen.push_back({.what = Seen::What::kEntered,
                            .at = now_,
                            .front = f.id,
-                           .phase = Phase::kWhole,
+                           .phase = Phase::kComplete,
                            .bad = f.believed});
       run_.seen.push_back({.what = Seen::What::kAdmit,
                            .at = now_,
@@ -200,7 +200,7 @@
 void RecoverySim::Act(Front& f, std::vector<Action> actions) {
   bool said = false;
   for (Action& a : actions) {
-    if (auto* s = std::get_if<Say>(&a)) {
+    if (auto* s = std::get_if<SendHello>(&a)) {
       if (Unit() < 0.01)
         continue;
       std::size_t later = 1 + static_cast<std::size_t>(Unit() * 3);
@@ -210,24 +210,24 @@
       else
         one.hello = s->hello;
       flights_[later].push_back(std::move(one));
-    } else if (auto* e = std::get_if<Entered>(&a)) {
+    } else if (auto* e = std::get_if<PhaseEntered>(&a)) {
       run_.seen.push_back({.what = Seen::What::kEntered,
                            .at = now_,
                            .front = f.id,
                            .phase = e->phase,
                            .by_time = e->by_time,
                            .bad = f.believed,
-                           .why = e->why});
+                           .why = e->reason});
       if (e->phase == Phase::kGroup) {  // a new life's incarnation: above all that is known of it
         f.incarnation =
             std::max({f.incarnation,
                       static_cast<std::uint64_t>(std::max(0.0, 1000 + (now_ - f.clock_set) / 1000)),
-                      f.rec->floors().incarnation + 1});
+                      f.rec->minimums().incarnation + 1});
         if (f.disk.there)
           f.disk.floors.incarnation = f.incarnation;
         said = true;
       }
-    } else if (auto* m = std::get_if<Admit>(&a)) {
+    } else if (auto* m = std::get_if<AdmissionUpdate>(&a)) {
       f.admit = *m;
       f.any_admit = true;
       run_.seen.push_back({.what = Seen::What::kAdmit,
@@ -239,16 +239,16 @@
         run_.first_safe = now_ - power_back_;
       if (run_.first_kept < 0 && power_back_ >= 0 && !m->certain_only)
         run_.first_kept = now_ - power_back_;
-    } else if (auto* l = std::get_if<Loss>(&a)) {
+    } else if (auto* l = std::get_if<LossReport>(&a)) {
       if (!terms_.breaks.untold)
         run_.seen.push_back({.what = Seen::What::kLoss,
                              .at = now_,
                              .front = f.id,
-                             .value = l->whole ? 1.0 : 0.0,
-                             .why = l->lost});
-    } else if (auto* s2 = std::get_if<Corrupted>(&a)) {
+                             .value = l->whole_fleet ? 1.0 : 0.0,
+                             .why = l->lost_state});
+    } else if (auto* s2 = std::get_if<StoreRejected>(&a)) {
       run_.seen.push_back(
-          {.what = Seen::What::kCorrupted, .at = now_, .front = f.id, .why = s2->why});
+          {.what = Seen::What::kCorrupted, .at = now_, .front = f.id, .why = s2->reason});
       f.believed = false;
       f.position = 0;
       f.version = 0;
@@ -263,7 +263,7 @@
     }
   }
   if (said)
-    Give(f, Said{f.incarnation});
+    Give(f, IncarnationAnnounced{f.incarnation});
 }
 
 // Who leads, what is committed, who owns. A member whose log is gone doesn't vote for itself.
@@ -315,7 +315,7 @@
         return;
       Front* by = nullptr;
       for (Front* f : there)
-        if (f->rec->MayFound(now_))
+        if (f->rec->MayReformGroup(now_))
           by = f;
       if (!by)
         return;
@@ -328,8 +328,8 @@
           g.token = std::max(g.token, f->disk.log_token);
           g.offset = std::max(g.offset, f->disk.log_offset);
         }
-      g.token = std::max(g.token, by->rec->floors().token) + 1;
-      g.offset = std::max(g.offset, by->rec->floors().offset) + 1;
+      g.token = std::max(g.token, by->rec->minimums().token) + 1;
+      g.offset = std::max(g.offset, by->rec->minimums().offset) + 1;
       run_.seen.push_back({.what = Seen::What::kCommitted,
                            .at = now_,
                            .front = by->id,
@@ -340,8 +340,8 @@
     g.write_at = now_;
   }
   // A floor learnt late: what the group hands out goes above it.
-  if (g.leader->rec->MayFound(now_)) {
-    Floors f = g.leader->rec->floors();
+  if (g.leader->rec->MayReformGroup(now_)) {
+    PersistedMinimums f = g.leader->rec->minimums();
     if (f.token > g.token)
       g.token = f.token + 1;
     if (f.offset > g.offset)
@@ -362,7 +362,7 @@
     if (!f->on || !reach(*f, *g.leader) || now_ < f->ask_at)
       continue;
     f->ask_at = now_ + Between(1000, 3000);
-    bool may = f->rec->MayOwn(now_) && g.leader->rec->MayOwn(now_);
+    bool may = f->rec->MayAcquireLeases(now_) && g.leader->rec->MayAcquireLeases(now_);
     if (terms_.breaks.lease)
       may = true;
     Ms over = 0, seen = 0;
@@ -380,7 +380,7 @@
                          .number = g.token,
                          .floor = known_token_,
                          .lease_over = over});
-    g.leases = {{now_, now_ + terms_.each.lease}};
+    g.leases = {{now_, now_ + terms_.each.lease_duration}};
     break;
   }
   for (Front* f : connected(*g.leader))
@@ -395,7 +395,7 @@
   Group& g = *group_;
   if (f.check_at > 0 && now_ >= f.check_at) {
     f.check_at = 0;
-    StoreSeen s;
+    StoreInspection s;
     if (!f.disk.there || f.disk.claims == State::kEmpty) {
       s.state = State::kEmpty;
       f.disk.there = true;
@@ -403,11 +403,11 @@
       f.disk.whose = f.id;
     } else {
       s.state = f.disk.claims;
-      s.whose = f.disk.whose;
-      s.floors = f.disk.floors;
-      s.witnessed = f.disk.witnessed;
+      s.owner_id = f.disk.whose;
+      s.minimums = f.disk.floors;
+      s.witnessed_incarnations = f.disk.witnessed;
       f.position = f.disk.position;
-      f.version = f.disk.floors.rules_version;
+      f.version = f.disk.floors.configuration_version;
     }
     Give(f, StoreChecked{s});
   }
@@ -421,15 +421,15 @@
     f.current = true;
   // A bad disk that is still believed: what was caught up on its prefix is not current.
   bool discovery = now_ >= discovery_down_until_ && f.side == 0;
-  if (f.version != kApproved || f.disk.floors.rules_digest != kApprovedDigest) {
+  if (f.version != kApproved || f.disk.floors.configuration_digest != kApprovedDigest) {
     if (f.fetched_at < 0 && discovery)
       f.fetched_at = now_ + Between(300, 2500);
     if (f.fetched_at >= 0 && now_ >= f.fetched_at) {
       f.version = kApproved;
       f.fetched_at = -1;
       if (f.disk.there) {
-        f.disk.floors.rules_version = kApproved;
-        f.disk.floors.rules_digest = kApprovedDigest;
+        f.disk.floors.configuration_version = kApproved;
+        f.disk.floors.configuration_digest = kApprovedDigest;
       }
     }
   }
@@ -445,21 +445,22 @@
       f.was_member = f.current = false;
     if (lost)
       run_.seen.push_back({.what = Seen::What::kLost, .at = now_, .front = f.id});
-    Give(f, GroupNow{f.id <= static_cast<Id>(terms_.group), linked, linked && g.founded, lost,
-                     linked ? g.token : 0});
-    Give(f, RecordNow{f.position, linked ? g.offset : 0, linked && f.position >= g.offset, now_,
-                      true});
+    Give(f, GroupState{f.id <= static_cast<Id>(terms_.group), linked, linked && g.founded, lost,
+                       linked ? g.token : 0});
+    Give(f, RecordState{f.position, linked ? g.offset : 0, linked && f.position >= g.offset, now_,
+                        true});
     Ms since = std::max(parents_since_, zone_since_[static_cast<std::size_t>(f.zone)]);
     std::optional<bool> cold;  // the list tells starts
     if (discovery)
       cold = now_ - since < terms_.parent_lasts;
-    Give(f, Behind{crowded_now_, cold});
-    Give(f, RulesNow{true, discovery && f.version == kApproved, f.version, kApprovedDigest});
+    Give(f, UpstreamState{crowded_now_, cold});
+    Give(f,
+         ConfigurationState{true, discovery && f.version == kApproved, f.version, kApprovedDigest});
   } else {
     Act(f, f.rec->Handle(now_, Tick{}));
   }
   // Floors and witness go to the disk twice a second, once this front's own word is sure.
-  if (now_ >= f.saved_at && f.disk.there && f.rec->phase() > Phase::kNeighbours && !f.believed) {
+  if (now_ >= f.saved_at && f.disk.there && f.rec->phase() > Phase::kPeers && !f.believed) {
     f.saved_at = now_ + 500;
     if (linked && f.rec->phase() > Phase::kRecord) {
       f.disk.claims = State::kGood;
@@ -469,7 +470,7 @@
       f.disk.floors.incarnation = std::max(f.disk.floors.incarnation, f.incarnation);
     }
     for (auto& o : fronts_)
-      if (o->id != f.id && reach(f, *o) && o->rec->phase() > Phase::kNeighbours) {
+      if (o->id != f.id && reach(f, *o) && o->rec->phase() > Phase::kPeers) {
         std::uint64_t& w = f.disk.witnessed[o->id];
         w = std::max(w, o->incarnation);
       }
@@ -484,15 +485,16 @@
     if (!f->on)
       continue;
     double kept = 1, never = 0.1;
-    if (terms_.breaks.at_once && f->rec->phase() >= Phase::kLettingIn && !f->rec->CertainOnly())
+    if (terms_.breaks.at_once && f->rec->phase() >= Phase::kAdmissionRamp &&
+        !f->rec->IsCertainOnly())
       kept = 0.9;
     else if (f->any_admit && f->admit.by_request_class.empty())
       kept = 0.9;
     else {
       kept = never = 0;
       for (std::size_t i = 0; i < f->admit.by_request_class.size(); ++i)
-        (terms_.each.certain[i] ? never : kept) +=
-            f->admit.by_request_class[i] * terms_.each.work[i];
+        (terms_.each.certain_classes[i] ? never : kept) +=
+            f->admit.by_request_class[i] * terms_.each.class_work[i];
     }
     by_zone[static_cast<std::size_t>(f->zone)] += kept;
     straight += never;
@@ -559,13 +561,13 @@
         say(f, "lost");
         break;
       case 1:
-        f.disk.claims = State::kHoled;
+        f.disk.claims = State::kIncomplete;
         f.disk.position /= 2;
         f.disk.log = false;
         say(f, "torn");
         break;
       case 2:  // flipped where the digest shows it
-        f.disk.claims = State::kHoled;
+        f.disk.claims = State::kIncomplete;
         f.disk.floors = {0, 0, f.disk.floors.incarnation, 0, 0};
         f.disk.position = 0;
         f.disk.log = false;
@@ -693,11 +695,12 @@
   std::size_t next = 0;
   while (now_ < terms_.longest) {
     now_ += terms_.tick;
-    bool all_whole = std::all_of(fronts_.begin(), fronts_.end(),
-                                 [](auto& f) { return f->on && f->rec->phase() == Phase::kWhole; });
+    bool all_whole = std::all_of(fronts_.begin(), fronts_.end(), [](auto& f) {
+      return f->on && f->rec->phase() == Phase::kComplete;
+    });
     if (begin < 0 && all_whole) {
       // In service for over a minute: nobody is young any more.
-      begin = std::max(now_, terms_.each.young + 1000);
+      begin = std::max(now_, terms_.each.restart_window + 1000);
     }
     if (begin >= 0 && now_ >= begin && deeds.empty()) {
       power_back_ = -1;
@@ -711,7 +714,7 @@
         std::vector<std::uint64_t> tokens, offsets;
         for (auto& o : fronts_) {
           bool ok = o->disk.there && !o->disk.bad &&
-                    (o->disk.claims == State::kGood || o->disk.claims == State::kHoled);
+                    (o->disk.claims == State::kGood || o->disk.claims == State::kIncomplete);
           tokens.push_back(ok ? o->disk.floors.token : 0);
           offsets.push_back(ok ? o->disk.floors.offset : 0);
         }
@@ -772,9 +775,9 @@
       if (!to.on || to.side != from.side)
         continue;
       if (!terms_.bytes)
-        Give(to, Heard{x.from, x.hello});
+        Give(to, HelloReceived{x.from, x.hello});
       else if (auto h = Decode(x.bytes))
-        Give(to, Heard{x.from, *h});
+        Give(to, HelloReceived{x.from, *h});
     }
     GroupTurn();
     for (auto& f : fronts_)
@@ -791,7 +794,7 @@
         break;
     }
     if (!deeds.empty() && next >= deeds.size() &&
-        now_ > run_.faults_over + recovery::Whole(terms_.each) + 60000)
+        now_ > run_.faults_over + recovery::MaxRecoveryTime(terms_.each) + 60000)
       break;
   }
   if (!run_.all_whole)
--- a/src/rig/recoverysim.hpp
+++ b/src/rig/recoverysim.hpp
@@ -45,7 +45,7 @@
   int fronts = 7;
   int zones = 3;
   int group = 3;
-  recovery::Terms each;
+  recovery::Settings each;
   Ms tick = 50;
   Ms longest = 600000;
   double parent_from = 0.3;
@@ -89,7 +89,7 @@
 struct RecoveryRun {
   std::vector<Seen> seen;
   std::vector<std::string> faults;
-  recovery::Terms terms;
+  recovery::Settings terms;
   Ms faults_over = 0;
   Ms end = 0;
   bool all_whole = false;
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -456,17 +456,17 @@
 
 void AddRecovery(std::vector<Golden>& all) {
   recovery::Hello hello;
-  hello.life = 1700000000123u;
-  hello.up = 1234.5;
+  hello.start_id = 1700000000123u;
+  hello.uptime = 1234.5;
   hello.phase = recovery::Phase::kRecord;
-  hello.store = recovery::StoreSeen::State::kHoled;
-  hello.floors = {7, 45, 1700000000000u, 0x0102030405060708u, 42};
+  hello.store = recovery::StoreInspection::State::kIncomplete;
+  hello.minimums = {7, 45, 1700000000000u, 0x0102030405060708u, 42};
   hello.committed = 44;
-  hello.group_leads = true;
+  hello.group_has_leader = true;
   hello.group_member = true;
   hello.zone = 2;
-  hello.carries = 0.35;
-  hello.of_you = 1700000000001u;
+  hello.admitted_share = 0.35;
+  hello.receiver_incarnation = 1700000000001u;
   all.push_back({"recovery_hello", recovery::Encode(hello),
                  Reencode([](Bytes bytes) { return recovery::Decode(bytes); })});
 }
