--- a/src/changes/ledger.cpp
+++ b/src/changes/ledger.cpp
@@ -4,223 +4,233 @@
 
 namespace dunlinwick::changes {
 
-const char* ToString(State state) {
-  static const char* const kWords[] = {"staged", "applied", "kept", "undone", "dropped"};
-  return kWords[static_cast<int>(state)];
+const char* ToString(GenerationState state) {
+  static const char* const kNames[] = {"staged", "applied", "confirmed", "reverted", "discarded"};
+  return kNames[static_cast<int>(state)];
 }
 
-const char* ToString(Why why) {
-  static const char* const kWords[] = {
+const char* ToString(Reason reason) {
+  static const char* const kNames[] = {
       "",
-      "it is based on a generation that is no longer the confirmed one; read it again",
-      "another change is applied and waits for its confirmation",
-      "too many generations are alive; wait until pulls of the old ones have ended",
-      "there is no such generation in that state",
+      "it is based on a generation that is no longer the confirmed one; fetch the current one",
+      "another change is applied and awaits confirmation",
+      "too many generations are in use; wait until requests of the old ones have ended",
+      "no such generation exists in the required state",
       "a later coordinator has taken over",
-      "the time to confirm in must be from 1 s to 10 min",
-      "an operator asked for it",
-      "nobody confirmed it in its time",
-      "the watch saw it do harm"};
-  return kWords[static_cast<int>(why)];
+      "the confirmation timeout must be from 1 s to 10 min",
+      "requested by an operator",
+      "not confirmed before its lease ended",
+      "monitoring raised an alarm"};
+  return kNames[static_cast<int>(reason)];
 }
 
-Ledger::Ledger(Bounds bounds, std::optional<Record> last) : bounds_(bounds) {
-  if (last) {
-    kept_ = serving_ = last->kept;
-    last_ = last->last;
-    fence_ = last->fence;
-    alive_.push_back({kept_, last->content, true, 0});
+ChangeLog::ChangeLog(Limits limits, std::optional<PersistentState> persisted) : limits_(limits) {
+  if (persisted) {
+    confirmed_ = active_ = persisted->confirmed;
+    last_assigned_ = persisted->last_assigned;
+    fencing_token_ = persisted->fencing_token;
+    generations_.push_back({confirmed_, persisted->content, true, 0});
   } else {
-    alive_.push_back({0, "", true, 0});
+    generations_.push_back({0, "", true, 0});
   }
 }
 
-void Ledger::Keep(std::vector<Deed>& out) const {
-  out.emplace_back(std::in_place_type<Record>, kept_, last_, fence_, *ContentOf(kept_));
+void ChangeLog::Persist(std::vector<Action>& actions) const {
+  actions.emplace_back(std::in_place_type<PersistentState>, confirmed_, last_assigned_,
+                       fencing_token_, *ContentOf(confirmed_));
 }
 
-std::string Ledger::Fingerprint() const {
-  std::string out = std::to_string(kept_) + ' ' + std::to_string(serving_) + ' ' +
-                    std::to_string(last_) + ' ' + std::to_string(fence_) + ' ' +
-                    std::to_string(lease_ends_);
-  for (const Alive& one : alive_)
-    out.append(" ")
-        .append(std::to_string(one.generation))
-        .append(one.requests ? "p" : "-")
-        .append(one.content)
-        .append(std::to_string(one.ends_at));
-  return out;
+std::string ChangeLog::Fingerprint() const {
+  std::string fingerprint = std::to_string(confirmed_) + ' ' + std::to_string(active_) + ' ' +
+                            std::to_string(last_assigned_) + ' ' + std::to_string(fencing_token_) +
+                            ' ' + std::to_string(lease_ends_at_);
+  for (const GenerationEntry& entry : generations_)
+    fingerprint.append(" ")
+        .append(std::to_string(entry.generation))
+        .append(entry.has_requests ? "p" : "-")
+        .append(entry.content)
+        .append(std::to_string(entry.expires_at));
+  return fingerprint;
 }
 
-const std::string* Ledger::ContentOf(Generation generation) const {
-  for (const Alive& one : alive_)
-    if (one.generation == generation)
-      return &one.content;
+const std::string* ChangeLog::ContentOf(Generation generation) const {
+  for (const GenerationEntry& entry : generations_)
+    if (entry.generation == generation)
+      return &entry.content;
   return nullptr;
 }
 
-Ledger::Alive* Ledger::alive(Generation generation) {
-  auto at = std::find_if(alive_.begin(), alive_.end(),
-                         [&](const Alive& a) { return a.generation == generation; });
-  return at == alive_.end() ? nullptr : &*at;
+ChangeLog::GenerationEntry* ChangeLog::FindGeneration(Generation generation) {
+  auto found = std::find_if(generations_.begin(), generations_.end(),
+                            [&](const GenerationEntry& a) { return a.generation == generation; });
+  return found == generations_.end() ? nullptr : &*found;
 }
 
-void Ledger::note(Generation generation, State state, Why why) {
-  constexpr std::size_t kMost = 64;  // some days of changes
-  if (history_.size() >= kMost)
+void ChangeLog::AddHistory(Generation generation, GenerationState state, Reason reason) {
+  constexpr std::size_t kMaxEntries = 64;  // enough for some days of changes
+  if (history_.size() >= kMaxEntries)
     history_.erase(history_.begin());
-  history_.push_back({generation, state, why});
+  history_.push_back({generation, state, reason});
 }
 
-Why Ledger::Heard(std::uint64_t fence) {
-  if (fence < fence_)
-    return Why::kFenced;
-  fence_ = fence;
-  return Why::kNone;
+Reason ChangeLog::CheckFencingToken(std::uint64_t fencing_token) {
+  if (fencing_token < fencing_token_)
+    return Reason::kFenced;
+  fencing_token_ = fencing_token;
+  return Reason::kNone;
 }
 
-// Not needed once no pull holds it and it is neither kept nor serving.
-void Ledger::Drop(Generation generation, std::vector<Deed>& out) {
-  Alive* a = alive(generation);
-  if (!a || a->requests || generation == kept_ || generation == serving_)
+// A generation is unused once no request holds it and it is neither confirmed nor active.
+void ChangeLog::DiscardIfUnused(Generation generation, std::vector<Action>& actions) {
+  GenerationEntry* dropped = FindGeneration(generation);
+  if (!dropped || dropped->has_requests || generation == confirmed_ || generation == active_)
     return;
-  std::erase_if(alive_, [&](const Alive& one) { return one.generation == generation; });
-  out.emplace_back(Forget{generation});
+  std::erase_if(generations_,
+                [&](const GenerationEntry& entry) { return entry.generation == generation; });
+  actions.emplace_back(DiscardContent{generation});
 }
 
-void Ledger::UndoChange(Why why, std::vector<Deed>& out) {
-  Generation bad = serving_;
-  serving_ = kept_;
-  lease_ends_ = 0;
-  note(bad, State::kReverted, why);
-  // Nothing needs to last: a front that starts now would serve the kept one anyway.
-  out.emplace_back(Serve{kept_});
-  out.emplace_back(Reverted{bad, why});
+void ChangeLog::RevertChange(Reason reason, std::vector<Action>& actions) {
+  Generation reverted = active_;
+  active_ = confirmed_;
+  lease_ends_at_ = 0;
+  AddHistory(reverted, GenerationState::kReverted, reason);
+  // Nothing needs to be persisted: a front that starts now activates the confirmed one anyway.
+  actions.emplace_back(Activate{confirmed_});
+  actions.emplace_back(ReportRevert{reverted, reason});
 }
 
-std::vector<Deed> Ledger::Handle(Ms now, const Happening& what) {
-  std::vector<Deed> out;
-  // First of all, whatever came: a lease that has ended binds before the word that came after it.
-  if (lease_ends_ > 0 && now >= lease_ends_)
-    UndoChange(Why::kLeaseEnded, out);
-
-  // What was staged and never applied: its proposer is gone, or thought better of it.
-  for (std::size_t i = alive_.size(); i-- > 0;)
-    if (const Alive& one = alive_[i];
-        !one.requests && one.generation != kept_ && now >= one.ends_at) {
-      note(one.generation, State::kDropped, Why::kLeaseEnded);
-      Drop(one.generation, out);
+std::vector<Action> ChangeLog::Handle(Ms now, const Event& event) {
+  std::vector<Action> actions;
+  // Checked before any event: a lease that has ended takes effect before a message received later.
+  if (lease_ends_at_ > 0 && now >= lease_ends_at_)
+    RevertChange(Reason::kLeaseExpired, actions);
+
+  // Staged but never applied: the proposer is gone or has given the change up.
+  for (std::size_t i = generations_.size(); i-- > 0;)
+    if (const GenerationEntry& entry = generations_[i];
+        !entry.has_requests && entry.generation != confirmed_ && now >= entry.expires_at) {
+      AddHistory(entry.generation, GenerationState::kDiscarded, Reason::kLeaseExpired);
+      DiscardIfUnused(entry.generation, actions);
     }
 
-  if (auto* p = std::get_if<Propose>(&what)) {
-    std::uint64_t before = fence_;
-    Why why = Heard(p->fence);
-    if (why == Why::kNone && p->base != kept_)
-      why = Why::kNotNext;
-    // The same said again, its answer having been lost: one generation, not two.
-    for (const Alive& one : alive_)
-      if (why == Why::kNone && fence_ == before && !one.requests && one.generation != kept_ &&
-          one.content == p->content) {
-        out.emplace_back(Answer{p->ticket, one.generation, Why::kNone});
-        return out;
+  if (auto* proposal = std::get_if<Proposal>(&event)) {
+    std::uint64_t previous_token = fencing_token_;
+    Reason reason = CheckFencingToken(proposal->fencing_token);
+    if (reason == Reason::kNone && proposal->base_generation != confirmed_)
+      reason = Reason::kStaleBase;
+    // A repeated proposal whose response was lost: one generation, not two.
+    for (const GenerationEntry& entry : generations_)
+      if (reason == Reason::kNone && fencing_token_ == previous_token && !entry.has_requests &&
+          entry.generation != confirmed_ && entry.content == proposal->content) {
+        actions.emplace_back(Response{proposal->request_id, entry.generation, Reason::kNone});
+        return actions;
       }
-    if (why == Why::kNone &&
-        !(p->within >= bounds_.shortest_lease && p->within <= bounds_.longest_lease))
-      why = Why::kBadLease;
-    if (why == Why::kNone && static_cast<int>(alive_.size()) >= bounds_.most_alive)
-      why = Why::kTooMany;
-    if (why == Why::kNone) {
-      alive_.push_back({++last_, p->content, false, now + p->within});
-      note(last_, State::kStaged);
-      out.emplace_back(WakeAt{now + p->within});
+    if (reason == Reason::kNone &&
+        !(proposal->lifetime >= limits_.min_lease && proposal->lifetime <= limits_.max_lease))
+      reason = Reason::kInvalidLease;
+    if (reason == Reason::kNone && static_cast<int>(generations_.size()) >= limits_.max_generations)
+      reason = Reason::kTooManyGenerations;
+    if (reason == Reason::kNone) {
+      generations_.push_back(
+          {++last_assigned_, proposal->content, false, now + proposal->lifetime});
+      AddHistory(last_assigned_, GenerationState::kStaged);
+      actions.emplace_back(SetTimer{now + proposal->lifetime});
     }
-    // The number must last: one that comes twice could confirm another's content after a restart.
-    if (why == Why::kNone || fence_ != before)
-      Keep(out);
-    out.emplace_back(Answer{p->ticket, why == Why::kNone ? last_ : 0, why});
-  } else if (auto* a = std::get_if<Apply>(&what)) {
-    std::uint64_t before = fence_;
-    Why why = Heard(a->fence);
-    Alive* one = alive(a->generation);
-    if (why == Why::kNone && serving_ == a->generation && lease_ends_ > 0) {
-      out.emplace_back(Answer{a->ticket, a->generation, Why::kNone});  // heard twice
-      return out;
+    // The number must be persisted: if it were assigned twice, a confirmation could apply to other
+    // content after a restart.
+    if (reason == Reason::kNone || fencing_token_ != previous_token)
+      Persist(actions);
+    actions.emplace_back(
+        Response{proposal->request_id, reason == Reason::kNone ? last_assigned_ : 0, reason});
+  } else if (auto* apply = std::get_if<ApplyRequest>(&event)) {
+    std::uint64_t previous_token = fencing_token_;
+    Reason reason = CheckFencingToken(apply->fencing_token);
+    GenerationEntry* entry = FindGeneration(apply->generation);
+    if (reason == Reason::kNone && active_ == apply->generation && lease_ends_at_ > 0) {
+      actions.emplace_back(
+          Response{apply->request_id, apply->generation, Reason::kNone});  // repeated request
+      return actions;
     }
-    if (why == Why::kNone && (!one || a->generation == kept_ || one->requests))
-      why = Why::kUnknown;
-    if (why == Why::kNone && serving_ != kept_)
-      why = Why::kBusy;
-    if (why == Why::kNone && !(a->confirm_within >= bounds_.shortest_lease &&
-                               a->confirm_within <= bounds_.longest_lease))
-      why = Why::kBadLease;
-    if (fence_ != before)
-      Keep(out);
-    if (why == Why::kNone) {
-      serving_ = a->generation;
-      one->requests = true;
-      lease_ends_ = std::min(now + a->confirm_within, one->ends_at);
-      note(serving_, State::kApplied);
-      out.emplace_back(Serve{serving_});
-      out.emplace_back(WakeAt{lease_ends_});
+    if (reason == Reason::kNone &&
+        (!entry || apply->generation == confirmed_ || entry->has_requests))
+      reason = Reason::kUnknownGeneration;
+    if (reason == Reason::kNone && active_ != confirmed_)
+      reason = Reason::kChangePending;
+    if (reason == Reason::kNone && !(apply->confirm_timeout >= limits_.min_lease &&
+                                     apply->confirm_timeout <= limits_.max_lease))
+      reason = Reason::kInvalidLease;
+    if (fencing_token_ != previous_token)
+      Persist(actions);
+    if (reason == Reason::kNone) {
+      active_ = apply->generation;
+      entry->has_requests = true;
+      lease_ends_at_ = std::min(now + apply->confirm_timeout, entry->expires_at);
+      AddHistory(active_, GenerationState::kApplied);
+      actions.emplace_back(Activate{active_});
+      actions.emplace_back(SetTimer{lease_ends_at_});
     }
-    out.emplace_back(Answer{a->ticket, a->generation, why});
-  } else if (auto* c = std::get_if<Confirm>(&what)) {
-    std::uint64_t before = fence_;
-    Why why = Heard(c->fence);
-    if (why == Why::kNone && c->generation == kept_ && c->generation != 0) {
-      if (fence_ != before)
-        Keep(out);
-      out.emplace_back(Answer{c->ticket, kept_, Why::kNone});  // heard twice
-      return out;
+    actions.emplace_back(Response{apply->request_id, apply->generation, reason});
+  } else if (auto* confirm = std::get_if<ConfirmRequest>(&event)) {
+    std::uint64_t previous_token = fencing_token_;
+    Reason reason = CheckFencingToken(confirm->fencing_token);
+    if (reason == Reason::kNone && confirm->generation == confirmed_ && confirm->generation != 0) {
+      if (fencing_token_ != previous_token)
+        Persist(actions);
+      actions.emplace_back(
+          Response{confirm->request_id, confirmed_, Reason::kNone});  // repeated request
+      return actions;
     }
-    if (why == Why::kNone && (c->generation != serving_ || lease_ends_ == 0))
-      why = Why::kUnknown;
-    Generation old = kept_;
-    if (why == Why::kNone) {
-      kept_ = serving_;
-      lease_ends_ = 0;
-      note(kept_, State::kKept);
+    if (reason == Reason::kNone && (confirm->generation != active_ || lease_ends_at_ == 0))
+      reason = Reason::kUnknownGeneration;
+    Generation old = confirmed_;
+    if (reason == Reason::kNone) {
+      confirmed_ = active_;
+      lease_ends_at_ = 0;
+      AddHistory(confirmed_, GenerationState::kConfirmed);
     }
-    if (why == Why::kNone || fence_ != before)
-      Keep(out);
-    if (why == Why::kNone) {
-      Drop(old, out);
-      // What was staged on the old one can't be applied any more.
-      for (std::size_t i = alive_.size(); i-- > 0;)
-        if (Generation g = alive_[i].generation; !alive_[i].requests && g != kept_) {
-          note(g, State::kDropped, Why::kNotNext);
-          Drop(g, out);
+    if (reason == Reason::kNone || fencing_token_ != previous_token)
+      Persist(actions);
+    if (reason == Reason::kNone) {
+      DiscardIfUnused(old, actions);
+      // Generations staged on the old one can no longer be applied.
+      for (std::size_t i = generations_.size(); i-- > 0;)
+        if (Generation g = generations_[i].generation;
+            !generations_[i].has_requests && g != confirmed_) {
+          AddHistory(g, GenerationState::kDiscarded, Reason::kStaleBase);
+          DiscardIfUnused(g, actions);
         }
     }
-    out.emplace_back(Answer{c->ticket, c->generation, why});
-  } else if (auto* u = std::get_if<Undo>(&what)) {
-    std::uint64_t before = fence_;
-    Why why = Heard(u->fence);
-    if (fence_ != before)
-      Keep(out);
-    if (why == Why::kNone) {
-      Alive* one = alive(u->generation);
-      if (u->generation == serving_ && lease_ends_ > 0) {
-        UndoChange(Why::kAsked, out);
-      } else if (one && !one->requests && u->generation != kept_) {
-        note(u->generation, State::kDropped, Why::kAsked);
-        Drop(u->generation, out);
+    actions.emplace_back(Response{confirm->request_id, confirm->generation, reason});
+  } else if (auto* revert = std::get_if<RevertRequest>(&event)) {
+    std::uint64_t previous_token = fencing_token_;
+    Reason reason = CheckFencingToken(revert->fencing_token);
+    if (fencing_token_ != previous_token)
+      Persist(actions);
+    if (reason == Reason::kNone) {
+      GenerationEntry* entry = FindGeneration(revert->generation);
+      if (revert->generation == active_ && lease_ends_at_ > 0) {
+        RevertChange(Reason::kOperatorRequest, actions);
+      } else if (entry && !entry->has_requests && revert->generation != confirmed_) {
+        AddHistory(revert->generation, GenerationState::kDiscarded, Reason::kOperatorRequest);
+        DiscardIfUnused(revert->generation, actions);
       } else {
-        why = Why::kUnknown;
+        reason = Reason::kUnknownGeneration;
       }
     }
-    out.emplace_back(Answer{u->ticket, u->generation, why});
-  } else if (auto* alarm = std::get_if<Alarm>(&what)) {
-    if (alarm->generation == serving_ && lease_ends_ > 0)
-      UndoChange(Why::kAlarm, out);
-  } else if (auto* r = std::get_if<Released>(&what)) {
-    if (Alive* one = alive(r->generation); one && r->generation != serving_) {
-      one->requests = false;
-      if (r->generation != kept_)
-        Drop(r->generation, out);
+    actions.emplace_back(Response{revert->request_id, revert->generation, reason});
+  } else if (auto* alarm = std::get_if<MonitorAlarm>(&event)) {
+    if (alarm->generation == active_ && lease_ends_at_ > 0)
+      RevertChange(Reason::kMonitorAlarm, actions);
+  } else if (auto* released = std::get_if<GenerationReleased>(&event)) {
+    if (GenerationEntry* entry = FindGeneration(released->generation);
+        entry && released->generation != active_) {
+      entry->has_requests = false;
+      if (released->generation != confirmed_)
+        DiscardIfUnused(released->generation, actions);
     }
   }
-  return out;
+  return actions;
 }
 
 }  // namespace dunlinwick::changes
--- a/src/changes/ledger.hpp
+++ b/src/changes/ledger.hpp
@@ -1,23 +1,21 @@
-// The life of a front's configurations: proposed, staged, applied, confirmed or undone. Pure: time
-// and events in, actions out, in order; an action that records must last before the next one is
-// carried out.
+// Change log of a front: the life cycle of its configuration generations, which are proposed,
+// staged, applied, and then confirmed or reverted. Pure: time and events in, ordered actions out. A
+// PersistentState action must be durable before the next action is carried out.
 //
-// What it promises, whatever is lost, late or killed:
-// - One generation serves at any time, whole. A pull keeps the one it began with (the exchange's
-// part; `release`
-//   tells when its last pull has ended).
-// - A generation that nobody confirms is undone when its lease ends, by this front's own clock,
-// with no word from
-//   anywhere. A front that starts serves the last confirmed one.
-// - A proposal names the generation it is based on. Another that was confirmed meanwhile refuses
-// it.
-// - Each coordinator's word carries a fence; a word with a lower fence than was heard before is
-// refused, so that a
-//   coordinator that was taken for dead can't speak over its successor.
+// Guarantees, whatever is lost, delayed or killed:
+// - Exactly one complete generation is active at any time. A request keeps the one it began with
+//   (ensured by the request exchange; GenerationReleased reports that its last request has ended).
+// - A generation that is not confirmed is reverted when its lease ends, by this front's own clock
+//   and without any message. A front that starts activates the last confirmed one.
+// - A proposal names the generation it is based on. It is refused if another one was confirmed
+//   meanwhile.
+// - Each coordinator's messages carry a fencing token. A message with a lower token than one
+//   received before is refused, so that a coordinator that was declared dead can't interfere with
+//   its successor.
 //
-// After Junos' `commit confirmed` (a change that nobody confirms undoes itself) and Knot DNS'
-// transactions (begin, diff, commit, abort); fences as in Gray and Cheriton's leases and their
-// later use.
+// Sources: Junos' `commit confirmed` (an unconfirmed change reverts itself) and Knot DNS'
+// transactions (begin, diff, commit, abort); fencing tokens as in Gray and Cheriton's leases and
+// their later use.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -28,156 +26,163 @@
 namespace dunlinwick::changes {
 
 using Ms = double;
-using Generation = std::uint64_t;  // counted from 1 by each front; 0: the one of the start, without
-                                   // an operators' file
+using Generation = std::uint64_t;  // numbered from 1 by each front; 0: the initial one, before any
+                                   // change
 
-enum class State {
+enum class GenerationState {
   kStaged,
   kApplied,
-  kKept,
+  kConfirmed,
   kReverted,
-  kDropped
+  kDiscarded
 };
-const char* ToString(State state);
+const char* ToString(GenerationState state);
 
-// Why something was refused or undone.
-enum class Why {
+// Why a request was refused or a change reverted.
+enum class Reason {
   kNone,
-  kNotNext,     // it is based on a generation that is not the one confirmed
-  kBusy,        // another is applied and not yet confirmed or undone
-  kTooMany,     // as many are alive as may be
-  kUnknown,     // no such generation, or not in that state
-  kFenced,      // a later coordinator has spoken
-  kBadLease,    // a time to confirm in that is not above 0, or too long
-  kAsked,       // by an operator
-  kLeaseEnded,  // nobody confirmed it in time
-  kAlarm        // the watch
-};
-const char* ToString(Why why);
+  kStaleBase,           // based on a generation that is not the confirmed one
+  kChangePending,       // another one is applied and not yet confirmed or reverted
+  kTooManyGenerations,  // the maximum number of generations is in use
+  kUnknownGeneration,   // no such generation, or not in the required state
+  kFenced,              // a later coordinator has taken over
+  kInvalidLease,        // a confirmation timeout below the minimum or above the maximum
+  kOperatorRequest,     // requested by an operator
+  kLeaseExpired,        // not confirmed in time
+  kMonitorAlarm         // raised by monitoring
+};
+const char* ToString(Reason reason);
 
-// ---- what happened
-struct Propose {
-  std::uint64_t fence = 0;
-  std::uint64_t ticket = 0;  // the answer carries the ticket
-  Generation base = 0;       // the one that is confirmed, as the proposer knows it
-  std::string content;       // checked already
-  // From when it is heard, by this front's clock: what is not confirmed by then is dropped or
-  // undone, whenever it was applied. It bounds what an Apply that comes late can do.
-  Ms within = 0;
-};
-struct Apply {
-  std::uint64_t fence = 0;
-  std::uint64_t ticket = 0;
+// ---- events
+struct Proposal {
+  std::uint64_t fencing_token = 0;
+  std::uint64_t request_id = 0;    // repeated in the response
+  Generation base_generation = 0;  // the confirmed one, as the proposer knows it
+  std::string content;             // already validated
+  // Counted from receipt, by this front's clock: a generation that is not confirmed by then is
+  // discarded or reverted, whenever it was applied. It bounds the effect of a late ApplyRequest.
+  Ms lifetime = 0;
+};
+struct ApplyRequest {
+  std::uint64_t fencing_token = 0;
+  std::uint64_t request_id = 0;
   Generation generation = 0;
-  Ms confirm_within = 0;
+  Ms confirm_timeout = 0;
 };
-struct Confirm {
-  std::uint64_t fence = 0;
-  std::uint64_t ticket = 0;
+struct ConfirmRequest {
+  std::uint64_t fencing_token = 0;
+  std::uint64_t request_id = 0;
   Generation generation = 0;
 };
-struct Undo {  // of what is applied or staged
-  std::uint64_t fence = 0;
-  std::uint64_t ticket = 0;
+struct RevertRequest {  // of an applied or staged generation
+  std::uint64_t fencing_token = 0;
+  std::uint64_t request_id = 0;
   Generation generation = 0;
 };
-struct Alarm {  // the watch says that the applied one does harm
+struct MonitorAlarm {  // monitoring reports that the applied generation does harm
   Generation generation = 0;
 };
 struct Tick {};
-struct Released {  // the last pull that began with it has ended
+struct GenerationReleased {  // the last request that began with it has ended
   Generation generation = 0;
 };
-using Happening = std::variant<Propose, Apply, Confirm, Undo, Alarm, Tick, Released>;
+using Event = std::variant<Proposal, ApplyRequest, ConfirmRequest, RevertRequest, MonitorAlarm,
+                           Tick, GenerationReleased>;
 
-// ---- what is to be done
-struct Record {  // what must outlive the process: the whole of it, in place of what was there
-  Record() = default;
-  Record(Generation k, Generation l, std::uint64_t f, std::string c)
-      : kept(k), last(l), fence(f), content(std::move(c)) {}
-  Generation kept = 0;
-  Generation last = 0;
-  std::uint64_t fence = 0;
-  std::string content;  // of the kept one
-};
-struct Serve {  // from the next turn on
+// ---- actions
+struct PersistentState {  // must outlive the process; replaces the previous state as a whole
+  PersistentState() = default;
+  PersistentState(Generation confirmed_generation, Generation last_generation, std::uint64_t token,
+                  std::string confirmed_content)
+      : confirmed(confirmed_generation),
+        last_assigned(last_generation),
+        fencing_token(token),
+        content(std::move(confirmed_content)) {}
+  Generation confirmed = 0;
+  Generation last_assigned = 0;
+  std::uint64_t fencing_token = 0;
+  std::string content;  // of the confirmed generation
+};
+struct Activate {  // from the next iteration of the event loop on
   Generation generation = 0;
 };
-struct Forget {  // its content is not needed any more
+struct DiscardContent {  // the content is no longer needed
   Generation generation = 0;
 };
-struct Answer {
-  std::uint64_t ticket = 0;
+struct Response {
+  std::uint64_t request_id = 0;
   Generation generation = 0;
-  Why refused = Why::kNone;
+  Reason refusal = Reason::kNone;
 };
-struct Reverted {  // to be told, and logged
+struct ReportRevert {  // to be reported and logged
   Generation generation = 0;
-  Why why = Why::kNone;
+  Reason reason = Reason::kNone;
 };
-struct WakeAt {
+struct SetTimer {
   Ms at = 0;
 };
-using Deed = std::variant<Record, Serve, Forget, Answer, Reverted, WakeAt>;
+using Action =
+    std::variant<PersistentState, Activate, DiscardContent, Response, ReportRevert, SetTimer>;
 
-struct Bounds {
-  int most_alive = 4;                 // generations whose content is held, the kept one included
-  Ms longest_lease = 10 * 60 * 1000;  // an operator's coffee; beyond it a change is a standing one
-  Ms shortest_lease = 1000;           // below it no confirmation could come back
+struct Limits {
+  int max_generations = 4;        // generations whose content is held, including the confirmed one
+  Ms max_lease = 10 * 60 * 1000;  // a change that takes longer to confirm is effectively permanent
+  Ms min_lease = 1000;            // a shorter lease leaves no time for a confirmation to arrive
 };
 
-class Ledger {
+class ChangeLog {
  public:
-  // `last`: what was recorded last, or nothing.
-  explicit Ledger(Bounds bounds, std::optional<Record> last = std::nullopt);
-  std::vector<Deed> Handle(Ms now, const Happening& what);
+  // `persisted`: the state that was persisted last, if any.
+  explicit ChangeLog(Limits limits, std::optional<PersistentState> persisted = std::nullopt);
+  std::vector<Action> Handle(Ms now, const Event& event);
 
-  Generation Kept() const {
-    return kept_;
+  Generation ConfirmedGeneration() const {
+    return confirmed_;
   }
-  Generation Serving() const {
-    return serving_;
+  Generation ActiveGeneration() const {
+    return active_;
   }
-  Ms LeaseEnds() const {
-    return lease_ends_;
-  }  // of what serves unconfirmed; 0: none does
-  std::uint64_t Fence() const {
-    return fence_;
+  Ms LeaseEndsAt() const {
+    return lease_ends_at_;
+  }  // of an active generation that is not confirmed; 0: there is none
+  std::uint64_t FencingToken() const {
+    return fencing_token_;
   }
   const std::string* ContentOf(Generation generation) const;
-  struct Entry {
+  struct HistoryEntry {
     Generation generation = 0;
-    State state = State::kStaged;
-    Why why = Why::kNone;
+    GenerationState state = GenerationState::kStaged;
+    Reason reason = Reason::kNone;
   };
-  std::string Fingerprint() const;  // all that decides what it does next, for those who explore it
-  // The last ones, as they went; bounded.
-  const std::vector<Entry>& history() const {
+  std::string Fingerprint()
+      const;  // all state that decides what it does next, for state exploration
+  // The most recent state changes, oldest first; bounded.
+  const std::vector<HistoryEntry>& history() const {
     return history_;
   }
 
  private:
-  struct Alive {
+  struct GenerationEntry {
     Generation generation = 0;
     std::string content;
-    bool requests = false;  // some that began with it may be open
-    Ms ends_at = 0;         // of what is not confirmed
+    bool has_requests = false;  // requests that began with it may be in flight
+    Ms expires_at = 0;          // if not confirmed
   };
-  Why Heard(std::uint64_t fence);
-  Alive* alive(Generation generation);
-  void note(Generation generation, State state, Why why = Why::kNone);
-  void UndoChange(Why why, std::vector<Deed>& out);
-  void Drop(Generation generation, std::vector<Deed>& out);
-  void Keep(std::vector<Deed>& out) const;
+  Reason CheckFencingToken(std::uint64_t fencing_token);
+  GenerationEntry* FindGeneration(Generation generation);
+  void AddHistory(Generation generation, GenerationState state, Reason reason = Reason::kNone);
+  void RevertChange(Reason reason, std::vector<Action>& actions);
+  void DiscardIfUnused(Generation generation, std::vector<Action>& actions);
+  void Persist(std::vector<Action>& actions) const;
 
-  Bounds bounds_;
-  Generation kept_ = 0;
-  Generation serving_ = 0;
-  Generation last_ = 0;
-  std::uint64_t fence_ = 0;
-  Ms lease_ends_ = 0;
-  std::vector<Alive> alive_;  // at most `mostAlive`
-  std::vector<Entry> history_;
+  Limits limits_;
+  Generation confirmed_ = 0;
+  Generation active_ = 0;
+  Generation last_assigned_ = 0;
+  std::uint64_t fencing_token_ = 0;
+  Ms lease_ends_at_ = 0;
+  std::vector<GenerationEntry> generations_;  // at most `max_generations`
+  std::vector<HistoryEntry> history_;
 };
 
 }  // namespace dunlinwick::changes
--- a/src/changes/push.hpp
+++ b/src/changes/push.hpp
@@ -1,20 +1,19 @@
-// A change pushed to many fronts, by a coordinator that may die at any step. Pure, like the ledger
-// it speaks to.
+// Rollout of a change to many fronts by a coordinator that may die at any step. Pure, like the
+// change log that it sends requests to.
 //
-//   stage everywhere -> apply wave by wave, all leases ending at one time -> watch -> confirm
-//   everywhere
+//   stage everywhere -> apply wave by wave, with all leases ending at the same time -> observe ->
+//   confirm everywhere
 //
-// Anything that goes wrong before the first confirm undoes it everywhere. What can be promised, and
-// is explored exhaustively in the tests:
-// - No front serves the change unconfirmed beyond its lease, whatever is lost or killed.
-// - A coordinator that dies before its first confirm leaves every front on the old generation once
-// leases end.
-// - Once it has begun to confirm, all fronts that its words reach before the lease ends keep the
-// change. A front that
-//   they do not reach goes back by itself, since it can't tell this from the case before: no
-//   protocol in which fronts do not talk to each other can give both (Gray's two generals).
-//   `resume` with the same content and a higher fence brings those to the change; the coordinator's
-//   answer names them.
+// Any failure before the first confirmation reverts the change everywhere. Guarantees, which the
+// tests check by exhaustive exploration:
+// - No front keeps an unconfirmed change active beyond its lease, whatever is lost or killed.
+// - A coordinator that dies before its first confirmation leaves every front on the old generation
+//   once the leases have ended.
+// - Once it has begun to confirm, all fronts that its messages reach before the lease ends keep the
+//   change. A front that they do not reach reverts by itself, since it can't tell this case from
+//   the previous one: no protocol in which fronts do not talk to each other can give both (Gray's
+//   two generals). A new rollout with the same content and a higher fencing token brings those
+//   fronts to the change; UnconfirmedFronts() names them.
 #pragma once
 #include <map>
 #include <string>
@@ -27,50 +26,50 @@
 enum class Phase {
   kStaging,
   kApplying,
-  kWatching,
+  kObserving,
   kConfirming,
-  kUndoing,
-  kDone,
+  kReverting,
+  kCompleted,
   kFailed
 };
 const char* ToString(Phase phase);
 
-struct PushTerms {
+struct RolloutSettings {
   Ms lease = 30000;
-  Ms watch_for = 3000;  // between the last wave and the first confirm, and between waves
-  Ms again = 500;       // a word without an answer is said again
-  Ms stage_within = 5000;
+  Ms observation_time = 3000;  // after each wave, before the next wave or the first confirmation
+  Ms retry_interval = 500;     // until a message without a response is sent again
+  Ms staging_timeout = 5000;
   std::vector<double> waves{
-      1};  // shares of the fronts, rising, the last 1; below one front counts as one
+      1};  // shares of the fronts, ascending, the last 1; at least one front each
 };
 
-struct Say {
+struct Message {
   std::size_t front = 0;
-  Happening what;
+  Event event;
 };
 
-class Push {
+class Rollout {
  public:
-  // `bases`: by front, the generation that it keeps now.
-  Push(PushTerms terms, std::uint64_t fence, std::string content, std::vector<Generation> bases,
-       Ms now);
-  // What is to be said now. Call again at wakeAt() and after each answer.
-  std::vector<Say> tick(Ms now);
-  std::vector<Say> Answered(Ms now, std::size_t front, const Answer& answer);
-  std::vector<Say> Unreachable(Ms now, std::size_t front, const std::string& why);
-  std::vector<Say> Abort(Ms now, const std::string& why);
+  // `base_generations`: by front, the generation that is confirmed now.
+  Rollout(RolloutSettings settings, std::uint64_t fencing_token, std::string content,
+          std::vector<Generation> base_generations, Ms now);
+  // Returns the messages to send now. Called at intervals; HandleResponse() includes the call.
+  std::vector<Message> Advance(Ms now);
+  std::vector<Message> HandleResponse(Ms now, std::size_t front, const Response& answer);
+  std::vector<Message> HandleUnreachable(Ms now, std::size_t front, const std::string& reason);
+  std::vector<Message> Abort(Ms now, const std::string& reason);
 
   Phase phase() const {
     return phase_;
   }
-  bool Over() const {
-    return phase_ == Phase::kDone || phase_ == Phase::kFailed;
+  bool IsFinished() const {
+    return phase_ == Phase::kCompleted || phase_ == Phase::kFailed;
   }
-  const std::string& why() const {
-    return why_;
+  const std::string& reason() const {
+    return reason_;
   }
-  std::vector<std::size_t> Behind()
-      const;  // once done: fronts that are not known to keep the change
+  std::vector<std::size_t> UnconfirmedFronts()
+      const;  // once completed: fronts not known to have confirmed the change
   std::string Fingerprint() const;
 
  private:
@@ -78,39 +77,39 @@
     kNone,
     kStaged,
     kApplied,
-    kKept,
+    kConfirmed,
     kReverted
   };
   struct Front {
-    Generation base = 0;
+    Generation base_generation = 0;
     Generation generation = 0;
     Step step = Step::kNone;
-    Ms said_at = -1e18;
+    Ms sent_at = -1e18;
   };
-  enum class Kind {
+  enum class RequestKind {
     kPropose,
     kApply,
     kConfirm,
-    kUndo,
+    kRevert,
     kNone
   };
-  static std::uint64_t Ticket(std::size_t front, Kind kind) {
+  static std::uint64_t RequestId(std::size_t front, RequestKind kind) {
     return front * 8 + static_cast<std::uint64_t>(kind);
   }
   std::size_t WaveEnd() const;
-  bool all(Step step, std::size_t up_to) const;
-  void Move(Ms now);
+  bool AllReached(Step step, std::size_t up_to) const;
+  void UpdatePhase(Ms now);
 
-  PushTerms terms_;
-  std::uint64_t fence_;
+  RolloutSettings settings_;
+  std::uint64_t fencing_token_;
   std::string content_;
-  std::string why_;
+  std::string reason_;
   std::vector<Front> fronts_;
   Phase phase_ = Phase::kStaging;
   std::size_t wave_ = 0;
   Ms started_at_;
-  Ms since_;
-  Ms lease_ends_ = 0;
+  Ms phase_since_;
+  Ms lease_ends_at_ = 0;
 };
 
 }  // namespace dunlinwick::changes
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -1,6 +1,5 @@
-// The life of configurations: a table of single steps, then every state of two fronts, a
-// coordinator and its successor, with loss, lateness and death at any step, as far as the bounds
-// reach.
+// Change log and rollout: single steps, then the exploration of every state of two fronts, a
+// coordinator and its successor, with loss, delay and death at any step, within limits.
 #include <algorithm>
 #include <cassert>
 #include <cstdio>
@@ -15,245 +14,263 @@
 namespace {
 
 template <class T>
-std::vector<T> All(const std::vector<Deed>& deeds) {
+std::vector<T> ActionsOf(const std::vector<Action>& actions) {
   std::vector<T> found;
-  for (const Deed& d : deeds)
+  for (const Action& d : actions)
     if (auto* one = std::get_if<T>(&d))
       found.push_back(*one);
   return found;
 }
-Why Refused(const std::vector<Deed>& deeds) {
-  auto answers = All<Answer>(deeds);
+Reason RefusalReason(const std::vector<Action>& actions) {
+  auto answers = ActionsOf<Response>(actions);
   assert(answers.size() == 1);
-  return answers[0].refused;
+  return answers[0].refusal;
 }
 
-struct Desk {
-  Ledger ledger{Bounds{}};
+struct Fixture {
+  ChangeLog change_log{Limits{}};
   Ms now = 0;
-  std::vector<Deed> Tell(const Happening& h) {
-    return ledger.Handle(now, h);
+  std::vector<Action> Handle(const Event& h) {
+    return change_log.Handle(now, h);
   }
-  Generation stage(const std::string& content) {
-    auto deeds = Tell(Propose{1, 1, ledger.Kept(), content, 60000});
-    assert(Refused(deeds) == Why::kNone && All<Record>(deeds).size() == 1);
-    return All<Answer>(deeds)[0].generation;
+  Generation Stage(const std::string& content) {
+    auto actions = Handle(Proposal{1, 1, change_log.ConfirmedGeneration(), content, 60000});
+    assert(RefusalReason(actions) == Reason::kNone &&
+           ActionsOf<PersistentState>(actions).size() == 1);
+    return ActionsOf<Response>(actions)[0].generation;
   }
   void ApplyGeneration(Generation g, Ms lease = 30000) {
-    assert(Refused(Tell(Apply{1, 2, g, lease})) == Why::kNone);
+    assert(RefusalReason(Handle(ApplyRequest{1, 2, g, lease})) == Reason::kNone);
   }
 };
 
-void OneStepAtATime() {
+void TestSingleSteps() {
   {
-    Desk d;  // staged, applied, confirmed
-    Generation g = d.stage("a");
-    assert(d.ledger.Serving() == 0);
+    Fixture d;  // staged, applied, confirmed
+    Generation g = d.Stage("a");
+    assert(d.change_log.ActiveGeneration() == 0);
     d.ApplyGeneration(g);
-    assert(d.ledger.Serving() == g && d.ledger.Kept() == 0);
-    auto deeds = d.Tell(Confirm{1, 3, g});
-    assert(Refused(deeds) == Why::kNone && d.ledger.Kept() == g && d.ledger.LeaseEnds() == 0);
-    auto records = All<Record>(deeds);
-    assert(records.size() == 1 && records[0].content == "a" && records[0].kept == g);
-    assert(std::holds_alternative<Record>(deeds.front()));    // it lasts before anybody is told
-    assert(Refused(d.Tell(Confirm{1, 3, g})) == Why::kNone);  // heard twice
+    assert(d.change_log.ActiveGeneration() == g && d.change_log.ConfirmedGeneration() == 0);
+    auto actions = d.Handle(ConfirmRequest{1, 3, g});
+    assert(RefusalReason(actions) == Reason::kNone && d.change_log.ConfirmedGeneration() == g &&
+           d.change_log.LeaseEndsAt() == 0);
+    auto records = ActionsOf<PersistentState>(actions);
+    assert(records.size() == 1 && records[0].content == "a" && records[0].confirmed == g);
+    assert(
+        std::holds_alternative<PersistentState>(actions.front()));  // persisted before any response
+    assert(RefusalReason(d.Handle(ConfirmRequest{1, 3, g})) == Reason::kNone);  // repeated request
   }
   {
-    Desk d;  // nobody confirms; a word that comes at the lease's end is too late
-    Generation g = d.stage("a");
+    Fixture d;  // not confirmed; a message that arrives at the end of the lease is too late
+    Generation g = d.Stage("a");
     d.ApplyGeneration(g, 5000);
     d.now = 4999;
-    assert(All<Reverted>(d.Tell(Tick{})).empty());
+    assert(ActionsOf<ReportRevert>(d.Handle(Tick{})).empty());
     d.now = 5000;
-    auto deeds = d.Tell(Confirm{1, 3, g});
-    assert(Refused(deeds) == Why::kUnknown && d.ledger.Serving() == 0);
-    assert(All<Reverted>(deeds).size() == 1 && All<Reverted>(deeds)[0].why == Why::kLeaseEnded);
-    // Its pulls are still open: its content stays until they have ended, and it can't be applied
-    // again.
-    assert(d.ledger.ContentOf(g) && Refused(d.Tell(Apply{1, 4, g, 5000})) == Why::kUnknown);
-    assert(All<Forget>(d.Tell(Released{g})).size() == 1 && !d.ledger.ContentOf(g));
+    auto actions = d.Handle(ConfirmRequest{1, 3, g});
+    assert(RefusalReason(actions) == Reason::kUnknownGeneration &&
+           d.change_log.ActiveGeneration() == 0);
+    assert(ActionsOf<ReportRevert>(actions).size() == 1 &&
+           ActionsOf<ReportRevert>(actions)[0].reason == Reason::kLeaseExpired);
+    // Its requests are still in flight: its content stays until they have ended, and it can't be
+    // applied again.
+    assert(d.change_log.ContentOf(g) &&
+           RefusalReason(d.Handle(ApplyRequest{1, 4, g, 5000})) == Reason::kUnknownGeneration);
+    assert(ActionsOf<DiscardContent>(d.Handle(GenerationReleased{g})).size() == 1 &&
+           !d.change_log.ContentOf(g));
   }
   {
-    Desk d;  // the watch, and only of what is on trial
-    Generation g = d.stage("a");
-    assert(All<Reverted>(d.Tell(Alarm{g})).empty());
+    Fixture d;  // a monitoring alarm reverts only an unconfirmed generation
+    Generation g = d.Stage("a");
+    assert(ActionsOf<ReportRevert>(d.Handle(MonitorAlarm{g})).empty());
     d.ApplyGeneration(g);
-    assert(All<Reverted>(d.Tell(Alarm{g}))[0].why == Why::kAlarm && d.ledger.Serving() == 0);
-    Generation h = d.stage("b");
+    assert(ActionsOf<ReportRevert>(d.Handle(MonitorAlarm{g}))[0].reason == Reason::kMonitorAlarm &&
+           d.change_log.ActiveGeneration() == 0);
+    Generation h = d.Stage("b");
     d.ApplyGeneration(h);
-    d.Tell(Confirm{1, 3, h});
-    assert(All<Reverted>(d.Tell(Alarm{h})).empty() && d.ledger.Serving() == h);
+    d.Handle(ConfirmRequest{1, 3, h});
+    assert(ActionsOf<ReportRevert>(d.Handle(MonitorAlarm{h})).empty() &&
+           d.change_log.ActiveGeneration() == h);
   }
   {
-    Desk d;  // two operators at once: the second is based on what is no longer so
-    Generation g = d.stage("a"), h = d.stage("b");
+    Fixture d;  // two concurrent changes: the base of the second becomes stale
+    Generation g = d.Stage("a"), h = d.Stage("b");
     assert(g != h);
     d.ApplyGeneration(g);
-    assert(Refused(d.Tell(Apply{1, 5, h, 30000})) == Why::kBusy);
-    d.Tell(Confirm{1, 3, g});
-    assert(!d.ledger.ContentOf(h) && Refused(d.Tell(Apply{1, 5, h, 30000})) == Why::kUnknown);
-    assert(Refused(d.Tell(Propose{1, 6, 0, "c", 60000})) == Why::kNotNext);
+    assert(RefusalReason(d.Handle(ApplyRequest{1, 5, h, 30000})) == Reason::kChangePending);
+    d.Handle(ConfirmRequest{1, 3, g});
+    assert(!d.change_log.ContentOf(h) &&
+           RefusalReason(d.Handle(ApplyRequest{1, 5, h, 30000})) == Reason::kUnknownGeneration);
+    assert(RefusalReason(d.Handle(Proposal{1, 6, 0, "c", 60000})) == Reason::kStaleBase);
   }
   {
-    Desk d;  // so many alive at once
-    d.stage("a");
-    d.stage("b");
-    d.stage("c");
-    assert(Refused(d.Tell(Propose{1, 1, 0, "d", 60000})) == Why::kTooMany);
-    assert(All<Answer>(d.Tell(Propose{1, 1, 0, "c", 60000}))[0].generation ==
-           3);  // said again: the same one
-    assert(Refused(d.Tell(Undo{1, 2, 1})) == Why::kNone);
-    assert(d.stage("d") == 4);
+    Fixture d;  // the maximum number of generations in use
+    d.Stage("a");
+    d.Stage("b");
+    d.Stage("c");
+    assert(RefusalReason(d.Handle(Proposal{1, 1, 0, "d", 60000})) == Reason::kTooManyGenerations);
+    assert(ActionsOf<Response>(d.Handle(Proposal{1, 1, 0, "c", 60000}))[0].generation ==
+           3);  // repeated: the same generation
+    assert(RefusalReason(d.Handle(RevertRequest{1, 2, 1})) == Reason::kNone);
+    assert(d.Stage("d") == 4);
   }
   {
-    Desk d;  // fences, before and after a restart
-    Generation g = d.stage("a");
-    auto deeds = d.Tell(Undo{7, 1, 99});
-    assert(Refused(deeds) == Why::kUnknown && All<Record>(deeds)[0].fence == 7);
-    assert(Refused(d.Tell(Apply{6, 2, g, 30000})) == Why::kFenced);
-    Ledger after(Bounds{}, All<Record>(deeds)[0]);
-    assert(Refused(after.Handle(0, Propose{6, 1, 0, "x", 60000})) == Why::kFenced);
-    // Numbers go on: one that was given out is never another content's.
-    assert(All<Answer>(after.Handle(0, Propose{7, 1, 0, "x", 60000}))[0].generation == g + 1);
+    Fixture d;  // fencing tokens, before and after a restart
+    Generation g = d.Stage("a");
+    auto actions = d.Handle(RevertRequest{7, 1, 99});
+    assert(RefusalReason(actions) == Reason::kUnknownGeneration &&
+           ActionsOf<PersistentState>(actions)[0].fencing_token == 7);
+    assert(RefusalReason(d.Handle(ApplyRequest{6, 2, g, 30000})) == Reason::kFenced);
+    ChangeLog after(Limits{}, ActionsOf<PersistentState>(actions)[0]);
+    assert(RefusalReason(after.Handle(0, Proposal{6, 1, 0, "x", 60000})) == Reason::kFenced);
+    // Numbering continues: an assigned number is never reused for other content.
+    assert(ActionsOf<Response>(after.Handle(0, Proposal{7, 1, 0, "x", 60000}))[0].generation ==
+           g + 1);
   }
   {
-    Desk d;  // staged and left alone; applied late, its lease ends with the proposal's time
-    Generation g = d.stage("a"), h = d.stage("b");
+    Fixture
+        d;  // staged and never applied; applied late, the lease ends with the proposal's lifetime
+    Generation g = d.Stage("a"), h = d.Stage("b");
     d.now = 59000;
     d.ApplyGeneration(g, 30000);
-    assert(d.ledger.LeaseEnds() == 60000);
+    assert(d.change_log.LeaseEndsAt() == 60000);
     d.now = 60000;
-    assert(All<Forget>(d.Tell(Tick{})).size() == 1 && !d.ledger.ContentOf(h) &&
-           d.ledger.Serving() == 0);
+    assert(ActionsOf<DiscardContent>(d.Handle(Tick{})).size() == 1 && !d.change_log.ContentOf(h) &&
+           d.change_log.ActiveGeneration() == 0);
   }
   for (Ms lease : {-1.0, 0.0, 999.0, 600001.0, 5e9}) {
-    Desk d;
-    Generation g = d.stage("a");
-    assert(Refused(d.Tell(Apply{1, 2, g, lease})) == Why::kBadLease && d.ledger.Serving() == 0);
+    Fixture d;
+    Generation g = d.Stage("a");
+    assert(RefusalReason(d.Handle(ApplyRequest{1, 2, g, lease})) == Reason::kInvalidLease &&
+           d.change_log.ActiveGeneration() == 0);
   }
 }
 
-// ---- all states within bounds
+// ---- exploration of all states within limits
 
-struct Bound {
+struct ExplorationLimits {
   Ms horizon = 6;
   int losses = 1;
   int front_deaths = 1;
   bool successor = false;
-  std::size_t on_the_way = 2;  // words at once in each direction; more is as if lost
+  std::size_t max_in_flight = 2;  // messages in each direction; any more count as lost
 };
 
 struct World {
   Ms now = 0;
-  std::vector<Ledger> fronts;
-  std::vector<Record> lasting;
-  std::shared_ptr<const Push> push;  // null: dead
-  int pushes = 0;
+  std::vector<ChangeLog> fronts;
+  std::vector<PersistentState> persisted;
+  std::shared_ptr<const Rollout> rollout;  // null: the coordinator is dead
+  int rollouts = 0;
   int losses = 0;
   int deaths = 0;
-  bool confirms[3] = {};  // a push has begun to say so
+  bool confirms[3] = {};  // by rollout: it has begun to confirm
   bool lost_after_confirm = false;
-  std::size_t on_the_way = 2;
-  std::vector<std::pair<std::size_t, Happening>> there;    // on the way to fronts
-  std::vector<std::tuple<std::size_t, int, Answer>> back;  // front, which push, answer
+  std::size_t max_in_flight = 2;
+  std::vector<std::pair<std::size_t, Event>> to_fronts;  // in flight to fronts
+  std::vector<std::tuple<std::size_t, int, Response>>
+      to_coordinator;  // in flight back: front, rollout, response
 
   std::string Fingerprint() const {
-    std::string out = std::to_string(now) + '|' + std::to_string(pushes) + ' ' +
-                      std::to_string(losses) + ' ' + std::to_string(deaths) +
-                      (confirms[1] ? "c" : "") + (confirms[2] ? "d" : "") +
-                      (lost_after_confirm ? "l" : "") + '|' + (push ? push->Fingerprint() : "dead");
+    std::string fingerprint =
+        std::to_string(now) + '|' + std::to_string(rollouts) + ' ' + std::to_string(losses) + ' ' +
+        std::to_string(deaths) + (confirms[1] ? "c" : "") + (confirms[2] ? "d" : "") +
+        (lost_after_confirm ? "l" : "") + '|' + (rollout ? rollout->Fingerprint() : "dead");
     for (std::size_t i = 0; i < fronts.size(); ++i)
-      out += '|' + fronts[i].Fingerprint() + '/' + std::to_string(lasting[i].kept) + ' ' +
-             std::to_string(lasting[i].fence);
+      fingerprint += '|' + fronts[i].Fingerprint() + '/' + std::to_string(persisted[i].confirmed) +
+                     ' ' + std::to_string(persisted[i].fencing_token);
     std::vector<std::string> wire;
-    for (auto& [front, what] : there) {
-      std::string one = std::to_string(front) + 't' + std::to_string(what.index());
+    for (auto& [front, event] : to_fronts) {
+      std::string one = std::to_string(front) + 't' + std::to_string(event.index());
       std::visit(
           [&](const auto& w) {
-            if constexpr (requires { w.fence; })
-              one += ' ' + std::to_string(w.fence);
+            if constexpr (requires { w.fencing_token; })
+              one += ' ' + std::to_string(w.fencing_token);
             if constexpr (requires { w.generation; })
               one += ' ' + std::to_string(w.generation);
             if constexpr (requires { w.content; })
               one += w.content;
-            if constexpr (requires { w.confirm_within; })
-              one += ' ' + std::to_string(w.confirm_within);
+            if constexpr (requires { w.confirm_timeout; })
+              one += ' ' + std::to_string(w.confirm_timeout);
           },
-          what);
+          event);
       wire.push_back(one);
     }
-    for (auto& [front, whose, a] : back)
-      wire.push_back(std::to_string(front) + 'b' + std::to_string(whose) + ' ' +
-                     std::to_string(a.ticket) + ' ' + std::to_string(a.generation) + ' ' +
-                     std::to_string(static_cast<int>(a.refused)));
+    for (auto& [front, rollout_number, a] : to_coordinator)
+      wire.push_back(std::to_string(front) + 'b' + std::to_string(rollout_number) + ' ' +
+                     std::to_string(a.request_id) + ' ' + std::to_string(a.generation) + ' ' +
+                     std::to_string(static_cast<int>(a.refusal)));
     std::sort(wire.begin(), wire.end());
     for (const std::string& one : wire)
-      out += '|' + one;
-    return out;
+      fingerprint += '|' + one;
+    return fingerprint;
   }
 };
 
-const Bounds kSmall{4, 100, 1};
-const PushTerms kTerms{3, 0, 1, 1, {0.5, 1}};
+const Limits kSmallLimits{4, 100, 1};
+const RolloutSettings kSettings{3, 0, 1, 1, {0.5, 1}};
 
-void Send(World& w, const std::vector<Say>& all) {
-  for (const Say& s : all) {
-    if (std::holds_alternative<Confirm>(s.what))
-      w.confirms[w.pushes] = true;
-    if (w.there.size() < w.on_the_way)
-      w.there.push_back({s.front, s.what});
+void Send(World& w, const std::vector<Message>& all) {
+  for (const Message& s : all) {
+    if (std::holds_alternative<ConfirmRequest>(s.event))
+      w.confirms[w.rollouts] = true;
+    if (w.to_fronts.size() < w.max_in_flight)
+      w.to_fronts.push_back({s.front, s.event});
   }
 }
 
-// Carries out what a front wants; where it dies right after its record, nothing more.
-// `whose`: the push that said what led to them; answers go back to it alone.
-void CarryOut(World& w, std::size_t front, int whose, const std::vector<Deed>& deeds,
-              bool dies_after_record) {
-  for (const Deed& d : deeds) {
-    if (auto* r = std::get_if<Record>(&d)) {
-      w.lasting[front] = *r;
+// Executes the actions of a front; if it dies right after persisting its state, nothing more.
+// `rollout_number`: the rollout whose message caused the actions; responses go to it alone.
+void ExecuteActions(World& w, std::size_t front, int rollout_number,
+                    const std::vector<Action>& actions, bool dies_after_record) {
+  for (const Action& d : actions) {
+    if (auto* r = std::get_if<PersistentState>(&d)) {
+      w.persisted[front] = *r;
       if (dies_after_record)
         break;
     }
-    if (auto* a = std::get_if<Answer>(&d); a && w.back.size() < w.on_the_way)
-      w.back.push_back({front, whose, *a});
+    if (auto* a = std::get_if<Response>(&d); a && w.to_coordinator.size() < w.max_in_flight)
+      w.to_coordinator.push_back({front, rollout_number, *a});
   }
 }
 
-void Check(const World& w, const Bound& bound) {
-  for (const Ledger& f : w.fronts) {
-    // Whole, and one of those that were proposed.
-    const std::string* content = f.ContentOf(f.Serving());
+void Check(const World& w, const ExplorationLimits& bound) {
+  for (const ChangeLog& f : w.fronts) {
+    // Complete, and one of the proposed contents.
+    const std::string* content = f.ContentOf(f.ActiveGeneration());
     assert(content && (content->empty() || *content == "a" || *content == "b"));
     // Unconfirmed only within its lease.
-    assert(f.Serving() == f.Kept() || (f.LeaseEnds() > 0 && w.now < f.LeaseEnds()));
-    const std::string& kept = *f.ContentOf(f.Kept());
-    assert(kept.empty() || (kept == "a" && w.confirms[1]) || (kept == "b" && w.confirms[2]));
+    assert(f.ActiveGeneration() == f.ConfirmedGeneration() ||
+           (f.LeaseEndsAt() > 0 && w.now < f.LeaseEndsAt()));
+    const std::string& confirmed = *f.ContentOf(f.ConfirmedGeneration());
+    assert(confirmed.empty() || (confirmed == "a" && w.confirms[1]) ||
+           (confirmed == "b" && w.confirms[2]));
   }
   if (w.now < bound.horizon)
     return;
-  // All leases have ended: nothing was confirmed, so all are back.
+  // All leases have ended and nothing was confirmed, so all fronts have reverted.
   if (!w.confirms[1] && !w.confirms[2])
-    for (const Ledger& f : w.fronts)
-      assert(f.ContentOf(f.Serving())->empty());
-  // Where the push says that all keep it, they do.
-  if (w.push && w.push->phase() == Phase::kDone && w.push->Behind().empty())
-    for (const Ledger& f : w.fronts)
-      assert(*f.ContentOf(f.Kept()) == (w.pushes == 2 ? "b" : "a"));
+    for (const ChangeLog& f : w.fronts)
+      assert(f.ContentOf(f.ActiveGeneration())->empty());
+  // If the rollout reports that all fronts confirmed the change, they did.
+  if (w.rollout && w.rollout->phase() == Phase::kCompleted &&
+      w.rollout->UnconfirmedFronts().empty())
+    for (const ChangeLog& f : w.fronts)
+      assert(*f.ContentOf(f.ConfirmedGeneration()) == (w.rollouts == 2 ? "b" : "a"));
 }
 
-void EveryStateWithin(const Bound& bound) {
+void ExploreAllStates(const ExplorationLimits& bound) {
   World first;
-  first.fronts.assign(2, Ledger(kSmall));
-  first.lasting.assign(2, Record{});
-  first.pushes = 1;
-  first.on_the_way = bound.on_the_way;
-  Push push(kTerms, 1, "a", {0, 0}, 0);
-  Send(first, push.tick(0));
-  first.push = std::make_shared<const Push>(push);
+  first.fronts.assign(2, ChangeLog(kSmallLimits));
+  first.persisted.assign(2, PersistentState{});
+  first.rollouts = 1;
+  first.max_in_flight = bound.max_in_flight;
+  Rollout rollout(kSettings, 1, "a", {0, 0}, 0);
+  Send(first, rollout.Advance(0));
+  first.rollout = std::make_shared<const Rollout>(rollout);
   std::unordered_set<std::size_t> seen{std::hash<std::string>{}(first.Fingerprint())};
   std::deque<World> todo{first};
-  std::size_t confirmed_by_all = 0, reverted_by_all = 0, apart = 0;
+  std::size_t confirmed_by_all = 0, reverted_by_all = 0, diverged = 0;
   auto reach = [&](World&& w) {
     Check(w, bound);
     if (seen.insert(std::hash<std::string>{}(w.Fingerprint())).second)
@@ -263,103 +280,105 @@
     World w = std::move(todo.front());
     todo.pop_front();
     if (w.now >= bound.horizon) {
-      std::string a = *w.fronts[0].ContentOf(w.fronts[0].Serving()),
-                  b = *w.fronts[1].ContentOf(w.fronts[1].Serving());
-      ++(a != b ? apart : a.empty() ? reverted_by_all : confirmed_by_all);
+      std::string a = *w.fronts[0].ContentOf(w.fronts[0].ActiveGeneration()),
+                  b = *w.fronts[1].ContentOf(w.fronts[1].ActiveGeneration());
+      ++(a != b ? diverged : a.empty() ? reverted_by_all : confirmed_by_all);
       continue;
     }
-    // A word arrives at a front, is lost, or kills it right after its record.
-    for (std::size_t i = 0; i < w.there.size(); ++i)
-      for (int how = 0; how < 3; ++how) {
-        if ((how == 1 && w.losses >= bound.losses) || (how == 2 && w.deaths >= bound.front_deaths))
+    // A message arrives at a front, is lost, or the front dies right after persisting its state.
+    for (std::size_t i = 0; i < w.to_fronts.size(); ++i)
+      for (int fate = 0; fate < 3; ++fate) {
+        if ((fate == 1 && w.losses >= bound.losses) ||
+            (fate == 2 && w.deaths >= bound.front_deaths))
           continue;
         World n = w;
-        auto [front, what] = n.there[i];
-        n.there.erase(n.there.begin() + static_cast<long>(i));
-        if (how == 1) {
+        auto [front, event] = n.to_fronts[i];
+        n.to_fronts.erase(n.to_fronts.begin() + static_cast<long>(i));
+        if (fate == 1) {
           ++n.losses;
           n.lost_after_confirm |= n.confirms[1] || n.confirms[2];
         } else {
-          int whose = std::visit(
+          int rollout_number = std::visit(
               [](const auto& one) {
-                if constexpr (requires { one.fence; })
-                  return static_cast<int>(one.fence);
+                if constexpr (requires { one.fencing_token; })
+                  return static_cast<int>(one.fencing_token);
                 else
                   return 0;
               },
-              what);
-          CarryOut(n, front, whose, n.fronts[front].Handle(n.now, what), how == 2);
-          if (how == 2) {
+              event);
+          ExecuteActions(n, front, rollout_number, n.fronts[front].Handle(n.now, event), fate == 2);
+          if (fate == 2) {
             ++n.deaths;
-            n.fronts[front] = Ledger(kSmall, n.lasting[front]);
+            n.fronts[front] = ChangeLog(kSmallLimits, n.persisted[front]);
           }
         }
         reach(std::move(n));
       }
-    for (std::size_t i = 0; i < w.back.size(); ++i)
+    for (std::size_t i = 0; i < w.to_coordinator.size(); ++i)
       for (bool lost : {false, true}) {
         if (lost && w.losses >= bound.losses)
           continue;
         World n = w;
-        auto [front, whose, answer] = n.back[i];
-        n.back.erase(n.back.begin() + static_cast<long>(i));
+        auto [front, rollout_number, answer] = n.to_coordinator[i];
+        n.to_coordinator.erase(n.to_coordinator.begin() + static_cast<long>(i));
         if (lost)
           ++n.losses;
-        else if (n.push && whose == n.pushes) {
-          Push p = *n.push;
-          auto more = p.Answered(n.now, front, answer);
-          n.push = std::make_shared<const Push>(p);
+        else if (n.rollout && rollout_number == n.rollouts) {
+          Rollout p = *n.rollout;
+          auto more = p.HandleResponse(n.now, front, answer);
+          n.rollout = std::make_shared<const Rollout>(p);
           Send(n, more);
         }
         reach(std::move(n));
       }
-    // The coordinator dies for good, or its successor begins with another change and a higher
-    // fence.
-    if (w.push) {
+    // The coordinator dies for good, or its successor begins another change with a higher fencing
+    // token.
+    if (w.rollout) {
       World n = w;
-      n.push = nullptr;
+      n.rollout = nullptr;
       reach(std::move(n));
-    } else if (bound.successor && w.pushes == 1 &&
+    } else if (bound.successor && w.rollouts == 1 &&
                w.now <= 1) {  // so that its leases end within the horizon
       World n = w;
-      n.pushes = 2;
-      Push p(kTerms, 2, "b", {n.fronts[0].Kept(), n.fronts[1].Kept()}, n.now);
-      Send(n, p.tick(n.now));
-      n.push = std::make_shared<const Push>(p);
+      n.rollouts = 2;
+      Rollout p(kSettings, 2, "b",
+                {n.fronts[0].ConfirmedGeneration(), n.fronts[1].ConfirmedGeneration()}, n.now);
+      Send(n, p.Advance(n.now));
+      n.rollout = std::make_shared<const Rollout>(p);
       reach(std::move(n));
     }
     for (std::size_t i = 0; i < 2 && w.deaths < bound.front_deaths; ++i) {
       World n = w;
       ++n.deaths;
-      n.fronts[i] = Ledger(kSmall, n.lasting[i]);
+      n.fronts[i] = ChangeLog(kSmallLimits, n.persisted[i]);
       reach(std::move(n));
     }
     World n = w;
     n.now += 1;
     for (std::size_t i = 0; i < 2; ++i)
-      CarryOut(n, i, 0, n.fronts[i].Handle(n.now, Tick{}), false);
-    if (n.push) {
-      Push p = *n.push;
-      auto more = p.tick(n.now);
-      n.push = std::make_shared<const Push>(p);
+      ExecuteActions(n, i, 0, n.fronts[i].Handle(n.now, Tick{}), false);
+    if (n.rollout) {
+      Rollout p = *n.rollout;
+      auto more = p.Advance(n.now);
+      n.rollout = std::make_shared<const Rollout>(p);
       Send(n, more);
     }
     reach(std::move(n));
   }
   std::printf(
-      "%zu states; at their ends %zu with the change kept by all, %zu with it kept by none, %zu "
-      "apart\n",
-      seen.size(), confirmed_by_all, reverted_by_all, apart);
+      "%zu states; final states: %zu confirmed by all, %zu confirmed by none, %zu "
+      "diverged\n",
+      seen.size(), confirmed_by_all, reverted_by_all, diverged);
   assert(seen.size() > 1000 && confirmed_by_all > 0 && reverted_by_all > 0);
 }
 
 }  // namespace
 
-// `deep`: more words on the way at once, which takes minutes.
+// Any argument: more messages in flight at once, which takes minutes.
 int main(int argc, char**) {
-  OneStepAtATime();
-  std::size_t on_the_way = argc > 1 ? 2 : 1;
-  EveryStateWithin({6, 1, 0, false, on_the_way});
-  EveryStateWithin({6, 0, 1, false, on_the_way});
-  EveryStateWithin({6, 0, 0, true, on_the_way});
+  TestSingleSteps();
+  std::size_t max_in_flight = argc > 1 ? 2 : 1;
+  ExploreAllStates({6, 1, 0, false, max_in_flight});
+  ExploreAllStates({6, 0, 1, false, max_in_flight});
+  ExploreAllStates({6, 0, 0, true, max_in_flight});
 }
