--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -22,7 +22,7 @@
 // is taken. So neither the input nor anything else is ever overwritten.
 void WriteNew(const std::string& path, const std::string& text) {
   auto fail = [&](const std::string& why) {
-    throw migrate::Refused(path + ": cannot be written: " + why);
+    throw migrate::MigrationError(path + ": cannot be written: " + why);
   };
   std::string part = path + ".XXXXXX";
   int fd = ::mkstemp(part.data());
@@ -49,9 +49,9 @@
     fail(why);
 }
 
-void Print(const std::vector<migrate::Note>& notes, const char* head) {
-  for (const migrate::Note& n : notes)
-    std::printf("%s %s: %s\n", head, n.field.c_str(), n.what.c_str());
+void Print(const std::vector<migrate::FieldNote>& notes, const char* head) {
+  for (const migrate::FieldNote& n : notes)
+    std::printf("%s %s: %s\n", head, n.field.c_str(), n.description.c_str());
 }
 
 struct Migrate {
@@ -61,7 +61,7 @@
   std::string joins = "keep";
   std::string probes = "keep";
   std::vector<std::string> tickets;
-  migrate::Target target;
+  migrate::MigrationOptions target;
   bool dry_run = false;
   bool json = false;
 
@@ -75,26 +75,26 @@
       char* end = nullptr;
       double ms = eq == one.npos ? 0 : std::strtod(one.c_str() + eq + 1, &end);
       if (eq == one.npos || eq == 0 || !end || *end || !(ms > 0) || ms > 1e9)
-        throw migrate::Refused("--ticketed " + one +
-                               ": must be an offering's name, =, and milliseconds above 0");
-      target.tickets[one.substr(0, eq)] = ms;
+        throw migrate::MigrationError("--ticketed " + one +
+                                      ": must be an offering's name, =, and milliseconds above 0");
+      target.deduplication_windows[one.substr(0, eq)] = ms;
     }
   }
 
-  std::string report(const migrate::Outcome& done) const {
+  std::string report(const migrate::MigrationResult& done) const {
     rapidjson::StringBuffer bytes;
     rapidjson::PrettyWriter<rapidjson::StringBuffer> writer(bytes);
     auto text = [&](const char* key, const std::string& value) {
       writer.Key(key);
       writer.String(value.c_str(), static_cast<rapidjson::SizeType>(value.size()));
     };
-    auto all = [&](const char* key, const std::vector<migrate::Note>& notes) {
+    auto all = [&](const char* key, const std::vector<migrate::FieldNote>& notes) {
       writer.Key(key);
       writer.StartArray();
-      for (const migrate::Note& n : notes) {
+      for (const migrate::FieldNote& n : notes) {
         writer.StartObject();
         text("field", n.field);
-        text("what", n.what);
+        text("what", n.description);
         writer.EndObject();
       }
       writer.EndArray();
@@ -104,7 +104,7 @@
     writer.Key("written");
     dry_run ? writer.Null() : writer.String(out.c_str());
     all("changed", done.changed);
-    all("left", done.left);
+    all("left", done.not_migrated);
     writer.EndObject();
     return bytes.GetString();
   }
@@ -116,23 +116,24 @@
       target.joins = choice(joins);
       target.probes = choice(probes);
       if (out.empty() && !dry_run)
-        throw migrate::Refused("--out NEW or --dry-run is needed: nothing was written");
+        throw migrate::MigrationError("--out NEW or --dry-run is needed: nothing was written");
       std::error_code none;
       if (!out.empty() && fs::equivalent(file, out, none))
-        throw migrate::Refused(out + ": is the file that is read; it is never overwritten");
-      migrate::Outcome done = migrate::Migrated(schema::ReadFile(file), file, target);
+        throw migrate::MigrationError(out + ": is the file that is read; it is never overwritten");
+      migrate::MigrationResult done =
+          migrate::MigrateConfiguration(schema::ReadFile(file), file, target);
       if (!dry_run)
         WriteNew(out, done.text);
       if (json) {
         std::puts(report(done).c_str());
       } else {
         Print(done.changed, "changed");
-        Print(done.left, "left behind");
+        Print(done.not_migrated, "left behind");
         if (done.changed.empty())
           std::puts("nothing to change: the file is of the new shape");
         std::printf("%s\n", dry_run ? "nothing was written" : ("written: " + out).c_str());
       }
-      return done.left.empty() ? 0 : 3;
+      return done.not_migrated.empty() ? 0 : 3;
     } catch (const std::exception& fault) {
       std::fprintf(stderr, "dunlinctl: %s\n", fault.what());
       return 2;
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -15,10 +15,10 @@
 
 using rapidjson::Value;
 
-// The names of the wire: a cache's x1 is how full its location's link is, a parent's what it has
-// out.
-constexpr const char* kLinkReport = "x1";
-constexpr const char* kLinkReportMeans =
+// Names on the wire: x1 of a cache is the utilization of its location's link, x1 of a parent the
+// number of its outstanding fetches.
+constexpr const char* kLinkReportName = "x1";
+constexpr const char* kLinkReportDescription =
     "a cache: transfers on its location's link over those that fit at full pace; a parent: fetches "
     "out";
 
@@ -27,70 +27,71 @@
   return 1 + static_cast<int>(std::count(text.begin(), end, '\n'));
 }
 
-std::string OneLine(std::string text) {
+std::string ToSingleLine(std::string text) {
   for (char& c : text)
     if (static_cast<unsigned char>(c) < ' ' || c == 0x7f)
       c = ' ';
   return text;
 }
 
-class Move {
+class Migration {
  public:
-  Move(const std::string& text, const std::string& named, const Target& target)
-      : named_(named), target_(target) {
+  Migration(const std::string& text, const std::string& file_name, const MigrationOptions& options)
+      : file_name_(file_name), options_(options) {
     root_.Parse<rapidjson::kParseFullPrecisionFlag>(text.c_str(), text.size());
     if (root_.HasParseError())
-      Refuse(":" + std::to_string(LineOf(text, root_.GetErrorOffset())),
-             rapidjson::GetParseError_En(root_.GetParseError()));
-    Acceptable(text, "");
+      Fail(":" + std::to_string(LineOf(text, root_.GetErrorOffset())),
+           rapidjson::GetParseError_En(root_.GetParseError()));
+    CheckAccepted(text, "");
     settings_ = &root_["settings"];
   }
 
-  Outcome operator()() {
-    SecondAttempts();
-    Remarks();
-    Links();
-    Siblings();
-    Reports();
-    Tickets();
-    Choices();
+  MigrationResult operator()() {
+    DisableConcurrentAttempts();
+    SetResponseDetail();
+    ClearLinkCapacities();
+    SetSiblings();
+    AddLinkReport();
+    SetDeduplicationWindows();
+    SetOptionalFields();
     rapidjson::StringBuffer bytes;
     rapidjson::PrettyWriter<rapidjson::StringBuffer> writer(bytes);
     writer.SetIndent(' ', 2);
     writer.SetFormatOptions(rapidjson::kFormatSingleLineArray);
     root_.Accept(writer);
-    done_.text = std::string(bytes.GetString(), bytes.GetSize()) + "\n";
-    Acceptable(done_.text, " once moved");  // what a front would refuse is not written
-    return std::move(done_);
+    result_.text = std::string(bytes.GetString(), bytes.GetSize()) + "\n";
+    CheckAccepted(result_.text,
+                  " after migration");  // a configuration that a front would refuse is not written
+    return std::move(result_);
   }
 
  private:
-  [[noreturn]] void Refuse(const std::string& place, const std::string& why) const {
-    throw Refused(OneLine(named_ + place + ": " + why));
+  [[noreturn]] void Fail(const std::string& position, const std::string& reason) const {
+    throw MigrationError(ToSingleLine(file_name_ + position + ": " + reason));
   }
 
-  // By the very reader that a front starts with.
-  void Acceptable(const std::string& text, const char* when) const {
+  // Parses the text with the same reader that a front uses at its start.
+  void CheckAccepted(const std::string& text, const char* stage) const {
     try {
-      front::ParseConfiguration(text, named_, "");
-    } catch (const std::exception& fault) {
-      Refuse(when, fault.what());
+      front::ParseConfiguration(text, file_name_, "");
+    } catch (const std::exception& error) {
+      Fail(stage, error.what());
     }
   }
 
-  Value* group(const char* name) {  // of the settings, an object; made where it is missing
-    auto at = settings_->FindMember(name);
-    if (at == settings_->MemberEnd()) {
+  Value* FindOrAddSection(const char* name) {  // an object of the settings; added if it is missing
+    auto member = settings_->FindMember(name);
+    if (member == settings_->MemberEnd()) {
       settings_->AddMember(rapidjson::StringRef(name), Value(rapidjson::kObjectType),
                            root_.GetAllocator());
-      at = settings_->FindMember(name);
+      member = settings_->FindMember(name);
     }
-    if (!at->value.IsObject())
-      Refuse(std::string(": settings.") + name, "must be an object");
-    return &at->value;
+    if (!member->value.IsObject())
+      Fail(std::string(": settings.") + name, "must be an object");
+    return &member->value;
   }
 
-  static std::string Shown(const Value& v) {
+  static std::string ToShortJson(const Value& v) {
     rapidjson::StringBuffer bytes;
     rapidjson::Writer<rapidjson::StringBuffer> writer(bytes);
     v.Accept(writer);
@@ -98,159 +99,170 @@
     return text.size() > 60 ? text.substr(0, 57) + "..." : text;
   }
 
-  void Set(const char* in, const char* name, Value value, const std::string& why) {
-    Value& to = *group(in);
-    std::string field = std::string("settings.") + in + '.' + name;
-    auto at = to.FindMember(name);
-    if (at != to.MemberEnd() && at->value == value)
+  void Set(const char* section_name, const char* name, Value value, const std::string& reason) {
+    Value& section = *FindOrAddSection(section_name);
+    std::string field = std::string("settings.") + section_name + '.' + name;
+    auto member = section.FindMember(name);
+    if (member != section.MemberEnd() && member->value == value)
       return;
-    std::string what = (at == to.MemberEnd() ? "was not there" : "was " + Shown(at->value)) +
-                       ", is " + Shown(value);
-    done_.changed.push_back({field, OneLine(what + (why.empty() ? "" : "; " + why))});
-    if (at != to.MemberEnd())
-      at->value = std::move(value);
+    std::string description =
+        (member == section.MemberEnd() ? "was not set" : "was " + ToShortJson(member->value)) +
+        ", is " + ToShortJson(value);
+    result_.changed.push_back(
+        {field, ToSingleLine(description + (reason.empty() ? "" : "; " + reason))});
+    if (member != section.MemberEnd())
+      member->value = std::move(value);
     else
-      to.AddMember(Value(name, root_.GetAllocator()), std::move(value), root_.GetAllocator());
+      section.AddMember(Value(name, root_.GetAllocator()), std::move(value), root_.GetAllocator());
   }
-  void Leave(const std::string& field, const std::string& what) {
-    done_.left.push_back({field, OneLine(what)});
+  void ReportNotMigrated(const std::string& field, const std::string& description) {
+    result_.not_migrated.push_back({field, ToSingleLine(description)});
   }
 
-  Value word(const std::string& text) {
+  Value MakeString(const std::string& text) {
     return Value(text.c_str(), root_.GetAllocator());
   }
 
-  void SecondAttempts() {
-    Set("limits", "mayDuplicate", Value(false), "a pull never has two legs out at once");
+  void DisableConcurrentAttempts() {
+    Set("limits", "mayDuplicate", Value(false), "a request never has two concurrent attempts");
   }
 
-  void Remarks() {
-    Set("familyInfo", "detail", word("hit"), "answers tell only whether they were hits");
+  void SetResponseDetail() {
+    Set("familyInfo", "detail", MakeString("hit"),
+        "responses state only whether they were cache hits");
   }
 
-  // The new deployment does not tell links; what the old file told can't hold for other machines.
-  void Links() {
-    Value& info = *group("familyInfo");
-    auto at = info.FindMember("pipeKbPerS");
-    if (at == info.MemberEnd())
+  // Link capacities are not configured in the new deployment, and those of the old file can't hold
+  // for other servers.
+  void ClearLinkCapacities() {
+    Value& info = *FindOrAddSection("familyInfo");
+    auto member = info.FindMember("pipeKbPerS");
+    if (member == info.MemberEnd())
       return;
-    bool notified =
-        at->value.IsArray()
-            ? std::any_of(at->value.Begin(), at->value.End(),
+    bool has_capacities =
+        member->value.IsArray()
+            ? std::any_of(member->value.Begin(), member->value.End(),
                           [](const Value& v) { return v.IsNumber() && v.GetDouble() > 0; })
-            : at->value.IsNumber() && at->value.GetDouble() > 0;
-    if (!notified)
+            : member->value.IsNumber() && member->value.GetDouble() > 0;
+    if (!has_capacities)
       return;
-    Leave("settings.familyInfo.pipeKbPerS",
-          "links told (" + Shown(at->value) +
-              ") are those of the old machines; the new ones are learnt from reports");
-    Value none(rapidjson::kArrayType);
-    if (at->value.IsArray())
-      for (rapidjson::SizeType i = 0; i < at->value.Size(); ++i)
-        none.PushBack(Value(0.0), root_.GetAllocator());
-    Set("familyInfo", "pipeKbPerS", std::move(none), "not told any more");
+    ReportNotMigrated(
+        "settings.familyInfo.pipeKbPerS",
+        "the link capacities (" + ToShortJson(member->value) +
+            ") are those of the old servers; the new ones are learnt from load reports");
+    Value no_capacities(rapidjson::kArrayType);
+    if (member->value.IsArray())
+      for (rapidjson::SizeType i = 0; i < member->value.Size(); ++i)
+        no_capacities.PushBack(Value(0.0), root_.GetAllocator());
+    Set("familyInfo", "pipeKbPerS", std::move(no_capacities), "no longer configured");
   }
 
-  void Siblings() {
-    Set("familyInfo", "lateral", word(target_.siblings),
-        target_.siblings == "none" ? "a cache is filled from no other cache" : "");
+  void SetSiblings() {
+    Set("familyInfo", "lateral", MakeString(options_.siblings),
+        options_.siblings == "none" ? "caches do not fill from other caches" : "");
   }
 
-  // The level of the link comes in each answer. A report's other values stay as they are.
-  void Reports() {
-    Value& report = *group("report");
-    auto at = report.FindMember("names");
+  // The link utilization comes in each response. The other values of a report stay as they are.
+  void AddLinkReport() {
+    Value& report = *FindOrAddSection("report");
+    auto member = report.FindMember("names");
     Value names(rapidjson::kArrayType);
-    if (at != report.MemberEnd() && at->value.IsArray())
-      names.CopyFrom(at->value, root_.GetAllocator());
-    bool there = std::any_of(names.Begin(), names.End(), [](const Value& v) {
-      return v.IsString() && std::string(v.GetString()) == kLinkReport;
+    if (member != report.MemberEnd() && member->value.IsArray())
+      names.CopyFrom(member->value, root_.GetAllocator());
+    bool has_link_report = std::any_of(names.Begin(), names.End(), [](const Value& v) {
+      return v.IsString() && std::string(v.GetString()) == kLinkReportName;
     });
-    constexpr rapidjson::SizeType kMost = 4;  // values in a report
-    if (!there && names.Size() >= kMost) {
-      Leave("settings.report.names",
-            "no place for x1 beside " + Shown(names) + ": the last of them is dropped");
+    constexpr rapidjson::SizeType kMaxValues = 4;  // values in a report
+    if (!has_link_report && names.Size() >= kMaxValues) {
+      ReportNotMigrated("settings.report.names", "no room for x1 beside " + ToShortJson(names) +
+                                                     ", the last of which is dropped");
       names.PopBack();
     }
-    if (!there)
-      names.PushBack(word(kLinkReport), root_.GetAllocator());
-    Set("report", "names", std::move(names), "x1 is how full a cache's link is");
-    Set("report", "via", word("answers"), "");
-    Set("familyInfo", "reportX1", word(kLinkReportMeans), "");
+    if (!has_link_report)
+      names.PushBack(MakeString(kLinkReportName), root_.GetAllocator());
+    Set("report", "names", std::move(names), "x1 is the utilization of a cache's link");
+    Set("report", "via", MakeString("answers"), "");
+    Set("familyInfo", "reportX1", MakeString(kLinkReportDescription), "");
   }
 
-  // What runs once stays so unless the operator says for how long its repeats are dropped.
-  void Tickets() {
+  // A request class that must run once stays exclusive unless the operator states for how long its
+  // duplicates are dropped.
+  void SetDeduplicationWindows() {
     Value& classes = (*settings_)["classes"];
-    auto named = [](const Value& one) {
-      auto at = one.FindMember("name");
-      return at != one.MemberEnd() && at->value.IsString() ? std::string(at->value.GetString())
-                                                           : std::string();
+    auto name_of = [](const Value& request_class) {
+      auto member = request_class.FindMember("name");
+      return member != request_class.MemberEnd() && member->value.IsString()
+                 ? std::string(member->value.GetString())
+                 : std::string();
     };
-    for (const auto& ticket : target_.tickets) {
-      const std::string& name = ticket.first;
+    for (const auto& entry : options_.deduplication_windows) {
+      const std::string& name = entry.first;
       if (std::none_of(classes.Begin(), classes.End(),
-                       [&](const Value& one) { return named(one) == name; }))
-        Refuse("", "no offering is called " + name + ", which was to be ticketed");
+                       [&](const Value& request_class) { return name_of(request_class) == name; }))
+        Fail("",
+             "there is no request class " + name + ", for which a deduplication window is given");
     }
     for (rapidjson::SizeType i = 0; i < classes.Size(); ++i) {
-      Value& one = classes[i];
-      std::string field = "settings.classes." + std::to_string(i), name = named(one);
-      auto to = target_.tickets.find(name);
-      auto how = one.FindMember("idempotency");
-      bool once = how == one.MemberEnd() ||
-                  (how->value.IsString() && std::string(how->value.GetString()) == "once");
-      if (to == target_.tickets.end()) {
-        if (once)
-          Leave(field + ".idempotency", name +
-                                            " stays exclusive: for how long its repeats are "
-                                            "dropped is not said; --ticketed " +
-                                            name + "=MS makes it ticketed");
+      Value& request_class = classes[i];
+      std::string field = "settings.classes." + std::to_string(i), name = name_of(request_class);
+      auto window = options_.deduplication_windows.find(name);
+      auto idempotency = request_class.FindMember("idempotency");
+      bool runs_once =
+          idempotency == request_class.MemberEnd() ||
+          (idempotency->value.IsString() && std::string(idempotency->value.GetString()) == "once");
+      if (window == options_.deduplication_windows.end()) {
+        if (runs_once)
+          ReportNotMigrated(
+              field + ".idempotency",
+              name + " stays exclusive, since no deduplication window is given; --ticketed " +
+                  name + "=MS sets one");
         continue;
       }
-      if (!(to->second > 0) || !std::isfinite(to->second))
-        Refuse(": " + field, name + " needs a time above 0 ms");
-      if (!once && how->value != word("by_key"))
-        Refuse(": " + field, name + " is rerunnable: a ticket would only bind it");
-      auto put = [&](const char* key, Value value) {
-        auto at = one.FindMember(key);
-        if (at != one.MemberEnd() && at->value == value)
+      if (!(window->second > 0) || !std::isfinite(window->second))
+        Fail(": " + field, name + " needs a deduplication window above 0 ms");
+      if (!runs_once && idempotency->value != MakeString("by_key"))
+        Fail(": " + field, name + " is repeatable: an idempotency key would only restrict it");
+      auto set_field = [&](const char* field_name, Value value) {
+        auto member = request_class.FindMember(field_name);
+        if (member != request_class.MemberEnd() && member->value == value)
           return;
-        done_.changed.push_back({field + '.' + key, "is " + Shown(value)});
-        if (at != one.MemberEnd())
-          at->value = std::move(value);
+        result_.changed.push_back({field + '.' + field_name, "is " + ToShortJson(value)});
+        if (member != request_class.MemberEnd())
+          member->value = std::move(value);
         else
-          one.AddMember(Value(key, root_.GetAllocator()), std::move(value), root_.GetAllocator());
+          request_class.AddMember(Value(field_name, root_.GetAllocator()), std::move(value),
+                                  root_.GetAllocator());
       };
-      put("idempotency", word("by_key"));
-      put("group", word("all"));
-      put("memorySpan", Value(to->second));
+      set_field("idempotency", MakeString("by_key"));
+      set_field("group", MakeString("all"));
+      set_field("memorySpan", Value(window->second));
     }
   }
 
-  void Choices() {
-    if (target_.direct)
-      Set("familyInfo", "direct", Value(*target_.direct), "");
-    if (target_.joins)
-      Set("familyInfo", "canJoin", Value(*target_.joins), "");
-    if (target_.probes)
-      Set("limits", "probing", Value(*target_.probes), "");
+  void SetOptionalFields() {
+    if (options_.direct)
+      Set("familyInfo", "direct", Value(*options_.direct), "");
+    if (options_.joins)
+      Set("familyInfo", "canJoin", Value(*options_.joins), "");
+    if (options_.probes)
+      Set("limits", "probing", Value(*options_.probes), "");
   }
 
-  std::string named_;
-  const Target& target_;
+  std::string file_name_;
+  const MigrationOptions& options_;
   rapidjson::Document root_;
   Value* settings_ = nullptr;
-  Outcome done_;
+  MigrationResult result_;
 };
 
 }  // namespace
 
-Outcome Migrated(const std::string& text, const std::string& named, const Target& target) {
-  if (target.siblings != "none" && target.siblings != "location" && target.siblings != "any")
-    throw Refused("siblings is none of none, location, any: " +
-                  OneLine(target.siblings.substr(0, 40)));
-  return Move(text, named, target)();
+MigrationResult MigrateConfiguration(const std::string& text, const std::string& file_name,
+                                     const MigrationOptions& options) {
+  if (options.siblings != "none" && options.siblings != "location" && options.siblings != "any")
+    throw MigrationError("siblings must be none, location or any, not " +
+                         ToSingleLine(options.siblings.substr(0, 40)));
+  return Migration(text, file_name, options)();
 }
 
 }  // namespace dunlinwick::migrate
--- a/src/migrate/migrate.hpp
+++ b/src/migrate/migrate.hpp
@@ -1,11 +1,12 @@
-// Turns a front's configuration of the old shape into its counterpart for the new one. Pure: text
-// in, text out; nothing is read, written or resolved here.
+// Converts a front's configuration from the old format to its counterpart in the new one. Pure:
+// text in, text out; nothing is read, written or resolved here.
 //
-// What the two shapes are (docs/migration.md). Old: second legs allowed, answers tell what became
-// of a fill and how long it waited, links are told, caches fill from their location, reports come
-// with probes. New: no second leg, answers tell only hits, links are not told but caches report in
-// each answer how full theirs is, caches fill from any other or from none, and what must not run
-// twice may be ticketed.
+// The two formats (docs/migration.md). Old: a request may have a second concurrent attempt,
+// responses state the result of a fill and how long it waited, link capacities are configured,
+// caches fill from caches of their location, load reports come with probes. New: no second attempt,
+// responses state only cache hits, link capacities are not configured but caches report their link
+// utilization in each response, caches fill from any other cache or from none, and requests that
+// must not run twice may carry an idempotency key.
 #pragma once
 #include <map>
 #include <optional>
@@ -15,36 +16,37 @@
 
 namespace dunlinwick::migrate {
 
-// What the old file does not say of the new deployment. What is not given is carried over as it
-// stands.
-struct Target {
+// What the old file does not state about the new deployment. Fields that are not given are kept as
+// they are.
+struct MigrationOptions {
   std::string siblings = "none";  // none, location or any
   std::map<std::string, double>
-      tickets;  // offering's name to the ms for which its repeats are dropped, > 0
+      deduplication_windows;  // request class to the ms for which duplicates are dropped, > 0
   std::optional<bool> direct;
   std::optional<bool> joins;
   std::optional<bool> probes;
 };
 
-struct Note {
-  std::string field;  // as a path in the file: settings.limits.mayDuplicate
-  std::string what;   // one line
+struct FieldNote {
+  std::string field;        // as a path in the file: settings.limits.mayDuplicate
+  std::string description;  // a single line
 };
 
-struct Outcome {
-  std::string text;  // the new configuration, which a front accepts; JSON, ends with a line end
-  std::vector<Note> changed;  // empty: the file was of the new shape already
-  std::vector<Note> left;     // could not be carried over, and what to do about it
+struct MigrationResult {
+  std::string text;  // the new configuration, which a front accepts; JSON, ends with a newline
+  std::vector<FieldNote> changed;       // empty: the file already had the new format
+  std::vector<FieldNote> not_migrated;  // could not be migrated, and what to do about it
 };
 
-// What can't be read, or would not be served: one line with the file's name, the place and the
-// reason.
-struct Refused : std::runtime_error {
+// The input can't be parsed, or a front would not accept it: a single line with the file name, the
+// position and the reason.
+struct MigrationError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// `named` is what a refusal calls the text. Throws Refused, also where `target` names what the file
-// lacks.
-Outcome Migrated(const std::string& text, const std::string& named, const Target& target);
+// `file_name` is the name of the text in error messages. Throws MigrationError, also if `options`
+// name a request class that the file lacks.
+MigrationResult MigrateConfiguration(const std::string& text, const std::string& file_name,
+                                     const MigrationOptions& options);
 
 }  // namespace dunlinwick::migrate
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -1,6 +1,6 @@
-// The move of a configuration to the new shape: what is made of it, what the command does to files,
-// and a front that serves by it on loopback. Arguments: an old configuration, dunlinctl,
-// dunlinwick.
+// Migration of a configuration to the new format: the resulting text, the files that the command
+// reads and writes, and a front that serves with the result on loopback. Arguments: an old
+// configuration, dunlinctl, dunlinwick.
 #include "migrate/migrate.hpp"
 
 #include <sys/wait.h>
@@ -15,12 +15,12 @@
 #include "kit.hpp"
 
 using namespace kit;
-using migrate::Target;
+using migrate::MigrationOptions;
 namespace fs = std::filesystem;
 
 namespace {
 
-std::string example, ctl, node;
+std::string example, dunlinctl_path, dunlinwick_path;
 fs::path folder;
 
 std::string Read(const fs::path& path) {
@@ -34,98 +34,101 @@
   std::ofstream(path, std::ios::binary) << text;
   assert(Read(path) == text);
 }
-std::string With(std::string text, const std::string& from, const std::string& to) {
+std::string Replace(std::string text, const std::string& from, const std::string& to) {
   assert(text.find(from) != text.npos);
   return text.replace(text.find(from), from.size(), to);
 }
-bool Names(const std::vector<migrate::Note>& notes, const std::string& field) {
+bool HasNote(const std::vector<migrate::FieldNote>& notes, const std::string& field) {
   return std::any_of(notes.begin(), notes.end(),
-                     [&](const migrate::Note& n) { return n.field == field; });
+                     [&](const migrate::FieldNote& n) { return n.field == field; });
 }
 StoreSettings SettingsOf(const std::string& text) {
   return front::ParseConfiguration(text, "new", "").settings;
 }
 
-void TheNewShapeIsWhatTheModuleReads() {
+void TestMigratedSettings() {
   StoreSettings old = SettingsOf(example);
   assert(old.remarks && old.link_report < 0 && old.link_kb_per_ms > 0 &&
          old.may.two_attempts_at_once && old.lateral);
-  migrate::Outcome done = migrate::Migrated(example, "f", {});
+  migrate::MigrationResult done = migrate::MigrateConfiguration(example, "f", {});
   StoreSettings s = SettingsOf(done.text);
   assert(!s.remarks && s.link_report == 2 && s.link_kb_per_ms == 0 && !s.may.two_attempts_at_once &&
          !s.lateral);
   for (const char* field :
        {"settings.limits.mayDuplicate", "settings.familyInfo.detail", "settings.familyInfo.lateral",
         "settings.familyInfo.pipeKbPerS", "settings.report.names", "settings.report.via"})
-    assert(Names(done.changed, field));
-  assert(done.left.size() == 2 && Names(done.left, "settings.familyInfo.pipeKbPerS") &&
-         Names(done.left, "settings.classes.1.idempotency"));
-  // All else as it was.
+    assert(HasNote(done.changed, field));
+  assert(done.not_migrated.size() == 2 &&
+         HasNote(done.not_migrated, "settings.familyInfo.pipeKbPerS") &&
+         HasNote(done.not_migrated, "settings.classes.1.idempotency"));
+  // Everything else is unchanged.
   assert(s.request_classes[1].effect == Effect::kExclusive && s.may.direct && s.may.probe &&
          s.most_attempts == old.most_attempts && s.purge_done == old.purge_done &&
          s.zone_replicas == old.zone_replicas && s.longest_retry_after == old.longest_retry_after);
 }
 
-void WhatIsMovedNeedsNoFurtherMove() {
-  Target target;
-  target.tickets["order-handover"] = 6000;
-  migrate::Outcome once = migrate::Migrated(example, "f", target),
-                   twice = migrate::Migrated(once.text, "f", target);
-  assert(twice.changed.empty() && twice.left.empty() && twice.text == once.text);
+void TestMigrationIsIdempotent() {
+  MigrationOptions options;
+  options.deduplication_windows["order-handover"] = 6000;
+  migrate::MigrationResult once = migrate::MigrateConfiguration(example, "f", options),
+                           twice = migrate::MigrateConfiguration(once.text, "f", options);
+  assert(twice.changed.empty() && twice.not_migrated.empty() && twice.text == once.text);
   StoreSettings s = SettingsOf(once.text);
   assert(s.request_classes[1].effect == Effect::kIdempotentWithKey &&
          s.request_classes[1].span == Span::kEverywhere && s.request_classes[1].memory == 6000);
 }
 
-void ChoicesAreTheOperators() {
-  Target target;
-  target.siblings = "any";
-  target.direct = false;
-  target.joins = true;
-  target.probes = false;
-  StoreSettings s = SettingsOf(migrate::Migrated(example, "f", target).text);
+void TestOptionalFields() {
+  MigrationOptions options;
+  options.siblings = "any";
+  options.direct = false;
+  options.joins = true;
+  options.probes = false;
+  StoreSettings s = SettingsOf(migrate::MigrateConfiguration(example, "f", options).text);
   assert(s.lateral && !s.may.direct && s.may.join && !s.may.probe);
-  // Four values are the most in a report.
-  migrate::Outcome full = migrate::Migrated(
-      With(example, "[\"load_share\", \"concurrent\"]", "[\"depth\",\"tps\",\"x0\",\"err_ps\"]"),
+  // A report has at most four values.
+  migrate::MigrationResult full = migrate::MigrateConfiguration(
+      Replace(example, "[\"load_share\", \"concurrent\"]", "[\"depth\",\"tps\",\"x0\",\"err_ps\"]"),
       "f", {});
-  assert(Names(full.left, "settings.report.names") && SettingsOf(full.text).link_report == 3);
+  assert(HasNote(full.not_migrated, "settings.report.names") &&
+         SettingsOf(full.text).link_report == 3);
 }
 
-void BadInputIsRefusedWithPlaceAndReason() {
+void TestInvalidInput() {
   struct Case {
     std::string text;
-    std::string said;
+    std::string message;
   };
-  Target none;
+  MigrationOptions none;
   for (const Case& c :
        {Case{"", "f:1: "}, Case{"{\n\"name\": \"x\",\n}", "f:3: "}, Case{example + "x", "f:"},
         Case{"[]", "not a JSON object"}, Case{"{}", "listen"},
-        Case{With(example, "\"pipeKbPerS\": [0, 120000]", "\"pipeKbPerS\": [0, \"wide\"]"),
+        Case{Replace(example, "\"pipeKbPerS\": [0, 120000]", "\"pipeKbPerS\": [0, \"wide\"]"),
              "familyInfo.pipeKbPerS is no number: wide"},
-        Case{With(example, "\"repeatable\"", "\"twice\""),
+        Case{Replace(example, "\"repeatable\"", "\"twice\""),
              "classes.0.idempotency is none of repeatable, by_key, once: twice"},
-        Case{With(example, "\"mayDuplicate\": true", "\"mayDuplicate\": \"yes\""),
+        Case{Replace(example, "\"mayDuplicate\": true", "\"mayDuplicate\": \"yes\""),
              "limits.mayDuplicate is neither true nor false: yes"},
-        Case{With(example, "\"maxAttempts\": 4", "\"maxAttempts\": 0"),
+        Case{Replace(example, "\"maxAttempts\": 4", "\"maxAttempts\": 0"),
              "limits.maxAttempts is out of"},
-        Case{With(example, "\"purgeDone\": 6000", "\"purgeDone\": 6000, \"detail\": \"so\\nso\""),
-             "familyInfo.detail is none of all, hit, none: so_so"}}) {
-    std::string said;
+        Case{
+            Replace(example, "\"purgeDone\": 6000", "\"purgeDone\": 6000, \"detail\": \"so\\nso\""),
+            "familyInfo.detail is none of all, hit, none: so_so"}}) {
+    std::string message;
     try {
-      migrate::Migrated(c.text, "f", none);
-    } catch (const migrate::Refused& fault) {
-      said = fault.what();
+      migrate::MigrateConfiguration(c.text, "f", none);
+    } catch (const migrate::MigrationError& error) {
+      message = error.what();
     }
-    assert(said.find(c.said) != said.npos && said.find('\n') == said.npos);
+    assert(message.find(c.message) != message.npos && message.find('\n') == message.npos);
   }
-  for (const char* name : {"no-such", "video-parts"}) {  // not there; rerunnable already
-    Target target;
-    target.tickets[name] = 6000;
+  for (const char* name : {"no-such", "video-parts"}) {  // unknown; already repeatable
+    MigrationOptions options;
+    options.deduplication_windows[name] = 6000;
     bool refused = false;
     try {
-      migrate::Migrated(example, "f", target);
-    } catch (const migrate::Refused&) {
+      migrate::MigrateConfiguration(example, "f", options);
+    } catch (const migrate::MigrationError&) {
       refused = true;
     }
     assert(refused);
@@ -134,53 +137,53 @@
 
 // ---- the command
 
-struct Said {
+struct CommandResult {
   int code;
   std::string out;
   std::string err;
 };
-Said Run(const std::string& arguments) {
+CommandResult Run(const std::string& arguments) {
   fs::path out = folder / "out.txt", err = folder / "err.txt";
-  int status = std::system(("'" + ctl + "' config migrate " + arguments + " >'" + out.string() +
-                            "' 2>'" + err.string() + "'")
+  int status = std::system(("'" + dunlinctl_path + "' config migrate " + arguments + " >'" +
+                            out.string() + "' 2>'" + err.string() + "'")
                                .c_str());
   assert(WIFEXITED(status));
-  Said said{WEXITSTATUS(status), Read(out), Read(err)};
+  CommandResult result{WEXITSTATUS(status), Read(out), Read(err)};
   fs::remove(out);
   fs::remove(err);
-  return said;
+  return result;
 }
 std::string Quoted(const fs::path& path) {
   return std::string("'").append(path.string()).append("'");
 }
-std::size_t Files() {
+std::size_t FileCount() {
   return static_cast<std::size_t>(
       std::distance(fs::directory_iterator(folder), fs::directory_iterator()));
 }
 
-void TheCommandTouchesNothingButItsOutput() {
+void TestCommandFiles() {
   fs::path old = folder / "old.json", fresh = folder / "new.json", twin = folder / "twin.json";
   Write(old, example);
-  Said dry = Run(Quoted(old) + " --dry-run");
+  CommandResult dry = Run(Quoted(old) + " --dry-run");
   assert(dry.code == 3 &&
          dry.out.find("left behind settings.classes.1.idempotency") != dry.out.npos &&
-         Files() == 1);
-  Said done = Run(Quoted(old) + " --out " + Quoted(fresh));
-  assert(done.code == 3 && Read(old) == example && Files() == 2);
-  assert(Read(fresh) == migrate::Migrated(example, "f", {}).text);
-  // Neither its input, under whatever name, nor another file is overwritten.
+         FileCount() == 1);
+  CommandResult done = Run(Quoted(old) + " --out " + Quoted(fresh));
+  assert(done.code == 3 && Read(old) == example && FileCount() == 2);
+  assert(Read(fresh) == migrate::MigrateConfiguration(example, "f", {}).text);
+  // Neither its input, under any name, nor another existing file is overwritten.
   fs::create_hard_link(old, twin);
   std::string before = Read(fresh);
   for (const fs::path& taken : {old, twin, fresh}) {
-    Said said = Run(Quoted(old) + " --out " + Quoted(taken));
-    assert(said.code == 2 && std::count(said.err.begin(), said.err.end(), '\n') == 1 &&
-           said.out.empty());
+    CommandResult result = Run(Quoted(old) + " --out " + Quoted(taken));
+    assert(result.code == 2 && std::count(result.err.begin(), result.err.end(), '\n') == 1 &&
+           result.out.empty());
   }
-  assert(Read(old) == example && Read(fresh) == before && Files() == 3);
-  Said again = Run(Quoted(fresh) + " --ticketed order-handover=6000 --dry-run --json");
+  assert(Read(old) == example && Read(fresh) == before && FileCount() == 3);
+  CommandResult again = Run(Quoted(fresh) + " --ticketed order-handover=6000 --dry-run --json");
   assert(again.code == 0 && again.out.find("\"written\": null") != again.out.npos &&
          json::Read(again.out));
-  // Bad input: one line, 2, nothing written.
+  // Invalid input: a single line on stderr, exit code 2, nothing written.
   fs::path bad = folder / "bad.json", none = folder / "none.json";
   Write(bad, "{\n  \"name\": 1,,\n}");
   for (const std::string& arguments :
@@ -188,37 +191,39 @@
         Quoted(folder) + " --dry-run", Quoted(old) + " --dry-run --ticketed order-handover=soon",
         Quoted(old) + " --dry-run --ticketed x=6000",
         Quoted(old) + " --out '" + (folder / "no/such/place.json").string() + "'"}) {
-    Said said = Run(arguments);
-    assert(said.code == 2 && std::count(said.err.begin(), said.err.end(), '\n') == 1);
+    CommandResult result = Run(arguments);
+    assert(result.code == 2 && std::count(result.err.begin(), result.err.end(), '\n') == 1);
   }
   assert(Run(Quoted(bad) + " --dry-run").err.find("bad.json:2: ") != std::string::npos &&
-         Files() == 4);
+         FileCount() == 4);
   assert(Run("--help").out.find("exit: 0 all carried over, 3 something") != std::string::npos);
 }
 
-// ---- a front that serves by it, among stand-ins on loopback
+// ---- a front that serves with the configuration, with fake servers on loopback
 
-// A refusal that comes from behind the cache is its source's where answers tell only hits: the pull
-// is asked of the same cache again, with another source. By the old shape the next cache is asked.
-void AFrontServesByBothShapes() {
-  for (bool moved : {false, true}) {
+// In the new format, responses state only cache hits, so that a rejection from behind the cache
+// counts as its source's: the request is sent to the same cache again, with another source. In the
+// old format it is sent to the next cache.
+void TestFrontServesBothFormats() {
+  for (bool migrated : {false, true}) {
     loop::Loop loop;
     FarListener one, two, discovery;
     loop::Address at = FreeAddress();
-    std::string text = moved ? migrate::Migrated(example, "f", {}).text : example;
+    std::string text = migrated ? migrate::MigrateConfiguration(example, "f", {}).text : example;
     for (auto& [from, to] : {std::pair{std::string("127.0.0.1:8080"), kit::Text(at)},
                              {"127.0.0.1:4222", discovery.Text()},
                              {"127.0.0.1:5101", one.Text()},
                              {"127.0.0.1:5102", two.Text()}})
-      text = With(text, from, to);
+      text = Replace(text, from, to);
     fs::path file = folder / "front.json";
     Write(file, text);
-    assert(std::system(("'" + node + "' check --config " + Quoted(file) + " >/dev/null").c_str()) ==
-           0);
+    assert(std::system(("'" + dunlinwick_path + "' check --config " + Quoted(file) + " >/dev/null")
+                           .c_str()) == 0);
     pid_t child = ::fork();
     assert(child >= 0);
     if (child == 0) {
-      ::execl(node.c_str(), node.c_str(), "serve", "--config", file.c_str(), nullptr);
+      ::execl(dunlinwick_path.c_str(), dunlinwick_path.c_str(), "serve", "--config", file.c_str(),
+              nullptr);
       ::_exit(127);
     }
     Far watch = discovery.Next(loop);
@@ -227,34 +232,35 @@
         "GET /ops/video-parts/7f3a HTTP/1.1\r\nX-Request-Id: 00000000000000a1\r\nX-Timeout-Ms: "
         "60000\r\n"
         "X-Group: 1\r\n\r\n");
-    // Whichever cache is the home gets the pull; the other hears nothing of it yet.
-    std::vector<std::pair<int, Far>> heard;
-    std::vector<FarListener*> stores{&one, &two};
-    auto take = [&] {
+    // The preferred cache of the object gets the request; the other one receives nothing yet.
+    std::vector<std::pair<int, Far>> connections;
+    std::vector<FarListener*> caches{&one, &two};
+    auto accept_connections = [&] {
       for (int i = 0; i < 2; ++i) {
-        int got = ::accept4(stores[static_cast<std::size_t>(i)]->fd.Get(), nullptr, nullptr,
+        int got = ::accept4(caches[static_cast<std::size_t>(i)]->fd.Get(), nullptr, nullptr,
                             SOCK_NONBLOCK);
         if (got >= 0)
-          heard.emplace_back(i, Far(loop::Descriptor(got)));
+          connections.emplace_back(i, Far(loop::Descriptor(got)));
       }
     };
-    auto wanted =
-        [&](std::size_t n) -> std::pair<int, Far>* {  // the nth connection that carries the pull
-      take();
-      for (auto& one : heard)
+    auto nth_request =
+        [&](std::size_t n) -> std::pair<int, Far>* {  // the nth connection that carries the request
+      accept_connections();
+      for (auto& one : connections)
         if (one.second.Hears("want 00000000000000a1") && n-- == 0)
           return &one;
       return nullptr;
     };
-    Until(loop, [&] { return wanted(0) != nullptr; });
-    int home = wanted(0)->first;
-    assert(wanted(0)->second.got.find("miss=parent-1") != std::string::npos);
-    std::this_thread::sleep_for(std::chrono::milliseconds(30));  // beyond the way to the cache
-    wanted(0)->second.Send("00000000000000a1 SHED report=x1:0.4;concurrent:3 0\r\n\r\n");
-    Until(loop, [&] { return wanted(1) != nullptr; });
-    assert((wanted(1)->first == home) == moved);
-    assert(!moved || wanted(1)->second.got.find("miss=origin") != std::string::npos);
-    wanted(1)->second.Send(
+    Until(loop, [&] { return nth_request(0) != nullptr; });
+    int home = nth_request(0)->first;
+    assert(nth_request(0)->second.got.find("miss=parent-1") != std::string::npos);
+    std::this_thread::sleep_for(
+        std::chrono::milliseconds(30));  // longer than the transit time to the cache
+    nth_request(0)->second.Send("00000000000000a1 SHED report=x1:0.4;concurrent:3 0\r\n\r\n");
+    Until(loop, [&] { return nth_request(1) != nullptr; });
+    assert((nth_request(1)->first == home) == migrated);
+    assert(!migrated || nth_request(1)->second.got.find("miss=origin") != std::string::npos);
+    nth_request(1)->second.Send(
         "00000000000000a1 HIT entity=t,issued=1,remark=local,report=x1:0.4 2\r\nok\r\n");
     Until(loop, [&] { return client.Hears("\r\n\r\nok"); });
     ::kill(child, SIGTERM);
@@ -270,8 +276,8 @@
 int main(int argc, char** argv) {
   assert(argc == 4);
   example = Read(argv[1]);
-  ctl = argv[2];
-  node = argv[3];
+  dunlinctl_path = argv[2];
+  dunlinwick_path = argv[3];
   std::string name = (fs::temp_directory_path() / "migrate-XXXXXX").string();
   assert(::mkdtemp(name.data()));
   folder = name;
@@ -279,13 +285,12 @@
     const char* name;
     void (*run)();
   };
-  for (Case c :
-       {Case{"the new shape is what the module reads", TheNewShapeIsWhatTheModuleReads},
-        {"what is moved needs no further move", WhatIsMovedNeedsNoFurtherMove},
-        {"choices are the operators'", ChoicesAreTheOperators},
-        {"bad input is refused with place and reason", BadInputIsRefusedWithPlaceAndReason},
-        {"a front serves by both shapes", AFrontServesByBothShapes},
-        {"the command touches nothing but its output", TheCommandTouchesNothingButItsOutput}}) {
+  for (Case c : {Case{"migrated settings are what the router reads", TestMigratedSettings},
+                 {"a migrated configuration needs no further migration", TestMigrationIsIdempotent},
+                 {"optional fields are set by the operator", TestOptionalFields},
+                 {"invalid input is refused with position and reason", TestInvalidInput},
+                 {"a front serves with both formats", TestFrontServesBothFormats},
+                 {"the command writes nothing but its output file", TestCommandFiles}}) {
     std::puts(c.name);
     std::fflush(stdout);
     c.run();
