--- a/src/changes/ledger.cpp
+++ b/src/changes/ledger.cpp
@@ -5,7 +5,7 @@
 namespace dunlinwick::changes {
 
 const char* ToString(GenerationState state) {
-  static const char* const kNames[] = {"staged", "applied", "confirmed", "reverted", "discarded"};
+  static const char* const kNames[] = {"staged", "applied", "kept", "undone", "dropped"};
   return kNames[static_cast<int>(state)];
 }
 
--- a/src/changes/push.cpp
+++ b/src/changes/push.cpp
@@ -6,8 +6,8 @@
 namespace dunlinwick::changes {
 
 const char* ToString(Phase phase) {
-  static const char* const kNames[] = {"staging",   "applying",  "observing", "confirming",
-                                       "reverting", "completed", "failed"};
+  static const char* const kNames[] = {"staging", "applying", "watching", "confirming",
+                                       "undoing", "done",     "failed"};
   return kNames[static_cast<int>(phase)];
 }
 
--- a/src/record/keepers_wire.cpp
+++ b/src/record/keepers_wire.cpp
@@ -1,5 +1,7 @@
-// Conversion of the replication messages to and from Protobuf. Messages that exceed a bound are
-// rejected.
+// Conversion of the replication messages to and from Protobuf (proto/record.proto), where they have
+// other names: PrepareRequest is Seek, PrepareResponse is Tail, AppendRequest is Append,
+// AppendResponse is Kept, FetchRequest is Fetch and FetchResponse is Fetched. Messages that exceed
+// a bound are rejected.
 #include <cmath>
 
 #include "record.pb.h"
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -42,7 +42,7 @@
   return w.bytes;
 }
 
-static std::string RequestArrived(std::uint32_t id) {
+static std::string RequestArrivedRecord(std::uint32_t id) {
   Writer w;
   w.U16(7);
   w.U32(id);
@@ -67,7 +67,7 @@
 
 static void ABatchIsAnswered() {
   Host host;
-  std::string body = Attach() + EndpointList() + RequestArrived(5),
+  std::string body = Attach() + EndpointList() + RequestArrivedRecord(5),
               reply = host.HandleBatch({1000, 0, 4, 9}, body);
   Reader in(reply);
   assert(in.U32() == reply.size() - 8 && in.U32() == 9);
@@ -86,7 +86,7 @@
 }
 
 static void MalformedFramesAreRejected() {
-  std::string body = Attach() + EndpointList() + RequestArrived(5);
+  std::string body = Attach() + EndpointList() + RequestArrivedRecord(5);
   for (std::size_t cut = 1; cut < body.size(); ++cut)
     assert(IsRejected(std::string_view(body).substr(0, cut), 4));
   assert(IsRejected(body + "x", 4));
