--- a/src/drill/run.cpp
+++ b/src/drill/run.cpp
@@ -40,7 +40,7 @@
             [this](Ms when, std::function<void()> what) { scene_.at(when, std::move(what)); },
             *this) {
     if (net_)
-      net_->SetChoppy(script.choppy);
+      net_->SetPartialIoShare(script.choppy);
     if (net_)
       LayMap();
     for (std::size_t k = 0; k < site_.link_capacity.size(); ++k)
@@ -146,7 +146,7 @@
     o.seed = options_.seed;
     if (net_) {
       o.digest = net_->Digest();
-      o.events = net_->Events();
+      o.events = net_->EventCount();
     }
     o.played = scene_.now() - start_;
     o.took_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
@@ -213,16 +213,16 @@
   }
   void place(std::uint32_t host, int site) {
     if (net_)
-      net_->place(Addressed(host), site);
+      net_->SetSite(Addressed(host), site);
   }
   void LayMap() {
     int stores = script_.stores;
     auto join = [&](int a, int b, Ms latency) {
-      stage::Way w;
+      stage::Link w;
       w.latency = latency;
       w.jitter = 0.25;
-      net_->Join(a, b, w);
-      net_->Join(b, a, w);
+      net_->SetLink(a, b, w);
+      net_->SetLink(b, a, w);
     };
     join(0, 0, site_.store_way);
     for (int a = 1; a <= stores; ++a) {
@@ -290,7 +290,7 @@
                   : std::string(state) == "terminating" ? "draining"
                                                         : "gone";
     e.json = "{\"pool\":{\"version\":1,\"full\":false,\"servers\":[" +
-             Listing(b.make, stage::Text(b.at), state) + "]}}";
+             Listing(b.make, stage::FormatAddress(b.at), state) + "]}}";
     scene_.at(scene_.now() + after,
               [this, &b, e = std::move(e), state = std::string(state)]() mutable {
                 b.state = state;
@@ -327,8 +327,8 @@
     std::string servers;
     for (auto& b : boxes_)
       if (b->state != "terminated" && b->listed)
-        servers +=
-            (servers.empty() ? "" : ",") + Listing(b->make, stage::Text(b->at), b->state.c_str());
+        servers += (servers.empty() ? "" : ",") +
+                   Listing(b->make, stage::FormatAddress(b->at), b->state.c_str());
     std::string rev = std::to_string(events_.size() + 1);
     std::string watch_events = "{\"rev\":" + rev +
                                ",\"pool\":{\"version\":1,\"full\":true,\"servers\":[" + servers +
@@ -372,11 +372,11 @@
     if (script_.in_common) {
       std::vector<std::string> members;
       for (auto& one : hosts_)
-        members.push_back(stage::Text(scene_.address(one->host, kMembersPort)));
+        members.push_back(stage::FormatAddress(scene_.address(one->host, kMembersPort)));
       fleet = FleetBlock(site_, h.front, members);
     }
-    std::string text = Configuration(script_, site_, h.front, stage::Text(h.at),
-                                     stage::Text(h.discovery_at), seed, Known(h), fleet);
+    std::string text = Configuration(script_, site_, h.front, stage::FormatAddress(h.at),
+                                     stage::FormatAddress(h.discovery_at), seed, Known(h), fleet);
     h.served = scene_.Serve(h.host, h.front.name, text, script_.descriptors,
                             options_.breaker ? options_.breaker() : nullptr);
     if (h.starts++ > 0)
@@ -637,8 +637,8 @@
         for (int k = 1; k <= script_.stores; ++k)
           for (int other : {0, k, script_.stores + k})
             for (auto [a, b] : {std::pair{k, other}, std::pair{other, k}}) {
-              net_->way(a, b).lost = t.share;
-              Until(t.lasts, [this, a = a, b = b] { net_->way(a, b).lost = 0; });
+              net_->LinkBetween(a, b).loss_share = t.share;
+              Until(t.lasts, [this, a = a, b = b] { net_->LinkBetween(a, b).loss_share = 0; });
             }
         {
           Fact f = Unseen(t.lasts + 3000);
@@ -737,7 +737,7 @@
     }
     auto apart = [this, pairs](bool on) {
       for (auto [a, b] : pairs)
-        net_->SetApart(a, b, on);
+        net_->SetDatagramsBlocked(a, b, on);
     };
     apart(true);
     Until(t.lasts, [apart] { apart(false); });
@@ -777,11 +777,11 @@
     See(std::move(f));
     for (std::uint32_t host : hosts) {
       if (t.what == What::kLag) {
-        net_->SetLag(Addressed(host), t.late);
-        Until(t.lasts, [this, host] { net_->SetLag(Addressed(host), 0); });
+        net_->SetHostDelay(Addressed(host), t.late);
+        Until(t.lasts, [this, host] { net_->SetHostDelay(Addressed(host), 0); });
       } else {
-        net_->SetCut(Addressed(host), t.what == What::kCut, true);
-        Until(t.lasts, [this, host] { net_->SetCut(Addressed(host), false, false); });
+        net_->SetHostBlocked(Addressed(host), t.what == What::kCut, true);
+        Until(t.lasts, [this, host] { net_->SetHostBlocked(Addressed(host), false, false); });
       }
     }
   }
@@ -790,7 +790,7 @@
   const Options& options_;
   Site site_;
   Scene& scene_;
-  stage::Net* net_;  // null on sockets
+  stage::Network* net_;  // null on sockets
   Ms start_;
   Ms clients_from_;
   Ms end_;
--- a/src/drill/scene.cpp
+++ b/src/drill/scene.cpp
@@ -26,17 +26,17 @@
     return process.loop();
   }
   void act(const std::function<void()>& what) override {
-    process.Act(what);
+    process.Execute(what);
   }
   void StandStill(Ms until) override {
-    process.StandStill(until);
+    process.PauseUntil(until);
   }
   stage::Process& process;
 };
 
 class StagedFront final : public Served {
  public:
-  StagedFront(stage::Net& net, stage::Process& p, const std::string& text,
+  StagedFront(stage::Network& net, stage::Process& p, const std::string& text,
               std::unique_ptr<Break> broken)
       : net_(net), process_(p) {
     front::FrontConfiguration configuration = front::ParseConfiguration(text, p.Name(), "");
@@ -49,11 +49,11 @@
         return inner(now, e);
       };
       if (shared->Sends())
-        p.tamper = [shared](std::string bytes) {
+        p.outgoing_filter = [shared](std::string bytes) {
           return shared->Sent(std::move(bytes));
         };
     }
-    p.Act([&] {
+    p.Execute([&] {
       front_ = std::make_unique<front::Front>(p.loop(), configuration, std::move(module));
     });
   }
@@ -61,14 +61,14 @@
     net_.Kill(process_);
   }  // the front goes after its process: it says nothing more
   void Stop() override {
-    process_.Act([this] { front_->Stop(); });
+    process_.Execute([this] { front_->Stop(); });
   }
   bool Ended() override {
     return process_.loop().Stopped();
   }
 
  private:
-  stage::Net& net_;
+  stage::Network& net_;
   stage::Process& process_;
   std::unique_ptr<front::Front> front_;
 };
@@ -77,7 +77,7 @@
  public:
   Staged(std::uint64_t seed, std::ostream* logs) : net_(seed) {
     if (logs)
-      net_.OnLog([this, logs](const stage::Process& p, std::string_view line) {
+      net_.SetLogHandler([this, logs](const stage::Process& p, std::string_view line) {
         *logs << static_cast<long long>(net_.now() - 1.7e12) << " " << p.Name() << ": " << line
               << "\n";
       });
@@ -86,13 +86,13 @@
     return net_.now();
   }
   void at(Ms when, std::function<void()> what) override {
-    net_.at(when, std::move(what));
+    net_.ScheduleCall(when, std::move(what));
   }
   void RunUntil(Ms time) override {
     net_.RunUntil(time);
   }
   loop::Address address(std::uint32_t host, std::uint16_t port) override {
-    return stage::AddressOf(host | 10u << 24, port);
+    return stage::MakeAddress(host | 10u << 24, port);
   }
   Player& Start(std::uint32_t host, const std::string& name) override {
     return players_.emplace_back(net_.Start(host | 10u << 24, name));
@@ -109,7 +109,7 @@
     return std::make_unique<StagedFront>(net_, net_.Start(host | 10u << 24, name, descriptors),
                                          text, std::move(broken));
   }
-  stage::Net* net() override {
+  stage::Network* net() override {
     return &net_;
   }
 
@@ -120,10 +120,10 @@
     if (tell)
       net_.Kill(at->process);
     else
-      net_.Vanish(at->process);
+      net_.KillSilently(at->process);
     players_.erase(at);
   }
-  stage::Net net_;
+  stage::Network net_;
   std::list<StagedPlayer> players_;
 };
 
@@ -203,7 +203,8 @@
   // A network of loopback's for each process that plays, so that two may play at once.
   loop::Address address(std::uint32_t host, std::uint16_t port) override {
     std::uint32_t own = 64 + static_cast<std::uint32_t>(::getpid()) % 128;
-    return stage::AddressOf(127u << 24 | (own ^ (host >> 16 & 0xff)) << 16 | (host & 0xffff), port);
+    return stage::MakeAddress(127u << 24 | (own ^ (host >> 16 & 0xff)) << 16 | (host & 0xffff),
+                              port);
   }
   Player& Start(std::uint32_t, const std::string&) override {
     return players_.emplace_back(loop_);
@@ -220,7 +221,7 @@
       throw std::runtime_error("a broken front plays on the stage only");
     return std::make_unique<Child>(program_, folder_, name, text);
   }
-  stage::Net* net() override {
+  stage::Network* net() override {
     return nullptr;
   }
 
--- a/src/drill/scene.hpp
+++ b/src/drill/scene.hpp
@@ -43,7 +43,7 @@
   virtual std::unique_ptr<Served> Serve(std::uint32_t host, const std::string& name,
                                         const std::string& configuration, std::size_t descriptors,
                                         std::unique_ptr<Break> broken) = 0;
-  virtual stage::Net* net() = 0;  // null where the network is the system's own
+  virtual stage::Network* net() = 0;  // null where the network is the system's own
 };
 
 std::unique_ptr<Scene> MakeStaged(std::uint64_t seed, std::ostream* logs);
--- a/src/stage/stage.cpp
+++ b/src/stage/stage.cpp
@@ -10,147 +10,149 @@
 
 namespace dunlinwick::stage {
 
-// What one side of a stream may have sent that the other has not read: a kernel's buffers, small.
-constexpr std::size_t kWindow = 1 << 16;
-constexpr std::size_t kMostBacklog = 128, kMostDatagrams = 256;
-constexpr Ms kSentAgainAfter = 200;  // what a cut or a loss held up
-
-struct End {
-  Process* owner = nullptr;  // null: its process is gone, or it was not accepted yet
+// The bytes that one end of a stream may have sent and the other has not read yet: stands for the
+// kernel's socket buffers, kept small.
+constexpr std::size_t kWindowBytes = 1 << 16;
+constexpr std::size_t kMaxBacklog = 128, kMaxDatagrams = 256;
+constexpr Ms kRetransmitDelay = 200;  // after a loss, or while the network is blocked
+
+struct StreamEnd {
+  Process* owner = nullptr;  // null: its process has ended, or it is not accepted yet
   std::uint32_t host = 0;
-  int fd = -1;      // -1: closed, or not accepted
-  std::string got;  // arrived, from `from` on not read
-  std::size_t from = 0;
-  std::string coming;  // sent by the other side, on its way
-  std::size_t from_coming = 0;
-  Ms last_arrival = 0;   // of what is on its way
-  Ms last_bytes_at = 0;  // when the last of `got` came
-  bool open = false;     // there is someone to read
-  bool up = false;
+  int fd = -1;           // -1: closed, or not accepted
+  std::string received;  // arrived; unread from `read_offset` on
+  std::size_t read_offset = 0;
+  std::string in_flight;  // sent by the other end, not arrived yet
+  std::size_t in_flight_offset = 0;
+  Ms last_arrival = 0;    // the latest arrival time of what is in flight
+  Ms last_data_time = 0;  // when the last bytes of `received` arrived
+  bool open = false;      // there is a process to read from it
+  bool connected = false;
   bool fin_sent = false;
-  bool fin_came = false;
-  bool reset_came = false;
-  int fault = 0;
-  std::size_t Unread() const {
-    return got.size() - from;
+  bool fin_received = false;
+  bool reset_received = false;
+  int error = 0;
+  std::size_t UnreadSize() const {
+    return received.size() - read_offset;
   }
-  std::size_t InFlight() const {
-    return coming.size() - from_coming;
+  std::size_t InFlightSize() const {
+    return in_flight.size() - in_flight_offset;
   }
 };
 
 struct Stream {
-  End ends[2];      // 0 opened it
-  int pending = 0;  // events on their way
+  StreamEnd ends[2];       // 0: the end that connected
+  int pending_events = 0;  // scheduled events that refer to it
   Address to{};
 };
 
-Address AddressOf(std::uint32_t host, std::uint16_t port) {
-  Address a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(port);
-  a.sin_addr.s_addr = htonl(host);
-  return a;
+Address MakeAddress(std::uint32_t host, std::uint16_t port) {
+  Address address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port);
+  address.sin_addr.s_addr = htonl(host);
+  return address;
 }
 
-std::string Text(const Address& at) {
+std::string FormatAddress(const Address& address) {
   char host[INET_ADDRSTRLEN];
-  ::inet_ntop(AF_INET, &at.sin_addr, host, sizeof host);
-  return std::string(host) + ':' + std::to_string(ntohs(at.sin_port));
+  ::inet_ntop(AF_INET, &address.sin_addr, host, sizeof host);
+  return std::string(host) + ':' + std::to_string(ntohs(address.sin_port));
 }
 
-struct Net::Hash {
+struct Network::DigestState {
   XXH3_state_t* state = XXH3_createState();
-  Hash() {
+  DigestState() {
     XXH3_64bits_reset(state);
   }
-  ~Hash() {
+  ~DigestState() {
     XXH3_freeState(state);
   }
 };
 
-// ---- a process
+// ---- Process
 
-Process::Process(Net& net, std::uint32_t host, std::string name, std::size_t descriptors)
-    : net_(net),
+Process::Process(Network& network, std::uint32_t host, std::string name, std::size_t descriptors)
+    : network_(network),
       host_(host),
       name_(std::move(name)),
       descriptors_(descriptors),
-      log_([&net] { return net.now(); },
+      log_([&network] { return network.now(); },
            [this](std::string_view line) {
-             if (net_.log_to_)
-               net_.log_to_(*this, line);
+             if (network_.log_handler_)
+               network_.log_handler_(*this, line);
            }),
       loop_(std::make_unique<loop::Loop>(*this)) {
-  slots_.resize(3);  // as the standard streams
+  slots_.resize(3);  // reserved, as for the standard streams
 }
 
 Process::~Process() = default;
 
 Ms Process::now() {
-  return net_.now_;
+  return network_.now_;
 }
 
 std::size_t Process::OpenDescriptors() const {
   return static_cast<std::size_t>(std::count_if(
-      slots_.begin(), slots_.end(), [](const Slot& s) { return s.kind != Kind::kNone; }));
+      slots_.begin(), slots_.end(), [](const Slot& slot) { return slot.kind != Kind::kNone; }));
 }
 
-Process::Slot* Process::slot(int fd, Kind kind) {
+Process::Slot* Process::FindSlot(int fd, Kind kind) {
   if (!alive_ || fd < 0 || static_cast<std::size_t>(fd) >= slots_.size())
     return nullptr;
-  Slot& s = slots_[static_cast<std::size_t>(fd)];
-  return s.kind == kind ? &s : nullptr;
+  Slot& slot = slots_[static_cast<std::size_t>(fd)];
+  return slot.kind == kind ? &slot : nullptr;
 }
 
-int Process::Take(Kind kind) {
+int Process::AllocateDescriptor(Kind kind) {
   if (!alive_)
     return -EBADF;
-  std::size_t at = 3;
-  while (at < slots_.size() && slots_[at].kind != Kind::kNone)
-    ++at;
-  if (at >= descriptors_)
+  std::size_t index = 3;
+  while (index < slots_.size() && slots_[index].kind != Kind::kNone)
+    ++index;
+  if (index >= descriptors_)
     return -EMFILE;
-  if (at >= slots_.size())
-    slots_.resize(at + 1);
-  slots_[at] = {};
-  slots_[at].kind = kind;
-  return static_cast<int>(at);
-}
-
-short Process::Readiness(const Slot& s) const {
-  if (s.kind == Kind::kListener)
-    return s.backlog.empty() ? 0 : POLLIN;
-  if (s.kind == Kind::kDatagrams)
-    return static_cast<short>(POLLOUT | (s.datagrams.empty() ? 0 : POLLIN));
-  if (s.kind != Kind::kStream || !s.stream)
+  if (index >= slots_.size())
+    slots_.resize(index + 1);
+  slots_[index] = {};
+  slots_[index].kind = kind;
+  return static_cast<int>(index);
+}
+
+short Process::ReadyEvents(const Slot& slot) const {
+  if (slot.kind == Kind::kListener)
+    return slot.backlog.empty() ? 0 : POLLIN;
+  if (slot.kind == Kind::kDatagrams)
+    return static_cast<short>(POLLOUT | (slot.datagrams.empty() ? 0 : POLLIN));
+  if (slot.kind != Kind::kStream || !slot.stream)
     return 0;
-  const End& mine = s.stream->ends[s.side];
-  const End& theirs = s.stream->ends[1 - s.side];
+  const StreamEnd& local = slot.stream->ends[slot.side];
+  const StreamEnd& remote = slot.stream->ends[1 - slot.side];
   short events = 0;
-  if (mine.Unread() > 0 || mine.fin_came || mine.reset_came)
+  if (local.UnreadSize() > 0 || local.fin_received || local.reset_received)
     events |= POLLIN;
-  if (mine.fin_came)
+  if (local.fin_received)
     events |= POLLRDHUP;
-  if (mine.reset_came || mine.fault != 0)
+  if (local.reset_received || local.error != 0)
     events |= POLLERR | POLLHUP | POLLOUT;
-  if (mine.up && !mine.fin_sent && theirs.Unread() + theirs.InFlight() < kWindow)
+  if (local.connected && !local.fin_sent &&
+      remote.UnreadSize() + remote.InFlightSize() < kWindowBytes)
     events |= POLLOUT;
   return events;
 }
 
 int Process::Wait(std::span<pollfd> watched, int ms) {
   int count = 0;
-  for (pollfd& p : watched) {
-    p.revents = 0;
-    if (p.fd < 0 || static_cast<std::size_t>(p.fd) >= slots_.size())
+  for (pollfd& entry : watched) {
+    entry.revents = 0;
+    if (entry.fd < 0 || static_cast<std::size_t>(entry.fd) >= slots_.size())
       continue;
-    short ready = Readiness(slots_[static_cast<std::size_t>(p.fd)]);
-    p.revents = static_cast<short>(ready & (p.events | POLLERR | POLLHUP));
-    count += p.revents != 0;
+    short ready = ReadyEvents(slots_[static_cast<std::size_t>(entry.fd)]);
+    entry.revents = static_cast<short>(ready & (entry.events | POLLERR | POLLHUP));
+    count += entry.revents != 0;
   }
-  client_request_ = ms;
-  quiet_ = count == 0 && ms > 0;
+  requested_timeout_ = ms;
+  idle_ = count == 0 && ms > 0;
   return count;
 }
 
@@ -159,85 +161,86 @@
     return;
   running_ = true;
   log::Use use(log_);
-  constexpr int kMost = 100000;  // turns at one time: far beyond what any burst takes
+  constexpr int kMaxTurns = 100000;  // at one virtual time: far beyond what any burst takes
   int turns = 0;
   do {
-    quiet_ = false;
+    idle_ = false;
     loop_->turn(1000);
-    if (++turns > kMost)
-      throw StageFault(name_ + " spins: " + std::to_string(kMost) + " turns without rest");
-  } while (!quiet_ && !loop_->Stopped() && alive_);
+    if (++turns > kMaxTurns)
+      throw SimulationError(name_ + " does not become idle: " + std::to_string(kMaxTurns) +
+                            " loop turns at one time");
+  } while (!idle_ && !loop_->Stopped() && alive_);
   running_ = false;
   if (!alive_ || loop_->Stopped())
     return;
-  due_ = net_.now_ + client_request_;
-  due_seq_ = net_.seq_;
-  net_.Push({due_, 0, Net::What::kRun, nullptr, 0, 0, this, 0});
+  next_run_ = network_.now_ + requested_timeout_;
+  next_run_sequence_ = network_.last_sequence_;
+  network_.Push({next_run_, 0, Network::EventKind::kRunProcess, nullptr, 0, 0, this, 0});
 }
 
 void Process::Wake() {
   if (!alive_ || running_)
     return;
-  Ms when = std::max(net_.now_, still_);
-  if (due_ >= 0 && due_ <= when)
-    return;  // it runs by then
-  due_ = when;
-  due_seq_ = net_.seq_;
-  net_.Push({when, 0, Net::What::kRun, nullptr, 0, 0, this, 0});
+  Ms time = std::max(network_.now_, paused_until_);
+  if (next_run_ >= 0 && next_run_ <= time)
+    return;  // already scheduled to run by then
+  next_run_ = time;
+  next_run_sequence_ = network_.last_sequence_;
+  network_.Push({time, 0, Network::EventKind::kRunProcess, nullptr, 0, 0, this, 0});
 }
 
-void Process::Act(const std::function<void()>& what) {
+void Process::Execute(const std::function<void()>& task) {
   if (!alive_)
     return;
   {
     log::Use use(log_);
-    what();
+    task();
   }
   Wake();
 }
 
-void Process::StandStill(Ms until) {
-  still_ = std::max(still_, until);
-  due_ = -1;
+void Process::PauseUntil(Ms until) {
+  paused_until_ = std::max(paused_until_, until);
+  next_run_ = -1;
   Wake();
 }
 
 int Process::OpenStream() {
-  return Take(Kind::kStream);
+  return AllocateDescriptor(Kind::kStream);
 }
 
 int Process::Connect(int fd, const Address& to) {
-  Slot* s = slot(fd, Kind::kStream);
-  if (!s || s->stream)
+  Slot* slot = FindSlot(fd, Kind::kStream);
+  if (!slot || slot->stream)
     return -EBADF;
   auto* stream = new Stream;
-  s->stream = stream;
-  s->side = 0;
+  slot->stream = stream;
+  slot->side = 0;
   stream->to = to;
   stream->ends[0].owner = this;
   stream->ends[0].host = host_;
   stream->ends[0].fd = fd;
   stream->ends[0].open = true;
   stream->ends[1].host = ntohl(to.sin_addr.s_addr);
-  net_.Post(Net::What::kSyn, stream, 1);
+  network_.Post(Network::EventKind::kSyn, stream, 1);
   return -EINPROGRESS;
 }
 
 int Process::Fault(int fd) {
-  Slot* s = slot(fd, Kind::kStream);
-  if (!s || !s->stream)
+  Slot* slot = FindSlot(fd, Kind::kStream);
+  if (!slot || !slot->stream)
     return EBADF;
-  return s->stream->ends[s->side].fault;
+  return slot->stream->ends[slot->side].error;
 }
 
-int Process::Listen(const Address& at) {
-  Net::Host& host = net_.hosts_[host_];
-  std::uint16_t port = ntohs(at.sin_port);
-  if (ntohl(at.sin_addr.s_addr) != host_)
+int Process::Listen(const Address& address) {
+  Network::Host& host = network_.hosts_[host_];
+  std::uint16_t port = ntohs(address.sin_port);
+  if (ntohl(address.sin_addr.s_addr) != host_)
     return -EADDRNOTAVAIL;
   if (host.listeners.count(port))
     return -EADDRINUSE;
-  int fd = Take(Kind::kListener);
+  int fd = AllocateDescriptor(Kind::kListener);
   if (fd < 0)
     return fd;
   slots_[static_cast<std::size_t>(fd)].port = port;
@@ -246,157 +249,157 @@
 }
 
 int Process::Accept(int fd) {
-  Slot* s = slot(fd, Kind::kListener);
-  if (!s)
+  Slot* slot = FindSlot(fd, Kind::kListener);
+  if (!slot)
     return -EBADF;
-  if (s->backlog.empty())
+  if (slot->backlog.empty())
     return -EAGAIN;
-  int got = Take(Kind::kStream);
-  if (got < 0)
-    return got;
-  s = slot(fd, Kind::kListener);  // the table may have moved
-  auto [stream, side] = s->backlog.front();
-  s->backlog.pop_front();
-  Slot& fresh = slots_[static_cast<std::size_t>(got)];
-  fresh.stream = stream;
-  fresh.side = side;
-  stream->ends[side].fd = got;
-  return got;
-}
-
-ssize_t Process::receive(int fd, std::span<char> into) {
-  Slot* s = slot(fd, Kind::kStream);
-  if (!s || !s->stream)
+  int accepted_fd = AllocateDescriptor(Kind::kStream);
+  if (accepted_fd < 0)
+    return accepted_fd;
+  slot = FindSlot(fd, Kind::kListener);  // the allocation may have moved the table
+  auto [stream, side] = slot->backlog.front();
+  slot->backlog.pop_front();
+  Slot& accepted = slots_[static_cast<std::size_t>(accepted_fd)];
+  accepted.stream = stream;
+  accepted.side = side;
+  stream->ends[side].fd = accepted_fd;
+  return accepted_fd;
+}
+
+ssize_t Process::receive(int fd, std::span<char> buffer) {
+  Slot* slot = FindSlot(fd, Kind::kStream);
+  if (!slot || !slot->stream)
     return -ENOTCONN;
-  End& mine = s->stream->ends[s->side];
-  if (mine.Unread() == 0) {
-    if (mine.reset_came)
+  StreamEnd& local = slot->stream->ends[slot->side];
+  if (local.UnreadSize() == 0) {
+    if (local.reset_received)
       return -ECONNRESET;
-    return mine.fin_came ? 0 : -EAGAIN;
+    return local.fin_received ? 0 : -EAGAIN;
   }
-  std::size_t n = net_.part(std::min(into.size(), mine.Unread()));
-  bool full = mine.Unread() + mine.InFlight() >= kWindow;
-  std::memcpy(into.data(), mine.got.data() + mine.from, n);
-  mine.from += n;
-  if (mine.from == mine.got.size()) {
-    mine.got.clear();
-    mine.from = 0;
+  std::size_t size = network_.PartialSize(std::min(buffer.size(), local.UnreadSize()));
+  bool was_full = local.UnreadSize() + local.InFlightSize() >= kWindowBytes;
+  std::memcpy(buffer.data(), local.received.data() + local.read_offset, size);
+  local.read_offset += size;
+  if (local.read_offset == local.received.size()) {
+    local.received.clear();
+    local.read_offset = 0;
   }
-  if (full)
-    net_.Post(Net::What::kRoom, s->stream, 1 - s->side);
-  return static_cast<ssize_t>(n);
+  if (was_full)
+    network_.Post(Network::EventKind::kWindowUpdate, slot->stream, 1 - slot->side);
+  return static_cast<ssize_t>(size);
 }
 
 Ms Process::SinceLastArrival(int fd) {
-  Slot* s = slot(fd, Kind::kStream);
-  if (!s || !s->stream)
+  Slot* slot = FindSlot(fd, Kind::kStream);
+  if (!slot || !slot->stream)
     return 0;
-  const Ms last = s->stream->ends[s->side].last_bytes_at;
-  return last > 0 ? net_.now_ - last : 0;
+  const Ms last = slot->stream->ends[slot->side].last_data_time;
+  return last > 0 ? network_.now_ - last : 0;
 }
 
 ssize_t Process::Send(int fd, std::span<const iovec> parts) {
-  Slot* s = slot(fd, Kind::kStream);
-  if (!s || !s->stream)
+  Slot* slot = FindSlot(fd, Kind::kStream);
+  if (!slot || !slot->stream)
     return -ENOTCONN;
-  End& mine = s->stream->ends[s->side];
-  End& theirs = s->stream->ends[1 - s->side];
-  if (mine.reset_came)
+  StreamEnd& local = slot->stream->ends[slot->side];
+  StreamEnd& remote = slot->stream->ends[1 - slot->side];
+  if (local.reset_received)
     return -ECONNRESET;
-  if (!mine.up)
+  if (!local.connected)
     return -EAGAIN;
-  if (mine.fin_sent)
+  if (local.fin_sent)
     return -EPIPE;
-  std::size_t taken = theirs.Unread() + theirs.InFlight(), all = 0, put = 0;
-  if (taken >= kWindow)
+  std::size_t buffered = remote.UnreadSize() + remote.InFlightSize(), total = 0, sent = 0;
+  if (buffered >= kWindowBytes)
     return -EAGAIN;
-  for (const iovec& v : parts)
-    all += v.iov_len;
-  if (tamper) {
+  for (const iovec& chunk : parts)
+    total += chunk.iov_len;
+  if (outgoing_filter) {
     std::string bytes;
-    for (const iovec& v : parts)
-      bytes.append(static_cast<const char*>(v.iov_base), v.iov_len);
-    bytes = tamper(std::move(bytes));
-    theirs.coming += bytes;
+    for (const iovec& chunk : parts)
+      bytes.append(static_cast<const char*>(chunk.iov_base), chunk.iov_len);
+    bytes = outgoing_filter(std::move(bytes));
+    remote.in_flight += bytes;
     if (!bytes.empty())
-      net_.Post(Net::What::kBytes, s->stream, 1 - s->side, bytes.size());
-    return static_cast<ssize_t>(all);
+      network_.Post(Network::EventKind::kData, slot->stream, 1 - slot->side, bytes.size());
+    return static_cast<ssize_t>(total);
   }
-  std::size_t most = net_.part(std::min(all, kWindow - taken));
-  for (const iovec& v : parts) {
-    std::size_t n = std::min(v.iov_len, most - put);
-    theirs.coming.append(static_cast<const char*>(v.iov_base), n);
-    put += n;
-    if (put == most)
+  std::size_t accepted = network_.PartialSize(std::min(total, kWindowBytes - buffered));
+  for (const iovec& chunk : parts) {
+    std::size_t size = std::min(chunk.iov_len, accepted - sent);
+    remote.in_flight.append(static_cast<const char*>(chunk.iov_base), size);
+    sent += size;
+    if (sent == accepted)
       break;
   }
-  if (put > 0)
-    net_.Post(Net::What::kBytes, s->stream, 1 - s->side, put);
-  return static_cast<ssize_t>(put);
+  if (sent > 0)
+    network_.Post(Network::EventKind::kData, slot->stream, 1 - slot->side, sent);
+  return static_cast<ssize_t>(sent);
 }
 
 void Process::SayNoMore(int fd) {
-  Slot* s = slot(fd, Kind::kStream);
-  if (!s || !s->stream)
+  Slot* slot = FindSlot(fd, Kind::kStream);
+  if (!slot || !slot->stream)
     return;
-  End& mine = s->stream->ends[s->side];
-  if (mine.up && !mine.fin_sent && !mine.reset_came)
-    net_.Post(Net::What::kFin, s->stream, 1 - s->side);
-  mine.fin_sent = true;
+  StreamEnd& local = slot->stream->ends[slot->side];
+  if (local.connected && !local.fin_sent && !local.reset_received)
+    network_.Post(Network::EventKind::kFin, slot->stream, 1 - slot->side);
+  local.fin_sent = true;
 }
 
 void Process::Close(int fd) {
   if (!alive_ || fd < 0 || static_cast<std::size_t>(fd) >= slots_.size())
     return;
-  Slot taken = std::move(slots_[static_cast<std::size_t>(fd)]);
+  Slot closed = std::move(slots_[static_cast<std::size_t>(fd)]);
   slots_[static_cast<std::size_t>(fd)] = {};
-  Net::Host& host = net_.hosts_[host_];
-  if (taken.kind == Kind::kListener)
-    host.listeners.erase(taken.port);
-  if (taken.kind == Kind::kDatagrams)
-    host.receivers.erase(taken.port);
-  for (auto [stream, side] : taken.backlog) {  // connected, never accepted: reset
+  Network::Host& host = network_.hosts_[host_];
+  if (closed.kind == Kind::kListener)
+    host.listeners.erase(closed.port);
+  if (closed.kind == Kind::kDatagrams)
+    host.receivers.erase(closed.port);
+  for (auto [stream, side] : closed.backlog) {  // connected but never accepted: reset
     stream->ends[side].open = false;
     stream->ends[side].owner = nullptr;
-    net_.Post(Net::What::kReset, stream, 1 - side);
+    network_.Post(Network::EventKind::kReset, stream, 1 - side);
   }
-  if (!taken.stream)
+  if (!closed.stream)
     return;
-  End& mine = taken.stream->ends[taken.side];
-  mine.open = false;
-  mine.owner = nullptr;
-  mine.fd = -1;
-  // Closed with bytes unread: the other side's are refused with a reset, as the kernel does.
-  if (!mine.reset_came && mine.Unread() > 0)
-    net_.Post(Net::What::kReset, taken.stream, 1 - taken.side);
-  else if (!mine.reset_came && !mine.fin_sent && mine.up)
-    net_.Post(Net::What::kFin, taken.stream, 1 - taken.side);
-  mine.fin_sent = true;
-  mine.got = {};
-  mine.from = 0;
-  net_.Release(taken.stream);
+  StreamEnd& local = closed.stream->ends[closed.side];
+  local.open = false;
+  local.owner = nullptr;
+  local.fd = -1;
+  // Closing with unread bytes sends a reset, as the kernel does.
+  if (!local.reset_received && local.UnreadSize() > 0)
+    network_.Post(Network::EventKind::kReset, closed.stream, 1 - closed.side);
+  else if (!local.reset_received && !local.fin_sent && local.connected)
+    network_.Post(Network::EventKind::kFin, closed.stream, 1 - closed.side);
+  local.fin_sent = true;
+  local.received = {};
+  local.read_offset = 0;
+  network_.DeleteIfUnused(closed.stream);
 }
 
 void Process::Abort(int fd) {
-  Slot* s = slot(fd, Kind::kStream);
-  if (s && s->stream && !s->stream->ends[s->side].reset_came) {
-    net_.Post(Net::What::kReset, s->stream, 1 - s->side);
-    s->stream->ends[s->side].reset_came = true;
+  Slot* slot = FindSlot(fd, Kind::kStream);
+  if (slot && slot->stream && !slot->stream->ends[slot->side].reset_received) {
+    network_.Post(Network::EventKind::kReset, slot->stream, 1 - slot->side);
+    slot->stream->ends[slot->side].reset_received = true;
   }
   Close(fd);
 }
 
-int Process::OpenDatagrams(const Address& at) {
-  Net::Host& host = net_.hosts_[host_];
-  if (ntohl(at.sin_addr.s_addr) != host_)
+int Process::OpenDatagrams(const Address& address) {
+  Network::Host& host = network_.hosts_[host_];
+  if (ntohl(address.sin_addr.s_addr) != host_)
     return -EADDRNOTAVAIL;
-  std::uint16_t port = ntohs(at.sin_port);
+  std::uint16_t port = ntohs(address.sin_port);
   if (port == 0)
     for (port = 49152; host.receivers.count(port);)
       ++port;
   if (host.receivers.count(port))
     return -EADDRINUSE;
-  int fd = Take(Kind::kDatagrams);
+  int fd = AllocateDescriptor(Kind::kDatagrams);
   if (fd < 0)
     return fd;
   slots_[static_cast<std::size_t>(fd)].port = port;
@@ -405,376 +408,386 @@
 }
 
 ssize_t Process::SendTo(int fd, std::span<const char> bytes, const Address& to) {
-  Slot* s = slot(fd, Kind::kDatagrams);
-  if (!s)
+  Slot* slot = FindSlot(fd, Kind::kDatagrams);
+  if (!slot)
     return -EBADF;
   if (bytes.size() > 65507)
     return -EMSGSIZE;
-  std::uint32_t there = ntohl(to.sin_addr.s_addr);
-  Way& way = net_.way(net_.SiteOf(host_), net_.SiteOf(there));
-  int copies = net_.Chance() < way.lost ? 0 : net_.Chance() < way.doubled ? 2 : 1;
-  if (net_.apart_.count({host_, there}))
+  std::uint32_t destination = ntohl(to.sin_addr.s_addr);
+  Link& link = network_.LinkBetween(network_.SiteOf(host_), network_.SiteOf(destination));
+  int copies = network_.RandomUnit() < link.loss_share        ? 0
+               : network_.RandomUnit() < link.duplicate_share ? 2
+                                                              : 1;
+  if (network_.blocked_datagram_pairs_.count({host_, destination}))
     copies = 0;
-  for (int i = 0; i < copies; ++i) {
-    Ms takes = net_.Travel(host_, there, bytes.size());
-    if (net_.Chance() < way.shuffled)
-      takes += 20 * way.latency * net_.Chance();
-    std::size_t at = net_.parcels_.size();
-    if (net_.free_parcels_.empty())
-      net_.parcels_.emplace_back();
+  for (int copy = 0; copy < copies; ++copy) {
+    Ms delay = network_.TravelTime(host_, destination, bytes.size());
+    if (network_.RandomUnit() < link.reorder_share)
+      delay += 20 * link.latency * network_.RandomUnit();
+    std::size_t index = network_.datagrams_in_transit_.size();
+    if (network_.free_datagram_slots_.empty())
+      network_.datagrams_in_transit_.emplace_back();
     else {
-      at = net_.free_parcels_.back();
-      net_.free_parcels_.pop_back();
+      index = network_.free_datagram_slots_.back();
+      network_.free_datagram_slots_.pop_back();
     }
-    net_.parcels_[at] = {AddressOf(host_, s->port), to, std::string(bytes.begin(), bytes.end())};
-    net_.Push({net_.now_ + takes, 0, Net::What::kDatagram, nullptr, 0, 0, nullptr, at});
+    network_.datagrams_in_transit_[index] = {MakeAddress(host_, slot->port), to,
+                                             std::string(bytes.begin(), bytes.end())};
+    network_.Push(
+        {network_.now_ + delay, 0, Network::EventKind::kDatagram, nullptr, 0, 0, nullptr, index});
   }
   return static_cast<ssize_t>(bytes.size());
 }
 
-ssize_t Process::ReceiveFrom(int fd, std::span<char> into, Address& from) {
-  Slot* s = slot(fd, Kind::kDatagrams);
-  if (!s)
+ssize_t Process::ReceiveFrom(int fd, std::span<char> buffer, Address& from) {
+  Slot* slot = FindSlot(fd, Kind::kDatagrams);
+  if (!slot)
     return -EBADF;
-  if (s->datagrams.empty())
+  if (slot->datagrams.empty())
     return -EAGAIN;
-  Datagram one = std::move(s->datagrams.front());
-  s->datagrams.pop_front();
-  from = one.from;
-  std::size_t n = std::min(into.size(), one.bytes.size());
-  std::memcpy(into.data(), one.bytes.data(), n);
-  return static_cast<ssize_t>(n);
+  Datagram datagram = std::move(slot->datagrams.front());
+  slot->datagrams.pop_front();
+  from = datagram.from;
+  std::size_t size = std::min(buffer.size(), datagram.bytes.size());
+  std::memcpy(buffer.data(), datagram.bytes.data(), size);
+  return static_cast<ssize_t>(size);
 }
 
 Address Process::peer(int fd) {
-  Slot* s = slot(fd, Kind::kStream);
-  return AddressOf(s && s->stream ? s->stream->ends[1 - s->side].host : 0, 0);
+  Slot* slot = FindSlot(fd, Kind::kStream);
+  return MakeAddress(slot && slot->stream ? slot->stream->ends[1 - slot->side].host : 0, 0);
 }
 
-void Process::Die(bool tell) {
+void Process::Terminate(bool reset_connections) {
   if (!alive_)
     return;
-  Net::Host& host = net_.hosts_[host_];
-  auto mine = [this](auto& one) {
-    return one.second.first == this;
+  Network::Host& host = network_.hosts_[host_];
+  auto belongs_to_this = [this](auto& entry) {
+    return entry.second.first == this;
   };
-  std::erase_if(host.listeners, mine);
-  std::erase_if(host.receivers, mine);
-  host.silent = !tell;
-  auto drop = [&](Stream* stream, int side) {
-    End& end = stream->ends[side];
-    if (tell && !end.reset_came && end.up)
-      net_.Post(Net::What::kReset, stream, 1 - side);
+  std::erase_if(host.listeners, belongs_to_this);
+  std::erase_if(host.receivers, belongs_to_this);
+  host.silent = !reset_connections;
+  auto disconnect = [&](Stream* stream, int side) {
+    StreamEnd& end = stream->ends[side];
+    if (reset_connections && !end.reset_received && end.connected)
+      network_.Post(Network::EventKind::kReset, stream, 1 - side);
     end.open = false;
     end.owner = nullptr;
     end.fd = -1;
-    end.got = {};
-    end.from = 0;
+    end.received = {};
+    end.read_offset = 0;
     end.fin_sent = true;
-    net_.Release(stream);
+    network_.DeleteIfUnused(stream);
   };
-  for (Slot& s : slots_) {
-    for (auto [stream, side] : s.backlog)
-      drop(stream, side);
-    if (s.stream)
-      drop(s.stream, s.side);
+  for (Slot& slot : slots_) {
+    for (auto [stream, side] : slot.backlog)
+      disconnect(stream, side);
+    if (slot.stream)
+      disconnect(slot.stream, slot.side);
   }
   slots_.clear();
   alive_ = false;
 }
 
-// ---- the net
+// ---- Network
 
-Net::Net(std::uint64_t seed, Ms start)
-    : now_(start),
+Network::Network(std::uint64_t seed, Ms start_time)
+    : now_(start_time),
       random_engine_(
           static_cast<std::minstd_rand::result_type>(seed * 2654435761u % 2147483646u + 1)),
-      hash_(std::make_unique<Hash>()) {}
+      digest_state_(std::make_unique<DigestState>()) {}
 
-Net::~Net() {
+Network::~Network() {
   for (auto& process : processes_)
-    process->Die(false);
-  // Streams still referred to by events go with the last of them.
+    process->Terminate(false);
+  // A stream to which events still refer is deleted with the last of these.
   while (!queue_.empty()) {
-    Event e = queue_.back();
+    Event event = queue_.back();
     queue_.pop_back();
-    if (e.stream) {
-      --e.stream->pending;
-      Release(e.stream);
+    if (event.stream) {
+      --event.stream->pending_events;
+      DeleteIfUnused(event.stream);
     }
   }
 }
 
-bool Net::Later(const Event& a, const Event& b) {
-  return a.at != b.at ? a.at > b.at : a.seq > b.seq;
+bool Network::IsLater(const Event& first, const Event& second) {
+  return first.time != second.time ? first.time > second.time : first.sequence > second.sequence;
 }
 
-void Net::Push(Event event) {
-  event.seq = ++seq_;
+void Network::Push(Event event) {
+  event.sequence = ++last_sequence_;
   if (event.stream)
-    ++event.stream->pending;
+    ++event.stream->pending_events;
   queue_.push_back(event);
-  std::push_heap(queue_.begin(), queue_.end(), Later);
+  std::push_heap(queue_.begin(), queue_.end(), IsLater);
 }
 
-void Net::at(Ms when, std::function<void()> what) {
-  std::size_t at = calls_.size();
-  if (free_calls_.empty())
+void Network::ScheduleCall(Ms time, std::function<void()> task) {
+  std::size_t index = calls_.size();
+  if (free_call_slots_.empty())
     calls_.emplace_back();
   else {
-    at = free_calls_.back();
-    free_calls_.pop_back();
+    index = free_call_slots_.back();
+    free_call_slots_.pop_back();
   }
-  calls_[at] = std::move(what);
-  Push({std::max(when, now_), 0, What::kCall, nullptr, 0, 0, nullptr, at});
+  calls_[index] = std::move(task);
+  Push({std::max(time, now_), 0, EventKind::kCall, nullptr, 0, 0, nullptr, index});
 }
 
-void Net::RunUntil(Ms time) {
-  while (!queue_.empty() && queue_.front().at <= time) {
-    std::pop_heap(queue_.begin(), queue_.end(), Later);
-    Event e = queue_.back();
+void Network::RunUntil(Ms time) {
+  while (!queue_.empty() && queue_.front().time <= time) {
+    std::pop_heap(queue_.begin(), queue_.end(), IsLater);
+    Event event = queue_.back();
     queue_.pop_back();
-    now_ = std::max(now_, e.at);
-    ++ran_;
-    Handle(e);
-    if (e.stream) {
-      --e.stream->pending;
-      Release(e.stream);
+    now_ = std::max(now_, event.time);
+    ++handled_events_;
+    Handle(event);
+    if (event.stream) {
+      --event.stream->pending_events;
+      DeleteIfUnused(event.stream);
     }
   }
   now_ = std::max(now_, time);
 }
 
-double Net::Chance() {
+double Network::RandomUnit() {
   return static_cast<double>(random_engine_() - random_engine_.min()) / 2147483646.0;
 }
 
-std::size_t Net::part(std::size_t n) {
-  if (choppy_ <= 0 || n <= 1 || Chance() >= choppy_)
-    return n;
-  return 1 + static_cast<std::size_t>(Chance() * static_cast<double>(n - 1));
+std::size_t Network::PartialSize(std::size_t size) {
+  if (partial_io_share_ <= 0 || size <= 1 || RandomUnit() >= partial_io_share_)
+    return size;
+  return 1 + static_cast<std::size_t>(RandomUnit() * static_cast<double>(size - 1));
 }
 
-int Net::SiteOf(std::uint32_t host) {
+int Network::SiteOf(std::uint32_t host) {
   return hosts_[host].site;
 }
-void Net::place(std::uint32_t host, int site) {
+void Network::SetSite(std::uint32_t host, int site) {
   hosts_[host].site = site;
 }
-void Net::Join(int from, int to, const Way& way) {
-  this->way(from, to) = way;
+void Network::SetLink(int from, int to, const Link& link) {
+  this->LinkBetween(from, to) = link;
 }
 
-Way& Net::way(int from, int to) {
-  auto f = static_cast<std::size_t>(from), t = static_cast<std::size_t>(to);
-  if (way_at_.size() <= f)
-    way_at_.resize(f + 1);
-  if (way_at_[f].size() <= t)
-    way_at_[f].resize(t + 1);
-  if (!way_at_[f][t])
-    way_at_[f][t] = &ways_[{from, to}];
-  return *way_at_[f][t];
+Link& Network::LinkBetween(int from, int to) {
+  auto from_index = static_cast<std::size_t>(from), to_index = static_cast<std::size_t>(to);
+  if (link_table_.size() <= from_index)
+    link_table_.resize(from_index + 1);
+  if (link_table_[from_index].size() <= to_index)
+    link_table_[from_index].resize(to_index + 1);
+  if (!link_table_[from_index][to_index])
+    link_table_[from_index][to_index] = &links_[{from, to}];
+  return *link_table_[from_index][to_index];
 }
 
-void Net::SetCut(std::uint32_t host, bool in, bool out) {
-  hosts_[host].cut_in = in;
-  hosts_[host].cut_out = out;
+void Network::SetHostBlocked(std::uint32_t host, bool inbound, bool outbound) {
+  hosts_[host].inbound_blocked = inbound;
+  hosts_[host].outbound_blocked = outbound;
 }
-void Net::SetApart(std::uint32_t from, std::uint32_t to, bool apart) {
-  if (apart)
-    apart_.insert({from, to});
+void Network::SetDatagramsBlocked(std::uint32_t from, std::uint32_t to, bool blocked) {
+  if (blocked)
+    blocked_datagram_pairs_.insert({from, to});
   else
-    apart_.erase({from, to});
+    blocked_datagram_pairs_.erase({from, to});
 }
-void Net::SetLag(std::uint32_t host, Ms late) {
-  hosts_[host].late = late;
+void Network::SetHostDelay(std::uint32_t host, Ms extra_delay) {
+  hosts_[host].extra_delay = extra_delay;
 }
 
-bool Net::Blocked(std::uint32_t from, std::uint32_t to) {
-  Host &a = hosts_[from], &b = hosts_[to];
-  return a.cut_out || b.cut_in || way(a.site, b.site).cut;
+bool Network::IsBlocked(std::uint32_t from, std::uint32_t to) {
+  Host &sender = hosts_[from], &receiver = hosts_[to];
+  return sender.outbound_blocked || receiver.inbound_blocked ||
+         LinkBetween(sender.site, receiver.site).blocked;
 }
 
-Ms Net::Travel(std::uint32_t from, std::uint32_t to, std::size_t n) {
-  Way& w = way(hosts_[from].site, hosts_[to].site);
-  Ms takes = w.latency * (1 + w.jitter * Chance()) + hosts_[from].late + hosts_[to].late;
-  if (w.kb_per_ms > 0)
-    takes += static_cast<double>(n) / 1000 / w.kb_per_ms;
-  return takes;
+Ms Network::TravelTime(std::uint32_t from, std::uint32_t to, std::size_t size) {
+  Link& link = LinkBetween(hosts_[from].site, hosts_[to].site);
+  Ms delay = link.latency * (1 + link.jitter * RandomUnit()) + hosts_[from].extra_delay +
+             hosts_[to].extra_delay;
+  if (link.kb_per_ms > 0)
+    delay += static_cast<double>(size) / 1000 / link.kb_per_ms;
+  return delay;
 }
 
-// Something goes to one end of a stream, after all that went there before.
-void Net::Post(What what, Stream* stream, int side, std::size_t n) {
-  End& there = stream->ends[side];
+// Schedules an event at one end of a stream, after all that was sent to that end before.
+void Network::Post(EventKind kind, Stream* stream, int side, std::size_t size) {
+  StreamEnd& destination = stream->ends[side];
   std::uint32_t from = stream->ends[1 - side].host;
-  Ms when = now_ + Travel(from, there.host, n);
-  Way& w = way(hosts_[from].site, hosts_[there.host].site);
-  if (w.lost > 0 && Chance() < w.lost)
-    when += kSentAgainAfter;
-  when = std::max(when, there.last_arrival);
-  there.last_arrival = when;
-  Push({when, 0, what, stream, side, n, nullptr, 0});
+  Ms time = now_ + TravelTime(from, destination.host, size);
+  Link& link = LinkBetween(hosts_[from].site, hosts_[destination.host].site);
+  if (link.loss_share > 0 && RandomUnit() < link.loss_share)
+    time += kRetransmitDelay;
+  time = std::max(time, destination.last_arrival);
+  destination.last_arrival = time;
+  Push({time, 0, kind, stream, side, size, nullptr, 0});
 }
 
-void Net::Release(Stream* stream) {
-  if (stream->pending == 0 && stream->ends[0].fd < 0 && !stream->ends[0].open &&
+void Network::DeleteIfUnused(Stream* stream) {
+  if (stream->pending_events == 0 && stream->ends[0].fd < 0 && !stream->ends[0].open &&
       !stream->ends[1].open && stream->ends[1].fd < 0)
     delete stream;
 }
 
-void Net::note(const Event& e, const char* bytes, std::size_t n) {
+void Network::AddToDigest(const Event& event, const char* bytes, std::size_t size) {
   struct {
-    Ms at;
-    std::uint32_t what;
+    Ms time;
+    std::uint32_t kind;
     std::uint32_t from;
     std::uint32_t to;
-    std::uint32_t n;
-  } head{e.at, static_cast<std::uint32_t>(e.what), 0, 0, static_cast<std::uint32_t>(n)};
-  if (e.stream) {
-    head.from = e.stream->ends[1 - e.side].host;
-    head.to = e.stream->ends[e.side].host;
+    std::uint32_t size;
+  } head{event.time, static_cast<std::uint32_t>(event.kind), 0, 0,
+         static_cast<std::uint32_t>(size)};
+  if (event.stream) {
+    head.from = event.stream->ends[1 - event.side].host;
+    head.to = event.stream->ends[event.side].host;
   }
-  XXH3_64bits_update(hash_->state, &head, sizeof head);
-  if (n > 0)
-    XXH3_64bits_update(hash_->state, bytes, n);
+  XXH3_64bits_update(digest_state_->state, &head, sizeof head);
+  if (size > 0)
+    XXH3_64bits_update(digest_state_->state, bytes, size);
 }
 
-std::uint64_t Net::Digest() const {
-  return XXH3_64bits_digest(hash_->state);
+std::uint64_t Network::Digest() const {
+  return XXH3_64bits_digest(digest_state_->state);
 }
 
-void Net::Handle(const Event& e) {
-  if (e.what == What::kCall) {
-    std::function<void()> what = std::move(calls_[e.index]);
-    calls_[e.index] = nullptr;
-    free_calls_.push_back(e.index);
-    return what();
+void Network::Handle(const Event& event) {
+  if (event.kind == EventKind::kCall) {
+    std::function<void()> task = std::move(calls_[event.index]);
+    calls_[event.index] = nullptr;
+    free_call_slots_.push_back(event.index);
+    return task();
   }
-  if (e.what == What::kRun) {
-    Process& p = *e.process;
-    if (!p.alive_ || p.due_ != e.at || p.due_seq_ + 1 != e.seq)
-      return;  // another run came in its place
-    p.due_ = -1;
-    if (p.still_ > now_)
-      return p.Wake();
-    return p.Run();
+  if (event.kind == EventKind::kRunProcess) {
+    Process& process = *event.process;
+    if (!process.alive_ || process.next_run_ != event.time ||
+        process.next_run_sequence_ + 1 != event.sequence)
+      return;  // superseded by another scheduled run
+    process.next_run_ = -1;
+    if (process.paused_until_ > now_)
+      return process.Wake();
+    return process.Run();
   }
-  if (e.what == What::kDatagram) {
-    Parcel parcel = std::move(parcels_[e.index]);
-    free_parcels_.push_back(e.index);
-    std::uint32_t from = ntohl(parcel.from.sin_addr.s_addr), to = ntohl(parcel.to.sin_addr.s_addr);
-    if (Blocked(from, to))
+  if (event.kind == EventKind::kDatagram) {
+    DatagramInTransit datagram = std::move(datagrams_in_transit_[event.index]);
+    free_datagram_slots_.push_back(event.index);
+    std::uint32_t from = ntohl(datagram.from.sin_addr.s_addr),
+                  to = ntohl(datagram.to.sin_addr.s_addr);
+    if (IsBlocked(from, to))
       return;
-    note(e, parcel.bytes.data(), parcel.bytes.size());
+    AddToDigest(event, datagram.bytes.data(), datagram.bytes.size());
     auto& receivers = hosts_[to].receivers;
-    auto at = receivers.find(ntohs(parcel.to.sin_port));
-    if (at == receivers.end())
+    auto found = receivers.find(ntohs(datagram.to.sin_port));
+    if (found == receivers.end())
       return;
-    auto [process, fd] = at->second;
-    auto& waiting = process->slots_[static_cast<std::size_t>(fd)].datagrams;
-    if (waiting.size() < kMostDatagrams)
-      waiting.push_back({parcel.from, std::move(parcel.bytes)});
+    auto [process, fd] = found->second;
+    auto& queue = process->slots_[static_cast<std::size_t>(fd)].datagrams;
+    if (queue.size() < kMaxDatagrams)
+      queue.push_back({datagram.from, std::move(datagram.bytes)});
     return process->Wake();
   }
-  Stream& s = *e.stream;
-  End& here = s.ends[e.side];
-  End& other = s.ends[1 - e.side];
-  // What a cut holds up is sent again until it passes; what follows stays behind it.
-  if (Blocked(other.host, here.host)) {
-    Ms again = now_ + kSentAgainAfter;
-    here.last_arrival = std::max(here.last_arrival, again);
-    return Push({again, 0, e.what, e.stream, e.side, e.n, nullptr, 0});
+  Stream& stream = *event.stream;
+  StreamEnd& local = stream.ends[event.side];
+  StreamEnd& remote = stream.ends[1 - event.side];
+  // What is blocked is retransmitted until it passes; what was sent later stays behind it.
+  if (IsBlocked(remote.host, local.host)) {
+    Ms retry_time = now_ + kRetransmitDelay;
+    local.last_arrival = std::max(local.last_arrival, retry_time);
+    return Push({retry_time, 0, event.kind, event.stream, event.side, event.size, nullptr, 0});
   }
-  Host& host = hosts_[here.host];
-  if (host.silent && !here.owner)
-    return;  // nobody there, and nobody says so
-  switch (e.what) {
-    case What::kSyn: {
-      note(e, nullptr, 0);
-      if (!other.open)
-        return;  // its opener gave up
-      auto at = host.listeners.find(ntohs(s.to.sin_port));
-      if (at == host.listeners.end())
-        return Post(What::kRefused, &s, 0);
-      auto [process, fd] = at->second;
+  Host& host = hosts_[local.host];
+  if (host.silent && !local.owner)
+    return;  // the host is silent: not even a reset
+  switch (event.kind) {
+    case EventKind::kSyn: {
+      AddToDigest(event, nullptr, 0);
+      if (!remote.open)
+        return;  // the connecting end was closed meanwhile
+      auto found = host.listeners.find(ntohs(stream.to.sin_port));
+      if (found == host.listeners.end())
+        return Post(EventKind::kRefused, &stream, 0);
+      auto [process, fd] = found->second;
       auto& backlog = process->slots_[static_cast<std::size_t>(fd)].backlog;
-      if (backlog.size() >= kMostBacklog) {  // as a kernel: the opener asks again
-        return Push({now_ + 1000, 0, What::kSyn, &s, 1, 0, nullptr, 0});
+      if (backlog.size() >= kMaxBacklog) {  // as in a kernel: the SYN is retransmitted
+        return Push({now_ + 1000, 0, EventKind::kSyn, &stream, 1, 0, nullptr, 0});
       }
-      here.owner = process;
-      here.open = true;
-      here.up = true;
-      backlog.push_back({&s, 1});
-      Post(What::kUp, &s, 0);
+      local.owner = process;
+      local.open = true;
+      local.connected = true;
+      backlog.push_back({&stream, 1});
+      Post(EventKind::kConnected, &stream, 0);
       return process->Wake();
     }
-    case What::kUp:
-    case What::kRefused:
-      note(e, nullptr, 0);
-      if (e.what == What::kUp)
-        here.up = true;
+    case EventKind::kConnected:
+    case EventKind::kRefused:
+      AddToDigest(event, nullptr, 0);
+      if (event.kind == EventKind::kConnected)
+        local.connected = true;
       else
-        here.fault = ECONNREFUSED;
-      if (!here.open) {
-        if (e.what == What::kUp)
-          Post(What::kReset, &s, 1);  // nobody wants it any more
+        local.error = ECONNREFUSED;
+      if (!local.open) {
+        if (event.kind == EventKind::kConnected)
+          Post(EventKind::kReset, &stream, 1);  // the connecting end was closed meanwhile
         return;
       }
       break;
-    case What::kBytes: {
-      std::size_t n = e.n;
-      const char* bytes = here.coming.data() + here.from_coming;
-      note(e, bytes, n);
-      if (here.open) {
-        here.got.append(bytes, n);
-        here.last_bytes_at = now_;
+    case EventKind::kData: {
+      std::size_t size = event.size;
+      const char* bytes = local.in_flight.data() + local.in_flight_offset;
+      AddToDigest(event, bytes, size);
+      if (local.open) {
+        local.received.append(bytes, size);
+        local.last_data_time = now_;
       }
-      here.from_coming += n;
-      if (here.from_coming == here.coming.size()) {
-        here.coming.clear();
-        here.from_coming = 0;
+      local.in_flight_offset += size;
+      if (local.in_flight_offset == local.in_flight.size()) {
+        local.in_flight.clear();
+        local.in_flight_offset = 0;
       }
-      if (here.from_coming > kWindow) {
-        here.coming.erase(0, here.from_coming);
-        here.from_coming = 0;
+      if (local.in_flight_offset > kWindowBytes) {
+        local.in_flight.erase(0, local.in_flight_offset);
+        local.in_flight_offset = 0;
       }
-      if (!here.open && !here.reset_came) {
-        here.reset_came = true;
-        return Post(What::kReset, &s, 1 - e.side);
+      if (!local.open && !local.reset_received) {
+        local.reset_received = true;
+        return Post(EventKind::kReset, &stream, 1 - event.side);
       }
       break;
     }
-    case What::kFin:
-      // Bytes that a cut held up come first.
-      if (here.InFlight() > 0)
-        return Push({now_ + kSentAgainAfter, 0, e.what, e.stream, e.side, 0, nullptr, 0});
-      note(e, nullptr, 0);
-      here.fin_came = true;
+    case EventKind::kFin:
+      // Bytes that were held up must arrive first.
+      if (local.InFlightSize() > 0)
+        return Push(
+            {now_ + kRetransmitDelay, 0, event.kind, event.stream, event.side, 0, nullptr, 0});
+      AddToDigest(event, nullptr, 0);
+      local.fin_received = true;
       break;
-    case What::kReset:
-      note(e, nullptr, 0);
-      here.reset_came = true;
+    case EventKind::kReset:
+      AddToDigest(event, nullptr, 0);
+      local.reset_received = true;
       break;
-    case What::kRoom:
+    case EventKind::kWindowUpdate:
       break;
     default:
       return;
   }
-  if (here.owner)
-    here.owner->Wake();
+  if (local.owner)
+    local.owner->Wake();
 }
 
-Process& Net::Start(std::uint32_t host, std::string name, std::size_t descriptors) {
+Process& Network::Start(std::uint32_t host, std::string name, std::size_t descriptors) {
   hosts_[host].silent = false;
   processes_.push_back(std::make_unique<Process>(*this, host, std::move(name), descriptors));
   return *processes_.back();
 }
 
-void Net::Kill(Process& process) {
-  process.Die(true);
+void Network::Kill(Process& process) {
+  process.Terminate(true);
 }
-void Net::Vanish(Process& process) {
-  process.Die(false);
+void Network::KillSilently(Process& process) {
+  process.Terminate(false);
 }
 
 }  // namespace dunlinwick::stage
--- a/src/stage/stage.hpp
+++ b/src/stage/stage.hpp
@@ -1,11 +1,11 @@
-// The staged ground: a virtual clock and an in-memory network in place of poll(2) and the kernel.
-// Processes are loops on it; they run one after another, in the order of virtual time, and all that
-// happens follows from one seed. Time passes only between events: a process's work takes none,
-// unless it is told to stand still.
+// A simulated platform for event loops: a virtual clock and an in-memory network in place of
+// poll(2) and the kernel. Each process is a loop on it. Processes run one after another, in the
+// order of virtual time, and one seed determines the whole run. Time passes only between events: a
+// process's work takes no time, unless the process is paused.
 //
-// What a stream promises here is what TCP promises: bytes whole and in order, or an end. What it
-// does not promise differs from run to run by the seed: how the bytes are cut up, and when they
-// come.
+// A simulated stream keeps the guarantees of TCP: bytes arrive complete and in order, or the stream
+// ends. What TCP leaves open varies with the seed: how the bytes are divided among reads, and when
+// they arrive.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -26,32 +26,32 @@
 using loop::Address;
 using loop::Ms;
 
-// A process that never comes to rest, or a use of the ground that no kernel would bear.
-struct StageFault : std::runtime_error {
+// Thrown when a process never becomes idle.
+struct SimulationError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// One way from site to site.
-struct Way {
+// One direction of the connection between two sites.
+struct Link {
   Ms latency = 0.2;
-  double jitter = 0.2;   // latency times one plus up to this much
-  double kb_per_ms = 0;  // 0: no limit worth counting; each stream has it for itself
-  double lost = 0;       // share of what is sent; a stream sends it again after 200 ms
-  double doubled = 0;    // share of datagrams that come twice
-  double shuffled = 0;   // share of datagrams that come up to 20 latencies late
-  bool cut = false;      // nothing passes; streams wait
+  double jitter = 0.2;         // the latency is multiplied by 1 + [0, jitter)
+  double kb_per_ms = 0;        // 0: unlimited; each message is charged separately
+  double loss_share = 0;       // of what is sent; a stream retransmits after 200 ms
+  double duplicate_share = 0;  // of the datagrams: delivered twice
+  double reorder_share = 0;    // of the datagrams: up to 20 latencies late
+  bool blocked = false;        // nothing passes; streams wait and retransmit
 };
 
-Address AddressOf(std::uint32_t host, std::uint16_t port);
-std::string Text(const Address& at);  // 10.0.0.1:5050
+Address MakeAddress(std::uint32_t host, std::uint16_t port);
+std::string FormatAddress(const Address& address);  // 10.0.0.1:5050
 
-class Net;
+class Network;
 struct Stream;
 
-// One process: its descriptors, its loop, and whatever runs on it.
+// A simulated process: its descriptors, its loop, and what runs on the loop.
 class Process final : public loop::Environment {
  public:
-  Process(Net& net, std::uint32_t host, std::string name, std::size_t descriptors);
+  Process(Network& network, std::uint32_t host, std::string name, std::size_t descriptors);
   ~Process();
   const std::string& Name() const {
     return name_;
@@ -69,42 +69,42 @@
     return alive_;
   }
   std::size_t OpenDescriptors() const;
-  // Does something on the process's behalf, from outside its own turns, and lets it go on.
-  void Act(const std::function<void()>& what);
+  // Runs `task` as this process, from outside its loop turns, then wakes the loop.
+  void Execute(const std::function<void()>& task);
   /// Puts `environment`, which wraps this process, between the process and its loop. Call it before
-  /// anything is on the loop; `environment` must outlive the process. For tests in which system
+  /// anything uses the loop; `environment` must outlive the process. For tests in which system
   /// calls fail.
   void UseEnvironment(loop::Environment& environment) {
     loop_ = std::make_unique<loop::Loop>(environment);
   }
-  // Between a process and its network: what it sends goes through here. For tests that break a
-  // front.
-  std::function<std::string(std::string bytes)> tamper;
-  void StandStill(Ms until);  // it runs nothing before then; what comes waits
+  // If set, replaces the bytes of each write to a stream before they reach the network. For tests
+  // in which a front sends faulty data.
+  std::function<std::string(std::string bytes)> outgoing_filter;
+  void PauseUntil(Ms until);  // runs nothing before then; what arrives waits
 
   Ms now() override;
   int Wait(std::span<pollfd> watched, int ms) override;
   int OpenStream() override;
   int Connect(int fd, const Address& to) override;
   int Fault(int fd) override;
-  int Listen(const Address& at) override;
+  int Listen(const Address& address) override;
   int Accept(int fd) override;
-  ssize_t receive(int fd, std::span<char> into) override;
+  ssize_t receive(int fd, std::span<char> buffer) override;
   Ms SinceLastArrival(int fd) override;
   ssize_t Send(int fd, std::span<const iovec> parts) override;
   void SayNoMore(int fd) override;
   void Close(int fd) override;
   void Abort(int fd) override;
-  int OpenDatagrams(const Address& at) override;
+  int OpenDatagrams(const Address& address) override;
   ssize_t SendTo(int fd, std::span<const char> bytes, const Address& to) override;
-  ssize_t ReceiveFrom(int fd, std::span<char> into, Address& from) override;
+  ssize_t ReceiveFrom(int fd, std::span<char> buffer, Address& from) override;
   std::size_t DescriptorLimit() override {
     return descriptors_;
   }
-  Address peer(int fd);  // the other side's host
+  Address peer(int fd);  // the host at the other end of a stream, with port 0
 
  private:
-  friend class Net;
+  friend class Network;
   enum class Kind {
     kNone,
     kStream,
@@ -120,142 +120,145 @@
     Stream* stream = nullptr;
     int side = 0;
     std::uint16_t port = 0;
-    std::deque<std::pair<Stream*, int>> backlog;  // emptied by accept() and close()
-    std::deque<Datagram> datagrams;               // at most `mostDatagrams`
+    std::deque<std::pair<Stream*, int>> backlog;  // emptied by Accept() and Close()
+    std::deque<Datagram> datagrams;               // at most kMaxDatagrams
   };
-  Slot* slot(int fd, Kind kind);
-  int Take(Kind kind);
-  short Readiness(const Slot& slot) const;
+  Slot* FindSlot(int fd, Kind kind);
+  int AllocateDescriptor(Kind kind);
+  short ReadyEvents(const Slot& slot) const;
   void Run();
-  void Wake();  // it runs at the present time, after what is due before it
-  void Die(bool tell);
+  void Wake();  // schedules a run at the present time, after the events already due
+  void Terminate(bool reset_connections);
 
-  Net& net_;
+  Network& network_;
   std::uint32_t host_;
   std::string name_;
   std::size_t descriptors_;
   std::vector<Slot> slots_;
   bool alive_ = true;
   bool running_ = false;
-  bool quiet_ = false;
-  int client_request_ = 0;  // of the last wait
-  Ms due_ = -1;
-  Ms still_ = 0;
-  std::uint64_t due_seq_ = 0;
+  bool idle_ = false;
+  int requested_timeout_ = 0;  // of the last Wait()
+  Ms next_run_ = -1;
+  Ms paused_until_ = 0;
+  std::uint64_t next_run_sequence_ = 0;
   log::Log log_;
   std::unique_ptr<loop::Loop> loop_;
 };
 
-class Net {
+class Network {
  public:
-  // `start`: Unix milliseconds.
-  explicit Net(std::uint64_t seed, Ms start = 1.7e12);
-  ~Net();
+  // `start_time`: Unix milliseconds.
+  explicit Network(std::uint64_t seed, Ms start_time = 1.7e12);
+  ~Network();
   Ms now() const {
     return now_;
   }
-  // Runs what is due up to then. Events at one time run in the order in which they were asked for.
+  // Handles the events that are due up to `time`. Events due at the same time are handled in the
+  // order in which they were scheduled.
   void RunUntil(Ms time);
-  void at(Ms when, std::function<void()> what);
+  void ScheduleCall(Ms time, std::function<void()> task);
 
-  // ---- the map
-  void place(std::uint32_t host, int site);
-  void Join(int from, int to, const Way& way);  // one direction
-  Way& way(int from, int to);
-  void SetCut(std::uint32_t host, bool in,
-              bool out);                     // the host alone: nothing comes to it, or from it
-  void SetLag(std::uint32_t host, Ms late);  // all that comes and goes there takes longer
-  void SetApart(std::uint32_t from, std::uint32_t to,
-                bool apart);  // datagrams from one host to another are lost
-  void SetChoppy(double share) {
-    choppy_ = share;
-  }  // of reads and writes that take a part only
+  // ---- topology and network faults
+  void SetSite(std::uint32_t host, int site);
+  void SetLink(int from, int to, const Link& link);  // one direction only
+  Link& LinkBetween(int from, int to);
+  void SetHostBlocked(std::uint32_t host, bool inbound,
+                      bool outbound);  // of this host: nothing arrives, nothing leaves
+  void SetHostDelay(std::uint32_t host,
+                    Ms extra_delay);  // added to all that the host sends and receives
+  void SetDatagramsBlocked(std::uint32_t from, std::uint32_t to,
+                           bool blocked);  // datagrams from one host to the other are lost
+  void SetPartialIoShare(double share) {
+    partial_io_share_ = share;
+  }  // share of the reads and writes that transfer only a part
   int SiteOf(std::uint32_t host);
 
-  // ---- processes. The reference holds for the net's life; a process that was ended is a shell.
+  // ---- processes. The reference stays valid as long as the network; a process that was killed
+  // does nothing any more.
   Process& Start(std::uint32_t host, std::string name, std::size_t descriptors = 1 << 16);
-  // Killed: its connections are reset. Vanished: nothing is said; the host answers nothing until a
-  // new process starts there, which resets what it does not know.
+  // Kill() resets the process's connections. KillSilently() sends nothing: the host does not answer
+  // until a new process starts there, which resets the connections that it does not know.
   void Kill(Process& process);
-  void Vanish(Process& process);
+  void KillSilently(Process& process);
 
-  void OnLog(std::function<void(const Process&, std::string_view)> to) {
-    log_to_ = std::move(to);
+  void SetLogHandler(std::function<void(const Process&, std::string_view)> handler) {
+    log_handler_ = std::move(handler);
   }
-  std::uint64_t Digest() const;  // of all that arrived anywhere so far, with its time
-  std::uint64_t Events() const {
-    return ran_;
+  std::uint64_t Digest() const;  // of everything delivered so far, with its time
+  std::uint64_t EventCount() const {
+    return handled_events_;
   }
-  std::size_t Pending() const {
+  std::size_t PendingEventCount() const {
     return queue_.size();
   }
 
  private:
   friend class Process;
-  enum class What {
+  enum class EventKind {
     kCall,
-    kRun,
-    kBytes,
+    kRunProcess,
+    kData,
     kFin,
     kReset,
     kSyn,
-    kUp,
+    kConnected,
     kRefused,
-    kRoom,
+    kWindowUpdate,
     kDatagram
   };
   struct Event {
-    Ms at = 0;
-    std::uint64_t seq = 0;
-    What what = What::kCall;
+    Ms time = 0;
+    std::uint64_t sequence = 0;
+    EventKind kind = EventKind::kCall;
     Stream* stream = nullptr;
-    int side = 0;  // at whose end it happens
-    std::size_t n = 0;
+    int side = 0;  // the end of the stream at which it happens
+    std::size_t size = 0;
     Process* process = nullptr;
-    std::size_t index = 0;  // of a call or datagram
+    std::size_t index = 0;  // into `calls_` or `datagrams_in_transit_`
   };
   struct Host {
     int site = 0;
-    bool cut_in = false;
-    bool cut_out = false;
+    bool inbound_blocked = false;
+    bool outbound_blocked = false;
     bool silent = false;
-    Ms late = 0;
-    std::map<std::uint16_t, std::pair<Process*, int>> listeners, receivers;  // emptied by close()
+    Ms extra_delay = 0;
+    std::map<std::uint16_t, std::pair<Process*, int>> listeners, receivers;  // emptied by Close()
   };
-  struct Parcel {
+  struct DatagramInTransit {
     Address from{};
     Address to{};
     std::string bytes;
   };
-  static bool Later(const Event& a, const Event& b);
+  static bool IsLater(const Event& first, const Event& second);
   void Push(Event event);
   void Handle(const Event& event);
-  void note(const Event& event, const char* bytes, std::size_t n);
-  Ms Travel(std::uint32_t from, std::uint32_t to, std::size_t n);
-  bool Blocked(std::uint32_t from, std::uint32_t to);
-  void Post(What what, Stream* stream, int side, std::size_t n = 0);
-  void Release(Stream* stream);
-  double Chance();
-  std::size_t part(std::size_t n);
+  void AddToDigest(const Event& event, const char* bytes, std::size_t size);
+  Ms TravelTime(std::uint32_t from, std::uint32_t to, std::size_t size);
+  bool IsBlocked(std::uint32_t from, std::uint32_t to);
+  void Post(EventKind kind, Stream* stream, int side, std::size_t size = 0);
+  void DeleteIfUnused(Stream* stream);
+  double RandomUnit();
+  std::size_t PartialSize(std::size_t size);
 
   Ms now_;
-  std::uint64_t seq_ = 0;
-  std::uint64_t ran_ = 0;
+  std::uint64_t last_sequence_ = 0;
+  std::uint64_t handled_events_ = 0;
   std::minstd_rand random_engine_;
-  double choppy_ = 0;
-  std::vector<Event> queue_;  // a heap
+  double partial_io_share_ = 0;
+  std::vector<Event> queue_;  // a heap, the earliest event first
   std::vector<std::function<void()>> calls_;
-  std::vector<Parcel> parcels_;
-  std::vector<std::size_t> free_calls_;
-  std::vector<std::size_t> free_parcels_;
+  std::vector<DatagramInTransit> datagrams_in_transit_;
+  std::vector<std::size_t> free_call_slots_;
+  std::vector<std::size_t> free_datagram_slots_;
   std::map<std::uint32_t, Host> hosts_;
-  std::map<std::pair<int, int>, Way> ways_;
-  std::set<std::pair<std::uint32_t, std::uint32_t>> apart_;
-  std::vector<std::vector<Way*>> way_at_;
+  std::map<std::pair<int, int>, Link> links_;
+  std::set<std::pair<std::uint32_t, std::uint32_t>> blocked_datagram_pairs_;
+  std::vector<std::vector<Link*>> link_table_;
   std::vector<std::unique_ptr<Process>> processes_;
-  std::function<void(const Process&, std::string_view)> log_to_;
-  struct Hash;
-  std::unique_ptr<Hash> hash_;
+  std::function<void(const Process&, std::string_view)> log_handler_;
+  struct DigestState;
+  std::unique_ptr<DigestState> digest_state_;
 };
 
 }  // namespace dunlinwick::stage
--- a/tests/datagram_failures_test.cpp
+++ b/tests/datagram_failures_test.cpp
@@ -50,7 +50,7 @@
     environment.plan = std::move(plan);
     processes_[0]->UseEnvironment(environment);
     for (std::size_t i = 0; i < 2; ++i) {
-      processes_[i]->Act([&] {
+      processes_[i]->Execute([&] {
         sockets_[i] = std::make_unique<front::PeerSocket>(processes_[i]->loop(), Settings(i));
         sockets_[i]->Register(components[i]);
       });
@@ -62,7 +62,8 @@
 
   void Exchange() {
     for (std::size_t i = 0; i < 2; ++i)
-      processes_[i]->Act([&] { sockets_[i]->Send(peers::Channel::kRecord, IdOf(1 - i), message); });
+      processes_[i]->Execute(
+          [&] { sockets_[i]->Send(peers::Channel::kRecord, IdOf(1 - i), message); });
     net.RunUntil(net.now() + 5000);
   }
   void CheckInvariants() {
@@ -77,7 +78,7 @@
     CHECK(environment.StrangeCloses() == 0);
   }
 
-  stage::Net net{1};
+  stage::Network net{1};
   const std::string message = std::string(20000, 'm');
 
  private:
@@ -95,14 +96,14 @@
     front::PeersSettings settings;
     settings.enabled = true;
     settings.self = IdOf(index);
-    settings.listen = stage::AddressOf(kHosts[index], kPort);
+    settings.listen = stage::MakeAddress(kHosts[index], kPort);
     for (std::size_t i = 0; i < 2; ++i)
-      settings.addresses[IdOf(i)] = stage::AddressOf(kHosts[i], kPort);
+      settings.addresses[IdOf(i)] = stage::MakeAddress(kHosts[i], kPort);
     return settings;
   }
   void TakeDown() {
     for (std::size_t i = 0; i < 2; ++i)
-      processes_[i]->Act([&] { sockets_[i].reset(); });
+      processes_[i]->Execute([&] { sockets_[i].reset(); });
   }
 
   std::unique_ptr<front::PeerSocket> sockets_[2];
@@ -115,7 +116,7 @@
     environment.plan = std::move(plan);
     processes_[0]->UseEnvironment(environment);
     for (std::size_t i = 0; i < 2; ++i) {
-      processes_[i]->Act([&] {
+      processes_[i]->Execute([&] {
         fleets_[i] = std::make_unique<front::MembershipComponent>(
             processes_[i]->loop(), Settings(i), i, health_, [](std::vector<double>) {});
       });
@@ -123,10 +124,10 @@
   }
   ~FleetScenario() {
     for (std::size_t i = 0; i < 2; ++i)
-      processes_[i]->Act([&] { fleets_[i].reset(); });
+      processes_[i]->Execute([&] { fleets_[i].reset(); });
   }
 
-  stage::Net net{1};
+  stage::Network net{1};
 
  private:
   stage::Process* processes_[2] = {&net.Start(kHosts[0], "first"), &net.Start(kHosts[1], "second")};
@@ -139,11 +140,11 @@
     front::FleetSettings settings;
     settings.enabled = true;
     settings.self = static_cast<std::uint32_t>(index);
-    settings.listen = stage::AddressOf(kHosts[index], kPort);
+    settings.listen = stage::MakeAddress(kHosts[index], kPort);
     for (std::uint32_t i = 0; i < 2; ++i) {
       front::FleetMember member;
       member.id = i;
-      member.address = stage::AddressOf(kHosts[i], kPort);
+      member.address = stage::MakeAddress(kHosts[i], kPort);
       settings.members.push_back(member);
     }
     settings.zones = {"a"};
@@ -156,7 +157,7 @@
 };
 
 /// Calls of one kind fail with one error for `lasting` ms from the start.
-FailingEnvironment::Plan FailFor(const stage::Net& net, Call failing, int error, Ms lasting) {
+FailingEnvironment::Plan FailFor(const stage::Network& net, Call failing, int error, Ms lasting) {
   return [&net, failing, error, ends = net.now() + lasting](Call call,
                                                             std::size_t) -> std::optional<Failure> {
     if (call == failing && net.now() < ends)
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const loop::Address kThere = stage::AddressOf(0x0a000002, 80);
+const loop::Address kThere = stage::MakeAddress(0x0a000002, 80);
 
 struct FakeClient final : loop::Connection::Owner {  // a client that never closes
   std::string got;
@@ -24,7 +24,7 @@
 };
 
 struct ServerFixture {
-  stage::Net net{1};
+  stage::Network net{1};
   stage::Process &peers, &front;
   RecordingTransport caches;
   std::unique_ptr<exchange::Exchange> exchange;
@@ -34,7 +34,7 @@
   ServerFixture(std::size_t descriptors, std::size_t most)
       : peers(net.Start(0x0a000001, "clients")),
         front(net.Start(0x0a000002, "front", descriptors)) {
-    front.Act([&] {
+    front.Execute([&] {
       exchange = std::make_unique<exchange::Exchange>(front.loop(), kit::Settings(), 1);
       exchange->SetUpstreamTransport(caches);
       exchange->OnListUpdate(true, MakeEndpointList({{"origin", {}}, {"s-0", {}}}));
@@ -44,14 +44,14 @@
     });
   }
   ~ServerFixture() {
-    front.Act([&] {
+    front.Execute([&] {
       clients.reset();
       exchange.reset();
     });
-    peers.Act([&] { all.clear(); });
+    peers.Execute([&] { all.clear(); });
   }
   void Connect(const std::string& request) {
-    peers.Act([&] {
+    peers.Execute([&] {
       all.push_back(std::make_unique<FakeClient>());
       FakeClient& p = *all.back();
       p.connection = std::make_unique<loop::Connection>(peers.loop(), p, kThere, 60000);
@@ -59,9 +59,9 @@
     });
   }
   std::uint64_t EventsIn(loop::Ms time) {
-    std::uint64_t before = net.Events();
+    std::uint64_t before = net.EventCount();
     net.RunUntil(net.now() + time);
-    return net.Events() - before;
+    return net.EventCount() - before;
   }
 };
 
@@ -107,7 +107,7 @@
   }
   assert(t.caches.sent.size() == 3);
   t.EventsIn(kWaits);
-  t.front.Act([&] {
+  t.front.Execute([&] {
     t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key,
                                           MakeResponseHead(AttemptResult::kFinished));
   });
@@ -126,18 +126,18 @@
   std::string second = GetWithId(2);
   second.replace(second.find(deadline), deadline.size(), shorter);
   t.Connect(GetWithId(1) + second);
-  t.peers.Act([&] { t.all[0]->connection->ReadUpTo(1); });
+  t.peers.Execute([&] { t.all[0]->connection->ReadUpTo(1); });
   t.EventsIn(10);
   assert(t.caches.sent.size() == 1);
-  t.front.Act([&] {
+  t.front.Execute([&] {
     t.exchange->OnAttemptResponseData(t.caches.sent[0].key, std::string(kMuch, 'x'));
     t.exchange->OnAttemptResponseComplete(t.caches.sent[0].key,
                                           MakeResponseHead(AttemptResult::kFinished));
   });
-  t.peers.Act([&] { t.all[0]->connection->ReadUpTo(0); });
+  t.peers.Execute([&] { t.all[0]->connection->ReadUpTo(0); });
   t.EventsIn(kWaits);
   assert(t.caches.sent.size() == 1);
-  t.peers.Act([&] { t.all[0]->connection->ReadUpTo(kMuch); });
+  t.peers.Execute([&] { t.all[0]->connection->ReadUpTo(kMuch); });
   t.EventsIn(100);
   assert(t.caches.sent.size() == 2);
   assert(t.caches.sent[1].action.timeout <= 3000 - kWaits + kSlack);
--- a/tests/front_terms_test.cpp
+++ b/tests/front_terms_test.cpp
@@ -97,12 +97,12 @@
         open.push_back(&deployment.Connect());
       deployment.RunFor(100);
       const Ms stopped_at = deployment.net.now();
-      deployment.front_process.Act([&] { deployment.front->Stop(); });
+      deployment.front_process.Execute([&] { deployment.front->Stop(); });
       std::size_t requests = 0;
       for (Ms after : {0.0, 200.0, 400.0, 550.0, 600.0, 640.0, 670.0, 695.0}) {
         deployment.net.RunUntil(stopped_at + after);
         if (after == 550 && standstill > 0)
-          deployment.front_process.StandStill(deployment.net.now() + standstill);
+          deployment.front_process.PauseUntil(deployment.net.now() + standstill);
         deployment.Request(*open[requests / 2], kLongestDeadline);
         deployment.Request(kLongestDeadline);
         requests += 2;
@@ -124,7 +124,7 @@
   deployment.RunFor(100);
   std::size_t requests = first.size();
   const Ms stopped_at = deployment.net.now();
-  deployment.front_process.Act([&] { deployment.front->Stop(); });
+  deployment.front_process.Execute([&] { deployment.front->Stop(); });
   for (int i = 0; i < 8; ++i, ++requests)
     deployment.Request(kLongestDeadline);
   deployment.net.RunUntil(stopped_at + kKillAfter);
--- a/tests/pipelined_requests_test.cpp
+++ b/tests/pipelined_requests_test.cpp
@@ -131,7 +131,7 @@
   Deployment deployment(ServerMode::kAnswer);
   Client& idle = deployment.Connect();
   deployment.RunFor(100);
-  deployment.front_process.StandStill(deployment.net.now() + kStandstill);
+  deployment.front_process.PauseUntil(deployment.net.now() + kStandstill);
   Pipeline pipeline(deployment);
   pipeline.Add(2000);
   pipeline.Write();
--- a/tests/stage_test.cpp
+++ b/tests/stage_test.cpp
@@ -1,5 +1,5 @@
-// The staged ground: what a stream and a datagram promise, each trouble of the network, and that it
-// replays.
+// Tests of the simulated network: the guarantees of streams and datagrams, each network fault, and
+// that a run with the same seed repeats exactly.
 #include "stage/stage.hpp"
 
 #include <cassert>
@@ -10,14 +10,14 @@
 
 using namespace dunlinwick;
 using loop::DisconnectReason;
-using stage::Net;
+using stage::Network;
 using stage::Process;
 
 namespace {
 
-const loop::Address kThere = stage::AddressOf(0x0a000002, 80);
+const loop::Address kThere = stage::MakeAddress(0x0a000002, 80);
 
-// One end of a connection that notes what it sees.
+// One end of a connection; records the bytes and the disconnects.
 struct Side final : loop::Connection::Owner {
   std::string got;
   std::vector<DisconnectReason> ends;
@@ -31,9 +31,9 @@
   }
 };
 
-// Two processes, a listener at the second, one connection from the first.
+// Two processes: a listener at the second, one connection from the first.
 struct Pair {
-  Net net;
+  Network net;
   Process &a, &b;
   Side near;
   std::vector<std::unique_ptr<Side>> far;
@@ -41,13 +41,13 @@
 
   explicit Pair(std::uint64_t seed = 1, bool listens = true, loop::Ms latency = 5)
       : net(seed), a(net.Start(0x0a000001, "a")), b(net.Start(0x0a000002, "b")) {
-    net.place(0x0a000002, 1);
-    stage::Way w;
+    net.SetSite(0x0a000002, 1);
+    stage::Link w;
     w.latency = latency;
-    net.Join(0, 1, w);
-    net.Join(1, 0, w);
+    net.SetLink(0, 1, w);
+    net.SetLink(1, 0, w);
     if (listens)
-      b.Act([&] {
+      b.Execute([&] {
         listener = std::make_unique<loop::Listener>(b.loop(), kThere, [this](loop::Descriptor fd) {
           far.push_back(std::make_unique<Side>());
           far.back()->connection =
@@ -56,7 +56,7 @@
       });
   }
   void Open(loop::Ms within = 400) {
-    a.Act([&] {
+    a.Execute([&] {
       near.connection = std::make_unique<loop::Connection>(a.loop(), near, kThere, within);
     });
   }
@@ -64,7 +64,7 @@
     net.RunUntil(net.now() + ms);
   }
   void Send(Side& side, Process& of, std::string text) {
-    of.Act([&] { side.connection->Send(std::move(text)); });
+    of.Execute([&] { side.connection->Send(std::move(text)); });
   }
 };
 
@@ -75,11 +75,11 @@
   return text;
 }
 
-void BytesComeWholeAndInOrder() {
+void BytesArriveCompleteAndInOrder() {
   for (double choppy : {0.0, 0.9})
     for (std::size_t size : {std::size_t{1}, std::size_t{5000}, std::size_t{700000}}) {
       Pair p;
-      p.net.SetChoppy(choppy);
+      p.net.SetPartialIoShare(choppy);
       p.Open();
       p.Send(p.near, p.a, Pattern(size));
       p.Send(p.near, p.a, "end");
@@ -91,20 +91,20 @@
     }
 }
 
-void ASlowReaderHoldsTheSenderUp() {
+void ASlowReaderBlocksTheSender() {
   Pair p;
   p.Open();
   p.Pass(50);
-  p.b.Act([&] { p.far[0]->connection->ReadUpTo(0); });
+  p.b.Execute([&] { p.far[0]->connection->ReadUpTo(0); });
   p.Send(p.near, p.a, Pattern(1 << 20));
   p.Pass(1000);
   assert(!p.near.connection->DrainedOut() && p.far[0]->got.empty());
-  p.b.Act([&] { p.far[0]->connection->ReadUpTo(1 << 16); });
+  p.b.Execute([&] { p.far[0]->connection->ReadUpTo(1 << 16); });
   p.Pass(60000);
   assert(p.near.connection->DrainedOut() && p.far[0]->got == Pattern(1 << 20));
 }
 
-void EndsAreNotifiedAsTheyAre() {
+void DisconnectReasonsAreReported() {
   struct Case {
     const char* name;
     bool listens;
@@ -114,38 +114,42 @@
   };
   for (const Case& c : std::vector<Case>{
            {"nobody listens", false, false, [](Pair&) {}, {DisconnectReason::kRefused}},
-           {"the host is cut",
+           {"the host is blocked",
             true,
             false,
-            [](Pair& p) { p.net.SetCut(0x0a000002, true, true); },
+            [](Pair& p) { p.net.SetHostBlocked(0x0a000002, true, true); },
             {DisconnectReason::kNeverUp}},
-           {"the host has vanished",
+           {"the host was killed silently",
             true,
             false,
-            [](Pair& p) { p.net.Vanish(p.b); },
+            [](Pair& p) { p.net.KillSilently(p.b); },
             {DisconnectReason::kNeverUp}},
            {"closed",
             true,
             true,
-            [](Pair& p) { p.b.Act([&] { p.far[0]->connection->Close(); }); },
+            [](Pair& p) { p.b.Execute([&] { p.far[0]->connection->Close(); }); },
             {DisconnectReason::kClosed}},
            {"half closed",
             true,
             true,
-            [](Pair& p) { p.b.Act([&] { p.far[0]->connection->SayNoMore(); }); },
+            [](Pair& p) { p.b.Execute([&] { p.far[0]->connection->SayNoMore(); }); },
             {DisconnectReason::kClosed}},
            {"killed", true, true, [](Pair& p) { p.net.Kill(p.b); }, {DisconnectReason::kReset}},
-           {"vanished under it: silent", true, true, [](Pair& p) { p.net.Vanish(p.b); }, {}},
-           {"cut under it: silent",
+           {"killed silently while connected: no disconnect",
             true,
             true,
-            [](Pair& p) { p.net.SetCut(0x0a000002, true, true); },
+            [](Pair& p) { p.net.KillSilently(p.b); },
             {}},
-           {"vanished, and a new process there: a reset once something is said",
+           {"blocked while connected: no disconnect",
+            true,
+            true,
+            [](Pair& p) { p.net.SetHostBlocked(0x0a000002, true, true); },
+            {}},
+           {"killed silently, then restarted: a reset once something is sent",
             true,
             true,
             [](Pair& p) {
-              p.net.Vanish(p.b);
+              p.net.KillSilently(p.b);
               p.net.Start(0x0a000002, "b2");
               p.Send(p.near, p.a, "still there?");
             },
@@ -164,50 +168,50 @@
   }
 }
 
-void WhatACutHeldUpComesAfterIt() {
+void BlockedBytesArriveAfterTheBlockEnds() {
   Pair p;
   p.Open();
   p.Pass(100);
-  p.net.SetCut(0x0a000001, false, true);  // one way
+  p.net.SetHostBlocked(0x0a000001, false, true);  // one direction only
   p.Send(p.near, p.a, "held");
   p.Send(*p.far[0], p.b, "passes");
   p.Pass(1000);
   assert(p.far[0]->got.empty() && p.near.got == "passes");
-  p.a.Act([&] { p.near.connection->Close(); });
-  p.net.SetCut(0x0a000001, false, false);
+  p.a.Execute([&] { p.near.connection->Close(); });
+  p.net.SetHostBlocked(0x0a000001, false, false);
   p.Pass(1000);
   assert(p.far[0]->got == "held" &&
          p.far[0]->ends == std::vector<DisconnectReason>{DisconnectReason::kClosed});
 }
 
-void DescriptorsAndBacklogHaveLimits() {
-  Net net(1);
-  Process& a = net.Start(0x0a000001, "a", 6);  // three for the standard streams
-  a.Act([&] {
+void DescriptorsAreLimited() {
+  Network net(1);
+  Process& a = net.Start(0x0a000001, "a", 6);  // three are reserved for the standard streams
+  a.Execute([&] {
     for (int fd : {3, 4, 5})
       assert(a.OpenStream() == fd);
     assert(a.OpenStream() == -EMFILE);
     a.Close(4);
     assert(a.OpenStream() == 4 && a.OpenDescriptors() == 3);
-    assert(a.Listen(stage::AddressOf(0x0a000002, 80)) == -EADDRNOTAVAIL);
+    assert(a.Listen(stage::MakeAddress(0x0a000002, 80)) == -EADDRNOTAVAIL);
   });
 }
 
-void DatagramsComeWholeOrNot() {
+void DatagramsArriveCompleteOrNotAtAll() {
   struct Case {
     double lost;
     double doubled;
     double shuffled;
   };
   for (const Case& c : {Case{0, 0, 0}, {0.3, 0, 0}, {0, 0.3, 0}, {0, 0, 0.5}}) {
-    Net net(7);
+    Network net(7);
     Process &a = net.Start(0x0a000001, "a"), &b = net.Start(0x0a000002, "b");
-    stage::Way& w = net.way(0, 0);
+    stage::Link& w = net.LinkBetween(0, 0);
     w.latency = 5;
-    w.lost = c.lost;
-    w.doubled = c.doubled;
-    w.shuffled = c.shuffled;
-    int from = a.OpenDatagrams(stage::AddressOf(0x0a000001, 0)), to = b.OpenDatagrams(kThere);
+    w.loss_share = c.lost;
+    w.duplicate_share = c.doubled;
+    w.reorder_share = c.shuffled;
+    int from = a.OpenDatagrams(stage::MakeAddress(0x0a000001, 0)), to = b.OpenDatagrams(kThere);
     assert(from >= 0 && to >= 0 && b.OpenDatagrams(kThere) == -EADDRINUSE);
     std::vector<int> got;
     int sent = 200;
@@ -219,38 +223,38 @@
       loop::Address who{};
       for (ssize_t n; (n = b.ReceiveFrom(to, into, who)) > 0;) {
         got.push_back(std::stoi(std::string(into, static_cast<std::size_t>(n))));
-        assert(stage::Text(who) == "10.0.0.1:49152");
+        assert(stage::FormatAddress(who) == "10.0.0.1:49152");
       }
     }
     bool ordered = std::is_sorted(got.begin(), got.end());
     std::size_t n = got.size(),
-                all = static_cast<std::size_t>(sent) - 4;  // the last are on their way
+                all = static_cast<std::size_t>(sent) - 4;  // the last ones are still in transit
     assert(c.lost > 0 ? n < 180 && n > 90 : c.doubled > 0 ? n > 220 : n + 30 > all);
     assert(c.shuffled > 0 ? !ordered : ordered);
   }
 }
 
-void AProcessThatNeverRestsIsFound() {
-  Net net(1);
+void AProcessThatNeverBecomesIdleIsReported() {
+  Network net(1);
   Process& a = net.Start(0x0a000001, "a");
   std::function<void()> again = [&] {
     a.loop().at(a.loop().now(), again);
   };
-  a.Act(again);
+  a.Execute(again);
   bool found = false;
   try {
     net.RunUntil(net.now() + 10);
-  } catch (const stage::StageFault& fault) {
-    found = std::string(fault.what()).find("a spins") == 0;
+  } catch (const stage::SimulationError& fault) {
+    found = std::string(fault.what()).find("a does not become idle") == 0;
   }
   assert(found);
 }
 
-void StandingStillDelaysWhatComes() {
+void APausedProcessHandlesArrivalsLater() {
   Pair p;
   p.Open();
   p.Pass(100);
-  p.b.StandStill(p.net.now() + 500);
+  p.b.PauseUntil(p.net.now() + 500);
   p.Send(p.near, p.a, "x");
   p.Pass(400);
   assert(p.far[0]->got.empty());
@@ -258,11 +262,11 @@
   assert(p.far[0]->got == "x");
 }
 
-void TheSameSeedReplays() {
+void TheSameSeedRepeatsTheRun() {
   auto digest = [](std::uint64_t seed) {
     Pair p(seed);
-    p.net.SetChoppy(0.5);
-    p.net.way(0, 1).lost = 0.1;
+    p.net.SetPartialIoShare(0.5);
+    p.net.LinkBetween(0, 1).loss_share = 0.1;
     p.Open();
     for (int i = 0; i < 50; ++i) {
       p.Send(p.near, p.a, Pattern(static_cast<std::size_t>(100 * i + 1)));
@@ -277,13 +281,13 @@
 }  // namespace
 
 int main() {
-  BytesComeWholeAndInOrder();
-  ASlowReaderHoldsTheSenderUp();
-  EndsAreNotifiedAsTheyAre();
-  WhatACutHeldUpComesAfterIt();
-  DescriptorsAndBacklogHaveLimits();
-  DatagramsComeWholeOrNot();
-  AProcessThatNeverRestsIsFound();
-  StandingStillDelaysWhatComes();
-  TheSameSeedReplays();
+  BytesArriveCompleteAndInOrder();
+  ASlowReaderBlocksTheSender();
+  DisconnectReasonsAreReported();
+  BlockedBytesArriveAfterTheBlockEnds();
+  DescriptorsAreLimited();
+  DatagramsArriveCompleteOrNotAtAll();
+  AProcessThatNeverBecomesIdleIsReported();
+  APausedProcessHandlesArrivalsLater();
+  TheSameSeedRepeatsTheRun();
 }
--- a/tests/support/simulated_front.hpp
+++ b/tests/support/simulated_front.hpp
@@ -51,22 +51,22 @@
  public:
   static constexpr Ms kFirstAnswerAfter = 1000;
 
-  FakeServers(stage::Net& net, ServerMode mode)
+  FakeServers(stage::Network& net, ServerMode mode)
       : process_(net.Start(kServerHost, "servers")), mode_(mode) {
     if (mode == ServerMode::kRefuse)
       return;
-    process_.Act([&] {
+    process_.Execute([&] {
       for (int i = 0; i < kServers; ++i) {
         const auto port = static_cast<std::uint16_t>(kFirstServerPort + i);
         listeners_.push_back(std::make_unique<loop::Listener>(
-            process_.loop(), stage::AddressOf(kServerHost, port), [this](loop::Descriptor fd) {
+            process_.loop(), stage::MakeAddress(kServerHost, port), [this](loop::Descriptor fd) {
               peers_.push_back(std::make_unique<Peer>(*this, std::move(fd)));
             }));
       }
     });
   }
   ~FakeServers() {
-    process_.Act([&] {
+    process_.Execute([&] {
       peers_.clear();
       listeners_.clear();
     });
@@ -172,8 +172,8 @@
   for (int i = 0; i < kServers; ++i) {
     servers += std::string(i > 0 ? "," : "") + R"({"id":"s-)" + std::to_string(i) +
                R"(","addr":")" +
-               stage::Text(stage::AddressOf(kServerHost,
-                                            static_cast<std::uint16_t>(kFirstServerPort + i))) +
+               stage::FormatAddress(stage::MakeAddress(
+                   kServerHost, static_cast<std::uint16_t>(kFirstServerPort + i))) +
                R"(","zone":"e-1","kind":"box","state":"in_service","weight":9})";
   }
   return R"({"name":"n0","listen":"10.0.0.2:80","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":32,"sockets":)" +
@@ -196,21 +196,21 @@
         discovery_(net.Start(kDiscoveryHost, "discovery")),
         front_process(net.Start(kFrontHost, "front", sockets)) {
     if (discovery == DiscoveryMode::kMute) {
-      discovery_.Act([&] {
+      discovery_.Execute([&] {
         discovery_listener_ = std::make_unique<loop::Listener>(
-            discovery_.loop(), stage::AddressOf(kDiscoveryHost, 5050),
+            discovery_.loop(), stage::MakeAddress(kDiscoveryHost, 5050),
             [this](loop::Descriptor fd) { watches_.push_back(std::move(fd)); });
       });
     }
-    front_process.Act([&] {
+    front_process.Execute([&] {
       front = std::make_unique<front::Front>(
           front_process.loop(), front::ParseConfiguration(ConfigurationText(sockets), "test", ""));
     });
   }
   ~Deployment() {
-    front_process.Act([&] { front.reset(); });
-    clients_.Act([&] { all.clear(); });
-    discovery_.Act([&] {
+    front_process.Execute([&] { front.reset(); });
+    clients_.Execute([&] { all.clear(); });
+    discovery_.Execute([&] {
       watches_.clear();
       discovery_listener_.reset();
     });
@@ -222,17 +222,17 @@
     all.push_back(std::make_unique<Client>());
     Client& client = *all.back();
     client.process = &clients_;
-    clients_.Act([&] {
+    clients_.Execute([&] {
       client.connection = std::make_unique<loop::Connection>(
-          clients_.loop(), client, stage::AddressOf(kFrontHost, 80), Ms{60000});
+          clients_.loop(), client, stage::MakeAddress(kFrontHost, 80), Ms{60000});
     });
     return client;
   }
   void Send(Client& client, const std::string& bytes) {
-    clients_.Act([&] { client.connection->Send(bytes); });
+    clients_.Execute([&] { client.connection->Send(bytes); });
   }
   void Close(Client& client) {
-    clients_.Act([&] { client.connection->Close(); });
+    clients_.Execute([&] { client.connection->Close(); });
   }
   /// `headers`: additional headers, each with its line end.
   std::string NextRequest(Ms deadline, const std::string& headers = "") {
@@ -266,7 +266,7 @@
     CHECK(requests == expected);
   }
 
-  stage::Net net{1912};
+  stage::Network net{1912};
   FakeServers servers;
 
  private:
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -23,9 +23,9 @@
 
 namespace {
 
-const loop::Address kFrontAddress = stage::AddressOf(0x0a000002, 80);
-const loop::Address kServerAddresses[] = {stage::AddressOf(0x0a000003, 5000),
-                                          stage::AddressOf(0x0a000004, 5000)};
+const loop::Address kFrontAddress = stage::MakeAddress(0x0a000002, 80);
+const loop::Address kServerAddresses[] = {stage::MakeAddress(0x0a000003, 5000),
+                                          stage::MakeAddress(0x0a000004, 5000)};
 constexpr std::size_t kMostIdleWaits = 100;
 
 // ---- one connection, whose environment fails
@@ -49,7 +49,7 @@
 
 /// A process that dials, through a failing environment, one that listens.
 struct ConnectionFixture {
-  stage::Net net{1};
+  stage::Network net{1};
   stage::Process& dialling = net.Start(0x0a000001, "dialling");
   stage::Process& listening = net.Start(0x0a000002, "listening");
   FailingEnvironment environment{dialling};
@@ -59,7 +59,7 @@
 
   ConnectionFixture() {
     dialling.UseEnvironment(environment);
-    listening.Act([&] {
+    listening.Execute([&] {
       listener = std::make_unique<loop::Listener>(
           listening.loop(), kFrontAddress, [this](loop::Descriptor fd) {
             far.connection =
@@ -68,14 +68,14 @@
     });
   }
   ~ConnectionFixture() {
-    listening.Act([&] {
+    listening.Execute([&] {
       far.connection.reset();
       listener.reset();
     });
-    dialling.Act([&] { near.connection.reset(); });
+    dialling.Execute([&] { near.connection.reset(); });
   }
   void Dial() {
-    dialling.Act([&] {
+    dialling.Execute([&] {
       near.connection =
           std::make_unique<loop::Connection>(dialling.loop(), near, kFrontAddress, 1000);
       near.connection->Send("hello");
@@ -87,7 +87,7 @@
 };
 
 /// Fails calls of one kind with one error until `ends`.
-FailingEnvironment::Plan FailUntil(const stage::Net& net, Call failing, int error, Ms ends) {
+FailingEnvironment::Plan FailUntil(const stage::Network& net, Call failing, int error, Ms ends) {
   return [&net, failing, error, ends](Call call, std::size_t) -> std::optional<Failure> {
     if (call == failing && net.now() < ends)
       return Failure{error};
@@ -141,10 +141,10 @@
   ConnectionFixture test;
   test.Dial();
   test.Run(100);
-  test.listening.Act([&] { test.far.connection->Send("answer"); });
+  test.listening.Execute([&] { test.far.connection->Send("answer"); });
   // The answer lies in the buffers of a process that stands still; then its write fails before it
   // reads.
-  test.dialling.StandStill(test.net.now() + 50);
+  test.dialling.PauseUntil(test.net.now() + 50);
   test.Run(40);
   REQUIRE(test.near.received.empty());
   std::size_t next_read = test.environment.Calls(Call::kReceive);
@@ -156,7 +156,7 @@
       return Failure{EINTR};
     return std::nullopt;
   };
-  test.dialling.Act([&] { test.near.connection->Send("next"); });
+  test.dialling.Execute([&] { test.near.connection->Send("next"); });
   test.Run(100);
   CHECK(test.near.received == "answer");
   CHECK(test.near.ends == std::vector{DisconnectReason::kReset});
@@ -183,7 +183,7 @@
     test.Dial();
     test.Run(100);
     test.environment.plan = FailUntil(test.net, Call::kReceive, error, test.net.now() + 60);
-    test.listening.Act([&] {
+    test.listening.Execute([&] {
       test.far.connection->Send("answer");
       test.far.connection->SayNoMore();
     });
@@ -204,9 +204,9 @@
     Ms start = test.net.now();
     Ms ran_at = 0;
     test.environment.plan = FailUntil(test.net, Call::kWait, error, start + 60);
-    test.dialling.Act(
+    test.dialling.Execute(
         [&] { test.dialling.loop().at(start + 30, [&] { ran_at = test.net.now(); }); });
-    test.listening.Act([&] { test.far.connection->Send("answer"); });
+    test.listening.Execute([&] { test.far.connection->Send("answer"); });
     CHECK_NOTHROW(test.Run(200));
     CHECK(ran_at >= start + 30);
     CHECK(ran_at < start + 60);
@@ -233,7 +233,7 @@
 // ---- a listener, whose environment fails
 
 struct ListenerFixture {
-  stage::Net net{1};
+  stage::Network net{1};
   stage::Process& listening = net.Start(0x0a000002, "listening");
   stage::Process& dialling = net.Start(0x0a000001, "dialling");
   FailingEnvironment environment{listening};
@@ -243,21 +243,21 @@
 
   ListenerFixture() {
     listening.UseEnvironment(environment);
-    listening.Act([&] {
+    listening.Execute([&] {
       listener = std::make_unique<loop::Listener>(
           listening.loop(), kFrontAddress,
           [this](loop::Descriptor fd) { taken.push_back(std::move(fd)); });
     });
   }
   ~ListenerFixture() {
-    dialling.Act([&] { peers.clear(); });
-    listening.Act([&] {
+    dialling.Execute([&] { peers.clear(); });
+    listening.Execute([&] {
       taken.clear();
       listener.reset();
     });
   }
   void Come(int count) {
-    dialling.Act([&] {
+    dialling.Execute([&] {
       for (int i = 0; i < count; ++i) {
         auto peer = std::make_unique<NotedOwner>();
         peer->connection =
@@ -310,12 +310,12 @@
 
 TEST_CASE("a stop accepts all who wait though one of them is broken") {
   ListenerFixture test;
-  test.listening.Act([&] { test.listener->Pause(); });
+  test.listening.Execute([&] { test.listener->Pause(); });
   test.Come(3);
   test.net.RunUntil(test.net.now() + 10);
   test.environment.plan = FailOnce(Call::kAccept, 0, {EPROTO});
   bool drained = false;
-  test.listening.Act([&] { drained = test.listener->Drain(); });
+  test.listening.Execute([&] { drained = test.listener->Drain(); });
   CHECK(drained);
   CHECK(test.taken.size() == 3);
 }
@@ -333,7 +333,7 @@
 class FakeServer {
  public:
   FakeServer(stage::Process& process, const loop::Address& at) : process_(process) {
-    process_.Act([&] {
+    process_.Execute([&] {
       listener_ =
           std::make_unique<loop::Listener>(process_.loop(), at, [this](loop::Descriptor fd) {
             lines_.push_back(std::make_unique<Line>(*this, std::move(fd)));
@@ -341,7 +341,7 @@
     });
   }
   ~FakeServer() {
-    process_.Act([&] {
+    process_.Execute([&] {
       lines_.clear();
       listener_.reset();
     });
@@ -405,14 +405,14 @@
  public:
   FakeClient(stage::Process& process, std::vector<std::string> requests)
       : process_(process), requests_(std::move(requests)) {
-    process_.Act([&] {
+    process_.Execute([&] {
       connection_ =
           std::make_unique<loop::Connection>(process_.loop(), *this, kFrontAddress, 60000);
       SendNext();
     });
   }
   ~FakeClient() {
-    process_.Act([&] { connection_.reset(); });
+    process_.Execute([&] { connection_.reset(); });
   }
 
   /// Of each request that had its answer, in order.
@@ -472,7 +472,7 @@
       stage::Process& process = net.Start(ntohl(at.sin_addr.s_addr), "server");
       servers.push_back(std::make_unique<FakeServer>(process, at));
     }
-    front_.Act([&] {
+    front_.Execute([&] {
       exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Settings(), 1);
       caches_ = std::make_unique<caches::UpstreamConnectionPool>(front_.loop(), *exchange,
                                                                  kit::MakeConnectionSettings(), 8);
@@ -544,7 +544,7 @@
     return true;
   }
 
-  stage::Net net{1};
+  stage::Network net{1};
 
  private:
   stage::Process& peers_ = net.Start(0x0a000001, "clients");
@@ -559,7 +559,7 @@
  private:
   void TakeDown() {
     clients.clear();
-    front_.Act([&] {
+    front_.Execute([&] {
       clients_.reset();
       caches_.reset();
       exchange.reset();
