--- a/src/stage/stage.hpp
+++ b/src/stage/stage.hpp
@@ -35,7 +35,7 @@
 struct Link {
   Ms latency = 0.2;
   double jitter = 0.2;         // the latency is multiplied by 1 + [0, jitter)
-  double kb_per_ms = 0;        // 0: unlimited; each message is charged separately
+  double kb_per_ms = 0;        // 0: unlimited; not shared, each stream has all of it
   double loss_share = 0;       // of what is sent; a stream retransmits after 200 ms
   double duplicate_share = 0;  // of the datagrams: delivered twice
   double reorder_share = 0;    // of the datagrams: up to 20 latencies late
@@ -80,7 +80,8 @@
   // If set, replaces the bytes of each write to a stream before they reach the network. For tests
   // in which a front sends faulty data.
   std::function<std::string(std::string bytes)> outgoing_filter;
-  void PauseUntil(Ms until);  // runs nothing before then; what arrives waits
+  // Runs nothing before `until`; what arrives waits.
+  void PauseUntil(Ms until);
 
   Ms now() override;
   int Wait(std::span<pollfd> watched, int ms) override;
@@ -163,15 +164,16 @@
   void SetSite(std::uint32_t host, int site);
   void SetLink(int from, int to, const Link& link);  // one direction only
   Link& LinkBetween(int from, int to);
-  void SetHostBlocked(std::uint32_t host, bool inbound,
-                      bool outbound);  // of this host: nothing arrives, nothing leaves
-  void SetHostDelay(std::uint32_t host,
-                    Ms extra_delay);  // added to all that the host sends and receives
-  void SetDatagramsBlocked(std::uint32_t from, std::uint32_t to,
-                           bool blocked);  // datagrams from one host to the other are lost
+  // Blocks all that is sent to this host, or all that it sends.
+  void SetHostBlocked(std::uint32_t host, bool inbound, bool outbound);
+  // Delays all that the host sends and receives by this much more.
+  void SetHostDelay(std::uint32_t host, Ms extra_delay);
+  // While blocked, datagrams from one host to the other are lost.
+  void SetDatagramsBlocked(std::uint32_t from, std::uint32_t to, bool blocked);
+  // The share of the reads and writes that transfer only a part.
   void SetPartialIoShare(double share) {
     partial_io_share_ = share;
-  }  // share of the reads and writes that transfer only a part
+  }
   int SiteOf(std::uint32_t host);
 
   // ---- processes. The reference stays valid as long as the network; a process that was killed
--- a/src/world/model.hpp
+++ b/src/world/model.hpp
@@ -73,7 +73,7 @@
   double stream_kb_per_ms = 8;  // rate of one stream to a client
   double fill_rate_multiple = 3;
   Ms origin_response_time = 40;
-  double origin_overload_multiple = 2.5;  // of its capacity, over the window below: it stalls
+  double origin_overload_multiple = 2.5;  // of its capacity over the window: then it stalls
   Ms origin_overload_window = 3000;
   int max_origin_stalls = 2;
   Ms fill_timeout = 2500;
@@ -175,10 +175,10 @@
   using ScheduleFunction = std::function<void(Ms, std::function<void()>)>;
   using ReplyCallback = std::function<void(const Reply&)>;
   struct Usage {
-    double origin_kb = 0;
-    double link_kb = 0;  // KB sent by the origin; KB received over the zones' links
-    double requested_work = 0;
-    double wasted_work = 0;  // in ms of transfer: for finished requests; for cancelled ones
+    double origin_kb = 0;       // sent by the origin
+    double link_kb = 0;         // received over the zones' links
+    double requested_work = 0;  // of finished requests, in ms of transfer
+    double wasted_work = 0;     // of cancelled requests, in ms of transfer
   };
 
   Model(ModelSettings settings, std::uint64_t seed, Ms start, ScheduleFunction schedule,
@@ -190,11 +190,10 @@
   Usage usage;
 
   void SetLink(int zone, double capacity);  // in concurrent transfers
-  void AddServer(const ServerSettings&
-                     server_settings);  // a new process: empty, in slow start if it started late
-  void RemoveServer(
-      Ms now,
-      const std::string& server_id);  // with its open requests, whose callbacks are not called
+  // Adds a new process: with an empty cache, and in slow start if it started late.
+  void AddServer(const ServerSettings& server_settings);
+  // Removes it with its open requests, whose callbacks are not called.
+  void RemoveServer(Ms now, const std::string& server_id);
   bool HasServer(const std::string& server_id) const {
     return servers_.count(server_id) != 0;
   }
@@ -212,8 +211,8 @@
 
   // ---- faults
   void Stall(Ms now, const std::string& server_id, Ms until);  // does nothing before then
-  void SetSlowdown(Ms now, const std::string& server_id,
-                   double factor);  // of the transfer times; 1: none
+  // Multiplies its transfer times; 1: none.
+  void SetSlowdown(Ms now, const std::string& server_id, double factor);
   void SetReportDelay(Ms delay) {
     extra_report_delay_ = delay;
   }
