--- a/src/front/active.cpp
+++ b/src/front/active.cpp
@@ -17,7 +17,7 @@
               "deployment settings changed: add the new field below (21 fields)");
 static_assert(sizeof(settings::RoadTerms) == 120,
               "connection settings changed: add the new field below (8 fields)");
-static_assert(sizeof(owner::Terms) == 32 && sizeof(owner::GroupTerms) == 24,
+static_assert(sizeof(owner::LeaseSettings) == 32 && sizeof(owner::RaftSettings) == 24,
               "owner settings changed: add the new field below");
 static_assert(sizeof(members::Terms) == 96 && sizeof(failover::Terms) == 56,
               "fleet settings changed: add the new field below");
@@ -207,13 +207,13 @@
     }
     form["owner"] = {{"group", Bounded(group)},
                      {"works", Bounded(tasks)},
-                     {"lease", Text(owner.lease.lease)},
+                     {"lease", Text(owner.lease.duration)},
                      {"margin", Text(owner.lease.margin)},
-                     {"drift", Text(owner.lease.drift)},
-                     {"renew_every", Text(owner.lease.renew_every)},
-                     {"election", Text(owner.raft.election)},
-                     {"heartbeat", Text(owner.raft.heartbeat)},
-                     {"tick", Text(owner.raft.tick)},
+                     {"drift", Text(owner.lease.clock_drift)},
+                     {"renew_every", Text(owner.lease.renew_interval)},
+                     {"election", Text(owner.raft.election_timeout)},
+                     {"heartbeat", Text(owner.raft.heartbeat_interval)},
+                     {"tick", Text(owner.raft.tick_interval)},
                      {"lasting", Text(!owner.store.empty())}};
   }
   return form;
--- a/src/front/charter.cpp
+++ b/src/front/charter.cpp
@@ -227,30 +227,31 @@
     settings.group.push_back(static_cast<std::uint32_t>(id));
   }
   settings.store = block.word("store");
-  optional_integer("lease_ms", settings.lease.lease, 500, 600000);
+  optional_integer("lease_ms", settings.lease.duration, 500, 600000);
   optional_integer("margin_ms", settings.lease.margin, 10, 60000);
-  optional_integer("renew_ms", settings.lease.renew_every, 50, 200000);
-  optional_integer("election_ms", settings.raft.election, 100, 60000);
+  optional_integer("renew_ms", settings.lease.renew_interval, 50, 200000);
+  optional_integer("election_ms", settings.raft.election_timeout, 100, 60000);
   if (const Value* drift = block.Find("drift")) {
     if (drift->kind != Kind::kNumber || !(drift->AsNumber() >= 0 && drift->AsNumber() <= 0.2))
       throw error("drift", "must be a number from 0 to 0.2");
-    settings.lease.drift = drift->AsNumber();
+    settings.lease.clock_drift = drift->AsNumber();
   }
-  settings.raft.heartbeat = std::max(20.0, settings.raft.election / 5);
-  double usable = settings.lease.lease * (1 - settings.lease.drift) - settings.lease.margin;
-  if (!(3 * settings.lease.renew_every <= usable))
+  settings.raft.heartbeat_interval = std::max(20.0, settings.raft.election_timeout / 5);
+  double usable =
+      settings.lease.duration * (1 - settings.lease.clock_drift) - settings.lease.margin;
+  if (!(3 * settings.lease.renew_interval <= usable))
     throw error("renew_ms",
                 "must be at most a third of the " + std::to_string(static_cast<long long>(usable)) +
                     " ms for which a lease is usable, so that two renewals may be lost");
   const Value* tasks = block.Find("works", Kind::kList);
-  if (!tasks || tasks->items.empty() || tasks->items.size() > owner::kMostWorks)
+  if (!tasks || tasks->items.empty() || tasks->items.size() > owner::kMaxTasks)
     throw error("works", "must list 1 to 64 tasks");
   for (std::size_t i = 0; i < tasks->items.size(); ++i) {
     const Value& item = tasks->items[i];
     std::string where = "works[" + std::to_string(i) + "].";
     OwnerSettings::LeasedTask task;
     task.name = item.word("name");
-    if (!owner::GoodName(task.name))
+    if (!owner::IsValidTaskName(task.name))
       throw error(where + "name", "must be 1 to 48 of a-z, 0-9 and dashes");
     for (const auto& other : settings.tasks)
       if (other.name == task.name)
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -70,8 +70,8 @@
   std::map<std::uint32_t, loop::Address> addresses;
   std::vector<std::uint32_t> group;
   std::string store;  // "": in memory
-  owner::Terms lease;
-  owner::GroupTerms raft;
+  owner::LeaseSettings lease;
+  owner::RaftSettings raft;
   std::vector<LeasedTask> tasks;
 };
 
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -357,9 +357,9 @@
         static_cast<int>(std::count_if(zone_of.begin(), zone_of.end(), [&](auto& front) {
           return front.second == zone_of[impl.Self()];
         }));
-    settings.policy.lease = configuration.owner.enabled ? configuration.owner.lease.lease : 0;
+    settings.policy.lease = configuration.owner.enabled ? configuration.owner.lease.duration : 0;
     settings.policy.margin = configuration.owner.lease.margin;
-    settings.policy.drift = configuration.owner.lease.drift;
+    settings.policy.drift = configuration.owner.lease.clock_drift;
     for (const RequestClass& request_class : configuration.settings.request_classes) {
       settings.policy.payoff.push_back(request_class.payoff);
       settings.policy.certain.push_back(request_class.never_kept);
--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -40,17 +40,17 @@
                                std::string(std::strerror(-fd)));
     impl.socket = loop::Descriptor(loop.environment(), fd);
   }
-  owner::NodeTerms node_terms;
+  owner::NodeSettings node_terms;
   node_terms.self = settings.self;
   node_terms.group = settings.group;
   node_terms.lease = settings.lease;
   node_terms.raft = settings.raft;
   for (const OwnerSettings::LeasedTask& task : settings.tasks)
-    node_terms.jobs.push_back(
+    node_terms.tasks.push_back(
         {task.name, task.steps, task.step_time, task.executors, task.standing});
   bool member = std::find(settings.group.begin(), settings.group.end(), settings.self) !=
                 settings.group.end();
-  owner::Node::Ways callbacks;
+  owner::Node::Callbacks callbacks;
   callbacks.send = [this](owner::Id to, std::string bytes) {
     auto address = impl_->settings.addresses.find(to);
     if (impl_->peers) {
@@ -68,7 +68,7 @@
         impl_->socket.Get(), bytes,
         address->second);  // lost if the system refuses it, as on the network
   };
-  callbacks.say = [this](const std::string& line) {
+  callbacks.log_line = [this](const std::string& line) {
     log::Say("%s at %.0f", line.c_str(), loop_.now());
   };
   auto now = loop.now();
@@ -130,7 +130,8 @@
 
 void OwnerComponent::HandleRawDatagram(std::span<const char> datagram) {
   auto frame = owner::ReadFrame(datagram);
-  if (!frame || frame->kind != owner::Kind::kDid || !impl_->settings.addresses.count(frame->from))
+  if (!frame || frame->kind != owner::MessageKind::kStepResponse ||
+      !impl_->settings.addresses.count(frame->from))
     return void(++impl_->malformed);
   ++impl_->received;
   impl_->node->Receive(loop_.now(), datagram);
@@ -148,9 +149,9 @@
 }
 
 std::pair<std::uint64_t, bool> OwnerComponent::HeldLease(const std::string& task) const {
-  for (const auto& lease : impl_->node->agent().held())
-    if (lease.work == task)
-      return {lease.token, loop_.now() < lease.until};
+  for (const auto& lease : impl_->node->agent().HeldLeases())
+    if (lease.task == task)
+      return {lease.token, loop_.now() < lease.valid_until};
   return {0, false};
 }
 std::uint32_t OwnerComponent::LeaseHolder(const std::string& task) const {
@@ -159,11 +160,11 @@
   owner::Group* group = impl_->node->group();
   if (!group)
     return 0;
-  auto entry = group->table().Works().find(task);
-  return entry == group->table().Works().end() ? 0 : entry->second.owner;
+  auto entry = group->table().Tasks().find(task);
+  return entry == group->table().Tasks().end() ? 0 : entry->second.holder;
 }
 void OwnerComponent::PermitLeases(bool permitted) {
-  impl_->node->agent().Permit(permitted);
+  impl_->node->agent().PermitLeases(permitted);
 }
 OwnerComponent::GroupState OwnerComponent::group_state() const {
   GroupState state;
@@ -172,15 +173,15 @@
   owner::Group* group = impl_->node->group();
   state.leader_known = impl_->node->agent().KnowsLeader();
   // A member whose store failed counts as outside: the others' majority goes on without it.
-  bool participates = group && group->standing() != owner::Group::Standing::kFailed;
+  bool participates = group && group->member_state() != owner::Group::MemberState::kFailed;
   if (!participates) {
     state.founded = state.leader_known;
     return state;
   }
   state.in_group = true;
-  state.member = group->standing() == owner::Group::Standing::kMember;
-  state.lost = group->standing() == owner::Group::Standing::kLost;
-  state.leader_known |= group->Leads() || group->Leader() != 0;
+  state.member = group->member_state() == owner::Group::MemberState::kMember;
+  state.lost = group->member_state() == owner::Group::MemberState::kLost;
+  state.leader_known |= group->IsLeader() || group->Leader() != 0;
   state.founded = state.member;
   state.token = group->table().LastToken();
   return state;
@@ -198,27 +199,27 @@
   std::string json = "{\"self\":" + std::to_string(impl.settings.self) +
                      ",\"sent\":" + std::to_string(impl.sent) +
                      ",\"received\":" + std::to_string(impl.received) +
-                     ",\"refused\":" + std::to_string(node.Refused() + impl.malformed);
+                     ",\"refused\":" + std::to_string(node.RejectedDatagrams() + impl.malformed);
   if (owner::Group* group = node.group()) {
-    json += ",\"group\":\"" + std::string(MakeWord(group->standing())) + "\",\"why\":\"" +
-            group->Why() + "\",\"leads\":" + boolean(group->Leads()) +
+    json += ",\"group\":\"" + std::string(ToString(group->member_state())) + "\",\"why\":\"" +
+            group->FailureReason() + "\",\"leads\":" + boolean(group->IsLeader()) +
             ",\"leader\":" + std::to_string(group->Leader()) +
             ",\"term\":" + std::to_string(group->Term()) +
-            ",\"lasting\":" + boolean(impl.membership->Lasts()) +
+            ",\"lasting\":" + boolean(impl.membership->IsDurable()) +
             ",\"last_token\":" + std::to_string(group->table().LastToken()) + ",\"works\":[";
     bool first = true;
-    for (const auto& [name, task] : group->table().Works()) {
+    for (const auto& [name, task] : group->table().Tasks()) {
       json += std::string(first ? "" : ",") + "{\"work\":\"" + name +
-              "\",\"owner\":" + std::to_string(task.owner) +
+              "\",\"owner\":" + std::to_string(task.holder) +
               ",\"token\":" + std::to_string(task.token) +
-              ",\"done\":" + std::to_string(task.done) +
+              ",\"done\":" + std::to_string(task.done_steps) +
               ",\"steps\":" + std::to_string(task.steps) + ",\"state\":\"" +
-              (task.finished     ? "finished"
-               : task.abandoned  ? "abandoned"
-               : task.owner != 0 ? "owned"
-                                 : "free") +
+              (task.finished      ? "finished"
+               : task.abandoned   ? "abandoned"
+               : task.holder != 0 ? "owned"
+                                  : "free") +
               "\",\"lease_ends_in_ms\":" +
-              (group->Leads() ? time_left(group->LeaseEnds(name)) : "null") + "}";
+              (group->IsLeader() ? time_left(group->LeaseEnd(name)) : "null") + "}";
       first = false;
     }
     json += "]";
@@ -229,11 +230,11 @@
   }
   json += ",\"holds\":[";
   bool first = true;
-  for (const auto& lease : node.agent().held()) {
-    json += std::string(first ? "" : ",") + "{\"work\":\"" + lease.work +
+  for (const auto& lease : node.agent().HeldLeases()) {
+    json += std::string(first ? "" : ",") + "{\"work\":\"" + lease.task +
             "\",\"token\":" + std::to_string(lease.token) +
-            ",\"done\":" + std::to_string(lease.done) +
-            ",\"acts_for_ms\":" + time_left(lease.until) + "}";
+            ",\"done\":" + std::to_string(lease.done_steps) +
+            ",\"acts_for_ms\":" + time_left(lease.valid_until) + "}";
     first = false;
   }
   return json + "]}";
--- a/src/owner/agent.hpp
+++ b/src/owner/agent.hpp
@@ -16,108 +16,112 @@
 
 namespace dunlinwick::owner {
 
-struct Job {
-  std::string work;
+struct TaskSpec {
+  std::string name;
   std::uint64_t steps = 1;
-  Ms each = 50;            // from one step to the next, at least
-  std::vector<Id> places;  // who carries it out
+  Ms step_interval = 50;      // from one step to the next, at least
+  std::vector<Id> executors;  // who carries it out
   // A work without an end or steps of its own: to hold it is the work (the record's writing, say).
   // Nothing is recorded for it; its token is the fence of whatever its owner does, and the next
   // owner begins by what the fenced ones kept.
   bool standing = false;
 };
 
-struct Ask {
-  std::uint64_t number = 0;  // of the question, by its asker
+struct LeaseRequest {
+  std::uint64_t request_id = 0;  // of the question, by its asker
   Command command;
 };
-struct Answer {
-  std::uint64_t number = 0;
+struct LeaseResponse {
+  std::uint64_t request_id = 0;
   Result result;
-  Id leader = 0;       // whom to ask instead, where the one asked does not lead
-  bool taken = false;  // the one asked leads, and this is the group's answer
+  Id leader = 0;         // whom to ask instead, where the one asked does not lead
+  bool handled = false;  // the one asked leads, and this is the group's answer
 };
-struct Do {
-  std::string work;
+struct StepRequest {
+  std::string task;
   Token token = 0;
   std::uint64_t step = 0;
 };
-struct Did {
-  Do what;
-  Landing landing = Landing::kDone;
-  Token highest = 0;
+struct StepResponse {
+  StepRequest request;
+  FencingResult result = FencingResult::kDone;
+  Token highest_token = 0;
 };
 
 class Agent {
  public:
-  struct Out {
-    std::function<void(Id to, const Ask&)> ask;
-    std::function<void(Id to, const Do&)> act;
-    std::function<void(const std::string& line)> say;
+  struct Callbacks {
+    std::function<void(Id to, const LeaseRequest&)> send_lease_request;
+    std::function<void(Id to, const StepRequest&)> send_step_request;
+    std::function<void(const std::string& line)> log_line;
   };
   // What a test breaks on purpose; all false in service.
-  struct Breaks {
-    bool no_margin = false;       // acts until the lease's very end and beyond, by its own clock
-    bool from_the_start = false;  // resumes from before the last recorded step
-    bool no_lease = false;        // acts for ever once it was granted
+  struct InjectedFaults {
+    bool no_margin = false;        // acts until the lease's very end and beyond, by its own clock
+    bool from_first_step = false;  // resumes from before the last recorded step
+    bool no_lease = false;         // acts for ever once it was granted
   };
-  Agent(Id self, std::vector<Id> group, std::vector<Job> jobs, Terms terms, std::uint64_t seed,
-        std::uint64_t incarnation, Ms now);
-  void Tick(Ms now, const Out& out);  // every 20 ms or so
+  Agent(Id self, std::vector<Id> group, std::vector<TaskSpec> tasks, LeaseSettings settings,
+        std::uint64_t seed, std::uint64_t incarnation, Ms now);
+  void Tick(Ms now, const Callbacks& callbacks);  // every 20 ms or so
   // Whether this front may come to own anything (it may at first). What it holds it keeps till it
   // is lost; a standing work is no longer renewed. For a front that is still coming back from a
   // power loss, or that was set aside.
-  void Permit(bool may) {
+  void PermitLeases(bool may) {
     permitted_ = may;
   }
-  void Answered(Ms now, Id from, const Answer& a, const Out& out);
-  void HandleResult(Ms now, Id from, const Did& d, const Out& out);
-  Breaks breaks;
+  void HandleLeaseResponse(Ms now, Id from, const LeaseResponse& response,
+                           const Callbacks& callbacks);
+  void HandleStepResponse(Ms now, Id from, const StepResponse& response,
+                          const Callbacks& callbacks);
+  InjectedFaults injected_faults;
 
-  struct Held {
-    std::string work;
+  struct HeldLeaseStatus {
+    std::string task;
     Token token = 0;
-    std::uint64_t done = 0;
-    Ms until = 0;
+    std::uint64_t done_steps = 0;
+    Ms valid_until = 0;
   };
-  std::vector<Held> held() const;
+  std::vector<HeldLeaseStatus> HeldLeases() const;
   bool KnowsLeader() const {
     return leader_ != 0;
   }
-  bool Idle() const;  // nothing is left to do, as far as it knows
+  bool IsIdle() const;  // nothing is left to do, as far as it knows
 
  private:
-  struct One {
-    Job job;
-    Holder holder;
-    std::uint64_t done = 0;  // recorded
-    std::uint64_t step = 0;  // under way; 0: none
-    std::set<Id> landed;     // places that have it
-    bool over = false;
+  struct TaskState {
+    TaskSpec spec;
+    HeldLease lease;
+    std::uint64_t done_steps = 0;  // recorded
+    std::uint64_t step = 0;        // under way; 0: none
+    std::set<Id> executed_by;      // places that have it
+    bool ended = false;
     bool recording = false;
     Ms next_step_at = 0;
     Ms sent_at = 0;
     Ms renew_at = 0;
-    Ms try_at = 0;
-    std::uint64_t question = 0;  // under way; 0: none
-    Deed asked = Deed::kTake;
-    Ms asked_at = 0;
-    Ms ask_again_at = 0;
-    Id asking = 0;
-    explicit One(Job j, Terms t) : job(std::move(j)), holder(t) {}
+    Ms acquire_at = 0;
+    std::uint64_t request_id = 0;  // under way; 0: none
+    Operation operation = Operation::kAcquire;
+    Ms requested_at = 0;
+    Ms resend_at = 0;
+    Id requested_from = 0;
+    explicit TaskState(TaskSpec task_spec, LeaseSettings settings)
+        : spec(std::move(task_spec)), lease(settings) {}
   };
-  void SendQuestion(Ms now, One& w, Deed deed, std::uint64_t step, const Out& out);
-  void Lose(Ms now, One& w, const std::string& why, const Out& out);
-  bool MayAct(Ms now, const One& w) const;
+  void SendLeaseRequest(Ms now, TaskState& task, Operation operation, std::uint64_t step,
+                        const Callbacks& callbacks);
+  void LoseLease(Ms now, TaskState& task, const std::string& reason, const Callbacks& callbacks);
+  bool MayAct(Ms now, const TaskState& task) const;
 
   Id self_;
   std::vector<Id> group_;
-  Terms terms_;
+  LeaseSettings settings_;
   std::knuth_b random_;
-  std::vector<One> works_;
+  std::vector<TaskState> tasks_;
   Id leader_ = 0;
-  std::size_t next_ = 0;
-  std::uint64_t numbers_ = 0;
+  std::size_t next_member_ = 0;
+  std::uint64_t last_request_id_ = 0;
   bool permitted_ = true;
 };
 
--- a/src/owner/bytes.hpp
+++ b/src/owner/bytes.hpp
@@ -10,50 +10,50 @@
 
 struct Writer {
   std::string bytes;
-  void number(std::uint64_t v, int width) {
+  void WriteNumber(std::uint64_t value, int width) {
     for (int i = 0; i < width; ++i)
-      bytes.push_back(static_cast<char>(v >> (8 * i) & 0xff));
+      bytes.push_back(static_cast<char>(value >> (8 * i) & 0xff));
   }
-  void Text(const std::string& t) {
-    number(t.size(), 4);
-    bytes += t;
+  void WriteString(const std::string& text) {
+    WriteNumber(text.size(), 4);
+    bytes += text;
   }
 };
 
 class Reader {
  public:
-  explicit Reader(std::span<const char> b) : b_(b) {}
-  std::uint64_t number(int width) {
-    if (bad_ || b_.size() - at_ < static_cast<std::size_t>(width)) {
-      bad_ = true;
+  explicit Reader(std::span<const char> bytes) : bytes_(bytes) {}
+  std::uint64_t ReadNumber(int width) {
+    if (failed_ || bytes_.size() - position_ < static_cast<std::size_t>(width)) {
+      failed_ = true;
       return 0;
     }
-    std::uint64_t v = 0;
+    std::uint64_t value = 0;
     for (int i = 0; i < width; ++i)
-      v |= std::uint64_t{static_cast<unsigned char>(b_[at_++])} << (8 * i);
-    return v;
+      value |= std::uint64_t{static_cast<unsigned char>(bytes_[position_++])} << (8 * i);
+    return value;
   }
-  std::string Text(std::size_t most) {
-    std::uint64_t n = number(4);
-    if (bad_ || n > most || b_.size() - at_ < n) {
-      bad_ = true;
+  std::string ReadString(std::size_t max_length) {
+    std::uint64_t length = ReadNumber(4);
+    if (failed_ || length > max_length || bytes_.size() - position_ < length) {
+      failed_ = true;
       return std::string();
     }
-    std::string t(b_.data() + at_, n);
-    at_ += n;
-    return t;
+    std::string text(bytes_.data() + position_, length);
+    position_ += length;
+    return text;
   }
-  bool Bad() const {
-    return bad_;
+  bool HasFailed() const {
+    return failed_;
   }
-  bool Whole() const {
-    return !bad_ && at_ == b_.size();
+  bool IsComplete() const {
+    return !failed_ && position_ == bytes_.size();
   }  // all read, and good
 
  private:
-  std::span<const char> b_;
-  std::size_t at_ = 0;
-  bool bad_ = false;
+  std::span<const char> bytes_;
+  std::size_t position_ = 0;
+  bool failed_ = false;
 };
 
 }  // namespace dunlinwick::owner
--- a/src/owner/fence.hpp
+++ b/src/owner/fence.hpp
@@ -7,51 +7,51 @@
 
 namespace dunlinwick::owner {
 
-enum class Landing : std::uint8_t {
+enum class FencingResult : std::uint8_t {
   kDone,
-  kDoneBefore,
+  kAlreadyDone,
   kStaleToken,
-  kOutOfTurn,
+  kOutOfOrder,
   kFull
 };
-inline const char* MakeWord(Landing l) {
+inline const char* ToString(FencingResult result) {
   static const char* const kWords[] = {"done", "done before", "stale token", "out of turn", "full"};
-  return kWords[static_cast<int>(l)];
+  return kWords[static_cast<int>(result)];
 }
 
-class Fence {
+class FencingTokenCheck {
  public:
   // Steps are numbered from 1 and land in order; a step that was done says so, so that an owner
   // whose answer was lost goes on.
-  Landing Take(const std::string& work, Token token, std::uint64_t step) {
-    auto at = seen_.find(work);
-    if (at == seen_.end()) {
-      if (seen_.size() >= kMostWorks)
-        return Landing::kFull;
-      at = seen_.emplace(work, Seen{}).first;
+  FencingResult Check(const std::string& task, Token token, std::uint64_t step) {
+    auto entry = tasks_.find(task);
+    if (entry == tasks_.end()) {
+      if (tasks_.size() >= kMaxTasks)
+        return FencingResult::kFull;
+      entry = tasks_.emplace(task, TaskState{}).first;
     }
-    Seen& s = at->second;
-    if (token < s.token)
-      return Landing::kStaleToken;
-    s.token = token;
-    if (step <= s.step)
-      return Landing::kDoneBefore;
-    if (step != s.step + 1)
-      return Landing::kOutOfTurn;
-    s.step = step;
-    return Landing::kDone;
+    TaskState& state = entry->second;
+    if (token < state.token)
+      return FencingResult::kStaleToken;
+    state.token = token;
+    if (step <= state.step)
+      return FencingResult::kAlreadyDone;
+    if (step != state.step + 1)
+      return FencingResult::kOutOfOrder;
+    state.step = step;
+    return FencingResult::kDone;
   }
-  Token Highest(const std::string& work) const {
-    auto at = seen_.find(work);
-    return at == seen_.end() ? 0 : at->second.token;
+  Token HighestToken(const std::string& task) const {
+    auto entry = tasks_.find(task);
+    return entry == tasks_.end() ? 0 : entry->second.token;
   }
 
  private:
-  struct Seen {
+  struct TaskState {
     Token token = 0;
     std::uint64_t step = 0;
   };
-  std::map<std::string, Seen> seen_;
+  std::map<std::string, TaskState> tasks_;
 };
 
 }  // namespace dunlinwick::owner
--- a/src/owner/group.hpp
+++ b/src/owner/group.hpp
@@ -23,25 +23,25 @@
 
 namespace dunlinwick::owner {
 
-struct GroupTerms {
-  Ms election = 500;
-  Ms heartbeat = 100;  // Raft's; an election takes one to two of the first
-  Ms tick = 20;
+struct RaftSettings {
+  Ms election_timeout = 500;
+  Ms heartbeat_interval = 100;  // Raft's; an election takes one to two of the first
+  Ms tick_interval = 20;
 };
 
 class Group {
  public:
   using Send = std::function<void(Id to, std::string bytes)>;
-  using Done = std::function<void(const Result&)>;
-  enum class Standing : std::uint8_t {
-    kBegins,
+  using Completion = std::function<void(const Result&)>;
+  enum class MemberState : std::uint8_t {
+    kBootstrapping,
     kMember,
     kLost,
     kFailed
   };
   // `members`: all of the group, self among them. `incarnation`: of this process, newer at each
   // start: best the clock in milliseconds. Throws std::runtime_error where the store can't be read.
-  Group(Id self, std::vector<Id> members, GroupTerms terms, Terms lease, Store& store,
+  Group(Id self, std::vector<Id> members, RaftSettings settings, LeaseSettings lease, Store& store,
         std::uint64_t incarnation, std::uint64_t seed, Ms now, Send send);
   ~Group();
   Group(const Group&) = delete;
@@ -52,25 +52,25 @@
   // At the leader: `done` is called once, now or in a later call into the group, with the result
   // once a majority has it; unsure where that can't be known, as when leadership was lost. False,
   // and never called, elsewhere or with too many under way.
-  bool Propose(Ms now, const Command& command, Done done);
+  bool Propose(Ms now, const Command& command, Completion done);
 
-  Standing standing() const;
-  bool Leads() const;
+  MemberState member_state() const;
+  bool IsLeader() const;
   Id Leader() const;  // 0: not known
   std::uint64_t Term() const;
-  const Table& table() const;
-  Ms LeaseEnds(const std::string& work)
+  const LeaseTable& table() const;
+  Ms LeaseEnd(const std::string& task)
       const;  // at the leader: by when it has surely run out; 1e300 where nobody holds it
-  std::string Why() const;  // of lost and failed
+  std::string FailureReason() const;  // of lost and failed
   /// Whether it may have promised anything to the others: it is or was a member of a group that is
   /// founded.
-  bool TookPart() const;
-  void BreakTokens();  // for a test that breaks it on purpose: tokens begin at 1 with each founding
+  bool HasParticipated() const;
+  void ReuseTokens();  // for a test that breaks it on purpose: tokens begin at 1 with each founding
 
  private:
-  struct Inner;
-  std::unique_ptr<Inner> inner_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
-const char* MakeWord(Group::Standing standing);
+const char* ToString(Group::MemberState member_state);
 
 }  // namespace dunlinwick::owner
--- a/src/owner/group_messages.cpp
+++ b/src/owner/group_messages.cpp
@@ -4,141 +4,141 @@
 namespace dunlinwick::owner {
 
 namespace {
-constexpr std::size_t kMostEntries = 64;
+constexpr std::size_t kMaxEntries = 64;
 }
 
-int Group::Inner::SendMessage(raft_io* i, raft_io_send* req, const raft_message* m,
-                              raft_io_send_cb cb) {
-  Inner& in = Of(i);
+int Group::Impl::SendMessage(raft_io* i, raft_io_send* req, const raft_message* m,
+                             raft_io_send_cb cb) {
+  Impl& impl = Of(i);
   Writer w;
-  w.number(static_cast<std::uint64_t>(Kind::kRaft), 1);
-  w.number(m->type, 1);
+  w.WriteNumber(static_cast<std::uint64_t>(Kind::kRaft), 1);
+  w.WriteNumber(m->type, 1);
   bool fits = true;
   switch (m->type) {
     case RAFT_IO_REQUEST_VOTE: {
       const auto& v = m->request_vote;
-      w.number(v.term, 8);
-      w.number(v.candidate_id, 8);
-      w.number(v.last_log_index, 8);
-      w.number(v.last_log_term, 8);
-      w.number((v.disrupt_leader ? 1u : 0u) | (v.pre_vote ? 2u : 0u), 1);
+      w.WriteNumber(v.term, 8);
+      w.WriteNumber(v.candidate_id, 8);
+      w.WriteNumber(v.last_log_index, 8);
+      w.WriteNumber(v.last_log_term, 8);
+      w.WriteNumber((v.disrupt_leader ? 1u : 0u) | (v.pre_vote ? 2u : 0u), 1);
       break;
     }
     case RAFT_IO_REQUEST_VOTE_RESULT: {
       const auto& v = m->request_vote_result;
-      w.number(v.term, 8);
-      w.number(v.vote_granted, 1);
-      w.number(static_cast<std::uint64_t>(v.pre_vote), 1);
+      w.WriteNumber(v.term, 8);
+      w.WriteNumber(v.vote_granted, 1);
+      w.WriteNumber(static_cast<std::uint64_t>(v.pre_vote), 1);
       break;
     }
     case RAFT_IO_APPEND_ENTRIES: {
       const auto& a = m->append_entries;
-      w.number(a.term, 8);
-      w.number(a.prev_log_index, 8);
-      w.number(a.prev_log_term, 8);
-      w.number(a.leader_commit, 8);
+      w.WriteNumber(a.term, 8);
+      w.WriteNumber(a.prev_log_index, 8);
+      w.WriteNumber(a.prev_log_term, 8);
+      w.WriteNumber(a.leader_commit, 8);
       // A follower that is far behind takes them in several messages; what is left out counts as
       // lost on the way.
       unsigned n = 0;
       std::size_t bytes = 0;
-      while (n < a.n_entries && n < kMostEntries &&
-             bytes + a.entries[n].buf.len + 16 < kMostBytes - 200) {
+      while (n < a.n_entries && n < kMaxEntries &&
+             bytes + a.entries[n].buf.len + 16 < kMaxMessageBytes - 200) {
         bytes += a.entries[n].buf.len + 16;
         ++n;
       }
-      w.number(n, 2);
+      w.WriteNumber(n, 2);
       for (unsigned k = 0; k < n; ++k) {
-        w.number(a.entries[k].term, 8);
-        w.number(a.entries[k].type, 2);
-        w.Text(TextOf(a.entries[k].buf));
+        w.WriteNumber(a.entries[k].term, 8);
+        w.WriteNumber(a.entries[k].type, 2);
+        w.WriteString(BytesOf(a.entries[k].buf));
       }
       break;
     }
     case RAFT_IO_APPEND_ENTRIES_RESULT: {
       const auto& a = m->append_entries_result;
-      w.number(a.term, 8);
-      w.number(a.rejected, 8);
-      w.number(a.last_log_index, 8);
+      w.WriteNumber(a.term, 8);
+      w.WriteNumber(a.rejected, 8);
+      w.WriteNumber(a.last_log_index, 8);
       break;
     }
     case RAFT_IO_INSTALL_SNAPSHOT: {
       const auto& s = m->install_snapshot;
-      w.number(s.term, 8);
-      w.number(s.last_index, 8);
-      w.number(s.last_term, 8);
-      w.number(s.conf_index, 8);
-      w.bytes += Encoded(s.conf);
-      w.Text(TextOf(s.data));
-      fits = w.bytes.size() <= kMostBytes;
+      w.WriteNumber(s.term, 8);
+      w.WriteNumber(s.last_index, 8);
+      w.WriteNumber(s.last_term, 8);
+      w.WriteNumber(s.conf_index, 8);
+      w.bytes += EncodeConfiguration(s.conf);
+      w.WriteString(BytesOf(s.data));
+      fits = w.bytes.size() <= kMaxMessageBytes;
       break;
     }
     case RAFT_IO_TIMEOUT_NOW: {
       const auto& t = m->timeout_now;
-      w.number(t.term, 8);
-      w.number(t.last_log_index, 8);
-      w.number(t.last_log_term, 8);
+      w.WriteNumber(t.term, 8);
+      w.WriteNumber(t.last_log_index, 8);
+      w.WriteNumber(t.last_log_term, 8);
       break;
     }
     default:
       fits = false;
   }
   if (fits)
-    in.send(static_cast<Id>(m->server_id), std::move(w.bytes));
+    impl.send(static_cast<Id>(m->server_id), std::move(w.bytes));
   // Gone as a datagram: whether it came shows by the answer.
-  in.later.push_back([req, cb] { cb(req, 0); });
+  impl.deferred.push_back([req, cb] { cb(req, 0); });
   return 0;
 }
 
-void Group::Inner::HearRaft(Id from, Reader& r) {
-  if (!started || standing != Standing::kMember || !recv_cb)
+void Group::Impl::HandleRaftMessage(Id from, Reader& r) {
+  if (!started || member_state != MemberState::kMember || !recv_cb)
     return;
   raft_message m{};
   std::string address = AddressOf(from);
-  m.type = static_cast<unsigned short>(r.number(1));
+  m.type = static_cast<unsigned short>(r.ReadNumber(1));
   m.server_id = RaftId(from);
   m.server_address = address.c_str();
   switch (m.type) {
     case RAFT_IO_REQUEST_VOTE: {
       auto& v = m.request_vote;
-      v.term = r.number(8);
-      v.candidate_id = r.number(8);
-      v.last_log_index = r.number(8);
-      v.last_log_term = r.number(8);
-      std::uint64_t flags = r.number(1);
+      v.term = r.ReadNumber(8);
+      v.candidate_id = r.ReadNumber(8);
+      v.last_log_index = r.ReadNumber(8);
+      v.last_log_term = r.ReadNumber(8);
+      std::uint64_t flags = r.ReadNumber(1);
       v.disrupt_leader = flags & 1;
       v.pre_vote = flags & 2;
-      if (!r.Whole() || v.candidate_id != m.server_id)
+      if (!r.IsComplete() || v.candidate_id != m.server_id)
         return;
       break;
     }
     case RAFT_IO_REQUEST_VOTE_RESULT: {
       auto& v = m.request_vote_result;
-      v.term = r.number(8);
-      v.vote_granted = r.number(1) != 0;
-      std::uint64_t pre = r.number(1);
-      if (!r.Whole() || pre > raft_tribool_false)
+      v.term = r.ReadNumber(8);
+      v.vote_granted = r.ReadNumber(1) != 0;
+      std::uint64_t pre = r.ReadNumber(1);
+      if (!r.IsComplete() || pre > raft_tribool_false)
         return;
       v.pre_vote = static_cast<raft_tribool>(pre);
       break;
     }
     case RAFT_IO_APPEND_ENTRIES: {
       auto& a = m.append_entries;
-      a.term = r.number(8);
-      a.prev_log_index = r.number(8);
-      a.prev_log_term = r.number(8);
-      a.leader_commit = r.number(8);
-      std::uint64_t n = r.number(2);
+      a.term = r.ReadNumber(8);
+      a.prev_log_index = r.ReadNumber(8);
+      a.prev_log_term = r.ReadNumber(8);
+      a.leader_commit = r.ReadNumber(8);
+      std::uint64_t n = r.ReadNumber(2);
       std::vector<LogEntry> all;
-      for (std::uint64_t i = 0; i < n && !r.Bad(); ++i) {
+      for (std::uint64_t i = 0; i < n && !r.HasFailed(); ++i) {
         LogEntry e;
-        e.term = r.number(8);
-        e.type = static_cast<unsigned short>(r.number(2));
-        e.bytes = r.Text(kMostBytes);
+        e.term = r.ReadNumber(8);
+        e.type = static_cast<unsigned short>(r.ReadNumber(2));
+        e.bytes = r.ReadString(kMaxMessageBytes);
         if (e.type < RAFT_COMMAND || e.type > RAFT_CHANGE)
           return;
         all.push_back(std::move(e));
       }
-      if (!r.Whole())
+      if (!r.IsComplete())
         return;
       a.n_entries = static_cast<unsigned>(all.size());
       if (!all.empty())
@@ -147,33 +147,33 @@
     }
     case RAFT_IO_APPEND_ENTRIES_RESULT: {
       auto& a = m.append_entries_result;
-      a.term = r.number(8);
-      a.rejected = r.number(8);
-      a.last_log_index = r.number(8);
-      if (!r.Whole())
+      a.term = r.ReadNumber(8);
+      a.rejected = r.ReadNumber(8);
+      a.last_log_index = r.ReadNumber(8);
+      if (!r.IsComplete())
         return;
       break;
     }
     case RAFT_IO_INSTALL_SNAPSHOT: {
       auto& s = m.install_snapshot;
-      s.term = r.number(8);
-      s.last_index = r.number(8);
-      s.last_term = r.number(8);
-      s.conf_index = r.number(8);
-      if (!Decoded(r, s.conf))
+      s.term = r.ReadNumber(8);
+      s.last_index = r.ReadNumber(8);
+      s.last_term = r.ReadNumber(8);
+      s.conf_index = r.ReadNumber(8);
+      if (!DecodeConfiguration(r, s.conf))
         return;
-      std::string data = r.Text(kMostBytes);
-      if (!r.Whole())
+      std::string data = r.ReadString(kMaxMessageBytes);
+      if (!r.IsComplete())
         return raft_configuration_close(&s.conf);
-      s.data = {Copied(data), data.size()};
+      s.data = {AllocateCopy(data), data.size()};
       break;
     }
     case RAFT_IO_TIMEOUT_NOW: {
       auto& t = m.timeout_now;
-      t.term = r.number(8);
-      t.last_log_index = r.number(8);
-      t.last_log_term = r.number(8);
-      if (!r.Whole())
+      t.term = r.ReadNumber(8);
+      t.last_log_index = r.ReadNumber(8);
+      t.last_log_term = r.ReadNumber(8);
+      if (!r.IsComplete())
         return;
       break;
     }
--- a/src/owner/lease.cpp
+++ b/src/owner/lease.cpp
@@ -6,179 +6,183 @@
 
 namespace dunlinwick::owner {
 
-const char* MakeWord(Deed deed) {
+const char* ToString(Operation operation) {
   static const char* const kWords[] = {"take",    "renew",   "record", "finish",
                                        "abandon", "release", "expire", "found"};
-  return kWords[static_cast<int>(deed)];
+  return kWords[static_cast<int>(operation)];
 }
-const char* MakeWord(Word w) {
+const char* ToString(CommandStatus status) {
   static const char* const kWords[] = {"yes",          "held by another", "stale token", "over",
                                        "unknown work", "too many works",  "unsure"};
-  return kWords[static_cast<int>(w)];
+  return kWords[static_cast<int>(status)];
 }
 
-bool GoodName(const std::string& name) {
-  return !name.empty() && name.size() <= kLongestName &&
+bool IsValidTaskName(const std::string& name) {
+  return !name.empty() && name.size() <= kMaxTaskNameLength &&
          std::all_of(name.begin(), name.end(), [](char c) {
            return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
          });
 }
 
-std::string Encode(const Command& c) {
-  Writer w;
-  w.number(static_cast<std::uint64_t>(c.deed), 1);
-  w.number(c.front, 4);
-  w.number(c.token, 8);
-  w.number(c.step, 8);
-  w.Text(c.work);
-  return std::move(w.bytes);
+std::string Encode(const Command& command) {
+  Writer writer;
+  writer.WriteNumber(static_cast<std::uint64_t>(command.operation), 1);
+  writer.WriteNumber(command.front, 4);
+  writer.WriteNumber(command.token, 8);
+  writer.WriteNumber(command.step, 8);
+  writer.WriteString(command.task);
+  return std::move(writer.bytes);
 }
 
 std::optional<Command> Decode(std::span<const char> bytes) {
-  Reader r(bytes);
-  Command c;
-  std::uint64_t deed = r.number(1);
-  c.front = static_cast<Id>(r.number(4));
-  c.token = r.number(8);
-  c.step = r.number(8);
-  c.work = r.Text(kLongestName);
-  if (!r.Whole() || deed > static_cast<std::uint64_t>(Deed::kFound) || !GoodName(c.work))
+  Reader reader(bytes);
+  Command command;
+  std::uint64_t operation = reader.ReadNumber(1);
+  command.front = static_cast<Id>(reader.ReadNumber(4));
+  command.token = reader.ReadNumber(8);
+  command.step = reader.ReadNumber(8);
+  command.task = reader.ReadString(kMaxTaskNameLength);
+  if (!reader.IsComplete() || operation > static_cast<std::uint64_t>(Operation::kBootstrap) ||
+      !IsValidTaskName(command.task))
     return std::nullopt;
-  c.deed = static_cast<Deed>(deed);
-  return c;
+  command.operation = static_cast<Operation>(operation);
+  return command;
 }
 
-Result Table::Apply(const Command& c) {
-  if (c.deed == Deed::kFound) {
+Result LeaseTable::Apply(const Command& command) {
+  if (command.operation == Operation::kBootstrap) {
     if (last_token_ == 0)
-      last_token_ = base_ = c.token;  // later leaders say it too, and change nothing
-    return {Word::kYes, last_token_, 0, 0};
+      last_token_ = bootstrap_token_ =
+          command.token;  // later leaders say it too, and change nothing
+    return {CommandStatus::kOk, last_token_, 0, 0};
   }
   if (last_token_ == 0)
-    return {Word::kUnsure, 0, 0, 0};  // not founded yet: no token may be given
-  auto at = works_.find(c.work);
-  if (at == works_.end()) {
-    if (c.deed != Deed::kTake)
-      return {Word::kUnknownWork, 0, 0, 0};
-    if (works_.size() >= kMostWorks)
-      return {Word::kFull, 0, 0, 0};
-    at = works_.emplace(c.work, Work{}).first;
-    at->second.steps = c.step;
+    return {CommandStatus::kUnknownOutcome, 0, 0, 0};  // not founded yet: no token may be given
+  auto entry = tasks_.find(command.task);
+  if (entry == tasks_.end()) {
+    if (command.operation != Operation::kAcquire)
+      return {CommandStatus::kUnknownTask, 0, 0, 0};
+    if (tasks_.size() >= kMaxTasks)
+      return {CommandStatus::kTooManyTasks, 0, 0, 0};
+    entry = tasks_.emplace(command.task, LeasedTask{}).first;
+    entry->second.steps = command.step;
   }
-  Work& w = at->second;
-  auto say = [&](Word word) {
-    return Result{word, w.token, w.done, w.owner};
+  LeasedTask& task = entry->second;
+  auto make_result = [&](CommandStatus status) {
+    return Result{status, task.token, task.done_steps, task.holder};
   };
-  if (c.deed == Deed::kTake) {
-    if (w.finished || w.abandoned)
-      return say(Word::kOver);
+  if (command.operation == Operation::kAcquire) {
+    if (task.finished || task.abandoned)
+      return make_result(CommandStatus::kTaskEnded);
     // Its owner asking again may be a new process of it, which knows nothing: it waits as anybody
     // would.
-    if (w.owner != 0)
-      return say(Word::kHeld);
-    w.owner = c.front;
-    w.token = ++last_token_;
-    ++w.heard;
-    return say(Word::kYes);
+    if (task.holder != 0)
+      return make_result(CommandStatus::kHeldByAnother);
+    task.holder = command.front;
+    task.token = ++last_token_;
+    ++task.accepted_commands;
+    return make_result(CommandStatus::kOk);
   }
-  if (w.owner == 0 || c.token != w.token)
-    return say(Word::kStale);
-  if (c.deed == Deed::kExpire) {
-    if (c.step != w.heard)
-      return say(Word::kHeld);
-    w.owner = 0;
-    return say(Word::kYes);
+  if (task.holder == 0 || command.token != task.token)
+    return make_result(CommandStatus::kStaleToken);
+  if (command.operation == Operation::kExpire) {
+    if (command.step != task.accepted_commands)
+      return make_result(CommandStatus::kHeldByAnother);
+    task.holder = 0;
+    return make_result(CommandStatus::kOk);
   }
-  if (c.front != w.owner)
-    return say(Word::kStale);
-  ++w.heard;
-  switch (c.deed) {
-    case Deed::kRecord:
-      w.done = std::max(w.done, c.step);
+  if (command.front != task.holder)
+    return make_result(CommandStatus::kStaleToken);
+  ++task.accepted_commands;
+  switch (command.operation) {
+    case Operation::kRecordStep:
+      task.done_steps = std::max(task.done_steps, command.step);
       break;
-    case Deed::kFinish:
-      w.finished = true;
-      w.owner = 0;
+    case Operation::kFinish:
+      task.finished = true;
+      task.holder = 0;
       break;
-    case Deed::kAbandon:
-      w.abandoned = true;
-      w.owner = 0;
+    case Operation::kAbandon:
+      task.abandoned = true;
+      task.holder = 0;
       break;
-    case Deed::kRelease:
-      w.owner = 0;
+    case Operation::kRelease:
+      task.holder = 0;
       break;
-    case Deed::kTake:
-    case Deed::kRenew:
-    case Deed::kExpire:
-    case Deed::kFound:
+    case Operation::kAcquire:
+    case Operation::kRenew:
+    case Operation::kExpire:
+    case Operation::kBootstrap:
       break;
   }
-  return say(Word::kYes);
+  return make_result(CommandStatus::kOk);
 }
 
-std::string Table::Snapshot() const {
-  Writer w;
-  w.number(last_token_, 8);
-  w.number(base_, 8);
-  w.number(works_.size(), 1);
-  for (const auto& [name, one] : works_) {
-    w.Text(name);
-    w.number(one.owner, 4);
-    w.number(one.token, 8);
-    w.number(one.done, 8);
-    w.number(one.steps, 8);
-    w.number(one.heard, 8);
-    w.number((one.finished ? 1u : 0u) | (one.abandoned ? 2u : 0u), 1);
+std::string LeaseTable::Snapshot() const {
+  Writer writer;
+  writer.WriteNumber(last_token_, 8);
+  writer.WriteNumber(bootstrap_token_, 8);
+  writer.WriteNumber(tasks_.size(), 1);
+  for (const auto& [name, task] : tasks_) {
+    writer.WriteString(name);
+    writer.WriteNumber(task.holder, 4);
+    writer.WriteNumber(task.token, 8);
+    writer.WriteNumber(task.done_steps, 8);
+    writer.WriteNumber(task.steps, 8);
+    writer.WriteNumber(task.accepted_commands, 8);
+    writer.WriteNumber((task.finished ? 1u : 0u) | (task.abandoned ? 2u : 0u), 1);
   }
-  return std::move(w.bytes);
+  return std::move(writer.bytes);
 }
 
-bool Table::Restore(std::span<const char> bytes) {
-  Reader r(bytes);
-  Table t;
-  t.last_token_ = r.number(8);
-  t.base_ = r.number(8);
-  std::uint64_t n = r.number(1);
-  for (std::uint64_t i = 0; i < n && !r.Bad(); ++i) {
-    std::string name = r.Text(kLongestName);
-    Work one;
-    one.owner = static_cast<Id>(r.number(4));
-    one.token = r.number(8);
-    one.done = r.number(8);
-    one.steps = r.number(8);
-    one.heard = r.number(8);
-    std::uint64_t flags = r.number(1);
-    one.finished = flags & 1;
-    one.abandoned = flags & 2;
-    if (!GoodName(name) || one.token > t.last_token_ || !t.works_.emplace(name, one).second)
+bool LeaseTable::Restore(std::span<const char> bytes) {
+  Reader reader(bytes);
+  LeaseTable restored;
+  restored.last_token_ = reader.ReadNumber(8);
+  restored.bootstrap_token_ = reader.ReadNumber(8);
+  std::uint64_t count = reader.ReadNumber(1);
+  for (std::uint64_t i = 0; i < count && !reader.HasFailed(); ++i) {
+    std::string name = reader.ReadString(kMaxTaskNameLength);
+    LeasedTask task;
+    task.holder = static_cast<Id>(reader.ReadNumber(4));
+    task.token = reader.ReadNumber(8);
+    task.done_steps = reader.ReadNumber(8);
+    task.steps = reader.ReadNumber(8);
+    task.accepted_commands = reader.ReadNumber(8);
+    std::uint64_t flags = reader.ReadNumber(1);
+    task.finished = flags & 1;
+    task.abandoned = flags & 2;
+    if (!IsValidTaskName(name) || task.token > restored.last_token_ ||
+        !restored.tasks_.emplace(name, task).second)
       return false;
   }
-  if (!r.Whole() || n > kMostWorks)
+  if (!reader.IsComplete() || count > kMaxTasks)
     return false;
-  *this = std::move(t);
+  *this = std::move(restored);
   return true;
 }
 
-void Keeper::Leads(Ms now, const Table& table) {
-  seen_.clear();
-  led_at_ = now;
-  for (const auto& [name, w] : table.Works())
-    seen_[name] = now;
+void LeaseExpiryTracker::StartLeading(Ms now, const LeaseTable& table) {
+  confirmed_at_.clear();
+  leading_since_ = now;
+  for (const auto& [name, task] : table.Tasks())
+    confirmed_at_[name] = now;
 }
 
-void Keeper::Applied(Ms now, const Command& c, const Result& r) {
-  if (r.word == Word::kYes && c.deed != Deed::kExpire)
-    seen_[c.work] = now;
+void LeaseExpiryTracker::HandleApplied(Ms now, const Command& command, const Result& result) {
+  if (result.status == CommandStatus::kOk && command.operation != Operation::kExpire)
+    confirmed_at_[command.task] = now;
 }
 
-std::vector<Command> Keeper::Due(Ms now, const Table& table) const {
-  std::vector<Command> all;
-  for (const auto& [name, w] : table.Works()) {
-    auto at = seen_.find(name);
-    if (w.owner != 0 && at != seen_.end() && now >= RunsOut(at->second))
-      all.push_back({Deed::kExpire, w.owner, w.token, w.heard, name});
+std::vector<Command> LeaseExpiryTracker::ExpiredLeases(Ms now, const LeaseTable& table) const {
+  std::vector<Command> expired;
+  for (const auto& [name, task] : table.Tasks()) {
+    auto entry = confirmed_at_.find(name);
+    if (task.holder != 0 && entry != confirmed_at_.end() && now >= ExpiryFrom(entry->second))
+      expired.push_back(
+          {Operation::kExpire, task.holder, task.token, task.accepted_commands, name});
   }
-  return all;
+  return expired;
 }
 
 }  // namespace dunlinwick::owner
--- a/src/owner/lease.hpp
+++ b/src/owner/lease.hpp
@@ -27,152 +27,155 @@
 using Ms = double;
 using Id = std::uint32_t;  // a front's number in the fleet; 0 is nobody
 using Token = std::uint64_t;
-constexpr std::size_t kMostWorks = 64, kLongestName = 48;
+constexpr std::size_t kMaxTasks = 64, kMaxTaskNameLength = 48;
 
-struct Terms {
-  Ms lease = 3000;
+struct LeaseSettings {
+  Ms duration = 3000;
   Ms margin = 200;
-  double drift = 0.01;
-  Ms renew_every = 800;  // the owner asks again this often; under a third of the lease
+  double clock_drift = 0.01;
+  Ms renew_interval = 800;  // the owner asks again this often; under a third of the lease
 };
 
 // found: the first command of a group, by its leader; its token is what all others are above.
-enum class Deed : std::uint8_t {
-  kTake,
+enum class Operation : std::uint8_t {
+  kAcquire,
   kRenew,
-  kRecord,
+  kRecordStep,
   kFinish,
   kAbandon,
   kRelease,
   kExpire,
-  kFound
+  kBootstrap
 };
-const char* MakeWord(Deed deed);
+const char* ToString(Operation operation);
 
 struct Command {
-  Deed deed = Deed::kTake;
+  Operation operation = Operation::kAcquire;
   Id front = 0;     // who asks
   Token token = 0;  // that it holds; of expire: the one that has run out
   // Of record: done up to and with it; of take: how many there are, where the work is new; of
   // expire: the owner's words as they were counted when its lease had run out.
   std::uint64_t step = 0;
-  std::string work;
+  std::string task;
 };
 std::string Encode(const Command& command);
 std::optional<Command> Decode(
     std::span<const char> bytes);  // nothing for anything that is not one whole
-bool GoodName(const std::string& name);
+bool IsValidTaskName(const std::string& name);
 
-struct Work {
-  Id owner = 0;     // 0: nobody
+struct LeasedTask {
+  Id holder = 0;    // 0: nobody
   Token token = 0;  // of the last grant
-  std::uint64_t done = 0;
+  std::uint64_t done_steps = 0;
   std::uint64_t steps = 0;
   bool finished = false;
   bool abandoned = false;
   // The owner's words that were taken so far. An expiry that was proposed before the last of them
   // is void: a renewal that was under way when the lease ran out keeps it (found by a schedule:
   // five members, seed 100765).
-  std::uint64_t heard = 0;
+  std::uint64_t accepted_commands = 0;
 };
 
-enum class Word : std::uint8_t {
-  kYes,
-  kHeld,
-  kStale,
-  kOver,
-  kUnknownWork,
-  kFull,
-  kUnsure
+enum class CommandStatus : std::uint8_t {
+  kOk,
+  kHeldByAnother,
+  kStaleToken,
+  kTaskEnded,
+  kUnknownTask,
+  kTooManyTasks,
+  kUnknownOutcome
 };
-const char* MakeWord(Word word);
+const char* ToString(CommandStatus status);
 struct Result {
-  Word word = Word::kYes;
+  CommandStatus status = CommandStatus::kOk;
   Token token = 0;
-  std::uint64_t done = 0;
-  Id owner = 0;
+  std::uint64_t done_steps = 0;
+  Id holder = 0;
 };
 
-class Table {
+class LeaseTable {
  public:
   Result Apply(const Command& command);
-  const std::map<std::string, Work>& Works() const {
-    return works_;
+  const std::map<std::string, LeasedTask>& Tasks() const {
+    return tasks_;
   }
   Token LastToken() const {
     return last_token_;
   }
-  bool Fresh() const {
-    return last_token_ == base_;
+  bool HasNoGrants() const {
+    return last_token_ == bootstrap_token_;
   }  // founded, or not even that, and nothing granted yet
   std::string Snapshot() const;
   bool Restore(std::span<const char>
                    bytes);  // false, and nothing changed, where they are not one snapshot whole
 
  private:
-  std::map<std::string, Work> works_;
+  std::map<std::string, LeasedTask> tasks_;
   Token last_token_ = 0;
-  Token base_ = 0;  // base_: that the group was founded with
+  Token bootstrap_token_ = 0;  // base_: that the group was founded with
 };
 
 // The leader's clock: which leases have run out for certain.
-class Keeper {
+class LeaseExpiryTracker {
  public:
-  explicit Keeper(Terms terms) : terms_(terms) {}
-  void Leads(Ms now,
-             const Table& table);  // it has just come to lead: every lease may be as young as now
-  void Applied(Ms now, const Command& c, const Result& r);
-  std::vector<Command> Due(Ms now, const Table& table) const;  // expirations to propose
+  explicit LeaseExpiryTracker(LeaseSettings settings) : settings_(settings) {}
+  void StartLeading(
+      Ms now,
+      const LeaseTable& table);  // it has just come to lead: every lease may be as young as now
+  void HandleApplied(Ms now, const Command& command, const Result& result);
+  std::vector<Command> ExpiredLeases(Ms now,
+                                     const LeaseTable& table) const;  // expirations to propose
   // A group that has granted nothing yet may follow one whose stores were lost: its leases may
   // still run. Guards against two owners after a founding anew; costs a lease at the first.
-  bool MayGrant(Ms now, const Table& table) const {
-    return !table.Fresh() || now >= RunsOut(led_at_);
+  bool MayGrant(Ms now, const LeaseTable& table) const {
+    return !table.HasNoGrants() || now >= ExpiryFrom(leading_since_);
   }
-  Ms Ends(const std::string& work)
+  Ms LeaseEnd(const std::string& task)
       const {  // by when its lease has surely run out; 1e300 where it is not known
-    auto at = seen_.find(work);
-    return at == seen_.end() ? 1e300 : RunsOut(at->second);
+    auto entry = confirmed_at_.find(task);
+    return entry == confirmed_at_.end() ? 1e300 : ExpiryFrom(entry->second);
   }
 
  private:
-  Ms RunsOut(Ms from) const {
-    return from + terms_.lease * (1 + terms_.drift) + terms_.margin;
+  Ms ExpiryFrom(Ms from) const {
+    return from + settings_.duration * (1 + settings_.clock_drift) + settings_.margin;
   }
-  Terms terms_;
-  std::map<std::string, Ms> seen_;  // by work; at most as many as works
-  Ms led_at_ = 0;
+  LeaseSettings settings_;
+  std::map<std::string, Ms> confirmed_at_;  // by work; at most as many as works
+  Ms leading_since_ = 0;
 };
 
 // An owner's clock, for one work at one front.
-class Holder {
+class HeldLease {
  public:
-  explicit Holder(Terms terms) : terms_(terms) {}
+  explicit HeldLease(LeaseSettings settings) : settings_(settings) {}
   // A grant or renewal that was asked for at `askedAt`, by its own clock.
-  void Granted(Ms asked_at, const Result& r) {
-    token_ = r.token;
-    until_ = asked_at + terms_.lease * (1 - terms_.drift) - terms_.margin;
+  void Grant(Ms requested_at, const Result& result) {
+    token_ = result.token;
+    valid_until_ =
+        requested_at + settings_.duration * (1 - settings_.clock_drift) - settings_.margin;
   }
-  void Lost() {
+  void Clear() {
     token_ = 0;
-    until_ = -1;
+    valid_until_ = -1;
   }
-  bool Holds() const {
+  bool IsHeld() const {
     return token_ != 0;
   }
   bool MayAct(Ms now) const {
-    return token_ != 0 && now < until_;
+    return token_ != 0 && now < valid_until_;
   }
-  Ms Until() const {
-    return until_;
+  Ms ValidUntil() const {
+    return valid_until_;
   }
   Token token() const {
     return token_;
   }
 
  private:
-  Terms terms_;
+  LeaseSettings settings_;
   Token token_ = 0;
-  Ms until_ = -1;
+  Ms valid_until_ = -1;
 };
 
 }  // namespace dunlinwick::owner
--- a/src/owner/membership.cpp
+++ b/src/owner/membership.cpp
@@ -5,8 +5,8 @@
 
 namespace dunlinwick::owner {
 
-Membership::Membership(Node& node, OpenStore open_store, Say say)
-    : node_(node), open_store_(std::move(open_store)), say_(std::move(say)) {}
+Membership::Membership(Node& node, OpenStore open_store, LogLine log_line)
+    : node_(node), open_store_(std::move(open_store)), log_line_(std::move(log_line)) {}
 
 Membership::~Membership() {
   node_.Leave(0);
@@ -14,8 +14,8 @@
 
 void Membership::Tick(Ms now) {
   Group* group = node_.group();
-  if (group && group->standing() == Group::Standing::kFailed)
-    Close(now, group->Why());
+  if (group && group->member_state() == Group::MemberState::kFailed)
+    Close(now, group->FailureReason());
   if (!store_ && retry_.IsDue(now))
     Open(now);
 }
@@ -24,13 +24,13 @@
   try {
     store_ = open_store_();
     node_.Join(*store_, now);
-  } catch (const std::exception& fault) {
-    return Close(now, fault.what());
+  } catch (const std::exception& error) {
+    return Close(now, error.what());
   }
-  if (node_.group()->standing() == Group::Standing::kFailed)
-    return Close(now, node_.group()->Why());
-  if (std::exchange(said_failure_, false))
-    say_("owner store used again");
+  if (node_.group()->member_state() == Group::MemberState::kFailed)
+    return Close(now, node_.group()->FailureReason());
+  if (std::exchange(failure_logged_, false))
+    log_line_("owner store used again");
 }
 
 void Membership::Close(Ms now, const std::string& reason) {
@@ -38,8 +38,8 @@
   node_.Leave(now);
   store_.reset();
   retry_.Failed(now);
-  if (!std::exchange(said_failure_, true))
-    say_("owner store not used, tried again: " + reason);
+  if (!std::exchange(failure_logged_, true))
+    log_line_("owner store not used, tried again: " + reason);
 }
 
 }  // namespace dunlinwick::owner
--- a/src/owner/membership.hpp
+++ b/src/owner/membership.hpp
@@ -18,9 +18,9 @@
  public:
   /// Opens the store; throws std::runtime_error where it can't.
   using OpenStore = std::function<std::unique_ptr<Store>()>;
-  using Say = std::function<void(const std::string& line)>;
+  using LogLine = std::function<void(const std::string& line)>;
   /// `node` outlives this; it is made without a store, and no one else lets it join or leave.
-  Membership(Node& node, OpenStore open_store, Say say);
+  Membership(Node& node, OpenStore open_store, LogLine log_line);
   ~Membership();
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
@@ -32,8 +32,8 @@
     return store_ != nullptr;
   }
   /// Whether what is written outlives the process; false without a store.
-  bool Lasts() const {
-    return store_ && store_->Lasts();
+  bool IsDurable() const {
+    return store_ && store_->IsDurable();
   }
 
  private:
@@ -42,10 +42,10 @@
 
   Node& node_;
   OpenStore open_store_;
-  Say say_;
+  LogLine log_line_;
   std::unique_ptr<Store> store_;
   backoff::Backoff retry_{backoff::kShortestStoreRetry, backoff::kLongestStoreRetry};
-  bool said_failure_ = false;
+  bool failure_logged_ = false;
 };
 
 }  // namespace dunlinwick::owner
--- a/src/owner/node.cpp
+++ b/src/owner/node.cpp
@@ -9,92 +9,94 @@
 
 namespace {
 
-Writer Head(Kind kind, Id from) {
-  Writer w;
-  w.bytes = "DO";
-  w.number(1, 1);
-  w.number(static_cast<std::uint64_t>(kind), 1);
-  w.number(from, 4);
-  return w;
+Writer BeginFrame(MessageKind kind, Id from) {
+  Writer writer;
+  writer.bytes = "DO";
+  writer.WriteNumber(1, 1);
+  writer.WriteNumber(static_cast<std::uint64_t>(kind), 1);
+  writer.WriteNumber(from, 4);
+  return writer;
 }
-void Write(Writer& w, const Result& r) {
-  w.number(static_cast<std::uint64_t>(r.word), 1);
-  w.number(r.token, 8);
-  w.number(r.done, 8);
-  w.number(r.owner, 4);
+void Write(Writer& writer, const Result& result) {
+  writer.WriteNumber(static_cast<std::uint64_t>(result.status), 1);
+  writer.WriteNumber(result.token, 8);
+  writer.WriteNumber(result.done_steps, 8);
+  writer.WriteNumber(result.holder, 4);
 }
-bool Read(Reader& r, Result& into) {
-  std::uint64_t word = r.number(1);
-  into.token = r.number(8);
-  into.done = r.number(8);
-  into.owner = static_cast<Id>(r.number(4));
-  if (word > static_cast<std::uint64_t>(Word::kUnsure))
+bool Read(Reader& reader, Result& result) {
+  std::uint64_t status = reader.ReadNumber(1);
+  result.token = reader.ReadNumber(8);
+  result.done_steps = reader.ReadNumber(8);
+  result.holder = static_cast<Id>(reader.ReadNumber(4));
+  if (status > static_cast<std::uint64_t>(CommandStatus::kUnknownOutcome))
     return false;
-  into.word = static_cast<Word>(word);
-  return !r.Bad();
+  result.status = static_cast<CommandStatus>(status);
+  return !reader.HasFailed();
 }
-void Write(Writer& w, const Do& d) {
-  w.Text(d.work);
-  w.number(d.token, 8);
-  w.number(d.step, 8);
+void Write(Writer& writer, const StepRequest& request) {
+  writer.WriteString(request.task);
+  writer.WriteNumber(request.token, 8);
+  writer.WriteNumber(request.step, 8);
 }
-void Read(Reader& r, Do& d) {
-  d.work = r.Text(kLongestName);
-  d.token = r.number(8);
-  d.step = r.number(8);
+void Read(Reader& reader, StepRequest& request) {
+  request.task = reader.ReadString(kMaxTaskNameLength);
+  request.token = reader.ReadNumber(8);
+  request.step = reader.ReadNumber(8);
 }
 
 }  // namespace
 
-std::string EncodeDo(Id from, const Do& d) {
-  Writer w = Head(Kind::kAct, from);
-  Write(w, d);
-  return std::move(w.bytes);
+std::string EncodeStepRequest(Id from, const StepRequest& request) {
+  Writer writer = BeginFrame(MessageKind::kStepRequest, from);
+  Write(writer, request);
+  return std::move(writer.bytes);
 }
-std::string EncodeDid(Id from, const Did& d) {
-  Writer w = Head(Kind::kDid, from);
-  Write(w, d.what);
-  w.number(static_cast<std::uint64_t>(d.landing), 1);
-  w.number(d.highest, 8);
-  return std::move(w.bytes);
+std::string EncodeStepResponse(Id from, const StepResponse& response) {
+  Writer writer = BeginFrame(MessageKind::kStepResponse, from);
+  Write(writer, response.request);
+  writer.WriteNumber(static_cast<std::uint64_t>(response.result), 1);
+  writer.WriteNumber(response.highest_token, 8);
+  return std::move(writer.bytes);
 }
 
 std::optional<Frame> ReadFrame(std::span<const char> bytes) {
   if (bytes.size() < 8 || bytes[0] != 'D' || bytes[1] != 'O' || bytes[2] != 1)
     return std::nullopt;
-  Reader r(bytes.subspan(3, 5));
-  std::uint64_t kind = r.number(1);
-  if (kind > static_cast<std::uint64_t>(Kind::kDid))
+  Reader reader(bytes.subspan(3, 5));
+  std::uint64_t kind = reader.ReadNumber(1);
+  if (kind > static_cast<std::uint64_t>(MessageKind::kStepResponse))
     return std::nullopt;
-  return Frame{static_cast<Kind>(kind), static_cast<Id>(r.number(4)), bytes.subspan(8)};
+  return Frame{static_cast<MessageKind>(kind), static_cast<Id>(reader.ReadNumber(4)),
+               bytes.subspan(8)};
 }
-std::optional<Do> DecodeDo(std::span<const char> body) {
-  Reader r(body);
-  Do d;
-  Read(r, d);
-  if (!r.Whole() || !GoodName(d.work))
+std::optional<StepRequest> DecodeStepRequest(std::span<const char> body) {
+  Reader reader(body);
+  StepRequest request;
+  Read(reader, request);
+  if (!reader.IsComplete() || !IsValidTaskName(request.task))
     return std::nullopt;
-  return d;
+  return request;
 }
 
-Node::Node(NodeTerms terms, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now,
-           Ways ways)
-    : terms_(std::move(terms)),
-      ways_(std::move(ways)),
+Node::Node(NodeSettings settings, Store* store, std::uint64_t incarnation, std::uint64_t seed,
+           Ms now, Callbacks callbacks)
+    : settings_(std::move(settings)),
+      callbacks_(std::move(callbacks)),
       incarnation_(incarnation),
       seed_(seed),
-      agent_(terms_.self, terms_.group, terms_.jobs, terms_.lease, seed, incarnation, now) {
+      agent_(settings_.self, settings_.group, settings_.tasks, settings_.lease, seed, incarnation,
+             now) {
   if (store)
     Join(*store, now);
 }
 
 void Node::Join(Store& store, Ms now) {
-  group_ =
-      std::make_unique<Group>(terms_.self, terms_.group, terms_.raft, terms_.lease, store,
-                              incarnation_, seed_ * 31 + 7, now, [this](Id to, std::string bytes) {
-                                Writer w = Head(Kind::kGroup, terms_.self);
-                                ways_.send(to, w.bytes + bytes);
-                              });
+  group_ = std::make_unique<Group>(
+      settings_.self, settings_.group, settings_.raft, settings_.lease, store, incarnation_,
+      seed_ * 31 + 7, now, [this](Id to, std::string bytes) {
+        Writer writer = BeginFrame(MessageKind::kGroup, settings_.self);
+        callbacks_.send(to, writer.bytes + bytes);
+      });
 }
 
 void Node::Leave(Ms now) {
@@ -102,158 +104,166 @@
     return;
   // What it promised stands in its store alone. A store that is empty when it comes back must not
   // pass for this incarnation's, which the others know as a founder: it would forget its votes.
-  if (group_->TookPart())
+  if (group_->HasParticipated())
     incarnation_ = std::max(incarnation_ + 1, static_cast<std::uint64_t>(now));
   group_.reset();
 }
 
-Agent::Out Node::out(Ms) {
-  return {[this](Id to, const Ask& a) {
-            Writer w = Head(Kind::kAsk, terms_.self);
-            w.number(a.number, 8);
-            w.Text(Encode(a.command));
-            if (to == terms_.self)
-              to_self_.push_back(std::move(w.bytes));
+Agent::Callbacks Node::AgentCallbacks(Ms) {
+  return {[this](Id to, const LeaseRequest& request) {
+            Writer writer = BeginFrame(MessageKind::kLeaseRequest, settings_.self);
+            writer.WriteNumber(request.request_id, 8);
+            writer.WriteString(Encode(request.command));
+            if (to == settings_.self)
+              messages_to_self_.push_back(std::move(writer.bytes));
             else
-              ways_.send(to, std::move(w.bytes));
+              callbacks_.send(to, std::move(writer.bytes));
+          },
+          [this](Id to, const StepRequest& request) {
+            callbacks_.send(to, EncodeStepRequest(settings_.self, request));
           },
-          [this](Id to, const Do& d) { ways_.send(to, EncodeDo(terms_.self, d)); }, ways_.say};
+          callbacks_.log_line};
 }
 
-void Node::answer(Ms, Id to, const Answer& a) {
-  Writer w = Head(Kind::kAnswer, terms_.self);
-  w.number(a.number, 8);
-  Write(w, a.result);
-  w.number(a.leader, 4);
-  w.number(a.taken, 1);
-  if (to == terms_.self)
-    to_self_.push_back(std::move(w.bytes));
+void Node::SendLeaseResponse(Ms, Id to, const LeaseResponse& response) {
+  Writer writer = BeginFrame(MessageKind::kLeaseResponse, settings_.self);
+  writer.WriteNumber(response.request_id, 8);
+  Write(writer, response.result);
+  writer.WriteNumber(response.leader, 4);
+  writer.WriteNumber(response.handled, 1);
+  if (to == settings_.self)
+    messages_to_self_.push_back(std::move(writer.bytes));
   else
-    ways_.send(to, std::move(w.bytes));
+    callbacks_.send(to, std::move(writer.bytes));
 }
 
-void Node::Asked(Ms now, Id from, const Ask& a) {
-  if (a.command.front != from || a.command.deed == Deed::kExpire || a.command.deed == Deed::kFound)
-    return void(++refused_);  // only the leader ends leases
-  if (grants_alone) {
-    Command c = a.command;
-    alone_.Apply(Command{Deed::kFound, 0, 1, 0, "group"});
-    if (c.deed == Deed::kTake && alone_.Works().count(c.work) &&
-        alone_.Works().at(c.work).owner != 0) {
-      const Work& held = alone_.Works().at(c.work);
-      Command free{Deed::kExpire, 0, held.token, held.heard, c.work};
-      alone_.Apply(free);
+void Node::HandleLeaseRequest(Ms now, Id from, const LeaseRequest& request) {
+  if (request.command.front != from || request.command.operation == Operation::kExpire ||
+      request.command.operation == Operation::kBootstrap)
+    return void(++rejected_datagrams_);  // only the leader ends leases
+  if (grants_without_quorum) {
+    Command unreplicated = request.command;
+    unreplicated_table_.Apply(Command{Operation::kBootstrap, 0, 1, 0, "group"});
+    if (unreplicated.operation == Operation::kAcquire &&
+        unreplicated_table_.Tasks().count(unreplicated.task) &&
+        unreplicated_table_.Tasks().at(unreplicated.task).holder != 0) {
+      const LeasedTask& held = unreplicated_table_.Tasks().at(unreplicated.task);
+      Command free{Operation::kExpire, 0, held.token, held.accepted_commands, unreplicated.task};
+      unreplicated_table_.Apply(free);
     }
-    return answer(now, from, {a.number, alone_.Apply(c), 0, true});
+    return SendLeaseResponse(
+        now, from, {request.request_id, unreplicated_table_.Apply(unreplicated), 0, true});
   }
   if (!group_)
-    return answer(now, from, {a.number, {}, 0, false});
-  if (!group_->Leads())
-    return answer(now, from, {a.number, {}, group_->Leader(), false});
-  std::string command = Encode(a.command);
-  for (const Given& g : given_)
-    if (g.from == from && g.number == a.number && g.command == command)
-      return answer(now, from, {a.number, g.result, 0, true});
-  if (!under_way_.insert({from, a.number}).second)
+    return SendLeaseResponse(now, from, {request.request_id, {}, 0, false});
+  if (!group_->IsLeader())
+    return SendLeaseResponse(now, from, {request.request_id, {}, group_->Leader(), false});
+  std::string command = Encode(request.command);
+  for (const SentResponse& sent : sent_responses_)
+    if (sent.from == from && sent.request_id == request.request_id && sent.command == command)
+      return SendLeaseResponse(now, from, {request.request_id, sent.result, 0, true});
+  if (!pending_requests_.insert({from, request.request_id}).second)
     return;  // answered once the group has it
   std::weak_ptr<bool> alive = alive_;
-  bool taken = group_->Propose(
-      now, a.command, [this, alive, now, from, number = a.number, command](const Result& r) {
+  bool accepted = group_->Propose(
+      now, request.command,
+      [this, alive, now, from, request_id = request.request_id, command](const Result& result) {
         if (alive.expired())
           return;
-        under_way_.erase({from, number});
-        constexpr std::size_t kMostGiven = 256;
-        if (r.word != Word::kUnsure)
-          given_.push_back({from, number, command, r});
-        if (given_.size() > kMostGiven)
-          given_.pop_front();
-        answer(now, from, {number, r, 0, true});
+        pending_requests_.erase({from, request_id});
+        constexpr std::size_t kMaxSentResponses = 256;
+        if (result.status != CommandStatus::kUnknownOutcome)
+          sent_responses_.push_back({from, request_id, command, result});
+        if (sent_responses_.size() > kMaxSentResponses)
+          sent_responses_.pop_front();
+        SendLeaseResponse(now, from, {request_id, result, 0, true});
       });
-  if (!taken) {
-    under_way_.erase({from, a.number});
-    answer(now, from, {a.number, {}, 0, false});
+  if (!accepted) {
+    pending_requests_.erase({from, request.request_id});
+    SendLeaseResponse(now, from, {request.request_id, {}, 0, false});
   }
 }
 
 void Node::Receive(Ms now, std::span<const char> bytes) {
-  auto f = ReadFrame(bytes);
-  if (!f)
-    return void(++refused_);
-  Reader r(f->body);
-  switch (f->kind) {
-    case Kind::kGroup:
+  auto frame = ReadFrame(bytes);
+  if (!frame)
+    return void(++rejected_datagrams_);
+  Reader reader(frame->body);
+  switch (frame->kind) {
+    case MessageKind::kGroup:
       if (group_)
-        group_->Receive(now, f->from, f->body);
+        group_->Receive(now, frame->from, frame->body);
       break;
-    case Kind::kAsk: {
-      Ask a;
-      a.number = r.number(8);
-      auto c = Decode(r.Text(200));
-      if (!r.Whole() || !c)
-        ++refused_;
+    case MessageKind::kLeaseRequest: {
+      LeaseRequest request;
+      request.request_id = reader.ReadNumber(8);
+      auto command = Decode(reader.ReadString(200));
+      if (!reader.IsComplete() || !command)
+        ++rejected_datagrams_;
       else {
-        a.command = *c;
-        Asked(now, f->from, a);
+        request.command = *command;
+        HandleLeaseRequest(now, frame->from, request);
       }
       break;
     }
-    case Kind::kAnswer: {
-      Answer a;
-      a.number = r.number(8);
-      bool good = Read(r, a.result);
-      a.leader = static_cast<Id>(r.number(4));
-      a.taken = r.number(1) != 0;
-      if (!good || !r.Whole())
-        ++refused_;
+    case MessageKind::kLeaseResponse: {
+      LeaseResponse response;
+      response.request_id = reader.ReadNumber(8);
+      bool valid = Read(reader, response.result);
+      response.leader = static_cast<Id>(reader.ReadNumber(4));
+      response.handled = reader.ReadNumber(1) != 0;
+      if (!valid || !reader.IsComplete())
+        ++rejected_datagrams_;
       else
-        agent_.Answered(now, f->from, a, out(now));
+        agent_.HandleLeaseResponse(now, frame->from, response, AgentCallbacks(now));
       break;
     }
-    case Kind::kDid: {
-      Did d;
-      Read(r, d.what);
-      std::uint64_t landing = r.number(1);
-      d.highest = r.number(8);
-      if (!r.Whole() || landing > static_cast<std::uint64_t>(Landing::kFull))
-        ++refused_;
+    case MessageKind::kStepResponse: {
+      StepResponse response;
+      Read(reader, response.request);
+      std::uint64_t result = reader.ReadNumber(1);
+      response.highest_token = reader.ReadNumber(8);
+      if (!reader.IsComplete() || result > static_cast<std::uint64_t>(FencingResult::kFull))
+        ++rejected_datagrams_;
       else {
-        d.landing = static_cast<Landing>(landing);
-        agent_.HandleResult(now, f->from, d, out(now));
+        response.result = static_cast<FencingResult>(result);
+        agent_.HandleStepResponse(now, frame->from, response, AgentCallbacks(now));
       }
       break;
     }
-    case Kind::kAct:
-      ++refused_;  // fronts carry nothing out
+    case MessageKind::kStepRequest:
+      ++rejected_datagrams_;  // fronts carry nothing out
       break;
   }
-  while (!to_self_.empty())
-    for (const std::string& one : std::exchange(to_self_, {}))
-      Receive(now, one);
-  note();
+  while (!messages_to_self_.empty())
+    for (const std::string& message : std::exchange(messages_to_self_, {}))
+      Receive(now, message);
+  LogStateChanges();
 }
 
 void Node::Tick(Ms now) {
   if (group_)
     group_->Tick(now);
-  agent_.Tick(now, out(now));
-  while (!to_self_.empty())
-    for (const std::string& one : std::exchange(to_self_, {}))
-      Receive(now, one);
-  note();
+  agent_.Tick(now, AgentCallbacks(now));
+  while (!messages_to_self_.empty())
+    for (const std::string& message : std::exchange(messages_to_self_, {}))
+      Receive(now, message);
+  LogStateChanges();
 }
 
-void Node::note() {
+void Node::LogStateChanges() {
   if (!group_)
     return;
-  if (group_->standing() != notified_) {
-    notified_ = group_->standing();
-    ways_.say(std::string("owner group: ") + MakeWord(notified_) +
-              (group_->Why().empty() ? "" : ": " + group_->Why()));
+  if (group_->member_state() != logged_state_) {
+    logged_state_ = group_->member_state();
+    callbacks_.log_line(std::string("owner group: ") + ToString(logged_state_) +
+                        (group_->FailureReason().empty() ? "" : ": " + group_->FailureReason()));
   }
-  if (group_->Leads() != led_) {
-    led_ = group_->Leads();
-    ways_.say(std::string("owner group: ") + (led_ ? "leads" : "leads no more") + " term " +
-              std::to_string(group_->Term()));
+  if (group_->IsLeader() != logged_as_leader_) {
+    logged_as_leader_ = group_->IsLeader();
+    callbacks_.log_line(std::string("owner group: ") +
+                        (logged_as_leader_ ? "leads" : "leads no more") + " term " +
+                        std::to_string(group_->Term()));
   }
 }
 
--- a/src/owner/node.hpp
+++ b/src/owner/node.hpp
@@ -13,40 +13,40 @@
 
 namespace dunlinwick::owner {
 
-enum class Kind : std::uint8_t {
+enum class MessageKind : std::uint8_t {
   kGroup,
-  kAsk,
-  kAnswer,
-  kAct,
-  kDid
+  kLeaseRequest,
+  kLeaseResponse,
+  kStepRequest,
+  kStepResponse
 };
-std::string EncodeDid(Id from, const Did& d);
-std::string EncodeDo(Id from, const Do& d);
+std::string EncodeStepResponse(Id from, const StepResponse& response);
+std::string EncodeStepRequest(Id from, const StepRequest& request);
 struct Frame {
-  Kind kind = Kind::kGroup;
+  MessageKind kind = MessageKind::kGroup;
   Id from = 0;
   std::span<const char> body;
 };
 std::optional<Frame> ReadFrame(std::span<const char> bytes);
-std::optional<Do> DecodeDo(std::span<const char> body);
+std::optional<StepRequest> DecodeStepRequest(std::span<const char> body);
 
-struct NodeTerms {
+struct NodeSettings {
   Id self = 0;
   std::vector<Id> group;
-  std::vector<Job> jobs;
-  Terms lease;
-  GroupTerms raft;
+  std::vector<TaskSpec> tasks;
+  LeaseSettings lease;
+  RaftSettings raft;
 };
 
 class Node {
  public:
-  struct Ways {
+  struct Callbacks {
     std::function<void(Id to, std::string bytes)> send;
-    std::function<void(const std::string& line)> say;
+    std::function<void(const std::string& line)> log_line;
   };
   // `store`: of a member of the group; it outlives the node. `incarnation`: newer at each start.
-  Node(NodeTerms terms, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now,
-       Ways ways);
+  Node(NodeSettings settings, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now,
+       Callbacks callbacks);
   /// Becomes a member of the group on `store`, which outlives the membership. Throws
   /// std::runtime_error where the store can't be read; then it is no member. Not to be called from
   /// within a call of this node.
@@ -62,48 +62,48 @@
   Group* group() {
     return group_.get();
   }
-  const NodeTerms& terms() const {
-    return terms_;
+  const NodeSettings& settings() const {
+    return settings_;
   }
-  std::uint64_t Refused() const {
-    return refused_;
+  std::uint64_t RejectedDatagrams() const {
+    return rejected_datagrams_;
   }
   // A group that grants to whoever asks, without asking its majority: for a test that breaks it on
   // purpose.
-  bool grants_alone = false;
+  bool grants_without_quorum = false;
 
  private:
-  void Asked(Ms now, Id from, const Ask& a);
-  void answer(Ms now, Id to, const Answer& a);
-  Agent::Out out(Ms now);
-  void note();
+  void HandleLeaseRequest(Ms now, Id from, const LeaseRequest& request);
+  void SendLeaseResponse(Ms now, Id to, const LeaseResponse& response);
+  Agent::Callbacks AgentCallbacks(Ms now);
+  void LogStateChanges();
 
-  NodeTerms terms_;
-  Ways ways_;
+  NodeSettings settings_;
+  Callbacks callbacks_;
   std::uint64_t incarnation_;
   std::uint64_t seed_;
   std::unique_ptr<Group> group_;
   Agent agent_;
-  std::uint64_t refused_ = 0;
-  Group::Standing notified_ = Group::Standing::kBegins;
-  bool led_ = false;
+  std::uint64_t rejected_datagrams_ = 0;
+  Group::MemberState logged_state_ = Group::MemberState::kBootstrapping;
+  bool logged_as_leader_ = false;
   // Questions under way here, so that one asked twice is put to the group once; emptied as they are
   // answered.
-  std::set<std::pair<Id, std::uint64_t>> under_way_;
+  std::set<std::pair<Id, std::uint64_t>> pending_requests_;
   // The last answers given as a leader: a question whose answer was lost gets the same one, not a
   // second grant. Known by its words too: a number alone may be an earlier process's (found by a
   // member that came back without its store).
-  struct Given {
+  struct SentResponse {
     Id from = 0;
-    std::uint64_t number = 0;
+    std::uint64_t request_id = 0;
     std::string command;
     Result result;
   };
-  std::deque<Given> given_;
+  std::deque<SentResponse> sent_responses_;
   // What is sent to oneself waits for the end of the call.
-  std::vector<std::string> to_self_;
+  std::vector<std::string> messages_to_self_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  Table alone_;
+  LeaseTable unreplicated_table_;
 };
 
 }  // namespace dunlinwick::owner
--- a/src/owner/store.hpp
+++ b/src/owner/store.hpp
@@ -27,34 +27,34 @@
   std::uint64_t first = 1;  // the index of the first entry
   std::vector<LogEntry> entries;
   std::optional<StoredSnapshot> snapshot;
-  std::string founding;  // how the group began; "" where this member has never been part of one
+  std::string bootstrap;  // how the group began; "" where this member has never been part of one
 };
 
 class Store {
  public:
   virtual ~Store() = default;
-  virtual bool Lasts() const = 0;  // past the end of the process
+  virtual bool IsDurable() const = 0;  // past the end of the process
   virtual StoredState load() = 0;
-  virtual void Found(const std::string& founding) = 0;
+  virtual void SaveBootstrap(const std::string& bootstrap) = 0;
   virtual void SetTerm(std::uint64_t term) = 0;  // forgets the vote
   virtual void SetVote(std::uint64_t vote) = 0;
   virtual void Append(const std::vector<LogEntry>& entries) = 0;
   virtual void Truncate(std::uint64_t from) = 0;  // drops this index and all after it
   // Entries up to its index less `trailing` go.
-  virtual void Take(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
+  virtual void SaveSnapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
 };
 
 // In memory: gone with the process. On the stage it is kept or dropped as a disk would be.
 class MemoryStore final : public Store {
  public:
-  bool Lasts() const override {
+  bool IsDurable() const override {
     return false;
   }
   StoredState load() override {
     return state_;
   }
-  void Found(const std::string& founding) override {
-    state_.founding = founding;
+  void SaveBootstrap(const std::string& bootstrap) override {
+    state_.bootstrap = bootstrap;
   }
   void SetTerm(std::uint64_t term) override {
     state_.term = term;
@@ -73,20 +73,20 @@
     } else if (from - state_.first < state_.entries.size())
       state_.entries.resize(from - state_.first);
   }
-  void Take(const StoredSnapshot& s, std::uint64_t trailing) override {
+  void SaveSnapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) override {
     std::uint64_t last = state_.first + state_.entries.size() - 1;
     // One that came from the leader may lie beyond the log: nothing of it is of use then.
-    if (trailing == 0 || s.index > last) {
+    if (trailing == 0 || snapshot.index > last) {
       state_.entries.clear();
-      state_.first = s.index + 1;
-    } else if (s.index > trailing && s.index - trailing >= state_.first) {
-      std::uint64_t keep = s.index - trailing + 1;
+      state_.first = snapshot.index + 1;
+    } else if (snapshot.index > trailing && snapshot.index - trailing >= state_.first) {
+      std::uint64_t keep = snapshot.index - trailing + 1;
       state_.entries.erase(
           state_.entries.begin(),
           state_.entries.begin() + static_cast<std::ptrdiff_t>(keep - state_.first));
       state_.first = keep;
     }
-    state_.snapshot = s;
+    state_.snapshot = snapshot;
   }
 
  private:
--- a/src/quota/quota.cpp
+++ b/src/quota/quota.cpp
@@ -15,41 +15,41 @@
 using owner::Writer;
 
 void Write(Writer& w, const std::vector<double>& all) {
-  w.number(all.size(), 1);
+  w.WriteNumber(all.size(), 1);
   for (double v : all)
-    w.number(std::bit_cast<std::uint64_t>(v), 8);
+    w.WriteNumber(std::bit_cast<std::uint64_t>(v), 8);
 }
 bool Read(Reader& r, std::vector<double>& all) {
-  std::uint64_t n = r.number(1);
+  std::uint64_t n = r.ReadNumber(1);
   if (n > kMostLimits)
     return false;
   for (std::uint64_t i = 0; i < n; ++i) {
-    double v = std::bit_cast<double>(r.number(8));
+    double v = std::bit_cast<double>(r.ReadNumber(8));
     if (!std::isfinite(v) || v < 0 || v > 1e12)
       return false;  // a peer's word
     all.push_back(v);
   }
-  return !r.Bad();
+  return !r.HasFailed();
 }
 
 }  // namespace
 
 std::string Encode(const Poll& p) {
   Writer w;
-  w.number(1, 1);
-  w.number(p.token, 8);
-  w.number(p.round, 8);
+  w.WriteNumber(1, 1);
+  w.WriteNumber(p.token, 8);
+  w.WriteNumber(p.round, 8);
   return std::move(w.bytes);
 }
 std::string Encode(const Report& r) {
   Writer w;
-  w.number(2, 1);
-  w.number(r.token, 8);
-  w.number(r.round, 8);
-  w.number(r.using_token, 8);
-  w.number(r.using_round, 8);
-  w.number(r.bad, 4);
-  w.number(r.epoch, 4);
+  w.WriteNumber(2, 1);
+  w.WriteNumber(r.token, 8);
+  w.WriteNumber(r.round, 8);
+  w.WriteNumber(r.using_token, 8);
+  w.WriteNumber(r.using_round, 8);
+  w.WriteNumber(r.bad, 4);
+  w.WriteNumber(r.epoch, 4);
   Write(w, r.want);
   Write(w, r.have);
   Write(w, r.factor);
@@ -57,10 +57,10 @@
 }
 std::string Encode(const Grant& g) {
   Writer w;
-  w.number(3, 1);
-  w.number(g.token, 8);
-  w.number(g.round, 8);
-  w.number(g.epoch, 4);
+  w.WriteNumber(3, 1);
+  w.WriteNumber(g.token, 8);
+  w.WriteNumber(g.round, 8);
+  w.WriteNumber(g.epoch, 4);
   Write(w, g.share);
   Write(w, g.factor);
   return std::move(w.bytes);
@@ -68,23 +68,23 @@
 std::optional<Poll> DecodePoll(std::span<const char> bytes) {
   Reader r(bytes);
   Poll p;
-  std::uint64_t kind = r.number(1);
-  p.token = r.number(8);
-  p.round = r.number(8);
-  return r.Whole() && kind == 1 ? std::optional(p) : std::nullopt;
+  std::uint64_t kind = r.ReadNumber(1);
+  p.token = r.ReadNumber(8);
+  p.round = r.ReadNumber(8);
+  return r.IsComplete() && kind == 1 ? std::optional(p) : std::nullopt;
 }
 std::optional<Report> DecodeReport(std::span<const char> bytes) {
   Reader r(bytes);
   Report one;
-  std::uint64_t kind = r.number(1);
-  one.token = r.number(8);
-  one.round = r.number(8);
-  one.using_token = r.number(8);
-  one.using_round = r.number(8);
-  one.bad = static_cast<std::uint32_t>(r.number(4));
-  one.epoch = static_cast<std::uint32_t>(r.number(4));
+  std::uint64_t kind = r.ReadNumber(1);
+  one.token = r.ReadNumber(8);
+  one.round = r.ReadNumber(8);
+  one.using_token = r.ReadNumber(8);
+  one.using_round = r.ReadNumber(8);
+  one.bad = static_cast<std::uint32_t>(r.ReadNumber(4));
+  one.epoch = static_cast<std::uint32_t>(r.ReadNumber(4));
   bool good = Read(r, one.want) && Read(r, one.have) && Read(r, one.factor);
-  return good && r.Whole() && kind == 2 && one.want.size() == one.have.size() &&
+  return good && r.IsComplete() && kind == 2 && one.want.size() == one.have.size() &&
                  one.want.size() == one.factor.size()
              ? std::optional(one)
              : std::nullopt;
@@ -92,13 +92,13 @@
 std::optional<Grant> DecodeGrant(std::span<const char> bytes) {
   Reader r(bytes);
   Grant g;
-  std::uint64_t kind = r.number(1);
-  g.token = r.number(8);
-  g.round = r.number(8);
-  g.epoch = static_cast<std::uint32_t>(r.number(4));
+  std::uint64_t kind = r.ReadNumber(1);
+  g.token = r.ReadNumber(8);
+  g.round = r.ReadNumber(8);
+  g.epoch = static_cast<std::uint32_t>(r.ReadNumber(4));
   bool good = Read(r, g.share) && Read(r, g.factor);
-  return good && r.Whole() && kind == 3 && g.share.size() == g.factor.size() ? std::optional(g)
-                                                                             : std::nullopt;
+  return good && r.IsComplete() && kind == 3 && g.share.size() == g.factor.size() ? std::optional(g)
+                                                                                  : std::nullopt;
 }
 
 // ---- a front's side
--- a/src/rig/history.cpp
+++ b/src/rig/history.cpp
@@ -72,7 +72,7 @@
       case Happened::What::kLanded: {
         Seen& p = places[{h.work, h.place}];
         std::string where = " at place " + std::to_string(h.place);
-        if (h.landing == Landing::kDone) {
+        if (h.landing == FencingResult::kDone) {
           if (h.token < p.highest)
             broken("fence", h,
                    Who(h) + " landed step " + std::to_string(h.step) + where +
@@ -85,7 +85,7 @@
                    Who(h) + " landed step " + std::to_string(h.step) + where +
                        " before the one in front of it");
         }
-        if (h.landing == Landing::kDone || h.landing == Landing::kDoneBefore)
+        if (h.landing == FencingResult::kDone || h.landing == FencingResult::kAlreadyDone)
           p.highest = std::max(p.highest, h.token);
         break;
       }
@@ -123,7 +123,7 @@
   std::vector<Ms> all;
   for (const Happened& h : history) {
     if (h.what != Happened::What::kLanded ||
-        (h.landing != Landing::kDone && h.landing != Landing::kDoneBefore))
+        (h.landing != FencingResult::kDone && h.landing != FencingResult::kAlreadyDone))
       continue;
     auto at = last.find(h.work);
     if (at != last.end() && h.token > at->second.first)
--- a/src/rig/history.hpp
+++ b/src/rig/history.hpp
@@ -34,7 +34,7 @@
   Id front = 0;            // of landed: whose
   std::uint64_t life = 0;  // of granted: of the front's process
   Id place = 0;            // of landed
-  Landing landing = Landing::kDone;
+  FencingResult landing = FencingResult::kDone;
 };
 struct Begun {
   std::string work;
--- a/src/rig/ownersim.cpp
+++ b/src/rig/ownersim.cpp
@@ -30,7 +30,7 @@
 };
 struct OwnerSim::Place {
   Id id = 0;
-  owner::Fence fence;
+  owner::FencingTokenCheck fence;
 };
 
 OwnerSim::OwnerSim(OwnerTerms terms, std::uint64_t seed)
@@ -60,20 +60,20 @@
 
 void OwnerSim::Start(Front& f) {
   ++f.life;
-  owner::NodeTerms t;
+  owner::NodeSettings t;
   t.self = f.id;
   t.lease = terms_.lease;
   t.raft = terms_.raft;
   for (std::size_t i = 0; i < terms_.group; ++i)
     t.group.push_back(static_cast<Id>(i + 1));
   for (const owner::Begun& b : run_.works)
-    t.jobs.push_back({b.work, b.steps, terms_.each, b.places});
+    t.tasks.push_back({b.work, b.steps, terms_.each, b.places});
   Ms clock = f.clock(now_);
-  owner::Node::Ways ways;
+  owner::Node::Callbacks ways;
   ways.send = [this, id = f.id](Id to, std::string bytes) {
     Send(id, to, std::move(bytes));
   };
-  ways.say = [this, &f](const std::string& line) {
+  ways.log_line = [this, &f](const std::string& line) {
     char at[32];
     std::snprintf(at, sizeof at, "%9.1f ", now_);
     run_.lines.push_back(at + std::to_string(f.id) + " " + line);
@@ -99,12 +99,12 @@
       std::make_unique<owner::Node>(std::move(t), f.member ? f.store.get() : nullptr,
                                     static_cast<std::uint64_t>(clock / 1000) * 64 + f.life % 64,
                                     seed_ * 1009 + f.id * 131 + f.life, clock, std::move(ways));
-  f.node->agent().breaks.no_margin = terms_.breaks.no_margin;
-  f.node->agent().breaks.from_the_start = terms_.breaks.from_the_start;
-  f.node->agent().breaks.no_lease = terms_.breaks.no_lease;
-  f.node->grants_alone = terms_.breaks.grant_alone;
+  f.node->agent().injected_faults.no_margin = terms_.breaks.no_margin;
+  f.node->agent().injected_faults.from_first_step = terms_.breaks.from_the_start;
+  f.node->agent().injected_faults.no_lease = terms_.breaks.no_lease;
+  f.node->grants_without_quorum = terms_.breaks.grant_alone;
   if (f.member && terms_.breaks.reuse_tokens)
-    f.node->group()->BreakTokens();
+    f.node->group()->ReuseTokens();
   f.up = true;
   f.paused = false;
   f.waiting.clear();
@@ -114,12 +114,12 @@
 void OwnerSim::Send(Id from, Id to, std::string bytes) {
   ++datagrams_;
   auto f = owner::ReadFrame(bytes);
-  if (f && f->kind == owner::Kind::kAct)
-    if (auto d = owner::DecodeDo(f->body)) {
+  if (f && f->kind == owner::MessageKind::kStepRequest)
+    if (auto d = owner::DecodeStepRequest(f->body)) {
       Happened h;
       h.what = Happened::What::kSent;
       h.at = now_;
-      h.work = d->work;
+      h.work = d->task;
       h.token = d->token;
       h.step = d->step;
       h.front = from;
@@ -137,24 +137,25 @@
   if (one.to >= kFirstPlace) {
     Place& p = *places_[one.to - kFirstPlace];
     auto f = owner::ReadFrame(one.bytes);
-    auto d = f && f->kind == owner::Kind::kAct ? owner::DecodeDo(f->body) : std::nullopt;
+    auto d = f && f->kind == owner::MessageKind::kStepRequest ? owner::DecodeStepRequest(f->body)
+                                                              : std::nullopt;
     if (!d)
       return;
-    owner::Did did{*d, owner::Landing::kDone, 0};
-    did.landing =
-        terms_.breaks.no_fence ? owner::Landing::kDone : p.fence.Take(d->work, d->token, d->step);
-    did.highest = p.fence.Highest(d->work);
+    owner::StepResponse did{*d, owner::FencingResult::kDone, 0};
+    did.result = terms_.breaks.no_fence ? owner::FencingResult::kDone
+                                        : p.fence.Check(d->task, d->token, d->step);
+    did.highest_token = p.fence.HighestToken(d->task);
     Happened h;
     h.what = Happened::What::kLanded;
     h.at = now_;
-    h.work = d->work;
+    h.work = d->task;
     h.token = d->token;
     h.step = d->step;
     h.front = f->from;
     h.place = p.id;
-    h.landing = did.landing;
+    h.landing = did.result;
     run_.history.push_back(h);
-    return Send(p.id, f->from, owner::EncodeDid(p.id, did));
+    return Send(p.id, f->from, owner::EncodeStepResponse(p.id, did));
   }
   Front& f = *fronts_[one.to - 1];
   if (!f.up)
@@ -188,18 +189,18 @@
         f->ticked = now_;
         // What the group has recorded, as its leader holds it: for the checker.
         f->node->Tick(f->clock(now_));
-        if (f->member && f->node->group()->Leads())
-          for (const auto& [name, w] : f->node->group()->table().Works()) {
+        if (f->member && f->node->group()->IsLeader())
+          for (const auto& [name, w] : f->node->group()->table().Tasks()) {
             auto known = std::find_if(run_.history.rbegin(), run_.history.rend(),
                                       [&, n = &name](const Happened& h) {
                                         return h.what == Happened::What::kRecorded && h.work == *n;
                                       });
-            if (w.done > (known == run_.history.rend() ? 0 : known->step)) {
+            if (w.done_steps > (known == run_.history.rend() ? 0 : known->step)) {
               Happened h;
               h.what = Happened::What::kRecorded;
               h.at = now_;
               h.work = name;
-              h.step = w.done;
+              h.step = w.done_steps;
               run_.history.push_back(h);
             }
             bool notified = std::any_of(
@@ -273,8 +274,8 @@
 Id OwnerSim::holder(const std::string& work) const {
   for (const auto& f : fronts_)
     if (f->up && !f->paused)
-      for (const auto& h : f->node->agent().held())
-        if (h.work == work && f->clock(now_) < h.until)
+      for (const auto& h : f->node->agent().HeldLeases())
+        if (h.task == work && f->clock(now_) < h.valid_until)
           return f->id;
   return 0;
 }
@@ -319,7 +320,7 @@
     RunUntil(t);
   };
   bool some_lost = false;
-  const owner::Terms& l = terms_.lease;
+  const owner::LeaseSettings& l = terms_.lease;
   for (int i = 0; i < terms_.faults; ++i) {
     until(now_ + 200 + 1800 * Unit());
     // Half of the faults strike whoever owns something just now.
@@ -328,7 +329,7 @@
         run_.works[static_cast<std::size_t>(Unit() * static_cast<double>(run_.works.size()))].work);
     if (owns != 0 && Unit() < 0.5)
       who = owns;
-    Ms lasts = l.lease * (0.2 + 2.3 * Unit());
+    Ms lasts = l.duration * (0.2 + 2.3 * Unit());
     std::string name = std::to_string(who),
                 time = " for " + std::to_string(static_cast<int>(lasts)) + " ms";
     Front& f = *fronts_[who - 1];
@@ -365,7 +366,7 @@
         break;
       }
       case 5: {
-        Ms delay = l.lease * (0.1 + 0.8 * Unit());
+        Ms delay = l.duration * (0.1 + 0.8 * Unit());
         note("slow by up to " + std::to_string(static_cast<int>(delay)) + time);
         Slow(delay);
         undo.push_back({now_ + lasts, [this] {
@@ -384,7 +385,7 @@
       case 7: {
         // Within the bound: a rate under `drift`, a step under half the margin; at most one step a
         // lease at this pace.
-        double rate = (2 * Unit() - 1) * l.drift * (terms_.past_bound ? 95 : 0.95);
+        double rate = (2 * Unit() - 1) * l.clock_drift * (terms_.past_bound ? 95 : 0.95);
         Ms step = (2 * Unit() - 1) * l.margin * (terms_.past_bound ? 20 : 0.2);
         if (terms_.past_bound) {
           run_.clocks_kept = false;
--- a/src/rig/ownersim.hpp
+++ b/src/rig/ownersim.hpp
@@ -30,8 +30,8 @@
   std::size_t works = 2;
   std::uint64_t steps = 120;
   owner::Ms each = 100;
-  owner::Terms lease;
-  owner::GroupTerms raft;
+  owner::LeaseSettings lease;
+  owner::RaftSettings raft;
   bool past_bound = false;  // clocks may run off and step past the bound: the fence must do
   bool lose_all = false;    // all members may lose what they stored, at once: a group founded anew
   int faults = 6;
--- a/src/rig/place.cpp
+++ b/src/rig/place.cpp
@@ -21,7 +21,7 @@
   loop::Descriptor socket;
   owner::Id id;
   std::map<owner::Id, loop::Address> fronts;
-  owner::Fence fence;
+  owner::FencingTokenCheck fence;
   Place(loop::Loop& l, int fd, owner::Id i) : loop(l), socket(l.environment(), fd), id(i) {}
 
   void Ready(short) override {
@@ -30,23 +30,24 @@
     for (ssize_t got = 0;
          (got = loop.environment().ReceiveFrom(socket.Get(), buffer, from)) >= 0;) {
       auto f = owner::ReadFrame({buffer.data(), static_cast<std::size_t>(got)});
-      auto d = f && f->kind == owner::Kind::kAct ? owner::DecodeDo(f->body) : std::nullopt;
+      auto d = f && f->kind == owner::MessageKind::kStepRequest ? owner::DecodeStepRequest(f->body)
+                                                                : std::nullopt;
       if (!d)
         continue;
-      owner::Did did{*d, fence.Take(d->work, d->token, d->step), 0};
-      did.highest = fence.Highest(d->work);
-      bool landed = did.landing == owner::Landing::kDone;
-      std::fprintf(landed || did.landing == owner::Landing::kDoneBefore ? stdout : stderr,
+      owner::StepResponse did{*d, fence.Check(d->task, d->token, d->step), 0};
+      did.highest_token = fence.HighestToken(d->task);
+      bool landed = did.result == owner::FencingResult::kDone;
+      std::fprintf(landed || did.result == owner::FencingResult::kAlreadyDone ? stdout : stderr,
                    "%s %s token %llu step %llu front %u highest %llu at %.0f: %s\n",
-                   landed                                       ? "landed"
-                   : did.landing == owner::Landing::kDoneBefore ? "known"
-                                                                : "refused",
-                   d->work.c_str(), static_cast<unsigned long long>(d->token),
+                   landed                                             ? "landed"
+                   : did.result == owner::FencingResult::kAlreadyDone ? "known"
+                                                                      : "refused",
+                   d->task.c_str(), static_cast<unsigned long long>(d->token),
                    static_cast<unsigned long long>(d->step), f->from,
-                   static_cast<unsigned long long>(did.highest), loop.now(),
-                   owner::MakeWord(did.landing));
+                   static_cast<unsigned long long>(did.highest_token), loop.now(),
+                   owner::ToString(did.result));
       if (auto at = fronts.find(f->from); at != fronts.end())
-        loop.environment().SendTo(socket.Get(), owner::EncodeDid(id, did), at->second);
+        loop.environment().SendTo(socket.Get(), owner::EncodeStepResponse(id, did), at->second);
     }
   }
 };
--- a/src/store/lmdb.cpp
+++ b/src/store/lmdb.cpp
@@ -81,7 +81,7 @@
   }
   static std::string number(std::uint64_t v) {
     Writer w;
-    w.number(v, 8);
+    w.WriteNumber(v, 8);
     return w.bytes;
   }
   static std::string EntryKey(std::uint64_t index) {
@@ -92,8 +92,8 @@
     if (!t.Get(key, v))
       return otherwise;
     Reader r(v);
-    std::uint64_t n = r.number(8);
-    if (!r.Whole())
+    std::uint64_t n = r.ReadNumber(8);
+    if (!r.IsComplete())
       throw std::runtime_error(folder + ": " + key + " can't be read");
     return n;
   }
@@ -126,7 +126,7 @@
   s.term = in.NumberOf(t, "term", 0);
   s.vote = in.NumberOf(t, "vote", 0);
   s.first = in.first;
-  t.Get("founding", s.founding);
+  t.Get("founding", s.bootstrap);
   std::string bytes;
   for (std::uint64_t i = in.first; i < in.next; ++i) {
     if (!t.Get(Inner::EntryKey(i), bytes))
@@ -134,10 +134,10 @@
                                " of the log is not there");
     Reader r(bytes);
     LogEntry e;
-    e.term = r.number(8);
-    e.type = static_cast<unsigned short>(r.number(2));
-    e.bytes = r.Text(1 << 20);
-    if (!r.Whole())
+    e.term = r.ReadNumber(8);
+    e.type = static_cast<unsigned short>(r.ReadNumber(2));
+    e.bytes = r.ReadString(1 << 20);
+    if (!r.IsComplete())
       throw std::runtime_error(in.folder + ": entry " + std::to_string(i) +
                                " of the log can't be read");
     s.entries.push_back(std::move(e));
@@ -145,20 +145,20 @@
   if (t.Get("snapshot", bytes)) {
     Reader r(bytes);
     StoredSnapshot one;
-    one.index = r.number(8);
-    one.term = r.number(8);
-    one.configuration_index = r.number(8);
-    one.configuration = r.Text(1 << 16);
-    one.data = r.Text(1 << 20);
-    if (!r.Whole())
+    one.index = r.ReadNumber(8);
+    one.term = r.ReadNumber(8);
+    one.configuration_index = r.ReadNumber(8);
+    one.configuration = r.ReadString(1 << 16);
+    one.data = r.ReadString(1 << 20);
+    if (!r.IsComplete())
       throw std::runtime_error(in.folder + ": the snapshot can't be read");
     s.snapshot = std::move(one);
   }
   return s;
 }
 
-void LmdbStore::Found(const std::string& founding) {
-  inner_->Write([&](Inner::Txn& t) { t.Put("founding", founding); });
+void LmdbStore::SaveBootstrap(const std::string& bootstrap) {
+  inner_->Write([&](Inner::Txn& t) { t.Put("founding", bootstrap); });
 }
 void LmdbStore::SetTerm(std::uint64_t term) {
   inner_->Write([&](Inner::Txn& t) {
@@ -174,9 +174,9 @@
   in.Write([&](Inner::Txn& t) {
     for (const LogEntry& e : entries) {
       Writer w;
-      w.number(e.term, 8);
-      w.number(e.type, 2);
-      w.Text(e.bytes);
+      w.WriteNumber(e.term, 8);
+      w.WriteNumber(e.type, 2);
+      w.WriteString(e.bytes);
       t.Put(Inner::EntryKey(in.next++), w.bytes);
     }
     in.bounds(t);
@@ -193,15 +193,15 @@
     in.bounds(t);
   });
 }
-void LmdbStore::Take(const StoredSnapshot& s, std::uint64_t trailing) {
+void LmdbStore::SaveSnapshot(const StoredSnapshot& s, std::uint64_t trailing) {
   Inner& in = *inner_;
   in.Write([&](Inner::Txn& t) {
     Writer w;
-    w.number(s.index, 8);
-    w.number(s.term, 8);
-    w.number(s.configuration_index, 8);
-    w.Text(s.configuration);
-    w.Text(s.data);
+    w.WriteNumber(s.index, 8);
+    w.WriteNumber(s.term, 8);
+    w.WriteNumber(s.configuration_index, 8);
+    w.WriteString(s.configuration);
+    w.WriteString(s.data);
     t.Put("snapshot", w.bytes);
     std::uint64_t first = in.first, next = in.next;
     if (trailing == 0 || s.index >= in.next)
--- a/src/store/lmdb.hpp
+++ b/src/store/lmdb.hpp
@@ -13,16 +13,16 @@
  public:
   explicit LmdbStore(const std::string& folder);  // made where it is not there
   ~LmdbStore() override;
-  bool Lasts() const override {
+  bool IsDurable() const override {
     return true;
   }
   owner::StoredState load() override;
-  void Found(const std::string& founding) override;
+  void SaveBootstrap(const std::string& bootstrap) override;
   void SetTerm(std::uint64_t term) override;
   void SetVote(std::uint64_t vote) override;
   void Append(const std::vector<owner::LogEntry>& entries) override;
   void Truncate(std::uint64_t from) override;
-  void Take(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override;
+  void SaveSnapshot(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override;
 
  private:
   struct Inner;
--- a/tests/owner_fleet_test.cpp
+++ b/tests/owner_fleet_test.cpp
@@ -98,9 +98,9 @@
           one.token = token;
           one.step = step;
           one.front = front;
-          one.landing = std::string(how) == "landed"  ? owner::Landing::kDone
-                        : std::string(how) == "known" ? owner::Landing::kDoneBefore
-                                                      : owner::Landing::kStaleToken;
+          one.landing = std::string(how) == "landed"  ? owner::FencingResult::kDone
+                        : std::string(how) == "known" ? owner::FencingResult::kAlreadyDone
+                                                      : owner::FencingResult::kStaleToken;
           all.push_back(one);
         }
       }
@@ -172,7 +172,7 @@
       std::fprintf(stderr, "broken: %s: %s\n", b.promise.c_str(), b.what.c_str());
     assert(broken.empty());
     auto landed = std::count_if(all.begin(), all.end(), [](const Happened& one) {
-      return one.what == Happened::What::kLanded && one.landing == owner::Landing::kDone;
+      return one.what == Happened::What::kLanded && one.landing == owner::FencingResult::kDone;
     });
     auto grants = std::count_if(all.begin(), all.end(), [](const Happened& one) {
       return one.what == Happened::What::kGranted;
--- a/tests/owner_storage_test.cpp
+++ b/tests/owner_storage_test.cpp
@@ -42,18 +42,18 @@
   }
   void Start(owner::Id id) {
     Process& process = processes_[id];
-    owner::NodeTerms terms;
+    owner::NodeSettings terms;
     terms.self = id;
     terms.group = {1, 2, 3};
-    owner::Job job;
-    job.work = kTask;
+    owner::TaskSpec job;
+    job.name = kTask;
     job.standing = true;
-    terms.jobs = {job};
-    owner::Node::Ways ways;
+    terms.tasks = {job};
+    owner::Node::Callbacks ways;
     ways.send = [this, id](owner::Id to, std::string bytes) {
       wire_.push_back({now_ + 1, id, to, std::move(bytes)});
     };
-    ways.say = [this](const std::string& line) {
+    ways.log_line = [this](const std::string& line) {
       NoteGrant(line);
     };
     process.node = std::make_unique<owner::Node>(terms, nullptr, static_cast<std::uint64_t>(now_),
@@ -109,7 +109,7 @@
       if (!Runs(id))
         return false;
       Group* group = Node(id).group();
-      if (!group || group->standing() != Group::Standing::kMember)
+      if (!group || group->member_state() != Group::MemberState::kMember)
         return false;
       tables.insert(group->table().Snapshot());
     }
@@ -137,8 +137,8 @@
     std::unique_ptr<owner::Membership> membership;
   };
   bool ActsAt(owner::Node& node) {
-    for (const auto& held : node.agent().held())
-      if (now_ < held.until)
+    for (const auto& held : node.agent().HeldLeases())
+      if (now_ < held.valid_until)
         return true;
     return false;
   }
@@ -251,7 +251,7 @@
       // A founder that is killed before its own disk holds the founding cannot prove that it
       // promised nothing: it is lost to the group, and reports so.
       Group* group = cluster.Node(1).group();
-      bool is_lost = group && group->standing() == Group::Standing::kLost;
+      bool is_lost = group && group->member_state() == Group::MemberState::kLost;
       CHECK((cluster.IsComplete() || is_lost));
       if (is_lost)
         CHECK(cluster.disks[1].calls <= 4);
@@ -270,7 +270,7 @@
   for (owner::Id id = 1; id <= kGroupSize; ++id)
     cluster.disks[id].fate = [&, id](std::uint64_t) {
       // Every call after the founding fails until the kill.
-      if (!cluster.disks[id].kept.load().founding.empty())
+      if (!cluster.disks[id].kept.load().bootstrap.empty())
         founded.insert(id);
       return founded.count(id) != 0 ? Fate::kFailsBefore : Fate::kWorks;
     };
@@ -303,7 +303,7 @@
     };
   cluster.Run(cluster.now() + kLeaseTime);
   CHECK(cluster.holder() == 0);
-  CHECK(cluster.Node(holder).agent().held().empty());
+  CHECK(cluster.Node(holder).agent().HeldLeases().empty());
   for (owner::Id id = 1; id <= kGroupSize; ++id)
     CHECK_FALSE(cluster.HasStore(id));
   full = false;
@@ -330,7 +330,7 @@
   cluster.disks[1].kept = owner::MemoryStore();
   auto is_lost = [&] {
     Group* group = cluster.Node(1).group();
-    return group && group->standing() == Group::Standing::kLost;
+    return group && group->member_state() == Group::MemberState::kLost;
   };
   cluster.Run(cluster.now() + kSettleTime, is_lost);
   CHECK(is_lost());
@@ -373,11 +373,11 @@
     standing.name = kTask;
     standing.standing = true;
     settings.tasks = {standing};
-    settings.lease.lease = 900;
+    settings.lease.duration = 900;
     settings.lease.margin = 60;
-    settings.lease.renew_every = 200;
-    settings.raft.election = 200;
-    settings.raft.heartbeat = 50;
+    settings.lease.renew_interval = 200;
+    settings.raft.election_timeout = 200;
+    settings.raft.heartbeat_interval = 50;
     components[id] = std::make_unique<front::OwnerComponent>(loop, settings, id);
   }
   bool Until(const std::function<bool()>& holds) {
--- a/tests/owner_test.cpp
+++ b/tests/owner_test.cpp
@@ -20,96 +20,106 @@
 namespace {
 
 void TokensGrowAndTheTableIsWhole() {
-  Table t;
-  auto cmd = [](Deed d, Id who, Token token, std::uint64_t step, const char* work = "w") {
+  LeaseTable t;
+  auto cmd = [](Operation d, Id who, Token token, std::uint64_t step, const char* work = "w") {
     return Command{d, who, token, step, work};
   };
-  assert(t.Apply(cmd(Deed::kTake, 1, 0, 5)).word == Word::kUnsure);  // not founded: no token
-  t.Apply(cmd(Deed::kFound, 1, 100, 0, "group"));
-  Result a = t.Apply(cmd(Deed::kTake, 1, 0, 5));
-  assert(a.word == Word::kYes && a.token == 101);
-  assert(t.Apply(cmd(Deed::kTake, 2, 0, 5)).word == Word::kHeld);
-  assert(t.Apply(cmd(Deed::kTake, 1, 0, 5)).word ==
-         Word::kHeld);  // a new process of the same front, for all it knows
-  assert(t.Apply(cmd(Deed::kRecord, 1, 101, 3)).word == Word::kYes && t.Works().at("w").done == 3);
-  assert(t.Apply(cmd(Deed::kRecord, 1, 101, 2)).word == Word::kYes && t.Works().at("w").done == 3);
-  assert(t.Apply(cmd(Deed::kRecord, 2, 101, 4)).word == Word::kStale);
-  assert(t.Apply(cmd(Deed::kExpire, 0, 100, 0)).word == Word::kStale);  // of an earlier grant
-  assert(t.Apply(cmd(Deed::kExpire, 0, 101, 2)).word == Word::kHeld &&
-         t.Works().at("w").owner == 1);  // it was heard since then
-  assert(t.Apply(cmd(Deed::kExpire, 0, 101, 3)).word == Word::kYes);
-  assert(t.Apply(cmd(Deed::kRenew, 1, 101, 0)).word == Word::kStale);
-  Result b = t.Apply(cmd(Deed::kTake, 2, 0, 5));
-  assert(b.word == Word::kYes && b.token == 102 && b.done == 3);
-  t.Apply(cmd(Deed::kFound, 3, 900, 0, "group"));  // a later leader says it too
+  assert(t.Apply(cmd(Operation::kAcquire, 1, 0, 5)).status ==
+         CommandStatus::kUnknownOutcome);  // not founded: no token
+  t.Apply(cmd(Operation::kBootstrap, 1, 100, 0, "group"));
+  Result a = t.Apply(cmd(Operation::kAcquire, 1, 0, 5));
+  assert(a.status == CommandStatus::kOk && a.token == 101);
+  assert(t.Apply(cmd(Operation::kAcquire, 2, 0, 5)).status == CommandStatus::kHeldByAnother);
+  assert(t.Apply(cmd(Operation::kAcquire, 1, 0, 5)).status ==
+         CommandStatus::kHeldByAnother);  // a new process of the same front, for all it knows
+  assert(t.Apply(cmd(Operation::kRecordStep, 1, 101, 3)).status == CommandStatus::kOk &&
+         t.Tasks().at("w").done_steps == 3);
+  assert(t.Apply(cmd(Operation::kRecordStep, 1, 101, 2)).status == CommandStatus::kOk &&
+         t.Tasks().at("w").done_steps == 3);
+  assert(t.Apply(cmd(Operation::kRecordStep, 2, 101, 4)).status == CommandStatus::kStaleToken);
+  assert(t.Apply(cmd(Operation::kExpire, 0, 100, 0)).status ==
+         CommandStatus::kStaleToken);  // of an earlier grant
+  assert(t.Apply(cmd(Operation::kExpire, 0, 101, 2)).status == CommandStatus::kHeldByAnother &&
+         t.Tasks().at("w").holder == 1);  // it was heard since then
+  assert(t.Apply(cmd(Operation::kExpire, 0, 101, 3)).status == CommandStatus::kOk);
+  assert(t.Apply(cmd(Operation::kRenew, 1, 101, 0)).status == CommandStatus::kStaleToken);
+  Result b = t.Apply(cmd(Operation::kAcquire, 2, 0, 5));
+  assert(b.status == CommandStatus::kOk && b.token == 102 && b.done_steps == 3);
+  t.Apply(cmd(Operation::kBootstrap, 3, 900, 0, "group"));  // a later leader says it too
   assert(t.LastToken() == 102);
-  assert(t.Apply(cmd(Deed::kFinish, 2, 102, 5)).word == Word::kYes &&
-         t.Apply(cmd(Deed::kTake, 1, 0, 5)).word == Word::kOver);
-  for (std::size_t i = 0; i + 1 < kMostWorks; ++i)
-    assert(t.Apply(cmd(Deed::kTake, 1, 0, 1, ("x" + std::to_string(i)).c_str())).word ==
-           Word::kYes);
-  assert(t.Apply(cmd(Deed::kTake, 1, 0, 1, "one-more")).word == Word::kFull);
+  assert(t.Apply(cmd(Operation::kFinish, 2, 102, 5)).status == CommandStatus::kOk &&
+         t.Apply(cmd(Operation::kAcquire, 1, 0, 5)).status == CommandStatus::kTaskEnded);
+  for (std::size_t i = 0; i + 1 < kMaxTasks; ++i)
+    assert(t.Apply(cmd(Operation::kAcquire, 1, 0, 1, ("x" + std::to_string(i)).c_str())).status ==
+           CommandStatus::kOk);
+  assert(t.Apply(cmd(Operation::kAcquire, 1, 0, 1, "one-more")).status ==
+         CommandStatus::kTooManyTasks);
   std::string bytes = t.Snapshot();
-  Table back;
+  LeaseTable back;
   assert(back.Restore(bytes) && back.Snapshot() == bytes && back.LastToken() == t.LastToken());
   for (std::size_t cut = 0; cut < bytes.size(); ++cut)
     assert(!back.Restore({bytes.data(), cut}));
   assert(back.Snapshot() == bytes);  // a refused one changes nothing
-  std::string c = Encode(cmd(Deed::kRecord, 7, 8, 9, "some-work"));
+  std::string c = Encode(cmd(Operation::kRecordStep, 7, 8, 9, "some-work"));
   auto d = Decode(c);
-  assert(d && d->deed == Deed::kRecord && d->front == 7 && d->token == 8 && d->step == 9 &&
-         d->work == "some-work");
+  assert(d && d->operation == Operation::kRecordStep && d->front == 7 && d->token == 8 &&
+         d->step == 9 && d->task == "some-work");
   for (std::size_t cut = 0; cut < c.size(); ++cut)
     assert(!Decode({c.data(), cut}));
-  assert(!Decode(c + "x") && !Decode(Encode(cmd(Deed::kTake, 1, 0, 0, "Bad Name"))));
+  assert(!Decode(c + "x") && !Decode(Encode(cmd(Operation::kAcquire, 1, 0, 0, "Bad Name"))));
 }
 
 void TheTwoClocksLeaveAGap() {
-  Terms t;
-  Table table;
-  table.Apply({Deed::kFound, 1, 1, 0, "group"});
-  Keeper keeper(t);
-  Holder holder(t);
-  Command take{Deed::kTake, 1, 0, 5, "w"};
+  LeaseSettings t;
+  LeaseTable table;
+  table.Apply({Operation::kBootstrap, 1, 1, 0, "group"});
+  LeaseExpiryTracker keeper(t);
+  HeldLease holder(t);
+  Command take{Operation::kAcquire, 1, 0, 5, "w"};
   Result r = table.Apply(take);
-  holder.Granted(1000, r);
-  keeper.Applied(1000, take, r);  // even where it was applied the moment it was asked for
-  assert(holder.MayAct(1000 + t.lease * (1 - t.drift) - t.margin - 1) &&
-         !holder.MayAct(1000 + t.lease * (1 - t.drift) - t.margin));
-  assert(keeper.Due(1000 + t.lease * (1 + t.drift) + t.margin - 1, table).empty());
-  auto due = keeper.Due(1000 + t.lease * (1 + t.drift) + t.margin, table);
-  assert(due.size() == 1 && due[0].deed == Deed::kExpire && due[0].token == r.token);
-  assert(table.Apply({Deed::kRenew, 1, r.token, 0, "w"}).word ==
-         Word::kYes);  // under way when the expiry was proposed
-  assert(table.Apply(due[0]).word == Word::kHeld && table.Works().at("w").owner == 1);
-  keeper.Leads(9000, table);  // a new leader knows of no renewal: it waits a whole lease from then
-  assert(keeper.Due(9000 + t.lease, table).empty());
+  holder.Grant(1000, r);
+  keeper.HandleApplied(1000, take, r);  // even where it was applied the moment it was asked for
+  assert(holder.MayAct(1000 + t.duration * (1 - t.clock_drift) - t.margin - 1) &&
+         !holder.MayAct(1000 + t.duration * (1 - t.clock_drift) - t.margin));
+  assert(
+      keeper.ExpiredLeases(1000 + t.duration * (1 + t.clock_drift) + t.margin - 1, table).empty());
+  auto due = keeper.ExpiredLeases(1000 + t.duration * (1 + t.clock_drift) + t.margin, table);
+  assert(due.size() == 1 && due[0].operation == Operation::kExpire && due[0].token == r.token);
+  assert(table.Apply({Operation::kRenew, 1, r.token, 0, "w"}).status ==
+         CommandStatus::kOk);  // under way when the expiry was proposed
+  assert(table.Apply(due[0]).status == CommandStatus::kHeldByAnother &&
+         table.Tasks().at("w").holder == 1);
+  keeper.StartLeading(9000,
+                      table);  // a new leader knows of no renewal: it waits a whole lease from then
+  assert(keeper.ExpiredLeases(9000 + t.duration, table).empty());
 }
 
 void TheFenceRefuses() {
-  Fence f;
-  assert(f.Take("w", 5, 1) == Landing::kDone && f.Take("w", 5, 1) == Landing::kDoneBefore);
-  assert(f.Take("w", 4, 2) == Landing::kStaleToken && f.Highest("w") == 5);
-  assert(f.Take("w", 6, 3) == Landing::kOutOfTurn &&
-         f.Take("w", 5, 2) == Landing::kStaleToken);  // 6 was seen, though it did not land
-  assert(f.Take("w", 6, 2) == Landing::kDone && f.Take("v", 1, 1) == Landing::kDone);
-  for (std::size_t i = 0; i < kMostWorks; ++i)
-    f.Take("x" + std::to_string(i), 1, 1);
-  assert(f.Take("one-more", 1, 1) == Landing::kFull);
+  FencingTokenCheck f;
+  assert(f.Check("w", 5, 1) == FencingResult::kDone &&
+         f.Check("w", 5, 1) == FencingResult::kAlreadyDone);
+  assert(f.Check("w", 4, 2) == FencingResult::kStaleToken && f.HighestToken("w") == 5);
+  assert(f.Check("w", 6, 3) == FencingResult::kOutOfOrder &&
+         f.Check("w", 5, 2) == FencingResult::kStaleToken);  // 6 was seen, though it did not land
+  assert(f.Check("w", 6, 2) == FencingResult::kDone && f.Check("v", 1, 1) == FencingResult::kDone);
+  for (std::size_t i = 0; i < kMaxTasks; ++i)
+    f.Check("x" + std::to_string(i), 1, 1);
+  assert(f.Check("one-more", 1, 1) == FencingResult::kFull);
 }
 
 void BytesFromOutsideNeverHarm() {
-  Did did{{"w", 7, 3}, Landing::kStaleToken, 9};
-  std::string good = EncodeDid(1000, did);
-  assert(ReadFrame(good) && ReadFrame(good)->kind == Kind::kDid && ReadFrame(good)->from == 1000);
-  assert(DecodeDo(ReadFrame(EncodeDo(2, did.what))->body)->step == 3);
+  StepResponse did{{"w", 7, 3}, FencingResult::kStaleToken, 9};
+  std::string good = EncodeStepResponse(1000, did);
+  assert(ReadFrame(good) && ReadFrame(good)->kind == MessageKind::kStepResponse &&
+         ReadFrame(good)->from == 1000);
+  assert(DecodeStepRequest(ReadFrame(EncodeStepRequest(2, did.request))->body)->step == 3);
   MemoryStore store;
   Node node({1, {1, 2, 3}, {{"w", 5, 50, {1000}}}, {}, {}}, &store, 1, 1, 0,
             {[](Id, std::string) {},
              [](const std::string&) {
              }});
   std::knuth_b random(5);
-  std::uint64_t before = node.Refused();
+  std::uint64_t before = node.RejectedDatagrams();
   for (int i = 0; i < 20000; ++i) {
     std::string bytes = good;
     if (i % 3 == 0)
@@ -124,7 +134,8 @@
     }
     node.Receive(i, bytes);
   }
-  assert(node.Refused() > before && node.group()->standing() == Group::Standing::kBegins);
+  assert(node.RejectedDatagrams() > before &&
+         node.group()->member_state() == Group::MemberState::kBootstrapping);
 }
 
 void Report(const char* name, std::uint64_t seed, const OwnerRun& run,
@@ -142,72 +153,73 @@
 struct World {
   struct Question {
     int front;
-    Deed deed;
+    Operation deed;
     Token token;
     int asked_at;
   };
   struct Reply {
     int front;
-    Deed deed;
+    Operation deed;
     int asked_at;
     Result result;
   };
   int t = 0;
   int leaders = 0;
-  Table table;
-  Keeper keeper;
-  std::vector<Holder> holders;
+  LeaseTable table;
+  LeaseExpiryTracker keeper;
+  std::vector<HeldLease> holders;
   std::vector<int> renewals{0, 0};        // asked so far, of each front
   std::vector<bool> waits{false, false};  // a question of its own is out
   std::vector<Question> asked;            // on their way to the leader: come in any order
   std::vector<std::pair<Command, int>>
       log;  // proposed, not yet agreed: agreed in order; second: of whom, when
   std::vector<Reply> replies;
-  explicit World(const Terms& terms) : keeper(terms), holders(2, Holder(terms)) {}
+  explicit World(const LeaseSettings& terms) : keeper(terms), holders(2, HeldLease(terms)) {}
   std::string key() const {
     Writer w;
-    w.number(static_cast<std::uint64_t>(t), 1);
-    w.number(static_cast<std::uint64_t>(leaders), 1);
+    w.WriteNumber(static_cast<std::uint64_t>(t), 1);
+    w.WriteNumber(static_cast<std::uint64_t>(leaders), 1);
     w.bytes += table.Snapshot();
-    w.number(static_cast<std::uint64_t>(std::min(keeper.Ends("w"), 1e6) * 4), 4);
+    w.WriteNumber(static_cast<std::uint64_t>(std::min(keeper.LeaseEnd("w"), 1e6) * 4), 4);
     for (int f = 0; f < 2; ++f) {
       auto& h = holders[static_cast<std::size_t>(f)];
-      w.number(h.token(), 8);
-      w.number(static_cast<std::uint64_t>((h.Until() + 2) * 4), 4);
-      w.number(static_cast<std::uint64_t>(renewals[static_cast<std::size_t>(f)] * 2 +
-                                          waits[static_cast<std::size_t>(f)]),
-               1);
+      w.WriteNumber(h.token(), 8);
+      w.WriteNumber(static_cast<std::uint64_t>((h.ValidUntil() + 2) * 4), 4);
+      w.WriteNumber(static_cast<std::uint64_t>(renewals[static_cast<std::size_t>(f)] * 2 +
+                                               waits[static_cast<std::size_t>(f)]),
+                    1);
     }
     for (auto& q : asked) {
-      w.number(static_cast<std::uint64_t>(q.front * 16 + static_cast<int>(q.deed)), 1);
-      w.number(q.token, 8);
-      w.number(static_cast<std::uint64_t>(q.asked_at), 1);
+      w.WriteNumber(static_cast<std::uint64_t>(q.front * 16 + static_cast<int>(q.deed)), 1);
+      w.WriteNumber(q.token, 8);
+      w.WriteNumber(static_cast<std::uint64_t>(q.asked_at), 1);
     }
-    w.number(255, 1);
+    w.WriteNumber(255, 1);
     for (auto& [c, when] : log) {
-      w.Text(Encode(c));
-      w.number(static_cast<std::uint64_t>(when), 2);
+      w.WriteString(Encode(c));
+      w.WriteNumber(static_cast<std::uint64_t>(when), 2);
     }
-    w.number(255, 1);
+    w.WriteNumber(255, 1);
     for (auto& r : replies) {
-      w.number(static_cast<std::uint64_t>(r.front * 16 + static_cast<int>(r.deed)), 1);
-      w.number(static_cast<std::uint64_t>(r.asked_at * 8 + static_cast<int>(r.result.word)), 2);
-      w.number(r.result.token, 8);
+      w.WriteNumber(static_cast<std::uint64_t>(r.front * 16 + static_cast<int>(r.deed)), 1);
+      w.WriteNumber(static_cast<std::uint64_t>(r.asked_at * 8 + static_cast<int>(r.result.status)),
+                    2);
+      w.WriteNumber(r.result.token, 8);
     }
     return std::move(w.bytes);
   }
 };
 
 std::size_t EveryOrderKeepsOneOwner(bool expiries_are_void) {
-  Terms terms;
-  terms.lease = 3;
+  LeaseSettings terms;
+  terms.duration = 3;
   terms.margin = 0.5;
-  terms.drift = 0;
+  terms.clock_drift = 0;
   constexpr int kEnd = 6, kMostAsks = 2,
                 kMostLeaders = 1;  // two leases' time; more by hand takes minutes
   World first(terms);
-  first.table.Apply({Deed::kFound, 1, 1, 0, "group"});
-  first.keeper.Leads(-100, first.table);  // the wait after a founding is over
+  first.table.Apply({Operation::kBootstrap, 1, 1, 0, "group"});
+  first.keeper.StartLeading(-100, first.table);  // the wait after a founding is over
   std::vector<World> todo{first};
   std::set<std::string> seen{first.key()};
   std::size_t overlaps = 0;
@@ -235,9 +247,9 @@
           n.waits[f] = true;
           bool holds = n.holders[f].MayAct(n.t);
           if (!holds)
-            n.holders[f].Lost();
-          n.asked.push_back(
-              {static_cast<int>(f), holds ? Deed::kRenew : Deed::kTake, n.holders[f].token(), n.t});
+            n.holders[f].Clear();
+          n.asked.push_back({static_cast<int>(f), holds ? Operation::kRenew : Operation::kAcquire,
+                             n.holders[f].token(), n.t});
         });
     for (std::size_t i = 0; i < w.asked.size(); ++i) {
       go([i](World& n) {
@@ -257,40 +269,42 @@
         n.log.erase(n.log.begin());
         // As it was before the fix, for this test to find: an expiry holds whatever came after it
         // was proposed.
-        if (!expiries_are_void && c.deed == Deed::kExpire && n.table.Works().count("w"))
-          c.step = n.table.Works().at("w").heard;
+        if (!expiries_are_void && c.operation == Operation::kExpire && n.table.Tasks().count("w"))
+          c.step = n.table.Tasks().at("w").accepted_commands;
         Result r = n.table.Apply(c);
-        n.keeper.Applied(n.t, c, r);
-        if (c.deed != Deed::kExpire)
-          n.replies.push_back({static_cast<int>(c.front) - 1, c.deed, when, r});
+        n.keeper.HandleApplied(n.t, c, r);
+        if (c.operation != Operation::kExpire)
+          n.replies.push_back({static_cast<int>(c.front) - 1, c.operation, when, r});
       });
-    bool proposed = std::any_of(w.log.begin(), w.log.end(),
-                                [](auto& one) { return one.first.deed == Deed::kExpire; });
+    bool proposed = std::any_of(w.log.begin(), w.log.end(), [](auto& one) {
+      return one.first.operation == Operation::kExpire;
+    });
     if (!proposed)
-      for (const Command& c : w.keeper.Due(w.t, w.table))
+      for (const Command& c : w.keeper.ExpiredLeases(w.t, w.table))
         go([&c](World& n) { n.log.emplace_back(c, 0); });
     if (w.leaders < kMostLeaders)
       go([](World& n) {
         ++n.leaders;
         for (auto& [c, when] : n.log)
-          if (c.front != 0 && c.deed != Deed::kExpire)
+          if (c.front != 0 && c.operation != Operation::kExpire)
             n.waits[c.front - 1] = false;
         n.log.clear();  // what was not agreed is gone with the old leader
-        n.keeper.Leads(n.t, n.table);
+        n.keeper.StartLeading(n.t, n.table);
       });
     for (std::size_t i = 0; i < w.replies.size(); ++i)
       for (bool comes : {true, false})
         go([i, comes](World& n) {
           auto r = n.replies[i];
           n.replies.erase(n.replies.begin() + static_cast<std::ptrdiff_t>(i));
-          Holder& h = n.holders[static_cast<std::size_t>(r.front)];
+          HeldLease& h = n.holders[static_cast<std::size_t>(r.front)];
           n.waits[static_cast<std::size_t>(r.front)] = false;
           if (!comes)
             return;
-          if (r.result.word == Word::kYes && (r.deed == Deed::kTake || h.token() == r.result.token))
-            h.Granted(r.asked_at, r.result);
-          else if (r.deed == Deed::kRenew)
-            h.Lost();
+          if (r.result.status == CommandStatus::kOk &&
+              (r.deed == Operation::kAcquire || h.token() == r.result.token))
+            h.Grant(r.asked_at, r.result);
+          else if (r.deed == Operation::kRenew)
+            h.Clear();
         });
   }
   std::printf("explored: %zu states, %zu with two that act%s\n", seen.size(), overlaps,
@@ -318,8 +332,8 @@
     ++tally.runs;
     for (const Happened& h : run.history) {
       tally.grants += h.what == Happened::What::kGranted;
-      tally.landed += h.what == Happened::What::kLanded && h.landing == Landing::kDone;
-      tally.stale += h.what == Happened::What::kLanded && h.landing == Landing::kStaleToken;
+      tally.landed += h.what == Happened::What::kLanded && h.landing == FencingResult::kDone;
+      tally.stale += h.what == Happened::What::kLanded && h.landing == FencingResult::kStaleToken;
     }
     auto some = Handovers(run.history);
     tally.handovers.insert(tally.handovers.end(), some.begin(), some.end());
@@ -347,7 +361,7 @@
   assert(sim.holder("work-0") != 0);
   sim.Restart(1, true);
   sim.Restart(2, true);  // members 1 and 2 of three come back with nothing
-  sim.RunUntil(9000 + 3 * t.lease.lease);
+  sim.RunUntil(9000 + 3 * t.lease.duration);
   assert(sim.holder("work-0") == 0 && sim.holder("work-1") == 0);
   OwnerRun run = sim.result(false);
   int lost = 0;
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -340,7 +340,7 @@
     owner::StoredState state = owned.load();
     CHECK(state.term == 7);
     CHECK(state.vote == 2);
-    CHECK(state.founding.size() == 13);
+    CHECK(state.bootstrap.size() == 13);
     CHECK(state.first == 3);
     REQUIRE(state.entries.size() == static_cast<std::size_t>(2 + opening));
     CHECK(state.entries[0].bytes == "second");
--- a/tests/support/failing_store.hpp
+++ b/tests/support/failing_store.hpp
@@ -48,14 +48,14 @@
   ~FailingStore() override {
     --disk_.open;
   }
-  bool Lasts() const override {
+  bool IsDurable() const override {
     return true;
   }
   owner::StoredState load() override {
     return disk_.kept.load();
   }
-  void Found(const std::string& founding) override {
-    disk_.Call([&] { disk_.kept.Found(founding); });
+  void SaveBootstrap(const std::string& bootstrap) override {
+    disk_.Call([&] { disk_.kept.SaveBootstrap(bootstrap); });
   }
   void SetTerm(std::uint64_t term) override {
     disk_.Call([&] {
@@ -78,8 +78,8 @@
   void Truncate(std::uint64_t from) override {
     disk_.Call([&] { disk_.kept.Truncate(from); });
   }
-  void Take(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override {
-    disk_.Call([&] { disk_.kept.Take(snapshot, trailing); });
+  void SaveSnapshot(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override {
+    disk_.Call([&] { disk_.kept.SaveSnapshot(snapshot, trailing); });
   }
 
  private:
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -223,7 +223,7 @@
       throw std::runtime_error("a datagram that its own reader refuses");
     static const char* const kKinds[] = {"group", "ask", "answer", "act", "did"};
     std::string name = std::string("owner_") + kKinds[static_cast<int>(frame->kind)];
-    if (frame->kind == owner::Kind::kGroup) {
+    if (frame->kind == owner::MessageKind::kGroup) {
       bool consensus = frame->body[0] != 0;
       name += consensus ? "_raft_" + std::to_string(static_cast<int>(frame->body[1])) : "_hello";
     }
@@ -235,17 +235,17 @@
   std::map<owner::Id, owner::MemoryStore> stores;
   std::map<owner::Id, std::unique_ptr<owner::Node>> nodes;
   for (owner::Id id = 1; id <= kWorker; ++id) {
-    owner::NodeTerms terms;
+    owner::NodeSettings terms;
     terms.self = id;
     terms.group = {1, 2, 3};
     if (id == kWorker)
-      terms.jobs = {{"sweep-1", kSteps, 50, {kExecutor}, false}, {"record", 1, 50, {}, true}};
+      terms.tasks = {{"sweep-1", kSteps, 50, {kExecutor}, false}, {"record", 1, 50, {}, true}};
     owner::Store* store = id == kWorker ? nullptr : &stores[id];
     nodes[id] = std::make_unique<owner::Node>(terms, store, 1000 + id, 40 + id, 0,
-                                              owner::Node::Ways{send, [](const std::string&) {
-                                                                }});
+                                              owner::Node::Callbacks{send, [](const std::string&) {
+                                                                     }});
   }
-  owner::Fence fence;
+  owner::FencingTokenCheck fence;
   for (owner::Ms now = 0; now <= kUntil; now += kTick) {
     for (auto& [id, node] : nodes)
       node->Tick(now);
@@ -258,14 +258,14 @@
         continue;
       }
       auto frame = owner::ReadFrame(packet.bytes);
-      auto step = owner::DecodeDo(frame->body);
+      auto step = owner::DecodeStepRequest(frame->body);
       if (!step)
         throw std::runtime_error("a step that its own reader refuses");
-      owner::Did did;
-      did.what = *step;
-      did.landing = fence.Take(step->work, step->token, step->step);
-      did.highest = fence.Highest(step->work);
-      send(frame->from, owner::EncodeDid(kExecutor, did));
+      owner::StepResponse did;
+      did.request = *step;
+      did.result = fence.Check(step->task, step->token, step->step);
+      did.highest_token = fence.HighestToken(step->task);
+      send(frame->from, owner::EncodeStepResponse(kExecutor, did));
     }
   }
   return longest;
@@ -273,33 +273,33 @@
 
 std::optional<std::string> ReencodeStep(Bytes bytes) {
   auto frame = owner::ReadFrame(bytes);
-  if (!frame || frame->kind != owner::Kind::kAct)
+  if (!frame || frame->kind != owner::MessageKind::kStepRequest)
     return std::nullopt;
-  auto step = owner::DecodeDo(frame->body);
+  auto step = owner::DecodeStepRequest(frame->body);
   if (!step)
     return std::nullopt;
-  return owner::EncodeDo(frame->from, *step);
+  return owner::EncodeStepRequest(frame->from, *step);
 }
 
 void AddLeases(std::vector<Golden>& all) {
-  for (int deed = 0; deed <= static_cast<int>(owner::Deed::kFound); ++deed) {
+  for (int deed = 0; deed <= static_cast<int>(owner::Operation::kBootstrap); ++deed) {
     owner::Command command;
-    command.deed = static_cast<owner::Deed>(deed);
+    command.operation = static_cast<owner::Operation>(deed);
     command.front = 0x01020304;
     command.token = 0x1122334455667788u;
     command.step = 6;
-    command.work = "sweep-1";
-    all.push_back({std::string("owner_command_") + owner::MakeWord(command.deed),
+    command.task = "sweep-1";
+    all.push_back({std::string("owner_command_") + owner::ToString(command.operation),
                    owner::Encode(command), Reencode(owner::Decode)});
   }
-  owner::Table table;
-  table.Apply({owner::Deed::kFound, 1, 100, 0, ""});
-  table.Apply({owner::Deed::kTake, 2, 0, 4, "sweep-1"});
-  table.Apply({owner::Deed::kTake, 3, 0, 0, "record"});
-  table.Apply({owner::Deed::kRecord, 2, table.Works().at("sweep-1").token, 1, "sweep-1"});
+  owner::LeaseTable table;
+  table.Apply({owner::Operation::kBootstrap, 1, 100, 0, ""});
+  table.Apply({owner::Operation::kAcquire, 2, 0, 4, "sweep-1"});
+  table.Apply({owner::Operation::kAcquire, 3, 0, 0, "record"});
+  table.Apply({owner::Operation::kRecordStep, 2, table.Tasks().at("sweep-1").token, 1, "sweep-1"});
   all.push_back(
       {"owner_table_snapshot", table.Snapshot(), [](Bytes bytes) -> std::optional<std::string> {
-         owner::Table restored;
+         owner::LeaseTable restored;
          if (!restored.Restore(bytes))
            return std::nullopt;
          return restored.Snapshot();
@@ -626,11 +626,11 @@
 
 void WriteGroup(const std::string& folder, const owner::StoredState& state) {
   store::LmdbStore disk(folder);
-  disk.Found(state.founding);
+  disk.SaveBootstrap(state.bootstrap);
   disk.SetTerm(state.term);
   disk.SetVote(state.vote);
   disk.Append(state.entries);
-  disk.Take(*state.snapshot, state.entries.size());
+  disk.SaveSnapshot(*state.snapshot, state.entries.size());
 }
 
 std::optional<std::string> RestoreGroup(Bytes packed) {
@@ -670,7 +670,7 @@
                  }),
                  RestoreFloors});
   owner::StoredState group;
-  group.founding = "founders";
+  group.bootstrap = "founders";
   group.term = 5;
   group.vote = 2;
   group.entries = {{4, 1, "first"}, {5, 1, std::string("se\0cond", 7)}, {5, 3, ""}};
