--- a/src/front/owner.cpp
+++ b/src/front/owner.cpp
@@ -121,7 +121,7 @@
 }
 
 void OwnerComponent::HandleMessage(peers::Id from, std::span<const char> message) {
-  auto frame = owner::ReadFrame(message);
+  auto frame = owner::DecodeFrame(message);
   if (!frame || frame->from != from)
     return void(++impl_->malformed);
   ++impl_->received;
@@ -129,7 +129,7 @@
 }
 
 void OwnerComponent::HandleRawDatagram(std::span<const char> datagram) {
-  auto frame = owner::ReadFrame(datagram);
+  auto frame = owner::DecodeFrame(datagram);
   if (!frame || frame->kind != owner::MessageKind::kStepResponse ||
       !impl_->settings.addresses.count(frame->from))
     return void(++impl_->malformed);
--- a/src/owner/agent.cpp
+++ b/src/owner/agent.cpp
@@ -5,9 +5,9 @@
 namespace dunlinwick::owner {
 
 namespace {
-constexpr Ms kResendInterval = 150;  // a question or step without its answer is sent again
+constexpr Ms kResendInterval = 150;  // for a request or step without a response
 constexpr Ms kRequestTimeout =
-    1200;  // a question whose answer never came is put anew: the group may have forgotten it
+    1200;  // then a new request replaces it: the group may have lost the first
 }  // namespace
 
 Agent::Agent(Id self, std::vector<Id> group, std::vector<TaskSpec> tasks, LeaseSettings settings,
@@ -16,14 +16,14 @@
       group_(std::move(group)),
       settings_(settings),
       random_(static_cast<unsigned>(seed ^ (seed >> 32))) {
-  // Fronts ask at different times, so that not always the same comes first.
+  // Fronts send requests at different times, so that not always the same front is first.
   std::uniform_real_distribution<double> offset(0, settings_.renew_interval);
   for (TaskSpec& spec : tasks) {
     tasks_.emplace_back(std::move(spec), settings_);
     tasks_.back().acquire_at = now + offset(random_);
   }
-  // Numbers differ from an earlier process's, whose answers may still come: the seed is the same
-  // for each, as configured.
+  // Request ids differ from those of an earlier process, whose responses may still arrive. The seed
+  // cannot provide this: it is configured and equal for every process of this front.
   last_request_id_ = incarnation << 20;
 }
 
@@ -67,14 +67,14 @@
     if (task.ended)
       continue;
     if (task.lease.IsHeld() && !MayAct(now, task))
-      LoseLease(now, task, "its lease ran out before a renewal was heard", callbacks);
+      LoseLease(now, task, "the lease expired before a renewal was confirmed", callbacks);
     if (task.request_id != 0 && now >= task.requested_at + kRequestTimeout) {
       task.request_id = 0;
       leader_ = 0;
     }
     if (task.request_id != 0 && now >= task.resend_at) {
-      // The same question elsewhere: who leads may have changed. Its time still counts from when it
-      // was first put.
+      // Sends the same request to another member, as the leader may have changed. A lease that it
+      // grants still counts from the first time it was sent.
       task.resend_at = now + kResendInterval;
       if (leader_ == task.requested_from)
         leader_ = 0;
@@ -89,9 +89,9 @@
     if (!task.lease.IsHeld()) {
       if (task.request_id == 0 && now >= task.acquire_at && permitted_)
         SendLeaseRequest(now, task, Operation::kAcquire, task.spec.steps, callbacks);
-      // One that may not own yet still wants to know whether there is a group that answers: it asks
-      // for what it can't get, a renewal of what it does not hold. Guards against waiting for each
-      // other: it is permitted once a leader is known.
+      // A front without permission to acquire leases still has to find out whether the group
+      // responds, so it sends a renewal that must fail, of a lease that it does not hold. Prevents
+      // a deadlock: the permission is given only once a leader is known.
       else if (task.request_id == 0 && now >= task.acquire_at && leader_ == 0) {
         SendLeaseRequest(now, task, Operation::kRenew, 0, callbacks);
         task.acquire_at = now + settings_.renew_interval;
@@ -99,8 +99,8 @@
       continue;
     }
     if (task.request_id == 0) {
-      // What was done at all places is recorded before a renewal; both prove that this front still
-      // owns it.
+      // A step that all executors have executed is recorded before a renewal is sent; either
+      // command renews the lease.
       if (task.recording)
         SendLeaseRequest(now, task, Operation::kRecordStep, task.step, callbacks);
       else if (!task.spec.standing && task.done_steps >= task.spec.steps && task.step == 0)
@@ -134,7 +134,7 @@
       leader_ = response.leader;
     else if (leader_ == from)
       leader_ = 0;
-    // Asked again at once there, a few milliseconds hence at the next tick.
+    // Resent to that leader at the next tick, a few milliseconds later.
     if (entry != tasks_.end() && response.leader != 0 && response.leader != from)
       entry->resend_at = std::min(entry->resend_at, now);
     return;
@@ -145,7 +145,7 @@
   TaskState& task = *entry;
   Operation operation = task.operation;
   if (response.result.status == CommandStatus::kUnknownOutcome) {
-    task.request_id = 0;  // may have been taken or not: what it asked for is asked anew
+    task.request_id = 0;  // the command may or may not have been applied; a new request follows
     leader_ = 0;
     return;
   }
@@ -171,11 +171,12 @@
     return;
   }
   if (!task.lease.IsHeld())
-    return;  // an answer to what it asked as an owner that it is no more
+    return;  // the response to a request sent while it held a lease that it has lost
   if (response.result.status != CommandStatus::kOk) {
     if (response.result.status == CommandStatus::kTaskEnded)
       task.ended = true;
-    return LoseLease(now, task, std::string("the group says ") + ToString(response.result.status),
+    return LoseLease(now, task,
+                     std::string("the group responded: ") + ToString(response.result.status),
                      callbacks);
   }
   if (operation == Operation::kRenew || operation == Operation::kRecordStep) {
@@ -205,7 +206,7 @@
         response.request.token != task.lease.token())
       continue;
     if (response.result == FencingResult::kStaleToken) {
-      LoseLease(now, task, "a place has seen token " + std::to_string(response.highest_token),
+      LoseLease(now, task, "an executor has seen token " + std::to_string(response.highest_token),
                 callbacks);
     } else if (response.request.step == task.step &&
                (response.result == FencingResult::kDone ||
--- a/src/owner/agent.hpp
+++ b/src/owner/agent.hpp
@@ -1,12 +1,14 @@
-// A front's side of ownership: asks the group for works that it may do, does them step by step
-// under the lease, records each step, and stops in time. Pure: time and messages in, messages and
-// lines for the log out.
+// The lease client of a front: requests leases of tasks from the group, executes the tasks step by
+// step while it holds the lease, records each step, and stops before the lease expires. Performs no
+// I/O and reads no clock: times and messages are arguments, messages and log lines leave through
+// callbacks.
 //
-// A step is sent to all places where the work is carried out; when all have done it (or say that it
-// was done before) it is recorded with the group, and only then the next begins. So a new owner
-// resumes from what was recorded: the step under way may be sent again, and the fences make that
-// one effect. A place that names a higher token ends the ownership at once. Bounds: works as
-// configured (mostWorks); one question and one step under way a work.
+// A step is sent to all executors of the task. Once all have executed it (or report that it was
+// executed before) it is recorded with the group, and only then does the next one start. A new
+// holder therefore resumes from the last recorded step: the step in progress may be sent again, and
+// the executors' fencing token checks let it take effect once. A response that names a higher token
+// ends the lease at once. Bounds: the configured tasks (kMaxTasks); one request and one step in
+// flight per task.
 #pragma once
 #include <functional>
 #include <random>
@@ -19,23 +21,23 @@
 struct TaskSpec {
   std::string name;
   std::uint64_t steps = 1;
-  Ms step_interval = 50;      // from one step to the next, at least
-  std::vector<Id> executors;  // who carries it out
-  // A work without an end or steps of its own: to hold it is the work (the record's writing, say).
-  // Nothing is recorded for it; its token is the fence of whatever its owner does, and the next
-  // owner begins by what the fenced ones kept.
+  Ms step_interval = 50;      // minimum time from one step to the next
+  std::vector<Id> executors;  // the processes that execute the steps
+  // A task without steps or end, for which only the lease matters (writing the record, for
+  // example). Nothing is recorded for it. Whatever its holder does carries the fencing token, and
+  // the next holder starts from the state that the processes checking the token have stored.
   bool standing = false;
 };
 
 struct LeaseRequest {
-  std::uint64_t request_id = 0;  // of the question, by its asker
+  std::uint64_t request_id = 0;  // chosen by the requesting front
   Command command;
 };
 struct LeaseResponse {
   std::uint64_t request_id = 0;
   Result result;
-  Id leader = 0;         // whom to ask instead, where the one asked does not lead
-  bool handled = false;  // the one asked leads, and this is the group's answer
+  Id leader = 0;         // the member to ask instead, if the responding one is not the leader
+  bool handled = false;  // the responding member is the leader, and this is the group's response
 };
 struct StepRequest {
   std::string task;
@@ -55,20 +57,20 @@
     std::function<void(Id to, const StepRequest&)> send_step_request;
     std::function<void(const std::string& line)> log_line;
   };
-  // What a test breaks on purpose; all false in service.
+  // Faults that tests inject; all false in production.
   struct InjectedFaults {
-    bool no_margin = false;        // acts until the lease's very end and beyond, by its own clock
+    bool no_margin = false;        // acts until the lease expires by its own clock, and beyond
     bool from_first_step = false;  // resumes from before the last recorded step
-    bool no_lease = false;         // acts for ever once it was granted
+    bool no_lease = false;         // acts without a time limit once granted
   };
   Agent(Id self, std::vector<Id> group, std::vector<TaskSpec> tasks, LeaseSettings settings,
         std::uint64_t seed, std::uint64_t incarnation, Ms now);
-  void Tick(Ms now, const Callbacks& callbacks);  // every 20 ms or so
-  // Whether this front may come to own anything (it may at first). What it holds it keeps till it
-  // is lost; a standing work is no longer renewed. For a front that is still coming back from a
-  // power loss, or that was set aside.
-  void PermitLeases(bool may) {
-    permitted_ = may;
+  void Tick(Ms now, const Callbacks& callbacks);  // called about every 20 ms
+  // Whether this front may acquire leases (initially true). Without the permission it keeps the
+  // leases of tasks with steps until it loses them, and no longer renews those of standing tasks.
+  // Used for a front that is recovering from a power loss or was taken out of service.
+  void PermitLeases(bool permitted) {
+    permitted_ = permitted;
   }
   void HandleLeaseResponse(Ms now, Id from, const LeaseResponse& response,
                            const Callbacks& callbacks);
@@ -86,22 +88,22 @@
   bool KnowsLeader() const {
     return leader_ != 0;
   }
-  bool IsIdle() const;  // nothing is left to do, as far as it knows
+  bool IsIdle() const;  // as far as this front knows, every task has ended
 
  private:
   struct TaskState {
     TaskSpec spec;
     HeldLease lease;
     std::uint64_t done_steps = 0;  // recorded
-    std::uint64_t step = 0;        // under way; 0: none
-    std::set<Id> executed_by;      // places that have it
+    std::uint64_t step = 0;        // in progress; 0: none
+    std::set<Id> executed_by;      // executors of the step in progress
     bool ended = false;
     bool recording = false;
     Ms next_step_at = 0;
     Ms sent_at = 0;
     Ms renew_at = 0;
     Ms acquire_at = 0;
-    std::uint64_t request_id = 0;  // under way; 0: none
+    std::uint64_t request_id = 0;  // in flight; 0: none
     Operation operation = Operation::kAcquire;
     Ms requested_at = 0;
     Ms resend_at = 0;
--- a/src/owner/bytes.hpp
+++ b/src/owner/bytes.hpp
@@ -1,6 +1,6 @@
-// Fixed-width little-endian numbers and short texts, for the owner's messages and records. A reader
-// that runs short or meets an over-long text turns bad and yields zeroes from then on; it never
-// throws.
+// Binary encoding of the lease code's messages and stored entries: fixed-width little-endian
+// numbers and length-prefixed strings. A Reader that runs out of bytes or meets a string above its
+// limit fails and returns zeroes from then on; it never throws.
 #pragma once
 #include <cstdint>
 #include <span>
@@ -48,7 +48,7 @@
   }
   bool IsComplete() const {
     return !failed_ && position_ == bytes_.size();
-  }  // all read, and good
+  }  // every byte was read, without a failure
 
  private:
   std::span<const char> bytes_;
--- a/src/owner/fence.hpp
+++ b/src/owner/fence.hpp
@@ -1,7 +1,8 @@
-// The fence, at whoever carries an action out: a token below the highest it has seen is refused,
-// and so is a step that was done. Pure. What it keeps must last as long as what its actions change;
-// where it is lost, so is the promise. Bounds: as many works as there are (mostWorks); more are
-// refused.
+// The fencing token check, made by an executor before it executes a step: a step is refused when
+// its token is below the highest that the executor has seen for the task, or when it was executed
+// before. Performs no I/O. Its state must last as long as the effects of the steps; once it is
+// lost, a step under an old token can take effect again. Bounds: kMaxTasks tasks; steps of further
+// tasks are refused.
 #pragma once
 #include "owner/lease.hpp"
 
@@ -15,14 +16,15 @@
   kFull
 };
 inline const char* ToString(FencingResult result) {
-  static const char* const kWords[] = {"done", "done before", "stale token", "out of turn", "full"};
+  static const char* const kWords[] = {"done", "already done", "stale token", "out of order",
+                                       "full"};
   return kWords[static_cast<int>(result)];
 }
 
 class FencingTokenCheck {
  public:
-  // Steps are numbered from 1 and land in order; a step that was done says so, so that an owner
-  // whose answer was lost goes on.
+  // Steps are numbered from 1 and are executed in order. A step that was executed before gets
+  // kAlreadyDone, so that a lease holder whose response was lost continues with the next one.
   FencingResult Check(const std::string& task, Token token, std::uint64_t step) {
     auto entry = tasks_.find(task);
     if (entry == tasks_.end()) {
--- a/src/owner/group.cpp
+++ b/src/owner/group.cpp
@@ -11,34 +11,35 @@
 constexpr std::size_t kMaxProposals = 256;
 }
 
-const char* ToString(Group::MemberState s) {
+const char* ToString(Group::MemberState state) {
   static const char* const kWords[] = {"begins", "member", "lost", "failed"};
-  return kWords[static_cast<int>(s)];
+  return kWords[static_cast<int>(state)];
 }
 
-Group::Impl::Impl(Id s, std::vector<Id> m, RaftSettings t, LeaseSettings lease, Store& st,
-                  std::uint64_t inc, std::uint64_t seed, Ms n, Send out)
-    : self(s),
-      members(std::move(m)),
-      settings(t),
-      store(st),
-      incarnation(inc),
-      send(std::move(out)),
+Group::Impl::Impl(Id own_id, std::vector<Id> all_members, RaftSettings raft_settings,
+                  LeaseSettings lease, Store& raft_store, std::uint64_t process_incarnation,
+                  std::uint64_t seed, Ms start_time, Send send_message)
+    : self(own_id),
+      members(std::move(all_members)),
+      settings(raft_settings),
+      store(raft_store),
+      incarnation(process_incarnation),
+      send(std::move(send_message)),
       random(static_cast<unsigned>(seed ^ (seed >> 32))),
-      now(n),
-      last_tick_at(n),
+      now(start_time),
+      last_tick_at(start_time),
       expiry_tracker(lease),
-      next_hello_at(n) {
-  bootstrapping[self] = incarnation;
+      next_hello_at(start_time) {
+  bootstrapping_incarnations[self] = incarnation;
   SetUpIo();
   SetUpFsm();
   StoredState state = store.load();
   if (!state.bootstrap.empty()) {
-    Reader r(state.bootstrap);
-    if (!ReadSet(r, bootstrap_members) || !r.IsComplete())
-      throw std::runtime_error("the owner's store holds no founding that can be read");
-    // The founding is on disk before the log's first entry, which is the same at all members;
-    // without that it could never vote.
+    Reader reader(state.bootstrap);
+    if (!ReadIncarnations(reader, bootstrap_members) || !reader.IsComplete())
+      throw std::runtime_error("the owner store's bootstrap entry is unreadable");
+    // The bootstrap is stored before the log's first entry, which is the same at all members. A
+    // member that stopped between the two writes the entry now; without it, it could never vote.
     bool is_partly_bootstrapped = state.entries.empty() && !state.snapshot;
     if (is_partly_bootstrapped)
       BootstrapAndStart();
@@ -70,20 +71,20 @@
   if (is_leader && !was_leader) {
     was_leader = true;
     expiry_tracker.StartLeading(now, table);
-    // Also what commits the entries of earlier terms: Raft lets a leader do so only by one of its
-    // own.
-    constexpr int kShift = 20;  // a million grants a millisecond, and 64 bits for centuries
+    // This command also commits the entries of earlier terms: a Raft leader may commit those only
+    // together with an entry of its own term.
+    constexpr int kShift = 20;  // a million grants per millisecond; 64 bits last for centuries
     Propose(
         Command{Operation::kBootstrap, self, reuse_tokens ? 1 : incarnation << kShift, 0, "group"},
         [](const Result&) {});
   }
   was_leader = is_leader;
   if (started && member_state == MemberState::kMember && node.state == RAFT_UNAVAILABLE)
-    Fail(std::string("consensus gave up: ") + raft_errmsg(&node));
+    Fail(std::string("Raft became unavailable: ") + raft_errmsg(&node));
 }
 
-void Group::Impl::Tick(Ms at) {
-  now = at;
+void Group::Impl::Tick(Ms time) {
+  now = time;
   if (member_state == MemberState::kBootstrapping && now >= next_hello_at) {
     constexpr Ms kHelloInterval = 200;
     next_hello_at = now + kHelloInterval;
@@ -96,42 +97,43 @@
   }
   RunDeferred();
   if (IsLeader())
-    for (const Command& c : expiry_tracker.ExpiredLeases(now, table))
-      Propose(c, [](const Result&) {});
+    for (const Command& command : expiry_tracker.ExpiredLeases(now, table))
+      Propose(command, [](const Result&) {});
   RunDeferred();
 }
 
-bool Group::Impl::Propose(const Command& c, Completion done) {
+bool Group::Impl::Propose(const Command& command, Completion done) {
   if (!IsLeader() || proposals.size() >= kMaxProposals)
     return false;
-  if (c.operation == Operation::kAcquire && !expiry_tracker.MayGrant(now, table)) {
+  if (command.operation == Operation::kAcquire && !expiry_tracker.MayGrant(now, table)) {
     done(Result{CommandStatus::kHeldByAnother, 0, 0, 0});
     return true;
   }
-  // An expiry that is under way is not proposed again.
-  if (c.operation == Operation::kExpire)
-    for (const auto& [req, p] : proposals)
-      if (p->command.operation == Operation::kExpire && p->command.task == c.task &&
-          p->command.token == c.token)
+  // An expiry in flight is not proposed again.
+  if (command.operation == Operation::kExpire)
+    for (const auto& [apply_request, proposal] : proposals)
+      if (proposal->command.operation == Operation::kExpire &&
+          proposal->command.task == command.task && proposal->command.token == command.token)
         return false;
-  auto p = std::make_unique<Proposal>(Proposal{this, c, std::move(done), {}});
-  std::string bytes = Encode(c);
-  raft_buffer buf{AllocateCopy(bytes), bytes.size()};
-  struct raft_apply* req = &p->request;
-  req->data = p.get();
-  proposals[req] = std::move(p);
-  int error = raft_apply(&node, req, &buf, 1, [](struct raft_apply* r, int status, void* result) {
-    auto* one = static_cast<Proposal*>(r->data);
-    Impl& impl = *one->impl;
-    Result answer = status == 0 && result ? *static_cast<Result*>(result)
-                                          : Result{CommandStatus::kUnknownOutcome, 0, 0, 0};
-    auto keep = std::move(impl.proposals[r]);
-    impl.proposals.erase(r);
-    keep->done(answer);
-  });
+  auto proposal = std::make_unique<Proposal>(Proposal{this, command, std::move(done), {}});
+  std::string bytes = Encode(command);
+  raft_buffer buffer{AllocateCopy(bytes), bytes.size()};
+  struct raft_apply* apply_request = &proposal->request;
+  apply_request->data = proposal.get();
+  proposals[apply_request] = std::move(proposal);
+  int error = raft_apply(
+      &node, apply_request, &buffer, 1, [](struct raft_apply* request, int status, void* result) {
+        auto* completed = static_cast<Proposal*>(request->data);
+        Impl& impl = *completed->impl;
+        Result outcome = status == 0 && result ? *static_cast<Result*>(result)
+                                               : Result{CommandStatus::kUnknownOutcome, 0, 0, 0};
+        auto owned = std::move(impl.proposals[request]);
+        impl.proposals.erase(request);
+        owned->done(outcome);
+      });
   if (error != 0) {
-    raft_free(buf.base);
-    proposals.erase(req);
+    raft_free(buffer.base);
+    proposals.erase(apply_request);
     return false;
   }
   return true;
@@ -151,19 +153,19 @@
   impl.now = now;
   if (from == impl.self || !std::count(impl.members.begin(), impl.members.end(), from))
     return;
-  Reader r(bytes);
-  std::uint64_t kind = r.ReadNumber(1);
+  Reader reader(bytes);
+  std::uint64_t kind = reader.ReadNumber(1);
   if (kind == static_cast<std::uint64_t>(Impl::Kind::kHello))
-    impl.HandleHello(from, r);
+    impl.HandleHello(from, reader);
   else if (kind == static_cast<std::uint64_t>(Impl::Kind::kRaft))
-    impl.HandleRaftMessage(from, r);
+    impl.HandleRaftMessage(from, reader);
   impl.RunDeferred();
 }
 bool Group::Propose(Ms now, const Command& command, Completion done) {
   impl_->now = now;
-  bool taken = impl_->Propose(command, std::move(done));
+  bool accepted = impl_->Propose(command, std::move(done));
   impl_->RunDeferred();
-  return taken;
+  return accepted;
 }
 Group::MemberState Group::member_state() const {
   return impl_->member_state;
@@ -186,8 +188,8 @@
   return impl_->table;
 }
 Ms Group::LeaseEnd(const std::string& task) const {
-  auto at = impl_->table.Tasks().find(task);
-  return at != impl_->table.Tasks().end() && at->second.holder != 0
+  auto entry = impl_->table.Tasks().find(task);
+  return entry != impl_->table.Tasks().end() && entry->second.holder != 0
              ? impl_->expiry_tracker.LeaseEnd(task)
              : 1e300;
 }
--- a/src/owner/group_inner.hpp
+++ b/src/owner/group_inner.hpp
@@ -1,8 +1,8 @@
-// What is inside a Group, for its files: group.cpp (time, proposals), group_founding.cpp,
-// group_io.cpp (what libraft asks of its I/O and of the state machine), group_messages.cpp (its
-// datagrams). Nothing else includes it.
+// The implementation of Group, shared by its source files: group.cpp (time and proposals),
+// group_founding.cpp (bootstrap), group_io.cpp (libraft's I/O and state machine interfaces) and
+// group_messages.cpp (libraft's messages as datagrams). No other file includes it.
 #pragma once
-extern "C" {  // the library's header does not say so itself
+extern "C" {  // raft.h has no linkage specification of its own
 #include <raft.h>
 }
 
@@ -40,8 +40,9 @@
   LeaseExpiryTracker expiry_tracker;
   bool was_leader = false;
 
-  // Founding: the incarnation of each member as it was heard to begin, and what each has seen.
-  std::map<Id, std::uint64_t> bootstrapping;
+  // Bootstrap: the incarnation of each member from which a hello was received, and the incarnations
+  // that each of them has seen.
+  std::map<Id, std::uint64_t> bootstrapping_incarnations;
   std::map<Id, std::map<Id, std::uint64_t>> seen_by_member;
   std::map<Id, std::uint64_t> bootstrap_members;
   Ms next_hello_at;
@@ -53,7 +54,7 @@
   bool started = false;
   raft_io_tick_cb tick_cb = nullptr;
   raft_io_recv_cb recv_cb = nullptr;
-  std::deque<std::function<void()>> deferred;  // emptied before each call returns
+  std::deque<std::function<void()>> deferred;  // run before each call returns
   struct Proposal {
     Impl* impl;
     Command command;
@@ -61,7 +62,7 @@
     struct raft_apply request {};
   };
   std::map<struct raft_apply*, std::unique_ptr<Proposal>>
-      proposals;  // emptied as they are answered, or lost
+      proposals;  // removed once their outcome is known or unknowable
 
   Result last_result;
   bool reuse_tokens = false;
@@ -69,8 +70,8 @@
   Impl(Id self, std::vector<Id> members, RaftSettings settings, LeaseSettings lease, Store& store,
        std::uint64_t incarnation, std::uint64_t seed, Ms now, Send send);
   ~Impl();
-  static Impl& Of(raft_io* i) {
-    return *static_cast<Impl*>(i->impl);
+  static Impl& Of(raft_io* io_handle) {
+    return *static_cast<Impl*>(io_handle->impl);
   }
   bool IsLeader() const {
     return started && member_state == MemberState::kMember && node.state == RAFT_LEADER;
@@ -89,16 +90,16 @@
   void Fail(const std::string& reason);
   void RunDeferred();
 
-  // ---- time, proposals
-  void Tick(Ms at);
-  bool Propose(const Command& c, Completion done);
+  // ---- time and proposals
+  void Tick(Ms time);
+  bool Propose(const Command& command, Completion done);
 
-  // ---- founding
-  static void WriteSet(Writer& w, const std::map<Id, std::uint64_t>& set);
-  static bool ReadSet(Reader& r, std::map<Id, std::uint64_t>& set);
+  // ---- bootstrap
+  static void WriteIncarnations(Writer& writer, const std::map<Id, std::uint64_t>& incarnations);
+  static bool ReadIncarnations(Reader& reader, std::map<Id, std::uint64_t>& incarnations);
   void SendHello();
-  void HandleHello(Id from, Reader& r);
-  void CompleteBootstrap(const std::map<Id, std::uint64_t>& set);
+  void HandleHello(Id from, Reader& reader);
+  void CompleteBootstrap(const std::map<Id, std::uint64_t>& members_with_incarnations);
   void BootstrapAndStart();
   void Init();
   void Start();
@@ -106,32 +107,34 @@
   // ---- libraft's I/O
   void SetUpIo();
   void SetUpFsm();
-  static int load(raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
-                  raft_index* first, raft_entry* entries[], size_t* n);
+  static int load(raft_io* io_handle, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
+                  raft_index* first, raft_entry* entries[], size_t* count);
   static void FillEntries(const std::vector<LogEntry>& from, raft_entry*& into);
   static void FillSnapshot(const StoredSnapshot& from, raft_snapshot& into);
-  static int Bootstrap(raft_io* i, const raft_configuration* conf);
-  static int Append(raft_io* i, raft_io_append* req, const raft_entry entries[], unsigned n,
-                    raft_io_append_cb cb);
-  static int PutSnapshot(raft_io* i, unsigned keep, raft_io_snapshot_put* req,
-                         const raft_snapshot* s, raft_io_snapshot_put_cb cb);
-  static int GetSnapshot(raft_io* i, raft_io_snapshot_get* req, raft_io_snapshot_get_cb cb);
-  static int SendMessage(raft_io* i, raft_io_send* req, const raft_message* m, raft_io_send_cb cb);
-  void HandleRaftMessage(Id from, Reader& r);
-
-  // ---- the library's memory and types, and ours
+  static int Bootstrap(raft_io* io_handle, const raft_configuration* configuration);
+  static int Append(raft_io* io_handle, raft_io_append* request, const raft_entry entries[],
+                    unsigned count, raft_io_append_cb callback);
+  static int PutSnapshot(raft_io* io_handle, unsigned trailing, raft_io_snapshot_put* request,
+                         const raft_snapshot* snapshot, raft_io_snapshot_put_cb callback);
+  static int GetSnapshot(raft_io* io_handle, raft_io_snapshot_get* request,
+                         raft_io_snapshot_get_cb callback);
+  static int SendMessage(raft_io* io_handle, raft_io_send* request, const raft_message* message,
+                         raft_io_send_cb callback);
+  void HandleRaftMessage(Id from, Reader& reader);
+
+  // ---- conversions between libraft's types and this project's
   static raft_id RaftId(Id id) {
     return id;
   }
   static std::string AddressOf(Id id) {
     return "m" + std::to_string(id);
   }
-  static void* AllocateCopy(const std::string& bytes);  // by raft_malloc
-  static std::string BytesOf(const raft_buffer& b) {
-    return std::string(static_cast<const char*>(b.base), b.len);
+  static void* AllocateCopy(const std::string& bytes);  // allocated by raft_malloc
+  static std::string BytesOf(const raft_buffer& buffer) {
+    return std::string(static_cast<const char*>(buffer.base), buffer.len);
   }
-  static std::string EncodeConfiguration(const raft_configuration& conf);
-  static bool DecodeConfiguration(Reader& r, raft_configuration& conf);
+  static std::string EncodeConfiguration(const raft_configuration& configuration);
+  static bool DecodeConfiguration(Reader& reader, raft_configuration& configuration);
 };
 
 }  // namespace dunlinwick::owner
--- a/src/owner/group_io.cpp
+++ b/src/owner/group_io.cpp
@@ -1,5 +1,5 @@
-// What libraft asks of its I/O and of the state machine: the store, the group's clock and chance,
-// the table.
+// libraft's I/O and state machine interfaces, implemented by the store, the group's clock and
+// random engine, and the lease table.
 #include <algorithm>
 #include <cstring>
 #include <new>
@@ -9,35 +9,35 @@
 namespace dunlinwick::owner {
 
 void* Group::Impl::AllocateCopy(const std::string& bytes) {
-  void* p = raft_malloc(std::max<std::size_t>(bytes.size(), 1));
-  if (!p)
+  void* copy = raft_malloc(std::max<std::size_t>(bytes.size(), 1));
+  if (!copy)
     throw std::bad_alloc();
-  std::memcpy(p, bytes.data(), bytes.size());
-  return p;
+  std::memcpy(copy, bytes.data(), bytes.size());
+  return copy;
 }
 
-std::string Group::Impl::EncodeConfiguration(const raft_configuration& conf) {
-  Writer w;
-  w.WriteNumber(conf.n, 1);
-  for (unsigned i = 0; i < conf.n; ++i) {
-    w.WriteNumber(conf.servers[i].id, 8);
-    w.WriteNumber(static_cast<std::uint64_t>(conf.servers[i].role), 1);
+std::string Group::Impl::EncodeConfiguration(const raft_configuration& configuration) {
+  Writer writer;
+  writer.WriteNumber(configuration.n, 1);
+  for (unsigned i = 0; i < configuration.n; ++i) {
+    writer.WriteNumber(configuration.servers[i].id, 8);
+    writer.WriteNumber(static_cast<std::uint64_t>(configuration.servers[i].role), 1);
   }
-  return std::move(w.bytes);
+  return std::move(writer.bytes);
 }
-bool Group::Impl::DecodeConfiguration(Reader& r, raft_configuration& conf) {
-  raft_configuration_init(&conf);
-  std::uint64_t n = r.ReadNumber(1);
-  for (std::uint64_t i = 0; i < n && !r.HasFailed(); ++i) {
-    std::uint64_t id = r.ReadNumber(8), role = r.ReadNumber(1);
-    if (r.HasFailed() || id == 0 || role > RAFT_SPARE ||
-        raft_configuration_add(&conf, id, AddressOf(static_cast<Id>(id)).c_str(),
+bool Group::Impl::DecodeConfiguration(Reader& reader, raft_configuration& configuration) {
+  raft_configuration_init(&configuration);
+  std::uint64_t count = reader.ReadNumber(1);
+  for (std::uint64_t i = 0; i < count && !reader.HasFailed(); ++i) {
+    std::uint64_t id = reader.ReadNumber(8), role = reader.ReadNumber(1);
+    if (reader.HasFailed() || id == 0 || role > RAFT_SPARE ||
+        raft_configuration_add(&configuration, id, AddressOf(static_cast<Id>(id)).c_str(),
                                static_cast<int>(role)) != 0) {
-      raft_configuration_close(&conf);
+      raft_configuration_close(&configuration);
       return false;
     }
   }
-  return !r.HasFailed();
+  return !reader.HasFailed();
 }
 
 void Group::Impl::SetUpIo() {
@@ -88,78 +88,78 @@
 void Group::Impl::SetUpFsm() {
   fsm.version = 1;
   fsm.data = this;
-  fsm.apply = [](raft_fsm* f, const raft_buffer* buf, void** result) {
-    Impl& impl = *static_cast<Impl*>(f->data);
+  fsm.apply = [](raft_fsm* machine, const raft_buffer* buffer, void** result) {
+    Impl& impl = *static_cast<Impl*>(machine->data);
     *result = nullptr;
-    auto c = Decode({static_cast<const char*>(buf->base), buf->len});
-    if (!c)
+    auto command = Decode({static_cast<const char*>(buffer->base), buffer->len});
+    if (!command)
       return static_cast<int>(RAFT_MALFORMED);
-    Result r = impl.table.Apply(*c);
+    Result outcome = impl.table.Apply(*command);
     if (impl.IsLeader())
-      impl.expiry_tracker.HandleApplied(impl.now, *c, r);
-    impl.last_result = r;
+      impl.expiry_tracker.HandleApplied(impl.now, *command, outcome);
+    impl.last_result = outcome;
     *result = &impl.last_result;
     return 0;
   };
-  fsm.snapshot = [](raft_fsm* f, raft_buffer* bufs[], unsigned* n) {
-    Impl& impl = *static_cast<Impl*>(f->data);
+  fsm.snapshot = [](raft_fsm* machine, raft_buffer* buffers[], unsigned* buffer_count) {
+    Impl& impl = *static_cast<Impl*>(machine->data);
     std::string bytes = impl.table.Snapshot();
-    *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    if (!*bufs)
+    *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
+    if (!*buffers)
       return static_cast<int>(RAFT_NOMEM);
-    *n = 1;
-    (*bufs)[0] = {AllocateCopy(bytes), bytes.size()};
+    *buffer_count = 1;
+    (*buffers)[0] = {AllocateCopy(bytes), bytes.size()};
     return 0;
   };
-  fsm.restore = [](raft_fsm* f, raft_buffer* buf) {
-    Impl& impl = *static_cast<Impl*>(f->data);
-    if (!impl.table.Restore({static_cast<const char*>(buf->base), buf->len}))
+  fsm.restore = [](raft_fsm* machine, raft_buffer* buffer) {
+    Impl& impl = *static_cast<Impl*>(machine->data);
+    if (!impl.table.Restore({static_cast<const char*>(buffer->base), buffer->len}))
       return static_cast<int>(RAFT_CORRUPT);
-    raft_free(buf->base);
+    raft_free(buffer->base);
     return 0;
   };
 }
 
-int Group::Impl::load(raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
-                      raft_index* first, raft_entry* entries[], size_t* n) {
-  Impl& impl = Of(i);
-  StoredState s;
-  if (impl.Persist([&] { s = impl.store.load(); }) != 0)
+int Group::Impl::load(raft_io* io_handle, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
+                      raft_index* first, raft_entry* entries[], size_t* entry_count) {
+  Impl& impl = Of(io_handle);
+  StoredState state;
+  if (impl.Persist([&] { state = impl.store.load(); }) != 0)
     return RAFT_IOERR;
-  *term = s.term;
-  *vote = s.vote;
+  *term = state.term;
+  *vote = state.vote;
   *snapshot = nullptr;
-  *first = s.first;
+  *first = state.first;
   *entries = nullptr;
-  *n = s.entries.size();
-  if (s.snapshot) {
-    auto* p = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
-    if (!p)
+  *entry_count = state.entries.size();
+  if (state.snapshot) {
+    auto* loaded = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
+    if (!loaded)
       return RAFT_NOMEM;
-    FillSnapshot(*s.snapshot, *p);
-    *snapshot = p;
+    FillSnapshot(*state.snapshot, *loaded);
+    *snapshot = loaded;
   }
-  if (*n == 0)
+  if (*entry_count == 0)
     return 0;
-  FillEntries(s.entries, *entries);
+  FillEntries(state.entries, *entries);
   return *entries ? 0 : static_cast<int>(RAFT_NOMEM);
 }
 
-// One batch holds the bytes of all, as the library wants what it is given.
+// libraft requires that the bytes of all entries are in one batch allocation.
 void Group::Impl::FillEntries(const std::vector<LogEntry>& from, raft_entry*& into) {
   std::size_t bytes = 0;
-  for (const LogEntry& e : from)
-    bytes += (e.bytes.size() + 7) / 8 * 8;
+  for (const LogEntry& entry : from)
+    bytes += (entry.bytes.size() + 7) / 8 * 8;
   into = static_cast<raft_entry*>(raft_calloc(from.size(), sizeof(raft_entry)));
   char* batch = static_cast<char*>(raft_malloc(std::max<std::size_t>(bytes, 8)));
-  std::size_t at = 0;
+  std::size_t offset = 0;
   for (std::size_t i = 0; i < from.size(); ++i) {
-    std::memcpy(batch + at, from[i].bytes.data(), from[i].bytes.size());
+    std::memcpy(batch + offset, from[i].bytes.data(), from[i].bytes.size());
     into[i].term = from[i].term;
     into[i].type = from[i].type;
-    into[i].buf = {batch + at, from[i].bytes.size()};
+    into[i].buf = {batch + offset, from[i].bytes.size()};
     into[i].batch = batch;
-    at += (from[i].bytes.size() + 7) / 8 * 8;
+    offset += (from[i].bytes.size() + 7) / 8 * 8;
   }
 }
 
@@ -168,68 +168,69 @@
   into.index = from.index;
   into.term = from.term;
   into.configuration_index = from.configuration_index;
-  Reader r(from.configuration);
-  DecodeConfiguration(r, into.configuration);
+  Reader reader(from.configuration);
+  DecodeConfiguration(reader, into.configuration);
   into.bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
   into.n_bufs = 1;
   into.bufs[0] = {AllocateCopy(from.data), from.data.size()};
 }
 
-int Group::Impl::Bootstrap(raft_io* i, const raft_configuration* conf) {
-  Impl& impl = Of(i);
-  raft_buffer buf;
-  if (raft_configuration_encode(conf, &buf) != 0)
+int Group::Impl::Bootstrap(raft_io* io_handle, const raft_configuration* configuration) {
+  Impl& impl = Of(io_handle);
+  raft_buffer buffer;
+  if (raft_configuration_encode(configuration, &buffer) != 0)
     return RAFT_NOMEM;
-  LogEntry e{1, RAFT_CHANGE, BytesOf(buf)};
-  raft_free(buf.base);
+  LogEntry entry{1, RAFT_CHANGE, BytesOf(buffer)};
+  raft_free(buffer.base);
   return impl.Persist([&] {
-    // A founding that a failed write or a kill left half done is gone on with: a term that was set
+    // Continues a bootstrap that a failed write or a kill interrupted: a term that was stored
     // stays.
     if (impl.store.load().term == 0)
       impl.store.SetTerm(1);
-    impl.store.Append({e});
+    impl.store.Append({entry});
   });
 }
 
-int Group::Impl::Append(raft_io* i, raft_io_append* req, const raft_entry entries[], unsigned n,
-                        raft_io_append_cb cb) {
-  Impl& impl = Of(i);
-  std::vector<LogEntry> all;
-  for (unsigned k = 0; k < n; ++k)
-    all.push_back({entries[k].term, entries[k].type, BytesOf(entries[k].buf)});
-  int error = impl.Persist([&] { impl.store.Append(all); });
+int Group::Impl::Append(raft_io* io_handle, raft_io_append* request, const raft_entry entries[],
+                        unsigned count, raft_io_append_cb callback) {
+  Impl& impl = Of(io_handle);
+  std::vector<LogEntry> log_entries;
+  for (unsigned k = 0; k < count; ++k)
+    log_entries.push_back({entries[k].term, entries[k].type, BytesOf(entries[k].buf)});
+  int error = impl.Persist([&] { impl.store.Append(log_entries); });
   if (error != 0)
     return error;
-  impl.deferred.push_back([req, cb] { cb(req, 0); });
+  impl.deferred.push_back([request, callback] { callback(request, 0); });
   return 0;
 }
 
-int Group::Impl::PutSnapshot(raft_io* i, unsigned keep, raft_io_snapshot_put* req,
-                             const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
-  Impl& impl = Of(i);
-  StoredSnapshot one;
-  one.index = s->index;
-  one.term = s->term;
-  one.configuration_index = s->configuration_index;
-  one.configuration = EncodeConfiguration(s->configuration);
-  for (unsigned k = 0; k < s->n_bufs; ++k)
-    one.data += BytesOf(s->bufs[k]);
-  int error = impl.Persist([&] { impl.store.SaveSnapshot(one, keep); });
+int Group::Impl::PutSnapshot(raft_io* io_handle, unsigned trailing, raft_io_snapshot_put* request,
+                             const raft_snapshot* snapshot, raft_io_snapshot_put_cb callback) {
+  Impl& impl = Of(io_handle);
+  StoredSnapshot stored;
+  stored.index = snapshot->index;
+  stored.term = snapshot->term;
+  stored.configuration_index = snapshot->configuration_index;
+  stored.configuration = EncodeConfiguration(snapshot->configuration);
+  for (unsigned k = 0; k < snapshot->n_bufs; ++k)
+    stored.data += BytesOf(snapshot->bufs[k]);
+  int error = impl.Persist([&] { impl.store.SaveSnapshot(stored, trailing); });
   if (error != 0)
     return error;
-  impl.deferred.push_back([req, cb] { cb(req, 0); });
+  impl.deferred.push_back([request, callback] { callback(request, 0); });
   return 0;
 }
 
-int Group::Impl::GetSnapshot(raft_io* i, raft_io_snapshot_get* req, raft_io_snapshot_get_cb cb) {
-  Impl& impl = Of(i);
-  impl.deferred.push_back([&impl, req, cb] {
-    StoredState s;
-    if (impl.Persist([&] { s = impl.store.load(); }) != 0 || !s.snapshot)
-      return cb(req, nullptr, RAFT_IOERR);
-    auto* p = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
-    FillSnapshot(*s.snapshot, *p);
-    cb(req, p, 0);
+int Group::Impl::GetSnapshot(raft_io* io_handle, raft_io_snapshot_get* request,
+                             raft_io_snapshot_get_cb callback) {
+  Impl& impl = Of(io_handle);
+  impl.deferred.push_back([&impl, request, callback] {
+    StoredState state;
+    if (impl.Persist([&] { state = impl.store.load(); }) != 0 || !state.snapshot)
+      return callback(request, nullptr, RAFT_IOERR);
+    auto* loaded = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
+    FillSnapshot(*state.snapshot, *loaded);
+    callback(request, loaded, 0);
   });
   return 0;
 }
--- a/src/owner/lease.cpp
+++ b/src/owner/lease.cpp
@@ -12,8 +12,9 @@
   return kWords[static_cast<int>(operation)];
 }
 const char* ToString(CommandStatus status) {
-  static const char* const kWords[] = {"yes",          "held by another", "stale token", "over",
-                                       "unknown work", "too many works",  "unsure"};
+  static const char* const kWords[] = {
+      "ok",           "held by another", "stale token",    "task ended",
+      "unknown task", "too many tasks",  "outcome unknown"};
   return kWords[static_cast<int>(status)];
 }
 
@@ -53,11 +54,12 @@
   if (command.operation == Operation::kBootstrap) {
     if (last_token_ == 0)
       last_token_ = bootstrap_token_ =
-          command.token;  // later leaders say it too, and change nothing
+          command.token;  // later leaders propose it too, without effect
     return {CommandStatus::kOk, last_token_, 0, 0};
   }
   if (last_token_ == 0)
-    return {CommandStatus::kUnknownOutcome, 0, 0, 0};  // not founded yet: no token may be given
+    return {CommandStatus::kUnknownOutcome, 0, 0,
+            0};  // not bootstrapped yet: no token may be granted
   auto entry = tasks_.find(command.task);
   if (entry == tasks_.end()) {
     if (command.operation != Operation::kAcquire)
@@ -74,8 +76,8 @@
   if (command.operation == Operation::kAcquire) {
     if (task.finished || task.abandoned)
       return make_result(CommandStatus::kTaskEnded);
-    // Its owner asking again may be a new process of it, which knows nothing: it waits as anybody
-    // would.
+    // A request from the holder itself may come from a new process without the old one's state: it
+    // waits for the expiry like any other front.
     if (task.holder != 0)
       return make_result(CommandStatus::kHeldByAnother);
     task.holder = command.front;
--- a/src/owner/lease.hpp
+++ b/src/owner/lease.hpp
@@ -1,19 +1,21 @@
-// Who owns each piece of the fleet's work: the table that a small group of fronts agrees on, and
-// the two clocks that a lease stands on. Pure: commands and time in, results out. The same commands
-// in the same order make the same table; the order is consensus' part (src/owner/group.*).
+// Leases of the fleet's tasks: the lease table, replicated by a small group of fronts, and the two
+// clocks that time a lease. Performs no I/O and reads no clock: commands and times are arguments.
+// The same commands in the same order give the same table; Raft provides the order
+// (src/owner/group.*).
 //
-// What it promises, and what the schedules in tests/owner_test.cpp look at:
-// - A token is given once: it grows with every grant, over all works, and never falls (it is part
-// of the table).
-// - A lease runs out by two clocks, neither of which is compared with the other. Its owner counts
-// from when it *asked*
-//   and stops acting at lease * (1 - drift) - margin; the group's leader counts from when it
-//   *applied* the grant or renewal, or came to lead, and gives it to nobody else before lease * (1
-//   + drift) + margin. What was asked is applied later, so the owner stops first, as long as no
-//   clock runs off by more than `drift`, or steps by more than `margin` within one lease. Past that
-//   bound the fence holds (src/owner/fence.hpp): clocks keep two from acting at once, the fence
-//   keeps what the late one does from landing.
-// Bounds: 64 works, names of 48 letters, digits and dashes at most; a command is 100 bytes at most.
+// Guarantees, checked under random fault schedules by tests/owner_test.cpp:
+// - A fencing token is granted once: it grows with every grant, across all tasks, and never
+// decreases (it is part of the table).
+// - A lease expires by two clocks that are never compared with each other. Its holder counts from
+// when it *sent the request* and stops acting after duration * (1 - clock_drift) - margin. The
+// group's leader counts from when it *applied* the grant or renewal, or became leader, and grants
+// the lease to no other front before duration * (1 + clock_drift) + margin. A request is applied
+// after it was sent, so the holder stops first as long as no clock's rate is off by more than
+// `clock_drift` and no clock steps by more than `margin` within one lease. Beyond that bound the
+// fencing token check protects the tasks (src/owner/fence.hpp): the clocks prevent two holders from
+// acting at once, the check prevents the steps of a late holder from taking effect.
+// Bounds: 64 tasks; task names of at most 48 letters, digits and dashes; a command has at most
+// 100 bytes.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -25,7 +27,7 @@
 namespace dunlinwick::owner {
 
 using Ms = double;
-using Id = std::uint32_t;  // a front's number in the fleet; 0 is nobody
+using Id = std::uint32_t;  // number of a front in the fleet; 0: none
 using Token = std::uint64_t;
 constexpr std::size_t kMaxTasks = 64, kMaxTaskNameLength = 48;
 
@@ -33,10 +35,11 @@
   Ms duration = 3000;
   Ms margin = 200;
   double clock_drift = 0.01;
-  Ms renew_interval = 800;  // the owner asks again this often; under a third of the lease
+  Ms renew_interval = 800;  // below a third of the duration
 };
 
-// found: the first command of a group, by its leader; its token is what all others are above.
+// kBootstrap is the first command of a group, proposed by its leader; every token that is granted
+// is above the command's token.
 enum class Operation : std::uint8_t {
   kAcquire,
   kRenew,
@@ -51,28 +54,28 @@
 
 struct Command {
   Operation operation = Operation::kAcquire;
-  Id front = 0;     // who asks
-  Token token = 0;  // that it holds; of expire: the one that has run out
-  // Of record: done up to and with it; of take: how many there are, where the work is new; of
-  // expire: the owner's words as they were counted when its lease had run out.
+  Id front = 0;     // the requesting front
+  Token token = 0;  // of the lease that the front holds; of kExpire: of the expired lease
+  // Of kRecordStep: the last step that is done. Of kAcquire: the number of steps, if the task is
+  // new. Of kExpire: LeasedTask::accepted_commands when the lease expired.
   std::uint64_t step = 0;
   std::string task;
 };
 std::string Encode(const Command& command);
 std::optional<Command> Decode(
-    std::span<const char> bytes);  // nothing for anything that is not one whole
+    std::span<const char> bytes);  // nullopt unless the bytes are exactly one valid command
 bool IsValidTaskName(const std::string& name);
 
 struct LeasedTask {
-  Id holder = 0;    // 0: nobody
+  Id holder = 0;    // 0: none
   Token token = 0;  // of the last grant
   std::uint64_t done_steps = 0;
   std::uint64_t steps = 0;
   bool finished = false;
   bool abandoned = false;
-  // The owner's words that were taken so far. An expiry that was proposed before the last of them
-  // is void: a renewal that was under way when the lease ran out keeps it (found by a schedule:
-  // five members, seed 100765).
+  // Number of the holder's commands applied so far. An expiry proposed before the last of them has
+  // no effect: a renewal that was in flight when the lease expired keeps the lease (without this,
+  // the test's schedules fail: five members, seed 100765).
   std::uint64_t accepted_commands = 0;
 };
 
@@ -104,34 +107,35 @@
   }
   bool HasNoGrants() const {
     return last_token_ == bootstrap_token_;
-  }  // founded, or not even that, and nothing granted yet
+  }  // no lease was granted since the bootstrap
   std::string Snapshot() const;
   bool Restore(std::span<const char>
-                   bytes);  // false, and nothing changed, where they are not one snapshot whole
+                   bytes);  // false, and no change, unless the bytes are exactly one valid snapshot
 
  private:
   std::map<std::string, LeasedTask> tasks_;
   Token last_token_ = 0;
-  Token bootstrap_token_ = 0;  // base_: that the group was founded with
+  Token bootstrap_token_ = 0;  // of the kBootstrap command
 };
 
-// The leader's clock: which leases have run out for certain.
+// The leader's clock: which leases have certainly expired.
 class LeaseExpiryTracker {
  public:
   explicit LeaseExpiryTracker(LeaseSettings settings) : settings_(settings) {}
-  void StartLeading(
-      Ms now,
-      const LeaseTable& table);  // it has just come to lead: every lease may be as young as now
+  void StartLeading(Ms now,
+                    const LeaseTable& table);  // on becoming leader; every lease may have been
+                                               // renewed just before
   void HandleApplied(Ms now, const Command& command, const Result& result);
   std::vector<Command> ExpiredLeases(Ms now,
-                                     const LeaseTable& table) const;  // expirations to propose
-  // A group that has granted nothing yet may follow one whose stores were lost: its leases may
-  // still run. Guards against two owners after a founding anew; costs a lease at the first.
+                                     const LeaseTable& table) const;  // kExpire commands to propose
+  // A group without grants may replace one whose stores were lost and whose leases may still be
+  // valid. Prevents two holders after a second bootstrap; delays the first grant by one lease
+  // duration.
   bool MayGrant(Ms now, const LeaseTable& table) const {
     return !table.HasNoGrants() || now >= ExpiryFrom(leading_since_);
   }
   Ms LeaseEnd(const std::string& task)
-      const {  // by when its lease has surely run out; 1e300 where it is not known
+      const {  // the time by which the lease has certainly expired; 1e300 if unknown
     auto entry = confirmed_at_.find(task);
     return entry == confirmed_at_.end() ? 1e300 : ExpiryFrom(entry->second);
   }
@@ -141,15 +145,15 @@
     return from + settings_.duration * (1 + settings_.clock_drift) + settings_.margin;
   }
   LeaseSettings settings_;
-  std::map<std::string, Ms> confirmed_at_;  // by work; at most as many as works
+  std::map<std::string, Ms> confirmed_at_;  // by task; at most kMaxTasks entries
   Ms leading_since_ = 0;
 };
 
-// An owner's clock, for one work at one front.
+// The holder's clock: the lease of one task at one front.
 class HeldLease {
  public:
   explicit HeldLease(LeaseSettings settings) : settings_(settings) {}
-  // A grant or renewal that was asked for at `askedAt`, by its own clock.
+  // A grant or renewal whose request was sent at `requested_at` by the holder's own clock.
   void Grant(Ms requested_at, const Result& result) {
     token_ = result.token;
     valid_until_ =
--- a/src/owner/membership.cpp
+++ b/src/owner/membership.cpp
@@ -34,7 +34,8 @@
 }
 
 void Membership::Close(Ms now, const std::string& reason) {
-  // The group refers to the store; and LMDB must not be opened twice in one process.
+  // The group holds a reference to the store, and an LMDB environment must not be opened twice in
+  // one process.
   node_.Leave(now);
   store_.reset();
   retry_.Failed(now);
--- a/src/owner/membership.hpp
+++ b/src/owner/membership.hpp
@@ -1,9 +1,9 @@
-/// A node's membership of the group on a store that may fail. A store that can't be opened, or a
-/// write that fails, ends the membership: this member votes and acknowledges no more, and the
-/// others go on without it as long as they are a majority. Its store is opened anew, by backoff,
-/// until it can be; the member comes back with what is on the disk, as after a restart of the
-/// process. The node's agent goes on meanwhile by the other members' answers: what it holds it
-/// holds as long as a majority keeps its renewals, and gives up before the lease's end otherwise.
+/// A node's membership of the group, on a store that may fail. A store that cannot be opened, or a
+/// write that fails, ends the membership: this member neither votes nor acknowledges entries, and
+/// the others continue without it as long as they are a majority. Opening the store is retried with
+/// backoff; the member then rejoins with the state on the disk, as after a restart of the process.
+/// Meanwhile the node's agent relies on the other members' responses: it keeps its leases as long
+/// as a majority accepts the renewals, and otherwise gives them up before they expire.
 #pragma once
 #include <functional>
 #include <memory>
@@ -16,22 +16,23 @@
 
 class Membership {
  public:
-  /// Opens the store; throws std::runtime_error where it can't.
+  /// Opens the store; throws std::runtime_error if it cannot.
   using OpenStore = std::function<std::unique_ptr<Store>()>;
   using LogLine = std::function<void(const std::string& line)>;
-  /// `node` outlives this; it is made without a store, and no one else lets it join or leave.
+  /// `node` outlives this object. It is created without a store, and only this object calls its
+  /// Join() and Leave().
   Membership(Node& node, OpenStore open_store, LogLine log_line);
   ~Membership();
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  /// After each Node::tick, and once before the first.
+  /// Called after each Node::Tick(), and once before the first.
   void Tick(Ms now);
   /// Whether the store is open and has not failed.
   bool HasStore() const {
     return store_ != nullptr;
   }
-  /// Whether what is written outlives the process; false without a store.
+  /// Whether written data outlives the process; false without a store.
   bool IsDurable() const {
     return store_ && store_->IsDurable();
   }
--- a/src/owner/node.cpp
+++ b/src/owner/node.cpp
@@ -59,7 +59,7 @@
   return std::move(writer.bytes);
 }
 
-std::optional<Frame> ReadFrame(std::span<const char> bytes) {
+std::optional<Frame> DecodeFrame(std::span<const char> bytes) {
   if (bytes.size() < 8 || bytes[0] != 'D' || bytes[1] != 'O' || bytes[2] != 1)
     return std::nullopt;
   Reader reader(bytes.subspan(3, 5));
@@ -102,8 +102,9 @@
 void Node::Leave(Ms now) {
   if (!group_)
     return;
-  // What it promised stands in its store alone. A store that is empty when it comes back must not
-  // pass for this incarnation's, which the others know as a founder: it would forget its votes.
+  // The member's votes are in its store alone. A store that is empty at the next Join() must not be
+  // taken for that of this incarnation, which the others know as a bootstrap member: its votes
+  // would be lost, and it could vote twice in one term.
   if (group_->HasParticipated())
     incarnation_ = std::max(incarnation_ + 1, static_cast<std::uint64_t>(now));
   group_.reset();
@@ -140,7 +141,7 @@
 void Node::HandleLeaseRequest(Ms now, Id from, const LeaseRequest& request) {
   if (request.command.front != from || request.command.operation == Operation::kExpire ||
       request.command.operation == Operation::kBootstrap)
-    return void(++rejected_datagrams_);  // only the leader ends leases
+    return void(++rejected_datagrams_);  // only the leader proposes these
   if (grants_without_quorum) {
     Command unreplicated = request.command;
     unreplicated_table_.Apply(Command{Operation::kBootstrap, 0, 1, 0, "group"});
@@ -163,7 +164,7 @@
     if (sent.from == from && sent.request_id == request.request_id && sent.command == command)
       return SendLeaseResponse(now, from, {request.request_id, sent.result, 0, true});
   if (!pending_requests_.insert({from, request.request_id}).second)
-    return;  // answered once the group has it
+    return;  // the response follows once the group has applied it
   std::weak_ptr<bool> alive = alive_;
   bool accepted = group_->Propose(
       now, request.command,
@@ -185,7 +186,7 @@
 }
 
 void Node::Receive(Ms now, std::span<const char> bytes) {
-  auto frame = ReadFrame(bytes);
+  auto frame = DecodeFrame(bytes);
   if (!frame)
     return void(++rejected_datagrams_);
   Reader reader(frame->body);
@@ -232,7 +233,7 @@
       break;
     }
     case MessageKind::kStepRequest:
-      ++rejected_datagrams_;  // fronts carry nothing out
+      ++rejected_datagrams_;  // fronts execute no steps
       break;
   }
   while (!messages_to_self_.empty())
--- a/src/owner/node.hpp
+++ b/src/owner/node.hpp
@@ -1,9 +1,9 @@
-// One front of the owner's fleet: its agent, its member of the group where it is one, and their
-// datagrams. It runs on a front's socket (src/front/owner.*) and on the stage (src/owner/stage.*)
-// as it is.
+// The lease node of one front: its agent, its group membership if it is a member, and the encoding
+// of their datagrams. The same code runs on a front's socket (src/front/owner.*) and in the
+// simulation (src/rig/ownersim.*).
 //
-// Datagram: "DO" 1 | kind u8 | from u32 | body. Bytes from outside never throw: what is not one
-// message whole is dropped and counted.
+// Datagram: "DO" 1 | kind u8 | from u32 | body. Received bytes never cause an exception: a datagram
+// that is not exactly one valid message is dropped and counted.
 #pragma once
 #include <deque>
 #include <memory>
@@ -27,7 +27,7 @@
   Id from = 0;
   std::span<const char> body;
 };
-std::optional<Frame> ReadFrame(std::span<const char> bytes);
+std::optional<Frame> DecodeFrame(std::span<const char> bytes);
 std::optional<StepRequest> DecodeStepRequest(std::span<const char> body);
 
 struct NodeSettings {
@@ -44,15 +44,16 @@
     std::function<void(Id to, std::string bytes)> send;
     std::function<void(const std::string& line)> log_line;
   };
-  // `store`: of a member of the group; it outlives the node. `incarnation`: newer at each start.
+  // `store`: of a group member, null elsewhere; it outlives the node. `incarnation`: higher at each
+  // start.
   Node(NodeSettings settings, Store* store, std::uint64_t incarnation, std::uint64_t seed, Ms now,
        Callbacks callbacks);
   /// Becomes a member of the group on `store`, which outlives the membership. Throws
-  /// std::runtime_error where the store can't be read; then it is no member. Not to be called from
-  /// within a call of this node.
+  /// std::runtime_error if the store cannot be read; the node is then not a member. Not to be
+  /// called from a callback of this node.
   void Join(Store& store, Ms now);
-  /// Ends the membership; what was under way in the group is told as unsure. The agent keeps what
-  /// it holds and asks the other members.
+  /// Ends the membership; the outcome of commands in flight in the group is reported as unknown.
+  /// The agent keeps its leases and sends its requests to the other members.
   void Leave(Ms now);
   void Tick(Ms now);
   void Receive(Ms now, std::span<const char> bytes);
@@ -68,8 +69,7 @@
   std::uint64_t RejectedDatagrams() const {
     return rejected_datagrams_;
   }
-  // A group that grants to whoever asks, without asking its majority: for a test that breaks it on
-  // purpose.
+  // A fault that tests inject: grants every request without a majority of the group.
   bool grants_without_quorum = false;
 
  private:
@@ -87,12 +87,12 @@
   std::uint64_t rejected_datagrams_ = 0;
   Group::MemberState logged_state_ = Group::MemberState::kBootstrapping;
   bool logged_as_leader_ = false;
-  // Questions under way here, so that one asked twice is put to the group once; emptied as they are
-  // answered.
+  // Requests in flight at this leader, so that a request received twice is proposed once. Entries
+  // are removed as the responses are sent.
   std::set<std::pair<Id, std::uint64_t>> pending_requests_;
-  // The last answers given as a leader: a question whose answer was lost gets the same one, not a
-  // second grant. Known by its words too: a number alone may be an earlier process's (found by a
-  // member that came back without its store).
+  // The latest responses sent as leader: a request whose response was lost gets the same response
+  // rather than a second grant. Matched by the command's bytes too, as the request id alone may be
+  // an earlier process's (this happened with a member that came back without its store).
   struct SentResponse {
     Id from = 0;
     std::uint64_t request_id = 0;
@@ -100,7 +100,7 @@
     Result result;
   };
   std::deque<SentResponse> sent_responses_;
-  // What is sent to oneself waits for the end of the call.
+  // Messages from this node to itself, handled at the end of the call.
   std::vector<std::string> messages_to_self_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   LeaseTable unreplicated_table_;
--- a/src/owner/store.hpp
+++ b/src/owner/store.hpp
@@ -1,6 +1,6 @@
-// What a member of the group must not forget: its term, its vote, its log, its snapshot. Each call
-// lasts before it returns, or throws std::runtime_error, after which the member takes no further
-// part.
+// The persistent Raft state of a group member: term, vote, log and snapshot. Each call that writes
+// returns once the data is durable, or throws std::runtime_error, after which the member no longer
+// participates in the group.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -24,27 +24,28 @@
 struct StoredState {
   std::uint64_t term = 0;
   std::uint64_t vote = 0;
-  std::uint64_t first = 1;  // the index of the first entry
+  std::uint64_t first = 1;  // index of the first entry
   std::vector<LogEntry> entries;
   std::optional<StoredSnapshot> snapshot;
-  std::string bootstrap;  // how the group began; "" where this member has never been part of one
+  std::string bootstrap;  // the members that bootstrapped the group; empty if this member never was
+                          // part of one
 };
 
 class Store {
  public:
   virtual ~Store() = default;
-  virtual bool IsDurable() const = 0;  // past the end of the process
+  virtual bool IsDurable() const = 0;  // whether the data outlives the process
   virtual StoredState load() = 0;
   virtual void SaveBootstrap(const std::string& bootstrap) = 0;
-  virtual void SetTerm(std::uint64_t term) = 0;  // forgets the vote
+  virtual void SetTerm(std::uint64_t term) = 0;  // clears the vote
   virtual void SetVote(std::uint64_t vote) = 0;
   virtual void Append(const std::vector<LogEntry>& entries) = 0;
-  virtual void Truncate(std::uint64_t from) = 0;  // drops this index and all after it
-  // Entries up to its index less `trailing` go.
+  virtual void Truncate(std::uint64_t from) = 0;  // removes the entries from this index on
+  // Also removes the entries up to the snapshot's index minus `trailing`.
   virtual void SaveSnapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
 };
 
-// In memory: gone with the process. On the stage it is kept or dropped as a disk would be.
+// In memory, lost with the process. The simulator keeps or drops it as it would a disk.
 class MemoryStore final : public Store {
  public:
   bool IsDurable() const override {
@@ -75,7 +76,7 @@
   }
   void SaveSnapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) override {
     std::uint64_t last = state_.first + state_.entries.size() - 1;
-    // One that came from the leader may lie beyond the log: nothing of it is of use then.
+    // A snapshot from the leader may be beyond the end of the log, which is then of no use.
     if (trailing == 0 || snapshot.index > last) {
       state_.entries.clear();
       state_.first = snapshot.index + 1;
--- a/src/rig/ownersim.cpp
+++ b/src/rig/ownersim.cpp
@@ -113,7 +113,7 @@
 
 void OwnerSim::Send(Id from, Id to, std::string bytes) {
   ++datagrams_;
-  auto f = owner::ReadFrame(bytes);
+  auto f = owner::DecodeFrame(bytes);
   if (f && f->kind == owner::MessageKind::kStepRequest)
     if (auto d = owner::DecodeStepRequest(f->body)) {
       Happened h;
@@ -136,7 +136,7 @@
 void OwnerSim::Deliver(Flight one) {
   if (one.to >= kFirstPlace) {
     Place& p = *places_[one.to - kFirstPlace];
-    auto f = owner::ReadFrame(one.bytes);
+    auto f = owner::DecodeFrame(one.bytes);
     auto d = f && f->kind == owner::MessageKind::kStepRequest ? owner::DecodeStepRequest(f->body)
                                                               : std::nullopt;
     if (!d)
--- a/src/rig/place.cpp
+++ b/src/rig/place.cpp
@@ -29,7 +29,7 @@
     loop::Address from{};
     for (ssize_t got = 0;
          (got = loop.environment().ReceiveFrom(socket.Get(), buffer, from)) >= 0;) {
-      auto f = owner::ReadFrame({buffer.data(), static_cast<std::size_t>(got)});
+      auto f = owner::DecodeFrame({buffer.data(), static_cast<std::size_t>(got)});
       auto d = f && f->kind == owner::MessageKind::kStepRequest ? owner::DecodeStepRequest(f->body)
                                                                 : std::nullopt;
       if (!d)
--- a/tests/owner_fleet_test.cpp
+++ b/tests/owner_fleet_test.cpp
@@ -1,10 +1,10 @@
-// Ownership by five processes of the front, three of them the group, with two stand-ins that carry
-// work out behind fences and a fault relay on every link: an owner paused past its lease, an owner
-// cut from the group that still reaches the places, the leader killed in a handover, a member that
-// comes back without its store, one-way cuts and links slow near the lease. The checker of
-// histories judges each part. Times are printed as figures, never asserted. Arguments: the
-// programs, and a part; then `peers` for one socket a front, or, with the part `rolling`, the
-// front's program of another version.
+// Leases with five front processes, three of them the group, two fake executors that check fencing
+// tokens, and a fault relay on every link: a lease holder paused past its lease, a holder
+// partitioned from the group that still reaches the executors, the leader killed during a handover,
+// a member that comes back without its store, one-way partitions, and links with delays close to
+// the lease duration. The invariant checker of event logs verifies each part. Times are printed,
+// never asserted. Arguments: the programs and a part; then `peers` for one socket per front or,
+// with the part `rolling`, the front's program of another version.
 #include <unistd.h>
 
 #include <cassert>
@@ -25,7 +25,7 @@
 
 bool on_peers = false;
 
-struct Scene {
+struct Fleet {
   const char* name;
   loop::Loop loop;
   std::string folder;
@@ -33,7 +33,7 @@
   std::unique_ptr<fleet::Harness> h;
   std::uint64_t steps;
 
-  Scene(const char* what, char** programs, std::uint64_t n) : name(what), steps(n) {
+  Fleet(const char* what, char** programs, std::uint64_t n) : name(what), steps(n) {
     folder = (std::filesystem::temp_directory_path() /
               ("owner-test-" + std::to_string(::getpid()) + what))
                  .string();
@@ -47,9 +47,10 @@
             R"(, "each_ms": 40}]}})");
     h = std::make_unique<fleet::Harness>(
         loop, f, fleet::Programs{programs[1], programs[2], programs[3], folder}, 7);
-    Until("founded, and both works owned", [&] { return Owns("sweep") >= 0 && Owns("push") >= 0; });
+    WaitUntil("bootstrapped, and both tasks have a holder",
+              [&] { return HolderOf("sweep") >= 0 && HolderOf("push") >= 0; });
   }
-  ~Scene() {
+  ~Fleet() {
     h.reset();
     std::filesystem::remove_all(folder);
   }
@@ -109,8 +110,8 @@
     return all;
   }
 
-  // The front that says it holds a work, -1 where none does.
-  int Owns(const std::string& work) {
+  // The front that reports that it holds the task's lease; -1: none.
+  int HolderOf(const std::string& work) {
     for (std::size_t i = 0; i < h->size(); ++i) {
       if (!h->Up(i))
         continue;
@@ -130,7 +131,7 @@
           return static_cast<int>(i);
     return -1;
   }
-  bool Over() {
+  bool AllTasksEnded() {
     for (std::size_t i = 0; i < 3; ++i) {
       if (!h->Up(i))
         continue;
@@ -149,27 +150,27 @@
     std::ifstream in(folder + "/front-" + std::to_string(i) + ".log");
     return std::string(std::istreambuf_iterator<char>(in), {});
   }
-  void Until(const char* what, const std::function<bool()>& holds, bool figure = true) {
+  void WaitUntil(const char* what, const std::function<bool()>& holds, bool figure = true) {
     double begun = loop.now();
     while (!holds()) {
       if (loop.now() - begun > 60000)
         for (std::size_t i = 0; i < h->size(); ++i)
           std::fprintf(stderr, "front %zu:\n%s\n", i, log(i).c_str());
-      assert(loop.now() - begun < 60000 && "the owner's fleet did not come to it in time");
+      assert(loop.now() - begun < 60000 && "the fleet did not reach the expected state in time");
       h->Wait(50);
     }
     if (figure)
       std::printf("%-7s %-60s %6.0f ms\n", name, what, loop.now() - begun);
   }
-  // The end of a part: both works are finished, and no promise was broken.
-  void Judged() {
-    Until("all finished", [&] { return Over(); });
+  // The end of a part: both tasks are finished, and no invariant was violated.
+  void CheckInvariants() {
+    WaitUntil("all finished", [&] { return AllTasksEnded(); });
     h->Wait(300);
     auto all = history();
     std::vector<owner::Begun> works{{"sweep", steps, {1000, 1001}}, {"push", steps, {1001}}};
     auto broken = owner::CheckHistory(all, works, true, true);
     for (const owner::Breach& b : broken)
-      std::fprintf(stderr, "broken: %s: %s\n", b.promise.c_str(), b.what.c_str());
+      std::fprintf(stderr, "violation: %s: %s\n", b.promise.c_str(), b.what.c_str());
     assert(broken.empty());
     auto landed = std::count_if(all.begin(), all.end(), [](const Happened& one) {
       return one.what == Happened::What::kLanded && one.landing == owner::FencingResult::kDone;
@@ -178,7 +179,7 @@
       return one.what == Happened::What::kGranted;
     });
     assert(landed == static_cast<long>(3 * steps));
-    std::printf("%-7s %ld steps landed under %ld grants, each once; handovers", name,
+    std::printf("%-7s %ld steps executed under %ld grants, each once; handovers", name,
                 static_cast<long>(landed), static_cast<long>(grants));
     for (Ms t : owner::Handovers(all))
       std::printf(" %.0f", t);
@@ -187,98 +188,103 @@
 };
 
 void Paused(char** programs) {
-  Scene s("paused", programs, 200);
+  Fleet s("paused", programs, 200);
   s.h->Wait(1000);
-  auto was = static_cast<std::size_t>(s.Owns("sweep"));
+  auto was = static_cast<std::size_t>(s.HolderOf("sweep"));
   s.h->Stop(was);
-  s.Until("SIGSTOP of the owner: another owns it", [&] { return s.Owns("sweep") >= 0; });
+  s.WaitUntil("SIGSTOP of the holder: another front holds the lease",
+              [&] { return s.HolderOf("sweep") >= 0; });
   s.h->Wait(500);
-  s.h->Resume(was);  // it must do nothing that lands: the checker looks for it
-  s.Until("SIGCONT: it says that it lost it",
-          [&] { return s.log(was).find("owner lost sweep") != std::string::npos; });
-  s.Judged();
+  s.h->Resume(was);  // none of its steps may be executed now, which the checker verifies
+  s.WaitUntil("SIGCONT: it logs that it lost the lease",
+              [&] { return s.log(was).find("owner lost sweep") != std::string::npos; });
+  s.CheckInvariants();
 }
 
-// A fleet of one version restarted one by one into another, with the same configuration and stores.
+// The fronts of one version are restarted one by one as another, with the same configuration and
+// stores.
 void Rolling(char** programs, const std::string& to) {
-  Scene s("rolling", programs, 250);
+  Fleet s("rolling", programs, 250);
   for (std::size_t i = 0; i < s.h->size(); ++i) {
     s.h->Runs(i, to);
     s.h->Restart(i);
-    s.Until(("front " + std::to_string(i) + " by the other version: both works are owned or over")
-                .c_str(),
-            [&] { return s.Over() || (s.Owns("sweep") >= 0 && s.Owns("push") >= 0); });
+    s.WaitUntil(
+        ("front " + std::to_string(i) + " by the other version: both tasks are held or ended")
+            .c_str(),
+        [&] { return s.AllTasksEnded() || (s.HolderOf("sweep") >= 0 && s.HolderOf("push") >= 0); });
     s.h->Wait(500);
   }
-  s.Judged();
+  s.CheckInvariants();
 }
 
 void Cut(char** programs) {
-  Scene s("cut", programs, 250);
-  auto was = static_cast<std::size_t>(s.Owns("sweep"));
+  Fleet s("cut", programs, 250);
+  auto was = static_cast<std::size_t>(s.HolderOf("sweep"));
   s.h->CutOwner({was}, false, true);
-  s.Until("cut from the group, not the places: it stops by itself",
-          [&] { return s.log(was).find("owner lost sweep") != std::string::npos; });
-  s.Until("another owns it", [&] { return s.Owns("sweep") >= 0; });
+  s.WaitUntil("partitioned from the group, not the executors: it stops by itself",
+              [&] { return s.log(was).find("owner lost sweep") != std::string::npos; });
+  s.WaitUntil("another front holds the lease", [&] { return s.HolderOf("sweep") >= 0; });
   s.h->CutOwner({was}, false, false);
   int holds = -1;
-  s.Until(
-      "push is owned", [&] { return (holds = s.Owns("push")) >= 0; }, false);
+  s.WaitUntil(
+      "push has a holder", [&] { return (holds = s.HolderOf("push")) >= 0; }, false);
   auto now = static_cast<std::size_t>(holds);
   std::size_t before = s.log(now).size();
-  s.h->CutOwner({now}, true, true);  // it hears, and is not heard
-  s.Until("one-way cut: it stops by itself",
-          [&] { return s.log(now).find("owner lost push", before) != std::string::npos; });
+  s.h->CutOwner({now}, true, true);  // it receives, and its messages are lost
+  s.WaitUntil("one-way partition: it stops by itself",
+              [&] { return s.log(now).find("owner lost push", before) != std::string::npos; });
   s.h->CutOwner({now}, true, false);
-  s.Judged();
+  s.CheckInvariants();
 }
 
 void Leader(char** programs) {
-  Scene s("leader", programs, 250);
-  int was = s.Owns("sweep"), leads = s.Leader();
+  Fleet s("leader", programs, 250);
+  int was = s.HolderOf("sweep"), leads = s.Leader();
   assert(was >= 0 && leads >= 0);
   s.h->Kill(static_cast<std::size_t>(was));
   s.h->Wait(1000);
   if (leads == was)
     leads = s.Leader();
   if (leads >= 0 && s.h->Up(static_cast<std::size_t>(leads)))
-    s.h->Kill(static_cast<std::size_t>(leads));  // in the midst of the handover
-  // Of the group at least one is down: it comes back with its store, and two of three go on.
+    s.h->Kill(static_cast<std::size_t>(leads));  // during the handover
+  // At least one group member is down: it comes back with its store, and two of three continue.
   s.h->Wait(1000);
   if (leads >= 0)
     s.h->Restart(static_cast<std::size_t>(leads));
-  s.Until("owner and leader killed: another owns it", [&] { return s.Owns("sweep") >= 0; });
+  s.WaitUntil("holder and leader killed: another front holds the lease",
+              [&] { return s.HolderOf("sweep") >= 0; });
   s.h->Restart(static_cast<std::size_t>(was));
-  s.Judged();
+  s.CheckInvariants();
 }
 
 void Lost(char** programs) {
-  Scene s("lost", programs, 200);
+  Fleet s("lost", programs, 200);
   int leads = s.Leader();
   auto who = static_cast<std::size_t>(leads == 0 ? 1 : 0);
   s.h->Kill(who);
   s.h->LoseStore(who);
   s.h->Restart(who);
-  s.Until("a member without its store says that it is lost", [&] {
+  s.WaitUntil("a member without its store reports that it is lost", [&] {
     return s.log(who).find("owner group: lost: the group began without this process") !=
            std::string::npos;
   });
   auto v = s.h->OwnerStatus(who);
   assert(v && v->word("group") == "lost");
-  s.Judged();  // the other two go on, and the lost one still does work: it asks them
+  s.CheckInvariants();  // the other two continue, and the lost one still executes tasks by leases
+                        // that they grant
 }
 
 void Slow(char** programs) {
-  Scene s("slow", programs, 120);
+  Fleet s("slow", programs, 120);
   fleet::Fault f;
   f.delay = 200;
   f.jitter = 900;
   f.loss = 0.05;
   f.duplicate = 0.05;
   s.h->OwnerRelay().Everywhere(f);
-  s.h->Wait(8000);  // delays up to half the lease and more
+  s.h->Wait(8000);  // delays of half the lease duration and more
   s.h->OwnerRelay().Everywhere({});
-  s.Judged();
+  s.CheckInvariants();
 }
 
 }  // namespace
--- a/tests/owner_test.cpp
+++ b/tests/owner_test.cpp
@@ -1,6 +1,7 @@
-// Leases, fences, the table and its bytes, step by step; seeded schedules of faults on the staged
-// fronts, group and places, judged by the checker of histories; and the checker itself, which must
-// catch each broken variant by the promise it breaks.
+// Unit tests of leases, fencing token checks, the lease table and its encoding; seeded fault
+// schedules on simulated fronts, group and executors, verified by the invariant checker of event
+// logs; and tests of the checker itself, which must detect each injected fault by the invariant
+// that it violates.
 #include <cassert>
 #include <cstdio>
 #include <cstdlib>
@@ -19,19 +20,19 @@
 
 namespace {
 
-void TokensGrowAndTheTableIsWhole() {
+void TokensIncreaseAndCorruptEncodingsAreRejected() {
   LeaseTable t;
   auto cmd = [](Operation d, Id who, Token token, std::uint64_t step, const char* work = "w") {
     return Command{d, who, token, step, work};
   };
   assert(t.Apply(cmd(Operation::kAcquire, 1, 0, 5)).status ==
-         CommandStatus::kUnknownOutcome);  // not founded: no token
+         CommandStatus::kUnknownOutcome);  // not bootstrapped: no token
   t.Apply(cmd(Operation::kBootstrap, 1, 100, 0, "group"));
   Result a = t.Apply(cmd(Operation::kAcquire, 1, 0, 5));
   assert(a.status == CommandStatus::kOk && a.token == 101);
   assert(t.Apply(cmd(Operation::kAcquire, 2, 0, 5)).status == CommandStatus::kHeldByAnother);
   assert(t.Apply(cmd(Operation::kAcquire, 1, 0, 5)).status ==
-         CommandStatus::kHeldByAnother);  // a new process of the same front, for all it knows
+         CommandStatus::kHeldByAnother);  // it may be a new process of the same front
   assert(t.Apply(cmd(Operation::kRecordStep, 1, 101, 3)).status == CommandStatus::kOk &&
          t.Tasks().at("w").done_steps == 3);
   assert(t.Apply(cmd(Operation::kRecordStep, 1, 101, 2)).status == CommandStatus::kOk &&
@@ -40,12 +41,12 @@
   assert(t.Apply(cmd(Operation::kExpire, 0, 100, 0)).status ==
          CommandStatus::kStaleToken);  // of an earlier grant
   assert(t.Apply(cmd(Operation::kExpire, 0, 101, 2)).status == CommandStatus::kHeldByAnother &&
-         t.Tasks().at("w").holder == 1);  // it was heard since then
+         t.Tasks().at("w").holder == 1);  // the holder's commands were applied since
   assert(t.Apply(cmd(Operation::kExpire, 0, 101, 3)).status == CommandStatus::kOk);
   assert(t.Apply(cmd(Operation::kRenew, 1, 101, 0)).status == CommandStatus::kStaleToken);
   Result b = t.Apply(cmd(Operation::kAcquire, 2, 0, 5));
   assert(b.status == CommandStatus::kOk && b.token == 102 && b.done_steps == 3);
-  t.Apply(cmd(Operation::kBootstrap, 3, 900, 0, "group"));  // a later leader says it too
+  t.Apply(cmd(Operation::kBootstrap, 3, 900, 0, "group"));  // a later leader proposes it too
   assert(t.LastToken() == 102);
   assert(t.Apply(cmd(Operation::kFinish, 2, 102, 5)).status == CommandStatus::kOk &&
          t.Apply(cmd(Operation::kAcquire, 1, 0, 5)).status == CommandStatus::kTaskEnded);
@@ -59,7 +60,7 @@
   assert(back.Restore(bytes) && back.Snapshot() == bytes && back.LastToken() == t.LastToken());
   for (std::size_t cut = 0; cut < bytes.size(); ++cut)
     assert(!back.Restore({bytes.data(), cut}));
-  assert(back.Snapshot() == bytes);  // a refused one changes nothing
+  assert(back.Snapshot() == bytes);  // a rejected snapshot changes nothing
   std::string c = Encode(cmd(Operation::kRecordStep, 7, 8, 9, "some-work"));
   auto d = Decode(c);
   assert(d && d->operation == Operation::kRecordStep && d->front == 7 && d->token == 8 &&
@@ -69,50 +70,53 @@
   assert(!Decode(c + "x") && !Decode(Encode(cmd(Operation::kAcquire, 1, 0, 0, "Bad Name"))));
 }
 
-void TheTwoClocksLeaveAGap() {
+void HolderStopsBeforeTheLeaderExpiresTheLease() {
   LeaseSettings t;
   LeaseTable table;
   table.Apply({Operation::kBootstrap, 1, 1, 0, "group"});
-  LeaseExpiryTracker keeper(t);
+  LeaseExpiryTracker expiry_tracker(t);
   HeldLease holder(t);
   Command take{Operation::kAcquire, 1, 0, 5, "w"};
   Result r = table.Apply(take);
   holder.Grant(1000, r);
-  keeper.HandleApplied(1000, take, r);  // even where it was applied the moment it was asked for
+  expiry_tracker.HandleApplied(1000, take, r);  // even if applied the moment it was requested
   assert(holder.MayAct(1000 + t.duration * (1 - t.clock_drift) - t.margin - 1) &&
          !holder.MayAct(1000 + t.duration * (1 - t.clock_drift) - t.margin));
-  assert(
-      keeper.ExpiredLeases(1000 + t.duration * (1 + t.clock_drift) + t.margin - 1, table).empty());
-  auto due = keeper.ExpiredLeases(1000 + t.duration * (1 + t.clock_drift) + t.margin, table);
+  assert(expiry_tracker.ExpiredLeases(1000 + t.duration * (1 + t.clock_drift) + t.margin - 1, table)
+             .empty());
+  auto due =
+      expiry_tracker.ExpiredLeases(1000 + t.duration * (1 + t.clock_drift) + t.margin, table);
   assert(due.size() == 1 && due[0].operation == Operation::kExpire && due[0].token == r.token);
   assert(table.Apply({Operation::kRenew, 1, r.token, 0, "w"}).status ==
-         CommandStatus::kOk);  // under way when the expiry was proposed
+         CommandStatus::kOk);  // in flight when the expiry was proposed
   assert(table.Apply(due[0]).status == CommandStatus::kHeldByAnother &&
          table.Tasks().at("w").holder == 1);
-  keeper.StartLeading(9000,
-                      table);  // a new leader knows of no renewal: it waits a whole lease from then
-  assert(keeper.ExpiredLeases(9000 + t.duration, table).empty());
+  expiry_tracker.StartLeading(
+      9000,
+      table);  // a new leader knows of no renewal: it waits a whole lease duration
+  assert(expiry_tracker.ExpiredLeases(9000 + t.duration, table).empty());
 }
 
-void TheFenceRefuses() {
+void FencingTokenCheckRefusesStaleAndRepeatedSteps() {
   FencingTokenCheck f;
   assert(f.Check("w", 5, 1) == FencingResult::kDone &&
          f.Check("w", 5, 1) == FencingResult::kAlreadyDone);
   assert(f.Check("w", 4, 2) == FencingResult::kStaleToken && f.HighestToken("w") == 5);
   assert(f.Check("w", 6, 3) == FencingResult::kOutOfOrder &&
-         f.Check("w", 5, 2) == FencingResult::kStaleToken);  // 6 was seen, though it did not land
+         f.Check("w", 5, 2) ==
+             FencingResult::kStaleToken);  // 6 was seen, although its step was not executed
   assert(f.Check("w", 6, 2) == FencingResult::kDone && f.Check("v", 1, 1) == FencingResult::kDone);
   for (std::size_t i = 0; i < kMaxTasks; ++i)
     f.Check("x" + std::to_string(i), 1, 1);
   assert(f.Check("one-more", 1, 1) == FencingResult::kFull);
 }
 
-void BytesFromOutsideNeverHarm() {
+void MutatedDatagramsAreRejected() {
   StepResponse did{{"w", 7, 3}, FencingResult::kStaleToken, 9};
   std::string good = EncodeStepResponse(1000, did);
-  assert(ReadFrame(good) && ReadFrame(good)->kind == MessageKind::kStepResponse &&
-         ReadFrame(good)->from == 1000);
-  assert(DecodeStepRequest(ReadFrame(EncodeStepRequest(2, did.request))->body)->step == 3);
+  assert(DecodeFrame(good) && DecodeFrame(good)->kind == MessageKind::kStepResponse &&
+         DecodeFrame(good)->from == 1000);
+  assert(DecodeStepRequest(DecodeFrame(EncodeStepRequest(2, did.request))->body)->step == 3);
   MemoryStore store;
   Node node({1, {1, 2, 3}, {{"w", 5, 50, {1000}}}, {}, {}}, &store, 1, 1, 0,
             {[](Id, std::string) {},
@@ -138,8 +142,8 @@
          node.group()->member_state() == Group::MemberState::kBootstrapping);
 }
 
-void Report(const char* name, std::uint64_t seed, const OwnerRun& run,
-            const std::vector<Breach>& found) {
+void PrintViolation(const char* name, std::uint64_t seed, const OwnerRun& run,
+                    const std::vector<Breach>& found) {
   std::fprintf(stderr, "%s, seed %llu: %s at %.1f: %s\n", name,
                static_cast<unsigned long long>(seed), found[0].promise.c_str(), found[0].at,
                found[0].what.c_str());
@@ -147,52 +151,54 @@
     std::fprintf(stderr, "  %s\n", f.c_str());
 }
 
-// Every order in which two fronts, a leader that may change, and their messages (late or lost) can
-// act within some leases, with the real table, keeper and holders on a clock of whole steps: at no
-// time may two act. Exhaustive up to its bounds.
-struct World {
-  struct Question {
+// Model check: every order in which two fronts, a leader that may change, and their messages
+// (delayed or lost) can act within some lease durations, with the real lease table, expiry tracker
+// and held leases on a clock of whole steps. At no time may both fronts act. Exhaustive up to its
+// bounds.
+struct ModelState {
+  struct PendingRequest {
     int front;
     Operation deed;
     Token token;
-    int asked_at;
+    int requested_at;
   };
   struct Reply {
     int front;
     Operation deed;
-    int asked_at;
+    int requested_at;
     Result result;
   };
   int t = 0;
-  int leaders = 0;
+  int leader_changes = 0;
   LeaseTable table;
-  LeaseExpiryTracker keeper;
+  LeaseExpiryTracker expiry_tracker;
   std::vector<HeldLease> holders;
-  std::vector<int> renewals{0, 0};        // asked so far, of each front
-  std::vector<bool> waits{false, false};  // a question of its own is out
-  std::vector<Question> asked;            // on their way to the leader: come in any order
+  std::vector<int> renewals{0, 0};                      // sent so far, by each front
+  std::vector<bool> has_pending_request{false, false};  // whether each front waits for a response
+  std::vector<PendingRequest> requests;  // in flight to the leader, delivered in any order
   std::vector<std::pair<Command, int>>
-      log;  // proposed, not yet agreed: agreed in order; second: of whom, when
+      log;  // proposed, not yet committed; committed in order; second: when requested
   std::vector<Reply> replies;
-  explicit World(const LeaseSettings& terms) : keeper(terms), holders(2, HeldLease(terms)) {}
+  explicit ModelState(const LeaseSettings& terms)
+      : expiry_tracker(terms), holders(2, HeldLease(terms)) {}
   std::string key() const {
     Writer w;
     w.WriteNumber(static_cast<std::uint64_t>(t), 1);
-    w.WriteNumber(static_cast<std::uint64_t>(leaders), 1);
+    w.WriteNumber(static_cast<std::uint64_t>(leader_changes), 1);
     w.bytes += table.Snapshot();
-    w.WriteNumber(static_cast<std::uint64_t>(std::min(keeper.LeaseEnd("w"), 1e6) * 4), 4);
+    w.WriteNumber(static_cast<std::uint64_t>(std::min(expiry_tracker.LeaseEnd("w"), 1e6) * 4), 4);
     for (int f = 0; f < 2; ++f) {
       auto& h = holders[static_cast<std::size_t>(f)];
       w.WriteNumber(h.token(), 8);
       w.WriteNumber(static_cast<std::uint64_t>((h.ValidUntil() + 2) * 4), 4);
       w.WriteNumber(static_cast<std::uint64_t>(renewals[static_cast<std::size_t>(f)] * 2 +
-                                               waits[static_cast<std::size_t>(f)]),
+                                               has_pending_request[static_cast<std::size_t>(f)]),
                     1);
     }
-    for (auto& q : asked) {
+    for (auto& q : requests) {
       w.WriteNumber(static_cast<std::uint64_t>(q.front * 16 + static_cast<int>(q.deed)), 1);
       w.WriteNumber(q.token, 8);
-      w.WriteNumber(static_cast<std::uint64_t>(q.asked_at), 1);
+      w.WriteNumber(static_cast<std::uint64_t>(q.requested_at), 1);
     }
     w.WriteNumber(255, 1);
     for (auto& [c, when] : log) {
@@ -202,77 +208,79 @@
     w.WriteNumber(255, 1);
     for (auto& r : replies) {
       w.WriteNumber(static_cast<std::uint64_t>(r.front * 16 + static_cast<int>(r.deed)), 1);
-      w.WriteNumber(static_cast<std::uint64_t>(r.asked_at * 8 + static_cast<int>(r.result.status)),
-                    2);
+      w.WriteNumber(
+          static_cast<std::uint64_t>(r.requested_at * 8 + static_cast<int>(r.result.status)), 2);
       w.WriteNumber(r.result.token, 8);
     }
     return std::move(w.bytes);
   }
 };
 
-std::size_t EveryOrderKeepsOneOwner(bool expiries_are_void) {
+std::size_t CountStatesWithTwoHolders(bool late_expiries_have_no_effect) {
   LeaseSettings terms;
   terms.duration = 3;
   terms.margin = 0.5;
   terms.clock_drift = 0;
-  constexpr int kEnd = 6, kMostAsks = 2,
-                kMostLeaders = 1;  // two leases' time; more by hand takes minutes
-  World first(terms);
+  constexpr int kEnd = 6, kMaxRequests = 2,
+                kMaxLeaderChanges = 1;  // two lease durations; higher bounds take minutes
+  ModelState first(terms);
   first.table.Apply({Operation::kBootstrap, 1, 1, 0, "group"});
-  first.keeper.StartLeading(-100, first.table);  // the wait after a founding is over
-  std::vector<World> todo{first};
+  first.expiry_tracker.StartLeading(-100, first.table);  // the wait after a bootstrap is over
+  std::vector<ModelState> todo{first};
   std::set<std::string> seen{first.key()};
   std::size_t overlaps = 0;
   while (!todo.empty()) {
-    World w = std::move(todo.back());
+    ModelState w = std::move(todo.back());
     todo.pop_back();
     if (w.holders[0].MayAct(w.t) && w.holders[1].MayAct(w.t)) {
       ++overlaps;
-      if (!expiries_are_void)
-        break;  // found, as it must be
+      if (!late_expiries_have_no_effect)
+        break;  // found, as expected
       continue;
     }
     auto go = [&](auto change) {
-      World next = w;
+      ModelState next = w;
       change(next);
       if (seen.insert(next.key()).second)
         todo.push_back(std::move(next));
     };
     if (w.t < kEnd)
-      go([](World& n) { ++n.t; });
+      go([](ModelState& n) { ++n.t; });
     for (std::size_t f = 0; f < 2; ++f)
-      if (!w.waits[f] && w.renewals[f] < kMostAsks)
-        go([f](World& n) {
+      if (!w.has_pending_request[f] && w.renewals[f] < kMaxRequests)
+        go([f](ModelState& n) {
           ++n.renewals[f];
-          n.waits[f] = true;
+          n.has_pending_request[f] = true;
           bool holds = n.holders[f].MayAct(n.t);
           if (!holds)
             n.holders[f].Clear();
-          n.asked.push_back({static_cast<int>(f), holds ? Operation::kRenew : Operation::kAcquire,
-                             n.holders[f].token(), n.t});
+          n.requests.push_back({static_cast<int>(f),
+                                holds ? Operation::kRenew : Operation::kAcquire,
+                                n.holders[f].token(), n.t});
         });
-    for (std::size_t i = 0; i < w.asked.size(); ++i) {
-      go([i](World& n) {
-        auto q = n.asked[i];
-        n.asked.erase(n.asked.begin() + static_cast<std::ptrdiff_t>(i));
+    for (std::size_t i = 0; i < w.requests.size(); ++i) {
+      go([i](ModelState& n) {
+        auto q = n.requests[i];
+        n.requests.erase(n.requests.begin() + static_cast<std::ptrdiff_t>(i));
         n.log.emplace_back(Command{q.deed, static_cast<Id>(q.front + 1), q.token, 1, "w"},
-                           q.asked_at);
+                           q.requested_at);
       });
-      go([i](World& n) {  // lost: its asker will ask anew
-        n.waits[static_cast<std::size_t>(n.asked[i].front)] = false;
-        n.asked.erase(n.asked.begin() + static_cast<std::ptrdiff_t>(i));
+      go([i](ModelState& n) {  // lost: the front will send a new one
+        n.has_pending_request[static_cast<std::size_t>(n.requests[i].front)] = false;
+        n.requests.erase(n.requests.begin() + static_cast<std::ptrdiff_t>(i));
       });
     }
     if (!w.log.empty())
-      go([&](World& n) {
+      go([&](ModelState& n) {
         auto [c, when] = n.log.front();
         n.log.erase(n.log.begin());
-        // As it was before the fix, for this test to find: an expiry holds whatever came after it
-        // was proposed.
-        if (!expiries_are_void && c.operation == Operation::kExpire && n.table.Tasks().count("w"))
+        // The behaviour before the fix, which this test must detect: an expiry takes effect
+        // whatever was applied after it was proposed.
+        if (!late_expiries_have_no_effect && c.operation == Operation::kExpire &&
+            n.table.Tasks().count("w"))
           c.step = n.table.Tasks().at("w").accepted_commands;
         Result r = n.table.Apply(c);
-        n.keeper.HandleApplied(n.t, c, r);
+        n.expiry_tracker.HandleApplied(n.t, c, r);
         if (c.operation != Operation::kExpire)
           n.replies.push_back({static_cast<int>(c.front) - 1, c.operation, when, r});
       });
@@ -280,39 +288,39 @@
       return one.first.operation == Operation::kExpire;
     });
     if (!proposed)
-      for (const Command& c : w.keeper.ExpiredLeases(w.t, w.table))
-        go([&c](World& n) { n.log.emplace_back(c, 0); });
-    if (w.leaders < kMostLeaders)
-      go([](World& n) {
-        ++n.leaders;
+      for (const Command& c : w.expiry_tracker.ExpiredLeases(w.t, w.table))
+        go([&c](ModelState& n) { n.log.emplace_back(c, 0); });
+    if (w.leader_changes < kMaxLeaderChanges)
+      go([](ModelState& n) {
+        ++n.leader_changes;
         for (auto& [c, when] : n.log)
           if (c.front != 0 && c.operation != Operation::kExpire)
-            n.waits[c.front - 1] = false;
-        n.log.clear();  // what was not agreed is gone with the old leader
-        n.keeper.StartLeading(n.t, n.table);
+            n.has_pending_request[c.front - 1] = false;
+        n.log.clear();  // what was not committed is lost with the old leader
+        n.expiry_tracker.StartLeading(n.t, n.table);
       });
     for (std::size_t i = 0; i < w.replies.size(); ++i)
-      for (bool comes : {true, false})
-        go([i, comes](World& n) {
+      for (bool is_delivered : {true, false})
+        go([i, is_delivered](ModelState& n) {
           auto r = n.replies[i];
           n.replies.erase(n.replies.begin() + static_cast<std::ptrdiff_t>(i));
           HeldLease& h = n.holders[static_cast<std::size_t>(r.front)];
-          n.waits[static_cast<std::size_t>(r.front)] = false;
-          if (!comes)
+          n.has_pending_request[static_cast<std::size_t>(r.front)] = false;
+          if (!is_delivered)
             return;
           if (r.result.status == CommandStatus::kOk &&
               (r.deed == Operation::kAcquire || h.token() == r.result.token))
-            h.Grant(r.asked_at, r.result);
+            h.Grant(r.requested_at, r.result);
           else if (r.deed == Operation::kRenew)
             h.Clear();
         });
   }
-  std::printf("explored: %zu states, %zu with two that act%s\n", seen.size(), overlaps,
-              expiries_are_void ? "" : " (expiries as they were: must be found)");
+  std::printf("explored: %zu states, %zu with two acting holders%s\n", seen.size(), overlaps,
+              late_expiries_have_no_effect ? "" : " (with the old expiry rule: must be above 0)");
   return overlaps;
 }
 
-struct Tally {
+struct ScheduleTotals {
   std::uint64_t runs = 0;
   std::uint64_t grants = 0;
   std::uint64_t landed = 0;
@@ -320,27 +328,27 @@
   std::vector<Ms> handovers;
 };
 
-void Schedules(const char* name, OwnerTerms terms, std::uint64_t from, std::uint64_t seeds,
-               Tally& tally) {
+void RunSchedules(const char* name, OwnerTerms terms, std::uint64_t from, std::uint64_t seeds,
+                  ScheduleTotals& totals) {
   for (std::uint64_t seed = from; seed < from + seeds; ++seed) {
     OwnerSim sim(terms, seed);
     OwnerRun run = sim.Run();
     auto found = CheckHistory(run.history, run.works, run.clocks_kept, run.whole);
     if (!found.empty())
-      Report(name, seed, run, found);
+      PrintViolation(name, seed, run, found);
     assert(found.empty());
-    ++tally.runs;
+    ++totals.runs;
     for (const Happened& h : run.history) {
-      tally.grants += h.what == Happened::What::kGranted;
-      tally.landed += h.what == Happened::What::kLanded && h.landing == FencingResult::kDone;
-      tally.stale += h.what == Happened::What::kLanded && h.landing == FencingResult::kStaleToken;
+      totals.grants += h.what == Happened::What::kGranted;
+      totals.landed += h.what == Happened::What::kLanded && h.landing == FencingResult::kDone;
+      totals.stale += h.what == Happened::What::kLanded && h.landing == FencingResult::kStaleToken;
     }
     auto some = Handovers(run.history);
-    tally.handovers.insert(tally.handovers.end(), some.begin(), some.end());
+    totals.handovers.insert(totals.handovers.end(), some.begin(), some.end());
   }
 }
 
-void TheSameSeedReplays() {
+void TheSameSeedGivesTheSameRun() {
   auto trace = [] {
     OwnerSim sim({}, 5);
     OwnerRun run = sim.Run();
@@ -353,14 +361,14 @@
   assert(one.size() > 200 && one == trace());
 }
 
-void AMajorityLostGrantsNothing() {
+void NothingIsGrantedAfterLosingAMajority() {
   OwnerTerms t;
   t.steps = 10000;
   OwnerSim sim(t, 3);
   sim.RunUntil(9000);
   assert(sim.holder("work-0") != 0);
   sim.Restart(1, true);
-  sim.Restart(2, true);  // members 1 and 2 of three come back with nothing
+  sim.Restart(2, true);  // members 1 and 2 of three come back with empty stores
   sim.RunUntil(9000 + 3 * t.lease.duration);
   assert(sim.holder("work-0") == 0 && sim.holder("work-1") == 0);
   OwnerRun run = sim.result(false);
@@ -372,11 +380,11 @@
   assert(CheckHistory(run.history, run.works, true, false).empty());
 }
 
-void EachBrokenVariantIsCaught() {
+void EachInjectedFaultIsDetected() {
   struct Case {
     const char* name;
     OwnerBreaks breaks;
-    std::vector<std::string> promises;  // one of these
+    std::vector<std::string> promises;  // the invariants that may report it
     bool lose_all;
     bool past_bound;
   };
@@ -387,15 +395,16 @@
   alone.grant_alone = true;
   start.from_the_start = true;
   no_lease.no_lease = true;
-  for (const Case& c : {Case{"no fencing", no_fence, {"fence"}, false, false},
-                        Case{"lease without drift margin", no_margin, {"lease"}, false, false},
-                        Case{"token reused after restart", reuse, {"token"}, true, false},
-                        Case{"grant without quorum", alone, {"token", "lease"}, false, false},
-                        Case{"resume from before the last step", start, {"resume"}, false, false},
-                        Case{"acts on past its lease", no_lease, {"lease"}, false, false}}) {
-    bool caught = false;
+  for (const Case& c :
+       {Case{"no fencing token check", no_fence, {"fence"}, false, false},
+        Case{"lease without drift margin", no_margin, {"lease"}, false, false},
+        Case{"token reused after restart", reuse, {"token"}, true, false},
+        Case{"grant without quorum", alone, {"token", "lease"}, false, false},
+        Case{"resume from before the last step", start, {"resume"}, false, false},
+        Case{"acts after its lease has expired", no_lease, {"lease"}, false, false}}) {
+    bool detected = false;
     std::uint64_t seed = 1;
-    for (; seed <= 60 && !caught; ++seed) {
+    for (; seed <= 60 && !detected; ++seed) {
       OwnerTerms t;
       t.breaks = c.breaks;
       t.lose_all = c.lose_all;
@@ -403,15 +412,15 @@
       OwnerRun run = sim.Run();
       for (const Breach& b : CheckHistory(run.history, run.works, run.clocks_kept, false))
         if (std::find(c.promises.begin(), c.promises.end(), b.promise) != c.promises.end()) {
-          if (!caught)
-            std::printf("caught: %s: seed %llu, %s: %s\n", c.name,
+          if (!detected)
+            std::printf("detected: %s: seed %llu, %s: %s\n", c.name,
                         static_cast<unsigned long long>(seed), b.promise.c_str(), b.what.c_str());
-          caught = true;
+          detected = true;
         }
     }
-    if (!caught)
-      std::fprintf(stderr, "missed: %s\n", c.name);
-    assert(caught);
+    if (!detected)
+      std::fprintf(stderr, "not detected: %s\n", c.name);
+    assert(detected);
   }
 }
 
@@ -420,17 +429,18 @@
 int main(int argc, char** argv) {
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::uint64_t seeds =
-      argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 100;  // of each kind; more by hand
-  TokensGrowAndTheTableIsWhole();
-  TheTwoClocksLeaveAGap();
-  TheFenceRefuses();
-  BytesFromOutsideNeverHarm();
-  TheSameSeedReplays();
-  AMajorityLostGrantsNothing();
-  EachBrokenVariantIsCaught();
-  assert(EveryOrderKeepsOneOwner(true) == 0);
-  assert(EveryOrderKeepsOneOwner(false) > 0);  // the exploration sees what the schedules found
-  Tally tally;
+      argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 100;  // schedules of each kind
+  TokensIncreaseAndCorruptEncodingsAreRejected();
+  HolderStopsBeforeTheLeaderExpiresTheLease();
+  FencingTokenCheckRefusesStaleAndRepeatedSteps();
+  MutatedDatagramsAreRejected();
+  TheSameSeedGivesTheSameRun();
+  NothingIsGrantedAfterLosingAMajority();
+  EachInjectedFaultIsDetected();
+  assert(CountStatesWithTwoHolders(true) == 0);
+  assert(CountStatesWithTwoHolders(false) >
+         0);  // the exploration finds the fault that the schedules found
+  ScheduleTotals totals;
   OwnerTerms plain, five, past, all;
   five.fronts = 7;
   five.group = 5;
@@ -438,23 +448,24 @@
   past.past_bound = true;
   past.faults = 12;
   all.lose_all = true;
-  Schedules("three members", plain, 1, seeds, tally);
-  Schedules("five members", five, 100001, seeds, tally);
-  Schedules("clocks past the bound", past, 200001, seeds, tally);
-  Schedules("stores lost", all, 300001, seeds, tally);
-  std::sort(tally.handovers.begin(), tally.handovers.end());
+  RunSchedules("three members", plain, 1, seeds, totals);
+  RunSchedules("five members", five, 100001, seeds, totals);
+  RunSchedules("clocks past the bound", past, 200001, seeds, totals);
+  RunSchedules("stores lost", all, 300001, seeds, totals);
+  std::sort(totals.handovers.begin(), totals.handovers.end());
   auto q = [&](double p) {
-    return tally.handovers.empty() ? -1
-                                   : tally.handovers[static_cast<std::size_t>(
-                                         p * static_cast<double>(tally.handovers.size() - 1))];
+    return totals.handovers.empty() ? -1
+                                    : totals.handovers[static_cast<std::size_t>(
+                                          p * static_cast<double>(totals.handovers.size() - 1))];
   };
   std::printf(
-      "%llu schedules: %llu grants, %llu steps landed, %llu refused as stale, no promise broken; "
-      "handover p50 %.0f p99 %.0f ms (staged)\n",
-      static_cast<unsigned long long>(tally.runs), static_cast<unsigned long long>(tally.grants),
-      static_cast<unsigned long long>(tally.landed), static_cast<unsigned long long>(tally.stale),
+      "%llu schedules: %llu grants, %llu steps executed, %llu refused as stale, no invariant "
+      "violated; "
+      "handover p50 %.0f p99 %.0f ms (simulated)\n",
+      static_cast<unsigned long long>(totals.runs), static_cast<unsigned long long>(totals.grants),
+      static_cast<unsigned long long>(totals.landed), static_cast<unsigned long long>(totals.stale),
       q(0.5), q(0.99));
   assert(seeds < 100 ||
-         (tally.stale > 0 && tally.handovers.size() > 50));  // they were not all idle
+         (totals.stale > 0 && totals.handovers.size() > 50));  // the schedules were not all idle
   std::puts("owner_test: all passed");
 }
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -218,7 +218,7 @@
   std::map<std::string, std::string> longest;
   std::deque<Packet> network;
   auto send = [&](owner::Id to, std::string bytes) {
-    auto frame = owner::ReadFrame(bytes);
+    auto frame = owner::DecodeFrame(bytes);
     if (!frame)
       throw std::runtime_error("a datagram that its own reader refuses");
     static const char* const kKinds[] = {"group", "ask", "answer", "act", "did"};
@@ -257,7 +257,7 @@
         nodes.at(packet.to)->Receive(now, packet.bytes);
         continue;
       }
-      auto frame = owner::ReadFrame(packet.bytes);
+      auto frame = owner::DecodeFrame(packet.bytes);
       auto step = owner::DecodeStepRequest(frame->body);
       if (!step)
         throw std::runtime_error("a step that its own reader refuses");
@@ -272,7 +272,7 @@
 }
 
 std::optional<std::string> ReencodeStep(Bytes bytes) {
-  auto frame = owner::ReadFrame(bytes);
+  auto frame = owner::DecodeFrame(bytes);
   if (!frame || frame->kind != owner::MessageKind::kStepRequest)
     return std::nullopt;
   auto step = owner::DecodeStepRequest(frame->body);
