--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -18,83 +18,84 @@
 
 namespace {
 
-// A new file or none: it is made whole beside its place and linked there, which fails where a name
-// is taken. So neither the input nor anything else is ever overwritten.
-void WriteNew(const std::string& path, const std::string& text) {
-  auto fail = [&](const std::string& why) {
-    throw migrate::Refused(path + ": cannot be written: " + why);
+// Creates a new file, complete or not at all: it is written under a temporary name beside `path`
+// and then linked to `path`, which fails if that exists. So neither the input nor any other file is
+// ever overwritten.
+void WriteNewFile(const std::string& path, const std::string& text) {
+  auto fail = [&](const std::string& error) {
+    throw migrate::Refused(path + ": cannot be written: " + error);
   };
-  std::string part = path + ".XXXXXX";
-  int fd = ::mkstemp(part.data());
+  std::string temporary_path = path + ".XXXXXX";
+  int fd = ::mkstemp(temporary_path.data());
   if (fd < 0)
     fail(std::strerror(errno));
-  std::string why;
-  for (std::size_t at = 0; at < text.size() && why.empty();) {
-    ssize_t n = ::write(fd, text.data() + at, text.size() - at);
-    if (n < 0 && errno == EINTR)
+  std::string error;
+  for (std::size_t written = 0; written < text.size() && error.empty();) {
+    ssize_t count = ::write(fd, text.data() + written, text.size() - written);
+    if (count < 0 && errno == EINTR)
       continue;
-    if (n < 0)
-      why = std::strerror(errno);
+    if (count < 0)
+      error = std::strerror(errno);
     else
-      at += static_cast<std::size_t>(n);
+      written += static_cast<std::size_t>(count);
   }
-  if (why.empty() && (::fchmod(fd, 0644) != 0 || ::fsync(fd) != 0))
-    why = std::strerror(errno);
+  if (error.empty() && (::fchmod(fd, 0644) != 0 || ::fsync(fd) != 0))
+    error = std::strerror(errno);
   ::close(fd);
-  if (why.empty() && ::link(part.c_str(), path.c_str()) != 0)
-    why = errno == EEXIST ? "it is there already; give another name or take it away first"
-                          : std::strerror(errno);
-  ::unlink(part.c_str());
-  if (!why.empty())
-    fail(why);
+  if (error.empty() && ::link(temporary_path.c_str(), path.c_str()) != 0)
+    error = errno == EEXIST ? "the file exists; choose another name or remove it first"
+                            : std::strerror(errno);
+  ::unlink(temporary_path.c_str());
+  if (!error.empty())
+    fail(error);
 }
 
-void Print(const std::vector<migrate::Note>& notes, const char* head) {
-  for (const migrate::Note& n : notes)
-    std::printf("%s %s: %s\n", head, n.field.c_str(), n.what.c_str());
+void Print(const std::vector<migrate::Note>& notes, const char* heading) {
+  for (const migrate::Note& note : notes)
+    std::printf("%s %s: %s\n", heading, note.field.c_str(), note.what.c_str());
 }
 
-struct Migrate {
+struct MigrateCommand {
   std::string file;
-  std::string out;
+  std::string output;
   std::string direct = "keep";
   std::string joins = "keep";
   std::string probes = "keep";
-  std::vector<std::string> tickets;
+  std::vector<std::string> ticketed;
   migrate::Target target;
   bool dry_run = false;
   bool json = false;
 
-  static std::optional<bool> choice(const std::string& word) {
-    return word == "keep" ? std::nullopt : std::optional<bool>(word == "yes");
+  static std::optional<bool> ParseChoice(const std::string& choice) {
+    return choice == "keep" ? std::nullopt : std::optional<bool>(choice == "yes");
   }
 
   void ReadTickets() {
-    for (const std::string& one : tickets) {
-      std::size_t eq = one.rfind('=');
+    for (const std::string& option : ticketed) {
+      std::size_t separator = option.rfind('=');
       char* end = nullptr;
-      double ms = eq == one.npos ? 0 : std::strtod(one.c_str() + eq + 1, &end);
-      if (eq == one.npos || eq == 0 || !end || *end || !(ms > 0) || ms > 1e9)
-        throw migrate::Refused("--ticketed " + one +
+      double ms = separator == option.npos ? 0 : std::strtod(option.c_str() + separator + 1, &end);
+      if (separator == option.npos || separator == 0 || !end || *end || !(ms > 0) || ms > 1e9)
+        throw migrate::Refused("--ticketed " + option +
                                ": must be an offering's name, =, and milliseconds above 0");
-      target.tickets[one.substr(0, eq)] = ms;
+      target.tickets[option.substr(0, separator)] = ms;
     }
   }
 
-  std::string report(const migrate::Outcome& done) const {
-    rapidjson::StringBuffer bytes;
-    rapidjson::PrettyWriter<rapidjson::StringBuffer> writer(bytes);
+  std::string ReportJson(const migrate::Outcome& outcome) const {
+    rapidjson::StringBuffer buffer;
+    rapidjson::PrettyWriter<rapidjson::StringBuffer> writer(buffer);
     auto text = [&](const char* key, const std::string& value) {
       writer.Key(key);
       writer.String(value.c_str(), static_cast<rapidjson::SizeType>(value.size()));
     };
-    auto all = [&](const char* key, const std::vector<migrate::Note>& notes) {
+    auto write_notes = [&](const char* key, const std::vector<migrate::Note>& notes) {
       writer.Key(key);
       writer.StartArray();
-      for (const migrate::Note& n : notes) {
+      for (const migrate::Note& note : notes) {
         writer.StartObject();
-        text("field", n.field);
-        text("what", n.what);
+        text("field", note.field);
+        text("what", note.what);
         writer.EndObject();
       }
       writer.EndArray();
@@ -102,39 +103,39 @@
     writer.StartObject();
     text("file", file);
     writer.Key("written");
-    dry_run ? writer.Null() : writer.String(out.c_str());
-    all("changed", done.changed);
-    all("left", done.left);
+    dry_run ? writer.Null() : writer.String(output.c_str());
+    write_notes("changed", outcome.changed);
+    write_notes("left", outcome.left);
     writer.EndObject();
-    return bytes.GetString();
+    return buffer.GetString();
   }
 
   int operator()() {
     try {
       ReadTickets();
-      target.direct = choice(direct);
-      target.joins = choice(joins);
-      target.probes = choice(probes);
-      if (out.empty() && !dry_run)
+      target.direct = ParseChoice(direct);
+      target.joins = ParseChoice(joins);
+      target.probes = ParseChoice(probes);
+      if (output.empty() && !dry_run)
         throw migrate::Refused("--out NEW or --dry-run is needed: nothing was written");
-      std::error_code none;
-      if (!out.empty() && fs::equivalent(file, out, none))
-        throw migrate::Refused(out + ": is the file that is read; it is never overwritten");
-      migrate::Outcome done = migrate::Migrated(schema::ReadFile(file), file, target);
+      std::error_code error_code;
+      if (!output.empty() && fs::equivalent(file, output, error_code))
+        throw migrate::Refused(output + ": is the input file, which is never overwritten");
+      migrate::Outcome outcome = migrate::Migrated(schema::ReadFile(file), file, target);
       if (!dry_run)
-        WriteNew(out, done.text);
+        WriteNewFile(output, outcome.text);
       if (json) {
-        std::puts(report(done).c_str());
+        std::puts(ReportJson(outcome).c_str());
       } else {
-        Print(done.changed, "changed");
-        Print(done.left, "left behind");
-        if (done.changed.empty())
+        Print(outcome.changed, "changed");
+        Print(outcome.left, "left behind");
+        if (outcome.changed.empty())
           std::puts("nothing to change: the file is of the new shape");
-        std::printf("%s\n", dry_run ? "nothing was written" : ("written: " + out).c_str());
+        std::printf("%s\n", dry_run ? "nothing was written" : ("written: " + output).c_str());
       }
-      return done.left.empty() ? 0 : 3;
-    } catch (const std::exception& fault) {
-      std::fprintf(stderr, "dunlinctl: %s\n", fault.what());
+      return outcome.left.empty() ? 0 : 3;
+    } catch (const std::exception& error) {
+      std::fprintf(stderr, "dunlinctl: %s\n", error.what());
       return 2;
     }
   }
@@ -146,31 +147,32 @@
   CLI::App* config =
       app.add_subcommand("config", "a front's configuration: move it to the new shape");
   config->require_subcommand(1);
-  CLI::App* move = config->add_subcommand(
+  CLI::App* migrate = config->add_subcommand(
       "migrate", "write the counterpart of a configuration for the new shape");
-  auto how = std::make_shared<Migrate>();
-  move->footer(
+  auto migration = std::make_shared<MigrateCommand>();
+  migrate->footer(
       "exit: 0 all carried over, 3 something was left behind (it is listed), 2 bad input, nothing "
       "written");
-  move->add_option("file", how->file, "the configuration of the old shape; it is only read")
+  migrate
+      ->add_option("file", migration->file, "the configuration of the old shape; it is only read")
       ->required();
-  move->add_option("--out", how->out,
-                   "where the new one goes; a file that is there is not overwritten");
-  move->add_flag("--dry-run", how->dry_run, "change nothing, only list");
-  move->add_flag("--json", how->json, "the list as JSON");
-  move->add_option("--siblings", how->target.siblings, "which caches may fill another")
+  migrate->add_option("--out", migration->output,
+                      "where the new one goes; a file that is there is not overwritten");
+  migrate->add_flag("--dry-run", migration->dry_run, "change nothing, only list");
+  migrate->add_flag("--json", migration->json, "the list as JSON");
+  migrate->add_option("--siblings", migration->target.siblings, "which caches may fill another")
       ->check(CLI::IsMember({"none", "location", "any"}))
       ->capture_default_str();
-  move->add_option("--ticketed", how->tickets,
-                   "OFFERING=MS: its repeats are dropped everywhere for so long");
-  for (auto [name, to, about] :
-       {std::tuple{"--direct", &how->direct, "pulls may go past the caches"},
-        std::tuple{"--joins", &how->joins, "pulls may join a fill under way"},
-        std::tuple{"--probes", &how->probes, "caches may be probed"}})
-    move->add_option(name, *to, about)
+  migrate->add_option("--ticketed", migration->ticketed,
+                      "OFFERING=MS: its repeats are dropped everywhere for so long");
+  for (auto [name, choice, description] :
+       {std::tuple{"--direct", &migration->direct, "pulls may go past the caches"},
+        std::tuple{"--joins", &migration->joins, "pulls may join a fill under way"},
+        std::tuple{"--probes", &migration->probes, "caches may be probed"}})
+    migrate->add_option(name, *choice, description)
         ->check(CLI::IsMember({"keep", "yes", "no"}))
         ->capture_default_str();
-  move->callback([how, &code] { code = (*how)(); });
+  migrate->callback([migration, &code] { code = (*migration)(); });
 }
 
 }  // namespace dunlinwick::ctl
--- a/src/ctl/drill.hpp
+++ b/src/ctl/drill.hpp
@@ -3,6 +3,7 @@
 #include <CLI/CLI.hpp>
 
 namespace dunlinwick::ctl {
-// Exit codes: 0 rules kept, 3 a rule broken, 1 bad input. What can't be used throws, with one line.
+// Exit codes: 0 no invariant was violated, 3 one was, 1 bad input. Unusable input throws an
+// exception with a message of one line.
 void AddDrill(CLI::App& app, int& code);
 }  // namespace dunlinwick::ctl
--- a/src/ctl/fleet.hpp
+++ b/src/ctl/fleet.hpp
@@ -1,10 +1,11 @@
-// dunlinctl fleet: many fronts on loopback, what goes wrong between them, and what each of them
-// holds.
+// dunlinctl fleet: runs many fronts on loopback, injects faults between them, and shows the state
+// of each.
 #pragma once
 #include <CLI/CLI.hpp>
 
 namespace dunlinwick::ctl {
 void AddFleet(CLI::App& app, int& code);
-// The owners' addresses of the fleet that is up at this port; throws where none answers.
-std::vector<std::string> OwnersUp(int port);
+// The addresses at which the fronts of the fleet running at this port report their lease status;
+// throws if no fleet responds.
+std::vector<std::string> LeaseStatusAddresses(int port);
 }  // namespace dunlinwick::ctl
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// The operators' command line.
+// dunlinctl: the operators' command line.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
@@ -26,11 +26,11 @@
 #endif
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& fault) {
-    // Bad input is 1, whatever number the library gives it.
-    return app.exit(fault) == 0 ? 0 : 1;
-  } catch (const std::exception& fault) {
-    std::fprintf(stderr, "dunlinctl: %s\n", fault.what());
+  } catch (const CLI::ParseError& error) {
+    // Bad input exits with 1, whatever code the library assigns.
+    return app.exit(error) == 0 ? 0 : 1;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "dunlinctl: %s\n", error.what());
     return 1;
   }
   return code;
--- a/src/ctl/owner.cpp
+++ b/src/ctl/owner.cpp
@@ -12,65 +12,73 @@
 
 namespace {
 
-struct Status {
-  std::vector<std::string> at;
+struct StatusCommand {
+  std::vector<std::string> addresses;
   int port = 7400;
   bool json = false;
 
   int operator()() {
-    if (at.empty())
-      at = OwnersUp(port);
+    if (addresses.empty())
+      addresses = LeaseStatusAddresses(port);
     loop::Loop loop;
-    loop::Address mine{};
-    mine.sin_family = AF_INET;
-    loop::Descriptor fd(loop.environment(), loop.environment().OpenDatagrams(mine));
-    std::size_t silent = 0;
-    std::string all = "[", tail;
-    std::optional<json::Value> best;  // the leader's, else the group member's that has applied most
-    for (std::size_t i = 0; i < at.size(); ++i) {
-      auto to = loop::ReadAddress(at[i]);
-      if (!to)
-        throw std::runtime_error("--at " + at[i] + ": an address such as 127.0.0.10:7600 wanted");
+    loop::Address local_address{};
+    local_address.sin_family = AF_INET;
+    loop::Descriptor fd(loop.environment(), loop.environment().OpenDatagrams(local_address));
+    std::size_t unanswered = 0;
+    std::string json_list = "[", front_lines;
+    std::optional<json::Value> table_source;  // the leader's status, else the first group member's
+    for (std::size_t i = 0; i < addresses.size(); ++i) {
+      auto address = loop::ReadAddress(addresses[i]);
+      if (!address)
+        throw std::runtime_error("--at " + addresses[i] +
+                                 ": expected an address such as 127.0.0.10:7600");
       std::string raw;
-      auto v = fleet::AskView(loop, fd, *to, &raw, "DO?");
-      silent += !v;
-      all += (i ? ",\n " : "\n ") + (v ? raw : "{\"at\":\"" + at[i] + "\",\"silent\":true}");
+      auto status = fleet::AskView(loop, fd, *address, &raw, "DO?");
+      unanswered += !status;
+      json_list += (i ? ",\n " : "\n ") +
+                   (status ? raw : "{\"at\":\"" + addresses[i] + "\",\"silent\":true}");
       char line[256];
-      if (!v) {
-        std::snprintf(line, sizeof line, "%-22s no answer\n", at[i].c_str());
+      if (!status) {
+        std::snprintf(line, sizeof line, "%-22s no answer\n", addresses[i].c_str());
       } else {
-        const json::Value* leads = v->Find("leads");
-        bool leader = leads && leads->text == "true";
+        const json::Value* leads = status->Find("leads");
+        bool is_leader = leads && leads->text == "true";
         std::snprintf(
-            line, sizeof line, "%-22s front %-4.0f %s%s%s%s%s\n", at[i].c_str(),
-            v->number("self").value_or(0), std::string(v->word("group")).c_str(),
-            v->word("store").empty() ? "" : ", store not used", leader ? ", leads term " : "",
-            leader ? std::to_string(static_cast<long>(v->number("term").value_or(0))).c_str() : "",
-            v->word("why").empty() ? "" : (": " + std::string(v->word("why"))).c_str());
-        if (v->Find("works") && (!best || leader))
-          best = v;
+            line, sizeof line, "%-22s front %-4.0f %s%s%s%s%s\n", addresses[i].c_str(),
+            status->number("self").value_or(0), std::string(status->word("group")).c_str(),
+            status->word("store").empty() ? "" : ", store not used",
+            is_leader ? ", leads term " : "",
+            is_leader
+                ? std::to_string(static_cast<long>(status->number("term").value_or(0))).c_str()
+                : "",
+            status->word("why").empty() ? "" : (": " + std::string(status->word("why"))).c_str());
+        if (status->Find("works") && (!table_source || is_leader))
+          table_source = status;
       }
-      tail += line;
+      front_lines += line;
     }
     if (json) {
-      std::printf("%s\n]\n", all.c_str());
-      return silent ? 4 : 0;
+      std::printf("%s\n]\n", json_list.c_str());
+      return unanswered ? 4 : 0;
     }
-    if (best) {
+    if (table_source) {
       std::printf("%-32s %-6s %-22s %-15s %-10s lease ends in\n", "work", "owner", "token", "done",
                   "state");
-      for (const json::Value& w : best->Find("works")->items) {
-        const json::Value *token = w.Find("token"), *ends = w.Find("lease_ends_in_ms");
-        std::string done = std::to_string(static_cast<long>(w.number("done").value_or(0))) + "/" +
-                           std::to_string(static_cast<long>(w.number("steps").value_or(0)));
-        std::printf("%-32s %-6.0f %-22s %-15s %-10s %s\n", std::string(w.word("work")).c_str(),
-                    w.number("owner").value_or(0), token ? token->text.c_str() : "", done.c_str(),
-                    std::string(w.word("state")).c_str(),
-                    ends && ends->kind == json::Kind::kNumber ? (ends->text + " ms").c_str() : "-");
+      for (const json::Value& task : table_source->Find("works")->items) {
+        const json::Value *token = task.Find("token"), *lease_end = task.Find("lease_ends_in_ms");
+        std::string progress = std::to_string(static_cast<long>(task.number("done").value_or(0))) +
+                               "/" +
+                               std::to_string(static_cast<long>(task.number("steps").value_or(0)));
+        std::printf("%-32s %-6.0f %-22s %-15s %-10s %s\n", std::string(task.word("work")).c_str(),
+                    task.number("owner").value_or(0), token ? token->text.c_str() : "",
+                    progress.c_str(), std::string(task.word("state")).c_str(),
+                    lease_end && lease_end->kind == json::Kind::kNumber
+                        ? (lease_end->text + " ms").c_str()
+                        : "-");
       }
     }
-    std::fputs(tail.c_str(), stdout);
-    return silent ? 4 : 0;
+    std::fputs(front_lines.c_str(), stdout);
+    return unanswered ? 4 : 0;
   }
 };
 
@@ -79,19 +87,20 @@
 void AddOwner(CLI::App& app, int& code) {
   CLI::App* owner = app.add_subcommand("owner", "who owns which of the fleet's work");
   owner->require_subcommand(1);
-  auto status = std::make_shared<Status>();
-  CLI::App* c = owner->add_subcommand(
+  auto status = std::make_shared<StatusCommand>();
+  CLI::App* command = owner->add_subcommand(
       "status", "each piece of work, its owner, token and lease, as the group has it");
-  c->footer(
+  command->footer(
       "exit: 0 every front asked has answered, 4 some have not, 1 bad input. Leases are the "
       "leader's to know: ask it too");
-  c->add_option("--at", status->at,
-                "owner.listen of a front, such as 127.0.0.10:7600; again for each; else those of "
-                "the fleet that is up");
-  c->add_option("--port", status->port, "without --at: the port of the fleet that is up")
+  command->add_option(
+      "--at", status->addresses,
+      "owner.listen of a front, such as 127.0.0.10:7600; again for each; else those of "
+      "the fleet that is up");
+  command->add_option("--port", status->port, "without --at: the port of the fleet that is up")
       ->capture_default_str();
-  c->add_flag("--json", status->json, "every front's whole status as a JSON list");
-  c->callback([status, &code] { code = (*status)(); });
+  command->add_flag("--json", status->json, "every front's whole status as a JSON list");
+  command->callback([status, &code] { code = (*status)(); });
 }
 
 }  // namespace dunlinwick::ctl
--- a/src/ctl/owner.hpp
+++ b/src/ctl/owner.hpp
@@ -1,4 +1,4 @@
-// dunlinctl owner: who owns which of the fleet's work.
+// dunlinctl owner: shows the lease holder of each of the fleet's tasks.
 #pragma once
 #include <CLI/CLI.hpp>
 
--- a/src/ctl/record.cpp
+++ b/src/ctl/record.cpp
@@ -17,66 +17,67 @@
 
 namespace {
 
-struct ResponseSink {
+struct RecordClient {
   loop::Loop loop;
-  loop::Descriptor fd;
+  loop::Descriptor socket;
   std::vector<loop::Address> fronts;
 
-  ResponseSink(const std::vector<std::string>& at, int port) {
-    std::vector<std::string> all = at;
-    if (all.empty())
-      for (const std::string& owner : OwnersUp(port))
-        all.push_back(owner.substr(0, owner.rfind(':') + 1) + std::to_string(port));
-    for (const std::string& one : all) {
-      auto to = loop::ReadAddress(one);
-      if (!to)
-        throw std::runtime_error("--at " + one + ": an address such as 127.0.0.10:7400 wanted");
-      fronts.push_back(*to);
+  RecordClient(const std::vector<std::string>& addresses, int port) {
+    std::vector<std::string> all_addresses = addresses;
+    if (all_addresses.empty())
+      for (const std::string& status_address : LeaseStatusAddresses(port))
+        all_addresses.push_back(status_address.substr(0, status_address.rfind(':') + 1) +
+                                std::to_string(port));
+    for (const std::string& text : all_addresses) {
+      auto address = loop::ReadAddress(text);
+      if (!address)
+        throw std::runtime_error("--at " + text + ": expected an address such as 127.0.0.10:7400");
+      fronts.push_back(*address);
     }
-    loop::Address mine{};
-    mine.sin_family = AF_INET;
-    fd = loop::Descriptor(loop.environment(), loop.environment().OpenDatagrams(mine));
+    loop::Address local_address{};
+    local_address.sin_family = AF_INET;
+    socket = loop::Descriptor(loop.environment(), loop.environment().OpenDatagrams(local_address));
   }
 
-  std::optional<std::string> status(std::size_t i) {
+  std::optional<std::string> RequestStatus(std::size_t i) {
     std::string raw;
-    auto v = fleet::AskView(loop, fd, fronts[i], &raw, "DR?");
-    return v ? std::optional(raw) : std::nullopt;
+    auto status = fleet::AskView(loop, socket, fronts[i], &raw, "DR?");
+    return status ? std::optional(raw) : std::nullopt;
   }
 
-  // Asks each front until one owns the record and answers. `again`: as before, for a while, since
-  // owners change.
-  std::optional<proto::record::PutAnswer> put(const proto::record::PutBatch& batch) {
+  // Sends the batch to one front after another until the leader writer of the record responds.
+  // Repeats this for up to 10 seconds, since the leader writer may change.
+  std::optional<proto::record::PutAnswer> SendBatch(const proto::record::PutBatch& batch) {
     std::string datagram = std::string("DR\x01", 3) + batch.SerializeAsString();
     if (datagram.size() > 60000)
-      throw std::runtime_error("over 60,000 bytes: more than one write takes");
-    constexpr double kInAll = 10000, kEach = 2500;
-    double end = loop.now() + kInAll;
-    std::optional<proto::record::PutAnswer> last;
-    while (loop.now() < end) {
-      for (const loop::Address& to : fronts) {
-        loop.environment().SendTo(fd.Get(), datagram, to);
-        double until = std::min(end, loop.now() + kEach);
-        while (loop.now() < until) {
+      throw std::runtime_error("the batch is above the limit of 60,000 bytes");
+    constexpr double kTotalTimeout = 10000, kTimeoutPerFront = 2500;
+    double deadline = loop.now() + kTotalTimeout;
+    std::optional<proto::record::PutAnswer> last_answer;
+    while (loop.now() < deadline) {
+      for (const loop::Address& address : fronts) {
+        loop.environment().SendTo(socket.Get(), datagram, address);
+        double front_deadline = std::min(deadline, loop.now() + kTimeoutPerFront);
+        while (loop.now() < front_deadline) {
           std::vector<char> buffer(65536);
           loop::Address from{};
-          ssize_t got = loop.environment().ReceiveFrom(fd.Get(), buffer, from);
-          proto::record::PutAnswer a;
-          if (got <= 0 || !a.ParseFromArray(buffer.data(), static_cast<int>(got)) ||
-              a.number() != batch.number()) {
+          ssize_t received = loop.environment().ReceiveFrom(socket.Get(), buffer, from);
+          proto::record::PutAnswer answer;
+          if (received <= 0 || !answer.ParseFromArray(buffer.data(), static_cast<int>(received)) ||
+              answer.number() != batch.number()) {
             loop.turn(5);
             continue;
           }
-          last = a;
-          if (a.outcome() != 3)
-            return a;
-          break;  // not here, or not yet: the next one, and round again
+          last_answer = answer;
+          if (answer.outcome() != 3)
+            return answer;
+          break;  // this front is not the leader writer: tries the next one
         }
       }
-      for (double rest = loop.now() + 200; loop.now() < rest;)
+      for (double next_round_at = loop.now() + 200; loop.now() < next_round_at;)
         loop.turn(20);
     }
-    return last;
+    return last_answer;
   }
 };
 
@@ -86,209 +87,218 @@
                                         .count());
 }
 
-int Tell(const std::optional<proto::record::PutAnswer>& a) {
+int PrintAnswer(const std::optional<proto::record::PutAnswer>& answer) {
   static const char* const kWords[] = {
       "acknowledged", "lost: it is surely not in the record",
       "unsure: it may be in the record or not; look before you write again",
       "no front owns the record just now", "refused"};
-  if (!a) {
+  if (!answer) {
     std::fprintf(stderr, "no front has answered\n");
     return 4;
   }
-  unsigned o = std::min(a->outcome(), 4u);
-  std::printf("%s%s%s", kWords[o], a->why().empty() ? "" : ": ", a->why().c_str());
-  if (o == 0)
-    std::printf(" at offset %llu, by front %u", static_cast<unsigned long long>(a->first()),
-                a->owner());
+  unsigned outcome = std::min(answer->outcome(), 4u);
+  std::printf("%s%s%s", kWords[outcome], answer->why().empty() ? "" : ": ", answer->why().c_str());
+  if (outcome == 0)
+    std::printf(" at offset %llu, by front %u", static_cast<unsigned long long>(answer->first()),
+                answer->owner());
   std::puts("");
-  return o == 0 ? 0 : o == 4 ? 1 : o == 2 ? 5 : 4;
+  return outcome == 0 ? 0 : outcome == 4 ? 1 : outcome == 2 ? 5 : 4;
 }
 
-struct Common {
-  std::vector<std::string> at;
+struct TargetOptions {
+  std::vector<std::string> addresses;
   int port = 7400;
-  void options(CLI::App* c) {
-    c->add_option("--at", at,
-                  "peers.listen of a front, such as 127.0.0.10:7400; again for each; else those of "
-                  "the fleet that is up");
-    c->add_option("--port", port, "without --at: the port of the fleet that is up")
+  void AddOptions(CLI::App* command) {
+    command->add_option(
+        "--at", addresses,
+        "peers.listen of a front, such as 127.0.0.10:7400; again for each; else those of "
+        "the fleet that is up");
+    command->add_option("--port", port, "without --at: the port of the fleet that is up")
         ->capture_default_str();
   }
 };
 
-struct Put : Common {
+struct PutCommand : TargetOptions {
   std::string stream = "recalls";
   std::string value;
   std::vector<std::string> keys;
   bool lift = false;
   int operator()() {
-    ResponseSink response_sink(at, port);
+    RecordClient client(addresses, port);
     proto::record::PutBatch batch;
     batch.set_number(UnixMs());
     for (const std::string& key : keys) {
-      auto* p = batch.add_puts();
-      p->set_stream(static_cast<unsigned>(stream == "recalls" ? record::Stream::kRecalls
-                                                              : record::Stream::kTerms));
-      p->set_key(key);
-      p->set_value(value);
-      p->set_tombstone(lift);
+      auto* entry = batch.add_puts();
+      entry->set_stream(static_cast<unsigned>(stream == "recalls" ? record::Stream::kRecalls
+                                                                  : record::Stream::kTerms));
+      entry->set_key(key);
+      entry->set_value(value);
+      entry->set_tombstone(lift);
     }
-    return Tell(response_sink.put(batch));
+    return PrintAnswer(client.SendBatch(batch));
   }
 };
 
-struct Approve : Common {
+struct ApproveCommand : TargetOptions {
   std::string file;
-  std::string where = "fleet";
-  std::string by;
-  std::string second;
-  double within = 60;
-  long long over = -1;
+  std::string scope = "fleet";
+  std::string approver;
+  std::string second_approver;
+  double within_s = 60;
+  long long replaced_version = -1;
   int operator()() {
-    ResponseSink response_sink(at, port);
-    drift::Approval a;
-    a.by = by;
-    a.second = second;
-    a.hold_by = static_cast<double>(UnixMs()) + within * 1000;
+    RecordClient client(addresses, port);
+    drift::Approval approval;
+    approval.by = approver;
+    approval.second = second_approver;
+    approval.hold_by = static_cast<double>(UnixMs()) + within_s * 1000;
     schema::Settings settings(
         file, schema::ReadFile(file),
         R"({"type": "object", "minProperties": 1, "maxProperties": 32, "additionalProperties":
       {"type": "object", "minProperties": 1, "maxProperties": 256, "additionalProperties": {"type": ["string", "number", "boolean"]}}})");
     for (const auto& section : settings.Root().GetObject())
       for (const auto& field : section.value.GetObject()) {
-        const rapidjson::Value& v = field.value;
-        a.form[section.name.GetString()][field.name.GetString()] =
-            v.IsString() ? std::string(v.GetString())
-            : v.IsBool() ? std::string(v.GetBool() ? "true" : "false")
-                         : drift::Number(v.GetDouble());
+        const rapidjson::Value& value = field.value;
+        approval.form[section.name.GetString()][field.name.GetString()] =
+            value.IsString() ? std::string(value.GetString())
+            : value.IsBool() ? std::string(value.GetBool() ? "true" : "false")
+                             : drift::Number(value.GetDouble());
       }
-    if (over >= 0) {
-      a.replaces = static_cast<drift::Version>(over);
+    if (replaced_version >= 0) {
+      approval.replaces = static_cast<drift::Version>(replaced_version);
     } else {
-      // What stands now, as the fronts hold it: the newest that any of them has read.
-      for (std::size_t i = 0; i < response_sink.fronts.size(); ++i)
-        if (auto raw = response_sink.status(i)) {
-          rapidjson::Document d;
-          d.Parse(raw->c_str());
-          if (d.HasParseError() || !d["rules"].IsObject())
+      // The version that is approved now: the newest that any of the fronts has read.
+      for (std::size_t i = 0; i < client.fronts.size(); ++i)
+        if (auto status_json = client.RequestStatus(i)) {
+          rapidjson::Document document;
+          document.Parse(status_json->c_str());
+          if (document.HasParseError() || !document["rules"].IsObject())
             continue;
-          const auto& approved = d["rules"]["approved"];
-          if (approved.HasMember(where.c_str()))
-            a.replaces = std::max<drift::Version>(a.replaces, approved[where.c_str()].GetUint64());
+          const auto& approved = document["rules"]["approved"];
+          if (approved.HasMember(scope.c_str()))
+            approval.replaces =
+                std::max<drift::Version>(approval.replaces, approved[scope.c_str()].GetUint64());
         }
     }
     proto::record::PutBatch batch;
     batch.set_number(UnixMs());
-    auto* p = batch.add_puts();
-    p->set_stream(static_cast<unsigned>(record::Stream::kRules));
-    p->set_key(where);
-    p->set_value(drift::Encode(a));
-    return Tell(response_sink.put(batch));
+    auto* entry = batch.add_puts();
+    entry->set_stream(static_cast<unsigned>(record::Stream::kRules));
+    entry->set_key(scope);
+    entry->set_value(drift::Encode(approval));
+    return PrintAnswer(client.SendBatch(batch));
   }
 };
 
-struct Status : Common {
+struct StatusCommand : TargetOptions {
   bool json = false;
   int operator()() {
-    ResponseSink response_sink(at, port);
-    std::string all = "[";
-    int silent = 0;
+    RecordClient client(addresses, port);
+    std::string json_list = "[";
+    int unanswered = 0;
     if (!json)
       std::printf("%-6s %-12s %-9s %-10s %-10s %-9s %-8s %-12s %s\n", "front", "phase", "lets in",
                   "offset", "committed", "caught up", "recalls", "rules", "");
-    for (std::size_t i = 0; i < response_sink.fronts.size(); ++i) {
-      auto raw = response_sink.status(i);
-      silent += !raw;
-      all += (i ? ",\n " : "\n ") + raw.value_or("{\"silent\":true}");
+    for (std::size_t i = 0; i < client.fronts.size(); ++i) {
+      auto status_json = client.RequestStatus(i);
+      unanswered += !status_json;
+      json_list += (i ? ",\n " : "\n ") + status_json.value_or("{\"silent\":true}");
       if (json)
         continue;
-      rapidjson::Document d;
-      if (raw)
-        d.Parse(raw->c_str());
-      if (!raw || d.HasParseError()) {
+      rapidjson::Document document;
+      if (status_json)
+        document.Parse(status_json->c_str());
+      if (!status_json || document.HasParseError()) {
         std::printf("%-6zu no answer\n", i);
         continue;
       }
       auto text = [&](const char* part, const char* field) -> std::string {
-        if (!d[part].IsObject() || !d[part].HasMember(field))
+        if (!document[part].IsObject() || !document[part].HasMember(field))
           return "-";
-        const auto& v = d[part][field];
-        if (v.IsString())
-          return v.GetString();
-        if (v.IsBool())
-          return v.GetBool() ? "yes" : "no";
-        if (v.IsUint64())
-          return std::to_string(v.GetUint64());
-        return v.IsNumber() ? drift::Number(v.GetDouble()) : "-";
+        const auto& value = document[part][field];
+        if (value.IsString())
+          return value.GetString();
+        if (value.IsBool())
+          return value.GetBool() ? "yes" : "no";
+        if (value.IsUint64())
+          return std::to_string(value.GetUint64());
+        return value.IsNumber() ? drift::Number(value.GetDouble()) : "-";
       };
       std::string standing = "-";
-      if (d["rules"].IsObject())
-        for (const auto& f : d["rules"]["fronts"].GetArray())
-          if (f["id"].GetUint() == d["self"].GetUint())
-            standing = f["standing"].GetString();
-      bool floors_fail = d.HasMember("floors") && d["floors"] == "not kept";
+      if (document["rules"].IsObject())
+        for (const auto& front : document["rules"]["fronts"].GetArray())
+          if (front["id"].GetUint() == document["self"].GetUint())
+            standing = front["standing"].GetString();
+      bool minimums_not_stored = document.HasMember("floors") && document["floors"] == "not kept";
       std::printf(
-          "%-6u %-12s %-9s %-10s %-10s %-9s %-8u %-12s %s%s%s\n", d["self"].GetUint(),
+          "%-6u %-12s %-9s %-10s %-10s %-9s %-8u %-12s %s%s%s\n", document["self"].GetUint(),
           text("recovery", "phase").c_str(), text("recovery", "carries").c_str(),
           text("record", "position").c_str(), text("record", "committed").c_str(),
-          text("record", "caught_up").c_str(), d["recalls"].GetUint(), standing.c_str(),
+          text("record", "caught_up").c_str(), document["recalls"].GetUint(), standing.c_str(),
           text("record", "writes") == "-" ? "" : ("owner, " + text("record", "writes")).c_str(),
           text("record", "store") == "-" ? "" : ", store not used",
-          floors_fail ? ", floors not kept" : "");
+          minimums_not_stored ? ", floors not kept" : "");
     }
     if (json)
-      std::printf("%s\n]\n", all.c_str());
-    return silent ? 4 : 0;
+      std::printf("%s\n]\n", json_list.c_str());
+    return unanswered ? 4 : 0;
   }
 };
 
 }  // namespace
 
 void AddRecord(CLI::App& app, int& code) {
-  CLI::App* all = app.add_subcommand(
+  CLI::App* record_command = app.add_subcommand(
       "record", "the fleet's record: recalls and approved rules, and what each front holds of it");
-  all->require_subcommand(1);
-  const char* exits =
+  record_command->require_subcommand(1);
+  const char* exit_codes =
       "exit: 0 acknowledged, 1 refused or bad input, 4 no owner or no answer, 5 unsure";
 
-  auto put = std::make_shared<Put>();
-  CLI::App* p = all->add_subcommand("put",
-                                    "write recalls (object/NAME, group/NUMBER, offering/NAME) or "
-                                    "terms; all keys given go in one batch");
-  p->footer(exits);
-  p->add_option("key", put->keys, "of what is recalled")->required()->expected(1, 256);
-  p->add_option("--stream", put->stream, "recalls or terms")
+  auto put = std::make_shared<PutCommand>();
+  CLI::App* put_command =
+      record_command->add_subcommand("put",
+                                     "write recalls (object/NAME, group/NUMBER, offering/NAME) or "
+                                     "terms; all keys given go in one batch");
+  put_command->footer(exit_codes);
+  put_command->add_option("key", put->keys, "of what is recalled")->required()->expected(1, 256);
+  put_command->add_option("--stream", put->stream, "recalls or terms")
       ->check(CLI::IsMember({"recalls", "terms"}))
       ->capture_default_str();
-  p->add_option("--value", put->value, "a note that goes with it");
-  p->add_flag("--lift", put->lift,
-              "take it back: no older copy can exist any more, or it was a mistake");
-  put->options(p);
-  p->callback([put, &code] { code = (*put)(); });
+  put_command->add_option("--value", put->value, "a note that goes with it");
+  put_command->add_flag("--lift", put->lift,
+                        "take it back: no older copy can exist any more, or it was a mistake");
+  put->AddOptions(put_command);
+  put_command->callback([put, &code] { code = (*put)(); });
 
-  auto approve = std::make_shared<Approve>();
-  CLI::App* a = all->add_subcommand(
+  auto approve = std::make_shared<ApproveCommand>();
+  CLI::App* approve_command = record_command->add_subcommand(
       "approve",
       "approve rules for the fleet, a zone or a front; fronts turn to them one after another");
-  a->footer(exits);
-  a->add_option("file", approve->file, "JSON with comments: {\"section\": {\"field\": value}}")
+  approve_command->footer(exit_codes);
+  approve_command
+      ->add_option("file", approve->file, "JSON with comments: {\"section\": {\"field\": value}}")
       ->required()
       ->check(CLI::ExistingFile);
-  a->add_option("--for", approve->where, "fleet, zone/NAME or front/ID: the narrowest holds")
+  approve_command
+      ->add_option("--for", approve->scope, "fleet, zone/NAME or front/ID: the narrowest holds")
       ->capture_default_str();
-  a->add_option("--by", approve->by, "who approves")->required();
-  a->add_option("--second", approve->second, "the second approver, where the settings ask for one");
-  a->add_option("--within", approve->within, "seconds until it must hold")->capture_default_str();
-  a->add_option("--over", approve->over, "the version that it replaces; else what stands now");
-  approve->options(a);
-  a->callback([approve, &code] { code = (*approve)(); });
+  approve_command->add_option("--by", approve->approver, "who approves")->required();
+  approve_command->add_option("--second", approve->second_approver,
+                              "the second approver, where the settings ask for one");
+  approve_command->add_option("--within", approve->within_s, "seconds until it must hold")
+      ->capture_default_str();
+  approve_command->add_option("--over", approve->replaced_version,
+                              "the version that it replaces; else what stands now");
+  approve->AddOptions(approve_command);
+  approve_command->callback([approve, &code] { code = (*approve)(); });
 
-  auto status = std::make_shared<Status>();
-  CLI::App* s = all->add_subcommand("status", "each front's phase, offset, recalls and standing");
-  s->footer("exit: 0 every front asked has answered, 4 some have not, 1 bad input");
-  s->add_flag("--json", status->json, "every front's whole status as a JSON list");
-  status->options(s);
-  s->callback([status, &code] { code = (*status)(); });
+  auto status = std::make_shared<StatusCommand>();
+  CLI::App* status_command =
+      record_command->add_subcommand("status", "each front's phase, offset, recalls and standing");
+  status_command->footer("exit: 0 every front asked has answered, 4 some have not, 1 bad input");
+  status_command->add_flag("--json", status->json, "every front's whole status as a JSON list");
+  status->AddOptions(status_command);
+  status_command->callback([status, &code] { code = (*status)(); });
 }
 
 }  // namespace dunlinwick::ctl
--- a/src/ctl/record.hpp
+++ b/src/ctl/record.hpp
@@ -1,5 +1,5 @@
-// dunlinctl record: recalls and approved rules put in the fleet's record, and what each front holds
-// of it.
+// dunlinctl record: writes recalls and approved rules to the fleet's record, and shows the state of
+// each front's replica of it.
 #pragma once
 #include <CLI/CLI.hpp>
 
