--- a/src/ctl/fleet.cpp
+++ b/src/ctl/fleet.cpp
@@ -312,7 +312,7 @@
     fleet_description.requests_per_s =
         fleet_description.requests_per_s > 0
             ? fleet_description.requests_per_s
-            : 1;  // the simulation of members needs no requests to check caches
+            : 1;  // the simulation checks the invariants on caches without real requests
     std::uint64_t failed_seeds = 0;
     std::size_t verdicts = 0;
     std::vector<fleet::Broken> first_violations;
--- a/src/owner/agent.cpp
+++ b/src/owner/agent.cpp
@@ -5,9 +5,9 @@
 namespace dunlinwick::owner {
 
 namespace {
-constexpr Ms kResendInterval = 150;  // for a request or step without a response
-constexpr Ms kRequestTimeout =
-    1200;  // then a new request replaces it: the group may have lost the first
+constexpr Ms kResendInterval = 150;  // of a request or step without a response
+// After this time a new request replaces the old one, which the group may have lost.
+constexpr Ms kRequestTimeout = 1200;
 }  // namespace
 
 Agent::Agent(Id self, std::vector<Id> group, std::vector<TaskSpec> tasks, LeaseSettings settings,
--- a/src/owner/bytes.hpp
+++ b/src/owner/bytes.hpp
@@ -46,9 +46,10 @@
   bool HasFailed() const {
     return failed_;
   }
+  // Whether every byte was read, without a failure.
   bool IsComplete() const {
     return !failed_ && position_ == bytes_.size();
-  }  // every byte was read, without a failure
+  }
 
  private:
   std::span<const char> bytes_;
--- a/src/owner/group.hpp
+++ b/src/owner/group.hpp
@@ -43,7 +43,7 @@
     kFailed
   };
   // `members`: all members of the group, including `self`. `incarnation`: of this process, higher
-  // at each start; usually the time in milliseconds. Throws std::runtime_error if the store cannot
+  // at each start; ideally the time in milliseconds. Throws std::runtime_error if the store cannot
   // be read.
   Group(Id self, std::vector<Id> members, RaftSettings settings, LeaseSettings lease, Store& store,
         std::uint64_t incarnation, std::uint64_t seed, Ms now, Send send);
@@ -64,8 +64,8 @@
   Id Leader() const;  // 0: unknown
   std::uint64_t Term() const;
   const LeaseTable& table() const;
-  Ms LeaseEnd(const std::string& task)
-      const;  // at the leader: when the lease has certainly expired; 1e300 if not held
+  // At the leader: when the lease has certainly expired; 1e300 if it is not held.
+  Ms LeaseEnd(const std::string& task) const;
   std::string FailureReason() const;  // of kLost and kFailed
   /// Whether it may have voted or acknowledged entries: it is or was a member of a group that was
   /// bootstrapped.
--- a/src/owner/lease.cpp
+++ b/src/owner/lease.cpp
@@ -53,13 +53,12 @@
 Result LeaseTable::Apply(const Command& command) {
   if (command.operation == Operation::kBootstrap) {
     if (last_token_ == 0)
-      last_token_ = bootstrap_token_ =
-          command.token;  // later leaders propose it too, without effect
+      last_token_ = bootstrap_token_ = command.token;  // no effect when a later leader proposes it
     return {CommandStatus::kOk, last_token_, 0, 0};
   }
+  // Before the bootstrap no token may be granted.
   if (last_token_ == 0)
-    return {CommandStatus::kUnknownOutcome, 0, 0,
-            0};  // not bootstrapped yet: no token may be granted
+    return {CommandStatus::kUnknownOutcome, 0, 0, 0};
   auto entry = tasks_.find(command.task);
   if (entry == tasks_.end()) {
     if (command.operation != Operation::kAcquire)
--- a/src/owner/lease.hpp
+++ b/src/owner/lease.hpp
@@ -62,8 +62,8 @@
   std::string task;
 };
 std::string Encode(const Command& command);
-std::optional<Command> Decode(
-    std::span<const char> bytes);  // nullopt unless the bytes are exactly one valid command
+// Returns nullopt unless the bytes are exactly one valid command.
+std::optional<Command> Decode(std::span<const char> bytes);
 bool IsValidTaskName(const std::string& name);
 
 struct LeasedTask {
@@ -74,8 +74,8 @@
   bool finished = false;
   bool abandoned = false;
   // Number of the holder's commands applied so far. An expiry proposed before the last of them has
-  // no effect: a renewal that was in flight when the lease expired keeps the lease (without this,
-  // the test's schedules fail: five members, seed 100765).
+  // no effect: a renewal that was in flight when the lease expired keeps the lease (found by
+  // the test's schedule "five members", seed 100765).
   std::uint64_t accepted_commands = 0;
 };
 
@@ -105,12 +105,13 @@
   Token LastToken() const {
     return last_token_;
   }
+  // Whether no lease was granted since the bootstrap.
   bool HasNoGrants() const {
     return last_token_ == bootstrap_token_;
-  }  // no lease was granted since the bootstrap
+  }
   std::string Snapshot() const;
-  bool Restore(std::span<const char>
-                   bytes);  // false, and no change, unless the bytes are exactly one valid snapshot
+  // Returns false, and changes nothing, unless the bytes are exactly one valid snapshot.
+  bool Restore(std::span<const char> bytes);
 
  private:
   std::map<std::string, LeasedTask> tasks_;
@@ -122,20 +123,19 @@
 class LeaseExpiryTracker {
  public:
   explicit LeaseExpiryTracker(LeaseSettings settings) : settings_(settings) {}
-  void StartLeading(Ms now,
-                    const LeaseTable& table);  // on becoming leader; every lease may have been
-                                               // renewed just before
+  // To be called on becoming leader: every lease may have been renewed just before.
+  void StartLeading(Ms now, const LeaseTable& table);
   void HandleApplied(Ms now, const Command& command, const Result& result);
-  std::vector<Command> ExpiredLeases(Ms now,
-                                     const LeaseTable& table) const;  // kExpire commands to propose
+  // The kExpire commands to propose.
+  std::vector<Command> ExpiredLeases(Ms now, const LeaseTable& table) const;
   // A group without grants may replace one whose stores were lost and whose leases may still be
   // valid. Prevents two holders after a second bootstrap; delays the first grant by one lease
   // duration.
   bool MayGrant(Ms now, const LeaseTable& table) const {
     return !table.HasNoGrants() || now >= ExpiryFrom(leading_since_);
   }
-  Ms LeaseEnd(const std::string& task)
-      const {  // the time by which the lease has certainly expired; 1e300 if unknown
+  // The time by which the lease has certainly expired; 1e300 if unknown.
+  Ms LeaseEnd(const std::string& task) const {
     auto entry = confirmed_at_.find(task);
     return entry == confirmed_at_.end() ? 1e300 : ExpiryFrom(entry->second);
   }
--- a/src/owner/store.hpp
+++ b/src/owner/store.hpp
@@ -27,8 +27,8 @@
   std::uint64_t first = 1;  // index of the first entry
   std::vector<LogEntry> entries;
   std::optional<StoredSnapshot> snapshot;
-  std::string bootstrap;  // the members that bootstrapped the group; empty if this member never was
-                          // part of one
+  // The members that bootstrapped the group, encoded; empty if this member never was part of one.
+  std::string bootstrap;
 };
 
 class Store {
