--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -358,9 +358,9 @@
           return front.second == zone_of[impl.Self()];
         }));
     settings.policy.lease_duration =
-        configuration.owner.enabled ? configuration.owner.lease.lease : 0;
+        configuration.owner.enabled ? configuration.owner.lease.duration : 0;
     settings.policy.lease_margin = configuration.owner.lease.margin;
-    settings.policy.clock_drift = configuration.owner.lease.drift;
+    settings.policy.clock_drift = configuration.owner.lease.clock_drift;
     for (const RequestClass& request_class : configuration.settings.request_classes) {
       settings.policy.priority_weights.push_back(request_class.priority_weight);
       settings.policy.certain_classes.push_back(request_class.uncacheable);
