--- a/src/owner/fence.hpp
+++ b/src/owner/fence.hpp
@@ -16,8 +16,7 @@
   kFull
 };
 inline const char* ToString(FencingResult result) {
-  static const char* const kWords[] = {"done", "already done", "stale token", "out of order",
-                                       "full"};
+  static const char* const kWords[] = {"done", "done before", "stale token", "out of turn", "full"};
   return kWords[static_cast<int>(result)];
 }
 
--- a/src/owner/lease.cpp
+++ b/src/owner/lease.cpp
@@ -12,9 +12,8 @@
   return kWords[static_cast<int>(operation)];
 }
 const char* ToString(CommandStatus status) {
-  static const char* const kWords[] = {
-      "ok",           "held by another", "stale token",    "task ended",
-      "unknown task", "too many tasks",  "outcome unknown"};
+  static const char* const kWords[] = {"yes",          "held by another", "stale token", "over",
+                                       "unknown work", "too many works",  "unsure"};
   return kWords[static_cast<int>(status)];
 }
 
