--- a/bench/drift.cpp
+++ b/bench/drift.cpp
@@ -69,12 +69,12 @@
       Ms from = 25000 + 37.0 * static_cast<double>(seed % 13), one = -1, last = -1;
       sim.RunUntil(from);
       sim.ByHand(2, rig::DriftForm(2));
-      bound = drift::FoundWithin(sim.Honest()) + drift::LossAdds(sim.Honest(), loss);
+      bound = drift::DetectionBound(sim.Honest()) + drift::LossAllowance(sim.Honest(), loss);
       while (last < 0 && sim.now() < from + 60000) {
         sim.RunUntil(sim.now() + 50);
         std::size_t know = 0;
         for (auto id : sim.Ids())
-          know += drift::Bad(sim.at(id).Rows().at(2).standing);
+          know += drift::IsDeviating(sim.at(id).FrontStates().at(2).status);
         if (know != 0 && one < 0)
           one = sim.now() - from;
         if (know == n)
--- a/src/ctl/record.cpp
+++ b/src/ctl/record.cpp
@@ -147,9 +147,9 @@
   int operator()() {
     ResponseSink response_sink(at, port);
     drift::Approval a;
-    a.by = by;
-    a.second = second;
-    a.hold_by = static_cast<double>(UnixMs()) + within * 1000;
+    a.approver = by;
+    a.second_approver = second;
+    a.apply_deadline = static_cast<double>(UnixMs()) + within * 1000;
     schema::Settings settings(
         file, schema::ReadFile(file),
         R"({"type": "object", "minProperties": 1, "maxProperties": 32, "additionalProperties":
@@ -157,13 +157,13 @@
     for (const auto& section : settings.Root().GetObject())
       for (const auto& field : section.value.GetObject()) {
         const rapidjson::Value& v = field.value;
-        a.form[section.name.GetString()][field.name.GetString()] =
+        a.configuration[section.name.GetString()][field.name.GetString()] =
             v.IsString() ? std::string(v.GetString())
             : v.IsBool() ? std::string(v.GetBool() ? "true" : "false")
-                         : drift::Number(v.GetDouble());
+                         : drift::FormatNumber(v.GetDouble());
       }
     if (over >= 0) {
-      a.replaces = static_cast<drift::Version>(over);
+      a.replaced_version = static_cast<drift::Version>(over);
     } else {
       // What stands now, as the fronts hold it: the newest that any of them has read.
       for (std::size_t i = 0; i < response_sink.fronts.size(); ++i)
@@ -174,7 +174,8 @@
             continue;
           const auto& approved = d["rules"]["approved"];
           if (approved.HasMember(where.c_str()))
-            a.replaces = std::max<drift::Version>(a.replaces, approved[where.c_str()].GetUint64());
+            a.replaced_version =
+                std::max<drift::Version>(a.replaced_version, approved[where.c_str()].GetUint64());
         }
     }
     proto::record::PutBatch batch;
@@ -219,7 +220,7 @@
           return v.GetBool() ? "yes" : "no";
         if (v.IsUint64())
           return std::to_string(v.GetUint64());
-        return v.IsNumber() ? drift::Number(v.GetDouble()) : "-";
+        return v.IsNumber() ? drift::FormatNumber(v.GetDouble()) : "-";
       };
       std::string standing = "-";
       if (d["rules"].IsObject())
--- a/src/drift/approval.cpp
+++ b/src/drift/approval.cpp
@@ -1,3 +1,4 @@
+// Encodes, decodes and validates approvals.
 #include <cmath>
 
 #include "drift/wire.hpp"
@@ -5,44 +6,45 @@
 namespace dunlinwick::drift {
 
 std::string Encode(const Approval& a) {
-  proto::drift::Approval m;
-  m.set_by(a.by);
-  m.set_second(a.second);
-  m.set_replaces(a.replaces);
-  m.set_hold_by(a.hold_by);
-  Put(a.form, *m.mutable_form());
-  return m.SerializeAsString();
+  proto::drift::Approval message;
+  message.set_by(a.approver);
+  message.set_second(a.second_approver);
+  message.set_replaces(a.replaced_version);
+  message.set_hold_by(a.apply_deadline);
+  Put(a.configuration, *message.mutable_form());
+  return message.SerializeAsString();
 }
 
 std::optional<Approval> DecodeApproval(std::span<const char> bytes) {
-  proto::drift::Approval m;
-  if (!m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+  proto::drift::Approval message;
+  if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return {};
-  if (!std::isfinite(m.hold_by()) || m.by().empty() || m.by().size() > kMostText ||
-      m.second().size() > kMostText)
+  if (!std::isfinite(message.hold_by()) || message.by().empty() ||
+      message.by().size() > kMaxTextLength || message.second().size() > kMaxTextLength)
     return {};
-  auto form = Read(m.form());
-  if (!form)
+  auto configuration = Read(message.form());
+  if (!configuration)
     return {};
-  return Approval{m.by(), m.second(), m.replaces(), m.hold_by(), std::move(*form)};
+  return Approval{message.by(), message.second(), message.replaces(), message.hold_by(),
+                  std::move(*configuration)};
 }
 
-std::string Refused(const Approval& a, Version current, bool wants_second) {
-  if (a.by.empty())
-    return "by: nobody approves it";
-  if (wants_second && a.second.empty())
-    return "second: a second approver is wanted";
-  if (wants_second && a.second == a.by)
-    return "second: " + a.by + " can't be both approvers";
-  if (a.replaces != current)
-    return "replaces: made over version " + std::to_string(a.replaces) + ", the record stands at " +
-           std::to_string(current);
-  if (!std::isfinite(a.hold_by) || a.hold_by < 0)
-    return "holdBy: no time";
-  if (a.form.empty())
-    return "form: empty";
-  if (!Within(a.form))
-    return "form: more than 32 sections, 256 fields a section or 4096 bytes a value";
+std::string ValidateApproval(const Approval& a, Version current, bool requires_second_approver) {
+  if (a.approver.empty())
+    return "by: no approver is given";
+  if (requires_second_approver && a.second_approver.empty())
+    return "second: a second approver is required";
+  if (requires_second_approver && a.second_approver == a.approver)
+    return "second: " + a.approver + " cannot be both approvers";
+  if (a.replaced_version != current)
+    return "replaces: prepared against version " + std::to_string(a.replaced_version) +
+           ", the record stands at " + std::to_string(current);
+  if (!std::isfinite(a.apply_deadline) || a.apply_deadline < 0)
+    return "holdBy: not a valid time";
+  if (a.configuration.empty())
+    return "form: contains no section";
+  if (!IsWithinLimits(a.configuration))
+    return "form: more than 32 sections, 256 fields per section or 4096 bytes per value";
   return "";
 }
 
--- a/src/drift/drift.cpp
+++ b/src/drift/drift.cpp
@@ -1,4 +1,5 @@
-// The machine: events in, one round's work, words to others.
+// Handles the events of Drift, runs one round, and builds the reports that are sent to other
+// fronts.
 #include <algorithm>
 #include <cmath>
 
@@ -6,11 +7,11 @@
 
 namespace dunlinwick::drift {
 
-using Inner = Drift::Inner;
+using Impl = Drift::Impl;
 
 namespace {
 
-std::string Bits(const std::vector<bool>& from) {
+std::string EncodeBits(const std::vector<bool>& from) {
   std::string to;
   for (std::size_t i = 0; i < from.size(); ++i) {
     if (!from[i])
@@ -20,326 +21,343 @@
   }
   return to;
 }
-ActiveReport::Ballot Bits(const Inner::Ballot& from) {
-  return {from.token, Bits(from.voters), Bits(from.withdrawn)};
+ActiveReport::Ballot EncodeBits(const Impl::Ballot& from) {
+  return {from.token, EncodeBits(from.votes), EncodeBits(from.withdrawals)};
 }
 
 }  // namespace
 
-Inner::Inner(Id s, std::map<Id, int> z, Classes c, Terms t, std::uint64_t seed, Ms now,
-             Floors floors)
-    : self(s),
-      zone_of(std::move(z)),
-      classes(std::move(c)),
-      terms(t),
+Impl::Impl(Id id, std::map<Id, int> zones, FieldImpactMap field_impacts,
+           DriftSettings drift_settings, std::uint64_t seed, Ms now, PersistedMinimums persisted)
+    : self(id),
+      zone_of(std::move(zones)),
+      impacts(std::move(field_impacts)),
+      settings(drift_settings),
       random(static_cast<std::uint32_t>(seed ^ seed >> 32)),
-      seq(std::uint64_t{floors.incarnation} << 32),
-      highest(floors.token) {
-  for (const auto& [id, zone] : zone_of) {
-    if (ids.size() < kMostFronts)
-      ids.push_back(id);
-    rows[id];
-    held[id];
+      sequence(std::uint64_t{persisted.incarnation} << 32),
+      highest_token(persisted.token) {
+  for (const auto& [front, zone] : zone_of) {
+    if (ids.size() < kMaxFronts)
+      ids.push_back(front);
+    states[front];
+    assessments[front];
   }
-  next_round = now + std::uniform_real_distribution<double>(0, terms.round)(random);
+  next_round = now + std::uniform_real_distribution<double>(0, settings.round)(random);
 }
 
-ActiveReport Inner::word(bool full) {
-  ActiveReport t;
-  const Seen& s = seen[self];
-  t.version = s.version;
-  t.active = s.active;
-  t.approved = s.approved;
-  t.seq = s.seq;
-  t.changed = s.changed;
-  t.abandoned = abandoned;
-  t.declined = declined;
-  t.token = highest;
-  t.stopped_at = stopped_at;
+ActiveReport Impl::MakeReport(bool full) {
+  ActiveReport report;
+  const Observation& observation = observations[self];
+  report.version = observation.version;
+  report.active_digest = observation.active_digest;
+  report.approved_digest = observation.approved_digest;
+  report.sequence = observation.sequence;
+  report.changed_sequence = observation.changed_sequence;
+  report.failed_share = failed_share;
+  report.rejected_share = rejected_share;
+  report.token = highest_token;
+  report.stopped_at = stopped_at;
   if (!full)
-    return t;
-  // News first, the least sent before; then the others in turn, so that every row is refreshed.
+    return report;
+  // New reports first, those sent least often before the others; then the rest in rotation, so that
+  // every front's report is refreshed.
   int limit = 4 * static_cast<int>(std::ceil(std::log10(static_cast<double>(ids.size()) + 1)));
-  std::vector<Id> pick;
+  std::vector<Id> selected;
   for (Id id : ids)
-    if (id != self && seen[id].at != kNever && seen[id].sends < limit)
-      pick.push_back(id);
-  std::stable_sort(pick.begin(), pick.end(),
-                   [&](Id a, Id b) { return seen[a].sends < seen[b].sends; });
-  if (pick.size() > kMostOthers)
-    pick.resize(kMostOthers);
-  for (std::size_t i = 0; i < ids.size() && pick.size() < kMostOthers; ++i) {
-    Id id = ids[(others_from + i) % ids.size()];
-    if (id == self || seen[id].at == kNever ||
-        std::find(pick.begin(), pick.end(), id) != pick.end())
+    if (id != self && observations[id].observed_at != kNever &&
+        observations[id].transmissions < limit)
+      selected.push_back(id);
+  std::stable_sort(selected.begin(), selected.end(), [&](Id ejection, Id b) {
+    return observations[ejection].transmissions < observations[b].transmissions;
+  });
+  if (selected.size() > kMaxRelayedReports)
+    selected.resize(kMaxRelayedReports);
+  for (std::size_t i = 0; i < ids.size() && selected.size() < kMaxRelayedReports; ++i) {
+    Id id = ids[(next_relayed_report + i) % ids.size()];
+    if (id == self || observations[id].observed_at == kNever ||
+        std::find(selected.begin(), selected.end(), id) != selected.end())
       continue;
-    pick.push_back(id);
-    if (pick.size() == kMostOthers)
-      others_from = (others_from + i + 1) % ids.size();
+    selected.push_back(id);
+    if (selected.size() == kMaxRelayedReports)
+      next_relayed_report = (next_relayed_report + i + 1) % ids.size();
   }
-  for (Id id : pick) {
-    Seen& o = seen[id];
-    ++o.sends;
-    t.others.push_back({id, o.seq, o.version, o.active, o.approved, o.changed});
+  for (Id id : selected) {
+    Observation& relayed = observations[id];
+    ++relayed.transmissions;
+    report.relayed_reports.push_back({id, relayed.sequence, relayed.version, relayed.active_digest,
+                                      relayed.approved_digest, relayed.changed_sequence});
   }
-  std::vector<std::pair<Id, const Case*>> all;
-  for (const auto& [who, list] : cases)
-    for (const Case& c : list)
-      all.push_back({who, &c});
-  for (std::size_t i = 0; i < all.size() && t.cases.size() < kMostCases; ++i) {
-    const auto& [who, c] = all[(cases_from + i) % all.size()];
-    t.cases.push_back({who, static_cast<std::uint8_t>(c->standing), c->changed, c->wanted, c->span,
-                       Bits(c->newest), Bits(c->before), c->fields});
+  std::vector<std::pair<Id, const Suspicion*>> all_suspicions;
+  for (const auto& [front, list] : suspicions)
+    for (const Suspicion& suspicion : list)
+      all_suspicions.push_back({front, &suspicion});
+  for (std::size_t i = 0; i < all_suspicions.size() && report.suspicions.size() < kMaxSuspicions;
+       ++i) {
+    const auto& [front, suspicion] = all_suspicions[(next_suspicion + i) % all_suspicions.size()];
+    report.suspicions.push_back({front, static_cast<std::uint8_t>(suspicion->status),
+                                 suspicion->changed_sequence, suspicion->target_version,
+                                 suspicion->window, EncodeBits(suspicion->newest),
+                                 EncodeBits(suspicion->before), suspicion->fields});
   }
-  if (!all.empty())
-    cases_from = (cases_from + t.cases.size()) % all.size();
-  for (const auto& [who, a] : ejected_of)
-    if (a.token != 0 && t.asides.size() < 32)
-      t.asides.push_back({who, a.token, a.count, a.on});
-  return t;
+  if (!all_suspicions.empty())
+    next_suspicion = (next_suspicion + report.suspicions.size()) % all_suspicions.size();
+  for (const auto& [front, ejection] : ejections)
+    if (ejection.token != 0 && report.ejections.size() < 32)
+      report.ejections.push_back({front, ejection.token, ejection.count, ejection.on});
+  return report;
 }
 
-void Inner::SendReport(Ms now) {
-  for (int k = 0; k < terms.fanout && ids.size() > 1; ++k) {
-    if (turn.empty()) {
+void Impl::SendReports(Ms now) {
+  for (int k = 0; k < settings.fanout && ids.size() > 1; ++k) {
+    if (send_order.empty()) {
       for (Id id : ids)
         if (id != self)
-          turn.push_back(id);
-      std::shuffle(turn.begin(), turn.end(), random);
+          send_order.push_back(id);
+      std::shuffle(send_order.begin(), send_order.end(), random);
     }
-    Id to = turn.back();
-    turn.pop_back();
-    out.push_back(Tell{to, word(true)});
+    Id to = send_order.back();
+    send_order.pop_back();
+    actions.push_back(SendActiveReport{to, MakeReport(true)});
   }
-  if (answer_to != 0 && answer_to != self && now < answer_until)
-    out.push_back(Tell{answer_to, word(false)});
+  if (reply_to != 0 && reply_to != self && now < reply_until)
+    actions.push_back(SendActiveReport{reply_to, MakeReport(false)});
 }
 
-// Who asks: the owner, and the three fronts after it in the order of ids; all others have the
-// fields from their votes.
-void Inner::Ask(Ms now) {
-  std::size_t n = ids.size(), me = Index(self);
-  for (Id who : ids) {
-    if (who == self || !Bad(held[who]))
+// Details are requested by the lease holder, and by the three fronts that follow the suspect in the
+// order of ids; all others get the fields with their votes.
+void Impl::RequestDetails(Ms now) {
+  std::size_t count = ids.size(), own_index = Index(self);
+  for (Id front : ids) {
+    if (front == self || !IsDeviating(assessments[front]))
       continue;
-    std::size_t behind = (me + n - Index(who)) % n;
-    if (!Owning() && behind > 3)
+    std::size_t distance = (own_index + count - Index(front)) % count;
+    if (!IsLeaseHolder() && distance > 3)
       continue;
-    auto c = cases.find(who);
-    bool have = c != cases.end() && std::any_of(c->second.begin(), c->second.end(),
-                                                [](const Case& k) { return !k.fields.empty(); });
-    const auto& w = wanted[who];
-    if (have || w.form == nullptr)
+    auto found = suspicions.find(front);
+    bool has_fields =
+        found != suspicions.end() &&
+        std::any_of(found->second.begin(), found->second.end(),
+                    [](const Suspicion& suspicion) { return !suspicion.fields.empty(); });
+    const auto& target = targets[front];
+    if (has_fields || target.configuration == nullptr)
       continue;
-    Asked& a = asking[who];
-    if (a.changed != seen[who].changed)
-      a = {seen[who].changed, 0, kNever};
-    if (a.tries >= 10 || now - a.at < 2 * terms.round)
+    DetailRequest& request = detail_requests[front];
+    if (request.changed_sequence != observations[front].changed_sequence)
+      request = {observations[front].changed_sequence, 0, kNever};
+    if (request.attempts >= 10 || now - request.sent_at < 2 * settings.round)
       continue;
-    ++a.tries;
-    a.at = now;
-    ActiveReport t = word(false);
-    t.ask = true;
-    out.push_back(Tell{who, std::move(t)});
+    ++request.attempts;
+    request.sent_at = now;
+    ActiveReport report = MakeReport(false);
+    report.request_details = true;
+    actions.push_back(SendActiveReport{front, std::move(report)});
   }
 }
 
-void Inner::answer(Id to, const ActiveReport& asked) {
-  ActiveReport t = word(false);
-  if (asked.wants.empty()) {
-    for (const auto& [name, section] : active)
-      if (t.sections.size() < 32)
-        t.sections[name] = Digest(section);
+void Impl::AnswerDetailRequest(Id to, const ActiveReport& request) {
+  ActiveReport report = MakeReport(false);
+  if (request.requested_sections.empty()) {
+    for (const auto& [name, section] : active_configuration)
+      if (report.sections.size() < 32)
+        report.sections[name] = Digest(section);
   } else {
-    for (const std::string& name : asked.wants)
-      if (auto it = active.find(name); it != active.end())
-        t.opened.insert(*it);
+    for (const std::string& name : request.requested_sections)
+      if (auto found = active_configuration.find(name); found != active_configuration.end())
+        report.section_contents.insert(*found);
   }
-  out.push_back(Tell{to, std::move(t)});
+  actions.push_back(SendActiveReport{to, std::move(report)});
 }
 
-void Inner::Opened(Id from, const ActiveReport& t) {
-  const Wanted& w = wanted[from];
-  if (w.form == nullptr || !Bad(held[from]))
+void Impl::HandleDetails(Id from, const ActiveReport& report) {
+  const Target& target = targets[from];
+  if (target.configuration == nullptr || !IsDeviating(assessments[from]))
     return;
   std::vector<Difference> fields;
-  if (!t.sections.empty()) {
-    ActiveReport next = word(false);
-    next.ask = true;
-    for (const auto& [name, section] : *w.form) {
-      auto it = t.sections.find(name);
-      if (it == t.sections.end())
+  if (!report.sections.empty()) {
+    ActiveReport request = MakeReport(false);
+    request.request_details = true;
+    for (const auto& [name, section] : *target.configuration) {
+      auto found = report.sections.find(name);
+      if (found == report.sections.end())
         fields.push_back({{name, "*"},
                           "(absent)",
                           "(approved)",
-                          Differences({}, {{name, section}}, classes).empty() ? Breaks::kNothing
-                                                                              : Breaks::kCapacity});
-      else if (it->second != Digest(section) && next.wants.size() < 8)
-        next.wants.push_back(name);
+                          FindDifferences({}, {{name, section}}, impacts).empty()
+                              ? FieldImpact::kNone
+                              : FieldImpact::kCapacity});
+      else if (found->second != Digest(section) && request.requested_sections.size() < 8)
+        request.requested_sections.push_back(name);
     }
-    if (!next.wants.empty())
-      out.push_back(Tell{from, std::move(next)});
-  } else if (!t.opened.empty()) {
-    Form approved;
-    for (const auto& [name, section] : t.opened)
-      if (auto it = w.form->find(name); it != w.form->end())
-        approved.insert(*it);
-    fields = Differences(t.opened, approved, classes);
+    if (!request.requested_sections.empty())
+      actions.push_back(SendActiveReport{from, std::move(request)});
+  } else if (!report.section_contents.empty()) {
+    CanonicalConfiguration approved;
+    for (const auto& [name, section] : report.section_contents)
+      if (auto found = target.configuration->find(name); found != target.configuration->end())
+        approved.insert(*found);
+    fields = FindDifferences(report.section_contents, approved, impacts);
   }
   if (fields.empty())
     return;
-  // What can break a rule first, where not all can be told.
+  // Fields that can break an invariant first, since not all fit.
   std::stable_sort(fields.begin(), fields.end(),
-                   [](const Difference& a, const Difference& b) { return a.breaks > b.breaks; });
+                   [](const Difference& a, const Difference& b) { return a.impact > b.impact; });
   if (fields.size() > 4)
     fields.resize(4);
-  if (auto c = cases.find(from); c != cases.end())
-    for (Case& k : c->second)
-      if (k.fields.empty() && k.changed == seen[from].changed)
-        k.fields = fields;
+  if (auto suspected = suspicions.find(from); suspected != suspicions.end())
+    for (Suspicion& suspicion : suspected->second)
+      if (suspicion.fields.empty() &&
+          suspicion.changed_sequence == observations[from].changed_sequence)
+        suspicion.fields = fields;
 }
 
-Drift::Drift(Id self, std::map<Id, int> zone_of, Classes classes, Terms terms, std::uint64_t seed,
-             Ms now, Floors floors)
-    : inner_(std::make_shared<Inner>(self, std::move(zone_of), std::move(classes), terms, seed, now,
-                                     floors)) {}
+Drift::Drift(Id self, std::map<Id, int> zone_of, FieldImpactMap impacts, DriftSettings settings,
+             std::uint64_t seed, Ms now, PersistedMinimums persisted)
+    : impl_(std::make_shared<Impl>(self, std::move(zone_of), std::move(impacts), settings, seed,
+                                   now, persisted)) {}
 Drift::~Drift() = default;
 
 std::vector<Action> Drift::Handle(Ms now, const Event& event) {
-  Inner& in = *inner_;
-  in.out.clear();
-  if (auto* e = std::get_if<Active>(&event)) {
-    in.active = e->form;
-    in.have_active = true;
-  } else if (auto* e = std::get_if<Approved>(&event)) {
-    if (e->version < in.version)
+  Impl& impl = *impl_;
+  impl.actions.clear();
+  if (auto* e = std::get_if<ActiveConfigurationChanged>(&event)) {
+    impl.active_configuration = e->configuration;
+    impl.has_active_configuration = true;
+  } else if (auto* e = std::get_if<ApprovalUpdated>(&event)) {
+    if (e->version < impl.version)
       return {};
-    if (in.approval && e->version != in.version) {
-      in.earlier.push_back(Digest(in.approval->form));
-      if (in.earlier.size() > 16)
-        in.earlier.pop_front();
+    if (impl.approval && e->version != impl.version) {
+      impl.previous_digests.push_back(Digest(impl.approval->configuration));
+      if (impl.previous_digests.size() > 16)
+        impl.previous_digests.pop_front();
     }
-    in.version = e->version;
-    in.approval = e->approval;
-    in.ApplyActive(now);
-  } else if (auto* e = std::get_if<ApprovedFor>(&event)) {
-    if (in.zone_of.count(e->front) == 0)
+    impl.version = e->version;
+    impl.approval = e->approval;
+    impl.ApplyPendingRepair(now);
+  } else if (auto* e = std::get_if<FrontApprovalUpdated>(&event)) {
+    if (impl.zone_of.count(e->front) == 0)
       return {};
-    Inner::Wanted& w = in.wanted[e->front];
-    if (e->version < w.version)
+    Impl::Target& target = impl.targets[e->front];
+    if (e->version < target.version)
       return {};
-    if (e->version == w.version) {  // told again: its term does not begin anew
-      w.digest = e->digest;
-      if (e->form)
-        w.form = e->form;
+    if (e->version == target.version) {  // repeated: its deadline is not extended
+      target.digest = e->digest;
+      if (e->configuration)
+        target.configuration = e->configuration;
       return {};
     }
-    if (w.version != 0) {
-      w.past.push_back({w.version, w.digest});
-      if (w.past.size() > 16)
-        w.past.pop_front();
+    if (target.version != 0) {
+      target.previous.push_back({target.version, target.digest});
+      if (target.previous.size() > 16)
+        target.previous.pop_front();
     }
-    double left = e->hold_by - e->unix_now;
-    if (!std::isfinite(left))
-      left = 0;
-    w.version = e->version;
-    w.digest = e->digest;
-    w.form = e->form;
-    w.until = now + std::clamp(left, in.terms.term_least,
-                               std::max(in.terms.term_least, in.terms.term_most));
-    in.Prune(e->front);
-  } else if (auto* e = std::get_if<Hears>(&event)) {
-    if (in.zone_of.count(e->from) == 0 || e->from == in.self)
+    double remaining = e->apply_deadline - e->unix_now;
+    if (!std::isfinite(remaining))
+      remaining = 0;
+    target.version = e->version;
+    target.digest = e->digest;
+    target.configuration = e->configuration;
+    target.deadline = now + std::clamp(remaining, impl.settings.min_convergence_time,
+                                       std::max(impl.settings.min_convergence_time,
+                                                impl.settings.max_convergence_time));
+    impl.Prune(e->front);
+  } else if (auto* e = std::get_if<ReportReceived>(&event)) {
+    if (impl.zone_of.count(e->from) == 0 || e->from == impl.self)
       return {};
-    const ActiveReport& t = e->notified;
-    in.highest = std::max(in.highest, t.token);
-    in.stopped_at = std::max(in.stopped_at, t.stopped_at);
-    if (t.seq != 0)
-      in.Merge(e->from, t.seq, t.version, t.active, t.approved, t.changed, now);
-    Inner::Seen& s = in.seen[e->from];
-    s.direct = now;
-    s.abandoned = t.abandoned;
-    s.declined = t.declined;
-    for (const auto& o : t.others)
-      if (o.who == in.self)
-        in.Outdo(o.seq);
-    for (const auto& o : t.others)
-      if (o.who != in.self && o.seq != 0 && in.zone_of.count(o.who) != 0)
-        in.Merge(o.who, o.seq, o.version, o.active, o.approved, o.changed, now);
-    for (const auto& c : t.cases)
-      in.MergeCase(c, now);
-    for (const auto& a : t.asides) {
-      if (in.zone_of.count(a.who) == 0)
+    const ActiveReport& report = e->report;
+    impl.highest_token = std::max(impl.highest_token, report.token);
+    impl.stopped_at = std::max(impl.stopped_at, report.stopped_at);
+    if (report.sequence != 0)
+      impl.MergeReport(e->from, report.sequence, report.version, report.active_digest,
+                       report.approved_digest, report.changed_sequence, now);
+    Impl::Observation& observation = impl.observations[e->from];
+    observation.received_at = now;
+    observation.failed_share = report.failed_share;
+    observation.rejected_share = report.rejected_share;
+    for (const auto& relayed : report.relayed_reports)
+      if (relayed.front == impl.self)
+        impl.AdvanceSequencePast(relayed.sequence);
+    for (const auto& relayed : report.relayed_reports)
+      if (relayed.front != impl.self && relayed.sequence != 0 &&
+          impl.zone_of.count(relayed.front) != 0)
+        impl.MergeReport(relayed.front, relayed.sequence, relayed.version, relayed.active_digest,
+                         relayed.approved_digest, relayed.changed_sequence, now);
+    for (const auto& suspicion : report.suspicions)
+      impl.MergeSuspicion(suspicion, now);
+    for (const auto& ejection : report.ejections) {
+      if (impl.zone_of.count(ejection.front) == 0)
         continue;
-      auto& have = in.ejected_of[a.who];
-      if (std::pair(a.token, a.count) <= std::pair(have.token, have.count))
+      auto& known = impl.ejections[ejection.front];
+      if (std::pair(ejection.token, ejection.count) <= std::pair(known.token, known.count))
         continue;
-      bool turned = a.on != have.on;
-      have = {a.token, a.count, a.on, now};
-      if (turned)
-        in.out.push_back(
-            SetEjected{a.who, a.on, "by the owner with token " + std::to_string(a.token)});
+      bool has_changed = ejection.on != known.on;
+      known = {ejection.token, ejection.count, ejection.on, now};
+      if (has_changed)
+        impl.actions.push_back(
+            SetEjected{ejection.front, ejection.on,
+                       "by the owner with token " + std::to_string(ejection.token)});
     }
-    in.HeardShares(e->from, now);
-    if (t.ask)
-      in.answer(e->from, t);
-    if (!t.sections.empty() || !t.opened.empty())
-      in.Opened(e->from, t);
-  } else if (auto* e = std::get_if<Owns>(&event)) {
-    if (e->token != 0 && e->token != in.mine)
-      in.owns_since = now;
-    in.mine = e->token;
-    in.highest = std::max(in.highest, e->token);
-  } else if (auto* e = std::get_if<Requests>(&event)) {
-    in.abandoned = std::clamp(e->abandoned, 0.0, 1.0);
-    in.declined = std::clamp(e->declined, 0.0, 1.0);
-    Inner::Seen& s = in.seen[in.self];
-    s.abandoned = in.abandoned;
-    s.declined = in.declined;
-    in.HeardShares(in.self, now);
+    impl.CheckShareRise(e->from, now);
+    if (report.request_details)
+      impl.AnswerDetailRequest(e->from, report);
+    if (!report.sections.empty() || !report.section_contents.empty())
+      impl.HandleDetails(e->from, report);
+  } else if (auto* e = std::get_if<LeaseUpdated>(&event)) {
+    if (e->token != 0 && e->token != impl.own_token)
+      impl.lease_since = now;
+    impl.own_token = e->token;
+    impl.highest_token = std::max(impl.highest_token, e->token);
+  } else if (auto* e = std::get_if<RequestShares>(&event)) {
+    impl.failed_share = std::clamp(e->failed_share, 0.0, 1.0);
+    impl.rejected_share = std::clamp(e->rejected_share, 0.0, 1.0);
+    Impl::Observation& observation = impl.observations[impl.self];
+    observation.failed_share = impl.failed_share;
+    observation.rejected_share = impl.rejected_share;
+    impl.CheckShareRise(impl.self, now);
   } else if (std::holds_alternative<Tick>(event)) {
-    if (now < in.next_round || !in.have_active)
+    if (now < impl.next_round || !impl.has_active_configuration)
       return {};
-    in.next_round = now - in.next_round > in.terms.round ? now + in.terms.round
-                                                         : in.next_round + in.terms.round;
-    in.ApplyActive(now);
-    in.OwnWord(now, true);
-    in.Judge(now);
-    in.Show(now);
-    in.Serves(now);
-    in.Asides(now);
-    in.Repairs(now);
-    in.Ask(now);
-    in.SendReport(now);
+    impl.next_round = now - impl.next_round > impl.settings.round
+                          ? now + impl.settings.round
+                          : impl.next_round + impl.settings.round;
+    impl.ApplyPendingRepair(now);
+    impl.UpdateOwnReport(now, true);
+    impl.EvaluateFronts(now);
+    impl.PublishStates(now);
+    impl.UpdateServingPermission(now);
+    impl.UpdateEjections(now);
+    impl.UpdateRepairs(now);
+    impl.RequestDetails(now);
+    impl.SendReports(now);
   }
-  return std::exchange(in.out, {});
+  return std::exchange(impl.actions, {});
 }
 
-std::vector<Action> Drift::RepairAsked(Ms now, Id from, const Repair& r) {
-  return inner_->HandleRepair(now, from, r);
+std::vector<Action> Drift::HandleRepair(Ms now, Id from, const Repair& r) {
+  return impl_->HandleRepair(now, from, r);
 }
 
-const std::map<Id, Drift::Row>& Drift::Rows() const {
-  return inner_->rows;
+const std::map<Id, Drift::FrontState>& Drift::FrontStates() const {
+  return impl_->states;
 }
 bool Drift::ejected(Id front) const {
-  auto it = inner_->ejected_of.find(front);
-  return it != inner_->ejected_of.end() && it->second.on;
+  auto ejection = impl_->ejections.find(front);
+  return ejection != impl_->ejections.end() && ejection->second.on;
 }
 bool Drift::may_serve() const {
-  return inner_->may;
+  return impl_->serving_allowed;
 }
 bool Drift::stopped() const {
   Version newest = 0;
-  for (const auto& [who, w] : inner_->wanted)
-    newest = std::max(newest, w.version);
-  return inner_->stopped_at != 0 && newest <= inner_->stopped_at;
+  for (const auto& [front, target] : impl_->targets)
+    newest = std::max(newest, target.version);
+  return impl_->stopped_at != 0 && newest <= impl_->stopped_at;
 }
 Token Drift::token() const {
-  return inner_->highest;
+  return impl_->highest_token;
 }
 Ms Drift::WakeAt() const {
-  return inner_->next_round;
+  return impl_->next_round;
 }
 
 }  // namespace dunlinwick::drift
--- a/src/drift/form.cpp
+++ b/src/drift/form.cpp
@@ -1,3 +1,4 @@
+// The canonical form of a configuration, its digests, and differences between two configurations.
 #include <xxhash.h>
 
 #include <charconv>
@@ -9,8 +10,8 @@
 
 namespace {
 
-// Each text behind its length, so that no two forms share their bytes whatever stands in a name or
-// value.
+// Writes each text after its length, so that no two configurations have the same bytes, whatever
+// their names and values contain.
 void Put(std::string& out, const std::string& text) {
   out += std::to_string(text.size());
   out += ':';
@@ -19,35 +20,36 @@
 
 const std::string kAbsent = "(absent)";
 
-Breaks BreaksOf(const Classes& classes, const std::string& section, const std::string& name) {
-  if (auto it = classes.find(section + "." + name); it != classes.end())
-    return it->second;
-  // Of a list's row ("3.effect"): by the name behind the row's number, as a class names
+FieldImpact ImpactOf(const FieldImpactMap& impacts, const std::string& section,
+                     const std::string& name) {
+  if (auto found = impacts.find(section + "." + name); found != impacts.end())
+    return found->second;
+  // A field of a list ("3.effect") has the impact of the name after its index, listed as
   // "offerings.effect".
   if (auto dot = name.rfind('.'); dot != std::string::npos)
-    if (auto it = classes.find(section + "." + name.substr(dot + 1)); it != classes.end())
-      return it->second;
-  if (auto it = classes.find(section + ".*"); it != classes.end())
-    return it->second;
-  return Breaks::kCapacity;
+    if (auto found = impacts.find(section + "." + name.substr(dot + 1)); found != impacts.end())
+      return found->second;
+  if (auto found = impacts.find(section + ".*"); found != impacts.end())
+    return found->second;
+  return FieldImpact::kCapacity;
 }
 
 }  // namespace
 
-const char* ToString(Breaks breaks) {
-  static const char* const kWords[] = {"nothing", "capacity", "rule"};
-  auto i = static_cast<std::size_t>(breaks);
-  return i < 3 ? kWords[i] : "?";
+const char* ToString(FieldImpact impact) {
+  static const char* const kNames[] = {"nothing", "capacity", "rule"};
+  auto index = static_cast<std::size_t>(impact);
+  return index < 3 ? kNames[index] : "?";
 }
 
-const char* ToString(Standing standing) {
-  static const char* const kWords[] = {"unknown", "inStep",     "converging",
+const char* ToString(DriftStatus status) {
+  static const char* const kNames[] = {"unknown", "inStep",     "converging",
                                        "drifted", "unapproved", "forked"};
-  auto i = static_cast<std::size_t>(standing);
-  return i < 6 ? kWords[i] : "?";
+  auto index = static_cast<std::size_t>(status);
+  return index < 6 ? kNames[index] : "?";
 }
 
-std::string Canonical(const Section& section) {
+std::string EncodeCanonical(const Section& section) {
   std::string out;
   for (const auto& [name, value] : section) {
     Put(out, name);
@@ -59,13 +61,13 @@
 }
 
 std::uint64_t Digest(const Section& section) {
-  std::string bytes = Canonical(section);
+  std::string bytes = EncodeCanonical(section);
   return XXH64(bytes.data(), bytes.size(), 0);
 }
 
-std::uint64_t Digest(const Form& form) {
+std::uint64_t Digest(const CanonicalConfiguration& configuration) {
   std::string bytes;
-  for (const auto& [name, section] : form) {
+  for (const auto& [name, section] : configuration) {
     Put(bytes, name);
     std::uint64_t d = Digest(section);
     for (int i = 0; i < 8; ++i)
@@ -74,38 +76,43 @@
   return XXH64(bytes.data(), bytes.size(), 0);
 }
 
-std::string Number(double value) {
+std::string FormatNumber(double value) {
   if (std::isnan(value))
     return "nan";
   if (value == 0)
-    return "0";  // minus zero decides as zero does
+    return "0";  // minus zero has the same effect as zero
   char text[64];
-  auto r = std::to_chars(text, text + sizeof text, value);
-  return std::string(text, r.ptr);
+  auto result = std::to_chars(text, text + sizeof text, value);
+  return std::string(text, result.ptr);
 }
 
-std::vector<Difference> Differences(const Form& active, const Form& approved,
-                                    const Classes& classes) {
+std::vector<Difference> FindDifferences(const CanonicalConfiguration& active,
+                                        const CanonicalConfiguration& approved,
+                                        const FieldImpactMap& impacts) {
   std::vector<Difference> out;
-  static const Section kNone;
-  for (const auto& [name, wanted] : approved) {
-    auto it = active.find(name);
-    const Section& is = it == active.end() ? kNone : it->second;
-    auto a = is.begin();
-    auto w = wanted.begin();
-    while (a != is.end() || w != wanted.end()) {
-      bool left = w == wanted.end() || (a != is.end() && a->first <= w->first);
-      bool right = a == is.end() || (w != wanted.end() && w->first <= a->first);
-      const std::string& field = left ? a->first : w->first;
-      if (!left || !right || a->second != w->second)
+  static const Section kEmpty;
+  for (const auto& [name, expected] : approved) {
+    auto found = active.find(name);
+    const Section& actual = found == active.end() ? kEmpty : found->second;
+    auto active_field = actual.begin();
+    auto expected_field = expected.begin();
+    while (active_field != actual.end() || expected_field != expected.end()) {
+      bool in_active =
+          expected_field == expected.end() ||
+          (active_field != actual.end() && active_field->first <= expected_field->first);
+      bool in_approved =
+          active_field == actual.end() ||
+          (expected_field != expected.end() && expected_field->first <= active_field->first);
+      const std::string& field = in_active ? active_field->first : expected_field->first;
+      if (!in_active || !in_approved || active_field->second != expected_field->second)
         out.push_back({{name, field},
-                       left ? a->second : kAbsent,
-                       right ? w->second : kAbsent,
-                       BreaksOf(classes, name, field)});
-      if (left)
-        ++a;
-      if (right)
-        ++w;
+                       in_active ? active_field->second : kAbsent,
+                       in_approved ? expected_field->second : kAbsent,
+                       ImpactOf(impacts, name, field)});
+      if (in_active)
+        ++active_field;
+      if (in_approved)
+        ++expected_field;
     }
   }
   return out;
--- a/src/drift/inner.hpp
+++ b/src/drift/inner.hpp
@@ -1,5 +1,5 @@
-// The state behind Drift; for this package's own files. Every table is by front (one row) or
-// bounded as said at it.
+// The state behind Drift; internal to this package. Each table has at most one row per front, or
+// the bound given at its declaration.
 #pragma once
 #include <deque>
 #include <random>
@@ -11,74 +11,77 @@
 
 constexpr Ms kNever = -1e18;
 
-struct Drift::Inner {
-  Inner(Id s, std::map<Id, int> z, Classes c, Terms t, std::uint64_t seed, Ms now, Floors floors);
+struct Drift::Impl {
+  Impl(Id id, std::map<Id, int> zones, FieldImpactMap field_impacts, DriftSettings drift_settings,
+       std::uint64_t seed, Ms now, PersistedMinimums persisted);
 
-  struct Past {
+  struct PreviousApproval {
     Version version = 0;
     std::uint64_t digest = 0;
   };
-  struct Wanted {
+  // The approval that applies to a front.
+  struct Target {
     Version version = 0;
     std::uint64_t digest = 0;
-    Ms until = 0;  // on the monotone clock
-    std::shared_ptr<const Form> form;
-    std::deque<Past> past;  // oldest first, the last 16
+    Ms deadline = 0;  // on the monotonic clock
+    std::shared_ptr<const CanonicalConfiguration> configuration;
+    std::deque<PreviousApproval> previous;  // oldest first, the last 16
   };
-  struct Seen {  // what a front said of itself, the newest heard of anybody
-    std::uint64_t seq = 0;
-    std::uint64_t active = 0;
-    std::uint64_t approved = 0;
-    std::uint64_t changed = 0;
+  // The latest report of a front about itself, received from it or relayed.
+  struct Observation {
+    std::uint64_t sequence = 0;
+    std::uint64_t active_digest = 0;
+    std::uint64_t approved_digest = 0;
+    std::uint64_t changed_sequence = 0;
     Version version = 0;
-    Ms at = kNever;
-    Ms changed_at = 0;        // heard; since when it says the same
-    Ms above_since = kNever;  // says a version that is news here, or none, since
-    Ms direct = kNever;       // heard of itself
-    double abandoned = 0;
-    double declined = 0;
-    int sends = 0;  // of this news, so far
-    bool Settled() const {
-      return seq != 0;
+    Ms observed_at = kNever;
+    Ms changed_at = 0;          // when its content was first observed here
+    Ms version_since = kNever;  // since when it reports this version, which may be unknown here
+    Ms received_at = kNever;    // last received from the front itself
+    double failed_share = 0;
+    double rejected_share = 0;
+    int transmissions = 0;  // of this report by this front so far
+    bool HasReport() const {
+      return sequence != 0;
     }
   };
   struct Ballot {
     Token token = 0;
-    std::vector<bool> voters;
-    std::vector<bool> withdrawn;
+    std::vector<bool> votes;
+    std::vector<bool> withdrawals;
   };
-  struct Case {
-    Standing standing = Standing::kDrifted;
-    std::uint64_t changed = 0;
-    Version wanted = 0;
-    std::uint64_t span = 0;
+  struct Suspicion {
+    DriftStatus status = DriftStatus::kDrifted;
+    std::uint64_t changed_sequence = 0;
+    Version target_version = 0;
+    std::uint64_t window = 0;
     Ballot newest;
-    Ballot before;  // of that span and the one before it: older ones are gone
+    Ballot before;  // of `window` and of the one before it; older votes are dropped
     std::vector<Difference> fields;
-    bool Counts(std::size_t i) const;  // the vote of the i-th front
+    bool Counts(std::size_t i) const;  // whether the vote of the i-th front counts
   };
-  struct Asked {
-    std::uint64_t changed = 0;
-    int tries = 0;
-    Ms at = kNever;
+  struct DetailRequest {
+    std::uint64_t changed_sequence = 0;
+    int attempts = 0;
+    Ms sent_at = kNever;
   };
-  struct Underway {
+  struct OngoingRepair {
     Version version = 0;
-    std::uint64_t changed = 0;
-    Ms sent_at = 0;
+    std::uint64_t changed_sequence = 0;
+    Ms first_sent = 0;
     Ms last_sent = 0;
-    Ms watch_until = kNever;
-    bool based = false;
-    double abandoned = 0;
-    double declined = 0;
+    Ms observe_until = kNever;
+    bool has_baseline = false;
+    double failed_share = 0;
+    double rejected_share = 0;
   };
-  struct Tries {
+  struct RepairAttempts {
     Version version = 0;
-    std::uint64_t changed = 0;
+    std::uint64_t changed_sequence = 0;
     int count = 0;
     Ms not_before = kNever;
   };
-  struct EjectedState {
+  struct EjectionState {
     Token token = 0;
     std::uint32_t count = 0;
     bool on = false;
@@ -86,80 +89,84 @@
   };
 
   // evidence.cpp
-  void Outdo(std::uint64_t notified);  // a number that others have of this front's words
-  void Merge(Id who, std::uint64_t seq, Version version, std::uint64_t active,
-             std::uint64_t approved, std::uint64_t changed, Ms now);
-  void MergeCase(const ActiveReport::Case& c, Ms now);
-  Standing Evaluate(Id who, Ms now) const;
-  void Judge(Ms now);  // one round: opinions, votes, rows
-  void Show(Ms now);   // rows by opinions and votes
-  Standing common(Id who, Case** of);
+  void AdvanceSequencePast(std::uint64_t known);  // `known`: a sequence number of this front's
+                                                  // reports that other fronts hold
+  void MergeReport(Id front, std::uint64_t new_sequence, Version new_version,
+                   std::uint64_t active_digest, std::uint64_t approved_digest,
+                   std::uint64_t new_changed_sequence, Ms now);
+  void MergeSuspicion(const ActiveReport::Suspicion& suspicion, Ms now);
+  DriftStatus Evaluate(Id front, Ms now) const;
+  void EvaluateFronts(Ms now);  // one round: assessments and votes
+  void PublishStates(Ms now);   // front states, from assessments and votes
+  DriftStatus CommonStatus(Id front, Suspicion** suspicion);
   std::size_t Quorum() const;
-  void Prune(Id who);
-  void OwnWord(Ms now, bool round);
-  void Serves(Ms now);
-  std::size_t Index(Id who) const;
-  std::vector<Difference> OwnFields() const;
-  // told.cpp's counterpart: what goes out
-  ActiveReport word(bool full);
-  void SendReport(Ms now);
-  void Ask(Ms now);
-  void answer(Id to, const ActiveReport& asked);
-  void Opened(Id from, const ActiveReport& t);
+  void Prune(Id front);
+  void UpdateOwnReport(Ms now, bool new_round);
+  void UpdateServingPermission(Ms now);
+  std::size_t Index(Id front) const;
+  std::vector<Difference> OwnDifferences() const;
+  // drift.cpp: what is sent
+  ActiveReport MakeReport(bool full);
+  void SendReports(Ms now);
+  void RequestDetails(Ms now);
+  void AnswerDetailRequest(Id to, const ActiveReport& request);
+  void HandleDetails(Id from, const ActiveReport& report);
   // repair.cpp
-  bool Owning() const;
-  void Repairs(Ms now);
-  void Asides(Ms now);
-  bool ZoneBears(int zone, Id who) const;
-  void HeardShares(Id from, Ms now);
+  bool IsLeaseHolder() const;
+  void UpdateRepairs(Ms now);
+  void UpdateEjections(Ms now);
+  bool ZoneCanSpare(int zone, Id front) const;
+  void CheckShareRise(Id from, Ms now);
   std::vector<Action> HandleRepair(Ms now, Id from, const Repair& r);
-  void ApplyActive(Ms now);
-  Form Governed() const;  // of what is active, the sections that the approval names
+  void ApplyPendingRepair(Ms now);
+  CanonicalConfiguration GovernedSections()
+      const;  // the active sections that the approval contains
 
   const Id self;
-  const std::map<Id, int> zone_of;  // at most mostFronts
-  std::vector<Id> ids;              // in order; a voter's bit is its place here
-  const Classes classes;
-  const Terms terms;
+  const std::map<Id, int> zone_of;  // at most kMaxFronts
+  std::vector<Id> ids;              // sorted; a front's vote is the bit at its index here
+  const FieldImpactMap impacts;
+  const DriftSettings settings;
   std::knuth_b random;
   Ms next_round = 0;
-  std::uint64_t seq = 0;
-  std::uint64_t changed = 0;
-  bool outdone = false;  // the next word is a new one
+  std::uint64_t sequence = 0;
+  std::uint64_t changed_sequence = 0;
+  bool sequence_advanced = false;  // the next report counts as changed
 
-  Form active;
-  bool have_active = false;
+  CanonicalConfiguration active_configuration;
+  bool has_active_configuration = false;
   Version version = 0;
   std::optional<Approval> approval;
   std::deque<std::uint64_t>
-      earlier;  // digests of forms approved for this front before, the last 16
-  std::map<Id, Wanted> wanted;
-  std::map<Id, Seen> seen;
-  std::map<Id, Standing> held;
-  std::map<Id, std::vector<Case>> cases;  // at most 4 a front
-  std::map<Id, Asked> asking;
-  std::map<Id, Row> rows;
-  std::vector<Id> turn;  // whom to tell next, shuffled; each once before any twice
-  std::size_t others_from = 0;
-  std::size_t cases_from = 0;
-  double abandoned = 0;
-  double declined = 0;
-  bool may = true;
+      previous_digests;  // of the configurations approved for this front before, the last 16
+  std::map<Id, Target> targets;
+  std::map<Id, Observation> observations;
+  std::map<Id, DriftStatus> assessments;
+  std::map<Id, std::vector<Suspicion>> suspicions;  // at most 4 per front
+  std::map<Id, DetailRequest> detail_requests;
+  std::map<Id, FrontState> states;
+  std::vector<Id> send_order;  // the next receivers, shuffled; each once before any twice
+  std::size_t next_relayed_report = 0;
+  std::size_t next_suspicion = 0;
+  double failed_share = 0;
+  double rejected_share = 0;
+  bool serving_allowed = true;
 
-  Token mine = 0;
-  Token highest = 0;
-  Ms owns_since = kNever;
+  Token own_token = 0;
+  Token highest_token = 0;
+  Ms lease_since = kNever;
   Version stopped_at = 0;
-  std::map<Id, Underway> underway;
-  std::map<Id, Tries> tries;
-  std::map<Id, std::deque<Ms>> episodes;  // at most `often` a front
-  std::map<Id, EjectedState> ejected_of;
-  std::optional<Repair> pending;  // asked for before the approval was heard, for repairWithin / 2
+  std::map<Id, OngoingRepair> ongoing_repairs;
+  std::map<Id, RepairAttempts> repair_attempts;
+  std::map<Id, std::deque<Ms>> drift_times;  // at most `ejection_drift_count` per front
+  std::map<Id, EjectionState> ejections;
+  std::optional<Repair>
+      pending_repair;  // requested before the approval arrived; kept for repair_timeout / 2
   Ms pending_until = kNever;
-  Id answer_to = 0;  // an owner that repairs this front is told each round
-  Ms answer_until = kNever;
+  Id reply_to = 0;  // the lease holder that repairs this front; receives a report each round
+  Ms reply_until = kNever;
 
-  std::vector<Action> out;
+  std::vector<Action> actions;
 };
 
 }  // namespace dunlinwick::drift
--- a/src/drift/repair.cpp
+++ b/src/drift/repair.cpp
@@ -1,211 +1,229 @@
-// What follows: the owner's repairs and rollouts within a zone's limits, the alarm, fronts set
-// aside; and, at a front, being repaired.
+// Consequences of a status: the lease holder's repairs and rollouts within each zone's limits, the
+// alarm and ejections; and, at each front, carrying out a repair.
 #include <algorithm>
 
 #include "drift/inner.hpp"
 
 namespace dunlinwick::drift {
 
-using Inner = Drift::Inner;
+using Impl = Drift::Impl;
 
-bool Inner::Owning() const {
-  if (mine == 0 || mine < highest)
+bool Impl::IsLeaseHolder() const {
+  if (own_token == 0 || own_token < highest_token)
     return false;
-  auto a = ejected_of.find(self);
-  return a == ejected_of.end() || !a->second.on;
+  auto ejection = ejections.find(self);
+  return ejection == ejections.end() || !ejection->second.on;
 }
 
-// Whether `zone` may do without `who` meanwhile. What serves: heard lately, not under way, not
-// stopped by a rule.
-bool Inner::ZoneBears(int zone, Id who) const {
-  std::size_t size = 0, left = 0;
-  bool served = false;
-  for (const auto& [id, z] : zone_of) {
-    if (z != zone)
+// Whether `zone` can do without `front` during a repair. A front counts as serving if its status is
+// known, it is not under repair and no field that can break an invariant stops it.
+bool Impl::ZoneCanSpare(int zone, Id front) const {
+  std::size_t zone_size = 0, serving_count = 0;
+  bool was_serving = false;
+  for (const auto& [id, front_zone] : zone_of) {
+    if (front_zone != zone)
       continue;
-    ++size;
-    auto r = rows.find(id);
-    auto u = underway.find(id);
-    bool serves = r != rows.end() && r->second.standing != Standing::kUnknown &&
-                  (u == underway.end() || u->second.watch_until != kNever);
-    if (serves && Bad(r->second.standing))
-      serves = std::none_of(r->second.fields.begin(), r->second.fields.end(),
-                            [](const Difference& d) { return d.breaks == Breaks::kRule; });
-    if (id == who)
-      served = serves;
+    ++zone_size;
+    auto state = states.find(id);
+    auto repair = ongoing_repairs.find(id);
+    bool is_serving = state != states.end() && state->second.status != DriftStatus::kUnknown &&
+                      (repair == ongoing_repairs.end() || repair->second.observe_until != kNever);
+    if (is_serving && IsDeviating(state->second.status))
+      is_serving =
+          std::none_of(state->second.fields.begin(), state->second.fields.end(),
+                       [](const Difference& d) { return d.impact == FieldImpact::kInvariant; });
+    if (id == front)
+      was_serving = is_serving;
     else
-      left += serves;
+      serving_count += is_serving;
   }
-  return !served || static_cast<double>(left) >= terms.least_serving * static_cast<double>(size);
+  return !was_serving || static_cast<double>(serving_count) >=
+                             settings.min_serving_share * static_cast<double>(zone_size);
 }
 
-void Inner::HeardShares(Id from, Ms now) {
-  auto u = underway.find(from);
-  if (u == underway.end())
+void Impl::CheckShareRise(Id from, Ms now) {
+  auto repair = ongoing_repairs.find(from);
+  if (repair == ongoing_repairs.end())
     return;
-  const Seen& s = seen[from];
-  if (!u->second.based) {  // its first word since it was asked comes from before it took up
-    u->second.based = true;
-    u->second.abandoned = s.abandoned;
-    u->second.declined = s.declined;
+  const Observation& observation = observations[from];
+  if (!repair->second
+           .has_baseline) {  // the first report after the repair request predates the change
+    repair->second.has_baseline = true;
+    repair->second.failed_share = observation.failed_share;
+    repair->second.rejected_share = observation.rejected_share;
     return;
   }
-  double rise = std::max(s.abandoned - u->second.abandoned, s.declined - u->second.declined);
-  if (rise <= terms.alarm || stopped_at >= u->second.version)
+  double rise = std::max(observation.failed_share - repair->second.failed_share,
+                         observation.rejected_share - repair->second.rejected_share);
+  if (rise <= settings.alarm_threshold || stopped_at >= repair->second.version)
     return;
-  Version taken = u->second.version;
-  stopped_at = taken;
-  for (const auto& [who, w] : wanted)
-    stopped_at = std::max(stopped_at, w.version);
-  out.push_back(Stopped{"abandoned or declined pulls rose by " + Number(rise) + " at front " +
-                        std::to_string(from) + " after it was to take up version " +
-                        std::to_string(taken)});
+  Version repaired_version = repair->second.version;
+  stopped_at = repaired_version;
+  for (const auto& [front, target] : targets)
+    stopped_at = std::max(stopped_at, target.version);
+  actions.push_back(RepairsStopped{"the share of failed or rejected requests rose by " +
+                                   FormatNumber(rise) + " at front " + std::to_string(from) +
+                                   " after it was asked to apply version " +
+                                   std::to_string(repaired_version)});
   (void)now;
 }
 
-void Inner::Repairs(Ms now) {
-  if (!Owning()) {
-    underway.clear();
+void Impl::UpdateRepairs(Ms now) {
+  if (!IsLeaseHolder()) {
+    ongoing_repairs.clear();
     return;
   }
-  // What goes on and what is over.
-  for (auto it = underway.begin(); it != underway.end();) {
-    Underway& u = it->second;
-    const Row& r = rows[it->first];
-    const Seen& s = seen[it->first];
-    bool taken = s.at > u.sent_at && s.version >= u.version && held[it->first] == Standing::kInStep;
-    if (u.watch_until == kNever && taken)
-      u.watch_until = now + terms.watch_for;
-    bool watched = u.watch_until != kNever && now >= u.watch_until;
-    bool late = u.watch_until == kNever && now >= u.sent_at + terms.repair_within;
-    // Its place is kept until it is heard again, or taken for gone: it may be out of service yet.
-    // And no shorter than a late word of it may yet come (twice repairWithin) and wait there for
-    // the approval.
-    bool heard = (s.at > u.sent_at + terms.repair_within || r.standing == Standing::kUnknown) &&
-                 now >= u.last_sent + 2.5 * terms.repair_within;
-    if (late && heard) {
-      Tries& t = tries[it->first];
-      ++t.count;
-      t.not_before = now + terms.repair_within * t.count;
+  // Continue or finish the ongoing repairs.
+  for (auto it = ongoing_repairs.begin(); it != ongoing_repairs.end();) {
+    OngoingRepair& repair = it->second;
+    const FrontState& state = states[it->first];
+    const Observation& observation = observations[it->first];
+    bool is_applied = observation.observed_at > repair.first_sent &&
+                      observation.version >= repair.version &&
+                      assessments[it->first] == DriftStatus::kInSync;
+    if (repair.observe_until == kNever && is_applied)
+      repair.observe_until = now + settings.observation_period;
+    bool is_observed = repair.observe_until != kNever && now >= repair.observe_until;
+    bool has_timed_out =
+        repair.observe_until == kNever && now >= repair.first_sent + settings.repair_timeout;
+    // Its slot is held until the front reports again or is taken for gone, since it may still be
+    // out of service; and at least for as long as a late repair request may still arrive (twice
+    // repair_timeout) and wait at the front for the approval.
+    bool has_reported = (observation.observed_at > repair.first_sent + settings.repair_timeout ||
+                         state.status == DriftStatus::kUnknown) &&
+                        now >= repair.last_sent + 2.5 * settings.repair_timeout;
+    if (has_timed_out && has_reported) {
+      RepairAttempts& attempts = repair_attempts[it->first];
+      ++attempts.count;
+      attempts.not_before = now + settings.repair_timeout * attempts.count;
     }
-    if (watched || (late && heard)) {
-      it = underway.erase(it);
+    if (is_observed || (has_timed_out && has_reported)) {
+      it = ongoing_repairs.erase(it);
       continue;
     }
-    if (u.watch_until == kNever && now - u.last_sent >= 2 * terms.round &&
-        now - u.sent_at < terms.repair_within / 2) {
-      u.last_sent = now;
-      out.push_back(Repair{it->first, mine, u.version, u.changed});
+    if (repair.observe_until == kNever && now - repair.last_sent >= 2 * settings.round &&
+        now - repair.first_sent < settings.repair_timeout / 2) {
+      repair.last_sent = now;
+      actions.push_back(Repair{it->first, own_token, repair.version, repair.changed_sequence});
     }
     ++it;
   }
   Version newest = 0;
-  for (const auto& [who, w] : wanted)
-    newest = std::max(newest, w.version);
+  for (const auto& [front, target] : targets)
+    newest = std::max(newest, target.version);
   if (stopped_at != 0 && newest <= stopped_at)
     return;
-  if (now - owns_since < 2.5 * terms.repair_within)
-    return;  // what an owner before may have under way
-  std::map<int, int> busy;
-  for (const auto& [who, u] : underway)
-    ++busy[zone_of.at(who)];
-  for (bool drifts : {true, false})  // drifts first, then the rollout
-    for (Id who : ids) {
-      const Row& r = rows[who];
-      // Unapproved and forked: its record is wrong, not its memory. Staff have it learn the record
-      // anew.
-      if (r.standing != (drifts ? Standing::kDrifted : Standing::kConverging))
+  if (now - lease_since < 2.5 * settings.repair_timeout)
+    return;  // the previous lease holder may have repairs ongoing
+  std::map<int, int> repairs_of_zone;
+  for (const auto& [front, repair] : ongoing_repairs)
+    ++repairs_of_zone[zone_of.at(front)];
+  for (bool repairing_drift : {true, false})  // drifted fronts first, then the rollout
+    for (Id front : ids) {
+      const FrontState& state = states[front];
+      // Unapproved and forked: the front's copy of the record is wrong, not its memory. An operator
+      // has to make it read the record again from scratch.
+      if (state.status != (repairing_drift ? DriftStatus::kDrifted : DriftStatus::kConverging))
         continue;
-      if (underway.count(who) != 0)
+      if (ongoing_repairs.count(front) != 0)
         continue;
-      auto w = wanted.find(who);
-      if (w == wanted.end() || w->second.version == 0)
+      auto target = targets.find(front);
+      if (target == targets.end() || target->second.version == 0)
         continue;
-      const Seen& s = seen[who];
-      if (s.active == w->second.digest)
+      const Observation& observation = observations[front];
+      if (observation.active_digest == target->second.digest)
         continue;
-      // A version that is news here: our record is behind, and is not to undo what is newer.
-      if (!drifts && s.version > w->second.version)
+      // A version that is unknown here: this front's copy of the record is behind and must not undo
+      // a newer approval.
+      if (!repairing_drift && observation.version > target->second.version)
         continue;
-      Tries& t = tries[who];
-      if (t.version != w->second.version || t.changed != s.changed)
-        t = {w->second.version, s.changed, 0, kNever};
-      if (t.count >= 3 || now < t.not_before)
+      RepairAttempts& attempts = repair_attempts[front];
+      if (attempts.version != target->second.version ||
+          attempts.changed_sequence != observation.changed_sequence)
+        attempts = {target->second.version, observation.changed_sequence, 0, kNever};
+      if (attempts.count >= 3 || now < attempts.not_before)
         continue;
-      int zone = zone_of.at(who);
-      if (busy[zone] >= terms.at_once || !ZoneBears(zone, who))
+      int zone = zone_of.at(front);
+      if (repairs_of_zone[zone] >= settings.max_concurrent_repairs || !ZoneCanSpare(zone, front))
         continue;
-      ++busy[zone];
-      underway[who] = {w->second.version, s.changed, now, now, kNever, false, 0, 0};
-      out.push_back(Repair{who, mine, w->second.version, s.changed});
+      ++repairs_of_zone[zone];
+      ongoing_repairs[front] = {
+          target->second.version, observation.changed_sequence, now, now, kNever, false, 0, 0};
+      actions.push_back(
+          Repair{front, own_token, target->second.version, observation.changed_sequence});
     }
 }
 
-void Inner::Asides(Ms now) {
-  if (!Owning())
+void Impl::UpdateEjections(Ms now) {
+  if (!IsLeaseHolder())
     return;
-  std::size_t off = 0;
-  for (const auto& [who, a] : ejected_of)
-    off += a.on;
-  for (Id who : ids) {
-    EjectedState& a = ejected_of[who];
-    auto e = episodes.find(who);
-    if (!a.on) {
-      bool often = e != episodes.end() &&
-                   e->second.size() >= static_cast<std::size_t>(terms.often) &&
-                   now - e->second.front() <= terms.within;
-      // At most a quarter of the fronts: more at once is no front's fault.
-      if (!often || off >= std::max<std::size_t>(1, ids.size() / 4))
+  std::size_t ejected_count = 0;
+  for (const auto& [front, ejection] : ejections)
+    ejected_count += ejection.on;
+  for (Id front : ids) {
+    EjectionState& ejection = ejections[front];
+    auto times = drift_times.find(front);
+    if (!ejection.on) {
+      bool drifts_often =
+          times != drift_times.end() &&
+          times->second.size() >= static_cast<std::size_t>(settings.ejection_drift_count) &&
+          now - times->second.front() <= settings.ejection_window;
+      // At most a quarter of the fronts: more at once is not the fault of single fronts.
+      if (!drifts_often || ejected_count >= std::max<std::size_t>(1, ids.size() / 4))
         continue;
-      a = {mine, a.count + 1, true, now};
-      ++off;
-      out.push_back(SetEjected{who, true, "drifted " + std::to_string(terms.often) + " times"});
-    } else if (rows[who].standing == Standing::kInStep &&
-               now - std::max(a.since, rows[who].since) >= terms.within) {
-      a = {mine, a.count + 1, false, now};
-      --off;
-      if (e != episodes.end())
-        e->second.clear();
-      out.push_back(SetEjected{who, false, "in step for " + Number(terms.within / 1000) + " s"});
+      ejection = {own_token, ejection.count + 1, true, now};
+      ++ejected_count;
+      actions.push_back(SetEjected{
+          front, true, "drifted " + std::to_string(settings.ejection_drift_count) + " times"});
+    } else if (states[front].status == DriftStatus::kInSync &&
+               now - std::max(ejection.since, states[front].since) >= settings.ejection_window) {
+      ejection = {own_token, ejection.count + 1, false, now};
+      --ejected_count;
+      if (times != drift_times.end())
+        times->second.clear();
+      actions.push_back(SetEjected{
+          front, false, "in step for " + FormatNumber(settings.ejection_window / 1000) + " s"});
     }
   }
 }
 
-std::vector<Action> Inner::HandleRepair(Ms now, Id from, const Repair& r) {
-  out.clear();
-  if (r.front != self || r.token == 0 || r.token < highest)
-    return {};  // an owner that was
-  highest = r.token;
-  answer_to = from;
-  answer_until = now + terms.repair_within + terms.watch_for;
-  // What its shares are before anything is taken up.
-  if (from != self && seen[self].seq != 0)
-    out.push_back(Tell{from, word(false)});
+std::vector<Action> Impl::HandleRepair(Ms now, Id from, const Repair& r) {
+  actions.clear();
+  if (r.front != self || r.token == 0 || r.token < highest_token)
+    return {};  // from a previous lease holder
+  highest_token = r.token;
+  reply_to = from;
+  reply_until = now + settings.repair_timeout + settings.observation_period;
+  // Reports the request shares before the change, as the baseline for the alarm.
+  if (from != self && observations[self].sequence != 0)
+    actions.push_back(SendActiveReport{from, MakeReport(false)});
   if (r.version < version)
-    return std::exchange(out, {});  // what it would have taken up is approved no more
-  if (r.changed != changed)
+    return std::exchange(actions, {});  // that version is no longer approved
+  if (r.changed_sequence != changed_sequence)
     return std::exchange(
-        out, {});  // late, or of what was changed since: the owner hears of it, and asks anew
-  pending = r;
-  pending_until = now + terms.repair_within / 2;
-  ApplyActive(now);
-  return std::exchange(out, {});
+        actions,
+        {});  // late, or the content changed since: the lease holder learns of it and sends another
+  pending_repair = r;
+  pending_until = now + settings.repair_timeout / 2;
+  ApplyPendingRepair(now);
+  return std::exchange(actions, {});
 }
 
-void Inner::ApplyActive(Ms now) {
-  if (!pending)
+void Impl::ApplyPendingRepair(Ms now) {
+  if (!pending_repair)
     return;
-  if (now > pending_until || pending->version < version || pending->token < highest) {
-    pending.reset();
+  if (now > pending_until || pending_repair->version < version ||
+      pending_repair->token < highest_token) {
+    pending_repair.reset();
     return;
   }
-  if (pending->version != version || !approval)
-    return;  // not heard of yet
-  Token token = pending->token;
-  pending.reset();
-  if (have_active && Digest(Governed()) == Digest(approval->form))
+  if (pending_repair->version != version || !approval)
+    return;  // the approval has not arrived yet
+  Token token = pending_repair->token;
+  pending_repair.reset();
+  if (has_active_configuration && Digest(GovernedSections()) == Digest(approval->configuration))
     return;
-  out.push_back(TakeUp{version, approval->form, token});
+  actions.push_back(ApplyApproval{version, approval->configuration, token});
 }
 
 }  // namespace dunlinwick::drift
--- a/src/drift/told.cpp
+++ b/src/drift/told.cpp
@@ -1,3 +1,5 @@
+// Encodes and decodes ActiveReport and Repair (proto/drift.proto), with the bounds of drift.hpp. A
+// message out of bounds is refused.
 #include <algorithm>
 #include <cmath>
 
@@ -7,173 +9,185 @@
 
 namespace {
 
-constexpr std::size_t kMostValue = 64, kMostOpened = 4, kMostWants = 8, kMostAsides = 32;
+constexpr std::size_t kMaxValueLength = 64, kMaxDifferences = 4, kMaxRequestedSections = 8,
+                      kMaxEjections = 32;
 
-bool Share(double v) {
-  return std::isfinite(v) && v >= 0 && v <= 1;
+bool IsShare(double value) {
+  return std::isfinite(value) && value >= 0 && value <= 1;
 }
 
-bool Empty(const ActiveReport::Ballot& b) {
-  return b.token == 0 && b.voters.empty() && b.withdrawn.empty();
+bool IsEmpty(const ActiveReport::Ballot& ballot) {
+  return ballot.token == 0 && ballot.votes.empty() && ballot.withdrawals.empty();
 }
 void Put(const ActiveReport::Ballot& from, proto::drift::Ballot& to) {
   to.set_token(from.token);
-  to.set_voters(from.voters);
-  to.set_withdrawn(from.withdrawn);
+  to.set_voters(from.votes);
+  to.set_withdrawn(from.withdrawals);
 }
-bool Fits(const proto::drift::Ballot& b) {
-  return b.voters().size() <= kMostFronts / 8 && b.withdrawn().size() <= kMostFronts / 8;
+bool IsWithinBounds(const proto::drift::Ballot& ballot) {
+  return ballot.voters().size() <= kMaxFronts / 8 && ballot.withdrawn().size() <= kMaxFronts / 8;
 }
-ActiveReport::Ballot Read(const proto::drift::Ballot& b) {
-  return {b.token(), b.voters(), b.withdrawn()};
+ActiveReport::Ballot Read(const proto::drift::Ballot& ballot) {
+  return {ballot.token(), ballot.voters(), ballot.withdrawn()};
 }
 
 }  // namespace
 
-std::string Encode(const ActiveReport& t) {
-  proto::drift::Message whole;
-  auto& m = *whole.mutable_told();
-  m.set_version(t.version);
-  m.set_active(t.active);
-  m.set_approved(t.approved);
-  m.set_ask(t.ask);
-  m.set_abandoned(t.abandoned);
-  m.set_declined(t.declined);
-  m.set_seq(t.seq);
-  m.set_changed(t.changed);
-  m.set_token(t.token);
-  m.set_stopped_at(t.stopped_at);
-  for (const auto& [name, d] : t.sections) {
-    auto* s = m.add_sections();
-    s->set_name(name);
-    s->set_digest(d);
+std::string Encode(const ActiveReport& report) {
+  proto::drift::Message envelope;
+  auto& message = *envelope.mutable_told();
+  message.set_version(report.version);
+  message.set_active(report.active_digest);
+  message.set_approved(report.approved_digest);
+  message.set_ask(report.request_details);
+  message.set_abandoned(report.failed_share);
+  message.set_declined(report.rejected_share);
+  message.set_seq(report.sequence);
+  message.set_changed(report.changed_sequence);
+  message.set_token(report.token);
+  message.set_stopped_at(report.stopped_at);
+  for (const auto& [name, digest] : report.sections) {
+    auto* section = message.add_sections();
+    section->set_name(name);
+    section->set_digest(digest);
   }
-  for (const std::string& w : t.wants)
-    m.add_wants(w);
-  Put(t.opened, *m.mutable_opened());
-  for (const auto& o : t.others) {
-    auto* r = m.add_others();
-    r->set_who(o.who);
-    r->set_seq(o.seq);
-    r->set_version(o.version);
-    r->set_active(o.active);
-    r->set_approved(o.approved);
-    r->set_changed(o.changed);
+  for (const std::string& name : report.requested_sections)
+    message.add_wants(name);
+  Put(report.section_contents, *message.mutable_opened());
+  for (const auto& relayed : report.relayed_reports) {
+    auto* entry = message.add_others();
+    entry->set_who(relayed.front);
+    entry->set_seq(relayed.sequence);
+    entry->set_version(relayed.version);
+    entry->set_active(relayed.active_digest);
+    entry->set_approved(relayed.approved_digest);
+    entry->set_changed(relayed.changed_sequence);
   }
-  for (const auto& c : t.cases) {
-    auto* r = m.add_cases();
-    r->set_who(c.who);
-    r->set_standing(c.standing);
-    r->set_changed(c.changed);
-    r->set_wanted(c.wanted);
-    r->set_span(c.span);
-    if (!Empty(c.newest))
-      Put(c.newest, *r->mutable_newest());
-    if (!Empty(c.before))
-      Put(c.before, *r->mutable_before());
-    for (std::size_t i = 0; i < std::min(c.fields.size(), kMostOpened); ++i) {
-      auto* f = r->add_fields();
-      f->set_section(c.fields[i].field.section.substr(0, kMostValue));
-      f->set_name(c.fields[i].field.name.substr(0, kMostValue));
-      f->set_active(c.fields[i].active.substr(0, kMostValue));
-      f->set_approved(c.fields[i].approved.substr(0, kMostValue));
-      f->set_breaks(static_cast<std::uint32_t>(c.fields[i].breaks));
+  for (const auto& suspicion : report.suspicions) {
+    auto* entry = message.add_cases();
+    entry->set_who(suspicion.front);
+    entry->set_standing(suspicion.status);
+    entry->set_changed(suspicion.changed_sequence);
+    entry->set_wanted(suspicion.target_version);
+    entry->set_span(suspicion.window);
+    if (!IsEmpty(suspicion.newest))
+      Put(suspicion.newest, *entry->mutable_newest());
+    if (!IsEmpty(suspicion.before))
+      Put(suspicion.before, *entry->mutable_before());
+    for (std::size_t i = 0; i < std::min(suspicion.fields.size(), kMaxDifferences); ++i) {
+      auto* field = entry->add_fields();
+      field->set_section(suspicion.fields[i].field.section.substr(0, kMaxValueLength));
+      field->set_name(suspicion.fields[i].field.name.substr(0, kMaxValueLength));
+      field->set_active(suspicion.fields[i].active.substr(0, kMaxValueLength));
+      field->set_approved(suspicion.fields[i].approved.substr(0, kMaxValueLength));
+      field->set_breaks(static_cast<std::uint32_t>(suspicion.fields[i].impact));
     }
   }
-  for (const auto& a : t.asides) {
-    auto* r = m.add_asides();
-    r->set_who(a.who);
-    r->set_token(a.token);
-    r->set_count(a.count);
-    r->set_on(a.on);
+  for (const auto& ejection : report.ejections) {
+    auto* entry = message.add_asides();
+    entry->set_who(ejection.front);
+    entry->set_token(ejection.token);
+    entry->set_count(ejection.count);
+    entry->set_on(ejection.on);
   }
-  return whole.SerializeAsString();
+  return envelope.SerializeAsString();
 }
 
-std::optional<ActiveReport> DecodeNotified(std::span<const char> bytes) {
-  proto::drift::Message whole;
-  if (!whole.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || !whole.has_told())
+std::optional<ActiveReport> DecodeActiveReport(std::span<const char> bytes) {
+  proto::drift::Message envelope;
+  if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
+      !envelope.has_told())
     return {};
-  const auto& m = whole.told();
-  auto over = [](int n, std::size_t most) {
-    return static_cast<std::size_t>(n) > most;
+  const auto& message = envelope.told();
+  auto exceeds = [](int count, std::size_t limit) {
+    return static_cast<std::size_t>(count) > limit;
   };
-  if (over(m.sections_size(), kMostSections) || over(m.wants_size(), kMostWants) ||
-      over(m.others_size(), kMostOthers) || over(m.cases_size(), kMostCases) ||
-      over(m.asides_size(), kMostAsides))
+  if (exceeds(message.sections_size(), kMaxSections) ||
+      exceeds(message.wants_size(), kMaxRequestedSections) ||
+      exceeds(message.others_size(), kMaxRelayedReports) ||
+      exceeds(message.cases_size(), kMaxSuspicions) ||
+      exceeds(message.asides_size(), kMaxEjections))
     return {};
-  if (!Share(m.abandoned()) || !Share(m.declined()) || m.changed() > m.seq())
+  if (!IsShare(message.abandoned()) || !IsShare(message.declined()) ||
+      message.changed() > message.seq())
     return {};
-  ActiveReport t;
-  t.version = m.version();
-  t.active = m.active();
-  t.approved = m.approved();
-  t.ask = m.ask();
-  t.abandoned = m.abandoned();
-  t.declined = m.declined();
-  t.seq = m.seq();
-  t.changed = m.changed();
-  t.token = m.token();
-  t.stopped_at = m.stopped_at();
-  for (const auto& s : m.sections()) {
-    if (s.name().size() > kMostText)
+  ActiveReport report;
+  report.version = message.version();
+  report.active_digest = message.active();
+  report.approved_digest = message.approved();
+  report.request_details = message.ask();
+  report.failed_share = message.abandoned();
+  report.rejected_share = message.declined();
+  report.sequence = message.seq();
+  report.changed_sequence = message.changed();
+  report.token = message.token();
+  report.stopped_at = message.stopped_at();
+  for (const auto& section : message.sections()) {
+    if (section.name().size() > kMaxTextLength)
       return {};
-    t.sections[s.name()] = s.digest();
+    report.sections[section.name()] = section.digest();
   }
-  for (const auto& w : m.wants()) {
-    if (w.size() > kMostText)
+  for (const auto& name : message.wants()) {
+    if (name.size() > kMaxTextLength)
       return {};
-    t.wants.push_back(w);
+    report.requested_sections.push_back(name);
   }
-  auto opened = Read(m.opened());
-  if (!opened)
+  auto section_contents = Read(message.opened());
+  if (!section_contents)
     return {};
-  t.opened = std::move(*opened);
-  for (const auto& o : m.others()) {
-    if (o.changed() > o.seq())
+  report.section_contents = std::move(*section_contents);
+  for (const auto& relayed : message.others()) {
+    if (relayed.changed() > relayed.seq())
       return {};
-    t.others.push_back({o.who(), o.seq(), o.version(), o.active(), o.approved(), o.changed()});
+    report.relayed_reports.push_back({relayed.who(), relayed.seq(), relayed.version(),
+                                      relayed.active(), relayed.approved(), relayed.changed()});
   }
-  for (const auto& c : m.cases()) {
-    if (c.standing() > static_cast<std::uint32_t>(Standing::kForked) ||
-        !Bad(static_cast<Standing>(c.standing())))
+  for (const auto& suspicion : message.cases()) {
+    if (suspicion.standing() > static_cast<std::uint32_t>(DriftStatus::kForked) ||
+        !IsDeviating(static_cast<DriftStatus>(suspicion.standing())))
       return {};
-    if (!Fits(c.newest()) || !Fits(c.before()) || over(c.fields_size(), kMostOpened))
+    if (!IsWithinBounds(suspicion.newest()) || !IsWithinBounds(suspicion.before()) ||
+        exceeds(suspicion.fields_size(), kMaxDifferences))
       return {};
-    ActiveReport::Case k{c.who(),          static_cast<std::uint8_t>(c.standing()),
-                         c.changed(),      c.wanted(),
-                         c.span(),         Read(c.newest()),
-                         Read(c.before()), {}};
-    for (const auto& f : c.fields()) {
-      if (f.breaks() > 2 || f.section().size() > kMostValue || f.name().size() > kMostValue ||
-          f.active().size() > kMostValue || f.approved().size() > kMostValue)
+    ActiveReport::Suspicion decoded{
+        suspicion.who(),          static_cast<std::uint8_t>(suspicion.standing()),
+        suspicion.changed(),      suspicion.wanted(),
+        suspicion.span(),         Read(suspicion.newest()),
+        Read(suspicion.before()), {}};
+    for (const auto& field : suspicion.fields()) {
+      if (field.breaks() > 2 || field.section().size() > kMaxValueLength ||
+          field.name().size() > kMaxValueLength || field.active().size() > kMaxValueLength ||
+          field.approved().size() > kMaxValueLength)
         return {};
-      k.fields.push_back(
-          {{f.section(), f.name()}, f.active(), f.approved(), static_cast<Breaks>(f.breaks())});
+      decoded.fields.push_back({{field.section(), field.name()},
+                                field.active(),
+                                field.approved(),
+                                static_cast<FieldImpact>(field.breaks())});
     }
-    t.cases.push_back(std::move(k));
+    report.suspicions.push_back(std::move(decoded));
   }
-  for (const auto& a : m.asides())
-    t.asides.push_back({a.who(), a.token(), a.count(), a.on()});
-  return t;
+  for (const auto& ejection : message.asides())
+    report.ejections.push_back({ejection.who(), ejection.token(), ejection.count(), ejection.on()});
+  return report;
 }
 
 std::string Encode(const Repair& r) {
-  proto::drift::Message whole;
-  auto& m = *whole.mutable_repair();
-  m.set_front(r.front);
-  m.set_token(r.token);
-  m.set_version(r.version);
-  m.set_changed(r.changed);
-  return whole.SerializeAsString();
+  proto::drift::Message envelope;
+  auto& message = *envelope.mutable_repair();
+  message.set_front(r.front);
+  message.set_token(r.token);
+  message.set_version(r.version);
+  message.set_changed(r.changed_sequence);
+  return envelope.SerializeAsString();
 }
 
 std::optional<Repair> DecodeRepair(std::span<const char> bytes) {
-  proto::drift::Message whole;
-  if (!whole.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || !whole.has_repair())
+  proto::drift::Message envelope;
+  if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
+      !envelope.has_repair())
     return {};
-  return Repair{whole.repair().front(), whole.repair().token(), whole.repair().version(),
-                whole.repair().changed()};
+  return Repair{envelope.repair().front(), envelope.repair().token(), envelope.repair().version(),
+                envelope.repair().changed()};
 }
 
 }  // namespace dunlinwick::drift
--- a/src/drift/wire.hpp
+++ b/src/drift/wire.hpp
@@ -1,56 +1,56 @@
-// Forms and differences to and from their messages, within the bounds of drift.hpp; for this
-// package's own use.
+// Converts configurations to and from their Protobuf messages, with the bounds of drift.hpp.
+// Internal to this package.
 #pragma once
 #include "drift.pb.h"
 #include "drift/drift.hpp"
 
 namespace dunlinwick::drift {
 
-constexpr std::size_t kMostSections = 32, kMostFields = 256, kMostText = 4096;
+constexpr std::size_t kMaxSections = 32, kMaxFields = 256, kMaxTextLength = 4096;
 
-inline bool Within(const Form& form) {
-  if (form.size() > kMostSections)
+inline bool IsWithinLimits(const CanonicalConfiguration& configuration) {
+  if (configuration.size() > kMaxSections)
     return false;
-  for (const auto& [name, section] : form) {
-    if (name.size() > kMostText || section.size() > kMostFields)
+  for (const auto& [name, section] : configuration) {
+    if (name.size() > kMaxTextLength || section.size() > kMaxFields)
       return false;
     for (const auto& [field, value] : section)
-      if (field.size() > kMostText || value.size() > kMostText)
+      if (field.size() > kMaxTextLength || value.size() > kMaxTextLength)
         return false;
   }
   return true;
 }
 
-template <class Rows>
-void Put(const Form& form, Rows& rows) {
-  for (const auto& [name, section] : form) {
-    auto* s = rows.Add();
-    s->set_name(name);
+template <class RepeatedSections>
+void Put(const CanonicalConfiguration& configuration, RepeatedSections& rows) {
+  for (const auto& [name, section] : configuration) {
+    auto* section_message = rows.Add();
+    section_message->set_name(name);
     for (const auto& [field, value] : section) {
-      auto* f = s->add_fields();
-      f->set_name(field);
-      f->set_value(value);
+      auto* field_message = section_message->add_fields();
+      field_message->set_name(field);
+      field_message->set_value(value);
     }
   }
 }
 
-template <class Rows>
-std::optional<Form> Read(const Rows& rows) {
-  Form form;
-  if (static_cast<std::size_t>(rows.size()) > kMostSections)
+template <class RepeatedSections>
+std::optional<CanonicalConfiguration> Read(const RepeatedSections& rows) {
+  CanonicalConfiguration configuration;
+  if (static_cast<std::size_t>(rows.size()) > kMaxSections)
     return {};
-  for (const auto& s : rows) {
-    if (static_cast<std::size_t>(s.fields_size()) > kMostFields)
+  for (const auto& section_message : rows) {
+    if (static_cast<std::size_t>(section_message.fields_size()) > kMaxFields)
       return {};
     Section section;
-    for (const auto& f : s.fields())
-      section[f.name()] = f.value();
-    if (!form.emplace(s.name(), std::move(section)).second)
-      return {};  // twice the same: not ours
+    for (const auto& field : section_message.fields())
+      section[field.name()] = field.value();
+    if (!configuration.emplace(section_message.name(), std::move(section)).second)
+      return {};  // a duplicate section: not written by this program
   }
-  if (!Within(form))
+  if (!IsWithinLimits(configuration))
     return {};
-  return form;
+  return configuration;
 }
 
 }  // namespace dunlinwick::drift
--- a/src/front/active.cpp
+++ b/src/front/active.cpp
@@ -27,7 +27,7 @@
   return v ? "true" : "false";
 }
 std::string Text(double v) {
-  return Number(v);
+  return FormatNumber(v);
 }
 std::string Text(int v) {
   return std::to_string(v);
@@ -95,11 +95,12 @@
 
 }  // namespace
 
-Form ActiveConfiguration(const StoreSettings& settings,
-                         const settings::RoadTerms& connection_settings,
-                         const front::FleetSettings& fleet, const front::OwnerSettings& owner,
-                         const std::string& build) {
-  Form form;
+CanonicalConfiguration ActiveConfiguration(const StoreSettings& settings,
+                                           const settings::RoadTerms& connection_settings,
+                                           const front::FleetSettings& fleet,
+                                           const front::OwnerSettings& owner,
+                                           const std::string& build) {
+  CanonicalConfiguration form;
   form["build"] = {{"version", build}};
 
   Section& request_classes = form["offerings"];
@@ -113,9 +114,9 @@
       for (auto& [name, value] : row)
         request_classes[std::string(index).append(".").append(name)] = value;
     } else if (i < 250) {
-      request_classes[std::string(index).append(".row")] = Canonical(row);
+      request_classes[std::string(index).append(".row")] = EncodeCanonical(row);
     } else {
-      rest += Canonical(row) + ";";
+      rest += EncodeCanonical(row) + ";";
     }
   }
   if (!rest.empty())
@@ -219,8 +220,8 @@
   return form;
 }
 
-Classes FieldImpacts() {
-  Classes impacts;
+FieldImpactMap FieldImpacts() {
+  FieldImpactMap impacts;
   for (const char* rule : {"offerings.effect",    "offerings.span",
                            "offerings.memory",    "offerings.expiry",
                            "offerings.fresh_for", "offerings.never_kept",
@@ -235,9 +236,9 @@
                            "owner.drift",         "owner.group",
                            "road.offerings",      "road.zones",
                            "road.kinds"})
-    impacts[rule] = Breaks::kRule;
+    impacts[rule] = FieldImpact::kInvariant;
   for (const char* none : {"build.version", "road.reported", "owner.tick"})
-    impacts[none] = Breaks::kNothing;
+    impacts[none] = FieldImpact::kNone;
   return impacts;
 }
 
--- a/src/front/active.hpp
+++ b/src/front/active.hpp
@@ -12,14 +12,15 @@
 namespace dunlinwick::drift {
 
 // Sections: build, sheet, offerings, permits, cold, road, fleet, owner.
-Form ActiveConfiguration(const StoreSettings& settings,
-                         const settings::RoadTerms& connection_settings,
-                         const front::FleetSettings& fleet, const front::OwnerSettings& owner,
-                         const std::string& build);
+CanonicalConfiguration ActiveConfiguration(const StoreSettings& settings,
+                                           const settings::RoadTerms& connection_settings,
+                                           const front::FleetSettings& fleet,
+                                           const front::OwnerSettings& owner,
+                                           const std::string& build);
 
 // What a wrong value of each field can break. Rules: effect, deduplication scope and window,
 // latency objective and maximum deadline, permissions, slow start, purges, lease and clock
 // assumptions. Nothing: names and the build. All other fields: capacity.
-Classes FieldImpacts();
+FieldImpactMap FieldImpacts();
 
 }  // namespace dunlinwick::drift
--- a/src/front/charter_layer.cpp
+++ b/src/front/charter_layer.cpp
@@ -139,15 +139,15 @@
   block.ReadFlag("second_approver", settings.requires_second_approver);
   block.ReadNumber("round_ms", settings.policy.round, 50, 60000);
   block.ReadNumber("fanout", settings.policy.fanout, 1, 8);
-  block.ReadNumber("steady", settings.policy.steady, 1, 20);
-  block.ReadNumber("silent_ms", settings.policy.silent, 500, 3600000);
-  block.ReadNumber("at_once", settings.policy.at_once, 1, 100);
-  block.ReadNumber("least_serving", settings.policy.least_serving, 0, 1, false);
-  block.ReadNumber("repair_within_ms", settings.policy.repair_within, 100, 3600000);
-  block.ReadNumber("watch_ms", settings.policy.watch_for, 0, 3600000);
-  block.ReadNumber("alarm", settings.policy.alarm, 0.001, 1, false);
-  block.ReadNumber("often", settings.policy.often, 1, 1000);
-  block.ReadNumber("within_ms", settings.policy.within, 1000, 1e9);
+  block.ReadNumber("steady", settings.policy.stable_rounds, 1, 20);
+  block.ReadNumber("silent_ms", settings.policy.silence_timeout, 500, 3600000);
+  block.ReadNumber("at_once", settings.policy.max_concurrent_repairs, 1, 100);
+  block.ReadNumber("least_serving", settings.policy.min_serving_share, 0, 1, false);
+  block.ReadNumber("repair_within_ms", settings.policy.repair_timeout, 100, 3600000);
+  block.ReadNumber("watch_ms", settings.policy.observation_period, 0, 3600000);
+  block.ReadNumber("alarm", settings.policy.alarm_threshold, 0.001, 1, false);
+  block.ReadNumber("often", settings.policy.ejection_drift_count, 1, 1000);
+  block.ReadNumber("within_ms", settings.policy.ejection_window, 1000, 1e9);
   block.RejectUnknownFields();
   return settings;
 }
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -37,7 +37,7 @@
     else
       dependencies.exchange->SetAdmissionRamp(
           std::vector<double>(configuration.settings.request_classes.size(), 0.0),
-          std::max(admitted.come_back, configuration.rules.policy.repair_within));
+          std::max(admitted.come_back, configuration.rules.policy.repair_timeout));
   }
   std::uint64_t overload_count =
       0;  // of the caches: full responses and time-outs, as counted at the last update
@@ -46,7 +46,7 @@
     std::uint64_t requests = 0;
     std::uint64_t abandoned = 0;
     std::uint64_t declined = 0;
-    drift::Requests shares;
+    drift::RequestShares shares;
   } window;
   std::map<std::string, Recall> active_recalls;  // as many as the record holds
 
@@ -56,7 +56,7 @@
   std::uint32_t Self() const {
     return configuration.peers.self;
   }
-  drift::Form ActiveConfiguration() const {
+  drift::CanonicalConfiguration ActiveConfiguration() const {
     StoreSettings settings =
         dependencies.generations ? dependencies.generations->settings() : configuration.settings;
     return drift::ActiveConfiguration(settings, configuration.connection_settings,
@@ -182,7 +182,7 @@
     return state;
   }
 
-  drift::Requests UpdateRequestShares() {
+  drift::RequestShares UpdateRequestShares() {
     constexpr Ms kWindow = 1000;
     const exchange::Counters& counters = dependencies.exchange->counters;
     // Requests that this front rejects because it may not serve, or because admission is still
@@ -199,9 +199,11 @@
       double arrived = static_cast<double>(counters.requests - window.requests);
       window.shares =
           arrived > 0
-              ? drift::Requests{static_cast<double>(counters.failed - window.abandoned) / arrived,
-                                static_cast<double>(counters.rejected - window.declined) / arrived}
-              : drift::Requests{};
+              ? drift::RequestShares{static_cast<double>(counters.failed - window.abandoned) /
+                                         arrived,
+                                     static_cast<double>(counters.rejected - window.declined) /
+                                         arrived}
+              : drift::RequestShares{};
       window.begins_at = loop.now();
       window.requests = counters.requests;
       window.abandoned = counters.failed;
@@ -255,7 +257,7 @@
     callbacks.active_configuration = [&impl] {
       return impl.ActiveConfiguration();
     };
-    callbacks.apply = [&impl](const drift::Form& form) -> std::string {
+    callbacks.apply = [&impl](const drift::CanonicalConfiguration& form) -> std::string {
       if (!impl.dependencies.generations)
         return "this front cannot change its settings while it serves";
       StoreSettings settings = impl.dependencies.generations->settings();
--- a/src/front/layer_terms.hpp
+++ b/src/front/layer_terms.hpp
@@ -38,7 +38,7 @@
 struct RulesSettings {
   bool enabled = false;
   bool requires_second_approver = false;
-  drift::Terms policy;
+  drift::DriftSettings policy;
 };
 
 }  // namespace dunlinwick::front
--- a/src/front/rules.hpp
+++ b/src/front/rules.hpp
@@ -25,11 +25,11 @@
  public:
   struct Callbacks {
     std::function<bool(peers::Id to, std::string message)> send;
-    std::function<drift::Form()> active_configuration;  // as in memory now
+    std::function<drift::CanonicalConfiguration()> active_configuration;  // as in memory now
     // Applies a configuration: "" once it is active, else why it cannot be applied.
-    std::function<std::string(const drift::Form&)> apply;
+    std::function<std::string(const drift::CanonicalConfiguration&)> apply;
     std::function<std::pair<drift::Token, bool>()> lease;  // of the record's task
-    std::function<drift::Requests()> requests;
+    std::function<drift::RequestShares()> requests;
     std::function<void(bool ejected)> set_ejected;   // this front
     std::function<void(bool serves)> set_may_serve;  // false: its drift can break a rule
   };
@@ -38,7 +38,7 @@
     std::vector<std::string> zones;
   };
   RulesComponent(loop::Loop& loop, const RulesSettings& settings, peers::Id self, Fronts fronts,
-                 drift::Classes impacts, std::uint64_t seed, Callbacks callbacks);
+                 drift::FieldImpactMap impacts, std::uint64_t seed, Callbacks callbacks);
   ~RulesComponent() override;
   peers::Channel channel() const override {
     return peers::Channel::kRules;
--- a/src/front/turning.cpp
+++ b/src/front/turning.cpp
@@ -97,7 +97,8 @@
 
 }  // namespace
 
-std::string ApplyConfiguration(const drift::Form& approved, const drift::Form& active,
+std::string ApplyConfiguration(const drift::CanonicalConfiguration& approved,
+                               const drift::CanonicalConfiguration& active,
                                StoreSettings& settings) {
   StoreSettings next = settings;
   auto setters = FieldSetters(next);
--- a/src/front/turning.hpp
+++ b/src/front/turning.hpp
@@ -13,7 +13,8 @@
 
 // Returns "" with `settings` changed, or the field and why it cannot be applied, with `settings` as
 // they were. Fields whose active value equals the approved one are skipped, whatever their section.
-std::string ApplyConfiguration(const drift::Form& approved, const drift::Form& active,
+std::string ApplyConfiguration(const drift::CanonicalConfiguration& approved,
+                               const drift::CanonicalConfiguration& active,
                                StoreSettings& settings);
 
 }  // namespace dunlinwick::front
--- a/src/rig/drift_judge.cpp
+++ b/src/rig/drift_judge.cpp
@@ -8,15 +8,15 @@
 
 void DriftJudge::fault(const std::string& text) {
   if (faults.size() < 20)
-    faults.push_back(Number(sim_.now()) + " ms: " + text);
+    faults.push_back(FormatNumber(sim_.now()) + " ms: " + text);
 }
 
 // Fronts that are away are as so many datagrams lost.
 Ms DriftJudge::bound() const {
-  drift::Terms t = sim_.Honest();
+  drift::DriftSettings t = sim_.Honest();
   double gone = gone_most_;
   double loss = 1 - (1 - sim_.terms().loss) * (1 - gone);
-  return FoundWithin(t) + LossAdds(t, loss);
+  return DetectionBound(t) + LossAllowance(t, loss);
 }
 
 void DriftJudge::Disturbed(Id front) {
@@ -25,7 +25,7 @@
 
 void DriftJudge::step() {
   Ms now = sim_.now();
-  drift::Terms t = sim_.Honest();
+  drift::DriftSettings t = sim_.Honest();
   std::size_t n = sim_.Ids().size(), here = 0;
   for (Id id : sim_.Ids())
     here += sim_.Reachable(id);
@@ -58,7 +58,7 @@
       w.what = what;
       w.due = w.done = w.first = w.named = false;
     }
-    if (now - w.bad_since >= (t.steady - 1) * t.round - 60)
+    if (now - w.bad_since >= (t.stable_rounds - 1) * t.round - 60)
       w.last_real_bad = now;
     if (!sim_.Reachable(x)) {
       w.disturbed_at = std::max(w.disturbed_at, now);
@@ -66,8 +66,8 @@
     }
     auto k = kind_.find(x);
     Ms from = std::max({w.bad_since, sim_.TermEnds(x), w.disturbed_at, thin_at_});
-    Ms within =
-        bound() + (k != kind_.end() && k->second == Standing::kUnapproved ? t.record_lag : 0);
+    Ms within = bound() +
+                (k != kind_.end() && k->second == DriftStatus::kUnapproved ? t.max_record_lag : 0);
     if (now < from || w.done)
       continue;
     if (!w.due) {
@@ -78,11 +78,12 @@
     for (Id y : sim_.Ids()) {
       auto v = watch_.find(y);
       // Who was away is still coming back to the picture; who is astray goes by what only it holds.
-      if (!sim_.Reachable(y) || (v != watch_.end() && v->second.disturbed_at > from - SilentFor(t)))
+      if (!sim_.Reachable(y) ||
+          (v != watch_.end() && v->second.disturbed_at > from - SilenceTimeout(t)))
         continue;
       ++should;
-      auto r = sim_.at(y).Rows().find(x);
-      bool says = r != sim_.at(y).Rows().end() && Bad(r->second.standing);
+      auto r = sim_.at(y).FrontStates().find(x);
+      bool says = r != sim_.at(y).FrontStates().end() && IsDeviating(r->second.status);
       know += says;
       if (says && !w.first) {
         w.first = true;
@@ -90,12 +91,12 @@
       }
       if (now - from >= within) {
         if (!says)
-          fault("front " + std::to_string(x) + " has deviated since " + Number(w.bad_since) +
-                ", front " + std::to_string(y) + " says " + ToString(r->second.standing) +
-                " after " + Number(now - from) + " of " + Number(within) + " ms");
-        else if (strict_ && k != kind_.end() && k->second != r->second.standing)
+          fault("front " + std::to_string(x) + " has deviated since " + FormatNumber(w.bad_since) +
+                ", front " + std::to_string(y) + " says " + ToString(r->second.status) + " after " +
+                FormatNumber(now - from) + " of " + FormatNumber(within) + " ms");
+        else if (strict_ && k != kind_.end() && k->second != r->second.status)
           fault("front " + std::to_string(x) + " is " + ToString(k->second) + ", front " +
-                std::to_string(y) + " says " + ToString(r->second.standing));
+                std::to_string(y) + " says " + ToString(r->second.status));
       }
     }
     if (know == should && should != 0 && !w.named) {
@@ -109,16 +110,16 @@
   }
 }
 
-void DriftJudge::RecordFinding(Id by, const Found& f) {
-  if (!Bad(f.standing))
+void DriftJudge::RecordFinding(Id by, const StatusChanged& f) {
+  if (!IsDeviating(f.status))
     return;
   const Watch& w = watch_[f.front];
   Ms now = sim_.now();
   // Away, its last word stands for silentFor.
   Ms gone =
-      sim_.Reachable(f.front) && now - w.disturbed_at > bound() ? 0 : SilentFor(sim_.Honest());
+      sim_.Reachable(f.front) && now - w.disturbed_at > bound() ? 0 : SilenceTimeout(sim_.Honest());
   if (now - w.last_real_bad > bound() + gone)
-    fault("front " + std::to_string(by) + " says " + ToString(f.standing) + " of front " +
+    fault("front " + std::to_string(by) + " says " + ToString(f.status) + " of front " +
           std::to_string(f.front) + ", which is as approved");
 }
 
@@ -126,7 +127,7 @@
   if (token < heard)
     fault("front " + std::to_string(front) + " takes up by token " + std::to_string(token) +
           ", having heard " + std::to_string(heard));
-  drift::Terms t = sim_.Honest();
+  drift::DriftSettings t = sim_.Honest();
   std::size_t size = 0, at = 0, down = 0;
   for (Id id : sim_.Ids()) {
     if (sim_.Zone(id) != sim_.Zone(front))
@@ -136,14 +137,14 @@
       ++at;
     // Not the owner's to know at once.
     else if (id != front && sim_.DownSince(id) >= 0 &&
-             sim_.now() - sim_.DownSince(id) > SilentFor(t) + 2 * t.round + bound())
+             sim_.now() - sim_.DownSince(id) > SilenceTimeout(t) + 2 * t.round + bound())
       ++down;
   }
-  if (at > static_cast<std::size_t>(t.at_once))
+  if (at > static_cast<std::size_t>(t.max_concurrent_repairs))
     fault(std::to_string(at) + " fronts of zone " + std::to_string(sim_.Zone(front)) +
           " take up at once");
   if (!sim_.RuleDiffers(front) &&
-      static_cast<double>(size - at - down) < t.least_serving * static_cast<double>(size))
+      static_cast<double>(size - at - down) < t.min_serving_share * static_cast<double>(size))
     fault("zone " + std::to_string(sim_.Zone(front)) + " is left with " +
           std::to_string(size - at - down) + " of " + std::to_string(size));
 }
--- a/src/rig/drift_judge.hpp
+++ b/src/rig/drift_judge.hpp
@@ -20,10 +20,10 @@
  public:
   explicit DriftJudge(const DriftSim& sim) : sim_(sim) {}
   void step();  // every 50 ms of virtual time
-  void RecordFinding(Id by, const drift::Found& f);
+  void RecordFinding(Id by, const drift::StatusChanged& f);
   void TakesUp(Id front, Token token, Token heard);
   void Asks(Id by, const drift::Repair& r);
-  void kind(Id front, drift::Standing standing) {
+  void kind(Id front, drift::DriftStatus standing) {
     kind_[front] = standing;
   }                          // what the deviation is made as
   void Disturbed(Id front);  // it changed its place in the world: paused, cut, restarted
@@ -54,7 +54,7 @@
   };
   const DriftSim& sim_;
   std::map<Id, Watch> watch_;
-  std::map<Id, drift::Standing> kind_;
+  std::map<Id, drift::DriftStatus> kind_;
   std::map<Id, Ms> ejected_since_;
   double gone_most_ = 0;  // the most fronts that were away at once, as a share
   Ms thin_at_ = 0;
--- a/src/rig/drift_script.cpp
+++ b/src/rig/drift_script.cpp
@@ -4,7 +4,7 @@
 
 namespace dunlinwick::rig {
 
-Form DriftForm(int limit, int memory) {
+CanonicalConfiguration DriftForm(int limit, int memory) {
   return {{"sheet", {{"limit", std::to_string(limit)}, {"legs", "2"}}},
           {"offerings", {{"effect", "ticketed"}, {"memory", std::to_string(memory)}}},
           {"road", {{"idle", "5000"}}}};
@@ -24,14 +24,14 @@
   t.owners = up_to(3) != 0;
   t.flaw = flaw;
   t.via_bytes = seed % 8 == 0;
-  t.terms.term_most = 40000;
+  t.terms.max_convergence_time = 40000;
   DriftSim sim(t, seed);
   bool clocks = flaw == DriftFlaw::kConvergingForever || up_to(4) == 0;
   for (Id id : sim.Ids())
     if (clocks && (flaw == DriftFlaw::kConvergingForever || up_to(3) == 0))
       sim.SetClock(id, up_to(4) != 0 ? 0 : 1.7e12 - 3.6e6);  // 1970; set back an hour
   int limit = 100;
-  std::vector<Form> approved{DriftForm(limit)};
+  std::vector<CanonicalConfiguration> approved{DriftForm(limit)};
   sim.Approve("fleet", approved.back(), 5000);
   sim.RunUntil(25000);
   auto any = [&] {
@@ -50,7 +50,7 @@
     switch (up_to(12)) {
       case 0:
       case 1: {  // a change by hand
-        Form f = sim.Wanted(x);
+        CanonicalConfiguration f = sim.Wanted(x);
         f["sheet"]["legs"] = std::to_string(3 + up_to(5));
         if (up_to(3) == 0)
           f["offerings"]["memory"] = "30000";
@@ -60,7 +60,7 @@
       case 2: {  // several of a zone at once
         for (Id id : sim.Ids())
           if (sim.Zone(id) == sim.Zone(x)) {
-            Form f = sim.Wanted(id);
+            CanonicalConfiguration f = sim.Wanted(id);
             f["road"]["idle"] = "1";
             sim.ByHand(id, f);
           }
@@ -94,7 +94,7 @@
           side.insert(any());
         sim.Cut(side, true);
         sim.RunUntil(now() + 1000);
-        Form f = sim.Wanted(*side.begin());
+        CanonicalConfiguration f = sim.Wanted(*side.begin());
         f["sheet"]["legs"] = "9";
         sim.ByHand(*side.begin(), f);
         sim.RunUntil(now() + 4000 + 1000.0 * static_cast<double>(up_to(12)));
@@ -106,7 +106,7 @@
         Id was = sim.owner();
         for (Id id : {any(), any(), any()})
           if (id != was) {
-            Form f = sim.Wanted(id);
+            CanonicalConfiguration f = sim.Wanted(id);
             f["sheet"]["legs"] = "8";
             sim.ByHand(id, f);
           }
@@ -121,7 +121,7 @@
         sim.Restart(x, up_to(2) == 0);
         break;
       case 11: {  // always the same one
-        Form f = sim.Wanted(usual);
+        CanonicalConfiguration f = sim.Wanted(usual);
         f["sheet"]["legs"] = std::to_string(20 + up_to(100));
         if (sim.Up(usual))
           sim.ByHand(usual, f);
--- a/src/rig/drift_script.hpp
+++ b/src/rig/drift_script.hpp
@@ -16,7 +16,7 @@
   double loss = 0;
   std::size_t fronts = 0;
 };
-Form DriftForm(int limit, int memory = 60000);
+CanonicalConfiguration DriftForm(int limit, int memory = 60000);
 DriftRun PlayDrift(std::uint64_t seed, DriftFlaw flaw = DriftFlaw::kNone);
 
 }  // namespace dunlinwick::rig
--- a/src/rig/driftsim.cpp
+++ b/src/rig/driftsim.cpp
@@ -21,8 +21,8 @@
   std::unique_ptr<Drift> machine;
   std::uint64_t life = 0;
   std::uint32_t incarnation = 1;
-  Form memory;
-  Form file;
+  CanonicalConfiguration memory;
+  CanonicalConfiguration file;
   bool paused = false;
   bool taking = false;
   bool drifted = false;  // astray: what it takes for approved is not the record's
@@ -35,10 +35,10 @@
   std::uint64_t memory_of = 0;
 };
 
-Classes DriftSim::classes() {
-  return {{"offerings.effect", Breaks::kRule},
-          {"offerings.memory", Breaks::kRule},
-          {"build.*", Breaks::kNothing}};
+FieldImpactMap DriftSim::classes() {
+  return {{"offerings.effect", FieldImpact::kInvariant},
+          {"offerings.memory", FieldImpact::kInvariant},
+          {"build.*", FieldImpact::kNone}};
 }
 
 DriftSim::DriftSim(DriftSimTerms terms, std::uint64_t seed)
@@ -48,15 +48,15 @@
   t_.terms.fronts = t_.fronts;
   honest_ = t_.terms;
   if (t_.flaw == DriftFlaw::kWholeZone) {
-    t_.terms.at_once = 1000;
-    t_.terms.least_serving = 0;
+    t_.terms.max_concurrent_repairs = 1000;
+    t_.terms.min_serving_share = 0;
   }
   if (t_.flaw == DriftFlaw::kOneFrontAlone)
     t_.terms.quorum = 1;
   if (t_.flaw == DriftFlaw::kNoHysteresis)
-    t_.terms.steady = 1;
+    t_.terms.stable_rounds = 1;
   if (t_.flaw == DriftFlaw::kConvergingForever)
-    t_.terms.term_most = 1e15;
+    t_.terms.max_convergence_time = 1e15;
   for (std::size_t i = 0; i < t_.fronts; ++i) {
     Id id = static_cast<Id>(i + 1);
     ids_.push_back(id);
@@ -82,10 +82,10 @@
     zones[k] = v->zone;
   ++f.life;
   f.machine = std::make_unique<Drift>(id, zones, classes(), t_.terms, random_(), now_,
-                                      Drift::Floors{f.incarnation++, f.floor});
+                                      Drift::PersistedMinimums{f.incarnation++, f.floor});
   f.notified = 0;
   f.drifted = false;
-  event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
+  event(id, ActiveConfigurationChanged{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
   Later(Chance(5, 300), [this, id] { TellRecord(id); });
   std::uint64_t life = f.life;
   Later(Chance(0, 20), [this, id, life] {
@@ -174,15 +174,15 @@
   Front& f = *fronts_.at(from);
   f.floor = std::max(f.floor, f.machine->token());
   for (Action& a : actions) {
-    if (auto* t = std::get_if<Tell>(&a))
-      Deliver(from, t->to, std::move(t->notified));
+    if (auto* t = std::get_if<SendActiveReport>(&a))
+      Deliver(from, t->to, std::move(t->report));
     if (auto* r = std::get_if<Repair>(&a)) {
       judge_->Asks(from, *r);
       DeliverRepair(from, r->front, *r);
     }
-    if (auto* x = std::get_if<Found>(&a))
+    if (auto* x = std::get_if<StatusChanged>(&a))
       judge_->RecordFinding(from, *x);
-    if (auto* u = std::get_if<TakeUp>(&a)) {
+    if (auto* u = std::get_if<ApplyApproval>(&a)) {
       if (f.taking)
         continue;
       f.taking = true;
@@ -191,7 +191,7 @@
       judge_->TakesUp(from, t_.flaw == DriftFlaw::kStaleNotFenced ? f.last_repair : u->token,
                       f.heard);
       std::uint64_t life = f.life, of = f.memory_of;
-      Later(Chance(300, 1500), [this, from, life, of, form = u->form] {
+      Later(Chance(300, 1500), [this, from, life, of, form = u->configuration] {
         Front& g = *fronts_.at(from);
         if (g.life != life || !g.taking)
           return;
@@ -202,7 +202,8 @@
           g.memory = g.file = form;  // else a hand was quicker
         if (g.paused)
           return;
-        event(from, Active{t_.flaw == DriftFlaw::kFileNotMemory ? g.file : g.memory});
+        event(from,
+              ActiveConfigurationChanged{t_.flaw == DriftFlaw::kFileNotMemory ? g.file : g.memory});
         if (on_take_up)
           on_take_up(from, g.memory);
       });
@@ -219,7 +220,7 @@
   if (t_.via_bytes) {
     std::string b = Encode(notified);
     bytes_ += b.size();
-    auto back = DecodeNotified(b);
+    auto back = DecodeActiveReport(b);
     if (!back) {
       judge_->faults.push_back("a word that can't be read back");
       return;
@@ -233,7 +234,7 @@
     if (!Linked(from, to) || g.paused || g.taking)
       return;
     g.heard = std::max(g.heard, notified.token);
-    event(to, Hears{from, notified});
+    event(to, ReportReceived{from, notified});
   });
 }
 
@@ -252,7 +253,7 @@
           g.last_repair = r.token;
           if (t_.flaw == DriftFlaw::kStaleNotFenced)
             as.token = std::max(as.token, g.machine->token());
-          Carry(to, g.machine->RepairAsked(now_, from, as));
+          Carry(to, g.machine->HandleRepair(now_, from, as));
           g.heard = std::max(g.heard, r.token);
         });
 }
@@ -264,9 +265,9 @@
   return "fleet";
 }
 
-Form DriftSim::Wanted(Id id) const {
+CanonicalConfiguration DriftSim::Wanted(Id id) const {
   auto it = record_.find(KeyOf(id));
-  return it == record_.end() ? Form{} : it->second.approval.form;
+  return it == record_.end() ? CanonicalConfiguration{} : it->second.approval.configuration;
 }
 Version DriftSim::WantedVersion(Id id) const {
   auto it = record_.find(KeyOf(id));
@@ -276,16 +277,16 @@
   auto it = record_.find(KeyOf(id));
   if (it == record_.end())
     return 0;
-  drift::Terms h = Honest();
+  drift::DriftSettings h = Honest();
   bool wrong = std::any_of(ids_.begin(), ids_.end(),
                            [&](Id x) { return fronts_.at(x)->unix_at_zero != 1.7e12; });
-  Ms term = wrong ? h.term_most
-                  : std::clamp(it->second.approval.hold_by - 1.7e12 - it->second.at, h.term_least,
-                               h.term_most);
+  Ms term = wrong ? h.max_convergence_time
+                  : std::clamp(it->second.approval.apply_deadline - 1.7e12 - it->second.at,
+                               h.min_convergence_time, h.max_convergence_time);
   return it->second.at + term + t_.record_most + 1400;
 }
 
-Version DriftSim::Approve(const std::string& key, Form form, Ms hold_for) {
+Version DriftSim::Approve(const std::string& key, CanonicalConfiguration form, Ms hold_for) {
   offset_ += 10;
   record_[key] = {offset_,
                   {"ops", "", record_.count(key) != 0 ? record_[key].version : 0,
@@ -307,29 +308,31 @@
     auto it = record_.find(KeyOf(of));
     if (it == record_.end())
       continue;
-    event(id, ApprovedFor{of, it->second.version, Digest(it->second.approval.form),
-                          it->second.approval.hold_by, f.unix_at_zero + now_,
-                          std::make_shared<const Form>(it->second.approval.form)});
+    event(id,
+          FrontApprovalUpdated{
+              of, it->second.version, Digest(it->second.approval.configuration),
+              it->second.approval.apply_deadline, f.unix_at_zero + now_,
+              std::make_shared<const CanonicalConfiguration>(it->second.approval.configuration)});
   }
   if (own != record_.end()) {
-    event(id, Approved{own->second.version, own->second.approval});
+    event(id, ApprovalUpdated{own->second.version, own->second.approval});
     if (f.drifted)
-      judge_->kind(id, Standing::kDrifted);  // its record is right again; its memory may not be
+      judge_->kind(id, DriftStatus::kDrifted);  // its record is right again; its memory may not be
     f.drifted = false;
   }
 }
 
-void DriftSim::ByHand(Id id, Form form, bool file) {
+void DriftSim::ByHand(Id id, CanonicalConfiguration form, bool file) {
   Front& f = *fronts_.at(id);
   f.memory = std::move(form);
   ++f.memory_of;
   if (file)
     f.file = f.memory;
   if (!f.paused && f.machine)
-    event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
+    event(id, ActiveConfigurationChanged{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
 }
 void DriftSim::Blip(Id id, Ms lasts) {
-  Form was = memory(id), other = was;
+  CanonicalConfiguration was = memory(id), other = was;
   other["sheet"]["blip"] = "1";
   ByHand(id, other);
   std::uint64_t of = fronts_.at(id)->memory_of;
@@ -338,24 +341,24 @@
       ByHand(id, was);
   });
 }
-void DriftSim::Claim(Id id, Version version, Form form) {
+void DriftSim::Claim(Id id, Version version, CanonicalConfiguration form) {
   Front& f = *fronts_.at(id);
   f.drifted = true;
-  judge_->kind(id, Standing::kUnapproved);
-  event(id, Approved{version, Approval{"nobody", "", 0, 0, form}});
+  judge_->kind(id, DriftStatus::kUnapproved);
+  event(id, ApprovalUpdated{version, Approval{"nobody", "", 0, 0, form}});
   ByHand(id, std::move(form), true);
 }
-void DriftSim::Fork(Id id, Form form) {
+void DriftSim::Fork(Id id, CanonicalConfiguration form) {
   Front& f = *fronts_.at(id);
   if (f.drifted)
     return;
   f.drifted = true;
-  judge_->kind(id, Standing::kForked);
-  event(id, Approved{WantedVersion(id), Approval{"ops", "", 0, 0, form}});
+  judge_->kind(id, DriftStatus::kForked);
+  event(id, ApprovalUpdated{WantedVersion(id), Approval{"ops", "", 0, 0, form}});
   // What it has for the others is as wrong.
   for (Id of : ids_)
-    event(id, ApprovedFor{of, WantedVersion(of), Digest(form), 0, 0,
-                          std::make_shared<const Form>(form)});
+    event(id, FrontApprovalUpdated{of, WantedVersion(of), Digest(form), 0, 0,
+                                   std::make_shared<const CanonicalConfiguration>(form)});
   ByHand(id, std::move(form), true);
 }
 void DriftSim::Cut(const std::set<Id>& side, bool on) {
@@ -371,7 +374,7 @@
     f.down_since = now_;
   if (!on && !f.taking) {
     f.down_since = -1;
-    event(id, Active{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
+    event(id, ActiveConfigurationChanged{t_.flaw == DriftFlaw::kFileNotMemory ? f.file : f.memory});
   }
 }
 void DriftSim::Restart(Id id, bool keeps_form) {
@@ -392,18 +395,18 @@
 }
 void DriftSim::Give(Id id) {
   if (owner_ != 0 && owner_ != id && Reachable(owner_))
-    event(owner_, Owns{0});
+    event(owner_, LeaseUpdated{0});
   owner_ = id;
   ++token_;
   fronts_.at(id)->heard = std::max(fronts_.at(id)->heard, token_);
-  event(id, Owns{token_});
+  event(id, LeaseUpdated{token_});
 }
 void DriftSim::OwnerDies() {
   if (owner_ != 0)
     Pause(owner_, true);
 }
 void DriftSim::requests(Id id, double a, double d) {
-  event(id, Requests{a, d});
+  event(id, RequestShares{a, d});
 }
 
 int DriftSim::Zone(Id id) const {
@@ -412,7 +415,7 @@
 const Drift& DriftSim::at(Id id) const {
   return *fronts_.at(id)->machine;
 }
-const Form& DriftSim::memory(Id id) const {
+const CanonicalConfiguration& DriftSim::memory(Id id) const {
   return fronts_.at(id)->memory;
 }
 bool DriftSim::Up(Id id) const {
@@ -429,7 +432,7 @@
 }
 bool DriftSim::TruthBad(Id id) const {
   const Front& f = *fronts_.at(id);
-  return f.drifted || !Differences(f.memory, Wanted(id), {}).empty();
+  return f.drifted || !FindDifferences(f.memory, Wanted(id), {}).empty();
 }
 std::size_t DriftSim::Drifted() const {
   std::size_t n = 0;
@@ -438,8 +441,8 @@
   return n;
 }
 bool DriftSim::RuleDiffers(Id id) const {
-  for (const Difference& d : Differences(memory(id), Wanted(id), classes()))
-    if (d.breaks == Breaks::kRule)
+  for (const Difference& d : FindDifferences(memory(id), Wanted(id), classes()))
+    if (d.impact == FieldImpact::kInvariant)
       return true;
   return false;
 }
--- a/src/rig/driftsim.hpp
+++ b/src/rig/driftsim.hpp
@@ -13,7 +13,7 @@
 
 namespace dunlinwick::rig {
 
-using drift::Form;
+using drift::CanonicalConfiguration;
 using drift::Id;
 using drift::Ms;
 using drift::Token;
@@ -36,7 +36,7 @@
 struct DriftSimTerms {
   std::size_t fronts = 9;
   int zones = 3;
-  drift::Terms terms;  // `fronts` is set by the rig
+  drift::DriftSettings terms;  // `fronts` is set by the rig
   double loss = 0;
   double late = 0.1;  // of the repairs asked for: 2 to 8 s on their way
   Ms delay_least = 5;
@@ -57,16 +57,18 @@
   }
 
   // ---- what happens; each takes effect now
-  Version Approve(const std::string& key, Form form,
+  Version Approve(const std::string& key, CanonicalConfiguration form,
                   Ms hold_for);  // key as in drift.hpp; replaces the newest of the key
-  Form Wanted(Id front) const;
+  CanonicalConfiguration Wanted(Id front) const;
   Version WantedVersion(Id front) const;
-  void ByHand(Id front, Form form, bool file = false);  // SIGHUP: memory changes; `file` is only
-                                                        // for flaws: the file is what it was
-  void Blip(Id front, Ms lasts);  // another form, so briefly that it is no drift
-  void Claim(Id front, Version version,
-             Form form);           // a version that nobody approved, taken as approved and active
-  void Fork(Id front, Form form);  // the newest version, other content
+  void ByHand(Id front, CanonicalConfiguration form,
+              bool file = false);  // SIGHUP: memory changes; `file` is only
+                                   // for flaws: the file is what it was
+  void Blip(Id front, Ms lasts);   // another form, so briefly that it is no drift
+  void Claim(
+      Id front, Version version,
+      CanonicalConfiguration form);  // a version that nobody approved, taken as approved and active
+  void Fork(Id front, CanonicalConfiguration form);  // the newest version, other content
   void Cut(const std::set<Id>& side,
            bool on);  // from the others, and from the record where it is the smaller side
   void Pause(Id front, bool on);
@@ -76,7 +78,7 @@
       Id front);     // a new owner with a new token; the one before is told where it can be reached
   void OwnerDies();  // without notice
   void requests(Id front, double abandoned, double declined);
-  std::function<void(Id front, const Form& form)> on_take_up;
+  std::function<void(Id front, const CanonicalConfiguration& form)> on_take_up;
   bool auto_owner = true;  // another owner by itself after a lease without one
 
   // ---- what is so
@@ -85,7 +87,7 @@
   }
   int Zone(Id front) const;
   const drift::Drift& at(Id front) const;
-  const Form& memory(Id front) const;
+  const CanonicalConfiguration& memory(Id front) const;
   Id owner() const {
     return owner_;
   }
@@ -102,7 +104,7 @@
       Id front) const;  // by when all hold its approval to be due, whatever their clocks say
   std::size_t Drifted() const;  // fronts whose record is wrong
   bool RuleDiffers(Id front) const;
-  static drift::Classes classes();
+  static drift::FieldImpactMap classes();
   std::uint64_t Datagrams() const {
     return datagrams_;
   }
@@ -115,7 +117,7 @@
   const DriftSimTerms& terms() const {
     return t_;
   }
-  const drift::Terms& Honest() const {
+  const drift::DriftSettings& Honest() const {
     return honest_;
   }  // the terms a front should go by, whatever flaw it has
   DriftJudge& CheckHistory() {
@@ -145,7 +147,7 @@
   Ms Chance(Ms least, Ms most);
 
   DriftSimTerms t_;
-  drift::Terms honest_;
+  drift::DriftSettings honest_;
   std::knuth_b random_;
   Ms now_ = 0;
   std::uint64_t order_ = 0;
--- a/tests/drift_test.cpp
+++ b/tests/drift_test.cpp
@@ -1,6 +1,7 @@
-// Rules in step: forms and their digests, approvals, bytes, the fields of what a front decides by;
-// hard cases one by one on the rig (virtual time, emulated), then seeded runs (400, or argument
-// --seeds=N), then each broken variant, which the judge must catch.
+// Configuration drift: canonical configurations and their digests, approvals, encoding, and the
+// fields of the active configuration; single scenarios on simulated fronts (virtual time), then
+// seeded runs (400, or argument --seeds=N), then each deliberately broken variant, which the
+// checker must catch.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -30,155 +31,159 @@
 
 std::uint64_t seeds = 400;
 
-void Clean(DriftSim& sim) {
+void CheckNoFaults(DriftSim& sim) {
   for (const std::string& f : sim.CheckHistory().faults)
     MESSAGE(f);
   CHECK(sim.CheckHistory().faults.empty());
 }
-DriftSimTerms Calm(std::size_t fronts = 9) {
+DriftSimTerms DefaultTerms(std::size_t fronts = 9) {
   DriftSimTerms t;
   t.fronts = fronts;
   t.zones = 3;
   t.via_bytes = true;
-  t.terms.term_most = 60000;
+  t.terms.max_convergence_time = 60000;
   return t;
 }
-Form With(Form f, const std::string& section, const std::string& name, const std::string& value) {
+CanonicalConfiguration WithField(CanonicalConfiguration f, const std::string& section,
+                                 const std::string& name, const std::string& value) {
   f[section][name] = value;
   return f;
 }
-std::size_t Saying(const DriftSim& sim, Id of, Standing s) {
+std::size_t CountStatus(const DriftSim& sim, Id of, DriftStatus s) {
   std::size_t n = 0;
   for (Id id : sim.Ids())
-    n += sim.at(id).Rows().at(of).standing == s;
+    n += sim.at(id).FrontStates().at(of).status == s;
   return n;
 }
 
 }  // namespace
 
-TEST_CASE("canonical forms and digests") {
-  CHECK(Number(0.1) == "0.1");
-  CHECK(Number(-0.0) == "0");
-  CHECK(Number(1e300) == "1e+300");
-  CHECK(Number(60000) == "60000");
+TEST_CASE("canonical configurations and their digests") {
+  CHECK(FormatNumber(0.1) == "0.1");
+  CHECK(FormatNumber(-0.0) == "0");
+  CHECK(FormatNumber(1e300) == "1e+300");
+  CHECK(FormatNumber(60000) == "60000");
   CHECK(Digest(Section{{"a", "b=c"}}) != Digest(Section{{"a=b", "c"}}));
-  CHECK(Digest(Form{{"a", {{"b", "1"}}}}) != Digest(Form{{"a", {}}, {"b", {{"b", "1"}}}}));
-  CHECK(rc::check("a number reads back as it was", [](double v) {
+  CHECK(Digest(CanonicalConfiguration{{"a", {{"b", "1"}}}}) !=
+        Digest(CanonicalConfiguration{{"a", {}}, {"b", {{"b", "1"}}}}));
+  CHECK(rc::check("a formatted number parses to the same value", [](double v) {
     if (std::isfinite(v))
-      RC_ASSERT(std::strtod(Number(v).c_str(), nullptr) == v);
+      RC_ASSERT(std::strtod(FormatNumber(v).c_str(), nullptr) == v);
   }));
-  using Plain = std::map<std::string, Section>;
-  CHECK(rc::check("no difference exactly where digests agree, of the sections approved",
-                  [](const Plain& a, const Plain& b) {
-                    RC_ASSERT(Differences(a, a, {}).empty());
-                    Form governed;
-                    bool lacks = false;
-                    for (const auto& [name, section] : b) {
-                      auto it = a.find(name);
-                      if (it != a.end())
-                        governed.insert(*it);
-                      else if (section.empty())
-                        lacks = true;  // an empty section and none decide alike
-                    }
-                    if (!lacks)
-                      RC_ASSERT(Differences(a, b, {}).empty() == (Digest(governed) == Digest(b)));
-                  }));
+  using PlainConfiguration = std::map<std::string, Section>;
+  CHECK(rc::check(
+      "no difference exactly where the digests of the approved sections agree",
+      [](const PlainConfiguration& a, const PlainConfiguration& b) {
+        RC_ASSERT(FindDifferences(a, a, {}).empty());
+        CanonicalConfiguration governed;
+        bool missing_empty_section = false;
+        for (const auto& [name, section] : b) {
+          auto it = a.find(name);
+          if (it != a.end())
+            governed.insert(*it);
+          else if (section.empty())
+            missing_empty_section = true;  // an empty section has the same effect as a missing one
+        }
+        if (!missing_empty_section)
+          RC_ASSERT(FindDifferences(a, b, {}).empty() == (Digest(governed) == Digest(b)));
+      }));
 }
 
-TEST_CASE("a new program's sections are not judged, an old one's lack is") {
-  Form old = DriftForm(1), newer = With(old, "hedging", "after", "20");
-  CHECK(Differences(newer, old, {}).empty());
-  CHECK(Differences(old, newer, {}).size() == 1);
-  CHECK(Differences(With(old, "offerings", "3.effect", "x"), old,
-                    {{"offerings.effect", Breaks::kRule}})[0]
-            .breaks == Breaks::kRule);
+TEST_CASE("sections of a newer program are not compared, sections that an older one lacks are") {
+  CanonicalConfiguration old = DriftForm(1), newer = WithField(old, "hedging", "after", "20");
+  CHECK(FindDifferences(newer, old, {}).empty());
+  CHECK(FindDifferences(old, newer, {}).size() == 1);
+  CHECK(FindDifferences(WithField(old, "offerings", "3.effect", "x"), old,
+                        {{"offerings.effect", FieldImpact::kInvariant}})[0]
+            .impact == FieldImpact::kInvariant);
 }
 
-TEST_CASE("approvals") {
+TEST_CASE("approvals are encoded, decoded and validated") {
   Approval a{"ann", "bob", 7, 1.7e12, DriftForm(1)};
-  auto back = DecodeApproval(Encode(a));
-  REQUIRE(back);
-  CHECK(back->form == a.form);
-  CHECK((back->by == "ann" && back->second == "bob" && back->replaces == 7 &&
-         back->hold_by == 1.7e12));
-  CHECK(Refused(a, 7, true) == "");
-  CHECK(Refused(a, 8, true) != "");  // somebody else's came between
-  a.second = "ann";
-  CHECK(Refused(a, 7, true) != "");
-  CHECK(Refused(a, 7, false) == "");
-  a.second = "";
-  CHECK(Refused(a, 7, true) != "");
-  a.by = "";
-  CHECK(Refused(a, 7, false) != "");
+  auto decoded = DecodeApproval(Encode(a));
+  REQUIRE(decoded);
+  CHECK(decoded->configuration == a.configuration);
+  CHECK((decoded->approver == "ann" && decoded->second_approver == "bob" &&
+         decoded->replaced_version == 7 && decoded->apply_deadline == 1.7e12));
+  CHECK(ValidateApproval(a, 7, true) == "");
+  CHECK(ValidateApproval(a, 8, true) != "");  // another approval was recorded in between
+  a.second_approver = "ann";
+  CHECK(ValidateApproval(a, 7, true) != "");
+  CHECK(ValidateApproval(a, 7, false) == "");
+  a.second_approver = "";
+  CHECK(ValidateApproval(a, 7, true) != "");
+  a.approver = "";
+  CHECK(ValidateApproval(a, 7, false) != "");
   a = {"ann", "", 7, std::nan(""), DriftForm(1)};
-  CHECK(Refused(a, 7, false) != "");
+  CHECK(ValidateApproval(a, 7, false) != "");
   CHECK_FALSE(DecodeApproval(Encode(a)));
 }
 
-TEST_CASE("words as bytes; junk and cuts never throw") {
+TEST_CASE("reports and repairs are encoded and decoded; invalid and truncated bytes never throw") {
   ActiveReport t;
   t.version = 3;
-  t.active = 4;
-  t.approved = 5;
-  t.seq = 9;
-  t.changed = 8;
-  t.ask = true;
-  t.wants = {"x"};
+  t.active_digest = 4;
+  t.approved_digest = 5;
+  t.sequence = 9;
+  t.changed_sequence = 8;
+  t.request_details = true;
+  t.requested_sections = {"x"};
   t.token = 6;
   t.stopped_at = 2;
   t.sections["a"] = 1;
-  t.opened = DriftForm(1);
-  t.abandoned = 0.5;
-  t.others = {{2, 5, 3, 4, 5, 1}};
-  t.cases = {{2,
-              static_cast<std::uint8_t>(Standing::kDrifted),
-              1,
-              3,
-              2,
-              {6, std::string("\x05", 1), std::string("\x04", 1)},
-              {7, std::string("\x02", 1), {}},
-              {{{"a", "b"}, std::string(200, '\xc3'), "2", Breaks::kRule}}}};
-  t.asides = {{3, 6, 1, true}};
+  t.section_contents = DriftForm(1);
+  t.failed_share = 0.5;
+  t.relayed_reports = {{2, 5, 3, 4, 5, 1}};
+  t.suspicions = {{2,
+                   static_cast<std::uint8_t>(DriftStatus::kDrifted),
+                   1,
+                   3,
+                   2,
+                   {6, std::string("\x05", 1), std::string("\x04", 1)},
+                   {7, std::string("\x02", 1), {}},
+                   {{{"a", "b"}, std::string(200, '\xc3'), "2", FieldImpact::kInvariant}}}};
+  t.ejections = {{3, 6, 1, true}};
   std::string b = Encode(t);
-  auto r = DecodeNotified(b);
+  auto r = DecodeActiveReport(b);
   REQUIRE(r);
-  CHECK((r->version == 3 && r->active == 4 && r->approved == 5 && r->seq == 9 && r->changed == 8 &&
-         r->ask && r->wants == t.wants));
-  CHECK((r->sections == t.sections && r->opened == t.opened && r->others[0].changed == 1 &&
-         r->asides[0].on && r->stopped_at == 2));
-  const ActiveReport::Case &c = r->cases[0], &was = t.cases[0];
-  CHECK((c.newest.voters == was.newest.voters && c.newest.token == 6 &&
-         c.before.voters == was.before.voters && c.before.token == 7 &&
-         c.newest.withdrawn == was.newest.withdrawn));
-  CHECK((c.fields[0].active.size() == 64 && c.span == 2));
+  CHECK((r->version == 3 && r->active_digest == 4 && r->approved_digest == 5 && r->sequence == 9 &&
+         r->changed_sequence == 8 && r->request_details &&
+         r->requested_sections == t.requested_sections));
+  CHECK((r->sections == t.sections && r->section_contents == t.section_contents &&
+         r->relayed_reports[0].changed_sequence == 1 && r->ejections[0].on && r->stopped_at == 2));
+  const ActiveReport::Suspicion &c = r->suspicions[0], &was = t.suspicions[0];
+  CHECK((c.newest.votes == was.newest.votes && c.newest.token == 6 &&
+         c.before.votes == was.before.votes && c.before.token == 7 &&
+         c.newest.withdrawals == was.newest.withdrawals));
+  CHECK((c.fields[0].active.size() == 64 && c.window == 2));
   for (std::size_t n = 0; n < b.size(); ++n)
-    DecodeNotified(std::span(b.data(), n));
-  t.cases[0].standing = 1;  // no verdict against anybody
-  CHECK_FALSE(DecodeNotified(Encode(t)));
-  t.cases.clear();
-  t.changed = 10;
-  CHECK_FALSE(DecodeNotified(Encode(t)));
+    DecodeActiveReport(std::span(b.data(), n));
+  t.suspicions[0].status = 1;  // not a deviating status
+  CHECK_FALSE(DecodeActiveReport(Encode(t)));
+  t.suspicions.clear();
+  t.changed_sequence = 10;
+  CHECK_FALSE(DecodeActiveReport(Encode(t)));
   auto p = DecodeRepair(Encode(Repair{4, 5, 6, 7}));
   REQUIRE(p);
-  CHECK((p->front == 4 && p->token == 5 && p->version == 6 && p->changed == 7));
-  CHECK(rc::check("junk", [](const std::string& junk) {
-    DecodeNotified(junk), DecodeApproval(junk), DecodeRepair(junk);
+  CHECK((p->front == 4 && p->token == 5 && p->version == 6 && p->changed_sequence == 7));
+  CHECK(rc::check("arbitrary bytes", [](const std::string& junk) {
+    DecodeActiveReport(junk), DecodeApproval(junk), DecodeRepair(junk);
   }));
 }
 
 TEST_CASE(
-    "every field of what a front decides by changes the digest of its section, and of no other") {
+    "every field of the active configuration changes the digest of its section, and of no other") {
   StoreSettings settings;
   settings.request_classes.resize(2);
-  settings::RoadTerms road;
-  road.request_classes = {"a", "b"};
+  settings::RoadTerms connection_settings;
+  connection_settings.request_classes = {"a", "b"};
   front::FleetSettings fleet;
   front::OwnerSettings owner;
   fleet.enabled = owner.enabled = true;
   auto form = [&](const StoreSettings& s) {
-    return ActiveConfiguration(s, road, fleet, owner, "1");
+    return ActiveConfiguration(s, connection_settings, fleet, owner, "1");
   };
-  const Form base = form(settings);
+  const CanonicalConfiguration base = form(settings);
   struct Change {
     std::string section;
     std::string name;
@@ -188,18 +193,18 @@
   auto add = [&](const char* section, const char* name, std::function<void(StoreSettings&)> what) {
     all.push_back({section, name, std::move(what)});
   };
-#define OFFERING(field, value, name) \
+#define REQUEST_CLASS_FIELD(field, value, name) \
   add("offerings", "1." name, [](StoreSettings& s) { s.request_classes[1].field = value; })
-  OFFERING(effect, Effect::kExclusive, "effect");
-  OFFERING(span, Span::kCell, "span");
-  OFFERING(memory, 7, "memory");
-  OFFERING(agreed, 7, "agreed");
-  OFFERING(agreed_stretch, 7, "agreed_stretch");
-  OFFERING(expiry, 7, "expiry");
-  OFFERING(payoff, 7, "payoff");
-  OFFERING(streams, true, "streams");
-  OFFERING(fresh_for, 7, "fresh_for");
-  OFFERING(never_kept, true, "never_kept");
+  REQUEST_CLASS_FIELD(effect, Effect::kExclusive, "effect");
+  REQUEST_CLASS_FIELD(span, Span::kCell, "span");
+  REQUEST_CLASS_FIELD(memory, 7, "memory");
+  REQUEST_CLASS_FIELD(agreed, 7, "agreed");
+  REQUEST_CLASS_FIELD(agreed_stretch, 7, "agreed_stretch");
+  REQUEST_CLASS_FIELD(expiry, 7, "expiry");
+  REQUEST_CLASS_FIELD(payoff, 7, "payoff");
+  REQUEST_CLASS_FIELD(streams, true, "streams");
+  REQUEST_CLASS_FIELD(fresh_for, 7, "fresh_for");
+  REQUEST_CLASS_FIELD(never_kept, true, "never_kept");
 #define FIELD(section, field, value, name) \
   add(section, name, [](StoreSettings& s) { s.field = value; })
   FIELD("sheet", zone, 7, "zone");
@@ -230,28 +235,27 @@
   FIELD("cold", cold_parent.multiple, 7, "parent.multiple");
   FIELD("cold", cold_parent.lasts, 7, "parent.lasts");
   FIELD("cold", cold_window, 7, "window");
-  std::size_t notified = base.at("sheet").size() + base.at("permits").size() +
-                         base.at("cold").size() + (base.at("offerings").size() - 1) / 2;
-  CHECK(
-      all.size() ==
-      notified);  // as many changes as fields: none is told that is not tried, and none tried twice
-  std::set<std::string> tried;
+  std::size_t reported_fields = base.at("sheet").size() + base.at("permits").size() +
+                                base.at("cold").size() + (base.at("offerings").size() - 1) / 2;
+  CHECK(all.size() ==
+        reported_fields);  // as many changes as fields: each reported field is tried, none twice
+  std::set<std::string> tried_fields;
   for (const Change& c : all) {
     INFO(c.section << "." << c.name);
-    CHECK(tried.insert(c.section + "." + c.name).second);
+    CHECK(tried_fields.insert(c.section + "." + c.name).second);
     StoreSettings s = settings;
     c.what(s);
-    Form f = form(s);
+    CanonicalConfiguration f = form(s);
     for (const auto& [name, section] : base)
       CHECK((Digest(f.at(name)) != Digest(section)) == (name == c.section));
-    auto d = Differences(f, base, FieldImpacts());
+    auto d = FindDifferences(f, base, FieldImpacts());
     REQUIRE(d.size() == 1);
     CHECK(d[0].field.name == c.name);
   }
   auto breaks = [&](const std::string& section, const std::string& name) {
-    Form f = base;
+    CanonicalConfiguration f = base;
     f[section][name] = "?";
-    return Differences(f, base, FieldImpacts())[0].breaks;
+    return FindDifferences(f, base, FieldImpacts())[0].impact;
   };
   for (auto [section, name] :
        std::vector<std::pair<std::string, std::string>>{{"offerings", "0.effect"},
@@ -263,14 +267,14 @@
                                                         {"owner", "drift"},
                                                         {"owner", "margin"},
                                                         {"permits", "join"}})
-    CHECK(breaks(section, name) == Breaks::kRule);
-  CHECK(breaks("offerings", "0.payoff") == Breaks::kCapacity);
-  CHECK(breaks("build", "version") == Breaks::kNothing);
-  // Many offerings: a row each, then a digest for the rest; a change anywhere shows.
+    CHECK(breaks(section, name) == FieldImpact::kInvariant);
+  CHECK(breaks("offerings", "0.payoff") == FieldImpact::kCapacity);
+  CHECK(breaks("build", "version") == FieldImpact::kNone);
+  // Many request classes: a row each, then a digest for the rest; a change in any of them shows.
   for (std::size_t n : {26, 250, 251, 400}) {
     StoreSettings many;
     many.request_classes.resize(n);
-    Form before = form(many);
+    CanonicalConfiguration before = form(many);
     for (const auto& [name, section] : before)
       CHECK(section.size() <= 256);
     many.request_classes.back().payoff = 9;
@@ -278,21 +282,21 @@
   }
 }
 
-TEST_CASE("a drift is named down to the field, then repaired") {
+TEST_CASE("a drift is reported down to the field, then repaired") {
   for (std::size_t n : {5, 9, 50}) {
-    DriftSimTerms t = Calm(n);
+    DriftSimTerms t = DefaultTerms(n);
     t.owners = false;
     DriftSim sim(t, 11);
     sim.Approve("fleet", DriftForm(1), 5000);
     sim.RunUntil(20000);
     for (Id id : sim.Ids())
-      CHECK(Saying(sim, id, Standing::kInStep) == n);
-    sim.ByHand(2, With(DriftForm(1), "sheet", "legs", "3"));
-    sim.RunUntil(20000 + FoundWithin(sim.Honest()));
-    CHECK(Saying(sim, 2, Standing::kDrifted) == n);
+      CHECK(CountStatus(sim, id, DriftStatus::kInSync) == n);
+    sim.ByHand(2, WithField(DriftForm(1), "sheet", "legs", "3"));
+    sim.RunUntil(20000 + DetectionBound(sim.Honest()));
+    CHECK(CountStatus(sim, 2, DriftStatus::kDrifted) == n);
     sim.RunUntil(sim.now() + 5000);
     for (Id id : sim.Ids()) {
-      const auto& r = sim.at(id).Rows().at(2);
+      const auto& r = sim.at(id).FrontStates().at(2);
       REQUIRE(r.fields.size() == 1);
       CHECK((r.fields[0].field.name == "legs" && r.fields[0].active == "3" &&
              r.fields[0].approved == "2"));
@@ -300,13 +304,15 @@
     sim.Give(1);
     sim.RunUntil(sim.now() + 30000);
     CHECK_FALSE(sim.TruthBad(2));
-    CHECK(Saying(sim, 2, Standing::kInStep) == n);
-    Clean(sim);
+    CHECK(CountStatus(sim, 2, DriftStatus::kInSync) == n);
+    CheckNoFaults(sim);
   }
 }
 
-TEST_CASE("a rollout by the owner: one of a zone at a time, all in the end") {
-  DriftSim sim(Calm(), 5);
+TEST_CASE(
+    "the lease holder rolls an approval out to one front of a zone at a time, and to all in the "
+    "end") {
+  DriftSim sim(DefaultTerms(), 5);
   sim.Approve("fleet", DriftForm(1), 5000);
   sim.RunUntil(20000);
   sim.Approve("fleet", DriftForm(2), 60000);
@@ -314,11 +320,11 @@
   for (Id id : sim.Ids())
     CHECK_FALSE(sim.TruthBad(id));
   CHECK(sim.Repairs() == 9);
-  Clean(sim);
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("drift in a minority cut off: unknown meanwhile, named after") {
-  DriftSimTerms t = Calm();
+TEST_CASE("drift in a partitioned minority is unknown during the partition and reported after it") {
+  DriftSimTerms t = DefaultTerms();
   t.owners = false;
   DriftSim sim(t, 6);
   sim.Approve("fleet", DriftForm(1), 5000);
@@ -327,16 +333,19 @@
   sim.RunUntil(22000);
   sim.ByHand(1, DriftForm(9));
   sim.RunUntil(45000);
-  CHECK(sim.at(9).Rows().at(1).standing == Standing::kUnknown);
-  CHECK(sim.at(2).Rows().at(1).standing != Standing::kDrifted);  // three of nine are not in common
+  CHECK(sim.at(9).FrontStates().at(1).status == DriftStatus::kUnknown);
+  CHECK(sim.at(2).FrontStates().at(1).status !=
+        DriftStatus::kDrifted);  // three of nine votes are not a majority
   sim.Cut({1, 2, 3}, false);
-  sim.RunUntil(45000 + FoundWithin(sim.Honest()));
-  CHECK(Saying(sim, 1, Standing::kDrifted) == 9);
-  Clean(sim);
+  sim.RunUntil(45000 + DetectionBound(sim.Honest()));
+  CHECK(CountStatus(sim, 1, DriftStatus::kDrifted) == 9);
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("an approval undone while half have it; the approver's own front drifts") {
-  DriftSim sim(Calm(), 7);
+TEST_CASE(
+    "an approval is reverted when half the fronts have applied it, and the lease holder's own "
+    "front drifts") {
+  DriftSim sim(DefaultTerms(), 7);
   sim.Approve("fleet", DriftForm(1), 5000);
   sim.RunUntil(20000);
   sim.Approve("fleet", DriftForm(2), 60000);
@@ -347,12 +356,12 @@
   sim.ByHand(sim.owner(), DriftForm(8));
   sim.RunUntil(sim.now() + 90000);
   for (Id id : sim.Ids())
-    CHECK((!sim.TruthBad(id) && Saying(sim, id, Standing::kInStep) == 9));
-  Clean(sim);
+    CHECK((!sim.TruthBad(id) && CountStatus(sim, id, DriftStatus::kInSync) == 9));
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("a change by hand in the middle of a repair wins, is named anew and repaired") {
-  DriftSim sim(Calm(), 8);
+TEST_CASE("a manual change during a repair takes effect, is reported again and repaired") {
+  DriftSim sim(DefaultTerms(), 8);
   sim.Approve("fleet", DriftForm(1), 5000);
   sim.RunUntil(20000);
   Id x = sim.owner() == 4 ? 5 : 4;
@@ -365,59 +374,60 @@
   CHECK(sim.memory(x) == DriftForm(4));
   sim.RunUntil(sim.now() + 60000);
   CHECK_FALSE(sim.TruthBad(x));
-  Clean(sim);
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("old and new programs side by side") {
-  DriftSimTerms t = Calm();
+TEST_CASE("older and newer programs run side by side without drift") {
+  DriftSimTerms t = DefaultTerms();
   DriftSim sim(t, 9);
   sim.Approve("fleet", DriftForm(1), 5000);
   sim.RunUntil(20000);
   for (Id id : {1u, 2u, 3u})
-    sim.ByHand(id, With(DriftForm(1), "hedging", "after", "20"), true);
+    sim.ByHand(id, WithField(DriftForm(1), "hedging", "after", "20"), true);
   sim.RunUntil(50000);
   for (Id id : sim.Ids())
-    CHECK(Saying(sim, id, Standing::kInStep) == 9);
+    CHECK(CountStatus(sim, id, DriftStatus::kInSync) == 9);
   CHECK(sim.Repairs() == 0);
-  Clean(sim);
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("two fronts that swap their configurations") {
-  DriftSimTerms t = Calm();
+TEST_CASE("two fronts that swap their configurations both drift") {
+  DriftSimTerms t = DefaultTerms();
   t.owners = false;
   DriftSim sim(t, 10);
   sim.Approve("fleet", DriftForm(1), 5000);
   sim.Approve("front/1", DriftForm(21), 5000);
   sim.Approve("front/2", DriftForm(22), 5000);
   sim.RunUntil(20000);
-  CHECK(Saying(sim, 1, Standing::kInStep) == 9);
+  CHECK(CountStatus(sim, 1, DriftStatus::kInSync) == 9);
   sim.ByHand(1, DriftForm(22));
   sim.ByHand(2, DriftForm(21));
-  sim.RunUntil(20000 + FoundWithin(sim.Honest()));
-  CHECK((Saying(sim, 1, Standing::kDrifted) == 9 && Saying(sim, 2, Standing::kDrifted) == 9));
-  Clean(sim);
+  sim.RunUntil(20000 + DetectionBound(sim.Honest()));
+  CHECK((CountStatus(sim, 1, DriftStatus::kDrifted) == 9 &&
+         CountStatus(sim, 2, DriftStatus::kDrifted) == 9));
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("an owner that dies between approval and notice") {
-  DriftSim sim(Calm(), 12);
+TEST_CASE("the lease holder stops between an approval and its rollout") {
+  DriftSim sim(DefaultTerms(), 12);
   sim.Approve("fleet", DriftForm(1), 5000);
   sim.RunUntil(20000);
   sim.Approve("fleet", DriftForm(2), 60000);
-  Id dead = sim.owner();
+  Id stopped_front = sim.owner();
   sim.OwnerDies();
   sim.RunUntil(110000);
-  // Its zone of three has only two left, and waits.
+  // Its zone of three has only two fronts left and has to wait.
   for (Id id : sim.Ids())
-    CHECK(sim.TruthBad(id) == (sim.Zone(id) == sim.Zone(dead)));
-  sim.Pause(dead, false);
+    CHECK(sim.TruthBad(id) == (sim.Zone(id) == sim.Zone(stopped_front)));
+  sim.Pause(stopped_front, false);
   sim.RunUntil(200000);
   for (Id id : sim.Ids())
     CHECK_FALSE(sim.TruthBad(id));
-  Clean(sim);
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("a front away for 30 minutes") {
-  DriftSimTerms t = Calm(5);
+TEST_CASE("a front that was paused for 30 minutes is repaired") {
+  DriftSimTerms t = DefaultTerms(5);
   t.zones = 2;  // 1, 3, 5 and 2, 4
   DriftSim sim(t, 13);
   sim.Approve("fleet", DriftForm(1), 5000);
@@ -425,19 +435,18 @@
   Id x = sim.owner() == 3 ? 5 : 3;
   sim.Pause(x, true);
   sim.RunUntil(60000);
-  CHECK(sim.at(sim.owner()).Rows().at(x).standing == Standing::kUnknown);
+  CHECK(sim.at(sim.owner()).FrontStates().at(x).status == DriftStatus::kUnknown);
   sim.Approve("fleet", DriftForm(2), 60000);
   sim.RunUntil(20000 + 30 * 60000);
   sim.Pause(x, false);
   sim.RunUntil(sim.now() + 60000);
   CHECK_FALSE(sim.TruthBad(x));
-  CHECK(Saying(sim, x, Standing::kInStep) == 5);
-  Clean(sim);
+  CHECK(CountStatus(sim, x, DriftStatus::kInSync) == 5);
+  CheckNoFaults(sim);
 }
 
-TEST_CASE(
-    "clocks at 1970 and set back: converging ends by the monotone clock, on the owner's too") {
-  DriftSimTerms t = Calm();
+TEST_CASE("with clocks at 1970 or set back, converging ends by the monotonic clock") {
+  DriftSimTerms t = DefaultTerms();
   t.owners = false;
   DriftSim sim(t, 14);
   for (Id id : sim.Ids())
@@ -446,53 +455,53 @@
   sim.RunUntil(10000);
   sim.ByHand(3, DriftForm(5));
   sim.RunUntil(40000);
-  CHECK(Saying(sim, 3, Standing::kConverging) == 9);
-  sim.RunUntil(sim.TermEnds(3) + FoundWithin(sim.Honest()));
-  CHECK(Saying(sim, 3, Standing::kDrifted) == 9);
-  Clean(sim);
+  CHECK(CountStatus(sim, 3, DriftStatus::kConverging) == 9);
+  sim.RunUntil(sim.TermEnds(3) + DetectionBound(sim.Honest()));
+  CHECK(CountStatus(sim, 3, DriftStatus::kDrifted) == 9);
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("a stale owner's repair is refused, and so is one of what is no more said") {
+TEST_CASE("a repair from a previous lease holder, or for content no longer reported, is refused") {
   std::map<Id, int> zones{{1, 0}, {2, 0}, {3, 0}};
-  Terms t;
+  DriftSettings t;
   t.fronts = 3;
   Drift d(1, zones, {}, t, 1, 0, {1, 0});
   auto form = DriftForm(1);
-  d.Handle(0, Approved{10, Approval{"ops", "", 0, 0, form}});
-  d.Handle(0, Active{DriftForm(2)});
+  d.Handle(0, ApprovalUpdated{10, Approval{"ops", "", 0, 0, form}});
+  d.Handle(0, ActiveConfigurationChanged{DriftForm(2)});
   std::uint64_t changed = 0;
   for (int i = 1; i < 10; ++i)
     for (Action& a : d.Handle(100.0 * i, Tick{}))
-      if (auto* tell = std::get_if<Tell>(&a))
-        changed = tell->notified.changed;
+      if (auto* tell = std::get_if<SendActiveReport>(&a))
+        changed = tell->report.changed_sequence;
   REQUIRE(changed != 0);
-  auto takes = [&](Repair r) {
+  auto count_applied = [&](Repair r) {
     std::size_t n = 0;
-    for (Action& a : d.RepairAsked(1000, 2, r))
-      n += std::holds_alternative<TakeUp>(a);
+    for (Action& a : d.HandleRepair(1000, 2, r))
+      n += std::holds_alternative<ApplyApproval>(a);
     return n;
   };
-  CHECK(takes({1, 5, 10, changed}) == 1);
-  CHECK(takes({1, 4, 10, changed}) == 0);
-  CHECK(takes({2, 9, 10, changed}) == 0);
-  CHECK(takes({1, 5, 9, changed}) == 0);
-  CHECK(takes({1, 5, 10, changed - 1}) == 0);
-  ActiveReport notified;
-  notified.token = 8;
-  notified.seq = 1;
-  d.Handle(1000, Hears{3, notified});  // hearing of it is enough
-  CHECK(takes({1, 7, 10, changed}) == 0);
-  CHECK(takes({1, 8, 10, changed}) == 1);
+  CHECK(count_applied({1, 5, 10, changed}) == 1);
+  CHECK(count_applied({1, 4, 10, changed}) == 0);
+  CHECK(count_applied({2, 9, 10, changed}) == 0);
+  CHECK(count_applied({1, 5, 9, changed}) == 0);
+  CHECK(count_applied({1, 5, 10, changed - 1}) == 0);
+  ActiveReport report;
+  report.token = 8;
+  report.sequence = 1;
+  d.Handle(1000, ReportReceived{3, report});  // a report with the token is enough
+  CHECK(count_applied({1, 7, 10, changed}) == 0);
+  CHECK(count_applied({1, 8, 10, changed}) == 1);
   CHECK(d.token() == 8);
-  Drift again(1, zones, {}, t, 1, 0, {2, d.token()});  // and outlives a crash
-  CHECK(again.RepairAsked(0, 2, {1, 7, 0, 0}).empty());
+  Drift again(1, zones, {}, t, 1, 0, {2, d.token()});  // and the token survives a crash
+  CHECK(again.HandleRepair(0, 2, {1, 7, 0, 0}).empty());
 }
 
-TEST_CASE("repairs stop where abandoned pulls rise after one, for the owner after as well") {
-  DriftSim sim(Calm(), 15);
+TEST_CASE("repairs stop when failed requests rise after one, for the next lease holder as well") {
+  DriftSim sim(DefaultTerms(), 15);
   sim.Approve("fleet", DriftForm(1), 5000);
   sim.RunUntil(20000);
-  sim.on_take_up = [&](Id id, const Form& f) {
+  sim.on_take_up = [&](Id id, const CanonicalConfiguration& f) {
     if (f == DriftForm(2))
       sim.requests(id, 0.3, 0);
   };
@@ -504,22 +513,22 @@
   sim.OwnerDies();
   sim.RunUntil(100000);
   CHECK(sim.Repairs() == by);
-  sim.Approve("fleet", DriftForm(1), 40000);  // undone: goes on
+  sim.Approve("fleet", DriftForm(1), 40000);  // reverted: repairs continue
   sim.RunUntil(150000);
-  std::size_t behind = 0;
+  std::size_t behind_count = 0;
   for (Id id : sim.Ids())
-    behind += sim.TruthBad(id);
-  CHECK(behind <= 1);
-  Clean(sim);
+    behind_count += sim.TruthBad(id);
+  CHECK(behind_count <= 1);
+  CheckNoFaults(sim);
 }
 
-TEST_CASE("who drifts again and again is set aside, by all, and back after a time in step") {
-  DriftSimTerms t = Calm();
-  t.terms.within = 180000;
+TEST_CASE("a front that drifts repeatedly is ejected by all and readmitted after a time in step") {
+  DriftSimTerms t = DefaultTerms();
+  t.terms.ejection_window = 180000;
   DriftSim sim(t, 16);
   sim.Approve("fleet", DriftForm(1), 5000);
   sim.RunUntil(20000);
-  Id x = sim.owner();  // the owner itself
+  Id x = sim.owner();  // the lease holder itself
   for (int i = 0; i < 3; ++i) {
     sim.ByHand(x, DriftForm(50 + i));
     sim.RunUntil(sim.now() + 30000);
@@ -530,13 +539,13 @@
   sim.RunUntil(sim.now() + 300000);
   for (Id id : sim.Ids())
     CHECK_FALSE(sim.at(id).ejected(x));
-  Clean(sim);
+  CheckNoFaults(sim);
 }
 
 TEST_CASE(
-    "a drift that can break a rule stops what it would serve; lateness alone does not empty a "
+    "a drift that can break an invariant stops the front; lateness alone does not stop a whole "
     "zone") {
-  DriftSimTerms t = Calm();
+  DriftSimTerms t = DefaultTerms();
   t.owners = false;
   DriftSim sim(t, 17);
   sim.Approve("fleet", DriftForm(1), 5000);
@@ -550,7 +559,7 @@
   sim.ByHand(2, DriftForm(1));
   sim.RunUntil(30000);
   CHECK(sim.at(1).may_serve());
-  sim.Approve("fleet", DriftForm(1, 90000), 5000);  // nobody takes it up
+  sim.Approve("fleet", DriftForm(1, 90000), 5000);  // no front applies it
   sim.RunUntil(80000);
   for (int zone = 0; zone < 3; ++zone) {
     std::size_t serving = 0;
@@ -558,52 +567,54 @@
       serving += sim.Zone(id) == zone && sim.at(id).may_serve();
     CHECK(serving >= 1);
   }
-  Clean(sim);
+  CheckNoFaults(sim);
 }
 
 TEST_CASE(
-    "votes of fronts astray at different times do not add up: withdrawn, or lapsed after two "
-    "spans") {
-  // Front 1 hears of front 3, which forks; the votes of 4 and 5 are told by front 2, front 1 gives
-  // its own: three of five name it.
-  auto named = [](std::uint64_t span, const ActiveReport::Ballot& newest,
-                  const ActiveReport::Ballot& before, std::uint64_t word, bool forks = true) {
-    Terms t;
+    "votes of fronts that deviated at different times do not add up: they are withdrawn, or expire "
+    "after two windows") {
+  // Front 1 receives a relayed report of front 3, which is forked; front 2 relays the votes of 4
+  // and 5, and front 1 adds its own: a majority of three of five.
+  auto status_of = [](std::uint64_t span, const ActiveReport::Ballot& newest,
+                      const ActiveReport::Ballot& before, std::uint64_t word, bool forks = true) {
+    DriftSettings t;
     t.fronts = 5;
     Drift d(1, {{1, 0}, {2, 0}, {3, 1}, {4, 1}, {5, 2}}, {}, t, 1, 0, {});
-    auto form = std::make_shared<const Form>(DriftForm(1));
-    d.Handle(0, Active{*form});
+    auto form = std::make_shared<const CanonicalConfiguration>(DriftForm(1));
+    d.Handle(0, ActiveConfigurationChanged{*form});
     for (Id id = 1; id <= 5; ++id)
-      d.Handle(0, ApprovedFor{id, 10, Digest(*form), 0, 0, form});
-    ActiveReport notified;
-    notified.seq = 1;
-    notified.others = {{3, word, 10, Digest(*form), forks ? Digest(*form) + 1 : Digest(*form), 1}};
-    notified.cases = {
-        {3, static_cast<std::uint8_t>(Standing::kForked), 1, 10, span, newest, before, {}}};
-    d.Handle(1, Hears{2, notified});
+      d.Handle(0, FrontApprovalUpdated{id, 10, Digest(*form), 0, 0, form});
+    ActiveReport report;
+    report.sequence = 1;
+    report.relayed_reports = {
+        {3, word, 10, Digest(*form), forks ? Digest(*form) + 1 : Digest(*form), 1}};
+    report.suspicions = {
+        {3, static_cast<std::uint8_t>(DriftStatus::kForked), 1, 10, span, newest, before, {}}};
+    d.Handle(1, ReportReceived{2, report});
     for (Ms now = 0; now <= 2000; now += 100)
       d.Handle(now, Tick{});
-    return d.Rows().at(3).standing;
+    return d.FrontStates().at(3).status;
   };
   const ActiveReport::Ballot none{}, two{0, "\x18", ""}, first{0, "\x08", ""},
       second{0, "\x10", ""};
   const ActiveReport::Ballot off{0, "\x10", "\x08"}, was{0, "\x18", "\x18"};
-  CHECK(SpanOf(64, 1, 5) == 0);
-  CHECK(SpanOf(65, 1, 5) == 1);
-  CHECK(SpanOf(301, 1, 300) == 1);
-  CHECK(SpanOf(0, 1, 5) == 0);
-  CHECK(named(0, two, none, 50) == Standing::kForked);
-  CHECK(named(1, second, first, 70) == Standing::kForked);  // the newest two spans together
-  CHECK(named(0, two, none, 70) == Standing::kForked);      // all of the one before
-  CHECK(named(0, two, none, 140) != Standing::kForked);     // lapsed
-  CHECK(named(1, off, first, 70) != Standing::kForked);     // withdrawn in the newer
-  CHECK(named(1, first, {0, "\x18", "\x10"}, 70) != Standing::kForked);
-  CHECK(named(1, two, was, 70) == Standing::kForked);  // voted anew in the span after
-  CHECK(named(0, {0, "\x19", ""}, none, 50, false) ==
-        Standing::kInStep);  // one of the three is its own, which it withdraws
+  CHECK(VotingWindow(64, 1, 5) == 0);
+  CHECK(VotingWindow(65, 1, 5) == 1);
+  CHECK(VotingWindow(301, 1, 300) == 1);
+  CHECK(VotingWindow(0, 1, 5) == 0);
+  CHECK(status_of(0, two, none, 50) == DriftStatus::kForked);
+  CHECK(status_of(1, second, first, 70) ==
+        DriftStatus::kForked);                                  // the two newest windows together
+  CHECK(status_of(0, two, none, 70) == DriftStatus::kForked);   // both from the window before
+  CHECK(status_of(0, two, none, 140) != DriftStatus::kForked);  // expired
+  CHECK(status_of(1, off, first, 70) != DriftStatus::kForked);  // withdrawn in the newer window
+  CHECK(status_of(1, first, {0, "\x18", "\x10"}, 70) != DriftStatus::kForked);
+  CHECK(status_of(1, two, was, 70) == DriftStatus::kForked);  // voted again in the next window
+  CHECK(status_of(0, {0, "\x19", ""}, none, 50, false) ==
+        DriftStatus::kInSync);  // one of the three votes is its own, which it withdraws
 }
 
-TEST_CASE("seeds that named a front falsely by votes added up") {
+TEST_CASE("seeds in which votes from different times used to add up to a false status") {
   for (std::uint64_t seed : {1445, 3541}) {
     rig::DriftRun r = rig::PlayDrift(seed, DriftFlaw::kNone);
     INFO("seed " << seed);
@@ -621,9 +632,9 @@
   }
 }
 
-TEST_CASE("broken variants are caught") {
+TEST_CASE("deliberately broken variants are caught") {
   if (seeds < 60)
-    return;  // under sanitizers: they are the Release build's to show
+    return;  // under sanitizers; the Release build covers this case
   for (DriftFlaw flaw :
        {DriftFlaw::kFileNotMemory, DriftFlaw::kWholeZone, DriftFlaw::kOneFrontAlone,
         DriftFlaw::kNoHysteresis, DriftFlaw::kConvergingForever}) {
@@ -633,12 +644,12 @@
     INFO(rig::ToString(flaw));
     CHECK(seed <= 60);
   }
-  // A word 2 to 8 s on its way from an owner that has stopped, while there is another: every repair
-  // late, several owners in turn.
-  std::size_t caught = 0;
+  // Every repair request is delayed by 2 to 8 s and comes from a lease holder that has since been
+  // paused and replaced.
+  std::size_t caught_count = 0;
   for (DriftFlaw flaw : {DriftFlaw::kNone, DriftFlaw::kStaleNotFenced})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      DriftSimTerms t = Calm();
+      DriftSimTerms t = DefaultTerms();
       t.late = 1;
       t.flaw = flaw;
       DriftSim sim(t, seed);
@@ -654,16 +665,16 @@
       sim.Give(was % 9 + 1);
       sim.RunUntil(sim.now() + 15000);
       if (flaw == DriftFlaw::kNone)
-        Clean(sim);
+        CheckNoFaults(sim);
       else
-        caught += !sim.CheckHistory().faults.empty();
+        caught_count += !sim.CheckHistory().faults.empty();
     }
-  CHECK(caught > 0);
+  CHECK(caught_count > 0);
 }
 
 int main(int argc, char** argv) {
-  if (const char* said = std::getenv("DUNLINWICK_SEEDS"))
-    seeds = std::strtoull(said, nullptr, 10);  // fewer under sanitizers
+  if (const char* text = std::getenv("DUNLINWICK_SEEDS"))
+    seeds = std::strtoull(text, nullptr, 10);  // fewer under sanitizers
   for (int i = 1; i < argc; ++i)
     if (std::strncmp(argv[i], "--seeds=", 8) == 0)
       seeds = std::strtoull(argv[i] + 8, nullptr, 10);
--- a/tests/layer_test.cpp
+++ b/tests/layer_test.cpp
@@ -317,11 +317,11 @@
   Scene s("drift", programs);
   s.h->Ask(10);
   drift::Approval a;
-  a.by = "test";
-  a.hold_by = s.loop.now() + 2000;
-  a.form["sheet"]["most_legs"] = "4";
-  a.form["offerings"]["0.agreed"] = "500";
-  a.form["road"]["connect_within"] = "400";
+  a.approver = "test";
+  a.apply_deadline = s.loop.now() + 2000;
+  a.configuration["sheet"]["most_legs"] = "4";
+  a.configuration["offerings"]["0.agreed"] = "500";
+  a.configuration["road"]["connect_within"] = "400";
   std::optional<proto::record::PutAnswer> first;
   s.Until("rules approved", [&] {
     return (first = s.Put(record::Stream::kRules, "fleet", drift::Encode(a))) &&
@@ -373,9 +373,9 @@
           [&] { return s.h->LogOf(7).find("rules taken up") != std::string::npos; });
   s.Until("all in step again", all_in_step);
   // A new version over the first reaches all, one after another.
-  a.form["sheet"]["most_legs"] = "3";
-  a.replaces = first->first();
-  a.hold_by = s.loop.now() + 3000;
+  a.configuration["sheet"]["most_legs"] = "3";
+  a.replaced_version = first->first();
+  a.apply_deadline = s.loop.now() + 3000;
   std::optional<proto::record::PutAnswer> next;
   s.Until("a change approved over it", [&] {
     return (next = s.Put(record::Stream::kRules, "fleet", drift::Encode(a))) &&
@@ -402,10 +402,10 @@
   Scene s("together", programs);
   s.h->Ask(8);
   drift::Approval a;
-  a.by = "test";
-  a.hold_by = s.loop.now() + 2000;
-  a.form["sheet"]["most_legs"] = "4";
-  a.form["road"]["connect_within"] = "400";
+  a.approver = "test";
+  a.apply_deadline = s.loop.now() + 2000;
+  a.configuration["sheet"]["most_legs"] = "4";
+  a.configuration["road"]["connect_within"] = "400";
   std::optional<proto::record::PutAnswer> first;
   s.Until("rules approved", [&] {
     return (first = s.Put(record::Stream::kRules, "fleet", drift::Encode(a))) &&
@@ -420,9 +420,9 @@
   s.CaughtUp("all fronts have read five recalls");
   // A change of the rules, acknowledged and not yet taken up everywhere; a recall right behind it;
   // then all is dark.
-  a.form["sheet"]["most_legs"] = "3";
-  a.replaces = first->first();
-  a.hold_by = s.loop.now() + 3000;
+  a.configuration["sheet"]["most_legs"] = "3";
+  a.replaced_version = first->first();
+  a.apply_deadline = s.loop.now() + 3000;
   std::optional<proto::record::PutAnswer> next;
   s.Until("a change approved", [&] {
     return (next = s.Put(record::Stream::kRules, "fleet", drift::Encode(a))) &&
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -392,36 +392,38 @@
   using namespace drift;
   for (Ms skew : {0.0, kHour, -kHour, 10 * kSecond, -10 * kSecond}) {
     CAPTURE(skew);
-    Terms terms;
+    DriftSettings terms;
     terms.fronts = 2;
     Drift front(1, {{1, 0}, {2, 0}}, {}, terms, 1, 0, {});
-    auto form = std::make_shared<const Form>(Form{{"sheet", {{"most_legs", "3"}}}});
-    front.Handle(0, Active{*form});
-    front.Handle(0, Owns{1});  // the owner's verdict needs no others
+    auto form = std::make_shared<const CanonicalConfiguration>(
+        CanonicalConfiguration{{"sheet", {{"most_legs", "3"}}}});
+    front.Handle(0, ActiveConfigurationChanged{*form});
+    front.Handle(0, LeaseUpdated{1});  // the owner's verdict needs no others
     Ms given = 1.76e12;
-    front.Handle(0, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond, given, form});
+    front.Handle(
+        0, FrontApprovalUpdated{2, 10, Digest(*form), given + skew + 5 * kSecond, given, form});
     drift::ActiveReport lacks;
     lacks.version = 9;
-    lacks.active = 1;
-    lacks.approved = 1;
+    lacks.active_digest = 1;
+    lacks.approved_digest = 1;
     std::optional<Ms> found;
-    for (Ms now = 100; now <= terms.term_most + 20 * kSecond && !found; now += 100) {
-      lacks.seq = static_cast<std::uint64_t>(now);
-      lacks.changed = 1;
-      front.Handle(now, Hears{2, lacks});
+    for (Ms now = 100; now <= terms.max_convergence_time + 20 * kSecond && !found; now += 100) {
+      lacks.sequence = static_cast<std::uint64_t>(now);
+      lacks.changed_sequence = 1;
+      front.Handle(now, ReportReceived{2, lacks});
       if (now == 2000)
-        front.Handle(now, ApprovedFor{2, 10, Digest(*form), given + skew + 5 * kSecond,
-                                      given - kHour, form});
+        front.Handle(now, FrontApprovalUpdated{2, 10, Digest(*form), given + skew + 5 * kSecond,
+                                               given - kHour, form});
       front.Handle(now, Tick{});
-      auto row = front.Rows().find(2);
-      if (row->second.standing == drift::Standing::kConverging ||
-          row->second.standing == drift::Standing::kUnknown)
+      auto row = front.FrontStates().find(2);
+      if (row->second.status == drift::DriftStatus::kConverging ||
+          row->second.status == drift::DriftStatus::kUnknown)
         continue;
       found = now;
     }
     REQUIRE(found);
-    CHECK(*found >= terms.term_least);
-    CHECK(*found <= terms.term_most + 10 * kSecond);
+    CHECK(*found >= terms.min_convergence_time);
+    CHECK(*found <= terms.max_convergence_time + 10 * kSecond);
   }
 }
 
@@ -477,20 +479,21 @@
   using namespace drift;
   for (Ms back : {kHour, 10 * kSecond}) {
     CAPTURE(back);
-    Terms terms;
+    DriftSettings terms;
     terms.fronts = 3;
     std::map<Id, int> zones{{1, 0}, {2, 0}, {3, 0}};
     constexpr std::uint32_t kStarted = 1764576000;
-    auto form = std::make_shared<const Form>(Form{{"sheet", {{"most_legs", "3"}}}});
+    auto form = std::make_shared<const CanonicalConfiguration>(
+        CanonicalConfiguration{{"sheet", {{"most_legs", "3"}}}});
     std::map<Id, Drift> fronts;
     auto start = [&](Id id, Ms now, std::uint32_t incarnation) {
       fronts.erase(id);
       Drift& front =
           fronts.emplace(id, Drift(id, zones, {}, terms, id, now, {incarnation, 0})).first->second;
-      front.Handle(now, Active{*form});
-      front.Handle(now, Approved{10, Approval{"ann", "", 0, 0, *form}});
+      front.Handle(now, ActiveConfigurationChanged{*form});
+      front.Handle(now, ApprovalUpdated{10, Approval{"ann", "", 0, 0, *form}});
       for (const auto& [other, zone] : zones)
-        front.Handle(now, ApprovedFor{other, 10, Digest(*form), 0, 0, form});
+        front.Handle(now, FrontApprovalUpdated{other, 10, Digest(*form), 0, 0, form});
     };
     auto run = [&](Ms from, Ms to) {
       for (Ms now = from; now <= to; now += 100)
@@ -498,22 +501,22 @@
           if (fronts.count(id) == 0)
             continue;
           for (const drift::Action& action : fronts.at(id).Handle(now, Tick{})) {
-            const auto* tell = std::get_if<Tell>(&action);
+            const auto* tell = std::get_if<SendActiveReport>(&action);
             if (tell && fronts.count(tell->to))
-              fronts.at(tell->to).Handle(now, Hears{id, tell->notified});
+              fronts.at(tell->to).Handle(now, ReportReceived{id, tell->report});
           }
         }
     };
     for (const auto& [id, zone] : zones)
       start(id, 0, kStarted);
     run(100, 20000);
-    REQUIRE(fronts.at(2).Rows().at(1).standing == drift::Standing::kInStep);
+    REQUIRE(fronts.at(2).FrontStates().at(1).status == drift::DriftStatus::kInSync);
     fronts.erase(1);
     run(20100, 40000);
-    REQUIRE(fronts.at(2).Rows().at(1).standing == drift::Standing::kUnknown);
+    REQUIRE(fronts.at(2).FrontStates().at(1).status == drift::DriftStatus::kUnknown);
     start(1, 40000, kStarted - static_cast<std::uint32_t>(back / kSecond));
     run(40100, 60000);
-    CHECK(fronts.at(2).Rows().at(1).standing == drift::Standing::kInStep);
-    CHECK(fronts.at(3).Rows().at(1).standing == drift::Standing::kInStep);
+    CHECK(fronts.at(2).FrontStates().at(1).status == drift::DriftStatus::kInSync);
+    CHECK(fronts.at(3).FrontStates().at(1).status == drift::DriftStatus::kInSync);
   }
 }
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -408,46 +408,46 @@
 
 // ---- approvals and drift
 
-drift::Form SampleForm() {
+drift::CanonicalConfiguration SampleForm() {
   return {{"quota", {{"limit", "120.5"}, {"name", "origin"}}},
           {"serving", {{"listen", "127.0.0.1:8080"}, {"zone", "1"}}}};
 }
 
 void AddDrift(std::vector<Golden>& all) {
   drift::Approval approval;
-  approval.by = "first";
-  approval.second = "second";
-  approval.replaces = 41;
-  approval.hold_by = 1.5e12;
-  approval.form = SampleForm();
+  approval.approver = "first";
+  approval.second_approver = "second";
+  approval.replaced_version = 41;
+  approval.apply_deadline = 1.5e12;
+  approval.configuration = SampleForm();
   all.push_back({"drift_approval", drift::Encode(approval), Reencode(drift::DecodeApproval)});
   drift::ActiveReport notified;
   notified.version = 42;
-  notified.active = 0x0102030405060708u;
-  notified.approved = 0x1112131415161718u;
-  notified.seq = 90;
-  notified.changed = 80;
+  notified.active_digest = 0x0102030405060708u;
+  notified.approved_digest = 0x1112131415161718u;
+  notified.sequence = 90;
+  notified.changed_sequence = 80;
   notified.sections = {{"quota", 3}, {"serving", 0xffffffffffffffffu}};
-  notified.ask = true;
-  notified.wants = {"quota", "serving"};
-  notified.opened = SampleForm();
-  notified.abandoned = 0.25;
-  notified.declined = 0.5;
+  notified.request_details = true;
+  notified.requested_sections = {"quota", "serving"};
+  notified.section_contents = SampleForm();
+  notified.failed_share = 0.25;
+  notified.rejected_share = 0.5;
   notified.token = 7;
   notified.stopped_at = 40;
-  notified.others = {{2, 91, 42, 1, 2, 85}, {3, 92, 41, 3, 4, 86}};
-  drift::ActiveReport::Case drifted;
-  drifted.who = 3;
-  drifted.standing = static_cast<std::uint8_t>(drift::Standing::kDrifted);
-  drifted.changed = 86;
-  drifted.wanted = 42;
-  drifted.span = 1;
+  notified.relayed_reports = {{2, 91, 42, 1, 2, 85}, {3, 92, 41, 3, 4, 86}};
+  drift::ActiveReport::Suspicion drifted;
+  drifted.front = 3;
+  drifted.status = static_cast<std::uint8_t>(drift::DriftStatus::kDrifted);
+  drifted.changed_sequence = 86;
+  drifted.target_version = 42;
+  drifted.window = 1;
   drifted.newest = {7, "\x05", "\x02"};
   drifted.before = {6, "\x01", ""};
-  drifted.fields = {{{"quota", "limit"}, "100", "120.5", drift::Breaks::kRule}};
-  notified.cases = {drifted};
-  notified.asides = {{3, 7, 2, true}};
-  all.push_back({"drift_told", drift::Encode(notified), Reencode(drift::DecodeNotified)});
+  drifted.fields = {{{"quota", "limit"}, "100", "120.5", drift::FieldImpact::kInvariant}};
+  notified.suspicions = {drifted};
+  notified.ejections = {{3, 7, 2, true}};
+  all.push_back({"drift_told", drift::Encode(notified), Reencode(drift::DecodeActiveReport)});
   all.push_back(
       {"drift_repair", drift::Encode(drift::Repair{3, 7, 42, 86}), Reencode(drift::DecodeRepair)});
 }
