--- a/src/ctl/drill.cpp
+++ b/src/ctl/drill.cpp
@@ -126,7 +126,7 @@
              m.name + " (" + m.what + ")\n";
       if (v.by_its_rule)
         out += "        " + std::string(rules::ToString(m.breaks)) + ", seed " +
-               std::to_string(v.seed) + ": " + v.first.what + "\n";
+               std::to_string(v.seed) + ": " + v.first.description + "\n";
       if (v.by_its_rule && !v.unbroken_kept)
         out += "        but the unbroken front breaks a rule there too\n";
     }
@@ -147,7 +147,8 @@
                " seeds, " + std::to_string(h.failing.size()) + " break a rule\n";
       for (const drill::Found& f : h.failing)
         if (!json)
-          out += "        seed " + std::to_string(f.seed) + ": " + f.breaches.front().what + "\n";
+          out += "        seed " + std::to_string(f.seed) + ": " + f.breaches.front().description +
+                 "\n";
     }
     std::fputs((json ? out + "\n]\n" : out).c_str(), stdout);
     return all ? 0 : 3;
@@ -218,7 +219,7 @@
       std::printf("{\"played\": %llu, \"failing\": [", n(h.played));
       for (std::size_t i = 0; i < h.failing.size(); ++i)
         std::printf("%s{\"seed\": %llu, \"rule\": \"%s\"}", i ? ", " : "", n(h.failing[i].seed),
-                    rules::ToString(h.failing[i].breaches.front().rule));
+                    rules::ToString(h.failing[i].breaches.front().invariant));
       std::printf("], \"worst\": [");
       for (std::size_t i = 0; i < h.worst.size(); ++i)
         std::printf("%s{\"seed\": %llu, \"service\": %.4f}", i ? ", " : "", n(h.worst[i].seed),
@@ -228,9 +229,9 @@
       std::printf("%s: %llu seeds played, %zu break a rule\n", script.name.c_str(), n(h.played),
                   h.failing.size());
       for (const drill::Found& f : h.failing) {
-        const rules::Breach& b = f.breaches.front();
+        const rules::Violation& b = f.breaches.front();
         std::printf("  seed %llu at %.3f s: %s: %s: %s\n", n(f.seed), b.at / 1000,
-                    rules::ToString(b.rule), b.who.c_str(), b.what.c_str());
+                    rules::ToString(b.invariant), b.actor.c_str(), b.description.c_str());
       }
       for (const drill::Found& f : h.worst)
         std::printf("  seed %llu: service %.3f\n", n(f.seed), f.service);
--- a/src/drill/cast.hpp
+++ b/src/drill/cast.hpp
@@ -14,7 +14,7 @@
 
 using loop::Address;
 using loop::Ms;
-using Tell = std::function<void(rules::Fact)>;
+using Tell = std::function<void(rules::Observation)>;
 using Act = std::function<void(const std::function<void()>&)>;
 
 // An answer's bytes: the tag over and over, so that a client can tell whether they are the tag's
--- a/src/drill/client_line.cpp
+++ b/src/drill/client_line.cpp
@@ -7,8 +7,8 @@
 namespace dunlinwick::drill {
 
 using loop::DisconnectReason;
-using rules::Deed;
-using rules::Fact;
+using rules::Observation;
+using rules::ObservationKind;
 
 namespace {
 
@@ -92,7 +92,7 @@
       world::Effect::kExclusive;
   if (!heard_ && reused_ && now - sent_at_ < 50 && !want->hurried &&
       (how == DisconnectReason::kClosed || idempotent)) {
-    tell(Deed::kLeft);
+    tell(ObservationKind::kClientDisconnected);
     want->hurried = true;
     return all_.Ask(want);
   }
@@ -116,15 +116,15 @@
   ++all_.takings_.tries;
   const world::RequestClassTerms& o =
       all_.model_.terms().request_classes[static_cast<std::size_t>(want_->request_class)];
-  Fact f;
-  f.deed = Deed::kAsked;
+  Observation f;
+  f.kind = ObservationKind::kRequestSent;
   f.at = now;
   f.request = id_;
-  f.thing = want_->thing;
-  f.who = all_.fronts_[static_cast<std::size_t>(front_)].name;
+  f.object = want_->thing;
+  f.actor = all_.fronts_[static_cast<std::size_t>(front_)].name;
   f.request_class = want_->request_class;
   f.group = world::Model::group(want_->thing);
-  f.number = want_->ttl;
+  f.value = want_->ttl;
   all_.tell_(std::move(f));
   if (o.effect == world::Effect::kExclusive && all_.seen)
     all_.seen("handover asked");
@@ -137,7 +137,7 @@
     until = now + want_->ttl * world::Between(all_.random_engine_, 0.02, 0.5);
   timer_ = all_.loop_.at(until, [this, leaves] {
     if (leaves && want_) {
-      tell(Deed::kLeft);
+      tell(ObservationKind::kClientDisconnected);
       ++all_.takings_.left;
     }
     GiveUp();
@@ -161,12 +161,12 @@
   all_.Over(want, false, safe || !asked_, 0);
 }
 
-void Clients::Line::tell(Deed deed, int status, const std::string& tag, bool whole) {
-  Fact f;
-  f.deed = deed;
+void Clients::Line::tell(ObservationKind deed, int status, const std::string& tag, bool whole) {
+  Observation f;
+  f.kind = deed;
   f.at = all_.loop_.now();
   f.request = id_;
-  f.who = all_.fronts_[static_cast<std::size_t>(front_)].name;
+  f.actor = all_.fronts_[static_cast<std::size_t>(front_)].name;
   f.status = status;
   f.tag = tag;
   f.flag = whole;
@@ -200,14 +200,14 @@
   heard_ = true;
   used_at_ = all_.loop_.now();
   if (!want_) {  // nothing is owed here: a second answer to the last
-    tell(Deed::kAnswered, status, tag);
+    tell(ObservationKind::kResponseReceived, status, tag);
     connection_.in.Consume(end + 4 + length);
     return true;
   }
   auto want = std::exchange(want_, nullptr);
   all_.loop_.Cancel(timer_);
   bool whole = status == 304 || (status == 200 && Proper(tag, body, *want));
-  tell(Deed::kAnswered, status, tag, whole);
+  tell(ObservationKind::kResponseReceived, status, tag, whole);
   connection_.in.Consume(end + 4 + length);
   reused_ = true;
   all_.failing_since_[static_cast<std::size_t>(front_)] = 0;
--- a/src/drill/client_line.hpp
+++ b/src/drill/client_line.hpp
@@ -51,7 +51,8 @@
  private:
   void Written();
   void GiveUp();
-  void tell(rules::Deed deed, int status = 0, const std::string& tag = {}, bool whole = false);
+  void tell(rules::ObservationKind deed, int status = 0, const std::string& tag = {},
+            bool whole = false);
 
   bool ReadOne();
 
--- a/src/drill/hunt.cpp
+++ b/src/drill/hunt.cpp
@@ -28,14 +28,14 @@
   return s;
 }
 
-static bool Breaks(const Script& script, std::uint64_t seed, rules::Rule rule,
+static bool Breaks(const Script& script, std::uint64_t seed, rules::Invariant rule,
                    const Breaker& breaker, Ms* when) {
   Options options;
   options.seed = seed;
   options.breaker = breaker;
   Outcome o = Play(script, options);
-  for (const rules::Breach& b : o.breaches)
-    if (b.rule == rule) {
+  for (const rules::Violation& b : o.breaches)
+    if (b.invariant == rule) {
       if (when)
         *when = b.at;
       return true;
@@ -43,8 +43,8 @@
   return false;
 }
 
-Script Shrink(const Script& script, std::uint64_t seed, rules::Rule rule, const Breaker& breaker,
-              int most, int& runs) {
+Script Shrink(const Script& script, std::uint64_t seed, rules::Invariant rule,
+              const Breaker& breaker, int most, int& runs) {
   Script best = script;
   Ms when = script.length;
   runs = 0;
@@ -165,7 +165,7 @@
       break;
     Hunted::Shrunk s;
     s.seed = f.seed;
-    s.rule = f.breaches.front().rule;
+    s.rule = f.breaches.front().invariant;
     s.script = Shrink(f.script, f.seed, s.rule, options.breaker, options.shrink_runs, s.runs);
     s.script.name = script.name + "-" + std::to_string(f.seed);
     s.script.about = std::string("Cut down from ") + script.name + ": breaks '" +
--- a/src/drill/hunt.hpp
+++ b/src/drill/hunt.hpp
@@ -23,7 +23,7 @@
   Script script;  // as it was played
   double service = 0;
   std::uint64_t digest = 0;
-  std::vector<rules::Breach> breaches;
+  std::vector<rules::Violation> breaches;
 };
 
 struct Hunted {
@@ -32,7 +32,7 @@
   std::vector<Found> worst;    // by service
   struct Shrunk {
     std::uint64_t seed = 0;
-    rules::Rule rule = rules::Rule::kAnswer;
+    rules::Invariant rule = rules::Invariant::kFinalResponse;
     Script script;
     int runs = 0;
   };
@@ -45,7 +45,7 @@
 Hunted Hunt(const Script& script, const HuntOptions& options);
 
 // `script` breaks `rule` with `seed`; returns the smallest found within `most` runs that does.
-Script Shrink(const Script& script, std::uint64_t seed, rules::Rule rule, const Breaker& breaker,
-              int most, int& runs);
+Script Shrink(const Script& script, std::uint64_t seed, rules::Invariant rule,
+              const Breaker& breaker, int most, int& runs);
 
 }  // namespace dunlinwick::drill
--- a/src/drill/machine.cpp
+++ b/src/drill/machine.cpp
@@ -8,8 +8,8 @@
 namespace dunlinwick::drill {
 
 using loop::DisconnectReason;
-using rules::Deed;
-using rules::Fact;
+using rules::Observation;
+using rules::ObservationKind;
 
 std::string BodyOf(const std::string& tag, double size_kb, double bytes_per_kb) {
   constexpr double kMost = 240000;
@@ -67,7 +67,7 @@
     open_.clear();
     for (auto& [id, ticket] : open) {
       all_.model_.GiveUp(all_.loop_.now(), all_.setup_.id, ticket);
-      tell(Deed::kAttemptDropped, id);
+      tell(ObservationKind::kAttemptDropped, id);
     }
   }
 
@@ -101,7 +101,7 @@
         return true;
       all_.model_.GiveUp(all_.loop_.now(), all_.setup_.id, at->second);
       open_.erase(at);
-      tell(Deed::kAttemptDropped, id);
+      tell(ObservationKind::kAttemptDropped, id);
     } else if (what == "busy" || what == "there") {
       std::string fields = "-";
       if (what == "busy") {
@@ -135,16 +135,16 @@
     w.renew = how.find("freshen") != how.npos;
     auto& names = all_.setup_.request_classes;
     auto at = std::find(names.begin(), names.end(), request_class);
-    Fact f;
-    f.deed = Deed::kAttemptCame;
+    Observation f;
+    f.kind = ObservationKind::kAttemptReceived;
     f.at = all_.loop_.now();
     f.request = id;
-    f.thing = w.thing;
-    f.who = all_.setup_.id;
-    f.other = w.source;
+    f.object = w.thing;
+    f.actor = all_.setup_.id;
+    f.subject = w.source;
     all_.tell_(std::move(f));
     if (at == names.end() || open_.count(id))
-      return Say(id, "FAULT - 0\r\n\r\n", Deed::kAttemptEnded, "fault");
+      return Say(id, "FAULT - 0\r\n\r\n", ObservationKind::kAttemptEnded, "fault");
     w.request_class = static_cast<int>(at - names.begin());
     std::weak_ptr<Caller> self = weak_from_this();
     std::uint64_t ticket = all_.model_.Want(all_.loop_.now(), all_.setup_.id, std::move(w),
@@ -182,10 +182,10 @@
         r.word == world::Word::kHit ? BodyOf(r.tag, r.size_kb, all_.setup_.bytes_per_kb) : "";
     out += ' ' + (fields.empty() ? "-" : fields) + ' ' + std::to_string(body.size()) + "\r\n" +
            body + "\r\n";
-    Say(id, out, Deed::kAttemptEnded, kPlain[static_cast<int>(r.word)], r.tag, r.issued);
+    Say(id, out, ObservationKind::kAttemptEnded, kPlain[static_cast<int>(r.word)], r.tag, r.issued);
   }
 
-  void Say(const std::string& id, std::string text, Deed deed, const std::string& word,
+  void Say(const std::string& id, std::string text, ObservationKind deed, const std::string& word,
            const std::string& tag = {}, Ms issued = 0) {
     const Corrupted& s = all_.corrupted;
     double random_engine =
@@ -194,7 +194,7 @@
     // What the front can't read whole may have run, for all it knows; of what never comes it learns
     // no end.
     if (corrupted && random_engine >= s.swallowed)
-      tell(Deed::kAttemptDropped, id);
+      tell(ObservationKind::kAttemptDropped, id);
     else if (corrupted)
       return;
     else
@@ -209,16 +209,16 @@
     connection_.Send(std::move(message));
   }
 
-  void tell(Deed deed, const std::string& id, const std::string& word = {},
+  void tell(ObservationKind deed, const std::string& id, const std::string& word = {},
             const std::string& tag = {}, Ms issued = 0) {
-    Fact f;
-    f.deed = deed;
+    Observation f;
+    f.kind = deed;
     f.at = all_.loop_.now();
     f.request = id;
-    f.who = all_.setup_.id;
-    f.word = word;
+    f.actor = all_.setup_.id;
+    f.state = word;
     f.tag = tag;
-    f.number = issued;
+    f.value = issued;
     all_.tell_(std::move(f));
   }
 
--- a/src/drill/report.cpp
+++ b/src/drill/report.cpp
@@ -74,26 +74,27 @@
       "links %.0f MB of %.0f MB\n",
       static_cast<unsigned long long>(o.attempts), o.Wasted(), o.bytes.office / 1000,
       o.bytes.links / 1000, o.asked_kb / 1000);
-  const rules::Nearest& n = o.nearest;
+  const rules::ClosestMargins& n = o.nearest;
   out += "  nearest to each limit:\n";
   out += Print("    answers: %.0f ms of a client's time left\n",
-               n.answer_left > 1e8 ? 0.0 : n.answer_left);
-  out += Print("    drains: a leg %.0f ms after the word (500)\n", n.drain_after);
-  out += Print("    cold machines: %.2f of what one bears in a window\n", n.cold_share);
+               n.response_margin > 1e8 ? 0.0 : n.response_margin);
+  out += Print("    drains: a leg %.0f ms after the word (500)\n", n.attempt_after_drain);
+  out += Print("    cold machines: %.2f of what one bears in a window\n", n.slow_start_share);
   out += Print("    purges: a leg %.0f ms after the word, answered from an older copy (500)\n",
-               n.purge_after);
-  out += Print("    refusals: held for %.0f ms\n", n.held);
-  for (int i = 0; i < rules::kHowMany; ++i)
+               n.attempt_after_purge);
+  out += Print("    refusals: held for %.0f ms\n", n.rejection_delay);
+  for (int i = 0; i < rules::kInvariantCount; ++i)
     if (o.counts[i] > 0)
-      out += Print("\n  BROKEN: %s, %llu times\n", rules::ToString(static_cast<rules::Rule>(i)),
-                   static_cast<unsigned long long>(o.counts[i]));
+      out +=
+          Print("\n  BROKEN: %s, %llu times\n", rules::ToString(static_cast<rules::Invariant>(i)),
+                static_cast<unsigned long long>(o.counts[i]));
   std::size_t shown = 0;
-  for (const rules::Breach& b : o.breaches) {
+  for (const rules::Violation& b : o.breaches) {
     if (++shown > 10)
       break;
-    out +=
-        Print("    %8.3f s  %s  %s%s%s: %s\n", b.at / 1000, rules::ToString(b.rule), b.who.c_str(),
-              b.request.empty() ? "" : " pull ", b.request.c_str(), b.what.c_str());
+    out += Print("    %8.3f s  %s  %s%s%s: %s\n", b.at / 1000, rules::ToString(b.invariant),
+                 b.actor.c_str(), b.request.empty() ? "" : " pull ", b.request.c_str(),
+                 b.description.c_str());
   }
   if (o.Kept())
     out += "\n  all rules kept\n";
@@ -167,11 +168,11 @@
   w.EndObject();
   w.Key("nearest");
   w.StartObject();
-  number("answer_left_ms", o.nearest.answer_left);
-  number("drain_after_ms", o.nearest.drain_after);
-  number("cold_share", o.nearest.cold_share);
-  number("purge_after_ms", o.nearest.purge_after);
-  number("held_ms", o.nearest.held);
+  number("answer_left_ms", o.nearest.response_margin);
+  number("drain_after_ms", o.nearest.attempt_after_drain);
+  number("cold_share", o.nearest.slow_start_share);
+  number("purge_after_ms", o.nearest.attempt_after_purge);
+  number("held_ms", o.nearest.rejection_delay);
   w.EndObject();
   w.Key("troubles");
   w.StartArray();
@@ -180,13 +181,13 @@
   w.EndArray();
   w.Key("breaches");
   w.StartArray();
-  for (const rules::Breach& b : o.breaches) {
+  for (const rules::Violation& b : o.breaches) {
     w.StartObject();
-    text("rule", rules::ToString(b.rule));
+    text("rule", rules::ToString(b.invariant));
     number("at_s", b.at / 1000);
     text("pull", b.request);
-    text("who", b.who);
-    text("what", b.what);
+    text("who", b.actor);
+    text("what", b.description);
     w.EndObject();
   }
   w.EndArray();
--- a/src/drill/run.cpp
+++ b/src/drill/run.cpp
@@ -9,8 +9,8 @@
 
 namespace dunlinwick::drill {
 
-using rules::Deed;
-using rules::Fact;
+using rules::Observation;
+using rules::ObservationKind;
 using world::Grade;
 
 namespace {
@@ -137,7 +137,7 @@
       Look();
       if (options_.progress)
         options_.progress((t - start_) / (end_ + kAfter - start_));
-      if (options_.stop_at_breach && !checker_.Kept())
+      if (options_.stop_at_breach && !checker_.AllHold())
         break;
     }
     checker_.Finish(scene_.now());
@@ -150,12 +150,12 @@
     }
     o.played = scene_.now() - start_;
     o.took_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-    o.breaches = checker_.Breaches();
-    for (rules::Breach& b : o.breaches)
+    o.breaches = checker_.Violations();
+    for (rules::Violation& b : o.breaches)
       b.at -= clients_from_;
-    for (int i = 0; i < rules::kHowMany; ++i)
-      o.counts[i] = checker_.Count(static_cast<rules::Rule>(i));
-    o.nearest = checker_.nearest();
+    for (int i = 0; i < rules::kInvariantCount; ++i)
+      o.counts[i] = checker_.Count(static_cast<rules::Invariant>(i));
+    o.nearest = checker_.margins();
     o.bytes = model_.bytes;
     o.asked_kb = o.bytes.asked * site_.terms.flow_kb_per_ms;
     for (auto& one : site_.terms.request_classes)
@@ -190,22 +190,22 @@
     Player* process;
     std::unique_ptr<Clients> clients;
   };
-  struct Event {  // of the boards
-    Fact fact;    // as a front is told it; who and when are filled in
+  struct Event {       // of the boards
+    Observation fact;  // as a front is told it; who and when are filled in
     Ms published_at = 0;
     std::string json;
   };
 
   Tell Teller() {
-    return [this](Fact f) {
+    return [this](Observation f) {
       See(std::move(f));
     };
   }
-  void See(Fact f) {
-    outcome_.attempts += f.deed == Deed::kAttemptCame;
+  void See(Observation f) {
+    outcome_.attempts += f.kind == ObservationKind::kAttemptReceived;
     if (options_.trace)
-      *options_.trace << rules::Line(f) << "\n";
-    checker_.Take(f);
+      *options_.trace << rules::FormatTraceLine(f) << "\n";
+    checker_.HandleObservation(f);
   }
 
   std::uint32_t Addressed(std::uint32_t host) {
@@ -265,11 +265,11 @@
     b.speaker.reset();
     b.process = nullptr;
   }
-  Fact Unseen(Ms lasts) {
-    Fact f;
-    f.deed = Deed::kUnseen;
+  Observation Unseen(Ms lasts) {
+    Observation f;
+    f.kind = ObservationKind::kUnobserved;
     f.at = scene_.now();
-    f.number = scene_.now() + lasts;
+    f.value = scene_.now() + lasts;
     return f;
   }
   // A new process there, cold and empty.
@@ -284,11 +284,11 @@
   }
   void list(Box& b, const char* state, Ms after) {
     Event e;
-    e.fact.deed = Deed::kListed;
-    e.fact.other = b.make.id;
-    e.fact.word = std::string(state) == "in_service"    ? "ready"
-                  : std::string(state) == "terminating" ? "draining"
-                                                        : "gone";
+    e.fact.kind = ObservationKind::kEndpointUpdated;
+    e.fact.subject = b.make.id;
+    e.fact.state = std::string(state) == "in_service"    ? "ready"
+                   : std::string(state) == "terminating" ? "draining"
+                                                         : "gone";
     e.json = "{\"pool\":{\"version\":1,\"full\":false,\"servers\":[" +
              Listing(b.make, stage::Text(b.at), state) + "]}}";
     scene_.at(scene_.now() + after,
@@ -296,7 +296,7 @@
                 b.state = state;
                 if (state == "in_service" && !std::exchange(b.notified_of_start, true))
                   model_.StartNotified(b.make.id);
-                states_[e.fact.other] = {&b, state, e.json};
+                states_[e.fact.subject] = {&b, state, e.json};
                 Publish(std::move(e));
               });
   }
@@ -310,14 +310,14 @@
       std::string json = events_.back().json;
       h->discovery_process->act([&] { h->discovery->Publish(std::move(json)); });
     }
-    if (events_.back().fact.word == "draining")
+    if (events_.back().fact.state == "draining")
       Occur(Moment::kDrainNotified);
-    if (events_.back().fact.deed == Deed::kPurged)
+    if (events_.back().fact.kind == ObservationKind::kPurgeAnnounced)
       Occur(Moment::kPurgeNotified);
   }
   void notified(Host& h, std::uint64_t number) {
-    Fact f = events_[number - 2].fact;
-    f.who = h.front.name;
+    Observation f = events_[number - 2].fact;
+    f.actor = h.front.name;
     f.at = scene_.now();
     See(std::move(f));
   }
@@ -336,21 +336,22 @@
     for (auto& b : boxes_) {
       if (b->state == "in_service" || !b->listed)
         continue;
-      Fact f;
-      f.deed = Deed::kListed;
+      Observation f;
+      f.kind = ObservationKind::kEndpointUpdated;
       f.at = scene_.now();
-      f.who = h.front.name;
-      f.other = b->make.id;
-      f.word = b->state == "terminating" ? "draining" : "gone";
+      f.actor = h.front.name;
+      f.subject = b->make.id;
+      f.state = b->state == "terminating" ? "draining" : "gone";
       See(std::move(f));
     }
     for (const Event& e : events_) {
-      if (e.fact.deed != Deed::kPurged || e.fact.number < scene_.now() - site_.terms.purge_done)
+      if (e.fact.kind != ObservationKind::kPurgeAnnounced ||
+          e.fact.value < scene_.now() - site_.terms.purge_done)
         continue;
       watch_events += ",{\"rev\":" + rev + "," + e.json.substr(1);
-      Fact f = e.fact;
+      Observation f = e.fact;
       f.at = scene_.now();
-      f.who = h.front.name;
+      f.actor = h.front.name;
       See(std::move(f));
     }
     return "{\"rev\":" + rev + ",\"notices\":[" + watch_events + "]}";
@@ -361,10 +362,10 @@
   void begin(Host& h) {
     if (h.served)
       return;
-    Fact up;
-    up.deed = Deed::kFrontUp;
+    Observation up;
+    up.kind = ObservationKind::kFrontUp;
     up.at = scene_.now();
-    up.who = h.front.name;
+    up.actor = h.front.name;
     See(std::move(up));
     h.stopping = false;
     std::uint64_t seed = options_.seed * 7919 + h.host * 31 + static_cast<std::uint64_t>(h.starts);
@@ -385,10 +386,10 @@
   void Kill(Host& h) {
     if (!h.served)
       return;
-    Fact down;
-    down.deed = Deed::kFrontDown;
+    Observation down;
+    down.kind = ObservationKind::kFrontDown;
     down.at = scene_.now();
-    down.who = h.front.name;
+    down.actor = h.front.name;
     See(std::move(down));
     h.served.reset();
   }
@@ -406,33 +407,33 @@
   // ---- what the world does
 
   void Ran(Ms at, const std::string& id, const std::string& thing) override {
-    Fact f;
-    f.deed = Deed::kRan;
+    Observation f;
+    f.kind = ObservationKind::kExecuted;
     f.at = at;
     f.request = id;
-    f.thing = thing;
-    f.who = "office";
+    f.object = thing;
+    f.actor = "office";
     See(std::move(f));
   }
   void ColdPush(const std::string& machine, double share) override {
     for (auto& b : boxes_)
       if (b->make.id == machine && !b->notified_of_start)
         return;
-    Fact f;
-    f.deed = Deed::kColdPush;
+    Observation f;
+    f.kind = ObservationKind::kSlowStartLoad;
     f.at = scene_.now();
-    f.number = share;
-    checker_.Take(f);
+    f.value = share;
+    checker_.HandleObservation(f);
   }
   void PushedOver(Ms at, const std::string& machine, double work, double limit) override {
     for (auto& b : boxes_) {
       if (b->make.id != machine || !b->process)
         continue;
-      Fact f;
-      f.deed = Deed::kPushedOver;
+      Observation f;
+      f.kind = ObservationKind::kSlowStartExceeded;
       f.at = at;
-      f.who = machine;
-      f.number = work;
+      f.actor = machine;
+      f.value = work;
       f.limit = limit;
       // It binds fronts that were told of the start. One that nobody was told of falls over all the
       // same.
@@ -609,19 +610,19 @@
         int many = groups ? static_cast<int>(std::round(256 * t.share)) : std::max(1, t.count);
         for (int i = 0; i < many; ++i) {
           Event e;
-          e.fact.deed = Deed::kPurged;
+          e.fact.kind = ObservationKind::kPurgeAnnounced;
           e.fact.flag = groups;
-          e.fact.number = std::floor(now);
+          e.fact.value = std::floor(now);
           std::string ms = std::to_string(static_cast<long long>(now));
           if (groups) {
             e.fact.group = (i * 167 + 13) % 256;
             e.json = "{\"flush\":{\"collection\":" + std::to_string(e.fact.group) +
                      ",\"ms\":" + ms + "}}";
           } else {
-            e.fact.thing = clients()[static_cast<std::size_t>(i) % crowds_.size()]->AnyPopular();
-            e.json = "{\"flush\":{\"asset\":\"" + e.fact.thing + "\",\"ms\":" + ms + "}}";
+            e.fact.object = clients()[static_cast<std::size_t>(i) % crowds_.size()]->AnyPopular();
+            e.json = "{\"flush\":{\"asset\":\"" + e.fact.object + "\",\"ms\":" + ms + "}}";
           }
-          model_.ApplyPurge(std::floor(now), groups, e.fact.thing, e.fact.group);
+          model_.ApplyPurge(std::floor(now), groups, e.fact.object, e.fact.group);
           Until(site_.purge_notice, [this, e]() mutable { Publish(std::move(e)); });
         }
         return;
@@ -641,7 +642,7 @@
               Until(t.lasts, [this, a = a, b = b] { net_->way(a, b).lost = 0; });
             }
         {
-          Fact f = Unseen(t.lasts + 3000);
+          Observation f = Unseen(t.lasts + 3000);
           f.flag = true;  // answers may come late by no fault of the front's
           See(std::move(f));
         }
@@ -746,10 +747,10 @@
     for (Host* h : group)
       for (bool on : {true, false})
         Until(on ? 0 : t.lasts, [this, h, on] {
-          Fact f;
-          f.deed = Deed::kParted;
+          Observation f;
+          f.kind = ObservationKind::kPartitioned;
           f.at = scene_.now();
-          f.who = h->front.name;
+          f.actor = h->front.name;
           f.group = h->front.store + 1;
           f.flag = on;
           See(std::move(f));
@@ -772,7 +773,7 @@
       note(t, h->front.name);
       fronts = true;
     }
-    Fact f = Unseen(t.lasts + 12000);
+    Observation f = Unseen(t.lasts + 12000);
     f.flag = fronts;  // what a front said may be held up
     See(std::move(f));
     for (std::uint32_t host : hosts) {
@@ -817,16 +818,16 @@
   Site site = SiteFor(script, seed);
   rules::Limits l;
   for (const auto& o : site.terms.request_classes) {
-    rules::RequestClassRule r;
+    rules::RequestClassPolicy r;
     r.name = o.name;
     r.effect = static_cast<rules::Effect>(o.effect);
-    r.memory = o.memory;
-    r.span = rules::Span::kZone;
+    r.deduplication_window = o.memory;
+    r.deduplication_scope = rules::DeduplicationScope::kZone;
     l.request_classes.push_back(r);
   }
   l.purge_done = site.terms.purge_done;
   for (const auto& m : site.makes)
-    l.places[m.id] = {m.store + 1, m.store + 1};
+    l.endpoint_locations[m.id] = {m.store + 1, m.store + 1};
   return l;
 }
 
--- a/src/drill/run.hpp
+++ b/src/drill/run.hpp
@@ -48,9 +48,9 @@
   std::uint64_t events = 0;
   Ms played = 0;
   double took_s = 0;  // real time; in no digest
-  std::vector<rules::Breach> breaches;
-  std::uint64_t counts[rules::kHowMany] = {};
-  rules::Nearest nearest;
+  std::vector<rules::Violation> breaches;
+  std::uint64_t counts[rules::kInvariantCount] = {};
+  rules::ClosestMargins nearest;
   Takings takings;
   std::vector<std::string> request_classes;
   world::Model::Bytes bytes;
--- a/src/rules/rules.cpp
+++ b/src/rules/rules.cpp
@@ -8,346 +8,387 @@
 namespace dunlinwick::rules {
 namespace {
 
-constexpr std::array<const char*, 15> kDeeds{"asked",      "answered",    "left",      "leg_came",
-                                             "leg_ended",  "leg_dropped", "ran",       "listed",
-                                             "purged",     "pushed_over", "cold_push", "front_up",
-                                             "front_down", "parted",      "unseen"};
+constexpr std::array<const char*, 15> kKindNames{
+    "asked",       "answered", "left",       "leg_came", "leg_ended",
+    "leg_dropped", "ran",      "listed",     "purged",   "pushed_over",
+    "cold_push",   "front_up", "front_down", "parted",   "unseen"};
 
-std::string Whole(Ms ms) {
+std::string FormatMs(Ms ms) {
   return std::to_string(static_cast<long long>(ms + 0.5)) + " ms";
 }
 
 }  // namespace
 
-const char* ToString(Deed deed) {
-  return kDeeds[static_cast<std::size_t>(deed)];
+const char* ToString(ObservationKind kind) {
+  return kKindNames[static_cast<std::size_t>(kind)];
 }
 
-const char* ToString(Rule rule) {
-  static const char* const kWords[] = {
+const char* ToString(Invariant invariant) {
+  static const char* const kNames[] = {
       "one final answer, in time",   "no effect twice", "drains kept",
       "cold machines not pushed",    "purges kept",     "refusals not held back",
       "a front alone keeps its zone"};
-  return kWords[static_cast<int>(rule)];
+  return kNames[static_cast<int>(invariant)];
 }
 
-std::string Line(const Fact& f) {
+std::string FormatTraceLine(const Observation& observation) {
   char numbers[160];
-  std::snprintf(numbers, sizeof numbers, "\t%d\t%d\t%d\t%.3f\t%.3f\t%d", f.request_class, f.group,
-                f.status, f.number, f.limit, f.flag ? 1 : 0);
-  char at[40];
-  std::snprintf(at, sizeof at, "%.3f\t", f.at);
-  std::string out = std::string(at) + ToString(f.deed);
-  for (const std::string* one : {&f.request, &f.thing, &f.who, &f.other, &f.word, &f.tag})
-    out.append("\t").append(one->empty() ? "-" : *one);
-  return out + numbers;
+  std::snprintf(numbers, sizeof numbers, "\t%d\t%d\t%d\t%.3f\t%.3f\t%d", observation.request_class,
+                observation.group, observation.status, observation.value, observation.limit,
+                observation.flag ? 1 : 0);
+  char time[40];
+  std::snprintf(time, sizeof time, "%.3f\t", observation.at);
+  std::string text = std::string(time) + ToString(observation.kind);
+  for (const std::string* column : {&observation.request, &observation.object, &observation.actor,
+                                    &observation.subject, &observation.state, &observation.tag})
+    text.append("\t").append(column->empty() ? "-" : *column);
+  return text + numbers;
 }
 
-std::optional<Fact> ReadLine(std::string_view text) {
-  std::vector<std::string> parts;
+std::optional<Observation> ParseTraceLine(std::string_view text) {
+  std::vector<std::string> columns;
   while (true) {
     std::size_t end = text.find('\t');
-    parts.emplace_back(text.substr(0, end));
+    columns.emplace_back(text.substr(0, end));
     if (end == text.npos)
       break;
     text.remove_prefix(end + 1);
   }
-  if (parts.size() != 14)
+  if (columns.size() != 14)
     return std::nullopt;
-  auto number = [](const std::string& t, auto& into) {
-    auto [end, fault] = std::from_chars(t.data(), t.data() + t.size(), into);
-    return fault == std::errc{} && end == t.data() + t.size();
+  auto parse = [](const std::string& column, auto& value) {
+    auto [end, error] = std::from_chars(column.data(), column.data() + column.size(), value);
+    return error == std::errc{} && end == column.data() + column.size();
   };
-  Fact f;
-  auto deed = std::find(kDeeds.begin(), kDeeds.end(), parts[1]);
+  Observation observation;
+  auto kind = std::find(kKindNames.begin(), kKindNames.end(), columns[1]);
   int flag = 0;
-  if (deed == kDeeds.end() || !number(parts[0], f.at) || !number(parts[8], f.request_class) ||
-      !number(parts[9], f.group) || !number(parts[10], f.status) || !number(parts[11], f.number) ||
-      !number(parts[12], f.limit) || !number(parts[13], flag))
+  if (kind == kKindNames.end() || !parse(columns[0], observation.at) ||
+      !parse(columns[8], observation.request_class) || !parse(columns[9], observation.group) ||
+      !parse(columns[10], observation.status) || !parse(columns[11], observation.value) ||
+      !parse(columns[12], observation.limit) || !parse(columns[13], flag))
     return std::nullopt;
-  f.deed = static_cast<Deed>(deed - kDeeds.begin());
-  f.flag = flag != 0;
-  int at = 2;
-  for (std::string* one : {&f.request, &f.thing, &f.who, &f.other, &f.word, &f.tag}) {
-    *one = parts[static_cast<std::size_t>(at++)];
-    if (*one == "-")
-      one->clear();
+  observation.kind = static_cast<ObservationKind>(kind - kKindNames.begin());
+  observation.flag = flag != 0;
+  int index = 2;
+  for (std::string* column : {&observation.request, &observation.object, &observation.actor,
+                              &observation.subject, &observation.state, &observation.tag}) {
+    *column = columns[static_cast<std::size_t>(index++)];
+    if (*column == "-")
+      column->clear();
   }
-  return f;
+  return observation;
 }
 
 Checker::Checker(Limits limits) : limits_(std::move(limits)) {}
 
-void Checker::breach(Rule rule, const Fact& f, const std::string& who, std::string what) {
-  constexpr std::uint64_t kMost = 100;
-  if (++counts_[static_cast<int>(rule)] <= kMost)
-    breaches_.push_back({rule, f.at, f.request, who, std::move(what)});
+void Checker::ReportViolation(Invariant invariant, const Observation& observation,
+                              const std::string& actor, std::string description) {
+  constexpr std::uint64_t kMaxViolations = 100;
+  if (++counts_[static_cast<int>(invariant)] <= kMaxViolations)
+    violations_.push_back(
+        {invariant, observation.at, observation.request, actor, std::move(description)});
 }
 
-// What was owed by then and has not come; and what is forgotten.
-void Checker::Pass(Ms time) {
-  while (!due_.empty() && due_.begin()->first < time) {
-    std::string id = due_.begin()->second;
-    Ms due = due_.begin()->first;
-    due_.erase(due_.begin());
-    auto at = requests_.find(id);
-    if (at == requests_.end())
+// Reports final responses that were due by `time` and are missing; drops requests that ended long
+// ago.
+void Checker::AdvanceTo(Ms time) {
+  while (!deadlines_.empty() && deadlines_.begin()->first < time) {
+    std::string id = deadlines_.begin()->second;
+    Ms deadline = deadlines_.begin()->first;
+    deadlines_.erase(deadlines_.begin());
+    auto found = requests_.find(id);
+    if (found == requests_.end())
       continue;
-    Request& p = at->second;
-    Front& front = fronts_[p.front];
-    if (!p.answered && !p.left && front.up && front.life == p.life && due > unheard_until_) {
-      Fact f;
-      f.at = due;
-      f.request = id;
-      breach(Rule::kAnswer, f, p.front,
-             "no final answer within the " + Whole(p.due - p.asked_at) + " of its client; " +
-                 std::to_string(p.attempts.size()) + " legs came to machines");
+    Request& request = found->second;
+    Front& front = fronts_[request.front];
+    if (!request.answered && !request.client_disconnected && front.up &&
+        front.front_life == request.front_life && deadline > responses_unobserved_until_) {
+      Observation observation;
+      observation.at = deadline;
+      observation.request = id;
+      ReportViolation(Invariant::kFinalResponse, observation, request.front,
+                      "no final response within the " +
+                          FormatMs(request.deadline - request.sent_at) + " of its client; " +
+                          std::to_string(request.attempts.size()) + " attempts reached endpoints");
     }
   }
-  constexpr Ms kKept = 20000;
-  while (!old_.empty() && old_.front().first < time - kKept) {
-    requests_.erase(old_.front().second);
-    old_.pop_front();
+  constexpr Ms kRetention = 20000;
+  while (!expiries_.empty() && expiries_.front().first < time - kRetention) {
+    requests_.erase(expiries_.front().second);
+    expiries_.pop_front();
   }
 }
 
-void Checker::Take(const Fact& f) {
-  Pass(f.at);
-  switch (f.deed) {
-    case Deed::kAsked: {
-      Request p;
-      p.thing = f.thing;
-      p.front = f.who;
-      p.request_class = f.request_class;
-      p.group = f.group;
-      p.asked_at = p.quiet_since = f.at;
-      p.due = f.at + f.number;
-      // Written towards a front that has died, before its client could know: nobody took it.
-      p.life = fronts_[f.who].up ? fronts_[f.who].life : -1;
-      due_.insert({p.due + limits_.slack, f.request});
-      old_.push_back({p.due, f.request});
-      requests_[f.request] = std::move(p);
+void Checker::HandleObservation(const Observation& observation) {
+  AdvanceTo(observation.at);
+  switch (observation.kind) {
+    case ObservationKind::kRequestSent: {
+      Request request;
+      request.object = observation.object;
+      request.front = observation.actor;
+      request.request_class = observation.request_class;
+      request.group = observation.group;
+      request.sent_at = request.idle_since = observation.at;
+      request.deadline = observation.at + observation.value;
+      // Sent to a front that had been killed before its client could notice: no front received it.
+      request.front_life =
+          fronts_[observation.actor].up ? fronts_[observation.actor].front_life : -1;
+      deadlines_.insert({request.deadline + limits_.slack, observation.request});
+      expiries_.push_back({request.deadline, observation.request});
+      requests_[observation.request] = std::move(request);
       return;
     }
-    case Deed::kAnswered:
-      return Answered(f);
-    case Deed::kLeft:
-      if (auto at = requests_.find(f.request); at != requests_.end())
-        at->second.left = true;
+    case ObservationKind::kResponseReceived:
+      return HandleResponse(observation);
+    case ObservationKind::kClientDisconnected:
+      if (auto found = requests_.find(observation.request); found != requests_.end())
+        found->second.client_disconnected = true;
       return;
-    case Deed::kAttemptCame:
-      return AttemptCame(f);
-    case Deed::kAttemptEnded:
-    case Deed::kAttemptDropped:
-      return AttemptEnded(f);
-    case Deed::kRan: {
-      auto at = requests_.find(f.request);
-      if (at == requests_.end() ||
-          limits_.request_classes[static_cast<std::size_t>(at->second.request_class)].effect !=
+    case ObservationKind::kAttemptReceived:
+      return HandleAttemptReceived(observation);
+    case ObservationKind::kAttemptEnded:
+    case ObservationKind::kAttemptDropped:
+      return HandleAttemptEnded(observation);
+    case ObservationKind::kExecuted: {
+      auto found = requests_.find(observation.request);
+      if (found == requests_.end() ||
+          limits_.request_classes[static_cast<std::size_t>(found->second.request_class)].effect !=
               Effect::kExclusive)
         return;
-      auto [before, fresh] = effects_.insert({f.thing, f.request});
-      if (!fresh)
-        breach(Rule::kEffect, f, at->second.front,
-               "the effect of " + f.thing + " ran again; it had run for pull " + before->second);
+      auto [existing, inserted] =
+          executed_effects_.insert({observation.object, observation.request});
+      if (!inserted)
+        ReportViolation(Invariant::kSingleEffect, observation, found->second.front,
+                        "the effect of " + observation.object +
+                            " was executed again; it had been executed for request " +
+                            existing->second);
       return;
     }
-    case Deed::kListed: {
-      auto& leaving = fronts_[f.who].leaving;
-      if (f.word == "ready")
-        leaving.erase(f.other);
+    case ObservationKind::kEndpointUpdated: {
+      auto& leaving = fronts_[observation.actor].leaving_endpoints;
+      if (observation.state == "ready")
+        leaving.erase(observation.subject);
       else
-        leaving.insert({f.other, f.at});  // the first word counts
+        leaving.insert({observation.subject, observation.at});  // the first announcement counts
       return;
     }
-    case Deed::kPurged: {
-      auto& purges = fronts_[f.who].purges;
-      purges.push_back({f.flag, f.thing, f.group, f.number, f.at});
-      // No copy older than a purge is left once it is done everywhere and a pull that met it has
-      // ended.
-      while (purges.front().notified < f.at - limits_.purge_done - 20000)
+    case ObservationKind::kPurgeAnnounced: {
+      auto& purges = fronts_[observation.actor].purges;
+      purges.push_back({observation.flag, observation.object, observation.group, observation.value,
+                        observation.at});
+      // Once a purge is done everywhere and the requests that overlapped with it have ended, no
+      // copy older than it is left.
+      while (purges.front().announced_at < observation.at - limits_.purge_done - 20000)
         purges.pop_front();
       return;
     }
-    case Deed::kPushedOver:
-      return breach(Rule::kCold, f, f.who,
-                    "started cold and was sent " + Whole(f.number) +
-                        " of work in one window, where it bears " + Whole(f.limit));
-    case Deed::kColdPush:
-      nearest_.cold_share = std::max(nearest_.cold_share, f.number);
+    case ObservationKind::kSlowStartExceeded:
+      return ReportViolation(Invariant::kSlowStart, observation, observation.actor,
+                             "is in slow start and was sent " + FormatMs(observation.value) +
+                                 " of work in one window, where its limit is " +
+                                 FormatMs(observation.limit));
+    case ObservationKind::kSlowStartLoad:
+      margins_.slow_start_share = std::max(margins_.slow_start_share, observation.value);
       return;
-    case Deed::kFrontUp: {
-      Front& front = fronts_[f.who];
+    case ObservationKind::kFrontUp: {
+      Front& front = fronts_[observation.actor];
       front.up = true;
-      front.leaving.clear();
+      front.leaving_endpoints.clear();
       front.purges.clear();
       return;
     }
-    case Deed::kFrontDown: {
-      Front& front = fronts_[f.who];
+    case ObservationKind::kFrontDown: {
+      Front& front = fronts_[observation.actor];
       front.up = false;
-      ++front.life;
+      ++front.front_life;
       return;
     }
-    case Deed::kParted: {
-      Front& front = fronts_[f.who];
-      front.parted_in = f.flag ? f.group : -1;
-      front.parted_at = f.at;
+    case ObservationKind::kPartitioned: {
+      Front& front = fronts_[observation.actor];
+      front.partitioned_zone = observation.flag ? observation.group : -1;
+      front.partitioned_at = observation.at;
       return;
     }
-    case Deed::kUnseen:
-      unseen_until_ = std::max(unseen_until_, f.number);
-      if (f.flag)
-        unheard_until_ = std::max(unheard_until_, f.number);
+    case ObservationKind::kUnobserved:
+      unobserved_until_ = std::max(unobserved_until_, observation.value);
+      if (observation.flag)
+        responses_unobserved_until_ = std::max(responses_unobserved_until_, observation.value);
       return;
   }
 }
 
-void Checker::AttemptCame(const Fact& f) {
-  auto at = requests_.find(f.request);
-  if (at == requests_.end())
-    return breach(Rule::kAnswer, f, f.who, "a leg came for a pull that nobody asked for");
-  Request& p = at->second;
-  const RequestClassRule& o = limits_.request_classes[static_cast<std::size_t>(p.request_class)];
-  Front& front = fronts_[p.front];
-  // Drains: as the machine asked, and as the source of a fill.
-  for (const std::string* machine : {&f.who, &f.other}) {
-    auto notified = front.leaving.find(*machine);
-    if (machine->empty() || notified == front.leaving.end() || f.at < unseen_until_)
+void Checker::HandleAttemptReceived(const Observation& observation) {
+  auto found = requests_.find(observation.request);
+  if (found == requests_.end())
+    return ReportViolation(Invariant::kFinalResponse, observation, observation.actor,
+                           "an attempt arrived for a request that no client sent");
+  Request& request = found->second;
+  const RequestClassPolicy& policy =
+      limits_.request_classes[static_cast<std::size_t>(request.request_class)];
+  Front& front = fronts_[request.front];
+  // Drains: the endpoint of the attempt, and the source of its fill.
+  for (const std::string* endpoint : {&observation.actor, &observation.subject}) {
+    auto announced = front.leaving_endpoints.find(*endpoint);
+    if (endpoint->empty() || announced == front.leaving_endpoints.end() ||
+        observation.at < unobserved_until_)
       continue;
-    nearest_.drain_after = std::max(nearest_.drain_after, f.at - notified->second);
-    if (f.at > notified->second + limits_.drain_grace + limits_.slack)
-      breach(Rule::kDrain, f, p.front,
-             (machine == &f.who ? "a leg went to " : "a leg named as its source ") + *machine +
-                 " " + Whole(f.at - notified->second) + " after the front was told that it leaves");
+    margins_.attempt_after_drain =
+        std::max(margins_.attempt_after_drain, observation.at - announced->second);
+    if (observation.at > announced->second + limits_.drain_grace + limits_.slack)
+      ReportViolation(Invariant::kDrain, observation, request.front,
+                      (endpoint == &observation.actor ? "an attempt went to "
+                                                      : "an attempt named as its source ") +
+                          *endpoint + " " + FormatMs(observation.at - announced->second) +
+                          " after the front was notified that it leaves");
   }
-  // What the fleet had decided before the cut may be on its way still, and is taken back only after
-  // the hold.
-  constexpr Ms kDecidedBefore = 2000;
-  if (front.parted_in >= 0 && f.at > front.parted_at + kDecidedBefore) {
-    auto place = limits_.places.find(f.who.substr(0, f.who.find('+')));
-    if (place != limits_.places.end() && place->second.first > 0 &&
-        place->second.first != front.parted_in)
-      breach(Rule::kNear, f, p.front,
-             "cut off from its fleet since " + Whole(f.at - front.parted_at) +
-                 ", it sent a leg to " + f.who + " of another zone");
+  // A failover decision of the fleet from before the partition may still be on its way, and is
+  // reverted only after its hold time.
+  constexpr Ms kDecisionDelay = 2000;
+  if (front.partitioned_zone >= 0 && observation.at > front.partitioned_at + kDecisionDelay) {
+    auto location =
+        limits_.endpoint_locations.find(observation.actor.substr(0, observation.actor.find('+')));
+    if (location != limits_.endpoint_locations.end() && location->second.first > 0 &&
+        location->second.first != front.partitioned_zone)
+      ReportViolation(Invariant::kZoneLocality, observation, request.front,
+                      "partitioned from its fleet for " +
+                          FormatMs(observation.at - front.partitioned_at) +
+                          ", it sent an attempt to " + observation.actor + " of another zone");
   }
-  bool unclear = std::any_of(p.attempts.begin(), p.attempts.end(),
-                             [](const Attempt& l) { return l.fate != Fate::kNotRun; });
-  if (o.effect == Effect::kExclusive && unclear)
-    breach(Rule::kEffect, f, p.front,
-           "an exclusive pull got a further leg, at " + f.who + ", though one at " +
-               p.attempts.front().machine + " may have run");
-  if (o.effect == Effect::kExclusive && p.declined)
-    breach(Rule::kEffect, f, p.front,
-           "an exclusive pull got a leg, at " + f.who + ", after it was declined");
-  if (o.effect == Effect::kIdempotentWithKey && unclear) {
-    // A successor, cache-3+1, stands where cache-3 did.
-    auto place_of = [&](const std::string& machine) {
-      return limits_.places[machine.substr(0, machine.find('+'))];
+  bool may_have_executed = std::any_of(
+      request.attempts.begin(), request.attempts.end(),
+      [](const Attempt& attempt) { return attempt.outcome != AttemptOutcome::kNotExecuted; });
+  if (policy.effect == Effect::kExclusive && may_have_executed)
+    ReportViolation(Invariant::kSingleEffect, observation, request.front,
+                    "an exclusive request got another attempt, at " + observation.actor +
+                        ", although one at " + request.attempts.front().endpoint +
+                        " may have been executed");
+  if (policy.effect == Effect::kExclusive && request.rejected)
+    ReportViolation(
+        Invariant::kSingleEffect, observation, request.front,
+        "an exclusive request got an attempt, at " + observation.actor + ", after it was rejected");
+  if (policy.effect == Effect::kIdempotentWithKey && may_have_executed) {
+    // A replacement, cache-3+1, has the location of cache-3.
+    auto location_of = [&](const std::string& endpoint) {
+      return limits_.endpoint_locations[endpoint.substr(0, endpoint.find('+'))];
     };
-    auto place = place_of(f.who);
-    for (const Attempt& attempt : p.attempts) {
-      auto other = place_of(attempt.machine);
-      bool same = o.span == Span::kEverywhere ||
-                  (o.span == Span::kZone ? place.first == other.first : place == other);
-      if (attempt.fate != Fate::kNotRun && !same)
-        breach(Rule::kEffect, f, p.front,
-               "a ticketed pull that may have run at " + attempt.machine + " went to " + f.who +
-                   ", outside the group that drops its repeats");
-      else if (attempt.fate != Fate::kNotRun && o.memory > 0 &&
-               f.at > attempt.came_at + o.memory + limits_.slack)
-        breach(Rule::kEffect, f, p.front,
-               "a ticketed pull went out again after the time it is remembered");
+    auto location = location_of(observation.actor);
+    for (const Attempt& attempt : request.attempts) {
+      auto other = location_of(attempt.endpoint);
+      bool same_scope =
+          policy.deduplication_scope == DeduplicationScope::kEverywhere ||
+          (policy.deduplication_scope == DeduplicationScope::kZone ? location.first == other.first
+                                                                   : location == other);
+      if (attempt.outcome != AttemptOutcome::kNotExecuted && !same_scope)
+        ReportViolation(Invariant::kSingleEffect, observation, request.front,
+                        "a request with an idempotency key that may have been executed at " +
+                            attempt.endpoint + " went to " + observation.actor +
+                            ", outside its deduplication scope");
+      else if (attempt.outcome != AttemptOutcome::kNotExecuted && policy.deduplication_window > 0 &&
+               observation.at > attempt.received_at + policy.deduplication_window + limits_.slack)
+        ReportViolation(
+            Invariant::kSingleEffect, observation, request.front,
+            "a request with an idempotency key was sent again after its deduplication window");
     }
   }
-  p.attempts.push_back({f.who, f.other, f.at, Fate::kOut, {}, 0});
+  request.attempts.push_back(
+      {observation.actor, observation.subject, observation.at, AttemptOutcome::kInFlight, {}, 0});
 }
 
-void Checker::AttemptEnded(const Fact& f) {
-  auto at = requests_.find(f.request);
-  if (at == requests_.end())
+void Checker::HandleAttemptEnded(const Observation& observation) {
+  auto found = requests_.find(observation.request);
+  if (found == requests_.end())
     return;
-  Request& p = at->second;
-  p.quiet_since = f.at;
-  for (auto attempt = p.attempts.rbegin(); attempt != p.attempts.rend(); ++attempt) {
-    if (attempt->machine != f.who || attempt->fate != Fate::kOut)
+  Request& request = found->second;
+  request.idle_since = observation.at;
+  for (auto attempt = request.attempts.rbegin(); attempt != request.attempts.rend(); ++attempt) {
+    if (attempt->endpoint != observation.actor || attempt->outcome != AttemptOutcome::kInFlight)
       continue;
-    bool never =
-        f.deed == Deed::kAttemptEnded && (f.word == "none" || f.word == "shed" || f.word == "late");
-    attempt->fate = never ? Fate::kNotRun : Fate::kMayHaveRun;
-    attempt->tag = f.tag;
-    attempt->issued = f.number;
+    bool not_executed =
+        observation.kind == ObservationKind::kAttemptEnded &&
+        (observation.state == "none" || observation.state == "shed" || observation.state == "late");
+    attempt->outcome =
+        not_executed ? AttemptOutcome::kNotExecuted : AttemptOutcome::kPossiblyExecuted;
+    attempt->tag = observation.tag;
+    attempt->issued = observation.value;
     return;
   }
 }
 
-void Checker::Answered(const Fact& f) {
-  auto at = requests_.find(f.request);
-  if (at == requests_.end())
-    return breach(Rule::kAnswer, f, f.who, "an answer came for a pull that has ended");
-  Request& p = at->second;
-  const RequestClassRule& o = limits_.request_classes[static_cast<std::size_t>(p.request_class)];
-  if (p.answered)
-    return breach(Rule::kAnswer, f, p.front, "a second answer came");
-  p.answered = true;
-  nearest_.answer_left = std::min(nearest_.answer_left, p.due - f.at);
-  if (f.at > p.due + limits_.slack && f.at > unheard_until_)
-    breach(Rule::kAnswer, f, p.front,
-           "the answer came " + Whole(f.at - p.due) + " after its client's time");
-  bool served = f.status == 200 || f.status == 304;
-  if (served) {
+void Checker::HandleResponse(const Observation& observation) {
+  auto found = requests_.find(observation.request);
+  if (found == requests_.end())
+    return ReportViolation(Invariant::kFinalResponse, observation, observation.actor,
+                           "a response arrived for a request that has ended");
+  Request& request = found->second;
+  const RequestClassPolicy& policy =
+      limits_.request_classes[static_cast<std::size_t>(request.request_class)];
+  if (request.answered)
+    return ReportViolation(Invariant::kFinalResponse, observation, request.front,
+                           "a second response arrived");
+  request.answered = true;
+  margins_.response_margin = std::min(margins_.response_margin, request.deadline - observation.at);
+  if (observation.at > request.deadline + limits_.slack &&
+      observation.at > responses_unobserved_until_)
+    ReportViolation(Invariant::kFinalResponse, observation, request.front,
+                    "the response arrived " + FormatMs(observation.at - request.deadline) +
+                        " after its client's deadline");
+  bool is_served = observation.status == 200 || observation.status == 304;
+  if (is_served) {
     const Attempt* from = nullptr;
-    for (const Attempt& attempt : p.attempts)
-      if (!attempt.tag.empty() && attempt.tag == f.tag)
+    for (const Attempt& attempt : request.attempts)
+      if (!attempt.tag.empty() && attempt.tag == observation.tag)
         from = &attempt;
-    if (!from || !f.flag) {
-      breach(Rule::kAnswer, f, p.front, "served with something that no machine made for it");
+    if (!from || !observation.flag) {
+      ReportViolation(Invariant::kFinalResponse, observation, request.front,
+                      "answered with a body that no endpoint produced for it");
       return;
     }
-    for (const Purge& purge : fronts_[p.front].purges) {
-      if (from->issued >= purge.at ||
-          (purge.whole_group ? purge.group != p.group : purge.thing != p.thing))
+    for (const Purge& purge : fronts_[request.front].purges) {
+      if (from->issued >= purge.purged_at ||
+          (purge.whole_group ? purge.group != request.group : purge.object != request.object))
         continue;
-      // Any leg that was answered by that tag could have been the one that was sent late; the first
-      // is taken.
-      Ms sent = from->came_at;
-      for (const Attempt& attempt : p.attempts)
-        if (attempt.tag == f.tag)
-          sent = std::min(sent, attempt.came_at);
-      nearest_.purge_after = std::max(nearest_.purge_after, sent - purge.notified);
-      if (sent > purge.notified + limits_.purge_grace + limits_.slack)
-        breach(Rule::kPurge, f, p.front,
-               "answered from a copy " + Whole(purge.at - from->issued) +
-                   " older than a purge of its " + (purge.whole_group ? "group" : "object") +
-                   "; the leg went out " + Whole(sent - purge.notified) +
-                   " after the front was told");
+      // Any of the attempts that were answered with that tag could be the one that was sent late;
+      // the first is taken.
+      Ms first_received = from->received_at;
+      for (const Attempt& attempt : request.attempts)
+        if (attempt.tag == observation.tag)
+          first_received = std::min(first_received, attempt.received_at);
+      margins_.attempt_after_purge =
+          std::max(margins_.attempt_after_purge, first_received - purge.announced_at);
+      if (first_received > purge.announced_at + limits_.purge_grace + limits_.slack)
+        ReportViolation(Invariant::kPurge, observation, request.front,
+                        "answered from a copy " + FormatMs(purge.purged_at - from->issued) +
+                            " older than a purge of its " +
+                            (purge.whole_group ? "group" : "object") + "; the attempt was sent " +
+                            FormatMs(first_received - purge.announced_at) +
+                            " after the front was notified");
     }
     return;
   }
-  p.declined = f.status == 429 || f.status == 503;
-  if (!p.declined)
+  request.rejected = observation.status == 429 || observation.status == 503;
+  if (!request.rejected)
     return;
-  bool out = false;
-  for (const Attempt& attempt : p.attempts) {
-    out |= attempt.fate == Fate::kOut;
-    if (o.effect == Effect::kExclusive && attempt.fate != Fate::kNotRun)
-      breach(
-          Rule::kEffect, f, p.front,
-          "an exclusive pull was declined though its leg at " + attempt.machine + " may have run");
+  bool has_attempt_in_flight = false;
+  for (const Attempt& attempt : request.attempts) {
+    has_attempt_in_flight |= attempt.outcome == AttemptOutcome::kInFlight;
+    if (policy.effect == Effect::kExclusive && attempt.outcome != AttemptOutcome::kNotExecuted)
+      ReportViolation(Invariant::kSingleEffect, observation, request.front,
+                      "an exclusive request was rejected although its attempt at " +
+                          attempt.endpoint + " may have been executed");
   }
-  // Where machines have vanished, legs may be out that nobody sees.
-  if (out || f.at < unseen_until_)
+  // Where endpoints have vanished, attempts may be in flight that nobody observes.
+  if (has_attempt_in_flight || observation.at < unobserved_until_)
     return;
-  Ms held = f.at - p.quiet_since;
-  nearest_.held = std::max(nearest_.held, held);
-  if (held > limits_.held_at_most)
-    breach(Rule::kHeld, f, p.front,
-           "declined " + Whole(held) + " after it came or its last leg had ended");
+  Ms delay = observation.at - request.idle_since;
+  margins_.rejection_delay = std::max(margins_.rejection_delay, delay);
+  if (delay > limits_.max_rejection_delay)
+    ReportViolation(Invariant::kPromptRejection, observation, request.front,
+                    "rejected " + FormatMs(delay) + " after it arrived or its last attempt ended");
 }
 
 void Checker::Finish(Ms at) {
-  Pass(at);
+  AdvanceTo(at);
 }
 
 }  // namespace dunlinwick::rules
--- a/src/rules/rules.hpp
+++ b/src/rules/rules.hpp
@@ -1,9 +1,11 @@
-// Judges the five rules, that no refusal is held back, and that a front cut off from its fleet
-// keeps its zone, from what the world saw on the wire: what clients asked and were told, what came
-// to machines, what machines said, what the notice board told. Nothing that a front says of itself
-// goes in. Pure: facts in, breaches out; facts come in the order of their times.
+// Checks invariants on what was observed on the wire: that every request gets one final response in
+// time, that no effect is repeated, that drains, slow start and purges are respected, that no
+// rejection is delayed, and that a front that is partitioned from its fleet keeps its zone. The
+// observations are what clients sent and received, what reached endpoints, what endpoints answered
+// and what the discovery service announced. Nothing that a front reports about itself is used.
+// Pure: observations go in, in the order of their times; violations come out.
 //
-// Every time limit is longer by `slack`, for the way between a front and whoever saw it.
+// Each time limit is extended by `slack`, for the way between a front and the observer.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -18,66 +20,71 @@
 
 using Ms = double;
 
-enum class Deed {
-  kAsked,     // pull, thing, who: the front, offering, group, number: how long its client waits
-  kAnswered,  // pull, who: the front, status, tag, flag: its bytes are whole and those of the tag
-  kLeft,      // pull: its client went before its time
-  kAttemptCame,     // pull, who: the machine, other: the source or ""
-  kAttemptEnded,    // pull, who: the machine, word, tag, number: when the copy was issued
-  kAttemptDropped,  // pull, who: the machine; the front gave it up, or its connection ended
-  kRan,             // pull, thing, who: the machine
-  kListed,  // who: the front that was told, other: the machine, word: ready, draining or gone
-  kPurged,  // who: the front that was told, thing or group (flag: a whole group), number: when it
-            // was purged
-  kPushedOver,  // who: the machine, number: work in the window, limit
-  kColdPush,    // number: share of the limit
-  kFrontUp,     // who
-  kFrontDown,   // who: killed; what it held is owed no more
-  kParted,  // who: the front, group: its zone, flag: from now on, else no more: it is cut off from
-            // a quorum of its fleet
-  kUnseen   // number: until when legs may be on their way to where nobody sees them; flag: answers
-            // too, by a network that loses or holds up what fronts say
+enum class ObservationKind {
+  kRequestSent,  // request, object, actor: the front; request class, group; value: how long the
+                 // client waits
+  kResponseReceived,    // request, actor: the front; status, tag; flag: its body is complete and is
+                        // that of the tag
+  kClientDisconnected,  // request: its client left before the deadline
+  kAttemptReceived,     // request, actor: the endpoint; subject: the source or ""
+  kAttemptEnded,        // request, actor: the endpoint; state, tag, value: when the copy was issued
+  kAttemptDropped,  // request, actor: the endpoint; the front cancelled it, or its connection ended
+  kExecuted,        // request, object, actor: the endpoint
+  kEndpointUpdated,    // actor: the front that was notified; subject: the endpoint; state: ready,
+                       // draining or gone
+  kPurgeAnnounced,     // actor: the front that was notified; object or group (flag: a whole group);
+                       // value: when it was purged
+  kSlowStartExceeded,  // actor: the endpoint; value: work in the window; limit
+  kSlowStartLoad,      // value: share of the limit
+  kFrontUp,            // actor
+  kFrontDown,          // actor: killed; responses to the requests that it held are no longer due
+  kPartitioned,  // actor: the front; group: its zone; flag: whether it is now partitioned from a
+                 // quorum of its fleet
+  kUnobserved    // value: until when attempts may be on their way to where nobody observes them;
+                 // flag: responses too, because the network loses or delays what fronts send
 };
-const char* ToString(Deed deed);
+const char* ToString(ObservationKind kind);
 
-struct Fact {
+// The meaning of the fields is given at each ObservationKind.
+struct Observation {
   Ms at = 0;
-  Deed deed = Deed::kAsked;
+  ObservationKind kind = ObservationKind::kRequestSent;
   std::string request;
-  std::string thing;
-  std::string who;
-  std::string other;
-  std::string word;
+  std::string object;
+  std::string actor;
+  std::string subject;
+  std::string state;
   std::string tag;
   int request_class = 0;
   int group = 0;
   int status = 0;
-  double number = 0;
+  double value = 0;
   double limit = 0;
   bool flag = false;
 };
-// One line of a trace, without its end; and back, nothing where it is none.
-std::string Line(const Fact& fact);
-std::optional<Fact> ReadLine(std::string_view line);
+// One line of a trace, without its line end.
+std::string FormatTraceLine(const Observation& observation);
+std::optional<Observation> ParseTraceLine(
+    std::string_view line);  // nothing if it is not a line of a trace
 
-enum class Rule {
-  kAnswer,
-  kEffect,
+enum class Invariant {
+  kFinalResponse,
+  kSingleEffect,
   kDrain,
-  kCold,
+  kSlowStart,
   kPurge,
-  kHeld,
-  kNear
+  kPromptRejection,
+  kZoneLocality
 };
-constexpr int kHowMany = 7;
-const char* ToString(Rule rule);
+constexpr int kInvariantCount = 7;
+const char* ToString(Invariant invariant);
 
-struct Breach {
-  Rule rule = Rule::kAnswer;
+struct Violation {
+  Invariant invariant = Invariant::kFinalResponse;
   Ms at = 0;
   std::string request;
-  std::string who;
-  std::string what;  // what: in plain words, with what was seen
+  std::string actor;
+  std::string description;  // in plain words, with what was observed
 };
 
 enum class Effect {
@@ -85,117 +92,120 @@
   kIdempotentWithKey,
   kExclusive
 };
-enum class Span {
+enum class DeduplicationScope {
   kEverywhere,
   kZone,
   kCell
 };
-struct RequestClassRule {
+struct RequestClassPolicy {
   std::string name;
   Effect effect = Effect::kIdempotent;
-  Span span = Span::kCell;
-  Ms memory = 0;
+  DeduplicationScope deduplication_scope = DeduplicationScope::kCell;
+  Ms deduplication_window = 0;
 };
 
 struct Limits {
-  std::vector<RequestClassRule> request_classes;
+  std::vector<RequestClassPolicy> request_classes;
   Ms drain_grace = 500;
   Ms purge_grace = 500;
   Ms purge_done = 6000;
   Ms slack = 50;
-  Ms held_at_most = 600;  // after all of its legs have ended, before a decline
+  Ms max_rejection_delay = 600;  // from the end of a request's last attempt to its rejection
   std::map<std::string, std::pair<int, int>>
-      places;  // of machines: zone and cell, for ticketed offerings
+      endpoint_locations;  // zone and cell, for request classes with an idempotency key
 };
 
-// How near the run came to each limit.
-struct Nearest {
-  Ms answer_left = 1e9;   // of a client's time, at the latest answer
-  Ms drain_after = 0;     // a leg to a machine that leaves, after the front was told
-  double cold_share = 0;  // of what a cold machine bears in a window
-  Ms purge_after = 0;     // a leg answered from an older copy, after the front was told
-  Ms held = 0;            // a decline after its pull's last leg had ended
+// How close the run came to each limit.
+struct ClosestMargins {
+  Ms response_margin = 1e9;     // time left to the client's deadline, at the latest response
+  Ms attempt_after_drain = 0;   // an attempt to a leaving endpoint, after the front was notified
+  double slow_start_share = 0;  // of the work that an endpoint in slow start may get in a window
+  Ms attempt_after_purge = 0;   // an attempt answered from an older copy, after the front was
+                                // notified of the purge
+  Ms rejection_delay = 0;       // a rejection after the end of the request's last attempt
 };
 
 class Checker {
  public:
   explicit Checker(Limits limits);
-  void Take(const Fact& fact);
-  void Finish(Ms at);  // what is owed by then
-  const std::vector<Breach>& Breaches() const {
-    return breaches_;
+  void HandleObservation(const Observation& observation);
+  void Finish(Ms at);  // reports what was due by then
+  const std::vector<Violation>& Violations() const {
+    return violations_;
   }
-  std::uint64_t Count(Rule rule) const {
-    return counts_[static_cast<int>(rule)];
+  std::uint64_t Count(Invariant invariant) const {
+    return counts_[static_cast<int>(invariant)];
   }
-  bool Kept() const {
-    return breaches_.empty();
+  bool AllHold() const {
+    return violations_.empty();
   }
-  const Nearest& nearest() const {
-    return nearest_;
+  const ClosestMargins& margins() const {
+    return margins_;
   }
 
  private:
-  enum class Fate {
-    kOut,
-    kNotRun,
-    kMayHaveRun
+  enum class AttemptOutcome {
+    kInFlight,
+    kNotExecuted,
+    kPossiblyExecuted
   };
   struct Attempt {
-    std::string machine;
+    std::string endpoint;
     std::string source;
-    Ms came_at = 0;
-    Fate fate = Fate::kOut;
+    Ms received_at = 0;
+    AttemptOutcome outcome = AttemptOutcome::kInFlight;
     std::string tag;
     Ms issued = 0;
   };
   struct Request {
-    std::string thing;
+    std::string object;
     std::string front;
     int request_class = 0;
     int group = 0;
-    int life = 0;
-    Ms asked_at = 0;
-    Ms due = 0;
-    Ms quiet_since = 0;
+    int front_life = 0;  // Front::front_life when the request was sent; -1: the front was down
+    Ms sent_at = 0;
+    Ms deadline = 0;
+    Ms idle_since = 0;
     bool answered = false;
-    bool declined = false;
-    bool left = false;
+    bool rejected = false;
+    bool client_disconnected = false;
     std::vector<Attempt> attempts;
   };
   struct Purge {
     bool whole_group = false;
-    std::string thing;
+    std::string object;
     int group = 0;
-    Ms at = 0;
-    Ms notified = 0;
+    Ms purged_at = 0;
+    Ms announced_at = 0;
   };
   struct Front {
-    int life = 0;
+    int front_life = 0;  // how often it was killed
     bool up = false;
-    int parted_in = -1;  // its zone, while it is cut off from a quorum of its fleet
-    Ms parted_at = 0;
-    std::map<std::string, Ms> leaving;  // machines; emptied when they are ready again
-    std::deque<Purge> purges;           // emptied some time after they are done everywhere
+    int partitioned_zone = -1;  // its zone, while it is partitioned from a quorum of its fleet
+    Ms partitioned_at = 0;
+    std::map<std::string, Ms>
+        leaving_endpoints;     // since when; an endpoint is removed when it is ready again
+    std::deque<Purge> purges;  // removed some time after they are done everywhere
   };
-  void breach(Rule rule, const Fact& fact, const std::string& who, std::string what);
-  void Pass(Ms time);
-  void AttemptCame(const Fact& f);
-  void AttemptEnded(const Fact& f);
-  void Answered(const Fact& f);
+  void ReportViolation(Invariant invariant, const Observation& observation,
+                       const std::string& actor, std::string description);
+  void AdvanceTo(Ms time);
+  void HandleAttemptReceived(const Observation& observation);
+  void HandleAttemptEnded(const Observation& observation);
+  void HandleResponse(const Observation& observation);
 
   Limits limits_;
-  Ms unseen_until_ = 0;
-  Ms unheard_until_ = 0;
-  std::map<std::string, Request> requests_;  // emptied some time after their end
-  std::multimap<Ms, std::string> due_;
-  std::deque<std::pair<Ms, std::string>> old_;
+  Ms unobserved_until_ = 0;
+  Ms responses_unobserved_until_ = 0;
+  std::map<std::string, Request> requests_;  // removed some time after their deadline
+  std::multimap<Ms, std::string> deadlines_;
+  std::deque<std::pair<Ms, std::string>> expiries_;
   std::map<std::string, Front> fronts_;
   std::map<std::string, std::string>
-      effects_;                   // exclusive things that ran, with the pull; by the run's length
-  std::vector<Breach> breaches_;  // the first hundred of each rule
-  std::uint64_t counts_[kHowMany] = {};
-  Nearest nearest_;
+      executed_effects_;  // exclusive object to its request; bounded by the length of the run
+  std::vector<Violation> violations_;  // the first hundred of each invariant
+  std::uint64_t counts_[kInvariantCount] = {};
+  ClosestMargins margins_;
 };
 
 }  // namespace dunlinwick::rules
--- a/tests/drill_test.cpp
+++ b/tests/drill_test.cpp
@@ -10,9 +10,9 @@
 
 using namespace dunlinwick;
 using drill::Script;
-using rules::Deed;
-using rules::Fact;
-using rules::Rule;
+using rules::Invariant;
+using rules::Observation;
+using rules::ObservationKind;
 
 namespace {
 
@@ -84,129 +84,130 @@
 
 rules::Limits Limits() {
   rules::Limits l;
-  l.request_classes = {{"video", rules::Effect::kIdempotent, rules::Span::kCell, 0},
-                       {"order", rules::Effect::kExclusive, rules::Span::kCell, 0},
-                       {"stamp", rules::Effect::kIdempotentWithKey, rules::Span::kZone, 5000}};
-  l.places = {{"c1", {1, 1}}, {"c2", {1, 1}}, {"p", {0, 0}}};
+  l.request_classes = {
+      {"video", rules::Effect::kIdempotent, rules::DeduplicationScope::kCell, 0},
+      {"order", rules::Effect::kExclusive, rules::DeduplicationScope::kCell, 0},
+      {"stamp", rules::Effect::kIdempotentWithKey, rules::DeduplicationScope::kZone, 5000}};
+  l.endpoint_locations = {{"c1", {1, 1}}, {"c2", {1, 1}}, {"p", {0, 0}}};
   return l;
 }
-Fact MakeFact(rules::Ms at, Deed deed, const std::string& request = "a") {
-  Fact f;
+Observation MakeFact(rules::Ms at, ObservationKind deed, const std::string& request = "a") {
+  Observation f;
   f.at = at;
-  f.deed = deed;
+  f.kind = deed;
   f.request = request;
-  f.thing = "t";
-  f.who = "f";
+  f.object = "t";
+  f.actor = "f";
   return f;
 }
-Fact Asked(rules::Ms at, int request_class = 0, rules::Ms ttl = 1000) {
-  Fact f = MakeFact(at, Deed::kAsked);
+Observation Asked(rules::Ms at, int request_class = 0, rules::Ms ttl = 1000) {
+  Observation f = MakeFact(at, ObservationKind::kRequestSent);
   f.request_class = request_class;
-  f.number = ttl;
+  f.value = ttl;
   return f;
 }
-Fact Came(rules::Ms at, const std::string& machine, const std::string& source = "") {
-  Fact f = MakeFact(at, Deed::kAttemptCame);
-  f.who = machine;
-  f.other = source;
+Observation Came(rules::Ms at, const std::string& machine, const std::string& source = "") {
+  Observation f = MakeFact(at, ObservationKind::kAttemptReceived);
+  f.actor = machine;
+  f.subject = source;
   return f;
 }
-Fact Ended(rules::Ms at, const std::string& machine, const std::string& word,
-           const std::string& tag = "", rules::Ms issued = 0) {
-  Fact f = MakeFact(at, Deed::kAttemptEnded);
-  f.who = machine;
-  f.word = word;
+Observation Ended(rules::Ms at, const std::string& machine, const std::string& word,
+                  const std::string& tag = "", rules::Ms issued = 0) {
+  Observation f = MakeFact(at, ObservationKind::kAttemptEnded);
+  f.actor = machine;
+  f.state = word;
   f.tag = tag;
-  f.number = issued;
+  f.value = issued;
   return f;
 }
-Fact Answer(rules::Ms at, int status, const std::string& tag = "") {
-  Fact f = MakeFact(at, Deed::kAnswered);
+Observation Answer(rules::Ms at, int status, const std::string& tag = "") {
+  Observation f = MakeFact(at, ObservationKind::kResponseReceived);
   f.status = status;
   f.tag = tag;
   f.flag = true;
   return f;
 }
-Fact Listed(rules::Ms at, const std::string& machine, const std::string& word) {
-  Fact f = MakeFact(at, Deed::kListed, "");
-  f.other = machine;
-  f.word = word;
+Observation Listed(rules::Ms at, const std::string& machine, const std::string& word) {
+  Observation f = MakeFact(at, ObservationKind::kEndpointUpdated, "");
+  f.subject = machine;
+  f.state = word;
   return f;
 }
-Fact Purged(rules::Ms at, rules::Ms when, bool group = false) {
-  Fact f = MakeFact(at, Deed::kPurged, "");
-  f.number = when;
+Observation Purged(rules::Ms at, rules::Ms when, bool group = false) {
+  Observation f = MakeFact(at, ObservationKind::kPurgeAnnounced, "");
+  f.value = when;
   f.flag = group;
   return f;
 }
-Fact Ran(rules::Ms at, const std::string& request) {
-  return MakeFact(at, Deed::kRan, request);
+Observation Ran(rules::Ms at, const std::string& request) {
+  return MakeFact(at, ObservationKind::kExecuted, request);
 }
 
 void TheCheckerTellsBreachesFromGoodRuns() {
   struct Case {
     const char* name;
-    std::vector<Fact> facts;
-    std::vector<Rule> broken;
+    std::vector<Observation> facts;
+    std::vector<Invariant> broken;
   };
-  Fact down = MakeFact(300, Deed::kFrontDown, ""), left = MakeFact(500, Deed::kLeft),
-       second = Asked(600, 1);
+  Observation down = MakeFact(300, ObservationKind::kFrontDown, ""),
+              left = MakeFact(500, ObservationKind::kClientDisconnected), second = Asked(600, 1);
   second.request = "b";
-  Fact dropped = MakeFact(50, Deed::kAttemptDropped);
-  dropped.who = "c1";
+  Observation dropped = MakeFact(50, ObservationKind::kAttemptDropped);
+  dropped.actor = "c1";
   std::vector<Case> cases{
       {"finished",
        {Asked(0), Came(5, "c1"), Ended(50, "c1", "hit", "x"), Answer(60, 200, "x")},
        {}},
-      {"no answer", {Asked(0), Came(5, "c1")}, {Rule::kAnswer}},
+      {"no answer", {Asked(0), Came(5, "c1")}, {Invariant::kFinalResponse}},
       {"no answer, but the front died", {Asked(0), Came(5, "c1"), down}, {}},
       {"no answer, but the client left", {Asked(0), Came(5, "c1"), left}, {}},
       {"two answers",
        {Asked(0), Came(5, "c1"), Ended(50, "c1", "hit", "x"), Answer(60, 200, "x"),
         Answer(61, 200, "x")},
-       {Rule::kAnswer}},
+       {Invariant::kFinalResponse}},
       {"in the slack", {Asked(0), Came(5, "c1"), Answer(1040, 502)}, {}},
       {"made up",
        {Asked(0), Came(5, "c1"), Ended(50, "c1", "hit", "x"), Answer(60, 200, "y")},
-       {Rule::kAnswer}},
-      {"a leg for nobody", {Came(5, "c1")}, {Rule::kAnswer}},
+       {Invariant::kFinalResponse}},
+      {"a leg for nobody", {Came(5, "c1")}, {Invariant::kFinalResponse}},
       {"exclusive, moved on from what never ran",
        {Asked(0, 1), Came(5, "c1"), Ended(9, "c1", "shed"), Came(12, "c2"),
         Ended(20, "c2", "hit", "x"), Answer(25, 200, "x")},
        {}},
       {"exclusive, again after a break",
        {Asked(0, 1), Came(5, "c1"), dropped, Came(60, "c2"), Answer(70, 502)},
-       {Rule::kEffect}},
+       {Invariant::kSingleEffect}},
       {"exclusive, again beside one that is out",
        {Asked(0, 1), Came(5, "c1"), Came(6, "c2"), Answer(70, 502)},
-       {Rule::kEffect}},
+       {Invariant::kSingleEffect}},
       {"exclusive, declined after a break",
        {Asked(0, 1), Came(5, "c1"), dropped, Answer(60, 503)},
-       {Rule::kEffect}},
+       {Invariant::kSingleEffect}},
       {"exclusive, abandoned after a break",
        {Asked(0, 1), Came(5, "c1"), dropped, Answer(60, 502)},
        {}},
       {"an effect ran twice",
        {Asked(0, 1), Ran(10, "a"), Answer(20, 502), second, Ran(610, "b")},
-       {Rule::kEffect, Rule::kAnswer}},
+       {Invariant::kSingleEffect, Invariant::kFinalResponse}},
       {"ticketed, again in its group",
        {Asked(0, 2), Came(5, "c1"), dropped, Came(60, "c2"), Answer(70, 502)},
        {}},
       {"ticketed, again outside",
        {Asked(0, 2), Came(5, "c1"), dropped, Came(60, "p"), Answer(70, 502)},
-       {Rule::kEffect}},
+       {Invariant::kSingleEffect}},
       {"ticketed, after its memory",
        {Asked(0, 2, 9000), Came(5, "c1"), dropped, Came(5100, "c2"), Answer(5200, 502)},
-       {Rule::kEffect}},
+       {Invariant::kSingleEffect}},
       {"a drain in its grace",
        {Listed(0, "c1", "draining"), Asked(400), Came(540, "c1"), Answer(600, 502)},
        {}},
       {"a drain past it",
        {Listed(0, "c1", "draining"), Asked(400), Came(560, "c1"), Answer(600, 502)},
-       {Rule::kDrain}},
+       {Invariant::kDrain}},
       {"as a source",
        {Listed(0, "p", "gone"), Asked(400), Came(560, "c1", "p"), Answer(600, 502)},
-       {Rule::kDrain}},
+       {Invariant::kDrain}},
       {"ready again",
        {Listed(0, "c1", "draining"), Listed(100, "c1", "ready"), Asked(400), Came(900, "c1"),
         Answer(950, 502)},
@@ -214,15 +215,15 @@
       {"told twice: the first word counts",
        {Listed(0, "c1", "draining"), Listed(400, "c1", "gone"), Asked(401), Came(700, "c1"),
         Answer(750, 502)},
-       {Rule::kDrain}},
+       {Invariant::kDrain}},
       {"a copy older than a purge, long told",
        {Purged(0, -10), Asked(600), Came(605, "c1"), Ended(650, "c1", "hit", "x", -20),
         Answer(660, 200, "x")},
-       {Rule::kPurge}},
+       {Invariant::kPurge}},
       {"of its group",
        {Purged(0, -10, true), Asked(600), Came(605, "c1"), Ended(650, "c1", "hit", "x", -20),
         Answer(660, 200, "x")},
-       {Rule::kPurge}},
+       {Invariant::kPurge}},
       {"a copy newer than it",
        {Purged(0, -10), Asked(600), Came(605, "c1"), Ended(650, "c1", "hit", "x", -5),
         Answer(660, 200, "x")},
@@ -235,32 +236,32 @@
       {"declined after its leg's end",
        {Asked(0), Came(5, "c1"), Ended(900, "c1", "shed"), Answer(910, 503)},
        {}},
-      {"held back", {Asked(0), Answer(700, 503)}, {Rule::kHeld}},
+      {"held back", {Asked(0), Answer(700, 503)}, {Invariant::kPromptRejection}},
       {"held back after its leg's end",
        {Asked(0), Came(5, "c1"), Ended(100, "c1", "shed"), Answer(800, 503)},
-       {Rule::kHeld}},
+       {Invariant::kPromptRejection}},
   };
   for (const Case& c : cases) {
     rules::Checker checker(Limits());
-    checker.Take([] {
-      Fact f = MakeFact(-1, Deed::kFrontUp, "");
+    checker.HandleObservation([] {
+      Observation f = MakeFact(-1, ObservationKind::kFrontUp, "");
       return f;
     }());
-    for (const Fact& f : c.facts) {
-      auto again = rules::ReadLine(rules::Line(f));  // as a trace keeps it
-      assert(again && rules::Line(*again) == rules::Line(f));
-      checker.Take(*again);
+    for (const Observation& f : c.facts) {
+      auto again = rules::ParseTraceLine(rules::FormatTraceLine(f));  // as a trace keeps it
+      assert(again && rules::FormatTraceLine(*again) == rules::FormatTraceLine(f));
+      checker.HandleObservation(*again);
     }
     checker.Finish(60000);
-    std::vector<Rule> got;
-    for (const rules::Breach& b : checker.Breaches())
-      got.push_back(b.rule);
+    std::vector<Invariant> got;
+    for (const rules::Violation& b : checker.Violations())
+      got.push_back(b.invariant);
     if (got != c.broken)
       std::fprintf(stderr, "%s: %zu breaches\n", c.name, got.size());
     assert(got == c.broken);
   }
   for (const char* bad : {"", "x", "1.0\tasked", "1.0\tasket\t-\t-\t-\t-\t-\t-\t0\t0\t0\t0\t0\t0"})
-    assert(!rules::ReadLine(bad));
+    assert(!rules::ParseTraceLine(bad));
 }
 
 // ---- runs
@@ -305,7 +306,7 @@
   options.breaker = ignores->breaker;
   options.shrink_runs = 25;
   drill::Hunted h = drill::Hunt(s, options);
-  assert(h.failing.size() == 1 && h.shrunk.size() == 1 && h.shrunk[0].rule == Rule::kDrain);
+  assert(h.failing.size() == 1 && h.shrunk.size() == 1 && h.shrunk[0].rule == Invariant::kDrain);
   const Script& small = h.shrunk[0].script;
   assert(small.troubles.size() == 1 && small.troubles[0].what == drill::What::kDrain &&
          small.length <= 6000);
@@ -319,7 +320,7 @@
 }
 
 void EveryBrokenFrontIsCaughtByItsRule() {
-  int by_rule[rules::kHowMany] = {};
+  int by_rule[rules::kInvariantCount] = {};
   for (const mutants::Mutant& m : mutants::All()) {
     mutants::Verdict v = mutants::Judge(m, 3);
     if (!v.by_its_rule || !v.unbroken_kept)
--- a/tests/mutants.cpp
+++ b/tests/mutants.cpp
@@ -7,7 +7,7 @@
 
 using drill::Break;
 using exchange::RequestRouter;
-using rules::Rule;
+using rules::Invariant;
 
 namespace {
 
@@ -363,47 +363,48 @@
 
 const std::vector<Mutant>& All() {
   static const std::vector<Mutant> kList{
-      {"loses-refusals", "what is declined or abandoned is never told", Rule::kAnswer,
+      {"loses-refusals", "what is declined or abandoned is never told", Invariant::kFinalResponse,
        Made<LosesRefusals>(), kCrowd},
-      {"forgets-to-wake", "neither a pull nor a leg is ended by its time", Rule::kAnswer,
-       Made<ForgetsToWake>(),
+      {"forgets-to-wake", "neither a pull nor a leg is ended by its time",
+       Invariant::kFinalResponse, Made<ForgetsToWake>(),
        R"({"length_s": 20, "troubles": [{"what": "swallowed", "whom": "cache", "count": 0, "at_s": 2, "for_s": 15, "share": 0.05},
           {"what": "swallowed", "whom": "office", "at_s": 2, "for_s": 15, "share": 0.3}]})"},
-      {"answers-twice", "one refusal in ten is written twice", Rule::kAnswer, Made<AnswersTwice>(),
-       kCrowd},
-      {"answers-too-late", "a refusal comes after its client's time", Rule::kAnswer,
+      {"answers-twice", "one refusal in ten is written twice", Invariant::kFinalResponse,
+       Made<AnswersTwice>(), kCrowd},
+      {"answers-too-late", "a refusal comes after its client's time", Invariant::kFinalResponse,
        Made<AnswersTooLate>(), kCrowd},
-      {"makes-up-bytes", "one answer in fifty has a byte changed", Rule::kAnswer,
+      {"makes-up-bytes", "one answer in fifty has a byte changed", Invariant::kFinalResponse,
        Made<MakesUpBytes>(), R"({"length_s": 8})"},
-      {"repeats-exclusive", "an exclusive pull goes out again after an unclear end", Rule::kEffect,
-       Made<RepeatsExclusive>(), kBrokenAttempts},
+      {"repeats-exclusive", "an exclusive pull goes out again after an unclear end",
+       Invariant::kSingleEffect, Made<RepeatsExclusive>(), kBrokenAttempts},
       {"declines-what-may-have-run", "an exclusive pull with an unclear end is declined",
-       Rule::kEffect, Made<DeclinesWhatMayHaveRun>(), kBrokenAttempts},
-      {"doubles-exclusive", "an exclusive pull gets two legs at once", Rule::kEffect,
+       Invariant::kSingleEffect, Made<DeclinesWhatMayHaveRun>(), kBrokenAttempts},
+      {"doubles-exclusive", "an exclusive pull gets two legs at once", Invariant::kSingleEffect,
        Made<DoublesExclusive>(), R"({"length_s": 8})"},
       {"leaves-the-group", "a ticketed pull with an unclear end goes to another group",
-       Rule::kEffect, Made<LeavesTheGroup>(), kBrokenTickets},
-      {"ignores-drains", "legs go on to a cache that drains", Rule::kDrain, Made<IgnoresDrains>(),
-       kDrains},
-      {"fills-from-drained", "an area cache that drains is still named as a source", Rule::kDrain,
-       Made<FillsFromDrained>(), kDrains},
-      {"takes-cold-for-warm", "a cache that has just started gets its full share", Rule::kCold,
-       Made<TakesColdForWarm>(), kColdCaches},
+       Invariant::kSingleEffect, Made<LeavesTheGroup>(), kBrokenTickets},
+      {"ignores-drains", "legs go on to a cache that drains", Invariant::kDrain,
+       Made<IgnoresDrains>(), kDrains},
+      {"fills-from-drained", "an area cache that drains is still named as a source",
+       Invariant::kDrain, Made<FillsFromDrained>(), kDrains},
+      {"takes-cold-for-warm", "a cache that has just started gets its full share",
+       Invariant::kSlowStart, Made<TakesColdForWarm>(), kColdCaches},
       {"takes-cold-area-for-warm", "an area cache that has just started gets all its fills",
-       Rule::kCold, Made<TakesColdAreaForWarm>(), kColdAreas},
-      {"forgets-purges", "purges of objects are not passed on", Rule::kPurge, Made<ForgetsPurges>(),
-       kPurges},
-      {"forgets-group-purges", "purges of groups are not passed on", Rule::kPurge,
+       Invariant::kSlowStart, Made<TakesColdAreaForWarm>(), kColdAreas},
+      {"forgets-purges", "purges of objects are not passed on", Invariant::kPurge,
+       Made<ForgetsPurges>(), kPurges},
+      {"forgets-group-purges", "purges of groups are not passed on", Invariant::kPurge,
        Made<ForgetsGroupPurges>(), kPurges},
-      {"asks-no-age", "no leg says how old a copy may be", Rule::kPurge, Made<AsksNoAge>(),
+      {"asks-no-age", "no leg says how old a copy may be", Invariant::kPurge, Made<AsksNoAge>(),
        kPurges},
-      {"holds-refusals", "a refusal is held until near its client's time", Rule::kHeld,
-       Made<HoldsRefusals>(), kCrowd},
-      {"goes-far", "half the pulls go to another zone, whatever the fleet says", Rule::kNear,
-       Made<GoesFar>(), kAlone},
-      {"goes-by-its-own-view", "a front leaves its zone by what it alone sees", Rule::kNear,
-       Made<GoesByItsOwnView>(), kAlone},
-      {"holds-a-while", "a refusal is held for a second", Rule::kHeld, Made<HoldsAWhile>(), kCrowd},
+      {"holds-refusals", "a refusal is held until near its client's time",
+       Invariant::kPromptRejection, Made<HoldsRefusals>(), kCrowd},
+      {"goes-far", "half the pulls go to another zone, whatever the fleet says",
+       Invariant::kZoneLocality, Made<GoesFar>(), kAlone},
+      {"goes-by-its-own-view", "a front leaves its zone by what it alone sees",
+       Invariant::kZoneLocality, Made<GoesByItsOwnView>(), kAlone},
+      {"holds-a-while", "a refusal is held for a second", Invariant::kPromptRejection,
+       Made<HoldsAWhile>(), kCrowd},
   };
   return kList;
 }
@@ -420,8 +421,8 @@
       continue;
     v.caught = true;
     v.seed = seed;
-    for (const rules::Breach& b : o.breaches)
-      if (b.rule == m.breaks) {
+    for (const rules::Violation& b : o.breaches)
+      if (b.invariant == m.breaks) {
         v.by_its_rule = true;
         v.first = b;
         break;
--- a/tests/mutants.hpp
+++ b/tests/mutants.hpp
@@ -12,7 +12,7 @@
 struct Mutant {
   std::string name;
   std::string what;
-  rules::Rule breaks;
+  rules::Invariant breaks;
   drill::Breaker breaker;
   std::string drill;  // JSON, as a script's file
 };
@@ -24,7 +24,7 @@
   bool by_its_rule = false;
   bool unbroken_kept = false;
   std::uint64_t seed = 0;  // with which it was caught
-  rules::Breach first;     // of its rule, where that was found
+  rules::Violation first;  // of its rule, where that was found
 };
 // Up to `seeds` runs until it is caught; the unbroken front plays the same.
 Verdict Judge(const Mutant& mutant, std::uint64_t seeds);
