--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -65,7 +65,7 @@
         if (j.out == 4)
           judge.push_back(j.at - 10000);
       for (members::Id id = 0; id < n; ++id)
-        missed += sim.Up(id) && sim.verdicts(id).verdict().out != 4;
+        missed += sim.Up(id) && sim.verdicts(id).decision().unavailable_zones != 4;
     }
     fleet::Sim lossy(t);
     lossy.Everywhere([](fleet::Link& l) { l.loss = 0.3; });
--- a/src/failover/health.hpp
+++ b/src/failover/health.hpp
@@ -1,7 +1,7 @@
-// What a front can use of its own zone's caches, as its module holds it: the share, by weight, of
-// those listed as ready that are not set aside. Pure: list news and the module's words in. It is
-// this front's opinion, not a verdict. Bounds: machines as listed; one that left is forgotten with
-// the news of it.
+// The share of its own zone's caches that a front can use: by weight, of those that are listed as
+// ready, the ones that are not ejected. Pure: endpoint list updates and health reports of the logic
+// go in. It is this front's observation, not the failover decision. Bounds: the endpoints that are
+// listed; one that leaves the list is dropped with that update.
 #pragma once
 #include <map>
 #include <set>
@@ -10,53 +10,55 @@
 
 namespace dunlinwick::failover {
 
-class Health {
+class ZoneCacheHealth {
  public:
-  // `isCache`: whether a kind is a cache, neither parent nor origin.
-  Health(int zone, int parent_kind, int origin_kind)
+  // Endpoints of `parent_kind` and `origin_kind` are no caches; all other kinds are.
+  ZoneCacheHealth(int zone, int parent_kind, int origin_kind)
       : zone_(zone), parent_kind_(parent_kind), origin_kind_(origin_kind) {}
-  void Take(const ListNews& news) {
-    if (news.listing == Listing::kFailed)
+  void Update(const ListNews& update) {
+    if (update.listing == Listing::kFailed)
       return;
-    if (news.listing != Listing::kChanges)
+    if (update.listing != Listing::kChanges)
       caches_.clear();
-    for (const ListEntry& e : news.entries) {
-      bool counts = e.zone == zone_ && e.kind != parent_kind_ && e.kind != origin_kind_;
-      if (!counts || e.standing != Standing::kReady)
-        caches_.erase(e.cache);
+    for (const ListEntry& entry : update.entries) {
+      bool is_zone_cache =
+          entry.zone == zone_ && entry.kind != parent_kind_ && entry.kind != origin_kind_;
+      if (!is_zone_cache || entry.standing != Standing::kReady)
+        caches_.erase(entry.cache);
       else
-        caches_[e.cache] = e.weight > 0 ? e.weight : 1;
+        caches_[entry.cache] = entry.weight > 0 ? entry.weight : 1;
     }
-    notified_ = notified_ || !caches_.empty();
+    has_listed_cache_ = has_listed_cache_ || !caches_.empty();
   }
-  void Take(const TellHealth& notified) {
-    constexpr std::size_t kMost = 1024;
-    if (!notified.ejected)
-      return void(ejected_.erase(notified.cache));
-    if (ejected_.size() >= kMost)
+  void Update(const TellHealth& report) {
+    constexpr std::size_t kMaxEjected = 1024;
+    if (!report.ejected)
+      return void(ejected_.erase(report.cache));
+    if (ejected_.size() >= kMaxEjected)
       std::erase_if(ejected_, [&](std::uint32_t id) { return !caches_.count(id); });
-    ejected_.insert(notified.cache);
+    ejected_.insert(report.cache);
   }
-  // 0 to 1; below 0 before the first cache of the zone was listed: no opinion.
-  double Share() const {
-    if (!notified_)
+  // 0 to 1; negative before the first cache of the zone was listed: unknown.
+  double UsableShare() const {
+    if (!has_listed_cache_)
       return -1;
-    double all = 0, up = 0;
+    double total = 0, usable = 0;
     for (const auto& [id, weight] : caches_) {
-      all += weight;
-      up += ejected_.count(id) ? 0 : weight;
+      total += weight;
+      usable += ejected_.count(id) ? 0 : weight;
     }
-    return all > 0 ? up / all : 0;
+    return total > 0 ? usable / total : 0;
   }
 
  private:
   int zone_;
   int parent_kind_;
   int origin_kind_;
-  bool notified_ = false;
+  bool has_listed_cache_ = false;
   std::map<std::uint32_t, double> caches_;  // weights
-  // The module's words outlive the list's: a cache that drains and is ready again is still aside.
-  // Emptied by the module's word that it is back, and past the bound of those that are not listed.
+  // Outlives the list's entries: a cache that drains and becomes ready again is still ejected.
+  // An entry is removed when the logic reports the cache as readmitted; when the bound is reached,
+  // those that are not listed are removed.
   std::set<std::uint32_t> ejected_;
 };
 
--- a/src/failover/living.hpp
+++ b/src/failover/living.hpp
@@ -1,18 +1,18 @@
-// From membership to the verdict: the members that are not dead, with what each has said in its
-// note.
+// From membership to the failover decision: the members that are not dead, each with the
+// observation that its piggybacked payload carries.
 #pragma once
 #include "failover/verdict.hpp"
 #include "members/swim.hpp"
 
 namespace dunlinwick::failover {
 
-inline std::vector<Peer> Living(const members::Swim& swim) {
-  std::vector<Peer> all;
+inline std::vector<Peer> AliveMembers(const members::Swim& swim) {
+  std::vector<Peer> peers;
   for (const auto& [id, m] : swim.Members())
     if (m.state != members::State::kDead)
-      all.push_back({id, m.state == members::State::kSuspect, m.noted,
-                     m.noted ? Unpack(m.note.bits) : Opinion{}});
-  return all;
+      peers.push_back({id, m.state == members::State::kSuspect, m.noted,
+                       m.noted ? Unpack(m.note.bits) : ZoneHealthObservation{}});
+  return peers;
 }
 
 }  // namespace dunlinwick::failover
--- a/src/failover/verdict.cpp
+++ b/src/failover/verdict.cpp
@@ -7,188 +7,203 @@
 
 namespace dunlinwick::failover {
 
-// 16 zones fit a note beside the epoch; the bound is checked where the fleet is read.
-std::uint64_t Pack(const Opinion& o) {
+// The piggybacked payload has room for 16 zones beside the epoch; the bound is checked where the
+// fleet's configuration is read.
+std::uint64_t Pack(const ZoneHealthObservation& observation) {
   std::uint64_t health =
-      o.health < 0 ? 255 : static_cast<std::uint64_t>(std::lround(std::min(o.health, 1.0) * 254));
-  return (std::uint64_t{std::min(o.epoch, 0xffffffu)} << 40) | health << 32 |
-         ((o.out & 0xffff) << 16) | (o.verdict & 0xffff);
+      observation.health < 0
+          ? 255
+          : static_cast<std::uint64_t>(std::lround(std::min(observation.health, 1.0) * 254));
+  return (std::uint64_t{std::min(observation.epoch, 0xffffffu)} << 40) | health << 32 |
+         ((observation.unavailable_zones & 0xffff) << 16) | (observation.decision & 0xffff);
 }
-Opinion Unpack(std::uint64_t bits) {
+ZoneHealthObservation Unpack(std::uint64_t bits) {
   std::uint64_t health = bits >> 32 & 0xff;
-  return Opinion{(bits >> 16) & 0xffff,
-                 health == 255 ? kUnknown : static_cast<double>(health) / 254, bits & 0xffff,
-                 static_cast<std::uint32_t>(bits >> 40)};
+  return ZoneHealthObservation{(bits >> 16) & 0xffff,
+                               health == 255 ? kUnknown : static_cast<double>(health) / 254,
+                               bits & 0xffff, static_cast<std::uint32_t>(bits >> 40)};
 }
 
-Verdicts::Verdicts(Id self, std::map<Id, Place> fronts, std::vector<int> zone_region, Terms terms)
-    : self_(self), fronts_(std::move(fronts)), zone_region_(std::move(zone_region)), terms_(terms) {
-  if (zone_region_.empty() || zone_region_.size() > kMostZones)
+FailoverController::FailoverController(Id self, std::map<Id, Location> fronts,
+                                       std::vector<int> zone_region, FailoverSettings settings)
+    : self_(self),
+      fronts_(std::move(fronts)),
+      zone_region_(std::move(zone_region)),
+      settings_(settings) {
+  if (zone_region_.empty() || zone_region_.size() > kMaxZones)
     throw std::invalid_argument("1 to 16 zones");
   if (!fronts_.count(self_))
     throw std::invalid_argument("this front is not a member of the fleet");
-  for (const auto& [id, p] : fronts_)
-    if (p.zone < 0 || static_cast<std::size_t>(p.zone) >= zone_region_.size())
-      throw std::invalid_argument("a front stands in a zone that is not configured");
-  int n = static_cast<int>(fronts_.size());
-  quorum_ = terms_.quorum > 0 ? std::min(terms_.quorum, n) : n / 2 + 1;
-  configured_.assign(zone_region_.size(), 0);
-  for (const auto& [id, p] : fronts_)
-    ++configured_[static_cast<std::size_t>(p.zone)];
+  for (const auto& [id, location] : fronts_)
+    if (location.zone < 0 || static_cast<std::size_t>(location.zone) >= zone_region_.size())
+      throw std::invalid_argument("a front is in a zone that is not configured");
+  int count = static_cast<int>(fronts_.size());
+  quorum_ = settings_.quorum > 0 ? std::min(settings_.quorum, count) : count / 2 + 1;
+  configured_count_.assign(zone_region_.size(), 0);
+  for (const auto& [id, location] : fronts_)
+    ++configured_count_[static_cast<std::size_t>(location.zone)];
   better_since_.assign(zone_region_.size(), -1);
   worse_since_ = better_since_;
-  verdict_.health.assign(zone_region_.size(), kSteps);
-  verdict_.shares = SharesFor(verdict_.health, verdict_.panic);
+  decision_.health.assign(zone_region_.size(), kHealthSteps);
+  decision_.traffic_weights = ComputeTrafficWeights(decision_.health, decision_.panic);
 }
 
-Opinion Verdicts::Look(Ms now, double health, const std::vector<Peer>& living, bool& changed) {
-  std::vector<int> up(zone_region_.size()), suspects(zone_region_.size());
+ZoneHealthObservation FailoverController::Evaluate(Ms now, double health,
+                                                   const std::vector<Peer>& alive_peers,
+                                                   bool& changed) {
+  std::vector<int> alive(zone_region_.size()), suspects(zone_region_.size());
   auto zone_of = [&](Id id) {
     return static_cast<std::size_t>(fronts_.at(id).zone);
   };
-  ++up[zone_of(self_)];
-  for (const Peer& p : living)
-    if (p.id != self_ && fronts_.count(p.id)) {
-      ++up[zone_of(p.id)];
-      suspects[zone_of(p.id)] += p.suspect;
+  ++alive[zone_of(self_)];
+  for (const Peer& peer : alive_peers)
+    if (peer.id != self_ && fronts_.count(peer.id)) {
+      ++alive[zone_of(peer.id)];
+      suspects[zone_of(peer.id)] += peer.is_suspect;
     }
-  std::vector<bool> together(zone_region_.size());
-  Opinion own;
+  std::vector<bool> correlated_loss(zone_region_.size());
+  ZoneHealthObservation own;
   own.health = health;
-  for (std::size_t z = 0; z < up.size(); ++z) {
-    together[z] = suspects[z] >= terms_.together;
-    int there = together[z] ? up[z] - suspects[z] : up[z];
-    if (configured_[z] > 0 && there < terms_.alive_share * configured_[z])
-      own.out |= std::uint64_t{1} << z;
+  for (std::size_t zone = 0; zone < alive.size(); ++zone) {
+    correlated_loss[zone] = suspects[zone] >= settings_.correlated_suspect_count;
+    int alive_count = correlated_loss[zone] ? alive[zone] - suspects[zone] : alive[zone];
+    if (configured_count_[zone] > 0 &&
+        alive_count < settings_.min_alive_share * configured_count_[zone])
+      own.unavailable_zones |= std::uint64_t{1} << zone;
   }
-  std::map<Id, Opinion> heard;
-  for (const Peer& p : living) {
-    if (p.id == self_ || !fronts_.count(p.id) || !p.heard)
+  std::map<Id, ZoneHealthObservation> observations;
+  for (const Peer& peer : alive_peers) {
+    if (peer.id == self_ || !fronts_.count(peer.id) || !peer.has_observation)
       continue;
-    heard[p.id] = p.said;
-    if (p.suspect && together[zone_of(p.id)])
-      heard[p.id].health = kUnknown;  // said before it went
+    observations[peer.id] = peer.observation;
+    if (peer.is_suspect && correlated_loss[zone_of(peer.id)])
+      observations[peer.id].health = kUnknown;  // sent before the front was lost
   }
-  changed = Decide(now, own, heard, living.size() + 1);
-  own.verdict = verdict_.out;
-  own.epoch = verdict_.epoch;
+  changed = Decide(now, own, observations, alive_peers.size() + 1);
+  own.decision = decision_.unavailable_zones;
+  own.epoch = decision_.epoch;
   return own;
 }
 
-std::vector<double> Verdicts::SharesFor(const std::vector<int>& health, bool& panic) const {
+std::vector<double> FailoverController::ComputeTrafficWeights(const std::vector<int>& health,
+                                                              bool& panic) const {
   std::size_t zones = zone_region_.size();
   int own_zone = fronts_.at(self_).zone,
-      ownRegion = zone_region_[static_cast<std::size_t>(own_zone)];
-  std::vector<double> shares(zones, 0);
+      own_region = zone_region_[static_cast<std::size_t>(own_zone)];
+  std::vector<double> weights(zones, 0);
   int sum = std::accumulate(health.begin(), health.end(), 0);
-  panic = sum < terms_.panic * kSteps * static_cast<double>(zones);
-  if (panic) {  // Envoy's panic: health is set aside, all zones take alike
-    std::fill(shares.begin(), shares.end(), 1.0 / static_cast<double>(zones));
-    return shares;
+  panic = sum < settings_.panic_threshold * kHealthSteps * static_cast<double>(zones);
+  if (panic) {  // Envoy's panic mode: health is disregarded, all zones get the same weight
+    std::fill(weights.begin(), weights.end(), 1.0 / static_cast<double>(zones));
+    return weights;
   }
-  // Levels: 0 the own zone, 1 the rest of the region, 2 the other regions.
-  auto level = [&](std::size_t z) {
-    return static_cast<int>(z) == own_zone ? 0 : zone_region_[z] == ownRegion ? 1 : 2;
+  // Priority levels: 0 the own zone, 1 the rest of the region, 2 the other regions.
+  auto level = [&](std::size_t zone) {
+    return static_cast<int>(zone) == own_zone ? 0 : zone_region_[zone] == own_region ? 1 : 2;
   };
-  double left = 1;
-  for (int l = 0; l < 3 && left > 0; ++l) {
-    int all = 0, up = 0;
-    for (std::size_t z = 0; z < zones; ++z)
-      if (level(z) == l) {
-        all += kSteps;
-        up += health[z];
+  double remaining = 1;
+  for (int priority = 0; priority < 3 && remaining > 0; ++priority) {
+    int capacity = 0, healthy = 0;
+    for (std::size_t zone = 0; zone < zones; ++zone)
+      if (level(zone) == priority) {
+        capacity += kHealthSteps;
+        healthy += health[zone];
       }
-    if (up == 0)
+    if (healthy == 0)
       continue;
-    double takes = std::min(left, terms_.overprovision * up / static_cast<double>(all));
-    for (std::size_t z = 0; z < zones; ++z)
-      if (level(z) == l)
-        shares[z] = takes * health[z] / up;
-    left -= takes;
+    double taken = std::min(
+        remaining, settings_.overprovisioning_factor * healthy / static_cast<double>(capacity));
+    for (std::size_t zone = 0; zone < zones; ++zone)
+      if (level(zone) == priority)
+        weights[zone] = taken * health[zone] / healthy;
+    remaining -= taken;
   }
-  // What no level has room for by its health is spread as the rest is.
-  for (double& one : shares)
-    one /= 1 - left;
-  return shares;
+  // Traffic beyond the capacity of all levels is spread in proportion to the rest.
+  for (double& weight : weights)
+    weight /= 1 - remaining;
+  return weights;
 }
 
-// The upper median of what the zone's fronts say, in steps; well where most of them are not heard.
-// Something that serves is never rounded down to nothing.
-int Verdicts::HealthOf(std::size_t zone, const std::vector<double>& said) const {
-  if (2 * static_cast<int>(said.size()) <= configured_[zone])
-    return kSteps;
-  std::vector<double> sorted = said;
+// The upper median of what the zone's fronts report, in steps; full health where most of them are
+// not received. A share above 0 is never rounded down to 0.
+int FailoverController::ZoneHealth(std::size_t zone, const std::vector<double>& shares) const {
+  if (2 * static_cast<int>(shares.size()) <= configured_count_[zone])
+    return kHealthSteps;
+  std::vector<double> sorted = shares;
   std::sort(sorted.begin(), sorted.end());
-  return static_cast<int>(std::ceil(sorted[sorted.size() / 2] * kSteps - 1e-9));
+  return static_cast<int>(std::ceil(sorted[sorted.size() / 2] * kHealthSteps - 1e-9));
 }
 
-bool Verdicts::Decide(Ms now, const Opinion& own, const std::map<Id, Opinion>& heard,
-                      std::size_t alive) {
+bool FailoverController::Decide(Ms now, const ZoneHealthObservation& own,
+                                const std::map<Id, ZoneHealthObservation>& observations,
+                                std::size_t alive) {
   std::size_t zones = zone_region_.size();
-  std::vector<int> against(zones, 0);
-  std::vector<std::vector<double>> said(zones);
-  std::uint32_t highest = 0;
-  auto take = [&](Id id, const Opinion& o) {
-    for (std::size_t z = 0; z < zones; ++z)
-      against[z] += o.out >> z & 1;
-    if (o.health >= 0)
-      said[static_cast<std::size_t>(fronts_.at(id).zone)].push_back(o.health);
+  std::vector<int> votes_against(zones, 0);
+  std::vector<std::vector<double>> shares(zones);
+  std::uint32_t highest_epoch = 0;
+  auto count_observation = [&](Id id, const ZoneHealthObservation& observation) {
+    for (std::size_t zone = 0; zone < zones; ++zone)
+      votes_against[zone] += observation.unavailable_zones >> zone & 1;
+    if (observation.health >= 0)
+      shares[static_cast<std::size_t>(fronts_.at(id).zone)].push_back(observation.health);
   };
-  take(self_, own);
-  for (const auto& [id, o] : heard) {
+  count_observation(self_, own);
+  for (const auto& [id, observation] : observations) {
     if (id == self_ || !fronts_.count(id))
       continue;
-    take(id, o);
-    highest = std::max(highest, o.epoch);
+    count_observation(id, observation);
+    highest_epoch = std::max(highest_epoch, observation.epoch);
   }
-  bool quorate = static_cast<int>(alive) >= quorum_;
-  std::vector<int> health = verdict_.health;
-  for (std::size_t z = 0; z < zones; ++z) {
-    constexpr double serves = 0.5;
-    bool said_well =
-        std::any_of(said[z].begin(), said[z].end(), [](double h) { return h >= serves; });
-    bool dead = quorate && against[z] >= quorum_ && !said_well;
-    int seems = dead ? 0 : quorate ? HealthOf(z, said[z]) : kSteps;
-    if (seems >= health[z])
-      worse_since_[z] = -1;
-    if (seems <= health[z])
-      better_since_[z] = -1;
-    if (seems < health[z]) {
-      if (worse_since_[z] < 0)
-        worse_since_[z] = now;
-      if (dead || now - worse_since_[z] >= terms_.lasting) {
-        health[z] = seems;
-        worse_since_[z] = -1;
+  bool has_quorum = static_cast<int>(alive) >= quorum_;
+  std::vector<int> health = decision_.health;
+  for (std::size_t zone = 0; zone < zones; ++zone) {
+    constexpr double kServing = 0.5;
+    bool reported_serving = std::any_of(shares[zone].begin(), shares[zone].end(),
+                                        [](double h) { return h >= kServing; });
+    bool is_dead = has_quorum && votes_against[zone] >= quorum_ && !reported_serving;
+    int target = is_dead ? 0 : has_quorum ? ZoneHealth(zone, shares[zone]) : kHealthSteps;
+    if (target >= health[zone])
+      worse_since_[zone] = -1;
+    if (target <= health[zone])
+      better_since_[zone] = -1;
+    if (target < health[zone]) {
+      if (worse_since_[zone] < 0)
+        worse_since_[zone] = now;
+      if (is_dead || now - worse_since_[zone] >= settings_.degradation_delay) {
+        health[zone] = target;
+        worse_since_[zone] = -1;
       }
     }
-    if (seems > health[z]) {
-      if (better_since_[z] < 0)
-        better_since_[z] = now;
-      if (now - better_since_[z] >= terms_.hold_back) {
-        ++health[z];
-        better_since_[z] = now;
+    if (target > health[zone]) {
+      if (better_since_[zone] < 0)
+        better_since_[zone] = now;
+      if (now - better_since_[zone] >= settings_.recovery_interval) {
+        ++health[zone];
+        better_since_[zone] = now;
       }
     }
   }
-  if (health != verdict_.health) {
-    verdict_.health = health;
-    verdict_.out = 0;
-    for (std::size_t z = 0; z < zones; ++z)
-      if (health[z] == 0)
-        verdict_.out |= std::uint64_t{1} << z;
-    // Who comes to it after another takes the other's number; who comes first takes the next.
-    std::uint32_t taken = 0;
-    for (const auto& [id, o] : heard)
-      if (o.verdict == verdict_.out && o.epoch > verdict_.epoch)
-        taken = std::max(taken, o.epoch);
-    verdict_.epoch = taken > 0 ? taken : std::max(verdict_.epoch, highest) + 1;
-    verdict_.shares = SharesFor(health, verdict_.panic);
+  if (health != decision_.health) {
+    decision_.health = health;
+    decision_.unavailable_zones = 0;
+    for (std::size_t zone = 0; zone < zones; ++zone)
+      if (health[zone] == 0)
+        decision_.unavailable_zones |= std::uint64_t{1} << zone;
+    // A front that reaches a decision after a peer adopts the peer's epoch; the first one takes the
+    // next number.
+    std::uint32_t peer_epoch = 0;
+    for (const auto& [id, observation] : observations)
+      if (observation.decision == decision_.unavailable_zones &&
+          observation.epoch > decision_.epoch)
+        peer_epoch = std::max(peer_epoch, observation.epoch);
+    decision_.epoch = peer_epoch > 0 ? peer_epoch : std::max(decision_.epoch, highest_epoch) + 1;
+    decision_.traffic_weights = ComputeTrafficWeights(health, decision_.panic);
     return true;
   }
-  // Fronts that agree agree on the number too: the highest epoch of the same verdict is taken over.
-  for (const auto& [id, o] : heard)
-    if (o.verdict == verdict_.out && o.epoch > verdict_.epoch)
-      verdict_.epoch = o.epoch;
+  // Fronts that agree also agree on the number: the highest epoch of the same decision is adopted.
+  for (const auto& [id, observation] : observations)
+    if (observation.decision == decision_.unavailable_zones && observation.epoch > decision_.epoch)
+      decision_.epoch = observation.epoch;
   return false;
 }
 
--- a/src/front/active.cpp
+++ b/src/front/active.cpp
@@ -19,7 +19,7 @@
               "connection settings changed: add the new field below (8 fields)");
 static_assert(sizeof(owner::Terms) == 32 && sizeof(owner::GroupTerms) == 24,
               "owner settings changed: add the new field below");
-static_assert(sizeof(members::Terms) == 96 && sizeof(failover::Terms) == 56,
+static_assert(sizeof(members::Terms) == 96 && sizeof(failover::FailoverSettings) == 56,
               "fleet settings changed: add the new field below");
 #endif
 
@@ -185,12 +185,12 @@
                      {"swim.note_refresh", Text(swim.note_refresh)},
                      {"swim.reconnect", Text(swim.reconnect)},
                      {"verdict.quorum", Text(failover.quorum)},
-                     {"verdict.hold_back", Text(failover.hold_back)},
-                     {"verdict.lasting", Text(failover.lasting)},
-                     {"verdict.overprovision", Text(failover.overprovision)},
-                     {"verdict.panic", Text(failover.panic)},
-                     {"verdict.alive_share", Text(failover.alive_share)},
-                     {"verdict.together", Text(failover.together)}};
+                     {"verdict.hold_back", Text(failover.recovery_interval)},
+                     {"verdict.lasting", Text(failover.degradation_delay)},
+                     {"verdict.overprovision", Text(failover.overprovisioning_factor)},
+                     {"verdict.panic", Text(failover.panic_threshold)},
+                     {"verdict.alive_share", Text(failover.min_alive_share)},
+                     {"verdict.together", Text(failover.correlated_suspect_count)}};
   }
   if (owner.enabled) {
     std::string group, tasks;
--- a/src/front/charter.cpp
+++ b/src/front/charter.cpp
@@ -115,7 +115,7 @@
     settings.listen = *listen;
   optional_ms("period_ms", settings.swim.period, 50, 60000);
   optional_ms("probe_timeout_ms", settings.swim.probe_timeout, 10, 60000);
-  optional_ms("hold_back_ms", settings.failover_settings.hold_back, 0, 600000);
+  optional_ms("hold_back_ms", settings.failover_settings.recovery_interval, 0, 600000);
   if (!(settings.swim.probe_timeout < settings.swim.period))
     throw error("probe_timeout_ms", "must be shorter than period_ms");
   if (block.Find("quorum"))
@@ -126,7 +126,7 @@
       settings.failover_settings.quorum > 0)
     throw error("quorum",
                 "must be more than half the members: otherwise both sides of a partition decide");
-  optional_ms("lasting_ms", settings.failover_settings.lasting, 0, 600000);
+  optional_ms("lasting_ms", settings.failover_settings.degradation_delay, 0, 600000);
   if (const Value* steer = block.Find("steer")) {
     if (steer->kind != Kind::kBoolean)
       throw error("steer", "must be true or false");
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -44,7 +44,7 @@
   std::vector<std::string> zones;
   std::vector<int> zone_region;
   members::Terms swim;
-  failover::Terms failover_settings;
+  failover::FailoverSettings failover_settings;
   bool steer = false;  // whether requests follow the failover decision
   std::size_t platform_zone_count =
       0;  // with steer: the platform's zones, and which of them each zone here is
--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -21,8 +21,8 @@
 }
 
 // Each member's zone and region.
-std::map<failover::Id, failover::Place> Locations(const FleetSettings& settings) {
-  std::map<failover::Id, failover::Place> locations;
+std::map<failover::Id, failover::Location> Locations(const FleetSettings& settings) {
+  std::map<failover::Id, failover::Location> locations;
   for (const FleetMember& member : settings.members)
     locations[member.id] = {member.zone,
                             settings.zone_region[static_cast<std::size_t>(member.zone)]};
@@ -42,7 +42,7 @@
 // The first incarnation is the clock in seconds, so that a front restarted under the same id has a
 // higher one.
 MembershipComponent::MembershipComponent(loop::Loop& loop, const FleetSettings& settings,
-                                         std::uint64_t seed, failover::Health& health,
+                                         std::uint64_t seed, failover::ZoneCacheHealth& health,
                                          TrafficWeightsCallback set_traffic_weights,
                                          MessageSender* peers)
     : loop_(loop),
@@ -155,17 +155,17 @@
       log::Say("fleet member %u %s incarnation %u", change.who, members::ToString(change.state),
                change.incarnation);
   bool changed = false;
-  failover::Opinion observation =
-      failover_.Look(loop_.now(), health_.Share(), failover::Living(swim_), changed);
+  failover::ZoneHealthObservation observation = failover_.Evaluate(
+      loop_.now(), health_.UsableShare(), failover::AliveMembers(swim_), changed);
   if (changed) {
-    const failover::Verdict& decision = failover_.verdict();
+    const failover::FailoverDecision& decision = failover_.decision();
     std::string zones_out, weights;
     for (std::size_t z = 0; z < settings_.zones.size(); ++z) {
-      if (decision.out >> z & 1)
+      if (decision.unavailable_zones >> z & 1)
         zones_out += (zones_out.empty() ? "" : ",") + settings_.zones[z];
       char weight[64];
       std::snprintf(weight, sizeof weight, "%s%s=%.2f", z ? "," : "", settings_.zones[z].c_str(),
-                    decision.shares[z]);
+                    decision.traffic_weights[z]);
       weights += weight;
     }
     log::Say("fleet verdict epoch %u out %s shares %s%s at %.0f", decision.epoch,
@@ -174,7 +174,7 @@
     if (settings_.steer) {
       std::vector<double> by_platform(settings_.platform_zone_count, 0);
       for (std::size_t z = 0; z < settings_.zones.size(); ++z)
-        by_platform[settings_.platform_zones[z]] += decision.shares[z];
+        by_platform[settings_.platform_zones[z]] += decision.traffic_weights[z];
       set_traffic_weights_(std::move(by_platform));
     }
   }
@@ -182,7 +182,7 @@
 }
 
 std::string MembershipComponent::StatusJson() const {
-  const failover::Verdict& decision = failover_.verdict();
+  const failover::FailoverDecision& decision = failover_.decision();
   auto two_decimals = [](double value) {
     char text[32];
     std::snprintf(text, sizeof text, "%.2f", value);
@@ -196,22 +196,23 @@
       ",\"epoch\":" + std::to_string(decision.epoch) +
       ",\"panic\":" + (decision.panic ? "true" : "false") +
       ",\"steers\":" + (settings_.steer ? "true" : "false") +
-      ",\"caches\":" + two_decimals(health_.Share()) + ",\"sent\":" + std::to_string(sent_) +
+      ",\"caches\":" + two_decimals(health_.UsableShare()) + ",\"sent\":" + std::to_string(sent_) +
       ",\"received\":" + std::to_string(received_) + ",\"refused\":" + std::to_string(malformed_) +
       ",\"out\":[";
   bool first = true;
   for (std::size_t z = 0; z < settings_.zones.size(); ++z)
-    if (decision.out >> z & 1) {
+    if (decision.unavailable_zones >> z & 1) {
       json += (first ? "\"" : ",\"") + settings_.zones[z] + "\"";
       first = false;
     }
   json += "],\"zone_health\":{";
   for (std::size_t z = 0; z < settings_.zones.size(); ++z)
     json += (z ? ",\"" : "\"") + settings_.zones[z] +
-            "\":" + two_decimals(decision.health[z] / static_cast<double>(failover::kSteps));
+            "\":" + two_decimals(decision.health[z] / static_cast<double>(failover::kHealthSteps));
   json += "},\"shares\":{";
   for (std::size_t z = 0; z < settings_.zones.size(); ++z) {
-    json += (z ? ",\"" : "\"") + settings_.zones[z] + "\":" + two_decimals(decision.shares[z]);
+    json +=
+        (z ? ",\"" : "\"") + settings_.zones[z] + "\":" + two_decimals(decision.traffic_weights[z]);
   }
   json += "},\"members\":[";
   first = true;
--- a/src/front/fleet.hpp
+++ b/src/front/fleet.hpp
@@ -33,7 +33,7 @@
   // Throws std::runtime_error when the socket cannot be opened. With `peers` it opens no socket and
   // no timer of its own.
   MembershipComponent(loop::Loop& loop, const FleetSettings& settings, std::uint64_t seed,
-                      failover::Health& health, TrafficWeightsCallback set_traffic_weights,
+                      failover::ZoneCacheHealth& health, TrafficWeightsCallback set_traffic_weights,
                       MessageSender* peers = nullptr);
   ~MembershipComponent();
   peers::Channel channel() const override {
@@ -43,8 +43,8 @@
   void HandleTimer() override;
   Ms NextTimerAt() const override;
   std::string StatusJson() const override;
-  const failover::Verdict& failover_decision() const {
-    return failover_.verdict();
+  const failover::FailoverDecision& failover_decision() const {
+    return failover_.decision();
   }
 
  private:
@@ -61,8 +61,8 @@
   MessageSender* peers_;
   loop::Descriptor socket_;  // over the peers' socket: none
   members::Swim swim_;
-  failover::Verdicts failover_;
-  failover::Health& health_;
+  failover::FailoverController failover_;
+  failover::ZoneCacheHealth& health_;
   TrafficWeightsCallback set_traffic_weights_;
   std::uint64_t timer_ = 0;
   Ms evaluated_at_ = 0;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -100,11 +100,11 @@
 exchange::RequestRouter Front::ObserveHealth(exchange::RequestRouter router) {
   return [this, router = std::move(router)](Ms now, const Event& event) {
     if (auto* update = std::get_if<ListNews>(&event))
-      health_.Take(*update);
+      health_.Update(*update);
     std::vector<Action> actions = router(now, event);
     for (const Action& action : actions)
       if (auto* report = std::get_if<TellHealth>(&action))
-        health_.Take(*report);
+        health_.Update(*report);
     return actions;
   };
 }
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -32,7 +32,7 @@
   exchange::RequestRouter ObserveHealth(exchange::RequestRouter router);
 
   loop::Loop& loop_;
-  failover::Health health_;
+  failover::ZoneCacheHealth health_;
   exchange::Exchange exchange_;
   caches::UpstreamConnectionPool caches_;
   discovery::Discovery discovery_;
--- a/src/front/parts.cpp
+++ b/src/front/parts.cpp
@@ -48,7 +48,7 @@
 }
 
 std::unique_ptr<FleetComponents> MakeFleetComponents(
-    loop::Loop& loop, const FrontConfiguration& configuration, failover::Health& health,
+    loop::Loop& loop, const FrontConfiguration& configuration, failover::ZoneCacheHealth& health,
     MembershipComponent::TrafficWeightsCallback set_traffic_weights, exchange::Exchange& exchange,
     const RequestRouting& routing) {
   if (!configuration.peers.enabled && !configuration.owner.enabled)
--- a/src/front/parts.hpp
+++ b/src/front/parts.hpp
@@ -29,7 +29,7 @@
 // Null when the configuration asks for no component. Membership is among them when it runs over the
 // peers' socket. Throws std::runtime_error when a socket cannot be opened.
 std::unique_ptr<FleetComponents> MakeFleetComponents(
-    loop::Loop& loop, const FrontConfiguration& configuration, failover::Health& health,
+    loop::Loop& loop, const FrontConfiguration& configuration, failover::ZoneCacheHealth& health,
     MembershipComponent::TrafficWeightsCallback set_traffic_weights, exchange::Exchange& exchange,
     const RequestRouting& routing);
 
--- a/src/front/parts_none.cpp
+++ b/src/front/parts_none.cpp
@@ -20,7 +20,7 @@
                                ": this build has no fleet layer; build with -DDUNLINWICK_OWNER=ON");
 }
 std::unique_ptr<FleetComponents> MakeFleetComponents(loop::Loop&, const FrontConfiguration&,
-                                                     failover::Health&,
+                                                     failover::ZoneCacheHealth&,
                                                      MembershipComponent::TrafficWeightsCallback,
                                                      exchange::Exchange&, const RequestRouting&) {
   return nullptr;
--- a/src/rig/configuration.cpp
+++ b/src/rig/configuration.cpp
@@ -100,8 +100,8 @@
              }) +
       "],\"period_ms\":" + whole(fleet_.swim.period) +
       ",\"probe_timeout_ms\":" + whole(fleet_.swim.probe_timeout) +
-      ",\"hold_back_ms\":" + whole(fleet_.verdict.hold_back) +
-      ",\"lasting_ms\":" + whole(fleet_.verdict.lasting) +
+      ",\"hold_back_ms\":" + whole(fleet_.verdict.recovery_interval) +
+      ",\"lasting_ms\":" + whole(fleet_.verdict.degradation_delay) +
       (fleet_.verdict.quorum > 0 ? ",\"quorum\":" + std::to_string(fleet_.verdict.quorum) : "") +
       ",\"steer\":" + (fleet_.steer ? "true" : "false") + "}" + OwnerBlock(i) + LayerBlocks(i) +
       "}\n";
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -185,7 +185,7 @@
       for (std::size_t z = 0; z < f_.zones.size(); ++z) {
         bool was = out >> z & 1, is = v.out >> z & 1;
         if (!was && is) {
-          if (came_back[z] >= 0 && v.at - came_back[z] < f_.verdict.hold_back &&
+          if (came_back[z] >= 0 && v.at - came_back[z] < f_.verdict.recovery_interval &&
               !DoneBetween(came_back[z] - SettleWithin(f_), v.at))
             ReportViolation(
                 "flapping", v.at,
@@ -193,7 +193,7 @@
           went_out[z] = v.at;
         }
         if (was && !is) {
-          if (v.at - went_out[z] < 0.95 * f_.verdict.hold_back)
+          if (v.at - went_out[z] < 0.95 * f_.verdict.recovery_interval)
             ReportViolation(
                 "flapping", v.at,
                 Who(f) + " took " + f_.zones[z] + " back after " + MakeMs(v.at - went_out[z]));
@@ -342,11 +342,12 @@
   return f.swim.beta * least + 2 * (f.swim.health_most + 1) * f.swim.period + 20 * f.swim.period;
 }
 Ms CachesWithin(const FleetFile& f) {
-  return 8000 + f.verdict.lasting + 10 * f.swim.period;
+  return 8000 + f.verdict.degradation_delay + 10 * f.swim.period;
 }
 Ms SettleWithin(const FleetFile& f) {
-  return std::max(LeaveWithin(f), CachesWithin(f)) + failover::kSteps * f.verdict.hold_back +
-         10 * f.swim.period + f.swim.note_refresh;
+  return std::max(LeaveWithin(f), CachesWithin(f)) +
+         failover::kHealthSteps * f.verdict.recovery_interval + 10 * f.swim.period +
+         f.swim.note_refresh;
 }
 
 std::vector<Broken> CheckHistory(const FleetFile& fleet, const History& history) {
--- a/src/rig/script.cpp
+++ b/src/rig/script.cpp
@@ -105,7 +105,7 @@
   FleetFile f;
   f.swim.period = 200;
   f.swim.probe_timeout = 60;
-  f.verdict.hold_back = 1000;
+  f.verdict.recovery_interval = 1000;
   for (const rapidjson::Value& z : Member(root, "zones")->GetArray()) {
     std::string name;
     Take(z, "name", name);
@@ -121,8 +121,8 @@
   Take(root, "port", f.port);
   Take(root, "period_ms", f.swim.period);
   Take(root, "probe_timeout_ms", f.swim.probe_timeout);
-  Take(root, "hold_back_ms", f.verdict.hold_back);
-  Take(root, "lasting_ms", f.verdict.lasting);
+  Take(root, "hold_back_ms", f.verdict.recovery_interval);
+  Take(root, "lasting_ms", f.verdict.degradation_delay);
   Take(root, "quorum", f.verdict.quorum);
   Take(root, "steer", f.steer);
   Take(root, "peers", f.peers);
--- a/src/rig/script.hpp
+++ b/src/rig/script.hpp
@@ -42,7 +42,7 @@
   int caches_per_zone = 2;
   std::uint16_t port = 7400;
   members::Terms swim;
-  failover::Terms verdict;
+  failover::FailoverSettings verdict;
   bool steer = true;
   double requests_per_s = 20;  // asked of each front
   OwnerFile owner;
--- a/src/rig/sim.cpp
+++ b/src/rig/sim.cpp
@@ -28,7 +28,7 @@
 
 void Sim::Start(Id id) {
   std::vector<Id> others;
-  std::map<Id, failover::Place> places;
+  std::map<Id, failover::Location> places;
   for (Id o = 0; o < nodes_.size(); ++o) {
     places[o] = terms_.places[o];
     if (o != id)
@@ -42,8 +42,8 @@
   node.swim =
       std::make_unique<members::Swim>(id, others, incarnation, terms_.members,
                                       terms_.seed * 1000003 + id * 7919 + incarnation, now_);
-  node.verdicts =
-      std::make_unique<failover::Verdicts>(id, places, terms_.zone_region, terms_.failover);
+  node.verdicts = std::make_unique<failover::FailoverController>(id, places, terms_.zone_region,
+                                                                 terms_.failover);
   Settle(id, true);
 }
 
@@ -138,11 +138,11 @@
   if (changes.empty() && !always)
     return;
   bool changed = false;
-  failover::Opinion notified =
-      node.verdicts->Look(now_, node.health, failover::Living(*node.swim), changed);
+  failover::ZoneHealthObservation notified =
+      node.verdicts->Evaluate(now_, node.health, failover::AliveMembers(*node.swim), changed);
   if (changed)
-    judged_.push_back(
-        Judged{now_, id, node.verdicts->verdict().out, node.verdicts->verdict().epoch});
+    judged_.push_back(Judged{now_, id, node.verdicts->decision().unavailable_zones,
+                             node.verdicts->decision().epoch});
   node.swim->Publish(now_, failover::Pack(notified));
 }
 
@@ -197,8 +197,8 @@
   for (Id id = 0; id < nodes_.size(); ++id) {
     if (!Up(id))
       continue;
-    const failover::Verdict& v = nodes_[id].verdicts->verdict();
-    if (v.out != out || (!first && v.epoch != epoch))
+    const failover::FailoverDecision& v = nodes_[id].verdicts->decision();
+    if (v.unavailable_zones != out || (!first && v.epoch != epoch))
       return false;
     epoch = v.epoch;
     first = false;
--- a/src/rig/sim.hpp
+++ b/src/rig/sim.hpp
@@ -38,8 +38,8 @@
 
 struct SimTerms {
   members::Terms members;
-  failover::Terms failover;
-  std::vector<failover::Place> places;  // by member id 0..n-1
+  failover::FailoverSettings failover;
+  std::vector<failover::Location> places;  // by member id 0..n-1
   std::vector<int> zone_region;
   std::uint64_t seed = 1;
 };
@@ -91,7 +91,7 @@
   const members::Swim& swim(Id id) const {
     return *nodes_[id].swim;
   }
-  const failover::Verdicts& verdicts(Id id) const {
+  const failover::FailoverController& verdicts(Id id) const {
     return *nodes_[id].verdicts;
   }
   // Whether every member that is up takes `about` as `state` (or, for alive, as alive or suspect).
@@ -115,7 +115,7 @@
  private:
   struct Node {
     std::unique_ptr<members::Swim> swim;
-    std::unique_ptr<failover::Verdicts> verdicts;
+    std::unique_ptr<failover::FailoverController> verdicts;
     bool up = true;
     bool paused = false;
     double health = 1;
--- a/src/rig/staged.cpp
+++ b/src/rig/staged.cpp
@@ -101,7 +101,7 @@
     h.verdicts.push_back({j.at, j.by, j.out, j.epoch});
   for (Id f = 0; f < sim.size(); ++f)
     if (sim.Up(f))
-      h.epochs_at_end.emplace_back(f, sim.verdicts(f).verdict().epoch);
+      h.epochs_at_end.emplace_back(f, sim.verdicts(f).decision().epoch);
   return h;
 }
 
--- a/tests/datagram_failures_test.cpp
+++ b/tests/datagram_failures_test.cpp
@@ -151,7 +151,7 @@
     return settings;
   }
 
-  failover::Health health_{0, 1, 2};
+  failover::ZoneCacheHealth health_{0, 1, 2};
   std::unique_ptr<front::MembershipComponent> fleets_[2];
 };
 
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -11,25 +11,25 @@
 
 using namespace dunlinwick;
 using namespace dunlinwick::fleet;
-using failover::Opinion;
 using failover::Peer;
+using failover::ZoneHealthObservation;
 
 namespace {
 
 // Fronts 0, 1 in zone 0, 2, 3 in zone 1 (one region), 4 in zone 2 (another).
-failover::Verdicts Verdicts(failover::Id self) {
-  failover::Terms t;
-  t.hold_back = 1000;
-  t.lasting = 300;
-  return failover::Verdicts(self, {{0, {0, 0}}, {1, {0, 0}}, {2, {1, 0}}, {3, {1, 0}}, {4, {2, 1}}},
-                            {0, 0, 1}, t);
+failover::FailoverController Verdicts(failover::Id self) {
+  failover::FailoverSettings t;
+  t.recovery_interval = 1000;
+  t.degradation_delay = 300;
+  return failover::FailoverController(
+      self, {{0, {0, 0}}, {1, {0, 0}}, {2, {1, 0}}, {3, {1, 0}}, {4, {2, 1}}}, {0, 0, 1}, t);
 }
 std::vector<Peer> Peers(failover::Id self, std::map<failover::Id, double> health,
                         std::vector<failover::Id> dead = {}) {
   std::vector<Peer> all;
   for (failover::Id id = 0; id < 5; ++id)
     if (id != self && !std::count(dead.begin(), dead.end(), id)) {
-      Opinion o;
+      ZoneHealthObservation o;
       o.health = health.count(id) ? health[id] : 1;
       all.push_back({id, false, true, o});
     }
@@ -41,80 +41,84 @@
   auto near = [](double a, double b) {
     return a > b - 1e-9 && a < b + 1e-9;
   };
-  failover::Verdicts v = Verdicts(0);
+  failover::FailoverController v = Verdicts(0);
   // One of two fronts of the zone in trouble of its own: the upper of the two counts.
   for (Ms t = 0; t < 3000; t += 100) {
-    v.Look(t, 0, Peers(0, {}), changed);
+    v.Evaluate(t, 0, Peers(0, {}), changed);
     assert(!changed);
   }
   // Both: down once it has lasted, to the next zone of the region, not before.
-  v.Look(3000, 0, Peers(0, {{1, 0}}), changed);
+  v.Evaluate(3000, 0, Peers(0, {{1, 0}}), changed);
   assert(!changed);
-  v.Look(3299, 0, Peers(0, {{1, 0}}), changed);
+  v.Evaluate(3299, 0, Peers(0, {{1, 0}}), changed);
   assert(!changed);
-  v.Look(3300, 0, Peers(0, {{1, 0}}), changed);
-  assert(changed && v.verdict().out == 1 && near(v.verdict().shares[1], 1) &&
-         near(v.verdict().shares[0], 0));
+  v.Evaluate(3300, 0, Peers(0, {{1, 0}}), changed);
+  assert(changed && v.decision().unavailable_zones == 1 &&
+         near(v.decision().traffic_weights[1], 1) && near(v.decision().traffic_weights[0], 0));
   // Back in quarters, a hold apart: with 1.4 times its health at home.
   double shares[] = {0.35, 0.7, 1, 1};
   for (int q = 0; q < 4; ++q) {
     Ms from = 4000 + 1000 * q;
     for (Ms t = from; t < from + 1000; t += 50) {
-      v.Look(t, 1, Peers(0, {}), changed);
+      v.Evaluate(t, 1, Peers(0, {}), changed);
       assert(!changed || t == from);
     }
-    v.Look(from + 1000, 1, Peers(0, {}), changed);
-    assert(changed && v.verdict().health[0] == q + 1 && near(v.verdict().shares[0], shares[q]));
-    assert(near(v.verdict().shares[0] + v.verdict().shares[1] + v.verdict().shares[2], 1));
+    v.Evaluate(from + 1000, 1, Peers(0, {}), changed);
+    assert(changed && v.decision().health[0] == q + 1 &&
+           near(v.decision().traffic_weights[0], shares[q]));
+    assert(near(v.decision().traffic_weights[0] + v.decision().traffic_weights[1] +
+                    v.decision().traffic_weights[2],
+                1));
   }
   // Half of the caches: seven tenths stay.
-  v.Look(9000, 0.5, Peers(0, {{1, 0.5}}), changed);
-  v.Look(9300, 0.5, Peers(0, {{1, 0.5}}), changed);
-  assert(changed && near(v.verdict().shares[0], 0.7) && near(v.verdict().shares[1], 0.3) &&
-         v.verdict().out == 0);
+  v.Evaluate(9000, 0.5, Peers(0, {{1, 0.5}}), changed);
+  v.Evaluate(9300, 0.5, Peers(0, {{1, 0.5}}), changed);
+  assert(changed && near(v.decision().traffic_weights[0], 0.7) &&
+         near(v.decision().traffic_weights[1], 0.3) && v.decision().unavailable_zones == 0);
   // A front alone, or with one other, makes no verdict: its zone stays whatever it sees.
-  failover::Verdicts alone = Verdicts(0);
+  failover::FailoverController alone = Verdicts(0);
   for (Ms t = 0; t < 5000; t += 100) {
-    alone.Look(t, 0, Peers(0, {{1, 0}}, {2, 3, 4}), changed);
-    assert(!changed && near(alone.verdict().shares[0], 1));
+    alone.Evaluate(t, 0, Peers(0, {{1, 0}}, {2, 3, 4}), changed);
+    assert(!changed && near(alone.decision().traffic_weights[0], 1));
   }
   // Fronts of a zone dead to a quorum, but one that is heard says that its caches serve: the zone
   // stays.
-  failover::Verdicts far = Verdicts(4);
+  failover::FailoverController far = Verdicts(4);
   auto against = [&](bool one_lives) {
     std::vector<Peer> all =
         Peers(4, {}, one_lives ? std::vector<failover::Id>{} : std::vector<failover::Id>{2, 3});
     for (Peer& p : all)
-      p.said.out = 1u << 1;
+      p.observation.unavailable_zones = 1u << 1;
     return all;
   };
-  far.Look(0, 1, against(true), changed);
+  far.Evaluate(0, 1, against(true), changed);
   assert(!changed);
-  far.Look(100, 1, against(false), changed);
-  assert(changed && far.verdict().out == 2);
+  far.Evaluate(100, 1, against(false), changed);
+  assert(changed && far.decision().unavailable_zones == 2);
   // Most of the fleet's caches lost: panic, all zones alike.
-  failover::Verdicts panic = Verdicts(0);
+  failover::FailoverController panic = Verdicts(0);
   std::map<failover::Id, double> none{{1, 0}, {2, 0}, {3, 0}};
-  panic.Look(0, 0, Peers(0, none), changed);
-  panic.Look(300, 0, Peers(0, none), changed);
-  assert(changed && panic.verdict().panic && near(panic.verdict().shares[2], 1.0 / 3));
+  panic.Evaluate(0, 0, Peers(0, none), changed);
+  panic.Evaluate(300, 0, Peers(0, none), changed);
+  assert(changed && panic.decision().panic && near(panic.decision().traffic_weights[2], 1.0 / 3));
 }
 
 void OpinionsPackWhole() {
   for (double h : {failover::kUnknown, 0.0, 0.25, 0.5, 1.0}) {
-    Opinion o{0x8001, h, 0x4002, 0xabcdef};
-    Opinion back = failover::Unpack(failover::Pack(o));
-    assert(back.out == o.out && back.verdict == o.verdict && back.epoch == o.epoch);
+    ZoneHealthObservation o{0x8001, h, 0x4002, 0xabcdef};
+    ZoneHealthObservation back = failover::Unpack(failover::Pack(o));
+    assert(back.unavailable_zones == o.unavailable_zones && back.decision == o.decision &&
+           back.epoch == o.epoch);
     assert(h < 0 ? back.health < 0 : back.health > h - 0.003 && back.health < h + 0.003);
   }
-  Opinion late;
+  ZoneHealthObservation late;
   late.epoch = 0x7fffffff;  // more than the note has room for: it stays at its highest
   assert(failover::Unpack(failover::Pack(late)).epoch == 0xffffff);
 }
 
 void HealthFollowsListAndModule() {
-  failover::Health h(1, 7, 8);
-  assert(h.Share() < 0);
+  failover::ZoneCacheHealth h(1, 7, 8);
+  assert(h.UsableShare() < 0);
   auto entry = [](std::uint32_t id, int zone, int kind, double weight) {
     ListEntry e;
     e.cache = id;
@@ -123,21 +127,21 @@
     e.weight = weight;
     return e;
   };
-  h.Take(ListNews{Listing::kWhole, {entry(9, 0, 7, 50)}});
-  assert(h.Share() < 0);  // no cache of its zone yet: no opinion
-  h.Take(
+  h.Update(ListNews{Listing::kWhole, {entry(9, 0, 7, 50)}});
+  assert(h.UsableShare() < 0);  // no cache of its zone yet: no opinion
+  h.Update(
       ListNews{Listing::kWhole,
                {entry(1, 1, 0, 30), entry(2, 1, 0, 10), entry(3, 2, 0, 90), entry(4, 1, 7, 90)}});
-  assert(h.Share() == 1);
-  h.Take(TellHealth{2, true});
-  h.Take(TellHealth{3, true});
-  assert(h.Share() == 0.75);
+  assert(h.UsableShare() == 1);
+  h.Update(TellHealth{2, true});
+  h.Update(TellHealth{3, true});
+  assert(h.UsableShare() == 0.75);
   ListEntry drains = entry(1, 1, 0, 30);
   drains.standing = Standing::kDraining;
-  h.Take(ListNews{Listing::kChanges, {drains}});
-  assert(h.Share() == 0);
-  h.Take(TellHealth{2, false});
-  assert(h.Share() == 1);
+  h.Update(ListNews{Listing::kChanges, {drains}});
+  assert(h.UsableShare() == 0);
+  h.Update(TellHealth{2, false});
+  assert(h.UsableShare() == 1);
 }
 
 const char* const kFleetText =
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -153,7 +153,7 @@
       if (a != b)
         assert(sim.swim(a).Members().at(b).state == State::kAlive);
   assert(sim.AllJudge(0) && sim.judged().empty());
-  assert(sim.verdicts(0).verdict().shares[0] == 1.0);
+  assert(sim.verdicts(0).decision().traffic_weights[0] == 1.0);
 }
 
 // A killed front: all others take it for dead; its zone (it alone) is left by all together, at one
@@ -164,8 +164,8 @@
   sim.Kill(4);
   assert(Until(sim, 30000, [&] { return sim.AllSee(4, State::kDead); }));
   assert(Until(sim, 5000, [&] { return sim.AllJudge(1u << 2); }));
-  const failover::Verdict& v = sim.verdicts(0).verdict();
-  assert(v.shares[0] == 1.0 && !v.panic);
+  const failover::FailoverDecision& v = sim.verdicts(0).decision();
+  assert(v.traffic_weights[0] == 1.0 && !v.panic);
   // Back under the same id, as a new process: taken again, and the zone comes back after the
   // hysteresis.
   sim.Restart(4);
@@ -203,8 +203,9 @@
   // on all.
   assert(
       Until(sim, 120000, [&] { return sim.swim(1).alive() == 1 && sim.AllSee(1, State::kDead); }));
-  assert(sim.verdicts(1).verdict().out == 0 && sim.verdicts(1).verdict().shares[0] == 1.0);
-  assert(sim.verdicts(0).verdict().out == 0);
+  assert(sim.verdicts(1).decision().unavailable_zones == 0 &&
+         sim.verdicts(1).decision().traffic_weights[0] == 1.0);
+  assert(sim.verdicts(0).decision().unavailable_zones == 0);
   sim.HealAll();
   assert(Until(sim, 30000, [&] {
     for (members::Id a = 0; a < 5; ++a)
@@ -222,10 +223,10 @@
   sim.CutAround({2, 3});
   sim.RunUntil(sim.now() + 30000);
   for (members::Id id : {0u, 1u, 4u})
-    assert(sim.verdicts(id).verdict().out == 1u << 1);
+    assert(sim.verdicts(id).decision().unavailable_zones == 1u << 1);
   for (members::Id id : {2u, 3u}) {
-    assert(sim.verdicts(id).verdict().out == 0);
-    assert(sim.verdicts(id).verdict().shares[1] == 1.0);
+    assert(sim.verdicts(id).decision().unavailable_zones == 0);
+    assert(sim.verdicts(id).decision().traffic_weights[1] == 1.0);
   }
   sim.HealAll();
   assert(Until(sim, 30000, [&] { return sim.AllJudge(0); }));
