--- a/src/drift/drift.cpp
+++ b/src/drift/drift.cpp
@@ -295,7 +295,7 @@
       if (has_changed)
         impl.actions.push_back(
             SetEjected{ejection.front, ejection.on,
-                       "by the owner with token " + std::to_string(ejection.token)});
+                       "by the lease holder with token " + std::to_string(ejection.token)});
     }
     impl.CheckShareRise(e->from, now);
     if (report.request_details)
