--- a/src/ctl/drill.cpp
+++ b/src/ctl/drill.cpp
@@ -127,7 +127,7 @@
                 mutant.name + " (" + mutant.what + ")\n";
       if (verdict.by_its_rule)
         output += "        " + std::string(rules::ToString(mutant.breaks)) + ", seed " +
-                  std::to_string(verdict.seed) + ": " + verdict.first.what + "\n";
+                  std::to_string(verdict.seed) + ": " + verdict.first.description + "\n";
       if (verdict.by_its_rule && !verdict.unbroken_kept)
         output += "        but the unbroken front breaks a rule there too\n";
     }
@@ -150,7 +150,7 @@
       for (const drill::Found& found : result.failing)
         if (!json)
           output += "        seed " + std::to_string(found.seed) + ": " +
-                    found.breaches.front().what + "\n";
+                    found.breaches.front().description + "\n";
     }
     std::fputs((json ? output + "\n]\n" : output).c_str(), stdout);
     return all_passed ? 0 : 3;
@@ -224,7 +224,7 @@
       for (std::size_t i = 0; i < result.failing.size(); ++i)
         std::printf("%s{\"seed\": %llu, \"rule\": \"%s\"}", i ? ", " : "",
                     printable(result.failing[i].seed),
-                    rules::ToString(result.failing[i].breaches.front().rule));
+                    rules::ToString(result.failing[i].breaches.front().invariant));
       std::printf("], \"worst\": [");
       for (std::size_t i = 0; i < result.worst.size(); ++i)
         std::printf("%s{\"seed\": %llu, \"service\": %.4f}", i ? ", " : "",
@@ -234,9 +234,10 @@
       std::printf("%s: %llu seeds played, %zu break a rule\n", script.name.c_str(),
                   printable(result.played), result.failing.size());
       for (const drill::Found& found : result.failing) {
-        const rules::Breach& breach = found.breaches.front();
+        const rules::Violation& breach = found.breaches.front();
         std::printf("  seed %llu at %.3f s: %s: %s: %s\n", printable(found.seed), breach.at / 1000,
-                    rules::ToString(breach.rule), breach.who.c_str(), breach.what.c_str());
+                    rules::ToString(breach.invariant), breach.actor.c_str(),
+                    breach.description.c_str());
       }
       for (const drill::Found& found : result.worst)
         std::printf("  seed %llu: service %.3f\n", printable(found.seed), found.service);
--- a/src/ctl/record.cpp
+++ b/src/ctl/record.cpp
@@ -149,9 +149,9 @@
   int operator()() {
     RecordClient client(addresses, port);
     drift::Approval approval;
-    approval.by = approver;
-    approval.second = second_approver;
-    approval.hold_by = static_cast<double>(UnixMs()) + within_s * 1000;
+    approval.approver = approver;
+    approval.second_approver = second_approver;
+    approval.apply_deadline = static_cast<double>(UnixMs()) + within_s * 1000;
     schema::ValidatedFile settings(
         file, schema::ReadFile(file),
         R"({"type": "object", "minProperties": 1, "maxProperties": 32, "additionalProperties":
@@ -159,13 +159,13 @@
     for (const auto& section : settings.Root().GetObject())
       for (const auto& field : section.value.GetObject()) {
         const rapidjson::Value& value = field.value;
-        approval.form[section.name.GetString()][field.name.GetString()] =
+        approval.configuration[section.name.GetString()][field.name.GetString()] =
             value.IsString() ? std::string(value.GetString())
             : value.IsBool() ? std::string(value.GetBool() ? "true" : "false")
-                             : drift::Number(value.GetDouble());
+                             : drift::FormatNumber(value.GetDouble());
       }
     if (replaced_version >= 0) {
-      approval.replaces = static_cast<drift::Version>(replaced_version);
+      approval.replaced_version = static_cast<drift::Version>(replaced_version);
     } else {
       // The version that is approved now: the newest that any of the fronts has read.
       for (std::size_t i = 0; i < client.fronts.size(); ++i)
@@ -176,8 +176,8 @@
             continue;
           const auto& approved = document["rules"]["approved"];
           if (approved.HasMember(scope.c_str()))
-            approval.replaces =
-                std::max<drift::Version>(approval.replaces, approved[scope.c_str()].GetUint64());
+            approval.replaced_version = std::max<drift::Version>(
+                approval.replaced_version, approved[scope.c_str()].GetUint64());
         }
     }
     proto::record::PutBatch batch;
@@ -222,7 +222,7 @@
           return value.GetBool() ? "yes" : "no";
         if (value.IsUint64())
           return std::to_string(value.GetUint64());
-        return value.IsNumber() ? drift::Number(value.GetDouble()) : "-";
+        return value.IsNumber() ? drift::FormatNumber(value.GetDouble()) : "-";
       };
       std::string standing = "-";
       if (document["rules"].IsObject())
--- a/src/front/turning.cpp
+++ b/src/front/turning.cpp
@@ -99,7 +99,8 @@
 
 }  // namespace
 
-std::string ApplyConfiguration(const drift::Form& approved, const drift::Form& active,
+std::string ApplyConfiguration(const drift::CanonicalConfiguration& approved,
+                               const drift::CanonicalConfiguration& active,
                                DeploymentSettings& settings) {
   DeploymentSettings next = settings;
   auto setters = FieldSetters(next);
--- a/src/rig/script.cpp
+++ b/src/rig/script.cpp
@@ -105,7 +105,7 @@
   FleetFile f;
   f.swim.period = 200;
   f.swim.probe_timeout = 60;
-  f.verdict.hold_back = 1000;
+  f.verdict.recovery_interval = 1000;
   for (const rapidjson::Value& z : FindMember(root, "zones")->GetArray()) {
     std::string name;
     ReadMember(z, "name", name);
@@ -121,8 +121,8 @@
   ReadMember(root, "port", f.port);
   ReadMember(root, "period_ms", f.swim.period);
   ReadMember(root, "probe_timeout_ms", f.swim.probe_timeout);
-  ReadMember(root, "hold_back_ms", f.verdict.hold_back);
-  ReadMember(root, "lasting_ms", f.verdict.lasting);
+  ReadMember(root, "hold_back_ms", f.verdict.recovery_interval);
+  ReadMember(root, "lasting_ms", f.verdict.degradation_delay);
   ReadMember(root, "quorum", f.verdict.quorum);
   ReadMember(root, "steer", f.steer);
   ReadMember(root, "peers", f.peers);
