--- a/src/failover/living.hpp
+++ b/src/failover/living.hpp
@@ -10,8 +10,8 @@
   std::vector<Peer> all;
   for (const auto& [id, m] : swim.Members())
     if (m.state != members::State::kDead)
-      all.push_back({id, m.state == members::State::kSuspect, m.noted,
-                     m.noted ? Unpack(m.note.bits) : Opinion{}});
+      all.push_back({id, m.state == members::State::kSuspect, m.has_payload,
+                     m.has_payload ? Unpack(m.payload.bits) : Opinion{}});
   return all;
 }
 
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -43,7 +43,7 @@
   std::vector<FleetMember> members;  // self among them
   std::vector<std::string> zones;
   std::vector<int> zone_region;
-  members::Terms swim;
+  members::Settings swim;
   failover::Terms failover_settings;
   bool steer = false;  // whether requests follow the failover decision
   std::size_t platform_zone_count =
--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -150,9 +150,9 @@
 }
 
 void MembershipComponent::Evaluate() {
-  for (const members::Change& change : swim_.Changes())
-    if (!change.note_only)
-      log::Say("fleet member %u %s incarnation %u", change.who, members::ToString(change.state),
+  for (const members::Change& change : swim_.TakeChanges())
+    if (!change.payload_only)
+      log::Say("fleet member %u %s incarnation %u", change.member, members::ToString(change.state),
                change.incarnation);
   bool changed = false;
   failover::Opinion observation =
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -339,14 +339,14 @@
   // The longest suspicion; two probes at a front whose health is at its worst; ten periods for the
   // news, and as many for the round in which the lost are probed. Probing is by chance: no run of
   // 2,400 came near it (docs/notes/failover.md).
-  return f.swim.beta * least + 2 * (f.swim.health_most + 1) * f.swim.period + 20 * f.swim.period;
+  return f.swim.beta * least + 2 * (f.swim.max_health + 1) * f.swim.period + 20 * f.swim.period;
 }
 Ms CachesWithin(const FleetFile& f) {
   return 8000 + f.verdict.lasting + 10 * f.swim.period;
 }
 Ms SettleWithin(const FleetFile& f) {
   return std::max(LeaveWithin(f), CachesWithin(f)) + failover::kSteps * f.verdict.hold_back +
-         10 * f.swim.period + f.swim.note_refresh;
+         10 * f.swim.period + f.swim.payload_refresh_period;
 }
 
 std::vector<Broken> CheckHistory(const FleetFile& fleet, const History& history) {
--- a/src/rig/script.hpp
+++ b/src/rig/script.hpp
@@ -41,7 +41,7 @@
   std::vector<int> zone_of;
   int caches_per_zone = 2;
   std::uint16_t port = 7400;
-  members::Terms swim;
+  members::Settings swim;
   failover::Terms verdict;
   bool steer = true;
   double requests_per_s = 20;  // asked of each front
--- a/src/rig/sim.cpp
+++ b/src/rig/sim.cpp
@@ -131,10 +131,10 @@
 void Sim::Settle(Id id, bool always) {
   Node& node = nodes_[id];
   node.wake = node.swim->WakeAt();
-  std::vector<members::Change> changes = node.swim->Changes();
+  std::vector<members::Change> changes = node.swim->TakeChanges();
   for (const members::Change& c : changes)
-    if (!c.note_only)
-      seen_.push_back(Seen{now_, id, c.who, c.state});
+    if (!c.payload_only)
+      seen_.push_back(Seen{now_, id, c.member, c.state});
   if (changes.empty() && !always)
     return;
   bool changed = false;
--- a/src/rig/sim.hpp
+++ b/src/rig/sim.hpp
@@ -37,7 +37,7 @@
 };
 
 struct SimTerms {
-  members::Terms members;
+  members::Settings members;
   failover::Terms failover;
   std::vector<failover::Place> places;  // by member id 0..n-1
   std::vector<int> zone_region;
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -1,5 +1,6 @@
-// Membership, the verdict in common and their wire: single steps, an exhaustive check of how news
-// is merged, and seeded runs of many members on the staged network with the letter's faults.
+// SWIM membership, the fleet's common failover decision and the membership datagram: single steps,
+// an exhaustive check of how updates are merged, and seeded runs of a fleet on a simulated network
+// with killed, paused and partitioned members, loss, delay and duplication.
 #include <algorithm>
 #include <cassert>
 #include <cstdio>
@@ -18,21 +19,22 @@
 
 void Wire() {
   members::Message m;
-  m.kind = members::Kind::kAskPing;
+  m.kind = members::Kind::kPingRequest;
   m.from = 3;
   m.to = 9;
   m.seq = 77;
   m.target = 4;
-  m.news = {{4, 12, State::kSuspect, 3}, {3, 100, State::kAlive, 3}};
-  m.notes = {{3, 5, 0xfeedface12345678}};
+  m.updates = {{4, 12, State::kSuspect, 3}, {3, 100, State::kAlive, 3}};
+  m.payloads = {{3, 5, 0xfeedface12345678}};
   std::string bytes = members::Encode(m);
   auto back = members::Decode(bytes);
   assert(back && back->kind == m.kind && back->from == 3 && back->to == 9 && back->seq == 77 &&
          back->target == 4);
-  assert(back->news.size() == 2 && back->news[0].state == State::kSuspect &&
-         back->news[0].incarnation == 12);
-  assert(back->notes.size() == 1 && back->notes[0].bits == 0xfeedface12345678);
-  // Whatever a peer sends: short, long, a wrong kind or state, counts past the bound. None throws.
+  assert(back->updates.size() == 2 && back->updates[0].state == State::kSuspect &&
+         back->updates[0].incarnation == 12);
+  assert(back->payloads.size() == 1 && back->payloads[0].bits == 0xfeedface12345678);
+  // Invalid datagrams are rejected without an exception: truncated, too long, an unknown kind or
+  // state, a count above the limit.
   for (std::size_t cut = 0; cut < bytes.size(); ++cut)
     assert(!members::Decode({bytes.data(), cut}));
   std::string longer = bytes + "x";
@@ -50,16 +52,16 @@
          !members::IsViewRequest(bytes));
 }
 
-// A model check of the merge: for every order in which one member hears the same pieces of news
-// about another (all incarnations 0..2, all states), it ends in the same state. So members that
-// hear the same, in any order, agree (SWIM's convergence rests on it).
+// A model check of the merge: for every order in which a member receives the same updates about
+// another (all incarnations 0..2, all states), it ends in the same state. So members that receive
+// the same updates in any order agree; SWIM's convergence rests on it.
 void MergeIsOrderFree() {
-  std::vector<members::News> all;
+  std::vector<members::MemberUpdate> all;
   for (std::uint32_t inc = 0; inc < 3; ++inc)
     for (State s : {State::kAlive, State::kSuspect, State::kDead})
       all.push_back({1, inc, s, 2});
   std::size_t checked = 0;
-  // Every subset of up to four pieces, in every order.
+  // Every subset of up to four updates, in every order.
   for (unsigned mask = 1; mask < (1u << all.size()); ++mask) {
     if (__builtin_popcount(mask) > 4)
       continue;
@@ -81,7 +83,7 @@
         m.to = 0;
         m.seq = 999;
         m.target = 2;
-        m.news = {all[static_cast<std::size_t>(i)]};
+        m.updates = {all[static_cast<std::size_t>(i)]};
         s.Receive(0, m, out);
       }
       const members::Member& one = s.Members().at(1);
@@ -94,11 +96,11 @@
       ++checked;
     } while (std::next_permutation(picked.begin(), picked.end()));
   }
-  std::printf("merge: %zu orders of news checked\n", checked);
+  std::printf("merge: %zu orders of updates checked\n", checked);
 }
 
-// A member that hears it is suspected or dead refutes with a higher incarnation, and the others
-// take that.
+// A member that learns that it is held suspect or dead refutes with a higher incarnation, and the
+// others adopt that.
 void Refutes() {
   members::Swim s(0, {1}, 5, {}, 1, 0);
   members::Message m;
@@ -107,11 +109,12 @@
   m.to = 0;
   m.seq = 1;
   m.target = 0;
-  m.news = {{0, 5, State::kDead, 1}};
+  m.updates = {{0, 5, State::kDead, 1}};
   std::vector<members::Message> out;
   s.Receive(0, m, out);
   assert(s.Incarnation() == 6 && s.health() == 1);
-  assert(out.size() == 1 && out[0].kind == members::Kind::kAck && out[0].news[0].incarnation == 6);
+  assert(out.size() == 1 && out[0].kind == members::Kind::kAck &&
+         out[0].updates[0].incarnation == 6);
   members::Swim other(1, {0}, 1, {}, 2, 0);
   std::vector<members::Message> none;
   other.Receive(0, members::Message{members::Kind::kAck, 0, 1, 9, 0, {{0, 4, State::kDead, 1}}, {}},
@@ -119,14 +122,14 @@
   assert(other.Members().at(0).state == State::kDead);
   other.Receive(0, out[0], none);
   assert(other.Members().at(0).state == State::kAlive && other.Members().at(0).incarnation == 6);
-  // News of an id that is not configured is passed over, and so is a message from one.
+  // An update about an id that is not configured is ignored, and so is a message from one.
   other.Receive(
       0, members::Message{members::Kind::kPing, 7, 1, 1, 1, {{7, 1, State::kAlive, 7}}, {}}, none);
   assert(other.Members().count(7) == 0 && none.empty());
 }
 
-// Three zones in two regions: zone 0 (fronts 0, 1), zone 1 (2, 3), zone 2 (4), region of zone 2
-// apart.
+// Three zones in two regions: zone 0 (fronts 0, 1) and zone 1 (2, 3) in region 0, zone 2 (4) in
+// region 1.
 fleet::SimTerms Five(std::uint64_t seed) {
   fleet::SimTerms t;
   t.places = {{0, 0}, {0, 0}, {1, 0}, {1, 0}, {2, 1}};
@@ -156,8 +159,8 @@
   assert(sim.verdicts(0).verdict().shares[0] == 1.0);
 }
 
-// A killed front: all others take it for dead; its zone (it alone) is left by all together, at one
-// epoch.
+// A killed front: all others declare it dead, and all move traffic out of its zone, where it was
+// the only front, in the same epoch.
 void Killed(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
@@ -166,7 +169,7 @@
   assert(Until(sim, 5000, [&] { return sim.AllJudge(1u << 2); }));
   const failover::Verdict& v = sim.verdicts(0).verdict();
   assert(v.shares[0] == 1.0 && !v.panic);
-  // Back under the same id, as a new process: taken again, and the zone comes back after the
+  // A new process under the same id is accepted, and its zone gets traffic again after the
   // hysteresis.
   sim.Restart(4);
   assert(Until(sim, 30000, [&] { return sim.AllSee(4, State::kAlive) && sim.AllJudge(0); }));
@@ -175,11 +178,11 @@
     int changes =
         static_cast<int>(std::count_if(sim.judged().begin(), sim.judged().end(),
                                        [&](const fleet::Judged& j) { return j.by == id; }));
-    assert(changes <= 2);  // out and back, never flapping
+    assert(changes <= 2);  // out and back once, no flapping
   }
 }
 
-// SIGSTOP for 5 s: taken for dead, and on SIGCONT it refutes and is alive to all again.
+// SIGSTOP for 5 s: the front is declared dead, and after SIGCONT it refutes and all hold it alive.
 void Paused(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
@@ -190,17 +193,18 @@
   assert(Until(sim, 30000, [&] { return sim.AllSee(1, State::kAlive); }));
   sim.RunUntil(sim.now() + 20000);
   assert(sim.AllSee(1, State::kAlive) && sim.swim(1).Incarnation() >= before);
-  assert(sim.AllJudge(0));  // zone 0 kept its other front: it never went out
+  assert(sim.AllJudge(0));  // zone 0 kept its other front, so it kept its traffic
 }
 
-// One front cut off alone: it holds all other zones out, but alone it is no quorum and keeps its
-// own zone. The others take it for dead; its zone still has front 0, so nobody leaves it.
+// A single front is partitioned from all others: it holds all other zones failed, but alone it has
+// no quorum and keeps its own zone. The others declare it dead; its zone still has front 0, so no
+// front moves traffic out of it.
 void Alone(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
   sim.CutAround({1});
-  // Alone, its probes fail and Lifeguard slows it down up to nine times: it takes longer to give up
-  // on all.
+  // All its probes fail, so Lifeguard stretches its timeouts up to nine times: it takes longer to
+  // declare all others dead.
   assert(
       Until(sim, 120000, [&] { return sim.swim(1).alive() == 1 && sim.AllSee(1, State::kDead); }));
   assert(sim.verdicts(1).verdict().out == 0 && sim.verdicts(1).verdict().shares[0] == 1.0);
@@ -214,8 +218,8 @@
   }));
 }
 
-// A minority (zone 1, fronts 2 and 3) cut off: it keeps its zone; the majority leaves zone 1
-// together.
+// A minority (zone 1, fronts 2 and 3) is partitioned: it keeps its zone; the majority moves its
+// traffic out of zone 1, all fronts together.
 void Minority(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
@@ -231,8 +235,8 @@
   assert(Until(sim, 30000, [&] { return sim.AllJudge(0); }));
 }
 
-// A one-way cut: front 4 hears all but is heard by none. It can't answer, so the others take it for
-// dead.
+// A one-way partition: front 4 receives everything, but nothing that it sends arrives. It can't
+// answer, so the others declare it dead.
 void OneWay(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.RunUntil(3000);
@@ -242,7 +246,8 @@
   assert(Until(sim, 30000, [&] { return sim.AllSee(4, State::kAlive) && sim.AllJudge(0); }));
 }
 
-// Loss, delay and duplication on every link: after they end, all members agree again on all alive.
+// Loss, delay and duplication on every link: after they end, all members hold all others alive
+// again.
 void Lossy(std::uint64_t seed) {
   fleet::Sim sim(Five(seed));
   sim.Everywhere([](fleet::Link& l) {
@@ -261,7 +266,7 @@
   }));
 }
 
-// The same seed, the same run.
+// The same seed gives the same run.
 void Replays() {
   auto run = [] {
     fleet::Sim sim(Five(11));
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -106,10 +106,10 @@
     m.to = 7;
     m.seq = 0xfffffffe;
     m.target = 9;
-    m.news = {{3, 5, members::State::kAlive, 0},
+    m.updates = {{3, 5, members::State::kAlive, 0},
               {4, 6, members::State::kSuspect, 7},
               {0xffffffff, 8, members::State::kDead, 1}};
-    m.notes = {{2, 11, 0x0123456789abcdefu}, {3, 0xffffffff, 0}};
+    m.payloads = {{2, 11, 0x0123456789abcdefu}, {3, 0xffffffff, 0}};
     all.push_back({std::string("members_") + members::ToString(m.kind), members::Encode(m),
                    Reencode(members::Decode)});
   }
