--- a/src/front/charter_peers.cpp
+++ b/src/front/charter_peers.cpp
@@ -28,7 +28,7 @@
     throw error("listen", "must be an address such as 127.0.0.10:7400");
   settings.listen = *listen;
   const Value* members = block.Find("members", Kind::kList);
-  constexpr std::size_t kMaxMembers = peers::Terms{}.most_peers;
+  constexpr std::size_t kMaxMembers = peers::Settings{}.max_peers;
   if (!members || members->items.empty() || members->items.size() > kMaxMembers)
     throw error("members",
                 "must list 1 to " + std::to_string(kMaxMembers) + " objects, each with id and at");
--- a/src/front/peers.cpp
+++ b/src/front/peers.cpp
@@ -117,7 +117,7 @@
         SendDatagram(from, component->StatusJson());
       return;
     }
-  if (auto head = peers::ReadHead(datagram)) {
+  if (auto head = peers::ReadHeader(datagram)) {
     if (head->from == self_ || !addresses_.count(head->from))
       return void(++unknown_senders_);
     return peers_.Receive(loop_.now(), datagram);
@@ -134,24 +134,24 @@
   };
   std::string json =
       "{\"self\":" + std::to_string(self_) + ",\"version\":" + std::to_string(peers::kVersion) +
-      field("peers", addresses_.size()) + field("held_bytes", peers_.Held()) +
-      field("strangers", unknown_senders_) + field("junk", malformed_ + peers_.Junk()) +
+      field("peers", addresses_.size()) + field("held_bytes", peers_.HeldBytes()) +
+      field("strangers", unknown_senders_) + field("junk", malformed_ + peers_.Malformed()) +
       field("unsent", unsent_) + ",\"other_versions\":[";
   bool first = true;
-  for (const auto& [id, version] : peers_.Others()) {
+  for (const auto& [id, version] : peers_.OtherVersions()) {
     json += std::string(first ? "" : ",") + "{\"id\":" + std::to_string(id) +
             field("version", version) + "}";
     first = false;
   }
   json += "],\"channels\":[";
-  for (std::size_t i = 0; i < peers::kChannels; ++i) {
+  for (std::size_t i = 0; i < peers::kChannelCount; ++i) {
     auto channel = static_cast<peers::Channel>(i);
     const peers::Counters& c = peers_.counters(channel);
     json += std::string(i ? "," : "") + "{\"channel\":\"" + peers::ToString(channel) + "\"" +
             field("sent", c.sent) + field("sent_bytes", c.sent_bytes) +
             field("received", c.received) + field("delivered", c.delivered) +
-            field("sent_again", c.sent_again) + field("dropped", c.dropped) +
-            field("given_up", c.given_up) + field("junk", c.junk) +
+            field("sent_again", c.retransmitted) + field("dropped", c.dropped) +
+            field("given_up", c.abandoned) + field("junk", c.malformed) +
             field("other_version", c.other_version) + "}";
   }
   return json + "]}";
--- a/src/peers/peers.cpp
+++ b/src/peers/peers.cpp
@@ -9,477 +9,492 @@
 namespace dunlinwick::peers {
 
 namespace {
-constexpr Ms kEach = 20, kNever = 1e300;
-constexpr std::size_t kAnswerEvery = 32;  // pieces
-constexpr std::size_t kMostOthers = 64;
-constexpr std::size_t At(Channel c) {
-  return static_cast<std::size_t>(c);
+constexpr Ms kTickInterval = 20, kNever = 1e300;
+constexpr std::size_t kFragmentsPerAcknowledgement = 32;
+constexpr std::size_t kMaxOtherVersions = 64;
+constexpr std::size_t IndexOf(Channel channel) {
+  return static_cast<std::size_t>(channel);
 }
 }  // namespace
 
-const char* ToString(Channel c) {
-  constexpr const char* kWords[kChannels] = {"members",  "owner", "quota",
-                                             "recovery", "rules", "record"};
-  return kWords[At(c)];
+const char* ToString(Channel channel) {
+  constexpr const char* kNames[kChannelCount] = {"members",  "owner", "quota",
+                                                 "recovery", "rules", "record"};
+  return kNames[IndexOf(channel)];
 }
-// Members and quota speak in what fits a datagram and is of no use late.
-bool BearsLarge(Channel c) {
-  return c != Channel::kMembers && c != Channel::kQuota;
+// Messages of members and quota fit a datagram and are useless when late.
+bool AllowsLargeMessages(Channel channel) {
+  return channel != Channel::kMembers && channel != Channel::kQuota;
 }
 
-struct Peers::Inner {
-  // What goes to one peer on one channel.
-  struct Out {
+struct Peers::Impl {
+  // To one peer on one channel.
+  struct Outgoing {
     std::deque<std::string> small;  // datagrams
     std::size_t small_bytes = 0;
-    std::deque<std::string> large;  // the first is under way
+    std::deque<std::string> large;  // the first is being sent
     std::size_t large_bytes = 0;
-    enum class Is : std::uint8_t {
-      kLacking,
-      kFlying,
-      kHad
+    enum class FragmentState : std::uint8_t {
+      kMissing,
+      kInFlight,
+      kAcknowledged
     };
-    std::vector<Is> is;
-    std::deque<std::uint32_t> lacking;                // to be sent, in order
-    std::deque<std::pair<Ms, std::uint32_t>> flying;  // when sent; emptied after `again`
+    std::vector<FragmentState> states;
+    std::deque<std::uint32_t> missing;                 // to be sent, in order
+    std::deque<std::pair<Ms, std::uint32_t>> sent_at;  // removed after `retransmit_timeout`
     std::size_t in_flight = 0;
-    std::size_t had = 0;
-    std::size_t best = 0;
+    std::size_t acknowledged = 0;
+    std::size_t most_acknowledged = 0;
     std::uint32_t message = 0;
     std::uint64_t digest = 0;
-    Life life;
+    ReceiverEpoch receiver_epoch;
     Ms progress_at = 0;
-    bool Sendable(const Terms& t) const {
-      return !small.empty() || (!lacking.empty() && in_flight < t.most_in_flight);
+    bool HasSendable(const Settings& settings) const {
+      return !small.empty() || (!missing.empty() && in_flight < settings.max_fragments_in_flight);
     }
   };
-  // What comes from one peer on one channel.
-  struct In {
-    std::uint32_t message = 0;  // the latest begun; those before it are over
+  // From one peer on one channel.
+  struct Incoming {
+    std::uint32_t message = 0;  // the latest that was started; those before it are finished
     bool active = false;
-    bool done = false;
+    bool delivered = false;
     std::string bytes;
-    std::vector<bool> had;
+    std::vector<bool> received;
     std::size_t count = 0;
-    std::size_t unanswered = 0;
+    std::size_t unacknowledged = 0;
     std::uint64_t digest = 0;
     std::uint32_t size = 0;
-    std::uint32_t begun = 0;
+    std::uint32_t starts = 0;
     Ms progress_at = 0;
-    Ms answered_at = -1e9;
+    Ms acknowledged_at = -1e9;
   };
   struct Peer {
-    std::uint64_t incarnation = 0;  // 0: no piece has come yet
-    Ms heard_at = 0;                // of this incarnation
-    std::array<Out, kChannels> out;
-    std::array<In, kChannels> in;
+    std::uint64_t incarnation = 0;  // 0: no fragment received yet
+    Ms received_at = 0;             // from this incarnation
+    std::array<Outgoing, kChannelCount> outgoing;
+    std::array<Incoming, kChannelCount> incoming;
   };
-  struct Bucket {
+  struct TokenBucket {
     double tokens = 0;
-    Ms at = 0;
+    Ms refilled_at = 0;
   };
 
   Id self;
-  Terms terms;
+  Settings settings;
   std::uint64_t incarnation;
-  Wire wire;
+  SendDatagram send_datagram;
   Deliver deliver;
-  const Breaks& breaks;
-  std::map<Id, Peer> peers;  // at most mostPeers
-  std::array<Bucket, kChannels> buckets;
-  std::array<Id, kChannels> served{};  // the last peer served
-  std::array<Counters, kChannels> counters{};
-  std::map<Id, std::uint8_t> others;
-  std::uint64_t junk = 0;
-  std::size_t held_out = 0;
-  std::size_t held_in = 0;
-  std::size_t small_bytes = 0;
-  Ms ticked;
+  const InjectedDefects& defects;
+  std::map<Id, Peer> peers;  // at most max_peers
+  std::array<TokenBucket, kChannelCount> buckets;
+  std::array<Id, kChannelCount> last_served{};
+  std::array<Counters, kChannelCount> counters{};
+  std::map<Id, std::uint8_t> other_versions;
+  std::uint64_t malformed = 0;
+  std::size_t outgoing_large_bytes = 0;
+  std::size_t incoming_bytes = 0;
+  std::size_t outgoing_small_bytes = 0;
+  Ms last_tick_at;
 
-  Inner(Id s, Terms t, std::uint64_t i, Ms now, Wire w, Deliver d, const Breaks& b)
-      : self(s),
-        terms(t),
-        incarnation(i),
-        wire(std::move(w)),
+  Impl(Id id, Settings s, std::uint64_t own_incarnation, Ms now, SendDatagram send, Deliver d,
+       const InjectedDefects& injected)
+      : self(id),
+        settings(s),
+        incarnation(own_incarnation),
+        send_datagram(std::move(send)),
         deliver(std::move(d)),
-        breaks(b),
-        ticked(now) {
-    for (std::size_t c = 0; c < kChannels; ++c)
-      buckets[c] = {terms.budgets[c].burst, now};
+        defects(injected),
+        last_tick_at(now) {
+    for (std::size_t channel = 0; channel < kChannelCount; ++channel)
+      buckets[channel] = {settings.budgets[channel].burst, now};
   }
 
-  Peer* peer(Id id) {
+  Peer* PeerFor(Id id) {
     auto found = peers.find(id);
     if (found != peers.end())
       return &found->second;
-    return peers.size() < terms.most_peers ? &peers[id] : nullptr;
+    return peers.size() < settings.max_peers ? &peers[id] : nullptr;
   }
 
-  // ---- out
+  // ---- sending
 
-  // True: the channel may send now. A channel may overdraw by one datagram, and pays for it after.
-  bool Pays(Ms now, std::size_t c) {
-    const Budget& b = terms.budgets[c];
-    if (b.bytes_per_s <= 0)
+  // Whether the channel may send now. It may overdraw its budget by one datagram, which it repays
+  // before the next.
+  bool HasBudget(Ms now, std::size_t channel) {
+    const Budget& budget = settings.budgets[channel];
+    if (budget.bytes_per_s <= 0)
       return true;
-    Bucket& k = buckets[c];
-    if (now > k.at) {
-      k.tokens = std::min(b.burst, k.tokens + b.bytes_per_s * (now - k.at) / 1000);
-      k.at = now;
+    TokenBucket& bucket = buckets[channel];
+    if (now > bucket.refilled_at) {
+      bucket.tokens = std::min(
+          budget.burst, bucket.tokens + budget.bytes_per_s * (now - bucket.refilled_at) / 1000);
+      bucket.refilled_at = now;
     }
-    return k.tokens > 0;
+    return bucket.tokens > 0;
   }
-  void Put(Id to, std::size_t c, std::string datagram) {
-    buckets[c].tokens -= static_cast<double>(datagram.size());
-    ++counters[c].sent;
-    counters[c].sent_bytes += datagram.size();
-    wire(to, std::move(datagram));
+  void Transmit(Id to, std::size_t channel, std::string datagram) {
+    buckets[channel].tokens -= static_cast<double>(datagram.size());
+    ++counters[channel].sent;
+    counters[channel].sent_bytes += datagram.size();
+    send_datagram(to, std::move(datagram));
   }
 
-  // The first of the large ones gets under way.
-  void begin(Ms now, Out& o) {
-    o.is.clear();
-    o.lacking.clear();
-    o.flying.clear();
-    o.in_flight = o.had = o.best = 0;
-    o.life = {};
-    if (o.large.empty())
+  // Starts sending the first queued large message.
+  void StartMessage(Ms now, Outgoing& out) {
+    out.states.clear();
+    out.missing.clear();
+    out.sent_at.clear();
+    out.in_flight = out.acknowledged = out.most_acknowledged = 0;
+    out.receiver_epoch = {};
+    if (out.large.empty())
       return;
-    ++o.message;
-    o.progress_at = now;
-    o.digest = Digest(o.large.front());
-    o.is.assign(Pieces(o.large.front().size()), Out::Is::kLacking);
-    for (std::uint32_t i = 0; i < o.is.size(); ++i)
-      o.lacking.push_back(i);
+    ++out.message;
+    out.progress_at = now;
+    out.digest = Digest(out.large.front());
+    out.states.assign(FragmentCount(out.large.front().size()), Outgoing::FragmentState::kMissing);
+    for (std::uint32_t i = 0; i < out.states.size(); ++i)
+      out.missing.push_back(i);
   }
-  void Over(Ms now, Out& o) {
-    o.large_bytes -= o.large.front().size();
-    held_out -= o.large.front().size();
-    o.large.pop_front();
-    begin(now, o);
+  void FinishMessage(Ms now, Outgoing& out) {
+    out.large_bytes -= out.large.front().size();
+    outgoing_large_bytes -= out.large.front().size();
+    out.large.pop_front();
+    StartMessage(now, out);
   }
-  void Expire(Ms now, Out& o, std::size_t c) {
-    while (!o.flying.empty() && o.flying.front().first + terms.again <= now) {
-      std::uint32_t i = o.flying.front().second;
-      o.flying.pop_front();
-      if (o.is[i] != Out::Is::kFlying)
+  void ExpireFragments(Ms now, Outgoing& out, std::size_t channel) {
+    while (!out.sent_at.empty() && out.sent_at.front().first + settings.retransmit_timeout <= now) {
+      std::uint32_t i = out.sent_at.front().second;
+      out.sent_at.pop_front();
+      if (out.states[i] != Outgoing::FragmentState::kInFlight)
         continue;
-      --o.in_flight;
-      if (breaks.no_resume)
+      --out.in_flight;
+      if (defects.no_retransmission)
         continue;
-      o.is[i] = Out::Is::kLacking;
-      o.lacking.push_back(i);
-      ++counters[c].sent_again;
+      out.states[i] = Outgoing::FragmentState::kMissing;
+      out.missing.push_back(i);
+      ++counters[channel].retransmitted;
     }
-    if (!o.large.empty() && now - o.progress_at > terms.give_up) {
-      ++counters[c].given_up;
-      Over(now, o);
+    if (!out.large.empty() && now - out.progress_at > settings.abandon_timeout) {
+      ++counters[channel].abandoned;
+      FinishMessage(now, out);
     }
   }
-  void One(Ms now, Id to, Out& o, std::size_t c) {
-    if (!o.small.empty()) {
-      std::string d = std::move(o.small.front());
-      o.small.pop_front();
-      o.small_bytes -= d.size();
-      small_bytes -= d.size();
-      return Put(to, c, std::move(d));
+  void SendNext(Ms now, Id to, Outgoing& out, std::size_t channel) {
+    if (!out.small.empty()) {
+      std::string datagram = std::move(out.small.front());
+      out.small.pop_front();
+      out.small_bytes -= datagram.size();
+      outgoing_small_bytes -= datagram.size();
+      return Transmit(to, channel, std::move(datagram));
     }
-    std::uint32_t i = o.lacking.front();
-    o.lacking.pop_front();
-    if (o.is[i] != Out::Is::kLacking)
-      return;  // named as had while it waited
-    o.is[i] = Out::Is::kFlying;
-    o.flying.emplace_back(now, i);
-    ++o.in_flight;
-    const std::string& all = o.large.front();
-    std::span<const char> part(all.data() + i * kPieceBytes,
-                               std::min(kPieceBytes, all.size() - i * kPieceBytes));
-    Put(to, c,
-        Encode(static_cast<Channel>(c), self,
-               Piece{incarnation, o.message, static_cast<std::uint32_t>(all.size()), i, o.digest,
-                     part}));
+    std::uint32_t i = out.missing.front();
+    out.missing.pop_front();
+    if (out.states[i] != Outgoing::FragmentState::kMissing)
+      return;  // acknowledged while it was queued
+    out.states[i] = Outgoing::FragmentState::kInFlight;
+    out.sent_at.emplace_back(now, i);
+    ++out.in_flight;
+    const std::string& message = out.large.front();
+    std::span<const char> bytes(message.data() + i * kFragmentBytes,
+                                std::min(kFragmentBytes, message.size() - i * kFragmentBytes));
+    Transmit(to, channel,
+             Encode(static_cast<Channel>(channel), self,
+                    Fragment{incarnation, out.message, static_cast<std::uint32_t>(message.size()),
+                             i, out.digest, bytes}));
   }
-  // Peers in turn, a datagram each, while the budget bears it.
-  void Serve(Ms now, std::size_t c) {
-    while (Pays(now, c)) {
-      auto sends = [&](auto& p) {
-        return p.second.out[c].Sendable(terms);
+  // Serves peers round-robin, one datagram each, while the budget allows.
+  void ServeChannel(Ms now, std::size_t channel) {
+    while (HasBudget(now, channel)) {
+      auto has_sendable = [&](auto& entry) {
+        return entry.second.outgoing[channel].HasSendable(settings);
       };
-      auto next = std::find_if(peers.upper_bound(served[c]), peers.end(), sends);
+      auto next = std::find_if(peers.upper_bound(last_served[channel]), peers.end(), has_sendable);
       if (next == peers.end())
-        next = std::find_if(peers.begin(), peers.end(), sends);
+        next = std::find_if(peers.begin(), peers.end(), has_sendable);
       if (next == peers.end())
         return;
-      served[c] = next->first;
-      One(now, next->first, next->second.out[c], c);
+      last_served[channel] = next->first;
+      SendNext(now, next->first, next->second.outgoing[channel], channel);
     }
   }
 
-  void Named(Ms now, Out& o, std::size_t c, const Had& h) {
-    if (h.incarnation != incarnation || o.large.empty() || h.message != o.message)
-      return;  // of what is over
-    if (h.pieces.empty())
-      return Over(now, o);
-    if (h.pieces.size() != o.is.size())
-      return void(++counters[c].junk);
-    if (h.life < o.life && !breaks.old_life)
-      return;  // overtaken
-    if (h.life > o.life && !breaks.old_life) {
-      if (o.life != Life{}) {  // whoever named pieces before has lost them
-        if (h.life.first != o.life.first)
-          o.best = 0;
-        o.lacking.clear();
-        o.flying.clear();
-        o.in_flight = o.had = 0;
-        std::fill(o.is.begin(), o.is.end(), Out::Is::kLacking);
-        for (std::uint32_t i = 0; i < o.is.size(); ++i)
-          o.lacking.push_back(i);
+  void HandleAcknowledgement(Ms now, Outgoing& out, std::size_t channel,
+                             const Acknowledgement& acknowledgement) {
+    if (acknowledgement.incarnation != incarnation || out.large.empty() ||
+        acknowledgement.message != out.message)
+      return;  // of a finished message
+    if (acknowledgement.fragments.empty())
+      return FinishMessage(now, out);
+    if (acknowledgement.fragments.size() != out.states.size())
+      return void(++counters[channel].malformed);
+    if (acknowledgement.epoch < out.receiver_epoch && !defects.ignores_restarts)
+      return;  // reordered
+    if (acknowledgement.epoch > out.receiver_epoch && !defects.ignores_restarts) {
+      if (out.receiver_epoch != ReceiverEpoch{}) {  // the receiver lost what it had acknowledged
+        if (acknowledgement.epoch.first != out.receiver_epoch.first)
+          out.most_acknowledged = 0;
+        out.missing.clear();
+        out.sent_at.clear();
+        out.in_flight = out.acknowledged = 0;
+        std::fill(out.states.begin(), out.states.end(), Outgoing::FragmentState::kMissing);
+        for (std::uint32_t i = 0; i < out.states.size(); ++i)
+          out.missing.push_back(i);
       }
-      o.life = h.life;
+      out.receiver_epoch = acknowledgement.epoch;
     }
-    for (std::size_t i = 0; i < o.is.size(); ++i) {
-      if (!h.pieces[i] || o.is[i] == Out::Is::kHad)
+    for (std::size_t i = 0; i < out.states.size(); ++i) {
+      if (!acknowledgement.fragments[i] || out.states[i] == Outgoing::FragmentState::kAcknowledged)
         continue;
-      if (o.is[i] == Out::Is::kFlying)
-        --o.in_flight;
-      o.is[i] = Out::Is::kHad;
-      ++o.had;
+      if (out.states[i] == Outgoing::FragmentState::kInFlight)
+        --out.in_flight;
+      out.states[i] = Outgoing::FragmentState::kAcknowledged;
+      ++out.acknowledged;
     }
-    if (o.had > o.best) {
-      o.best = o.had;
-      o.progress_at = now;
+    if (out.acknowledged > out.most_acknowledged) {
+      out.most_acknowledged = out.acknowledged;
+      out.progress_at = now;
     }
   }
 
-  // ---- in
+  // ---- receiving
 
-  void Drop(In& in) {
+  void Discard(Incoming& in) {
     if (in.active)
-      held_in -= in.bytes.size();
+      incoming_bytes -= in.bytes.size();
     in.active = false;
     in.bytes = std::string();
-    in.had.clear();
+    in.received.clear();
     in.count = 0;
   }
-  void answer(Ms now, Id to, In& in, std::size_t c) {
-    in.unanswered = 0;
-    in.answered_at = now;
-    Had h{peers.at(to).incarnation, in.message, {incarnation, in.begun}, {}};
-    if (!in.done)
-      h.pieces = in.active ? in.had : std::vector<bool>(Pieces(in.size));
-    Put(to, c, Encode(static_cast<Channel>(c), self, h));
+  void SendAcknowledgement(Ms now, Id to, Incoming& in, std::size_t channel) {
+    in.unacknowledged = 0;
+    in.acknowledged_at = now;
+    Acknowledgement acknowledgement{
+        peers.at(to).incarnation, in.message, {incarnation, in.starts}, {}};
+    if (!in.delivered)
+      acknowledgement.fragments =
+          in.active ? in.received : std::vector<bool>(FragmentCount(in.size));
+    Transmit(to, channel, Encode(static_cast<Channel>(channel), self, acknowledgement));
   }
-  void Owe(Ms now, Id to, In& in, std::size_t c) {
-    if (++in.unanswered >= kAnswerEvery || now - in.answered_at >= terms.answer_within)
-      answer(now, to, in, c);
+  void AcknowledgeIfDue(Ms now, Id to, Incoming& in, std::size_t channel) {
+    if (++in.unacknowledged >= kFragmentsPerAcknowledgement ||
+        now - in.acknowledged_at >= settings.max_ack_delay)
+      SendAcknowledgement(now, to, in, channel);
   }
-  bool Start(Peer& from, In& in, const Piece& p, std::size_t c) {
+  bool StartReceiving(Peer& from, Incoming& in, const Fragment& fragment, std::size_t channel) {
     std::size_t active = 0;
-    for (In& other : from.in)
+    for (Incoming& other : from.incoming)
       active += other.active && &other != &in;
     if (in.active)
-      ++counters[c].dropped;
-    Drop(in);
-    if (p.size > terms.most_message || held_in + p.size > terms.most_held ||
-        active >= terms.most_partial)
+      ++counters[channel].dropped;
+    Discard(in);
+    if (fragment.size > settings.max_message_bytes ||
+        incoming_bytes + fragment.size > settings.max_held_bytes ||
+        active >= settings.max_partial_messages)
       return false;
-    in.message = p.message;
-    in.digest = p.digest;
-    in.size = p.size;
-    in.done = false;
+    in.message = fragment.message;
+    in.digest = fragment.digest;
+    in.size = fragment.size;
+    in.delivered = false;
     in.active = true;
-    ++in.begun;
-    in.bytes.assign(p.size, 0);
-    in.had.assign(Pieces(p.size), false);
-    held_in += p.size;
+    ++in.starts;
+    in.bytes.assign(fragment.size, 0);
+    in.received.assign(FragmentCount(fragment.size), false);
+    incoming_bytes += fragment.size;
     return true;
   }
-  void Came(Ms now, Id id, std::size_t c, const Piece& p) {
-    Counters& n = counters[c];
-    Peer* from = peer(id);
+  void HandleFragment(Ms now, Id id, std::size_t channel, const Fragment& fragment) {
+    Counters& counter = counters[channel];
+    Peer* from = PeerFor(id);
     if (!from)
-      return void(++n.dropped);
-    // A lower one after long silence is a new life as well, by a clock that was set back.
-    bool silent = now - from->heard_at > terms.give_up;
-    if ((p.incarnation > from->incarnation || (p.incarnation < from->incarnation && silent)) &&
-        (!breaks.old_life || from->incarnation == 0)) {
-      for (In& in : from->in) {
+      return void(++counter.dropped);
+    // A lower incarnation after a long silence is a restart too, with a clock that was set back.
+    bool silent = now - from->received_at > settings.abandon_timeout;
+    if ((fragment.incarnation > from->incarnation ||
+         (fragment.incarnation < from->incarnation && silent)) &&
+        (!defects.ignores_restarts || from->incarnation == 0)) {
+      for (Incoming& in : from->incoming) {
         if (in.active)
-          ++n.dropped;
-        Drop(in);
+          ++counter.dropped;
+        Discard(in);
         in.message = 0;
-        in.done = false;
-        in.unanswered = 0;
+        in.delivered = false;
+        in.unacknowledged = 0;
       }
-      from->incarnation = p.incarnation;
+      from->incarnation = fragment.incarnation;
     }
-    if (p.incarnation < from->incarnation && !breaks.old_life)
-      return void(++n.dropped);
-    from->heard_at = now;
-    In& in = from->in[c];
-    if (p.message < in.message)
-      return void(++n.dropped);
-    bool same = p.message == in.message && p.digest == in.digest && p.size == in.size;
-    if (same && in.done)
-      return Owe(now, id, in, c);
-    if ((!same || !in.active) && !Start(*from, in, p, c))
-      return void(++n.dropped);
-    if (!in.had[p.index]) {
-      in.had[p.index] = true;
+    if (fragment.incarnation < from->incarnation && !defects.ignores_restarts)
+      return void(++counter.dropped);
+    from->received_at = now;
+    Incoming& in = from->incoming[channel];
+    if (fragment.message < in.message)
+      return void(++counter.dropped);
+    bool same =
+        fragment.message == in.message && fragment.digest == in.digest && fragment.size == in.size;
+    if (same && in.delivered)
+      return AcknowledgeIfDue(now, id, in, channel);
+    if ((!same || !in.active) && !StartReceiving(*from, in, fragment, channel))
+      return void(++counter.dropped);
+    if (!in.received[fragment.index]) {
+      in.received[fragment.index] = true;
       ++in.count;
       in.progress_at = now;
-      std::copy(p.bytes.begin(), p.bytes.end(),
-                in.bytes.begin() + static_cast<std::ptrdiff_t>(p.index * kPieceBytes));
+      std::copy(fragment.bytes.begin(), fragment.bytes.end(),
+                in.bytes.begin() + static_cast<std::ptrdiff_t>(fragment.index * kFragmentBytes));
     }
-    if (in.count < in.had.size())
-      return Owe(now, id, in, c);
-    if (!breaks.no_digest && Digest(in.bytes) != in.digest) {
-      ++n.junk;
-      Drop(in);
-      ++in.begun;
-      return answer(now, id, in, c);  // nothing of it is had
+    if (in.count < in.received.size())
+      return AcknowledgeIfDue(now, id, in, channel);
+    if (!defects.no_digest && Digest(in.bytes) != in.digest) {
+      ++counter.malformed;
+      Discard(in);
+      ++in.starts;
+      return SendAcknowledgement(now, id, in, channel);  // an empty bitmap: send everything again
     }
-    std::string whole = std::move(in.bytes);
-    held_in -= whole.size();
+    std::string message = std::move(in.bytes);
+    incoming_bytes -= message.size();
     in.active = false;
-    in.done = true;
-    in.had.clear();
+    in.delivered = true;
+    in.received.clear();
     in.bytes = std::string();
-    answer(now, id, in, c);
-    ++n.delivered;
-    deliver(id, static_cast<Channel>(c), whole);
+    SendAcknowledgement(now, id, in, channel);
+    ++counter.delivered;
+    deliver(id, static_cast<Channel>(channel), message);
   }
 };
 
-Peers::Peers(Id self, Terms terms, std::uint64_t incarnation, Ms now, Wire wire, Deliver deliver)
-    : inner_(std::make_unique<Inner>(self, terms, incarnation, now, std::move(wire),
-                                     std::move(deliver), breaks)) {}
+Peers::Peers(Id self, Settings settings, std::uint64_t incarnation, Ms now,
+             SendDatagram send_datagram, Deliver deliver)
+    : impl_(std::make_unique<Impl>(self, settings, incarnation, now, std::move(send_datagram),
+                                   std::move(deliver), defects)) {}
 Peers::~Peers() = default;
 
 bool Peers::Send(Ms now, Id to, Channel channel, std::string message) {
-  Inner& in = *inner_;
-  std::size_t c = At(channel);
-  if (to == 0 || to == in.self || message.size() > in.terms.most_message)
+  Impl& impl = *impl_;
+  std::size_t index = IndexOf(channel);
+  if (to == 0 || to == impl.self || message.size() > impl.settings.max_message_bytes)
     return false;
-  if (message.size() > kMostInDatagram && !BearsLarge(channel))
+  if (message.size() > kMaxDatagramPayload && !AllowsLargeMessages(channel))
     return false;
-  Inner::Peer* peer = in.peer(to);
+  Impl::Peer* peer = impl.PeerFor(to);
   if (!peer)
     return false;
-  Inner::Out& o = peer->out[c];
-  if (message.size() > kMostInDatagram) {
-    if (o.large_bytes + message.size() > in.terms.most_message ||
-        in.held_out + message.size() > in.terms.most_held)
+  Impl::Outgoing& out = peer->outgoing[index];
+  if (message.size() > kMaxDatagramPayload) {
+    if (out.large_bytes + message.size() > impl.settings.max_message_bytes ||
+        impl.outgoing_large_bytes + message.size() > impl.settings.max_held_bytes)
       return false;
-    o.large_bytes += message.size();
-    in.held_out += message.size();
-    o.large.push_back(std::move(message));
-    if (o.large.size() == 1)
-      in.begin(now, o);
+    out.large_bytes += message.size();
+    impl.outgoing_large_bytes += message.size();
+    out.large.push_back(std::move(message));
+    if (out.large.size() == 1)
+      impl.StartMessage(now, out);
   } else {
-    o.small.push_back(Encode(channel, in.self, Kind::kWhole, message));
-    o.small_bytes += o.small.back().size();
-    in.small_bytes += o.small.back().size();
-    while (o.small_bytes > in.terms.most_queued) {
-      ++in.counters[c].dropped;
-      o.small_bytes -= o.small.front().size();
-      in.small_bytes -= o.small.front().size();
-      o.small.pop_front();
+    out.small.push_back(Encode(channel, impl.self, Kind::kComplete, message));
+    out.small_bytes += out.small.back().size();
+    impl.outgoing_small_bytes += out.small.back().size();
+    while (out.small_bytes > impl.settings.max_queued_bytes) {
+      ++impl.counters[index].dropped;
+      out.small_bytes -= out.small.front().size();
+      impl.outgoing_small_bytes -= out.small.front().size();
+      out.small.pop_front();
     }
   }
-  if (!breaks.bulk_first)
-    in.Serve(now, c);
+  if (!defects.bulk_first)
+    impl.ServeChannel(now, index);
   return true;
 }
 
 void Peers::Receive(Ms now, std::span<const char> datagram) {
-  Inner& in = *inner_;
-  auto h = ReadHead(datagram);
-  if (!h || h->from == 0 || h->from == in.self)
-    return void(++in.junk);
-  auto named = static_cast<unsigned char>(datagram[3]);
-  if (h->version != kVersion && !breaks.no_version) {
-    ++in.counters[named < kChannels ? named : 0].other_version;
-    if (in.others.size() < kMostOthers || in.others.count(h->from))
-      in.others[h->from] = h->version;
+  Impl& impl = *impl_;
+  auto header = ReadHeader(datagram);
+  if (!header || header->from == 0 || header->from == impl.self)
+    return void(++impl.malformed);
+  auto stated_channel = static_cast<unsigned char>(datagram[3]);
+  if (header->version != kVersion && !defects.no_version) {
+    ++impl.counters[stated_channel < kChannelCount ? stated_channel : 0].other_version;
+    if (impl.other_versions.size() < kMaxOtherVersions || impl.other_versions.count(header->from))
+      impl.other_versions[header->from] = header->version;
     return;
   }
-  auto f = ReadFrame(datagram, !breaks.no_check);
-  if (!f)
-    return void(++(named < kChannels ? in.counters[named].junk : in.junk));
-  in.others.erase(f->from);
-  std::size_t c = At(f->channel);
-  Counters& n = in.counters[c];
-  if (f->kind != Kind::kWhole && !BearsLarge(f->channel))
-    return void(++n.junk);
-  if (f->kind == Kind::kWhole) {
-    ++n.received;
-    ++n.delivered;
-    return in.deliver(f->from, f->channel, f->body);
+  auto frame = ReadFrame(datagram, !defects.no_checksum);
+  if (!frame)
+    return void(++(stated_channel < kChannelCount ? impl.counters[stated_channel].malformed
+                                                  : impl.malformed));
+  impl.other_versions.erase(frame->from);
+  std::size_t index = IndexOf(frame->channel);
+  Counters& counter = impl.counters[index];
+  if (frame->kind != Kind::kComplete && !AllowsLargeMessages(frame->channel))
+    return void(++counter.malformed);
+  if (frame->kind == Kind::kComplete) {
+    ++counter.received;
+    ++counter.delivered;
+    return impl.deliver(frame->from, frame->channel, frame->body);
   }
-  if (f->kind == Kind::kPiece) {
-    auto p = ReadPiece(f->body);
-    if (!p)
-      return void(++n.junk);
-    ++n.received;
-    return in.Came(now, f->from, c, *p);
+  if (frame->kind == Kind::kFragment) {
+    auto fragment = ReadFragment(frame->body);
+    if (!fragment)
+      return void(++counter.malformed);
+    ++counter.received;
+    return impl.HandleFragment(now, frame->from, index, *fragment);
   }
-  auto a = ReadHad(f->body);
-  if (!a)
-    return void(++n.junk);
-  ++n.received;
-  auto found = in.peers.find(f->from);
-  if (found == in.peers.end())
+  auto acknowledgement = ReadAcknowledgement(frame->body);
+  if (!acknowledgement)
+    return void(++counter.malformed);
+  ++counter.received;
+  auto found = impl.peers.find(frame->from);
+  if (found == impl.peers.end())
     return;
-  in.Named(now, found->second.out[c], c, *a);
-  in.Serve(now, c);  // what was answered makes room for more
+  impl.HandleAcknowledgement(now, found->second.outgoing[index], index, *acknowledgement);
+  impl.ServeChannel(now, index);  // acknowledged fragments make room for more in flight
 }
 
 void Peers::Tick(Ms now) {
-  Inner& in = *inner_;
-  in.ticked = std::max(in.ticked, now);
-  for (std::size_t i = 0; i < kChannels; ++i) {
-    std::size_t c = breaks.bulk_first ? kChannels - 1 - i : i;
-    for (auto& [id, p] : in.peers) {
-      in.Expire(now, p.out[c], c);
-      Inner::In& from = p.in[c];
-      if (from.active && now - from.progress_at > in.terms.give_up) {
-        ++in.counters[c].dropped;
-        in.Drop(from);
-        from.unanswered = 0;
+  Impl& impl = *impl_;
+  impl.last_tick_at = std::max(impl.last_tick_at, now);
+  for (std::size_t i = 0; i < kChannelCount; ++i) {
+    std::size_t channel = defects.bulk_first ? kChannelCount - 1 - i : i;
+    for (auto& [id, peer] : impl.peers) {
+      impl.ExpireFragments(now, peer.outgoing[channel], channel);
+      Impl::Incoming& in = peer.incoming[channel];
+      if (in.active && now - in.progress_at > impl.settings.abandon_timeout) {
+        ++impl.counters[channel].dropped;
+        impl.Discard(in);
+        in.unacknowledged = 0;
       }
-      if (from.unanswered > 0 && now - from.answered_at >= in.terms.answer_within)
-        in.answer(now, id, from, c);
+      if (in.unacknowledged > 0 && now - in.acknowledged_at >= impl.settings.max_ack_delay)
+        impl.SendAcknowledgement(now, id, in, channel);
     }
-    in.Serve(now, c);
+    impl.ServeChannel(now, channel);
   }
 }
 
 Ms Peers::WakeAt() const {
-  const Inner& in = *inner_;
-  Ms first = kNever;
-  for (const auto& [id, p] : in.peers)
-    for (std::size_t c = 0; c < kChannels; ++c) {
-      if (!p.out[c].small.empty() || !p.out[c].large.empty() || p.in[c].unanswered > 0)
-        return in.ticked +
-               kEach;  // not from the last event: those may come so often that it would never be
-      if (p.in[c].active)
-        first = std::min(first, p.in[c].progress_at + in.terms.give_up + kEach);
+  const Impl& impl = *impl_;
+  Ms earliest = kNever;
+  for (const auto& [id, peer] : impl.peers)
+    for (std::size_t channel = 0; channel < kChannelCount; ++channel) {
+      if (!peer.outgoing[channel].small.empty() || !peer.outgoing[channel].large.empty() ||
+          peer.incoming[channel].unacknowledged > 0)
+        return impl.last_tick_at +
+               kTickInterval;  // not from the last event: frequent events would postpone it forever
+      if (peer.incoming[channel].active)
+        earliest = std::min(earliest, peer.incoming[channel].progress_at +
+                                          impl.settings.abandon_timeout + kTickInterval);
     }
-  return first;
+  return earliest;
 }
 
 const Counters& Peers::counters(Channel channel) const {
-  return inner_->counters[At(channel)];
+  return impl_->counters[IndexOf(channel)];
 }
-std::uint64_t Peers::Junk() const {
-  return inner_->junk;
+std::uint64_t Peers::Malformed() const {
+  return impl_->malformed;
 }
-std::map<Id, std::uint8_t> Peers::Others() const {
-  return inner_->others;
+std::map<Id, std::uint8_t> Peers::OtherVersions() const {
+  return impl_->other_versions;
 }
-std::size_t Peers::Held() const {
-  return inner_->small_bytes + inner_->held_out + inner_->held_in;
+std::size_t Peers::HeldBytes() const {
+  return impl_->outgoing_small_bytes + impl_->outgoing_large_bytes + impl_->incoming_bytes;
 }
 
 }  // namespace dunlinwick::peers
--- a/src/peers/wire.hpp
+++ b/src/peers/wire.hpp
@@ -1,5 +1,6 @@
-// The bytes of a datagram between fronts: frames, pieces of large messages, and what of them was
-// had. Pure; nothing throws, and what is not whole is nothing.
+// The wire format of a datagram between fronts: frames, fragments of large messages, and their
+// acknowledgements. No I/O; nothing throws, and readers return nullopt for what is not complete and
+// well-formed.
 #pragma once
 #include <optional>
 #include <span>
@@ -12,48 +13,51 @@
 namespace dunlinwick::peers {
 
 enum class Kind : std::uint8_t {
-  kWhole = 0,
-  kPiece = 1,
-  kHad = 2
+  kComplete = 0,
+  kFragment = 1,
+  kAcknowledgement = 2
 };
 
 struct Frame {
   Channel channel = Channel::kMembers;
   Id from = 0;
-  Kind kind = Kind::kWhole;
+  Kind kind = Kind::kComplete;
   std::span<const char> body;
 };
-// Of this version, whatever the bytes' version says: head() tells that.
-std::optional<Frame> ReadFrame(std::span<const char> datagram, bool checked = true);
+// Reads the bytes as this version, whatever version they state; ReadHeader() returns that one.
+std::optional<Frame> ReadFrame(std::span<const char> datagram, bool verify_checksum = true);
 std::string Encode(Channel channel, Id from, Kind kind, std::span<const char> body);
-void Seal(std::string& datagram);  // writes its check anew; at least `header` long
+void WriteChecksum(std::string& datagram);  // of at least `kHeaderBytes`
 
-struct Piece {
+struct Fragment {
   std::uint64_t incarnation = 0;  // of the sender
-  std::uint32_t message = 0;      // numbers of a sender's life, by receiver and channel; from 1
-  std::uint32_t size = 0;         // of the whole
+  std::uint32_t message = 0;      // counted per sender's incarnation, receiver and channel; from 1
+  std::uint32_t size = 0;         // of the complete message
   std::uint32_t index = 0;
-  std::uint64_t digest = 0;  // of the whole
+  std::uint64_t digest = 0;  // of the complete message
   std::span<const char> bytes;
 };
-constexpr std::size_t kPieceHead = 28, kPieceBytes = kMostInDatagram - kPieceHead;
-constexpr std::size_t Pieces(std::size_t size) {
-  return (size + kPieceBytes - 1) / kPieceBytes;
+constexpr std::size_t kFragmentHeaderBytes = 28,
+                      kFragmentBytes = kMaxDatagramPayload - kFragmentHeaderBytes;
+constexpr std::size_t FragmentCount(std::size_t size) {
+  return (size + kFragmentBytes - 1) / kFragmentBytes;
 }
-std::string Encode(Channel channel, Id from, const Piece& piece);
-std::optional<Piece> ReadPiece(std::span<const char> body);  // its bytes fit its index and size
+std::string Encode(Channel channel, Id from, const Fragment& fragment);
+std::optional<Fragment> ReadFragment(
+    std::span<const char> body);  // the number of its bytes fits its index and size
 
-using Life = std::pair<std::uint64_t, std::uint32_t>;
-struct Had {
+// The receiver's incarnation, then how often it has started, or started over, to receive a message
+// on the channel.
+using ReceiverEpoch = std::pair<std::uint64_t, std::uint32_t>;
+struct Acknowledgement {
   std::uint64_t incarnation = 0;  // of the sender of the message
   std::uint32_t message = 0;
-  // Of the receiver: its own incarnation, then how often it began anew. A bitmap with a higher one
-  // stands in for all before it.
-  Life life;
-  std::vector<bool> pieces;  // empty: it has been delivered
+  // A bitmap with a higher epoch supersedes all earlier ones.
+  ReceiverEpoch epoch;
+  std::vector<bool> fragments;  // empty: the message has been delivered
 };
-std::string Encode(Channel channel, Id from, const Had& had);
-std::optional<Had> ReadHad(std::span<const char> body);
+std::string Encode(Channel channel, Id from, const Acknowledgement& acknowledgement);
+std::optional<Acknowledgement> ReadAcknowledgement(std::span<const char> body);
 
 std::uint64_t Digest(std::span<const char> bytes);
 
--- a/tests/peers_front_test.cpp
+++ b/tests/peers_front_test.cpp
@@ -104,9 +104,9 @@
   auto send = [&](const std::string& datagram) {
     loop.environment().SendTo(other.Get(), datagram, second.listen);
   };
-  send(peers::Encode(peers::Channel::kMembers, 7, peers::Kind::kWhole,
+  send(peers::Encode(peers::Channel::kMembers, 7, peers::Kind::kComplete,
                      std::string("an unknown sender")));
-  send(peers::Encode(peers::Channel::kMembers, 2, peers::Kind::kWhole, std::string("oneself")));
+  send(peers::Encode(peers::Channel::kMembers, 2, peers::Kind::kComplete, std::string("oneself")));
   send("DO\x01 an executor's report");
   send("junk");
   send("");
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,7 +1,7 @@
-// The channels between fronts on a seeded virtual network: loss, doubles, disorder and delays;
-// large messages beside probes; restarts in the midst of one; other versions, every cut and garbled
-// bytes; bounds. Each property is a function of what is broken on purpose, and each broken variant
-// must fail at the property that it breaks.
+// The transport between fronts on a seeded virtual network: loss, duplication, reordering and
+// delays; large messages beside probes; restarts during a large message; other versions, truncated
+// and corrupted datagrams; memory bounds. Each property is a function of the injected defects, and
+// each defect must make the property that it violates fail.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -34,7 +34,7 @@
   Ms jitter = 0;
 };
 
-// Fronts and what is on its way between them.
+// Fronts and the datagrams in flight between them.
 struct Net {
   struct Flying {
     Ms at;
@@ -59,16 +59,16 @@
   std::priority_queue<Flying> air;
   std::map<Id, std::unique_ptr<Peers>> fronts;
   std::vector<Came> came;
-  Peers::Breaks breaks;
-  Terms terms;
+  Peers::InjectedDefects defects;
+  Settings settings;
   std::function<void(Id from, Id to, std::string&)> on_wire;  // sees, and may change, what is sent
   std::size_t most_held = 0;
 
-  explicit Net(std::uint64_t seed, Peers::Breaks b = {})
-      : random(static_cast<unsigned>(seed * 7919 + 1)), breaks(b) {}
+  explicit Net(std::uint64_t seed, Peers::InjectedDefects b = {})
+      : random(static_cast<unsigned>(seed * 7919 + 1)), defects(b) {}
   Peers& Start(Id id, std::uint32_t incarnation) {
     fronts[id] = std::make_unique<Peers>(
-        id, terms, incarnation, now,
+        id, settings, incarnation, now,
         [this, id](Id to, std::string d) {
           if (on_wire)
             on_wire(id, to, d);
@@ -82,7 +82,7 @@
         [this, id](Id from, Channel c, std::span<const char> m) {
           came.push_back({now, from, id, c, std::string(m.data(), m.size())});
         });
-    fronts[id]->breaks = breaks;
+    fronts[id]->defects = defects;
     return *fronts[id];
   }
   // Each front ticks on every multiple of 20 ms.
@@ -102,7 +102,7 @@
         for (auto& [id, p] : fronts) {
           if (p->WakeAt() <= now)
             p->Tick(now);
-          most_held = std::max(most_held, p->Held());
+          most_held = std::max(most_held, p->HeldBytes());
         }
     }
   }
@@ -113,9 +113,9 @@
   }
 };
 
-// Three fronts in bad weather: what is delivered was sent, just so; each large message is delivered
-// once.
-bool AllArrives(std::uint64_t seed, Peers::Breaks b, std::uint64_t* large = nullptr) {
+// Three fronts on a lossy network: everything delivered was sent with these bytes, and each large
+// message is delivered once.
+bool AllArrives(std::uint64_t seed, Peers::InjectedDefects b, std::uint64_t* large = nullptr) {
   Net net(seed, b);
   net.weather = {0.3, 0.1, 5, 60};
   for (Id id : {1u, 2u, 3u})
@@ -136,7 +136,7 @@
     } else {
       std::string m = Noise(net.random, 12 + net.random() % 1189);
       small.insert(m);
-      net.fronts[from]->Send(net.now, to, static_cast<Channel>(net.random() % kChannels), m);
+      net.fronts[from]->Send(net.now, to, static_cast<Channel>(net.random() % kChannelCount), m);
     }
   }
   net.Until(net.now + 30000);
@@ -148,15 +148,15 @@
         std::none_of(big.begin(), big.end(), [&](auto& o) { return o.second == c.message; }))
       return false;
   for (auto& [id, p] : net.fronts)
-    if (p->Held() != 0 || p->WakeAt() < 1e299)
-      return false;  // nothing is left behind
+    if (p->HeldBytes() != 0 || p->WakeAt() < 1e299)
+      return false;  // no memory is held and nothing is pending
   if (large)
     *large += big.size();
   return net.came.size() > 20;
 }
 
-// A 4 MB message goes while probes do: the calls of tick() after which a probe had not gone yet.
-// And how long the message took.
+// Sends probes during a 4 MB message. Measures how many calls of Tick() a probe waited to be sent,
+// and how long the message took.
 struct Beside {
   int most_ticks = 0;
   int probes = 0;
@@ -164,12 +164,12 @@
   Ms worst = 0;
   double piece_bytes_per_s = 0;
 };
-Beside ProbesBesideBulk(std::uint64_t seed, Peers::Breaks b, double loss) {
+Beside ProbesBesideBulk(std::uint64_t seed, Peers::InjectedDefects b, double loss) {
   Net net(seed, b);
   net.weather = {loss, 0, 2, 4};
   Peers& one = net.Start(1, 10);
   net.Start(2, 11);
-  std::map<std::string, int> waits;  // of probes that have not gone
+  std::map<std::string, int> waits;  // of probes not sent yet
   Beside r;
   net.on_wire = [&](Id, Id, std::string& d) {
     auto f = ReadFrame(d);
@@ -193,7 +193,7 @@
     ++r.probes;
     one.Send(net.now, 2, Channel::kMembers, probe);
     for (auto& [m, ticks] : waits)
-      ++ticks;  // had it not gone in the call, it waits for a tick at least
+      ++ticks;  // a probe that Send() did not send waits for at least one tick
     if (net.Delivered(2, bulk) > 0)
       r.took = net.now - begun;
   }
@@ -205,15 +205,16 @@
   return r;
 }
 
-// Pieces of which one came changed, with a check that fits it: the whole is not delivered so.
-bool NeverWrongBytes(Peers::Breaks b) {
+// One fragment arrives with changed bytes and a valid checksum: the digest of the message keeps it
+// from being delivered with these bytes.
+bool NeverWrongBytes(Peers::InjectedDefects b) {
   Net net(3, b);
   Peers& one = net.Start(1, 10);
   net.Start(2, 11);
   int changed = 0;
   net.on_wire = [&](Id from, Id, std::string& d) {
     auto f = ReadFrame(d);
-    auto p = f && f->kind == Kind::kPiece ? ReadPiece(f->body) : std::nullopt;
+    auto p = f && f->kind == Kind::kFragment ? ReadFragment(f->body) : std::nullopt;
     if (from != 1 || !p || p->index != 2 || changed > 0)
       return;
     std::string bytes(p->bytes.data(), p->bytes.size());
@@ -226,37 +227,37 @@
   one.Send(net.now, 2, Channel::kRules, m);
   net.Until(net.now + 5000);
   return changed == 1 && net.came.size() == 1 &&
-         net.Delivered(2, m) == 1;  // refused once, then had whole
+         net.Delivered(2, m) == 1;  // rejected once, then received intact
 }
 
-// What a version 2 would send, with marks of its own behind the first eight bytes or like ours:
-// nothing of it is delivered.
-bool VersionsApart(Peers::Breaks b) {
+// Datagrams of other versions, with a valid checksum: none is delivered.
+bool VersionsApart(Peers::InjectedDefects b) {
   Net net(4, b);
   Peers& two = net.Start(2, 11);
   for (std::uint8_t v : {std::uint8_t{0}, std::uint8_t{2}, std::uint8_t{255}}) {
     for (std::size_t n : {std::size_t{0}, std::size_t{50}, std::size_t{1200}}) {
       std::string body = Noise(net.random, n);
-      std::string d = Encode(Channel::kRules, 1, Kind::kWhole, body);
-      // Ours but for the version, sealed by our own rule (the check is over the version too).
+      std::string d = Encode(Channel::kRules, 1, Kind::kComplete, body);
+      // Differs from this version's datagram only in the version; the checksum covers it too.
       d[2] = static_cast<char>(v);
-      Seal(d);
+      WriteChecksum(d);
       two.Receive(net.now, d);
     }
   }
   return net.came.empty() && two.counters(Channel::kRules).other_version == 9 &&
-         two.Others().at(1) == 255;
+         two.OtherVersions().at(1) == 255;
 }
 
-// Every cut and 20,000 garbled datagrams of all kinds: counted, nothing delivered.
-bool JunkIsDropped(Peers::Breaks b) {
+// Every truncation and 20,000 corrupted datagrams of all kinds: counted, nothing delivered.
+bool JunkIsDropped(Peers::InjectedDefects b) {
   Net net(5, b);
   Peers& two = net.Start(2, 11);
   std::vector<std::string> good{
-      Encode(Channel::kMembers, 1, Kind::kWhole, Noise(net.random, 300)),
-      Encode(Channel::kRecord, 1, Piece{10, 1, 3000, 1, 77, Noise(net.random, kPieceBytes)}),
-      Encode(Channel::kRecord, 1, Had{11, 1, {5, 5}, std::vector<bool>(40, true)}),
-      Encode(Channel::kRules, 1, Piece{10, 1, 1201, 1, 77, Noise(net.random, 1201 - kPieceBytes)})};
+      Encode(Channel::kMembers, 1, Kind::kComplete, Noise(net.random, 300)),
+      Encode(Channel::kRecord, 1, Fragment{10, 1, 3000, 1, 77, Noise(net.random, kFragmentBytes)}),
+      Encode(Channel::kRecord, 1, Acknowledgement{11, 1, {5, 5}, std::vector<bool>(40, true)}),
+      Encode(Channel::kRules, 1,
+             Fragment{10, 1, 1201, 1, 77, Noise(net.random, 1201 - kFragmentBytes)})};
   std::uint64_t given = 0;
   for (const std::string& d : good)
     for (std::size_t cut = 0; cut < d.size(); ++cut) {
@@ -279,17 +280,18 @@
     two.Receive(net.now, Noise(net.random, net.random() % 1500));
     ++given;
   }
-  std::uint64_t counted = two.Junk();
-  for (std::size_t c = 0; c < kChannels; ++c)
-    counted += two.counters(static_cast<Channel>(c)).junk +
+  std::uint64_t counted = two.Malformed();
+  for (std::size_t c = 0; c < kChannelCount; ++c)
+    counted += two.counters(static_cast<Channel>(c)).malformed +
                two.counters(static_cast<Channel>(c)).other_version;
-  return net.came.empty() && counted == given && two.Held() == 0 && two.Others().size() <= 64;
+  return net.came.empty() && counted == given && two.HeldBytes() == 0 &&
+         two.OtherVersions().size() <= 64;
 }
 
-// The sender, then (on every other seed) the receiver, starts again in the midst of a large
-// message; the sender had sent others before. And a sender whose new life has the old one's
-// numbers. No message is a mixture, and what the living sent arrives.
-bool RestartsAreNotified(std::uint64_t seed, Peers::Breaks b) {
+// The sender, then (on every other seed) the receiver, restarts during a large message; the sender
+// had sent others before, so its new process reuses message numbers. No delivered message mixes
+// bytes of two, and what the running processes sent arrives.
+bool RestartsAreNotified(std::uint64_t seed, Peers::InjectedDefects b) {
   Net net(seed, b);
   net.weather = {0.1, 0.05, 3, 30};
   net.Start(1, 10);
@@ -304,7 +306,7 @@
   net.fronts[1]->Send(net.now, 2, Channel::kRecord, first);
   net.Until(net.now + 100 + static_cast<double>(net.random() % 200));
   net.Start(1, 12).Send(net.now, 2, Channel::kRecord,
-                        second);  // what of the first is on its way still comes
+                        second);  // fragments of the first still arrive
   net.Until(net.now + 100 + static_cast<double>(net.random() % 200));
   if (seed % 2 == 0)
     net.Start(2, 13);  // the other half of the seeds: the sender alone
@@ -318,64 +320,66 @@
 
 }  // namespace
 
-TEST_CASE("bytes: what is written is read, and nothing else is") {
-  CHECK(rc::check("pieces and bitmaps come back as they went",
-                  [](std::uint64_t incarnation, std::uint64_t life, const std::vector<bool>& bits,
-                     std::uint64_t dig) {
-                    Had h{incarnation, 9, {life, 8}, bits};
-                    std::string kept = Encode(Channel::kRules, 7, h);
-                    auto f = ReadFrame(kept);
-                    RC_ASSERT(f && f->kind == Kind::kHad && f->from == 7u &&
-                              f->channel == Channel::kRules);
-                    auto back = ReadHad(f->body);
-                    RC_ASSERT(back && back->pieces == bits && back->life == h.life &&
-                              back->incarnation == incarnation && back->message == 9u);
-                    std::string bytes(kPieceBytes, 'x');
-                    kept = Encode(Channel::kRecord, 7, Piece{incarnation, 3, 5000, 2, dig, bytes});
-                    f = ReadFrame(kept);
-                    auto p = f ? ReadPiece(f->body) : std::nullopt;
-                    RC_ASSERT(p && p->digest == dig && p->index == 2u && p->size == 5000u &&
-                              std::string(p->bytes.data(), p->bytes.size()) == bytes);
-                  }));
-  CHECK(rc::check("whatever bytes: no throw, and only a right check passes",
+TEST_CASE("wire format: what was encoded is read back, and nothing else") {
+  CHECK(
+      rc::check("fragments and acknowledgements survive a round trip",
+                [](std::uint64_t incarnation, std::uint64_t life, const std::vector<bool>& bits,
+                   std::uint64_t dig) {
+                  Acknowledgement h{incarnation, 9, {life, 8}, bits};
+                  std::string kept = Encode(Channel::kRules, 7, h);
+                  auto f = ReadFrame(kept);
+                  RC_ASSERT(f && f->kind == Kind::kAcknowledgement && f->from == 7u &&
+                            f->channel == Channel::kRules);
+                  auto back = ReadAcknowledgement(f->body);
+                  RC_ASSERT(back && back->fragments == bits && back->epoch == h.epoch &&
+                            back->incarnation == incarnation && back->message == 9u);
+                  std::string bytes(kFragmentBytes, 'x');
+                  kept = Encode(Channel::kRecord, 7, Fragment{incarnation, 3, 5000, 2, dig, bytes});
+                  f = ReadFrame(kept);
+                  auto p = f ? ReadFragment(f->body) : std::nullopt;
+                  RC_ASSERT(p && p->digest == dig && p->index == 2u && p->size == 5000u &&
+                            std::string(p->bytes.data(), p->bytes.size()) == bytes);
+                }));
+  CHECK(rc::check("arbitrary bytes: no exception, and only a valid checksum passes",
                   [](const std::string& any) {
-                    RC_ASSERT(!ReadFrame("DP" + any) || any.size() >= kHeader - 2);
-                    ReadPiece(any), ReadHad(any), ReadHead(any);
+                    RC_ASSERT(!ReadFrame("DP" + any) || any.size() >= kHeaderBytes - 2);
+                    ReadFragment(any), ReadAcknowledgement(any), ReadHeader(any);
                   }));
 }
 
-TEST_CASE("loss of 30%, doubles, disorder, delays: large ones once and whole, on 300 seeds") {
+TEST_CASE(
+    "30% loss, duplicates, reordering, delays: large messages arrive once, intact, on 300 seeds") {
   std::uint64_t large = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     INFO("seed ", seed);
     REQUIRE(AllArrives(seed, {}, &large));
   }
   MESSAGE(large, " large messages on 300 seeds");
-  Peers::Breaks b;
-  b.no_resume = true;
+  Peers::InjectedDefects b;
+  b.no_retransmission = true;
   CHECK_FALSE(AllArrives(1, b));
 }
 
-TEST_CASE("4 MB beside probes: none waits for a tick") {
+TEST_CASE("probes during a 4 MB message: none waits for a tick") {
   for (double loss : {0.0, 0.01, 0.3}) {
     Beside r = ProbesBesideBulk(1, {}, loss);
     MESSAGE("loss ", loss, ": ", r.probes, " probes, ", r.most_ticks,
-            " ticks waited at most; 4 MB in ", r.took, " ms");
+            " ticks waited at most; 4 MB took ", r.took, " ms");
     CHECK(r.most_ticks == 0);
     CHECK(r.probes > 100);
-    CHECK(r.took > 1500);  // by its budget of 2 MB/s
+    CHECK(r.took > 1500);  // its budget is 2 MB/s
   }
-  Peers::Breaks b;
+  Peers::InjectedDefects b;
   b.bulk_first = true;
   Beside r = ProbesBesideBulk(1, b, 0);
-  MESSAGE("broken, bulk first: ", r.most_ticks, " ticks waited");
+  MESSAGE("injected defect, bulk first: ", r.most_ticks, " ticks waited");
   CHECK(r.most_ticks > 0);
 }
 
-TEST_CASE("a channel over its budget keeps to it, and others do not wait") {
-  CHECK(rc::check("bytes over every window", [](std::uint16_t seed) {
+TEST_CASE("a channel stays within its budget, and the others do not wait for it") {
+  CHECK(rc::check("bytes sent in every window", [](std::uint16_t seed) {
     Net net(seed);
-    net.terms.budgets[static_cast<std::size_t>(Channel::kQuota)] = {20000, 5000};
+    net.settings.budgets[static_cast<std::size_t>(Channel::kQuota)] = {20000, 5000};
     Peers& one = net.Start(1, 10);
     std::vector<std::pair<Ms, std::size_t>> sent;
     net.on_wire = [&](Id, Id, std::string& d) {
@@ -393,40 +397,40 @@
         RC_ASSERT(bytes <= 5000 + 20000 * (sent[z].first - sent[a].first) / 1000 + 1300);
       }
     }
-    // One that fits the members' channel goes at once all the same.
+    // A message on the members channel is still sent at once.
     std::size_t before = sent.size();
     one.Send(net.now, 2, Channel::kMembers, "probe");
-    RC_ASSERT(sent.size() == before + 1 || one.Held() == 0);
+    RC_ASSERT(sent.size() == before + 1 || one.HeldBytes() == 0);
   }));
 }
 
-TEST_CASE("digest, version, junk") {
+TEST_CASE("changed fragments, other versions and malformed datagrams are not delivered") {
   CHECK(NeverWrongBytes({}));
   CHECK(VersionsApart({}));
   CHECK(JunkIsDropped({}));
-  Peers::Breaks digest, version, check;
+  Peers::InjectedDefects digest, version, check;
   digest.no_digest = true;
   version.no_version = true;
-  check.no_check = true;
+  check.no_checksum = true;
   CHECK_FALSE(NeverWrongBytes(digest));
   CHECK_FALSE(VersionsApart(version));
   CHECK_FALSE(JunkIsDropped(check));
 }
 
-TEST_CASE("restarts in the midst of a large message, on 100 seeds") {
+TEST_CASE("restarts during a large message, on 100 seeds") {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     INFO("seed ", seed);
     REQUIRE(RestartsAreNotified(seed, {}));
   }
-  Peers::Breaks b;
-  b.old_life = true;
+  Peers::InjectedDefects b;
+  b.ignores_restarts = true;
   bool caught = false;
   for (std::uint64_t seed = 1; seed <= 10; ++seed)
     caught |= !RestartsAreNotified(seed, b);
   CHECK(caught);
 }
 
-TEST_CASE("a new life with the old one's incarnation and numbers is no mixture") {
+TEST_CASE("a restart with the same incarnation and message numbers mixes no messages") {
   Net net(8);
   net.Start(1, 10);
   net.Start(2, 11);
@@ -439,11 +443,11 @@
   CHECK(net.Delivered(2, second) == 1);
 }
 
-TEST_CASE("memory: queues, half-received messages and peers are bounded") {
+TEST_CASE("memory: queues, partly received messages and peers are bounded") {
   Net net(6);
   Peers& one = net.Start(1, 10);
-  // To a peer that never answers: large ones up to mostMessage, small ones up to mostQueued, then
-  // the oldest go.
+  // To a peer that never answers: large messages up to max_message_bytes are accepted, small ones
+  // up to max_queued_bytes, beyond which the oldest are dropped.
   int taken = 0;
   for (int i = 0; i < 20; ++i)
     taken += one.Send(net.now, 2, Channel::kRecord, Noise(net.random, 1 << 20));
@@ -455,22 +459,22 @@
   for (int i = 0; i < 3000; ++i)
     one.Send(net.now, 2, Channel::kQuota, std::string(1000, 'x'));
   CHECK(one.counters(Channel::kQuota).dropped > 1000);
-  CHECK(one.Held() <= (4u << 20) + (1u << 20));
-  net.Until(net.now + 60000);  // all is given up
-  CHECK(one.Held() == 0);
-  CHECK(one.counters(Channel::kRecord).given_up == 4);
-  // Half messages from ever more peers: in all mostHeld, of mostPeers peers.
+  CHECK(one.HeldBytes() <= (4u << 20) + (1u << 20));
+  net.Until(net.now + 60000);  // everything is abandoned
+  CHECK(one.HeldBytes() == 0);
+  CHECK(one.counters(Channel::kRecord).abandoned == 4);
+  // Partial messages from 1000 peers: at most max_held_bytes in total, from max_peers peers.
   for (Id from = 2; from < 1002; ++from)
-    for (std::size_t c = 0; c < kChannels; ++c)
+    for (std::size_t c = 0; c < kChannelCount; ++c)
       one.Receive(net.now, Encode(static_cast<Channel>(c), from,
-                                  Piece{1, 1, 4 << 20, 0, 9, std::string(kPieceBytes, 'x')}));
-  CHECK(one.Held() <= 16u << 20);
+                                  Fragment{1, 1, 4 << 20, 0, 9, std::string(kFragmentBytes, 'x')}));
+  CHECK(one.HeldBytes() <= 16u << 20);
   CHECK(one.counters(Channel::kRecord).dropped > 800);
-  CHECK(one.counters(Channel::kMembers).junk == 1000);  // that one takes no pieces
+  CHECK(one.counters(Channel::kMembers).malformed == 1000);  // which accepts no fragments
   net.Until(net.now + 11000);
-  CHECK(one.Held() == 0);
-  // 20 peers at once to one, each 1 MB: what does not fit is refused, sent again, and comes in
-  // time.
+  CHECK(one.HeldBytes() == 0);
+  // 20 peers send 1 MB each to one front at once: what exceeds its bound is dropped, sent again and
+  // delivered in time.
   Net many(7);
   many.Start(1, 10);
   std::vector<std::string> all;
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -107,8 +107,8 @@
     m.seq = 0xfffffffe;
     m.target = 9;
     m.updates = {{3, 5, members::State::kAlive, 0},
-              {4, 6, members::State::kSuspect, 7},
-              {0xffffffff, 8, members::State::kDead, 1}};
+                 {4, 6, members::State::kSuspect, 7},
+                 {0xffffffff, 8, members::State::kDead, 1}};
     m.payloads = {{2, 11, 0x0123456789abcdefu}, {3, 0xffffffff, 0}};
     all.push_back({std::string("members_") + members::ToString(m.kind), members::Encode(m),
                    Reencode(members::Decode)});
@@ -127,14 +127,14 @@
   auto frame = peers::ReadFrame(bytes);
   if (!frame)
     return std::nullopt;
-  if (frame->kind == peers::Kind::kPiece) {
-    auto piece = peers::ReadPiece(frame->body);
+  if (frame->kind == peers::Kind::kFragment) {
+    auto piece = peers::ReadFragment(frame->body);
     if (!piece)
       return std::nullopt;
     return peers::Encode(frame->channel, frame->from, *piece);
   }
-  if (frame->kind == peers::Kind::kHad) {
-    auto had = peers::ReadHad(frame->body);
+  if (frame->kind == peers::Kind::kAcknowledgement) {
+    auto had = peers::ReadAcknowledgement(frame->body);
     if (!had)
       return std::nullopt;
     return peers::Encode(frame->channel, frame->from, *had);
@@ -145,30 +145,30 @@
 void AddTransport(std::vector<Golden>& all) {
   constexpr peers::Id kFrom = 0x0a0b0c0d;
   const std::string body = "a small message, whole";
-  for (std::size_t channel = 0; channel < peers::kChannels; ++channel) {
+  for (std::size_t channel = 0; channel < peers::kChannelCount; ++channel) {
     auto id = static_cast<peers::Channel>(channel);
     all.push_back({std::string("peers_whole_") + peers::ToString(id),
-                   peers::Encode(id, kFrom, peers::Kind::kWhole, body), ReencodeFrame});
+                   peers::Encode(id, kFrom, peers::Kind::kComplete, body), ReencodeFrame});
   }
   std::string large;
-  for (std::size_t i = 0; i < 2 * peers::kPieceBytes + 100; ++i)
+  for (std::size_t i = 0; i < 2 * peers::kFragmentBytes + 100; ++i)
     large.push_back(static_cast<char>(i * 7));
-  peers::Piece piece;
+  peers::Fragment piece;
   piece.incarnation = 0x1122334455667788u;
   piece.message = 3;
   piece.size = static_cast<std::uint32_t>(large.size());
   piece.index = 2;
   piece.digest = peers::Digest(large);
-  piece.bytes = Bytes(large).subspan(2 * peers::kPieceBytes);
+  piece.bytes = Bytes(large).subspan(2 * peers::kFragmentBytes);
   all.push_back(
       {"peers_piece", peers::Encode(peers::Channel::kRecord, kFrom, piece), ReencodeFrame});
-  peers::Had had;
+  peers::Acknowledgement had;
   had.incarnation = 0x1122334455667788u;
   had.message = 3;
-  had.life = {0x99aabbccddeeff00u, 4};
+  had.epoch = {0x99aabbccddeeff00u, 4};
   all.push_back(
       {"peers_had_delivered", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
-  had.pieces = {true, false, true, true, false, false, false, false, true, false, true};
+  had.fragments = {true, false, true, true, false, false, false, false, true, false, true};
   all.push_back(
       {"peers_had_partly", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
 }
