--- a/src/quota/quota.cpp
+++ b/src/quota/quota.cpp
@@ -14,352 +14,366 @@
 using owner::Reader;
 using owner::Writer;
 
-void Write(Writer& w, const std::vector<double>& all) {
-  w.number(all.size(), 1);
-  for (double v : all)
-    w.number(std::bit_cast<std::uint64_t>(v), 8);
+void Write(Writer& writer, const std::vector<double>& values) {
+  writer.number(values.size(), 1);
+  for (double value : values)
+    writer.number(std::bit_cast<std::uint64_t>(value), 8);
 }
-bool Read(Reader& r, std::vector<double>& all) {
-  std::uint64_t n = r.number(1);
-  if (n > kMostLimits)
+bool Read(Reader& reader, std::vector<double>& values) {
+  std::uint64_t count = reader.number(1);
+  if (count > kMaxLimits)
     return false;
-  for (std::uint64_t i = 0; i < n; ++i) {
-    double v = std::bit_cast<double>(r.number(8));
-    if (!std::isfinite(v) || v < 0 || v > 1e12)
-      return false;  // a peer's word
-    all.push_back(v);
+  for (std::uint64_t i = 0; i < count; ++i) {
+    double value = std::bit_cast<double>(reader.number(8));
+    if (!std::isfinite(value) || value < 0 || value > 1e12)
+      return false;  // peers are not trusted to send valid numbers
+    values.push_back(value);
   }
-  return !r.Bad();
+  return !reader.Bad();
 }
 
 }  // namespace
 
-std::string Encode(const Poll& p) {
-  Writer w;
-  w.number(1, 1);
-  w.number(p.token, 8);
-  w.number(p.round, 8);
-  return std::move(w.bytes);
+std::string Encode(const Poll& poll) {
+  Writer writer;
+  writer.number(1, 1);
+  writer.number(poll.token, 8);
+  writer.number(poll.round, 8);
+  return std::move(writer.bytes);
 }
-std::string Encode(const Report& r) {
-  Writer w;
-  w.number(2, 1);
-  w.number(r.token, 8);
-  w.number(r.round, 8);
-  w.number(r.using_token, 8);
-  w.number(r.using_round, 8);
-  w.number(r.bad, 4);
-  w.number(r.epoch, 4);
-  Write(w, r.want);
-  Write(w, r.have);
-  Write(w, r.factor);
-  return std::move(w.bytes);
+std::string Encode(const Report& report) {
+  Writer writer;
+  writer.number(2, 1);
+  writer.number(report.token, 8);
+  writer.number(report.round, 8);
+  writer.number(report.active_token, 8);
+  writer.number(report.active_round, 8);
+  writer.number(report.overloaded, 4);
+  writer.number(report.epoch, 4);
+  Write(writer, report.demands);
+  Write(writer, report.shares);
+  Write(writer, report.factors);
+  return std::move(writer.bytes);
 }
-std::string Encode(const Grant& g) {
-  Writer w;
-  w.number(3, 1);
-  w.number(g.token, 8);
-  w.number(g.round, 8);
-  w.number(g.epoch, 4);
-  Write(w, g.share);
-  Write(w, g.factor);
-  return std::move(w.bytes);
+std::string Encode(const Grant& grant) {
+  Writer writer;
+  writer.number(3, 1);
+  writer.number(grant.token, 8);
+  writer.number(grant.round, 8);
+  writer.number(grant.epoch, 4);
+  Write(writer, grant.shares);
+  Write(writer, grant.factors);
+  return std::move(writer.bytes);
 }
 std::optional<Poll> DecodePoll(std::span<const char> bytes) {
-  Reader r(bytes);
-  Poll p;
-  std::uint64_t kind = r.number(1);
-  p.token = r.number(8);
-  p.round = r.number(8);
-  return r.Whole() && kind == 1 ? std::optional(p) : std::nullopt;
+  Reader reader(bytes);
+  Poll poll;
+  std::uint64_t kind = reader.number(1);
+  poll.token = reader.number(8);
+  poll.round = reader.number(8);
+  return reader.Whole() && kind == 1 ? std::optional(poll) : std::nullopt;
 }
 std::optional<Report> DecodeReport(std::span<const char> bytes) {
-  Reader r(bytes);
-  Report one;
-  std::uint64_t kind = r.number(1);
-  one.token = r.number(8);
-  one.round = r.number(8);
-  one.using_token = r.number(8);
-  one.using_round = r.number(8);
-  one.bad = static_cast<std::uint32_t>(r.number(4));
-  one.epoch = static_cast<std::uint32_t>(r.number(4));
-  bool good = Read(r, one.want) && Read(r, one.have) && Read(r, one.factor);
-  return good && r.Whole() && kind == 2 && one.want.size() == one.have.size() &&
-                 one.want.size() == one.factor.size()
-             ? std::optional(one)
+  Reader reader(bytes);
+  Report report;
+  std::uint64_t kind = reader.number(1);
+  report.token = reader.number(8);
+  report.round = reader.number(8);
+  report.active_token = reader.number(8);
+  report.active_round = reader.number(8);
+  report.overloaded = static_cast<std::uint32_t>(reader.number(4));
+  report.epoch = static_cast<std::uint32_t>(reader.number(4));
+  bool valid =
+      Read(reader, report.demands) && Read(reader, report.shares) && Read(reader, report.factors);
+  return valid && reader.Whole() && kind == 2 && report.demands.size() == report.shares.size() &&
+                 report.demands.size() == report.factors.size()
+             ? std::optional(report)
              : std::nullopt;
 }
 std::optional<Grant> DecodeGrant(std::span<const char> bytes) {
-  Reader r(bytes);
-  Grant g;
-  std::uint64_t kind = r.number(1);
-  g.token = r.number(8);
-  g.round = r.number(8);
-  g.epoch = static_cast<std::uint32_t>(r.number(4));
-  bool good = Read(r, g.share) && Read(r, g.factor);
-  return good && r.Whole() && kind == 3 && g.share.size() == g.factor.size() ? std::optional(g)
-                                                                             : std::nullopt;
+  Reader reader(bytes);
+  Grant grant;
+  std::uint64_t kind = reader.number(1);
+  grant.token = reader.number(8);
+  grant.round = reader.number(8);
+  grant.epoch = static_cast<std::uint32_t>(reader.number(4));
+  bool valid = Read(reader, grant.shares) && Read(reader, grant.factors);
+  return valid && reader.Whole() && kind == 3 && grant.shares.size() == grant.factors.size()
+             ? std::optional(grant)
+             : std::nullopt;
 }
 
-// ---- a front's side
+// ---- the shares of one front
 
-Shares::Shares(std::vector<Limit> limits, Terms terms, std::size_t fronts, Ms now)
-    : limits_(std::move(limits)), terms_(terms), fronts_(static_cast<double>(fronts)) {
-  for (const Limit& l : limits_) {
-    granted_.push_back(l.floor * l.per_s / fronts_);
-    factor_.push_back(1);
+FrontShares::FrontShares(std::vector<Limit> limits, Settings settings, std::size_t fronts, Ms now)
+    : limits_(std::move(limits)), settings_(settings), fronts_(static_cast<double>(fronts)) {
+  for (const Limit& limit : limits_) {
+    granted_.push_back(limit.min_fraction * limit.per_s / fronts_);
+    factors_.push_back(1);
     buckets_.push_back({0, 0, 0, now, now});
   }
 }
 
-// Past the lease: the safe share, or less where it had less.
-double Shares::Share(Ms now, std::size_t i) const {
-  return now < until_ ? granted_[i] : std::min(granted_[i], limits_[i].per_s / fronts_);
+// After the lease has expired: the safe share, or the granted one if that is less.
+double FrontShares::Share(Ms now, std::size_t i) const {
+  return now < expires_at_ ? granted_[i] : std::min(granted_[i], limits_[i].per_s / fronts_);
 }
 
-void Shares::Refill(Ms now, std::size_t i) {
-  Bucket& b = buckets_[i];
+void FrontShares::Refill(Ms now, std::size_t i) {
+  TokenBucket& bucket = buckets_[i];
   double rate = Share(now, i);
-  // Over a fall of the share the lower rate counts for the whole stretch: less than was its due,
-  // never more.
-  b.left = std::min(b.left + rate * (now - b.at) / 1000, std::max(rate * limits_[i].burst, 0.0));
-  b.at = now;
-  constexpr Ms kWindow = 1000;  // of the measure of demand
-  if (now - b.counted_at >= kWindow / 2) {
-    double rate_now = b.count * 1000 / (now - b.counted_at);
-    double part = 1 - std::exp(-(now - b.counted_at) / kWindow);
-    b.rate += part * (rate_now - b.rate);
-    b.count = 0;
-    b.counted_at = now;
+  // If the share has dropped since the last refill, the lower rate applies to the whole interval:
+  // the front gets less than it was entitled to, never more.
+  bucket.left = std::min(bucket.left + rate * (now - bucket.refilled_at) / 1000,
+                         std::max(rate * limits_[i].burst, 0.0));
+  bucket.refilled_at = now;
+  constexpr Ms kDemandWindow = 1000;
+  if (now - bucket.counted_at >= kDemandWindow / 2) {
+    double recent_demand = bucket.count * 1000 / (now - bucket.counted_at);
+    double weight = 1 - std::exp(-(now - bucket.counted_at) / kDemandWindow);
+    bucket.demand += weight * (recent_demand - bucket.demand);
+    bucket.count = 0;
+    bucket.counted_at = now;
   }
 }
-void Shares::Wanted(Ms now, std::size_t i, double n) {
+void FrontShares::RecordDemand(Ms now, std::size_t i, double amount) {
   Refill(now, i);
-  buckets_[i].count += n;
+  buckets_[i].count += amount;
 }
-bool Shares::Take(Ms now, std::size_t i, double n) {
+bool FrontShares::TryAcquire(Ms now, std::size_t i, double amount) {
   Refill(now, i);
-  if (buckets_[i].left < n)
+  if (buckets_[i].left < amount)
     return false;
-  buckets_[i].left -= n;
+  buckets_[i].left -= amount;
   return true;
 }
 
-std::optional<Report> Shares::Polled(Ms now, const Poll& p) {
-  if (p.token < least_token_)
-    return std::nullopt;  // an allocator that was
-  if (p.token > least_token_)
-    asked_.clear();
-  least_token_ = p.token;
-  asked_[p.round] = now;
-  while (asked_.size() > 8)
-    asked_.erase(asked_.begin());
-  Report r;
-  r.token = p.token;
-  r.round = p.round;
-  r.using_token = using_token_;
-  r.using_round = using_round_;
-  r.bad = bad_;
-  r.epoch = epoch_;
+std::optional<Report> FrontShares::HandlePoll(Ms now, const Poll& poll) {
+  if (poll.token < min_token_)
+    return std::nullopt;  // from a previous allocator
+  if (poll.token > min_token_)
+    report_times_.clear();
+  min_token_ = poll.token;
+  report_times_[poll.round] = now;
+  while (report_times_.size() > 8)
+    report_times_.erase(report_times_.begin());
+  Report report;
+  report.token = poll.token;
+  report.round = poll.round;
+  report.active_token = active_token_;
+  report.active_round = active_round_;
+  report.overloaded = overloaded_;
+  report.epoch = epoch_;
   for (std::size_t i = 0; i < limits_.size(); ++i) {
     Refill(now, i);
-    r.want.push_back(buckets_[i].rate);
-    r.have.push_back(Share(now, i));
-    r.factor.push_back(factor_[i]);
+    report.demands.push_back(buckets_[i].demand);
+    report.shares.push_back(Share(now, i));
+    report.factors.push_back(factors_[i]);
   }
-  return r;
+  return report;
 }
 
-bool Shares::Granted(Ms now, const Grant& g) {
-  auto at = asked_.find(g.round);
-  if (g.token != least_token_ || at == asked_.end() || g.share.size() != limits_.size())
+bool FrontShares::HandleGrant(Ms now, const Grant& grant) {
+  auto reported = report_times_.find(grant.round);
+  if (grant.token != min_token_ || reported == report_times_.end() ||
+      grant.shares.size() != limits_.size())
     return false;
-  if (g.token == using_token_ && g.round <= using_round_)
-    return false;  // late, or a second copy
-  Ms until = at->second + terms_.lease * (1 - terms_.drift) - terms_.margin;
-  if (now >= until)
+  if (grant.token == active_token_ && grant.round <= active_round_)
+    return false;  // late or a duplicate
+  Ms expires_at =
+      reported->second + settings_.lease * (1 - settings_.clock_drift) - settings_.margin;
+  if (now >= expires_at)
     return false;
   for (std::size_t i = 0; i < limits_.size(); ++i)
     Refill(now, i);
-  granted_ = g.share;
-  factor_ = g.factor;
-  epoch_ = g.epoch;
-  using_token_ = g.token;
-  using_round_ = g.round;
-  asked_at_ = at->second;
-  until_ = until;
+  granted_ = grant.shares;
+  factors_ = grant.factors;
+  epoch_ = grant.epoch;
+  active_token_ = grant.token;
+  active_round_ = grant.round;
+  reported_at_ = reported->second;
+  expires_at_ = expires_at;
   return true;
 }
 
-// ---- the allocator's side
+// ---- the allocator
 
-Allocator::Allocator(std::vector<Limit> limits, Terms terms, std::vector<Id> fronts, Token token,
-                     Ms now)
+Allocator::Allocator(std::vector<Limit> limits, Settings settings, std::vector<Id> fronts,
+                     Token token, Ms now)
     : limits_(std::move(limits)),
-      terms_(terms),
+      settings_(settings),
       token_(token),
-      settled_at_(now + terms.lease * (1 + terms.drift) + terms.margin) {
+      previous_grants_expire_at_(now + settings.lease * (1 + settings.clock_drift) +
+                                 settings.margin) {
   for (Id id : fronts)
-    fronts_[id].last.assign(limits_.size(), 0);
-  factor_.assign(limits_.size(), 1);
-  cut_at_.assign(limits_.size(), -1e15);
-  bad_at_ = cut_at_;
+    fronts_[id].last_shares.assign(limits_.size(), 0);
+  factors_.assign(limits_.size(), 1);
+  reduced_at_.assign(limits_.size(), -1e15);
+  overloaded_at_ = reduced_at_;
 }
 
-Poll Allocator::TakePoll(Ms) {
+Poll Allocator::StartRound(Ms) {
   ++round_;
-  for (auto& [id, f] : fronts_)
-    f.heard = false;
+  for (auto& [id, front] : fronts_)
+    front.reported = false;
   return Poll{token_, round_};
 }
 
-void Allocator::Heard(Ms now, Id id, const Report& r) {
-  auto at = fronts_.find(id);
-  if (at == fronts_.end() || r.token != token_ || r.want.size() != limits_.size() ||
-      r.round > round_)
+void Allocator::HandleReport(Ms now, Id id, const Report& report) {
+  auto found = fronts_.find(id);
+  if (found == fronts_.end() || report.token != token_ || report.demands.size() != limits_.size() ||
+      report.round > round_)
     return;
-  Front& f = at->second;
-  if (f.known && r.round <= f.report.round)
-    return;  // late, or a second copy
-  if (!f.known) {
-    // What it holds of an earlier allocator is booked as if granted now: it has it for less long
-    // than that.
-    f.known = true;
-    f.given.push_back({0, now + terms_.lease * (1 + terms_.drift) + terms_.margin, r.have});
-    // The latest verdict that any front knows goes on.
-    if (r.epoch > epoch_) {
-      epoch_ = r.epoch;
-      factor_ = r.factor;
+  Front& front = found->second;
+  if (front.known && report.round <= front.report.round)
+    return;  // late or a duplicate
+  if (!front.known) {
+    // What it holds of a previous allocator is reserved as if granted now: it holds it for less
+    // long than that.
+    front.known = true;
+    front.grants.push_back(
+        {0, now + settings_.lease * (1 + settings_.clock_drift) + settings_.margin, report.shares});
+    // The latest reduction that any front knows stays in effect.
+    if (report.epoch > epoch_) {
+      epoch_ = report.epoch;
+      factors_ = report.factors;
     }
   }
-  if (r.using_token == token_) {
-    f.ack = std::max(f.ack, r.using_round);
-    // It uses that grant and goes back to none before it.
-    std::erase_if(f.given, [&](const Given& g) { return g.round < f.ack; });
-    // Once that runs out, it has what it has now, or the safe share. A new process, which uses
-    // none, is booked as the old one until the old one's grants run out: those to the new one may
-    // be on their way among them.
-    f.last = r.have;
+  if (report.active_token == token_) {
+    front.acknowledged_round = std::max(front.acknowledged_round, report.active_round);
+    // It uses that grant and never returns to an earlier one.
+    std::erase_if(front.grants, [&](const OutstandingGrant& grant) {
+      return grant.round < front.acknowledged_round;
+    });
+    // When that one expires, it has what it has now or the safe share. A restarted process, which
+    // has no active grant, keeps the reservation of the old one until the old one's grants expire:
+    // grants to the new process may still be in flight among them.
+    front.last_shares = report.shares;
   }
-  f.heard = r.round == round_;
-  f.heard_at = now;
-  f.report = r;
+  front.reported = report.round == round_;
+  front.reported_at = now;
+  front.report = report;
   for (std::size_t i = 0; i < limits_.size(); ++i)
-    if (r.bad >> i & 1)
-      bad_at_[i] = now;
+    if (report.overloaded >> i & 1)
+      overloaded_at_[i] = now;
 }
 
-double Allocator::BookedFor(Ms now, const Front& f, std::size_t i) const {
-  double least = limits_[i].floor * Safe(i), most = least;
-  double last = f.last[i];
-  for (const Given& g : f.given) {
-    if (now < g.until)
-      most = std::max(most, g.share[i]);
+double Allocator::ReservedFor(Ms now, const Front& front, std::size_t i) const {
+  double min_share = limits_[i].min_fraction * SafeShare(i), max_share = min_share;
+  double last_share = front.last_shares[i];
+  for (const OutstandingGrant& grant : front.grants) {
+    if (now < grant.expires_at)
+      max_share = std::max(max_share, grant.shares[i]);
     else
-      last = std::max(last, g.share[i]);
+      last_share = std::max(last_share, grant.shares[i]);
   }
-  // Where all in use have run out it has fallen to the safe share, or to less where it had less;
-  // and it stays there if a later, smaller grant is lost on its way (found by a seeded run: 88).
-  return std::max(most, f.known ? std::min(last, Safe(i)) : Safe(i));
+  // If all its grants have expired, its share has dropped to the safe share, or to less if it had
+  // less, and stays there if a later, smaller grant is lost in transit (found by a seeded run: 88).
+  return std::max(max_share, front.known ? std::min(last_share, SafeShare(i)) : SafeShare(i));
 }
-double Allocator::Booked(Ms now, std::size_t i) const {
+double Allocator::Reserved(Ms now, std::size_t i) const {
   double sum = 0;
-  for (const auto& [id, f] : fronts_)
-    sum += BookedFor(now, f, i);
+  for (const auto& [id, front] : fronts_)
+    sum += ReservedFor(now, front, i);
   return sum;
 }
 
-void Allocator::Judge(Ms now) {
+void Allocator::UpdateFactors(Ms now) {
   for (std::size_t i = 0; i < limits_.size(); ++i) {
-    int say = 0, heard = 0;
-    for (const auto& [id, f] : fronts_)
-      if (f.heard) {
-        ++heard;
-        say += f.report.bad >> i & 1;
+    int confirmations = 0, reports = 0;
+    for (const auto& [id, front] : fronts_)
+      if (front.reported) {
+        ++reports;
+        confirmations += front.report.overloaded >> i & 1;
       }
-    bool common = say >= std::min<int>(terms_.confirm, static_cast<int>(fronts_.size())) && say > 0;
-    if (common && now - cut_at_[i] >= terms_.rest) {
-      factor_[i] = std::max(terms_.least, factor_[i] * terms_.cut);
-      cut_at_[i] = now;
+    bool confirmed = confirmations >= std::min<int>(settings_.min_confirmations,
+                                                    static_cast<int>(fronts_.size())) &&
+                     confirmations > 0;
+    if (confirmed && now - reduced_at_[i] >= settings_.cooldown) {
+      factors_[i] = std::max(settings_.min_factor, factors_[i] * settings_.reduction_factor);
+      reduced_at_[i] = now;
       ++epoch_;
-    } else if (factor_[i] < 1 && now - std::max(bad_at_[i], cut_at_[i]) >= terms_.rest) {
-      factor_[i] = std::min(1.0, factor_[i] + terms_.grow);
-      if (factor_[i] >= 1)
-        ++epoch_;  // the verdict is over
+    } else if (factors_[i] < 1 &&
+               now - std::max(overloaded_at_[i], reduced_at_[i]) >= settings_.cooldown) {
+      factors_[i] = std::min(1.0, factors_[i] + settings_.recovery_step);
+      if (factors_[i] >= 1)
+        ++epoch_;  // the reduction has ended
     }
   }
 }
 
 std::vector<std::pair<Id, Grant>> Allocator::Allocate(Ms now) {
-  Judge(now);
+  UpdateFactors(now);
   std::vector<std::pair<Id, Grant>> out;
-  for (auto& [id, f] : fronts_)
-    if (f.heard)
-      out.emplace_back(id, Grant{token_, f.report.round, epoch_, {}, factor_});
+  for (auto& [id, front] : fronts_)
+    if (front.reported)
+      out.emplace_back(id, Grant{token_, front.report.round, epoch_, {}, factors_});
   for (std::size_t i = 0; i < limits_.size(); ++i) {
-    double limit = limits_[i].per_s * factor_[i], least = limits_[i].floor * Safe(i) * factor_[i];
-    // Those not heard keep what is booked for them; the others share the rest by demand: the least
-    // asking first, each as much as it wants while an even part is more (max-min), then what is
-    // left over evenly.
-    double rest = limit;
+    double limit = limits_[i].per_s * factors_[i],
+           min_share = limits_[i].min_fraction * SafeShare(i) * factors_[i];
+    // Fronts that did not report keep what is reserved for them. The others share the rest by
+    // max-min fairness: in order of increasing demand each gets its demand, at most an even part of
+    // what is left; what remains after that is distributed evenly.
+    double available = limit;
     std::vector<std::pair<double, std::size_t>> order;
-    for (auto& [id, f] : fronts_)
-      if (!f.heard)
-        rest -= BookedFor(now, f, i);
+    for (auto& [id, front] : fronts_)
+      if (!front.reported)
+        available -= ReservedFor(now, front, i);
     for (std::size_t k = 0; k < out.size(); ++k)
-      order.emplace_back(fronts_[out[k].first].report.want[i], k);
+      order.emplace_back(fronts_[out[k].first].report.demands[i], k);
     std::sort(order.begin(), order.end());
-    std::vector<double> target(out.size());
-    double left = std::max(rest, 0.0);
+    std::vector<double> targets(out.size());
+    double left = std::max(available, 0.0);
     for (std::size_t k = 0; k < order.size(); ++k) {
-      double even = left / static_cast<double>(order.size() - k);
-      // A tenth over what it asked for last: demand that grows is met before the next round.
-      double t = std::min(std::max(order[k].first * 1.1, least), even);
-      target[order[k].second] = t;
-      left -= t;
+      double even_part = left / static_cast<double>(order.size() - k);
+      // A tenth more than its last demand, so that growing demand is met before the next round.
+      double target = std::min(std::max(order[k].first * 1.1, min_share), even_part);
+      targets[order[k].second] = target;
+      left -= target;
     }
-    for (double& t : target)
-      t += std::max(left, 0.0) / static_cast<double>(std::max<std::size_t>(out.size(), 1));
-    // Raised only out of what nobody may hold. Before the old allocator's grants have run out
-    // nothing is known to be free.
-    double free = Settled(now) ? limit - Booked(now, i) : 0;
+    for (double& target : targets)
+      target += std::max(left, 0.0) / static_cast<double>(std::max<std::size_t>(out.size(), 1));
+    // Shares are raised only out of what is not reserved. Before the previous allocator's grants
+    // have expired nothing is known to be free, unless all fronts have reported.
+    double free = HavePreviousGrantsExpired(now) ? limit - Reserved(now, i) : 0;
     bool all_known = std::all_of(fronts_.begin(), fronts_.end(),
-                                 [](const auto& one) { return one.second.known; });
-    if (!Settled(now) && all_known)
-      free = limit - Booked(now, i);
+                                 [](const auto& entry) { return entry.second.known; });
+    if (!HavePreviousGrantsExpired(now) && all_known)
+      free = limit - Reserved(now, i);
     for (std::size_t k = 0; k < out.size(); ++k) {
-      Front& f = fronts_[out[k].first];
-      double has = BookedFor(now, f, i), gets = target[k];
-      if (gets > has) {
-        double more = std::clamp(free, 0.0, gets - has);
-        gets = has + more;
-        free -= more;
+      Front& front = fronts_[out[k].first];
+      double reserved = ReservedFor(now, front, i), share = targets[k];
+      if (share > reserved) {
+        double increase = std::clamp(free, 0.0, share - reserved);
+        share = reserved + increase;
+        free -= increase;
       }
-      out[k].second.share.push_back(gets);
+      out[k].second.shares.push_back(share);
     }
   }
-  Ms until = now + terms_.lease * (1 + terms_.drift) + terms_.margin;
-  // One that ran out stays until a report names a later one: a report that was long on its way may
-  // be older than it (found by a seeded run: 106). Past the bound the two oldest become one that is
-  // as much as either.
-  constexpr std::size_t kMostGiven = 32;
-  for (auto& [id, g] : out) {
-    std::vector<Given>& all = fronts_[id].given;
-    all.push_back({g.round, until, g.share});
-    if (all.size() <= kMostGiven)
+  Ms expires_at = now + settings_.lease * (1 + settings_.clock_drift) + settings_.margin;
+  // An expired grant stays until a report names a later one: a report that was delayed may be older
+  // than the grant (found by a seeded run: 106). Beyond the bound the two oldest are merged into
+  // one with the larger share of both.
+  constexpr std::size_t kMaxGrants = 32;
+  for (auto& [id, grant] : out) {
+    std::vector<OutstandingGrant>& grants = fronts_[id].grants;
+    grants.push_back({grant.round, expires_at, grant.shares});
+    if (grants.size() <= kMaxGrants)
       continue;
     for (std::size_t i = 0; i < limits_.size(); ++i)
-      all[1].share[i] = std::max(all[0].share[i], all[1].share[i]);
-    all.erase(all.begin());
+      grants[1].shares[i] = std::max(grants[0].shares[i], grants[1].shares[i]);
+    grants.erase(grants.begin());
   }
   return out;
 }
 
-std::vector<Allocator::Row> Allocator::Rows(Ms now, std::size_t i) const {
-  std::vector<Row> all;
-  for (const auto& [id, f] : fronts_)
-    all.push_back({id, f.known ? f.report.want[i] : 0, BookedFor(now, f, i), f.heard_at});
-  return all;
+std::vector<Allocator::FrontStatus> Allocator::FrontStatuses(Ms now, std::size_t i) const {
+  std::vector<FrontStatus> statuses;
+  for (const auto& [id, front] : fronts_)
+    statuses.push_back({id, front.known ? front.report.demands[i] : 0, ReservedFor(now, front, i),
+                        front.reported_at});
+  return statuses;
 }
 
 }  // namespace dunlinwick::quota
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,8 +1,9 @@
-// Shares of fleet-wide limits: what a front and the allocator do step by step; their bytes; and
+// Shares of fleet-wide limits: single steps of a front and of the allocator; the wire format; and
 // seeded runs of many fronts with drifting clocks under partitions of one front, a minority and
-// half, the allocator lost, slow and lossy links, restarts without memory, and bursts. At every
-// step of every run the sum of what fronts may spend stays within the limit; what they did spend is
-// held against the stated bound over every window; a fixed split limit / fronts runs side by side.
+// half of the fleet, loss of the allocator, slow and lossy links, restarts without state, and
+// bursts. At every step of every run the sum of what fronts may spend must stay within the limit;
+// what they spent is compared with the stated bound over every window, and with a fixed split of
+// limit / fronts.
 #include <cassert>
 #include <cmath>
 #include <cstdio>
@@ -24,162 +25,162 @@
   Report r;
   r.token = 5;
   r.round = 7;
-  r.using_token = 5;
-  r.using_round = 6;
-  r.bad = 3;
+  r.active_token = 5;
+  r.active_round = 6;
+  r.overloaded = 3;
   r.epoch = 2;
-  r.want = {1, 2.5};
-  r.have = {3, 4};
-  r.factor = {1, 0.5};
+  r.demands = {1, 2.5};
+  r.shares = {3, 4};
+  r.factors = {1, 0.5};
   Grant g{5, 7, 2, {1.5, 2}, {1, 0.6}};
   std::string all[] = {Encode(Poll{5, 7}), Encode(r), Encode(g)};
-  assert(DecodePoll(all[0])->round == 7 && DecodeReport(all[1])->want[1] == 2.5 &&
-         DecodeGrant(all[2])->share[0] == 1.5);
+  assert(DecodePoll(all[0])->round == 7 && DecodeReport(all[1])->demands[1] == 2.5 &&
+         DecodeGrant(all[2])->shares[0] == 1.5);
   for (const std::string& one : all)
     for (std::size_t cut = 0; cut < one.size(); ++cut) {
       std::span<const char> part(one.data(), cut);
       assert(!DecodePoll(part) && !DecodeReport(part) && !DecodeGrant(part));
     }
-  r.want[0] = std::nan("");
+  r.demands[0] = std::nan("");
   assert(!DecodeReport(Encode(r)));
-  r.want[0] = -1;
+  r.demands[0] = -1;
   assert(!DecodeReport(Encode(r)));
-  g.share.assign(kMostLimits + 1, 1);
-  g.factor = g.share;
+  g.shares.assign(kMaxLimits + 1, 1);
+  g.factors = g.shares;
   assert(!DecodeGrant(Encode(g)));
 }
 
 void AFrontFallsAndNeverRises() {
   std::vector<Limit> limits{{"office", 100, 0.5, 0.05}};
-  Terms t;
-  Shares s(limits, t, 10, 0);
-  assert(std::abs(s.Share(0, 0) - 0.5) < kSlack);  // the floor of a tenth
-  auto r = s.Polled(1000, {7, 1});
-  assert(r && r->have[0] == s.Share(1000, 0));
-  assert(
-      !s.Granted(1010, Grant{6, 1, 0, {40}, {1}}));  // of another allocator than the one polled by
-  assert(!s.Granted(1010, Grant{7, 2, 0, {40}, {1}}));  // answers no report
-  assert(s.Granted(1010, Grant{7, 1, 0, {40}, {1}}) && s.Share(1010, 0) == 40);
-  assert(!s.Granted(1011, Grant{7, 1, 0, {50}, {1}}));  // a second copy
-  assert(!s.Polled(1100, {6, 9}));                      // an allocator that was
-  Ms end = 1000 + t.lease * (1 - t.drift) - t.margin;
-  assert(s.Share(end - 1, 0) == 40 && s.Share(end, 0) == 10 && s.Fallen(end));
-  Shares small(limits, t, 10, 0);
-  small.Polled(1000, {7, 1});
-  small.Granted(1010, Grant{7, 1, 0, {3}, {1}});
-  assert(small.Share(end, 0) == 3);  // it had less than the safe share, and keeps to it
-  // Its bucket: no more than the share's burst is saved up, and no more than the rate spent.
-  Shares b(limits, t, 10, 0);
-  b.Polled(0, {7, 1});
-  b.Granted(1, Grant{7, 1, 0, {40}, {1}});
+  Settings t;
+  FrontShares s(limits, t, 10, 0);
+  assert(std::abs(s.Share(0, 0) - 0.5) <
+         kSlack);  // min_fraction of the safe share, a tenth of the limit
+  auto r = s.HandlePoll(1000, {7, 1});
+  assert(r && r->shares[0] == s.Share(1000, 0));
+  assert(!s.HandleGrant(
+      1010, Grant{6, 1, 0, {40}, {1}}));  // from another allocator than the one that polled
+  assert(!s.HandleGrant(1010, Grant{7, 2, 0, {40}, {1}}));  // answers no report
+  assert(s.HandleGrant(1010, Grant{7, 1, 0, {40}, {1}}) && s.Share(1010, 0) == 40);
+  assert(!s.HandleGrant(1011, Grant{7, 1, 0, {50}, {1}}));  // a duplicate
+  assert(!s.HandlePoll(1100, {6, 9}));                      // a previous allocator
+  Ms end = 1000 + t.lease * (1 - t.clock_drift) - t.margin;
+  assert(s.Share(end - 1, 0) == 40 && s.Share(end, 0) == 10 && s.IsLeaseExpired(end));
+  FrontShares small(limits, t, 10, 0);
+  small.HandlePoll(1000, {7, 1});
+  small.HandleGrant(1010, Grant{7, 1, 0, {3}, {1}});
+  assert(small.Share(end, 0) == 3);  // it had less than the safe share and keeps that
+  // Its token bucket: no more than the share's burst accumulates.
+  FrontShares b(limits, t, 10, 0);
+  b.HandlePoll(0, {7, 1});
+  b.HandleGrant(1, Grant{7, 1, 0, {40}, {1}});
   int had = 0;
   for (int i = 0; i < 100; ++i)
-    had += b.Take(2000, 0);
+    had += b.TryAcquire(2000, 0);
   assert(had == 20);
 }
 
 void TheAllocatorGivesOnlyWhatIsFree() {
   std::vector<Limit> limits{{"office", 100, 0.5, 0.05}};
-  Terms t;
+  Settings t;
   auto report = [](Token token, std::uint64_t round, Token using_token, std::uint64_t using_round,
                    double want, double have) {
     Report r;
     r.token = token;
     r.round = round;
-    r.using_token = using_token;
-    r.using_round = using_round;
-    r.want = {want};
-    r.have = {have};
-    r.factor = {1};
+    r.active_token = using_token;
+    r.active_round = using_round;
+    r.demands = {want};
+    r.shares = {have};
+    r.factors = {1};
     return r;
   };
   Allocator a(limits, t, {1, 2, 3, 4}, 9, 0);
-  Poll p = a.TakePoll(0);
-  // Fronts 1 and 2 are heard; what 3 and 4 hold of an earlier allocator is not known: nothing is
+  Poll p = a.StartRound(0);
+  // Fronts 1 and 2 have reported; what 3 and 4 hold of a previous allocator is unknown: no share is
   // raised.
-  a.Heard(1, 1, report(9, p.round, 8, 4, 90, 60));
-  a.Heard(1, 2, report(9, p.round, 8, 4, 5, 20));
+  a.HandleReport(1, 1, report(9, p.round, 8, 4, 90, 60));
+  a.HandleReport(1, 2, report(9, p.round, 8, 4, 5, 20));
   auto g = a.Allocate(2);
-  assert(g.size() == 2 && g[0].second.share[0] <= 60 && g[1].second.share[0] <= 20);
-  // All grants of the old one have run out: 3 and 4 hold the safe share at most, and the rest goes
-  // by demand.
+  assert(g.size() == 2 && g[0].second.shares[0] <= 60 && g[1].second.shares[0] <= 20);
+  // All grants of the previous allocator have expired: 3 and 4 hold at most the safe share, and the
+  // rest is distributed by demand.
   Ms later = t.lease * 2;
   double last = 0;
   for (int round = 0; round < 4; ++round) {
-    p = a.TakePoll(later + 300 * round);
-    double had1 = round == 0 ? 25 : g[0].second.share[0],
-           had2 = round == 0 ? 20 : g[1].second.share[0];
-    a.Heard(later + 300 * round, 1,
-            report(9, p.round, round ? 9 : 8, round ? p.round - 1 : 4, 90, had1));
-    a.Heard(later + 300 * round, 2,
-            report(9, p.round, round ? 9 : 8, round ? p.round - 1 : 4, 5, had2));
+    p = a.StartRound(later + 300 * round);
+    double had1 = round == 0 ? 25 : g[0].second.shares[0],
+           had2 = round == 0 ? 20 : g[1].second.shares[0];
+    a.HandleReport(later + 300 * round, 1,
+                   report(9, p.round, round ? 9 : 8, round ? p.round - 1 : 4, 90, had1));
+    a.HandleReport(later + 300 * round, 2,
+                   report(9, p.round, round ? 9 : 8, round ? p.round - 1 : 4, 5, had2));
     g = a.Allocate(later + 300 * round + 50);
-    assert(a.Booked(later + 300 * round + 50, 0) <= 100 + kSlack);
-    last = g[0].second.share[0];
+    assert(a.Reserved(later + 300 * round + 50, 0) <= 100 + kSlack);
+    last = g[0].second.shares[0];
   }
   assert(last > 35 &&
-         last <= 50 + kSlack);  // 100 less the safe shares of two that are away, less what 2 wants
+         last <= 50 + kSlack);  // 100 minus the safe shares of 3 and 4, minus the demand of 2
 }
 
 void VerdictsAreInCommon() {
   std::vector<Limit> limits{{"office", 100, 0.5, 0.05}};
-  Terms t;
+  Settings t;
   Allocator a(limits, t, {1, 2, 3, 4, 5}, 9, 0);
   Ms now = 10000;
   auto round = [&](int bad) {
-    Poll p = a.TakePoll(now);
+    Poll p = a.StartRound(now);
     for (Id id = 1; id <= 5; ++id) {
       Report r;
       r.token = 9;
       r.round = p.round;
-      r.want = {50};
-      r.have = {1};
-      r.factor = {1};
-      r.bad = static_cast<int>(id) <= bad;
-      a.Heard(now, id, r);
+      r.demands = {50};
+      r.shares = {1};
+      r.factors = {1};
+      r.overloaded = static_cast<int>(id) <= bad;
+      a.HandleReport(now, id, r);
     }
     auto g = a.Allocate(now + 10);
-    now += t.every;
+    now += t.round_period;
     return g;
   };
   round(1);
-  assert(a.Factor(0) == 1 && a.Epoch() == 0);  // one front's trouble is its own
+  assert(a.Factor(0) == 1 && a.Epoch() == 0);  // one front's report reduces nothing
   auto g = round(2);
-  assert(std::abs(a.Factor(0) - t.cut) < kSlack && a.Epoch() == 1 && g.size() == 5);
+  assert(std::abs(a.Factor(0) - t.reduction_factor) < kSlack && a.Epoch() == 1 && g.size() == 5);
   for (auto& [id, one] : g)
-    assert(one.factor[0] == a.Factor(0) && one.epoch == 1);  // the same at all
+    assert(one.factors[0] == a.Factor(0) && one.epoch == 1);  // the same at all fronts
   round(5);
-  assert(a.Epoch() == 1);  // not again before the rest
+  assert(a.Epoch() == 1);  // not again within the cooldown
   for (int i = 0; i < 6; ++i)
     round(5);
-  assert(a.Epoch() >= 2 && a.Factor(0) < t.cut);
+  assert(a.Epoch() >= 2 && a.Factor(0) < t.reduction_factor);
   for (int i = 0; i < 200 && a.Factor(0) < 1; ++i)
     round(0);
   assert(a.Factor(0) == 1);
   for (int i = 0; i < 200; ++i)
     round(5);
-  assert(a.Factor(0) >= t.least - kSlack);
+  assert(a.Factor(0) >= t.min_factor - kSlack);
 }
 
 // ---- seeded runs
 
 struct Run {
   double excess = 0;
-  double over_bound =
-      0;  // worst: of the sum of shares over the limit; of spending over the stated bound
+  double over_bound = 0;  // maxima: sum of shares above the limit; spending above the stated bound
   double used = 0;
   double used_fixed = 0;
   double calm_used = 0;
   double calm_fixed = 0;
-  double calm_asked = 0;  // pulls let through
+  double calm_asked = 0;  // requests
   double oldest = 0;
   int allocators = 0;
 };
 
 struct Sim {
   struct Front {
-    std::unique_ptr<Shares> shares;
-    std::unique_ptr<Shares> fixed;  // the split limit / fronts, side by side
+    std::unique_ptr<FrontShares> shares;
+    std::unique_ptr<FrontShares> fixed;  // the fixed split of limit / fronts, for comparison
     bool up = true;
     bool paused = false;
     double rate = 0;
@@ -201,8 +202,8 @@
     }
   };
   std::vector<Limit> limits{{"office", 300, 0.5, 0.05}};
-  Terms terms;
-  Terms allocator_terms;  // alike, but where a test breaks one on purpose
+  Settings terms;
+  Settings allocator_terms;  // the same, unless a test injects a defect
   std::knuth_b random;
   std::vector<Front> fronts;
   std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights;
@@ -212,24 +213,24 @@
   double loss = 0;
   std::uint64_t order = 0;
   std::uint64_t token = 100;
-  int at = -1;  // who allocates
+  int at = -1;  // the front that runs the allocator
   std::unique_ptr<Allocator> allocator;
   Ms poll_at = 0;
   Ms allocate_at = 1e300;
   Ms owns_until = 0;
   Ms lost_at = -1;
   Run run;
-  std::vector<std::pair<Ms, double>> spent;  // in the last windows
+  std::vector<std::pair<Ms, double>> spent;  // within the longest window
   bool calm = false;
 
-  Sim(std::size_t n, std::uint64_t seed, Terms fronts_ = {}, Terms allocators = {})
+  Sim(std::size_t n, std::uint64_t seed, Settings fronts_ = {}, Settings allocators = {})
       : terms(fronts_),
         allocator_terms(allocators),
         random(static_cast<unsigned>(seed * 2654435761u + 3)),
         cuts(n, std::vector<int>(n)) {
     for (std::size_t i = 0; i < n; ++i) {
       Front f;
-      f.rate = (2 * Unit() - 1) * terms.drift * 0.95;
+      f.rate = (2 * Unit() - 1) * terms.clock_drift * 0.95;
       f.offset = 1e6 * Unit();
       fronts.push_back(std::move(f));
     }
@@ -242,15 +243,15 @@
   }
   void Start(std::size_t i) {
     Front& f = fronts[i];
-    f.shares = std::make_unique<Shares>(limits, terms, fronts.size(), f.clock(now));
+    f.shares = std::make_unique<FrontShares>(limits, terms, fronts.size(), f.clock(now));
     std::vector<Limit> split = limits;
-    split[0].floor = 1;
-    f.fixed = std::make_unique<Shares>(split, terms, fronts.size(), f.clock(now));
+    split[0].min_fraction = 1;
+    f.fixed = std::make_unique<FrontShares>(split, terms, fronts.size(), f.clock(now));
     f.up = true;
     f.paused = false;
   }
-  // The owner's lease, as src/owner/ gives it: the next may begin only when the last has surely
-  // stopped. It needs a majority in reach.
+  // Grants the lease of the task as src/owner/ does: only after the previous holder has certainly
+  // stopped, and only to a front that reaches a majority.
   void Appoint() {
     std::vector<std::size_t> can;
     for (std::size_t i = 0; i < fronts.size(); ++i) {
@@ -299,17 +300,17 @@
         continue;
       Front& f = fronts[one.to];
       if (auto p = DecodePoll(one.bytes)) {
-        if (auto r = f.shares->Polled(f.clock(now), *p))
+        if (auto r = f.shares->HandlePoll(f.clock(now), *p))
           Send(one.to, one.from, Encode(*r));
       } else if (auto g = DecodeGrant(one.bytes)) {
-        f.shares->Granted(f.clock(now), *g);
+        f.shares->HandleGrant(f.clock(now), *g);
       } else if (auto r = DecodeReport(one.bytes);
                  r && at == static_cast<int>(one.to) && allocator) {
-        allocator->Heard(f.clock(now), one.from, *r);
+        allocator->HandleReport(f.clock(now), one.from, *r);
       }
     }
-    // The allocator acts while its lease is renewed; half a lease without a majority and it stops,
-    // and after another the next may begin.
+    // The allocator runs while its lease is renewed: it stops one lease after it last reached a
+    // majority, and the next may start half a lease after that.
     if (at >= 0) {
       auto a = static_cast<std::size_t>(at);
       if (Quorate(a))
@@ -327,20 +328,20 @@
       Front& f = fronts[static_cast<std::size_t>(at)];
       Ms clock = f.clock(now);
       if (now >= poll_at) {
-        Poll p = allocator->TakePoll(clock);
-        poll_at = now + terms.every;
-        allocate_at = now + terms.every / 2;
+        Poll p = allocator->StartRound(clock);
+        poll_at = now + terms.round_period;
+        allocate_at = now + terms.round_period / 2;
         for (std::size_t i = 0; i < fronts.size(); ++i)
           if (static_cast<int>(i) != at)
             Send(static_cast<Id>(at), static_cast<Id>(i), Encode(p));
-        if (auto r = f.shares->Polled(clock, p))
-          allocator->Heard(clock, static_cast<Id>(at), *r);
+        if (auto r = f.shares->HandlePoll(clock, p))
+          allocator->HandleReport(clock, static_cast<Id>(at), *r);
       }
       if (now >= allocate_at) {
         allocate_at = 1e300;
         for (auto& [id, g] : allocator->Allocate(clock)) {
           if (static_cast<int>(id) == at)
-            f.shares->Granted(clock, g);
+            f.shares->HandleGrant(clock, g);
           else
             Send(static_cast<Id>(at), id, Encode(g));
         }
@@ -351,15 +352,15 @@
       if (!f.up)
         continue;
       Ms clock = f.clock(now);
-      sum += f.shares->Share(clock, 0);  // one that is paused may spend it the moment it goes on
-      if (!f.shares->Fallen(clock))
-        run.oldest = std::max(run.oldest, f.shares->Age(clock));
+      sum += f.shares->Share(clock, 0);  // a paused front may spend it as soon as it resumes
+      if (!f.shares->IsLeaseExpired(clock))
+        run.oldest = std::max(run.oldest, f.shares->ShareAge(clock));
       if (f.paused)
         continue;
       for (f.due += f.want * kEach / 1000; f.due >= 1; f.due -= 1) {
-        f.shares->Wanted(clock, 0);
-        f.fixed->Wanted(clock, 0);
-        bool has = f.shares->Take(clock, 0), fixed = f.fixed->Take(clock, 0);
+        f.shares->RecordDemand(clock, 0);
+        f.fixed->RecordDemand(clock, 0);
+        bool has = f.shares->TryAcquire(clock, 0), fixed = f.fixed->TryAcquire(clock, 0);
         got += has;
         run.used += has;
         run.used_fixed += fixed;
@@ -379,9 +380,9 @@
       double all = 0;
       for (auto it = spent.rbegin(); it != spent.rend() && it->first > now - w * 1000; ++it)
         all += it->second;
-      // One pull a front may be under way between two steps.
+      // Each front may have one request in progress between two steps.
       run.over_bound =
-          std::max(run.over_bound, all - SpentAtMost(limits[0], w) * (1 + terms.drift) -
+          std::max(run.over_bound, all - MaxSpent(limits[0], w) * (1 + terms.clock_drift) -
                                        static_cast<double>(fronts.size()));
     }
   }
@@ -399,10 +400,10 @@
   }
 };
 
-Run Faulty(std::uint64_t seed, Terms fronts = {}, Terms allocators = {}) {
+Run Faulty(std::uint64_t seed, Settings fronts = {}, Settings allocators = {}) {
   Sim s(9, seed, fronts, allocators);
   for (auto& f : s.fronts)
-    f.want = 120 * s.Unit();  // 540 on average, where 300 are allowed
+    f.want = 120 * s.Unit();  // 540 on average, with a limit of 300
   s.Until(6000);
   std::vector<std::pair<Ms, std::function<void()>>> undo;
   auto until = [&](Ms t) {
@@ -481,7 +482,7 @@
   return s.run;
 }
 
-// Calm, but for demand that is uneven: one zone of three asks for nearly all.
+// No faults, but uneven demand: one front of each three has nearly all of it.
 Run Uneven(std::uint64_t seed) {
   Sim s(9, seed);
   for (std::size_t i = 0; i < 9; ++i)
@@ -492,8 +493,8 @@
   return s.run;
 }
 
-// From the heal of a cut until every front has at least nine tenths of what it had before it.
-// `lost`: the allocator is among those cut off, so that another has taken over meanwhile.
+// Time from the heal of a partition until every front has at least nine tenths of its share before
+// it. `lost`: the allocator is in the smaller partition, so that another one has taken over.
 Ms FairAgainAfter(std::uint64_t seed, bool lost) {
   Sim s(9, seed);
   for (std::size_t i = 0; i < 9; ++i)
@@ -512,8 +513,8 @@
   s.Until(s.now + 8000);
   s.Cut(group, false);
   Ms healed = s.now;
-  // What those that ask for little hold beyond it is spread evenly and moves: only what is asked
-  // for must be back.
+  // What fronts with little demand hold beyond it is distributed evenly and varies: only the share
+  // up to the demand must be restored.
   auto fair = [&] {
     for (std::size_t i = 0; i < 9; ++i)
       if (s.fronts[i].shares->Share(s.fronts[i].clock(s.now), 0) <
@@ -527,16 +528,16 @@
   return s.now - healed;
 }
 
-// From the round in which two fronts first say that the head office is crowded until all that are
-// heard know the same verdict.
+// Time from when two fronts first observe that the protected resource is overloaded until all
+// fronts know the reduction.
 Ms VerdictAfter(std::uint64_t seed) {
   Sim s(9, seed);
   for (auto& f : s.fronts)
     f.want = 30;
   s.Until(9000 + 37.0 * static_cast<double>(seed));
   Ms from = s.now;
-  s.fronts[2].shares->Bad(0, true);
-  s.fronts[7].shares->Bad(0, true);
+  s.fronts[2].shares->SetOverloaded(0, true);
+  s.fronts[7].shares->SetOverloaded(0, true);
   auto known = [&] {
     return std::all_of(s.fronts.begin(), s.fronts.end(),
                        [](auto& f) { return f.shares->Epoch() == 1 && f.shares->Factor(0) < 1; });
@@ -560,7 +561,7 @@
     Run r = Faulty(seed);
     if (r.excess > kSlack || r.over_bound > 0)
       std::fprintf(stderr,
-                   "seed %llu: shares over the limit by %.4f, spending over the bound by %.2f\n",
+                   "seed %llu: shares above the limit by %.4f, spending above the bound by %.2f\n",
                    static_cast<unsigned long long>(seed), r.excess, r.over_bound);
     assert(r.excess <= kSlack && r.over_bound <= 0);
     worst.oldest = std::max(worst.oldest, r.oldest);
@@ -568,40 +569,41 @@
     used += r.used;
     fixed += r.used_fixed;
   }
-  assert(worst.oldest <= ShareAgeAtMost(Terms{}) + kSlack);
-  // The runs see what is broken: an allocator that books a grant for a moment only, one whose
-  // bookings leave out what clocks may run off, and fronts that keep their shares past the lease.
-  Terms brief, no_drift, wide, keeps;
+  assert(worst.oldest <= MaxShareAge(Settings{}) + kSlack);
+  // The runs detect injected defects: an allocator that reserves a grant for too short a time, one
+  // whose reservations ignore clock drift, and fronts that keep their shares beyond the lease.
+  Settings brief, no_drift, wide, keeps;
   brief.lease = 300;
   no_drift.margin = 0;
-  no_drift.drift = 0;
-  wide.drift = 0.05;
+  no_drift.clock_drift = 0;
+  wide.clock_drift = 0.05;
   wide.margin = 0;
   keeps.lease = 9000;
   no_drift.lease = 2200;
   struct Broken {
     const char* name;
-    Terms fronts;
-    Terms allocators;
+    Settings fronts;
+    Settings allocators;
   };
-  for (const Broken& b : {Broken{"books for a moment", {}, brief},
-                          Broken{"books for less than the lease", wide, no_drift},
-                          Broken{"keeps past the lease", keeps, {}}}) {
+  for (const Broken& b : {Broken{"reserves for a moment", {}, brief},
+                          Broken{"reserves for less than the lease", wide, no_drift},
+                          Broken{"keeps shares beyond the lease", keeps, {}}}) {
     bool caught = false;
     for (std::uint64_t seed = 1; seed <= 40 && !caught; ++seed)
       caught = Faulty(seed, b.fronts, b.allocators).excess > 1;
     if (!caught)
-      std::fprintf(stderr, "missed: %s\n", b.name);
+      std::fprintf(stderr, "injected defect not detected: %s\n", b.name);
     assert(caught);
   }
   Run calm = Uneven(1);
   double share = calm.calm_used / (300 * 20), split = calm.calm_fixed / (300 * 20);
   std::printf(
-      "%llu faulty runs, %d allocators: shares never over the limit, oldest share %.0f ms; let "
-      "through %.0f, by a fixed split %.0f\n",
+      "%llu runs with faults, %d allocators: shares never above the limit, oldest share %.0f ms; "
+      "admitted %.0f, with a fixed split %.0f\n",
       static_cast<unsigned long long>(seeds), worst.allocators, worst.oldest, used, fixed);
-  std::printf("uneven demand over the limit: %.1f%% of the limit used, by a fixed split %.1f%%\n",
-              100 * share, 100 * split);
+  std::printf(
+      "uneven demand above the limit: %.1f%% of the limit used, with a fixed split %.1f%%\n",
+      100 * share, 100 * split);
   assert(share > split);
   Ms fair_most = 0, fair_lost = 0, verdict_most = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -610,10 +612,12 @@
     verdict_most = std::max(verdict_most, VerdictAfter(seed));
   }
   std::printf(
-      "fair again after a heal: %.0f ms at most, with the allocator cut off %.0f (bound %.0f); a "
-      "verdict known to all: %.0f (bound %.0f)\n",
-      fair_most, fair_lost, FairWithin(Terms{}), verdict_most, VerdictWithin(Terms{}));
-  assert(fair_most <= FairWithin(Terms{}) && fair_lost <= FairWithin(Terms{}) &&
-         verdict_most <= VerdictWithin(Terms{}));
+      "fair after a healed partition: within %.0f ms, with the allocator partitioned %.0f (bound "
+      "%.0f); a "
+      "reduction known to all: %.0f (bound %.0f)\n",
+      fair_most, fair_lost, MaxFairnessDelay(Settings{}), verdict_most,
+      MaxReductionDelay(Settings{}));
+  assert(fair_most <= MaxFairnessDelay(Settings{}) && fair_lost <= MaxFairnessDelay(Settings{}) &&
+         verdict_most <= MaxReductionDelay(Settings{}));
   std::puts("quota_test: all passed");
 }
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -180,20 +180,20 @@
   quota::Report report;
   report.token = 5;
   report.round = 77;
-  report.using_token = 4;
-  report.using_round = 76;
-  report.bad = 2;
+  report.active_token = 4;
+  report.active_round = 76;
+  report.overloaded = 2;
   report.epoch = 9;
-  report.want = {120.5, 0.1};
-  report.have = {100, 0};
-  report.factor = {1, 0.6};
+  report.demands = {120.5, 0.1};
+  report.shares = {100, 0};
+  report.factors = {1, 0.6};
   all.push_back({"quota_report", quota::Encode(report), Reencode(quota::DecodeReport)});
   quota::Grant grant;
   grant.token = 5;
   grant.round = 77;
   grant.epoch = 9;
-  grant.share = {110.25, 0.5};
-  grant.factor = {1, 0.6};
+  grant.shares = {110.25, 0.5};
+  grant.factors = {1, 0.6};
   all.push_back({"quota_grant", quota::Encode(grant), Reencode(quota::DecodeGrant)});
 }
 
