--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-void Wire() {
+void WireFormat() {
   members::Message m;
   m.kind = members::Kind::kPingRequest;
   m.from = 3;
@@ -55,7 +55,7 @@
 // A model check of the merge: for every order in which a member receives the same updates about
 // another (all incarnations 0..2, all states), it ends in the same state. So members that receive
 // the same updates in any order agree; SWIM's convergence rests on it.
-void MergeIsOrderFree() {
+void MergeIsOrderIndependent() {
   std::vector<members::MemberUpdate> all;
   for (std::uint32_t inc = 0; inc < 3; ++inc)
     for (State s : {State::kAlive, State::kSuspect, State::kDead})
@@ -101,7 +101,7 @@
 
 // A member that learns that it is held suspect or dead refutes with a higher incarnation, and the
 // others adopt that.
-void Refutes() {
+void RefutesSuspicion() {
   members::Swim s(0, {1}, 5, {}, 1, 0);
   members::Message m;
   m.kind = members::Kind::kPing;
@@ -130,7 +130,7 @@
 
 // Three zones in two regions: zone 0 (fronts 0, 1) and zone 1 (2, 3) in region 0, zone 2 (4) in
 // region 1.
-fleet::SimTerms Five(std::uint64_t seed) {
+fleet::SimTerms FiveFronts(std::uint64_t seed) {
   fleet::SimTerms t;
   t.places = {{0, 0}, {0, 0}, {1, 0}, {1, 0}, {2, 1}};
   t.zone_region = {0, 0, 1};
@@ -148,8 +148,8 @@
   return holds();
 }
 
-void Calm(std::uint64_t seed) {
-  fleet::Sim sim(Five(seed));
+void NoFaults(std::uint64_t seed) {
+  fleet::Sim sim(FiveFronts(seed));
   sim.RunUntil(30000);
   for (members::Id a = 0; a < 5; ++a)
     for (members::Id b = 0; b < 5; ++b)
@@ -162,7 +162,7 @@
 // A killed front: all others declare it dead, and all move traffic out of its zone, where it was
 // the only front, in the same epoch.
 void Killed(std::uint64_t seed) {
-  fleet::Sim sim(Five(seed));
+  fleet::Sim sim(FiveFronts(seed));
   sim.RunUntil(3000);
   sim.Kill(4);
   assert(Until(sim, 30000, [&] { return sim.AllSee(4, State::kDead); }));
@@ -184,7 +184,7 @@
 
 // SIGSTOP for 5 s: the front is declared dead, and after SIGCONT it refutes and all hold it alive.
 void Paused(std::uint64_t seed) {
-  fleet::Sim sim(Five(seed));
+  fleet::Sim sim(FiveFronts(seed));
   sim.RunUntil(3000);
   std::uint32_t before = sim.swim(1).Incarnation();
   sim.Pause(1);
@@ -199,8 +199,8 @@
 // A single front is partitioned from all others: it holds all other zones failed, but alone it has
 // no quorum and keeps its own zone. The others declare it dead; its zone still has front 0, so no
 // front moves traffic out of it.
-void Alone(std::uint64_t seed) {
-  fleet::Sim sim(Five(seed));
+void SingleFrontPartitioned(std::uint64_t seed) {
+  fleet::Sim sim(FiveFronts(seed));
   sim.RunUntil(3000);
   sim.CutAround({1});
   // All its probes fail, so Lifeguard stretches its timeouts up to nine times: it takes longer to
@@ -220,8 +220,8 @@
 
 // A minority (zone 1, fronts 2 and 3) is partitioned: it keeps its zone; the majority moves its
 // traffic out of zone 1, all fronts together.
-void Minority(std::uint64_t seed) {
-  fleet::Sim sim(Five(seed));
+void MinorityPartitioned(std::uint64_t seed) {
+  fleet::Sim sim(FiveFronts(seed));
   sim.RunUntil(3000);
   sim.CutAround({2, 3});
   sim.RunUntil(sim.now() + 30000);
@@ -237,8 +237,8 @@
 
 // A one-way partition: front 4 receives everything, but nothing that it sends arrives. It can't
 // answer, so the others declare it dead.
-void OneWay(std::uint64_t seed) {
-  fleet::Sim sim(Five(seed));
+void OneWayPartition(std::uint64_t seed) {
+  fleet::Sim sim(FiveFronts(seed));
   sim.RunUntil(3000);
   sim.CutAround({4}, true);
   assert(Until(sim, 30000, [&] { return sim.AllSee(4, State::kDead); }));
@@ -249,7 +249,7 @@
 // Loss, delay and duplication on every link: after they end, all members hold all others alive
 // again.
 void Lossy(std::uint64_t seed) {
-  fleet::Sim sim(Five(seed));
+  fleet::Sim sim(FiveFronts(seed));
   sim.Everywhere([](fleet::Link& l) {
     l.loss = 0.3;
     l.delay = 20;
@@ -267,9 +267,9 @@
 }
 
 // The same seed gives the same run.
-void Replays() {
+void SameSeedSameRun() {
   auto run = [] {
-    fleet::Sim sim(Five(11));
+    fleet::Sim sim(FiveFronts(11));
     sim.Everywhere([](fleet::Link& l) { l.loss = 0.1; });
     sim.RunUntil(2000);
     sim.Kill(2);
@@ -287,18 +287,18 @@
 
 int main(int argc, char** argv) {
   std::uint64_t seeds = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 8;  // more by hand
-  Wire();
-  MergeIsOrderFree();
-  Refutes();
+  WireFormat();
+  MergeIsOrderIndependent();
+  RefutesSuspicion();
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    Calm(seed);
+    NoFaults(seed);
     Killed(seed);
     Paused(seed);
-    Alone(seed);
-    Minority(seed);
-    OneWay(seed);
+    SingleFrontPartitioned(seed);
+    MinorityPartitioned(seed);
+    OneWayPartition(seed);
     Lossy(seed);
   }
-  Replays();
+  SameSeedSameRun();
   std::puts("members_test: all passed");
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -27,9 +27,9 @@
   return s;
 }
 
-struct Weather {
+struct NetworkFaults {
   double loss = 0;
-  double doubles = 0;
+  double duplicates = 0;
   Ms delay = 1;
   Ms jitter = 0;
 };
@@ -53,7 +53,7 @@
     std::string message;
   };
   std::knuth_b random;
-  Weather weather;
+  NetworkFaults faults;
   Ms now = 1000;
   std::uint64_t order = 0;
   std::priority_queue<Flying> air;
@@ -73,11 +73,11 @@
           if (on_wire)
             on_wire(id, to, d);
           std::uniform_real_distribution<double> unit(0, 1);
-          if (unit(random) < weather.loss)
+          if (unit(random) < faults.loss)
             return;
-          int copies = 1 + (unit(random) < weather.doubles);
+          int copies = 1 + (unit(random) < faults.duplicates);
           for (int i = 0; i < copies; ++i)
-            air.push({now + weather.delay + weather.jitter * unit(random), ++order, to, d});
+            air.push({now + faults.delay + faults.jitter * unit(random), ++order, to, d});
         },
         [this, id](Id from, Channel c, std::span<const char> m) {
           came.push_back({now, from, id, c, std::string(m.data(), m.size())});
@@ -115,9 +115,10 @@
 
 // Three fronts on a lossy network: everything delivered was sent with these bytes, and each large
 // message is delivered once.
-bool AllArrives(std::uint64_t seed, Peers::InjectedDefects b, std::uint64_t* large = nullptr) {
+bool LargeMessagesArriveOnce(std::uint64_t seed, Peers::InjectedDefects b,
+                             std::uint64_t* large = nullptr) {
   Net net(seed, b);
-  net.weather = {0.3, 0.1, 5, 60};
+  net.faults = {0.3, 0.1, 5, 60};
   for (Id id : {1u, 2u, 3u})
     net.Start(id, 100 + id);
   std::set<std::string> small;
@@ -157,20 +158,20 @@
 
 // Sends probes during a 4 MB message. Measures how many calls of Tick() a probe waited to be sent,
 // and how long the message took.
-struct Beside {
+struct ProbeDelays {
   int most_ticks = 0;
   int probes = 0;
   Ms took = -1;
   Ms worst = 0;
   double piece_bytes_per_s = 0;
 };
-Beside ProbesBesideBulk(std::uint64_t seed, Peers::InjectedDefects b, double loss) {
+ProbeDelays ProbesDuringBulk(std::uint64_t seed, Peers::InjectedDefects b, double loss) {
   Net net(seed, b);
-  net.weather = {loss, 0, 2, 4};
+  net.faults = {loss, 0, 2, 4};
   Peers& one = net.Start(1, 10);
   net.Start(2, 11);
   std::map<std::string, int> waits;  // of probes not sent yet
-  Beside r;
+  ProbeDelays r;
   net.on_wire = [&](Id, Id, std::string& d) {
     auto f = ReadFrame(d);
     if (!f || f->channel != Channel::kMembers)
@@ -207,7 +208,7 @@
 
 // One fragment arrives with changed bytes and a valid checksum: the digest of the message keeps it
 // from being delivered with these bytes.
-bool NeverWrongBytes(Peers::InjectedDefects b) {
+bool ChangedFragmentIsRejected(Peers::InjectedDefects b) {
   Net net(3, b);
   Peers& one = net.Start(1, 10);
   net.Start(2, 11);
@@ -231,7 +232,7 @@
 }
 
 // Datagrams of other versions, with a valid checksum: none is delivered.
-bool VersionsApart(Peers::InjectedDefects b) {
+bool OtherVersionsAreDropped(Peers::InjectedDefects b) {
   Net net(4, b);
   Peers& two = net.Start(2, 11);
   for (std::uint8_t v : {std::uint8_t{0}, std::uint8_t{2}, std::uint8_t{255}}) {
@@ -249,7 +250,7 @@
 }
 
 // Every truncation and 20,000 corrupted datagrams of all kinds: counted, nothing delivered.
-bool JunkIsDropped(Peers::InjectedDefects b) {
+bool MalformedIsDropped(Peers::InjectedDefects b) {
   Net net(5, b);
   Peers& two = net.Start(2, 11);
   std::vector<std::string> good{
@@ -291,9 +292,9 @@
 // The sender, then (on every other seed) the receiver, restarts during a large message; the sender
 // had sent others before, so its new process reuses message numbers. No delivered message mixes
 // bytes of two, and what the running processes sent arrives.
-bool RestartsAreNotified(std::uint64_t seed, Peers::InjectedDefects b) {
+bool RestartsMixNoMessages(std::uint64_t seed, Peers::InjectedDefects b) {
   Net net(seed, b);
-  net.weather = {0.1, 0.05, 3, 30};
+  net.faults = {0.1, 0.05, 3, 30};
   net.Start(1, 10);
   net.Start(2, 11);
   for (int i = 0; i < 5; ++i)
@@ -352,17 +353,17 @@
   std::uint64_t large = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     INFO("seed ", seed);
-    REQUIRE(AllArrives(seed, {}, &large));
+    REQUIRE(LargeMessagesArriveOnce(seed, {}, &large));
   }
   MESSAGE(large, " large messages on 300 seeds");
   Peers::InjectedDefects b;
   b.no_retransmission = true;
-  CHECK_FALSE(AllArrives(1, b));
+  CHECK_FALSE(LargeMessagesArriveOnce(1, b));
 }
 
 TEST_CASE("probes during a 4 MB message: none waits for a tick") {
   for (double loss : {0.0, 0.01, 0.3}) {
-    Beside r = ProbesBesideBulk(1, {}, loss);
+    ProbeDelays r = ProbesDuringBulk(1, {}, loss);
     MESSAGE("loss ", loss, ": ", r.probes, " probes, ", r.most_ticks,
             " ticks waited at most; 4 MB took ", r.took, " ms");
     CHECK(r.most_ticks == 0);
@@ -371,7 +372,7 @@
   }
   Peers::InjectedDefects b;
   b.bulk_first = true;
-  Beside r = ProbesBesideBulk(1, b, 0);
+  ProbeDelays r = ProbesDuringBulk(1, b, 0);
   MESSAGE("injected defect, bulk first: ", r.most_ticks, " ticks waited");
   CHECK(r.most_ticks > 0);
 }
@@ -405,28 +406,28 @@
 }
 
 TEST_CASE("changed fragments, other versions and malformed datagrams are not delivered") {
-  CHECK(NeverWrongBytes({}));
-  CHECK(VersionsApart({}));
-  CHECK(JunkIsDropped({}));
+  CHECK(ChangedFragmentIsRejected({}));
+  CHECK(OtherVersionsAreDropped({}));
+  CHECK(MalformedIsDropped({}));
   Peers::InjectedDefects digest, version, check;
   digest.no_digest = true;
   version.no_version = true;
   check.no_checksum = true;
-  CHECK_FALSE(NeverWrongBytes(digest));
-  CHECK_FALSE(VersionsApart(version));
-  CHECK_FALSE(JunkIsDropped(check));
+  CHECK_FALSE(ChangedFragmentIsRejected(digest));
+  CHECK_FALSE(OtherVersionsAreDropped(version));
+  CHECK_FALSE(MalformedIsDropped(check));
 }
 
 TEST_CASE("restarts during a large message, on 100 seeds") {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     INFO("seed ", seed);
-    REQUIRE(RestartsAreNotified(seed, {}));
+    REQUIRE(RestartsMixNoMessages(seed, {}));
   }
   Peers::InjectedDefects b;
   b.ignores_restarts = true;
   bool caught = false;
   for (std::uint64_t seed = 1; seed <= 10; ++seed)
-    caught |= !RestartsAreNotified(seed, b);
+    caught |= !RestartsMixNoMessages(seed, b);
   CHECK(caught);
 }
 
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -21,7 +21,7 @@
 
 constexpr double kSlack = 1e-6;
 
-void BytesAreWholeOrRefused() {
+void DecodesCompleteMessagesOnly() {
   Report r;
   r.token = 5;
   r.round = 7;
@@ -50,7 +50,7 @@
   assert(!DecodeGrant(Encode(g)));
 }
 
-void AFrontFallsAndNeverRises() {
+void FrontKeepsItsGrantUntilTheLeaseExpires() {
   std::vector<Limit> limits{{"office", 100, 0.5, 0.05}};
   Settings t;
   FrontShares s(limits, t, 10, 0);
@@ -80,7 +80,7 @@
   assert(had == 20);
 }
 
-void TheAllocatorGivesOnlyWhatIsFree() {
+void AllocatorRaisesOnlyFromUnreserved() {
   std::vector<Limit> limits{{"office", 100, 0.5, 0.05}};
   Settings t;
   auto report = [](Token token, std::uint64_t round, Token using_token, std::uint64_t using_round,
@@ -123,7 +123,7 @@
          last <= 50 + kSlack);  // 100 minus the safe shares of 3 and 4, minus the demand of 2
 }
 
-void VerdictsAreInCommon() {
+void ReductionsAreCommonToAllFronts() {
   std::vector<Limit> limits{{"office", 100, 0.5, 0.05}};
   Settings t;
   Allocator a(limits, t, {1, 2, 3, 4, 5}, 9, 0);
@@ -202,8 +202,8 @@
     }
   };
   std::vector<Limit> limits{{"office", 300, 0.5, 0.05}};
-  Settings terms;
-  Settings allocator_terms;  // the same, unless a test injects a defect
+  Settings settings;
+  Settings allocator_settings;  // the same, unless a test injects a defect
   std::knuth_b random;
   std::vector<Front> fronts;
   std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights;
@@ -223,14 +223,14 @@
   std::vector<std::pair<Ms, double>> spent;  // within the longest window
   bool calm = false;
 
-  Sim(std::size_t n, std::uint64_t seed, Settings fronts_ = {}, Settings allocators = {})
-      : terms(fronts_),
-        allocator_terms(allocators),
+  Sim(std::size_t n, std::uint64_t seed, Settings front_settings = {}, Settings allocators = {})
+      : settings(front_settings),
+        allocator_settings(allocators),
         random(static_cast<unsigned>(seed * 2654435761u + 3)),
         cuts(n, std::vector<int>(n)) {
     for (std::size_t i = 0; i < n; ++i) {
       Front f;
-      f.rate = (2 * Unit() - 1) * terms.clock_drift * 0.95;
+      f.rate = (2 * Unit() - 1) * settings.clock_drift * 0.95;
       f.offset = 1e6 * Unit();
       fronts.push_back(std::move(f));
     }
@@ -243,10 +243,10 @@
   }
   void Start(std::size_t i) {
     Front& f = fronts[i];
-    f.shares = std::make_unique<FrontShares>(limits, terms, fronts.size(), f.clock(now));
+    f.shares = std::make_unique<FrontShares>(limits, settings, fronts.size(), f.clock(now));
     std::vector<Limit> split = limits;
     split[0].min_fraction = 1;
-    f.fixed = std::make_unique<FrontShares>(split, terms, fronts.size(), f.clock(now));
+    f.fixed = std::make_unique<FrontShares>(split, settings, fronts.size(), f.clock(now));
     f.up = true;
     f.paused = false;
   }
@@ -267,7 +267,7 @@
     std::vector<Id> ids;
     for (std::size_t i = 0; i < fronts.size(); ++i)
       ids.push_back(static_cast<Id>(i));
-    allocator = std::make_unique<Allocator>(limits, allocator_terms, ids, ++token,
+    allocator = std::make_unique<Allocator>(limits, allocator_settings, ids, ++token,
                                             fronts[static_cast<std::size_t>(at)].clock(now));
     poll_at = now;
     allocate_at = 1e300;
@@ -314,14 +314,14 @@
     if (at >= 0) {
       auto a = static_cast<std::size_t>(at);
       if (Quorate(a))
-        owns_until = now + terms.lease;
+        owns_until = now + settings.lease;
       if (now >= owns_until && lost_at < 0)
         lost_at = now;
       if (now >= owns_until) {
         at = -1;
         allocator.reset();
       }
-    } else if (now >= lost_at + terms.lease / 2) {
+    } else if (now >= lost_at + settings.lease / 2) {
       Appoint();
     }
     if (at >= 0 && Up(static_cast<std::size_t>(at)) && allocator) {
@@ -329,8 +329,8 @@
       Ms clock = f.clock(now);
       if (now >= poll_at) {
         Poll p = allocator->StartRound(clock);
-        poll_at = now + terms.round_period;
-        allocate_at = now + terms.round_period / 2;
+        poll_at = now + settings.round_period;
+        allocate_at = now + settings.round_period / 2;
         for (std::size_t i = 0; i < fronts.size(); ++i)
           if (static_cast<int>(i) != at)
             Send(static_cast<Id>(at), static_cast<Id>(i), Encode(p));
@@ -382,7 +382,7 @@
         all += it->second;
       // Each front may have one request in progress between two steps.
       run.over_bound =
-          std::max(run.over_bound, all - MaxSpent(limits[0], w) * (1 + terms.clock_drift) -
+          std::max(run.over_bound, all - MaxSpent(limits[0], w) * (1 + settings.clock_drift) -
                                        static_cast<double>(fronts.size()));
     }
   }
@@ -400,7 +400,7 @@
   }
 };
 
-Run Faulty(std::uint64_t seed, Settings fronts = {}, Settings allocators = {}) {
+Run RunWithFaults(std::uint64_t seed, Settings fronts = {}, Settings allocators = {}) {
   Sim s(9, seed, fronts, allocators);
   for (auto& f : s.fronts)
     f.want = 120 * s.Unit();  // 540 on average, with a limit of 300
@@ -452,7 +452,7 @@
         s.fronts[who].up = false;
         if (s.at == static_cast<int>(who)) {
           s.at = -1;
-          s.lost_at = s.now + s.terms.lease;
+          s.lost_at = s.now + s.settings.lease;
         }
         undo.emplace_back(s.now + lasts, [&s, who] { s.Start(who); });
         break;
@@ -483,7 +483,7 @@
 }
 
 // No faults, but uneven demand: one front of each three has nearly all of it.
-Run Uneven(std::uint64_t seed) {
+Run RunWithUnevenDemand(std::uint64_t seed) {
   Sim s(9, seed);
   for (std::size_t i = 0; i < 9; ++i)
     s.fronts[i].want = i % 3 == 0 ? 150 : 3;
@@ -495,7 +495,7 @@
 
 // Time from the heal of a partition until every front has at least nine tenths of its share before
 // it. `lost`: the allocator is in the smaller partition, so that another one has taken over.
-Ms FairAgainAfter(std::uint64_t seed, bool lost) {
+Ms TimeUntilFair(std::uint64_t seed, bool lost) {
   Sim s(9, seed);
   for (std::size_t i = 0; i < 9; ++i)
     s.fronts[i].want = i % 3 == 0 ? 150 : 3;
@@ -530,7 +530,7 @@
 
 // Time from when two fronts first observe that the protected resource is overloaded until all
 // fronts know the reduction.
-Ms VerdictAfter(std::uint64_t seed) {
+Ms TimeUntilReduced(std::uint64_t seed) {
   Sim s(9, seed);
   for (auto& f : s.fronts)
     f.want = 30;
@@ -551,14 +551,14 @@
 
 int main(int argc, char** argv) {
   std::uint64_t seeds = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 60;  // more by hand
-  BytesAreWholeOrRefused();
-  AFrontFallsAndNeverRises();
-  TheAllocatorGivesOnlyWhatIsFree();
-  VerdictsAreInCommon();
+  DecodesCompleteMessagesOnly();
+  FrontKeepsItsGrantUntilTheLeaseExpires();
+  AllocatorRaisesOnlyFromUnreserved();
+  ReductionsAreCommonToAllFronts();
   Run worst;
   double used = 0, fixed = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    Run r = Faulty(seed);
+    Run r = RunWithFaults(seed);
     if (r.excess > kSlack || r.over_bound > 0)
       std::fprintf(stderr,
                    "seed %llu: shares above the limit by %.4f, spending above the bound by %.2f\n",
@@ -580,22 +580,23 @@
   wide.margin = 0;
   keeps.lease = 9000;
   no_drift.lease = 2200;
-  struct Broken {
+  struct InjectedDefect {
     const char* name;
     Settings fronts;
     Settings allocators;
   };
-  for (const Broken& b : {Broken{"reserves for a moment", {}, brief},
-                          Broken{"reserves for less than the lease", wide, no_drift},
-                          Broken{"keeps shares beyond the lease", keeps, {}}}) {
+  for (const InjectedDefect& b :
+       {InjectedDefect{"reserves for a moment", {}, brief},
+        InjectedDefect{"reserves for less than the lease", wide, no_drift},
+        InjectedDefect{"keeps shares beyond the lease", keeps, {}}}) {
     bool caught = false;
     for (std::uint64_t seed = 1; seed <= 40 && !caught; ++seed)
-      caught = Faulty(seed, b.fronts, b.allocators).excess > 1;
+      caught = RunWithFaults(seed, b.fronts, b.allocators).excess > 1;
     if (!caught)
       std::fprintf(stderr, "injected defect not detected: %s\n", b.name);
     assert(caught);
   }
-  Run calm = Uneven(1);
+  Run calm = RunWithUnevenDemand(1);
   double share = calm.calm_used / (300 * 20), split = calm.calm_fixed / (300 * 20);
   std::printf(
       "%llu runs with faults, %d allocators: shares never above the limit, oldest share %.0f ms; "
@@ -605,19 +606,20 @@
       "uneven demand above the limit: %.1f%% of the limit used, with a fixed split %.1f%%\n",
       100 * share, 100 * split);
   assert(share > split);
-  Ms fair_most = 0, fair_lost = 0, verdict_most = 0;
+  Ms max_fair_delay = 0, max_fair_delay_without_allocator = 0, max_reduction_delay = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    fair_most = std::max(fair_most, FairAgainAfter(seed, false));
-    fair_lost = std::max(fair_lost, FairAgainAfter(seed, true));
-    verdict_most = std::max(verdict_most, VerdictAfter(seed));
+    max_fair_delay = std::max(max_fair_delay, TimeUntilFair(seed, false));
+    max_fair_delay_without_allocator =
+        std::max(max_fair_delay_without_allocator, TimeUntilFair(seed, true));
+    max_reduction_delay = std::max(max_reduction_delay, TimeUntilReduced(seed));
   }
   std::printf(
       "fair after a healed partition: within %.0f ms, with the allocator partitioned %.0f (bound "
-      "%.0f); a "
-      "reduction known to all: %.0f (bound %.0f)\n",
-      fair_most, fair_lost, MaxFairnessDelay(Settings{}), verdict_most,
-      MaxReductionDelay(Settings{}));
-  assert(fair_most <= MaxFairnessDelay(Settings{}) && fair_lost <= MaxFairnessDelay(Settings{}) &&
-         verdict_most <= MaxReductionDelay(Settings{}));
+      "%.0f); a reduction known to all: %.0f (bound %.0f)\n",
+      max_fair_delay, max_fair_delay_without_allocator, MaxFairnessDelay(Settings{}),
+      max_reduction_delay, MaxReductionDelay(Settings{}));
+  assert(max_fair_delay <= MaxFairnessDelay(Settings{}) &&
+         max_fair_delay_without_allocator <= MaxFairnessDelay(Settings{}) &&
+         max_reduction_delay <= MaxReductionDelay(Settings{}));
   std::puts("quota_test: all passed");
 }
