--- a/src/failover/living.hpp
+++ b/src/failover/living.hpp
@@ -10,8 +10,8 @@
   std::vector<Peer> peers;
   for (const auto& [id, m] : swim.Members())
     if (m.state != members::State::kDead)
-      peers.push_back({id, m.state == members::State::kSuspect, m.noted,
-                       m.noted ? Unpack(m.note.bits) : ZoneHealthObservation{}});
+      peers.push_back({id, m.state == members::State::kSuspect, m.has_payload,
+                       m.has_payload ? Unpack(m.payload.bits) : ZoneHealthObservation{}});
   return peers;
 }
 
--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -150,10 +150,10 @@
 }
 
 void MembershipComponent::Evaluate() {
-  for (const members::Change& change : swim_.Changes())
-    if (!change.note_only)
-      log::Write("fleet member %u %s incarnation %u", change.who, members::ToString(change.state),
-                 change.incarnation);
+  for (const members::Change& change : swim_.TakeChanges())
+    if (!change.payload_only)
+      log::Write("fleet member %u %s incarnation %u", change.member,
+                 members::ToString(change.state), change.incarnation);
   bool changed = false;
   failover::ZoneHealthObservation observation = failover_.Evaluate(
       loop_.now(), health_.UsableShare(), failover::AliveMembers(swim_), changed);
--- a/src/rig/judge.cpp
+++ b/src/rig/judge.cpp
@@ -339,7 +339,7 @@
   // The longest suspicion; two probes at a front whose health is at its worst; ten periods for the
   // news, and as many for the round in which the lost are probed. Probing is by chance: no run of
   // 2,400 came near it (docs/notes/failover.md).
-  return f.swim.beta * least + 2 * (f.swim.health_most + 1) * f.swim.period + 20 * f.swim.period;
+  return f.swim.beta * least + 2 * (f.swim.max_health + 1) * f.swim.period + 20 * f.swim.period;
 }
 Ms CachesWithin(const FleetFile& f) {
   return 8000 + f.verdict.degradation_delay + 10 * f.swim.period;
@@ -347,7 +347,7 @@
 Ms SettleWithin(const FleetFile& f) {
   return std::max(LeaveWithin(f), CachesWithin(f)) +
          failover::kHealthSteps * f.verdict.recovery_interval + 10 * f.swim.period +
-         f.swim.note_refresh;
+         f.swim.payload_refresh_period;
 }
 
 std::vector<Broken> CheckHistory(const FleetFile& fleet, const History& history) {
--- a/src/rig/sim.hpp
+++ b/src/rig/sim.hpp
@@ -37,7 +37,7 @@
 };
 
 struct SimTerms {
-  members::Terms members;
+  members::Settings members;
   failover::FailoverSettings failover;
   std::vector<failover::Location> places;  // by member id 0..n-1
   std::vector<int> zone_region;
