--- a/src/drift/wire.hpp
+++ b/src/drift/wire.hpp
@@ -1,5 +1,5 @@
 // Converts configurations to and from their Protobuf messages, with the bounds of drift.hpp.
-// Internal to this package.
+// Internal to this package. A Suspicion is the message Case of proto/drift.proto.
 #pragma once
 #include "drift.pb.h"
 #include "drift/drift.hpp"
--- a/src/record/subscribers.cpp
+++ b/src/record/subscribers.cpp
@@ -35,6 +35,8 @@
   return XXH64(bytes.data(), bytes.size(), 1);
 }
 
+// On the wire (proto/record.proto) a SubscriptionRequest is the message Want, a
+// SubscriptionResponse Piece and LeasedPositions Lease.
 std::string Encode(const SubscriberMessage& message) {
   proto::record::Message encoded;
   if (const auto* request = std::get_if<SubscriptionRequest>(&message)) {
