--- a/src/logic/roster.hpp
+++ b/src/logic/endpoint_list.hpp
@@ -1,7 +1,7 @@
 // The endpoint list, the slow start ramp of each endpoint, and the order in which endpoints are
 // considered for an object.
 #pragma once
-#include "logic/memories.hpp"
+#include "logic/traffic_statistics.hpp"
 
 namespace dunlinwick::logic {
 
--- a/src/logic/choice.hpp
+++ b/src/logic/endpoint_selector.hpp
@@ -1,8 +1,8 @@
 // Endpoint selection: which cache a request's next attempt goes to, what utilisation the request
 // tolerates there, and whether the request is admitted at all.
 #pragma once
-#include "logic/cold.hpp"
 #include "logic/health.hpp"
+#include "logic/slow_start.hpp"
 
 namespace dunlinwick::logic {
 
--- a/src/logic/load.hpp
+++ b/src/logic/load.hpp
@@ -1,7 +1,7 @@
 // Load: how many transfers an endpoint or the link carries, how many are in flight there, and its
 // utilisation.
 #pragma once
-#include "logic/roster.hpp"
+#include "logic/endpoint_list.hpp"
 
 namespace dunlinwick::logic {
 
--- a/src/logic/purges.hpp
+++ b/src/logic/purges.hpp
@@ -1,6 +1,6 @@
 // Purges and recalls: when which object was purged, and how old a copy of it may therefore be.
 #pragma once
-#include "logic_state/turn.hpp"
+#include "logic_state/policy_context.hpp"
 
 namespace dunlinwick::logic {
 
--- a/src/logic/legs.hpp
+++ b/src/logic/request_processor.hpp
@@ -2,7 +2,7 @@
 // which endpoint a failure is attributed to.
 #pragma once
 #include "logic/size_fairness.hpp"
-#include "logic/sources.hpp"
+#include "logic/source_selector.hpp"
 
 namespace dunlinwick::logic {
 
--- a/src/logic/router.cpp
+++ b/src/logic/router.cpp
@@ -2,7 +2,7 @@
 // returns the actions to carry out, in order. Nothing in this folder reads a clock, does I/O, or
 // knows the names of endpoints or objects: all have numbers. docs/design.md lists the deviations
 // from the design.
-#include "logic/legs.hpp"
+#include "logic/request_processor.hpp"
 
 namespace dunlinwick {
 
--- a/src/logic/sources.hpp
+++ b/src/logic/source_selector.hpp
@@ -1,7 +1,7 @@
 // Source selection: which source a miss is filled from, and what fills show about their sources and
 // the origin.
 #pragma once
-#include "logic/choice.hpp"
+#include "logic/endpoint_selector.hpp"
 
 namespace dunlinwick::logic {
 
