--- a/src/board/board.hpp
+++ b/src/board/board.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <memory>
 
-#include "board/notices.hpp"
+#include "board/watch_events.hpp"
 
 namespace dunlinwick::discovery {
 
--- a/src/board/notices.cpp
+++ b/src/board/watch_events.cpp
@@ -1,4 +1,4 @@
-#include "board/notices.hpp"
+#include "board/watch_events.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "clients/ask_reader.hpp"
 #include "clients/close_policy.hpp"
-#include "clients/waiting_requests.hpp"
+#include "clients/pipelined_requests.hpp"
+#include "clients/request_metadata_reader.hpp"
 #include "log/log.hpp"
 
 namespace dunlinwick::clients {
--- a/src/clients/clients.hpp
+++ b/src/clients/clients.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <memory>
 
-#include "clients/ask_reader.hpp"
+#include "clients/request_metadata_reader.hpp"
 #include "exchange/exchange.hpp"
 #include "loop/listener.hpp"
 
--- a/src/clients/close_policy.hpp
+++ b/src/clients/close_policy.hpp
@@ -2,7 +2,7 @@
 /// response counts as lost, so this is the only place that decides it: a pure function of the
 /// connection's state.
 #pragma once
-#include "loop/ground.hpp"
+#include "loop/environment.hpp"
 
 namespace dunlinwick::clients {
 
--- a/src/clients/waiting_requests.cpp
+++ b/src/clients/pipelined_requests.cpp
@@ -1,9 +1,9 @@
-#include "clients/waiting_requests.hpp"
+#include "clients/pipelined_requests.hpp"
 
 #include <algorithm>
 #include <limits>
 
-#include "clients/ask_reader.hpp"
+#include "clients/request_metadata_reader.hpp"
 
 namespace dunlinwick::clients {
 
--- a/src/clients/waiting_requests.hpp
+++ b/src/clients/pipelined_requests.hpp
@@ -10,7 +10,7 @@
 #include <deque>
 #include <string_view>
 
-#include "loop/ground.hpp"
+#include "loop/environment.hpp"
 
 namespace dunlinwick::clients {
 
--- a/src/clients/ask_reader.cpp
+++ b/src/clients/request_metadata_reader.cpp
@@ -1,4 +1,4 @@
-#include "clients/ask_reader.hpp"
+#include "clients/request_metadata_reader.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/front/part.hpp
+++ b/src/front/part.hpp
@@ -9,7 +9,7 @@
 #include <span>
 #include <string>
 
-#include "loop/ground.hpp"
+#include "loop/environment.hpp"
 #include "peers/peers.hpp"
 
 namespace dunlinwick::front {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -14,7 +14,7 @@
 #include <cstdio>
 #include <string>
 
-#include "loop/ground.hpp"
+#include "loop/environment.hpp"
 
 namespace dunlinwick::log {
 namespace {
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "loop/ground.hpp"
+#include "loop/environment.hpp"
 
 namespace dunlinwick::loop {
 
--- a/src/loop/system.cpp
+++ b/src/loop/system.cpp
@@ -9,7 +9,7 @@
 #include <cstddef>
 #include <limits>
 
-#include "loop/ground.hpp"
+#include "loop/environment.hpp"
 
 namespace dunlinwick::loop {
 namespace {
--- a/tests/support/failing_environment.hpp
+++ b/tests/support/failing_environment.hpp
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "loop/ground.hpp"
+#include "loop/environment.hpp"
 
 namespace dunlinwick::testing {
 
--- a/tests/support/port_block.hpp
+++ b/tests/support/port_block.hpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <stdexcept>
 
-#include "loop/ground.hpp"
+#include "loop/environment.hpp"
 
 namespace dunlinwick::testing {
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,7 +2,7 @@
 // input.
 #include <random>
 
-#include "board/notices.hpp"
+#include "board/watch_events.hpp"
 #include "caches/lines.hpp"
 #include "clients/http.hpp"
 #include "kit.hpp"
