--- a/src/front/active.cpp
+++ b/src/front/active_configuration.cpp
@@ -1,4 +1,4 @@
-#include "front/active.hpp"
+#include "front/active_configuration.hpp"
 
 namespace dunlinwick::drift {
 
--- a/src/front/active.hpp
+++ b/src/front/active_configuration.hpp
@@ -7,7 +7,7 @@
 // left out.
 #pragma once
 #include "drift/drift.hpp"
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 
 namespace dunlinwick::drift {
 
--- a/src/front/turning.cpp
+++ b/src/front/apply_configuration.cpp
@@ -1,4 +1,4 @@
-#include "front/turning.hpp"
+#include "front/apply_configuration.hpp"
 
 #include <charconv>
 #include <cmath>
--- a/src/front/charter.cpp
+++ b/src/front/configuration.cpp
@@ -1,4 +1,4 @@
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/front/charter_layer.cpp
+++ b/src/front/configuration_layer.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 
 namespace dunlinwick::front {
 
--- a/src/front/charter_peers.cpp
+++ b/src/front/configuration_peers.cpp
@@ -2,7 +2,7 @@
 // the reason.
 #include <stdexcept>
 
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 
 namespace dunlinwick::front {
 
--- a/src/front/fleet.hpp
+++ b/src/front/fleet.hpp
@@ -18,8 +18,8 @@
 
 #include "failover/health.hpp"
 #include "failover/verdict.hpp"
-#include "front/charter.hpp"
-#include "front/part.hpp"
+#include "front/configuration.hpp"
+#include "front/fleet_component.hpp"
 #include "loop/datagram_reader.hpp"
 #include "members/swim.hpp"
 
--- a/src/front/parts.cpp
+++ b/src/front/fleet_components.cpp
@@ -1,4 +1,4 @@
-#include "front/parts.hpp"
+#include "front/fleet_components.hpp"
 
 #include <iterator>
 #include <utility>
--- a/src/front/parts.hpp
+++ b/src/front/fleet_components.hpp
@@ -1,11 +1,12 @@
 // The components of the fleet layer that only a full build has: the peers' socket with the
-// components that run over it, and the owner. A build without them (src/front/parts_none.cpp, the
-// default) rejects their blocks when it reads the configuration.
+// components that run over it, and the owner. A build without them
+// (src/front/fleet_components_none.cpp, the default) rejects their blocks when it reads the
+// configuration.
 #pragma once
 #include <memory>
 
 #include "exchange/exchange.hpp"
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 #include "front/fleet.hpp"
 
 namespace dunlinwick::generations {
--- a/src/front/parts_none.cpp
+++ b/src/front/fleet_components_none.cpp
@@ -2,7 +2,7 @@
 // configuration is read, so none of them is ever created.
 #include <stdexcept>
 
-#include "front/parts.hpp"
+#include "front/fleet_components.hpp"
 
 namespace dunlinwick::front {
 
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -3,9 +3,9 @@
 #include "board/board.hpp"
 #include "caches/caches.hpp"
 #include "clients/clients.hpp"
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 #include "front/fleet.hpp"
-#include "front/parts.hpp"
+#include "front/fleet_components.hpp"
 
 #include <memory>
 
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -3,11 +3,11 @@
 #include <algorithm>
 #include <set>
 
-#include "front/active.hpp"
+#include "front/active_configuration.hpp"
+#include "front/apply_configuration.hpp"
 #include "front/record.hpp"
 #include "front/recovery.hpp"
 #include "front/rules.hpp"
-#include "front/turning.hpp"
 #include "generations/generations.hpp"
 #include "log/log.hpp"
 #include "store/lasting_floors.hpp"
--- a/src/front/layer.hpp
+++ b/src/front/layer.hpp
@@ -2,16 +2,16 @@
 // recovery and connects them. It alone knows several components at once: entries of the record
 // reach the router (recalls) and the rules; the rules switch the router's generation; recovery
 // receives the others' state and decides what share of requests is admitted and whether this front
-// may acquire leases. A build without it (front/parts_none.cpp) rejects the blocks when it reads
-// the configuration.
+// may acquire leases. A build without it (front/fleet_components_none.cpp) rejects the blocks when
+// it reads the configuration.
 #pragma once
 #include <memory>
 #include <vector>
 
 #include "exchange/exchange.hpp"
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
+#include "front/fleet_component.hpp"
 #include "front/owner.hpp"
-#include "front/part.hpp"
 
 namespace dunlinwick::generations {
 class Generations;
--- a/src/front/owner.hpp
+++ b/src/front/owner.hpp
@@ -16,8 +16,8 @@
 #include <string>
 #include <utility>
 
-#include "front/charter.hpp"
-#include "front/part.hpp"
+#include "front/configuration.hpp"
+#include "front/fleet_component.hpp"
 #include "loop/loop.hpp"
 
 namespace dunlinwick::front {
--- a/src/front/peers.hpp
+++ b/src/front/peers.hpp
@@ -14,8 +14,8 @@
 #include <optional>
 #include <vector>
 
-#include "front/charter.hpp"
-#include "front/part.hpp"
+#include "front/configuration.hpp"
+#include "front/fleet_component.hpp"
 #include "loop/datagram_reader.hpp"
 
 namespace dunlinwick::front {
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -20,8 +20,8 @@
 #include <memory>
 #include <set>
 
+#include "front/fleet_component.hpp"
 #include "front/layer_terms.hpp"
-#include "front/part.hpp"
 #include "loop/loop.hpp"
 #include "wall_time.hpp"
 
--- a/src/front/rules.hpp
+++ b/src/front/rules.hpp
@@ -15,8 +15,8 @@
 #pragma once
 #include <memory>
 
+#include "front/fleet_component.hpp"
 #include "front/layer_terms.hpp"
-#include "front/part.hpp"
 #include "loop/loop.hpp"
 
 namespace dunlinwick::front {
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 
 namespace dunlinwick::migrate {
 
--- a/tests/drift_test.cpp
+++ b/tests/drift_test.cpp
@@ -11,7 +11,7 @@
 #include <cstring>
 #include <functional>
 
-#include "front/active.hpp"
+#include "front/active_configuration.hpp"
 #include "rig/drift_script.hpp"
 
 using dunlinwick::DeduplicationScope;
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -12,7 +12,7 @@
 #include <fstream>
 #include <functional>
 
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 #include "sides.hpp"
 
 using namespace kit;
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 #include <thread>
 
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 #include "kit.hpp"
 
 using namespace kit;
--- a/tests/peers_front_test.cpp
+++ b/tests/peers_front_test.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "front/charter.hpp"
+#include "front/configuration.hpp"
 #include "front/peers.hpp"
 #include "json/json.hpp"
 #include "peers/wire.hpp"
