--- a/bench/record.cpp
+++ b/bench/record.cpp
@@ -14,7 +14,7 @@
 #include <random>
 #include <string>
 
-#include "record/memory_disk.hpp"
+#include "record/memory_log_storage.hpp"
 #include "record/subscribers.hpp"
 #include "store/record_lmdb.hpp"
 
--- a/src/front/layer_terms.hpp
+++ b/src/front/layer_terms.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "drift/drift.hpp"
-#include "record/keepers.hpp"
+#include "record/replication.hpp"
 #include "record/subscribers.hpp"
 #include "recovery/recovery.hpp"
 
--- a/src/front/record.cpp
+++ b/src/front/record.cpp
@@ -6,8 +6,8 @@
 
 #include "log/log.hpp"
 #include "record.pb.h"
-#include "record/memory_disk.hpp"
-#include "record/replica.hpp"
+#include "record/memory_log_storage.hpp"
+#include "record/replica_host.hpp"
 #include "store/record_lmdb.hpp"
 
 namespace dunlinwick::front {
--- a/src/front/record.hpp
+++ b/src/front/record.hpp
@@ -61,7 +61,7 @@
         lease;  // its token and whether it may be used now; token 0: another front holds it
     std::function<peers::Id()> lease_holder;  // 0: unknown
   };
-  // A store that cannot be opened is tried again: src/record/replica.hpp.
+  // A store that cannot be opened is tried again: src/record/replica_host.hpp.
   RecordComponent(loop::Loop& loop, const RecordSettings& settings, peers::Id self,
                   std::uint64_t seed, Callbacks callbacks);
   ~RecordComponent() override;
--- a/src/record/writer.cpp
+++ b/src/record/leader_writer.cpp
@@ -2,7 +2,7 @@
 // that lag behind up to date.
 #include <algorithm>
 
-#include "record/keepers.hpp"
+#include "record/replication.hpp"
 
 namespace dunlinwick::record {
 
--- a/src/record/log.hpp
+++ b/src/record/log.hpp
@@ -25,7 +25,7 @@
 #include <memory>
 #include <optional>
 
-#include "record/disk.hpp"
+#include "record/log_storage.hpp"
 
 namespace dunlinwick::record {
 
--- a/src/record/keeper.cpp
+++ b/src/record/log_replica.cpp
@@ -2,7 +2,7 @@
 // they are on disk, and repairs gaps from the other replicas.
 #include <algorithm>
 
-#include "record/keepers.hpp"
+#include "record/replication.hpp"
 
 namespace dunlinwick::record {
 
--- a/src/record/memory_disk.hpp
+++ b/src/record/memory_log_storage.hpp
@@ -4,7 +4,7 @@
 #pragma once
 #include <map>
 
-#include "record/disk.hpp"
+#include "record/log_storage.hpp"
 
 namespace dunlinwick::record {
 
--- a/src/record/replica.cpp
+++ b/src/record/replica_host.cpp
@@ -1,4 +1,4 @@
-#include "record/replica.hpp"
+#include "record/replica_host.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/record/replica.hpp
+++ b/src/record/replica_host.hpp
@@ -14,7 +14,7 @@
 #include <string>
 
 #include "backoff/backoff.hpp"
-#include "record/keepers.hpp"
+#include "record/replication.hpp"
 #include "record/subscribers.hpp"
 
 namespace dunlinwick::record {
--- a/src/record/keepers_wire.cpp
+++ b/src/record/replication_codec.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 
 #include "record.pb.h"
-#include "record/keepers.hpp"
+#include "record/replication.hpp"
 
 namespace dunlinwick::record {
 
--- a/src/rig/recordsim.cpp
+++ b/src/rig/recordsim.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "record/memory_disk.hpp"
+#include "record/memory_log_storage.hpp"
 
 namespace dunlinwick::rig {
 
--- a/src/rig/recordsim.hpp
+++ b/src/rig/recordsim.hpp
@@ -6,7 +6,7 @@
 // time, until brought up again; and without `doubtRestarts` a disk comes back older only where
 // every other keeper has witnessed more.
 #pragma once
-#include "record/keepers.hpp"
+#include "record/replication.hpp"
 #include "record/subscribers.hpp"
 #include "rig/record_judge.hpp"
 
--- a/src/store/record_lmdb.hpp
+++ b/src/store/record_lmdb.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "record/disk.hpp"
+#include "record/log_storage.hpp"
 
 namespace dunlinwick::store {
 
--- a/tests/keepers_explore.cpp
+++ b/tests/keepers_explore.cpp
@@ -9,8 +9,8 @@
 
 #include <xxhash.h>
 
-#include "record/keepers.hpp"
-#include "record/memory_disk.hpp"
+#include "record/memory_log_storage.hpp"
+#include "record/replication.hpp"
 
 using namespace dunlinwick::record;
 
--- a/tests/record_storage_test.cpp
+++ b/tests/record_storage_test.cpp
@@ -7,7 +7,7 @@
 #include <deque>
 #include <map>
 
-#include "record/replica.hpp"
+#include "record/replica_host.hpp"
 #include "support/failing_disk.hpp"
 
 using namespace dunlinwick::record;
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <random>
 
-#include "record/memory_disk.hpp"
+#include "record/memory_log_storage.hpp"
 #include "record/subscribers.hpp"
 #include "store/record_lmdb.hpp"
 
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -13,7 +13,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "record/replica.hpp"
+#include "record/replica_host.hpp"
 #include "store/lasting_floors.hpp"
 #include "store/lmdb.hpp"
 #include "store/record_lmdb.hpp"
--- a/tests/support/failing_disk.hpp
+++ b/tests/support/failing_disk.hpp
@@ -1,7 +1,7 @@
 /// One opening of a log replica's storage in memory. The contents outlive this object, as a disk
 /// outlives processes; faults are those of the memory storage (MemoryLogStorage::write_fault).
 #pragma once
-#include "record/memory_disk.hpp"
+#include "record/memory_log_storage.hpp"
 
 namespace dunlinwick::tests {
 
--- a/tests/time_test.cpp
+++ b/tests/time_test.cpp
@@ -14,7 +14,7 @@
 #include "generations/generations.hpp"
 #include "json/json.hpp"
 #include "record/log.hpp"
-#include "record/memory_disk.hpp"
+#include "record/memory_log_storage.hpp"
 #include "sides.hpp"
 
 using namespace kit;
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -33,7 +33,7 @@
 #include "peers/wire.hpp"
 #include "quota/quota.hpp"
 #include "record.pb.h"
-#include "record/keepers.hpp"
+#include "record/replication.hpp"
 #include "record/subscribers.hpp"
 #include "recovery/recovery.hpp"
 #include "store/floors.hpp"
