--- a/src/changes/ledger.cpp
+++ b/src/changes/change_log.cpp
@@ -1,4 +1,4 @@
-#include "changes/ledger.hpp"
+#include "changes/change_log.hpp"
 
 #include <algorithm>
 
--- a/src/changes/push.cpp
+++ b/src/changes/rollout.cpp
@@ -1,4 +1,4 @@
-#include "changes/push.hpp"
+#include "changes/rollout.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/changes/push.hpp
+++ b/src/changes/rollout.hpp
@@ -19,7 +19,7 @@
 #include <string>
 #include <vector>
 
-#include "changes/ledger.hpp"
+#include "changes/change_log.hpp"
 
 namespace dunlinwick::changes {
 
--- a/src/drift/drift.hpp
+++ b/src/drift/drift.hpp
@@ -332,7 +332,7 @@
                         // returned with it
   Ms WakeAt() const;
 
-  struct Impl;  // internal to this package (inner.hpp)
+  struct Impl;  // internal to this package (drift_impl.hpp)
 
  private:
   std::shared_ptr<Impl> impl_;
--- a/src/drift/evidence.cpp
+++ b/src/drift/evidence.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "drift/inner.hpp"
+#include "drift/drift_impl.hpp"
 
 namespace dunlinwick::drift {
 
--- a/src/drift/repair.cpp
+++ b/src/drift/repair.cpp
@@ -2,7 +2,7 @@
 // alarm and ejections; and, at each front, carrying out a repair.
 #include <algorithm>
 
-#include "drift/inner.hpp"
+#include "drift/drift_impl.hpp"
 
 namespace dunlinwick::drift {
 
--- a/src/failover/living.hpp
+++ b/src/failover/alive_members.hpp
@@ -1,7 +1,7 @@
 // From membership to the failover decision: the members that are not dead, each with the
 // observation that its piggybacked payload carries.
 #pragma once
-#include "failover/verdict.hpp"
+#include "failover/failover_decision.hpp"
 #include "members/swim.hpp"
 
 namespace dunlinwick::failover {
--- a/src/failover/verdict.cpp
+++ b/src/failover/failover_decision.cpp
@@ -1,4 +1,4 @@
-#include "failover/verdict.hpp"
+#include "failover/failover_decision.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/front/configuration.hpp
+++ b/src/front/configuration.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "failover/verdict.hpp"
+#include "failover/failover_decision.hpp"
 #include "front/layer_terms.hpp"
 #include "members/swim.hpp"
 #include "owner/group.hpp"
--- a/src/front/fleet.cpp
+++ b/src/front/fleet.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <stdexcept>
 
-#include "failover/living.hpp"
+#include "failover/alive_members.hpp"
 #include "log/log.hpp"
 #include "members/wire.hpp"
 
--- a/src/front/fleet.hpp
+++ b/src/front/fleet.hpp
@@ -16,8 +16,8 @@
 #include <optional>
 #include <string>
 
+#include "failover/failover_decision.hpp"
 #include "failover/health.hpp"
-#include "failover/verdict.hpp"
 #include "front/configuration.hpp"
 #include "front/fleet_component.hpp"
 #include "loop/datagram_reader.hpp"
--- a/src/front/layer.cpp
+++ b/src/front/layer.cpp
@@ -10,7 +10,7 @@
 #include "front/rules.hpp"
 #include "generations/generations.hpp"
 #include "log/log.hpp"
-#include "store/lasting_floors.hpp"
+#include "store/durable_minimums.hpp"
 
 namespace dunlinwick::front {
 
--- a/src/owner/agent.hpp
+++ b/src/owner/agent.hpp
@@ -14,7 +14,7 @@
 #include <random>
 #include <set>
 
-#include "owner/fence.hpp"
+#include "owner/fencing.hpp"
 
 namespace dunlinwick::owner {
 
--- a/src/owner/group.cpp
+++ b/src/owner/group.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "owner/group_inner.hpp"
+#include "owner/group_impl.hpp"
 
 namespace dunlinwick::owner {
 
--- a/src/owner/group.hpp
+++ b/src/owner/group.hpp
@@ -1,5 +1,5 @@
 // The group of fronts that replicates the lease table, by Debian's libraft (Raft without pre-vote:
-// group_founding.cpp gives the reason). This class provides libraft's I/O, so that the same code
+// group_bootstrap.cpp gives the reason). This class provides libraft's I/O, so that the same code
 // runs on a front's loop and in the simulation. It has no clock, descriptor or entropy source of
 // its own.
 //
--- a/src/owner/group_founding.cpp
+++ b/src/owner/group_bootstrap.cpp
@@ -1,6 +1,6 @@
 // Bootstrap of the group, as group.hpp describes it: hellos, detection of a member that has lost
 // its state, then initialization and start of libraft.
-#include "owner/group_inner.hpp"
+#include "owner/group_impl.hpp"
 
 namespace dunlinwick::owner {
 
--- a/src/owner/group_inner.hpp
+++ b/src/owner/group_impl.hpp
@@ -1,5 +1,5 @@
 // The implementation of Group, shared by its source files: group.cpp (time and proposals),
-// group_founding.cpp (bootstrap), group_io.cpp (libraft's I/O and state machine interfaces) and
+// group_bootstrap.cpp (bootstrap), group_io.cpp (libraft's I/O and state machine interfaces) and
 // group_messages.cpp (libraft's messages as datagrams). No other file includes it.
 #pragma once
 extern "C" {  // raft.h has no linkage specification of its own
--- a/src/owner/group_io.cpp
+++ b/src/owner/group_io.cpp
@@ -4,7 +4,7 @@
 #include <cstring>
 #include <new>
 
-#include "owner/group_inner.hpp"
+#include "owner/group_impl.hpp"
 
 namespace dunlinwick::owner {
 
--- a/src/owner/group_messages.cpp
+++ b/src/owner/group_messages.cpp
@@ -1,5 +1,5 @@
 // Encoding and decoding of libraft's messages as datagrams.
-#include "owner/group_inner.hpp"
+#include "owner/group_impl.hpp"
 
 namespace dunlinwick::owner {
 
--- a/src/owner/lease.hpp
+++ b/src/owner/lease.hpp
@@ -12,10 +12,9 @@
 // the lease to no other front before duration * (1 + clock_drift) + margin. A request is applied
 // after it was sent, so the holder stops first as long as no clock's rate is off by more than
 // `clock_drift` and no clock steps by more than `margin` within one lease. Beyond that bound the
-// fencing token check protects the tasks (src/owner/fence.hpp): the clocks prevent two holders from
-// acting at once, the check prevents the steps of a late holder from taking effect.
-// Bounds: 64 tasks; task names of at most 48 letters, digits and dashes; a command has at most
-// 100 bytes.
+// fencing token check protects the tasks (src/owner/fencing.hpp): the clocks prevent two holders
+// from acting at once, the check prevents the steps of a late holder from taking effect. Bounds: 64
+// tasks; task names of at most 48 letters, digits and dashes; a command has at most 100 bytes.
 #pragma once
 #include <cstdint>
 #include <map>
--- a/src/recovery/letting_in.cpp
+++ b/src/recovery/admission_ramp.cpp
@@ -1,4 +1,4 @@
-#include "recovery/letting_in.hpp"
+#include "recovery/admission_ramp.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/recovery/floors.cpp
+++ b/src/recovery/persisted_minimums.cpp
@@ -1,4 +1,4 @@
-#include "recovery/floors.hpp"
+#include "recovery/persisted_minimums.hpp"
 
 #include <algorithm>
 
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "recovery/floors.hpp"
-#include "recovery/letting_in.hpp"
+#include "recovery/admission_ramp.hpp"
+#include "recovery/persisted_minimums.hpp"
 
 namespace dunlinwick::recovery {
 
--- a/src/rig/history.hpp
+++ b/src/rig/history.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "owner/fence.hpp"
+#include "owner/fencing.hpp"
 
 namespace dunlinwick::owner {
 
--- a/src/rig/place.cpp
+++ b/src/rig/place.cpp
@@ -9,7 +9,7 @@
 #include <cstdio>
 
 #include "loop/connection.hpp"
-#include "owner/fence.hpp"
+#include "owner/fencing.hpp"
 #include "owner/node.hpp"
 
 using namespace dunlinwick;
--- a/src/rig/script.hpp
+++ b/src/rig/script.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "failover/verdict.hpp"
+#include "failover/failover_decision.hpp"
 #include "members/swim.hpp"
 
 namespace dunlinwick::fleet {
--- a/src/rig/sim.cpp
+++ b/src/rig/sim.cpp
@@ -1,6 +1,6 @@
 #include "rig/sim.hpp"
 
-#include "failover/living.hpp"
+#include "failover/alive_members.hpp"
 #include "members/wire.hpp"
 
 #include <algorithm>
--- a/src/rig/sim.hpp
+++ b/src/rig/sim.hpp
@@ -17,7 +17,7 @@
 #include <tuple>
 #include <vector>
 
-#include "failover/verdict.hpp"
+#include "failover/failover_decision.hpp"
 #include "members/swim.hpp"
 
 namespace dunlinwick::fleet {
--- a/src/store/lasting_floors.cpp
+++ b/src/store/durable_minimums.cpp
@@ -1,4 +1,4 @@
-#include "store/lasting_floors.hpp"
+#include "store/durable_minimums.hpp"
 
 #include <algorithm>
 #include <exception>
--- a/src/store/lasting_floors.hpp
+++ b/src/store/durable_minimums.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "backoff/backoff.hpp"
-#include "store/floors.hpp"
+#include "store/minimums_store.hpp"
 
 namespace dunlinwick::store {
 
--- a/src/store/floors.cpp
+++ b/src/store/minimums_store.cpp
@@ -1,4 +1,4 @@
-#include "store/floors.hpp"
+#include "store/minimums_store.hpp"
 
 #include <xxhash.h>
 
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <unordered_set>
 
-#include "changes/push.hpp"
+#include "changes/rollout.hpp"
 
 using namespace dunlinwick::changes;
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -13,8 +13,8 @@
 #include <cstring>
 #include <fstream>
 
-#include "recovery/floors.hpp"
-#include "recovery/letting_in.hpp"
+#include "recovery/admission_ramp.hpp"
+#include "recovery/persisted_minimums.hpp"
 #include "rig/recovery_judge.hpp"
 
 using namespace dunlinwick;
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -14,7 +14,7 @@
 #include <fstream>
 
 #include "record/replica_host.hpp"
-#include "store/lasting_floors.hpp"
+#include "store/durable_minimums.hpp"
 #include "store/lmdb.hpp"
 #include "store/record_lmdb.hpp"
 
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -28,7 +28,7 @@
 
 #include "drift/drift.hpp"
 #include "members/wire.hpp"
-#include "owner/fence.hpp"
+#include "owner/fencing.hpp"
 #include "owner/node.hpp"
 #include "peers/wire.hpp"
 #include "quota/quota.hpp"
@@ -36,8 +36,8 @@
 #include "record/replication.hpp"
 #include "record/subscribers.hpp"
 #include "recovery/recovery.hpp"
-#include "store/floors.hpp"
 #include "store/lmdb.hpp"
+#include "store/minimums_store.hpp"
 #include "store/record_lmdb.hpp"
 
 using namespace dunlinwick;
