--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -23,9 +23,9 @@
 
 namespace {
 
-const loop::Address kFrontAddress = stage::AddressOf(0x0a000002, 80);
-const loop::Address kServerAddresses[] = {stage::AddressOf(0x0a000003, 5000),
-                                          stage::AddressOf(0x0a000004, 5000)};
+const loop::Address kFrontAddress = stage::MakeAddress(0x0a000002, 80);
+const loop::Address kServerAddresses[] = {stage::MakeAddress(0x0a000003, 5000),
+                                          stage::MakeAddress(0x0a000004, 5000)};
 constexpr std::size_t kMostIdleWaits = 100;
 
 // ---- one connection, whose environment fails
@@ -49,7 +49,7 @@
 
 /// A process that connects, through a failing environment, to one that listens.
 struct ConnectionFixture {
-  stage::Net net{1};
+  stage::Network net{1};
   stage::Process& connecting = net.Start(0x0a000001, "connecting");
   stage::Process& listening = net.Start(0x0a000002, "listening");
   FailingEnvironment environment{connecting};
@@ -59,7 +59,7 @@
 
   ConnectionFixture() {
     connecting.UseEnvironment(environment);
-    listening.Act([&] {
+    listening.Execute([&] {
       listener = std::make_unique<loop::Listener>(
           listening.loop(), kFrontAddress, [this](loop::Descriptor fd) {
             server_side.connection =
@@ -68,14 +68,14 @@
     });
   }
   ~ConnectionFixture() {
-    listening.Act([&] {
+    listening.Execute([&] {
       server_side.connection.reset();
       listener.reset();
     });
-    connecting.Act([&] { client_side.connection.reset(); });
+    connecting.Execute([&] { client_side.connection.reset(); });
   }
   void Dial() {
-    connecting.Act([&] {
+    connecting.Execute([&] {
       client_side.connection =
           std::make_unique<loop::Connection>(connecting.loop(), client_side, kFrontAddress, 1000);
       client_side.connection->Send("hello");
@@ -87,7 +87,7 @@
 };
 
 /// Fails calls of one kind with one error until `ends`.
-FailingEnvironment::Plan FailUntil(const stage::Net& net, Call failing, int error, Ms ends) {
+FailingEnvironment::Plan FailUntil(const stage::Network& net, Call failing, int error, Ms ends) {
   return [&net, failing, error, ends](Call call, std::size_t) -> std::optional<Failure> {
     if (call == failing && net.now() < ends)
       return Failure{error};
@@ -143,10 +143,10 @@
   ConnectionFixture test;
   test.Dial();
   test.Run(100);
-  test.listening.Act([&] { test.server_side.connection->Send("answer"); });
+  test.listening.Execute([&] { test.server_side.connection->Send("answer"); });
   // The answer is in the receive buffer of a suspended process; then its write fails before it
   // reads.
-  test.connecting.StandStill(test.net.now() + 50);
+  test.connecting.PauseUntil(test.net.now() + 50);
   test.Run(40);
   REQUIRE(test.client_side.received.empty());
   std::size_t next_read = test.environment.Calls(Call::kReceive);
@@ -158,7 +158,7 @@
       return Failure{EINTR};
     return std::nullopt;
   };
-  test.connecting.Act([&] { test.client_side.connection->Send("next"); });
+  test.connecting.Execute([&] { test.client_side.connection->Send("next"); });
   test.Run(100);
   CHECK(test.client_side.received == "answer");
   CHECK(test.client_side.ends == std::vector{DisconnectReason::kReset});
@@ -185,7 +185,7 @@
     test.Dial();
     test.Run(100);
     test.environment.plan = FailUntil(test.net, Call::kReceive, error, test.net.now() + 60);
-    test.listening.Act([&] {
+    test.listening.Execute([&] {
       test.server_side.connection->Send("answer");
       test.server_side.connection->ShutdownWrite();
     });
@@ -207,9 +207,9 @@
     Ms start = test.net.now();
     Ms ran_at = 0;
     test.environment.plan = FailUntil(test.net, Call::kWait, error, start + 60);
-    test.connecting.Act(
+    test.connecting.Execute(
         [&] { test.connecting.loop().RunAt(start + 30, [&] { ran_at = test.net.now(); }); });
-    test.listening.Act([&] { test.server_side.connection->Send("answer"); });
+    test.listening.Execute([&] { test.server_side.connection->Send("answer"); });
     CHECK_NOTHROW(test.Run(200));
     CHECK(ran_at >= start + 30);
     CHECK(ran_at < start + 60);
@@ -236,7 +236,7 @@
 // ---- a listener, whose environment fails
 
 struct ListenerFixture {
-  stage::Net net{1};
+  stage::Network net{1};
   stage::Process& listening = net.Start(0x0a000002, "listening");
   stage::Process& connecting = net.Start(0x0a000001, "connecting");
   FailingEnvironment environment{listening};
@@ -246,21 +246,21 @@
 
   ListenerFixture() {
     listening.UseEnvironment(environment);
-    listening.Act([&] {
+    listening.Execute([&] {
       listener = std::make_unique<loop::Listener>(
           listening.loop(), kFrontAddress,
           [this](loop::Descriptor fd) { taken.push_back(std::move(fd)); });
     });
   }
   ~ListenerFixture() {
-    connecting.Act([&] { peers.clear(); });
-    listening.Act([&] {
+    connecting.Execute([&] { peers.clear(); });
+    listening.Execute([&] {
       taken.clear();
       listener.reset();
     });
   }
   void Come(int count) {
-    connecting.Act([&] {
+    connecting.Execute([&] {
       for (int i = 0; i < count; ++i) {
         auto peer = std::make_unique<RecordingOwner>();
         peer->connection =
@@ -312,12 +312,12 @@
 
 TEST_CASE("a stop accepts the whole backlog though one connection in it has failed") {
   ListenerFixture test;
-  test.listening.Act([&] { test.listener->Pause(); });
+  test.listening.Execute([&] { test.listener->Pause(); });
   test.Come(3);
   test.net.RunUntil(test.net.now() + 10);
   test.environment.plan = FailOnce(Call::kAccept, 0, {EPROTO});
   bool drained = false;
-  test.listening.Act([&] { drained = test.listener->Drain(); });
+  test.listening.Execute([&] { drained = test.listener->Drain(); });
   CHECK(drained);
   CHECK(test.taken.size() == 3);
 }
@@ -335,7 +335,7 @@
 class FakeServer {
  public:
   FakeServer(stage::Process& process, const loop::Address& at) : process_(process) {
-    process_.Act([&] {
+    process_.Execute([&] {
       listener_ =
           std::make_unique<loop::Listener>(process_.loop(), at, [this](loop::Descriptor fd) {
             lines_.push_back(std::make_unique<Line>(*this, std::move(fd)));
@@ -343,7 +343,7 @@
     });
   }
   ~FakeServer() {
-    process_.Act([&] {
+    process_.Execute([&] {
       lines_.clear();
       listener_.reset();
     });
@@ -408,14 +408,14 @@
  public:
   FakeClient(stage::Process& process, std::vector<std::string> requests)
       : process_(process), requests_(std::move(requests)) {
-    process_.Act([&] {
+    process_.Execute([&] {
       connection_ =
           std::make_unique<loop::Connection>(process_.loop(), *this, kFrontAddress, 60000);
       SendNext();
     });
   }
   ~FakeClient() {
-    process_.Act([&] { connection_.reset(); });
+    process_.Execute([&] { connection_.reset(); });
   }
 
   /// The status of each answered request, in order.
@@ -475,7 +475,7 @@
       stage::Process& process = net.Start(ntohl(at.sin_addr.s_addr), "server");
       servers.push_back(std::make_unique<FakeServer>(process, at));
     }
-    front_.Act([&] {
+    front_.Execute([&] {
       exchange = std::make_unique<exchange::Exchange>(front_.loop(), kit::Settings(), 1);
       caches_ = std::make_unique<caches::UpstreamConnectionPool>(front_.loop(), *exchange,
                                                                  kit::MakeConnectionSettings(), 8);
@@ -547,7 +547,7 @@
     return true;
   }
 
-  stage::Net net{1};
+  stage::Network net{1};
 
  private:
   stage::Process& peers_ = net.Start(0x0a000001, "clients");
@@ -562,7 +562,7 @@
  private:
   void TakeDown() {
     clients.clear();
-    front_.Act([&] {
+    front_.Execute([&] {
       clients_.reset();
       caches_.reset();
       exchange.reset();
