--- a/src/front/active.cpp
+++ b/src/front/active.cpp
@@ -17,9 +17,9 @@
               "deployment settings changed: add the new field below (21 fields)");
 static_assert(sizeof(settings::ConnectionSettings) == 120,
               "connection settings changed: add the new field below (8 fields)");
-static_assert(sizeof(owner::Terms) == 32 && sizeof(owner::GroupTerms) == 24,
+static_assert(sizeof(owner::LeaseSettings) == 32 && sizeof(owner::RaftSettings) == 24,
               "owner settings changed: add the new field below");
-static_assert(sizeof(members::Terms) == 96 && sizeof(failover::Terms) == 56,
+static_assert(sizeof(members::Settings) == 96 && sizeof(failover::FailoverSettings) == 56,
               "fleet settings changed: add the new field below");
 #endif
 
@@ -27,7 +27,7 @@
   return v ? "true" : "false";
 }
 std::string Text(double v) {
-  return Number(v);
+  return FormatNumber(v);
 }
 std::string Text(int v) {
   return std::to_string(v);
@@ -97,11 +97,12 @@
 
 }  // namespace
 
-Form ActiveConfiguration(const DeploymentSettings& settings,
-                         const settings::ConnectionSettings& connection_settings,
-                         const front::FleetSettings& fleet, const front::OwnerSettings& owner,
-                         const std::string& build) {
-  Form form;
+CanonicalConfiguration ActiveConfiguration(const DeploymentSettings& settings,
+                                           const settings::ConnectionSettings& connection_settings,
+                                           const front::FleetSettings& fleet,
+                                           const front::OwnerSettings& owner,
+                                           const std::string& build) {
+  CanonicalConfiguration form;
   form["build"] = {{"version", build}};
 
   Section& request_classes = form["offerings"];
@@ -115,9 +116,9 @@
       for (auto& [name, value] : row)
         request_classes[std::string(index).append(".").append(name)] = value;
     } else if (i < 250) {
-      request_classes[std::string(index).append(".row")] = Canonical(row);
+      request_classes[std::string(index).append(".row")] = EncodeCanonical(row);
     } else {
-      rest += Canonical(row) + ";";
+      rest += EncodeCanonical(row) + ";";
     }
   }
   if (!rest.empty())
@@ -172,26 +173,26 @@
                      {"platform_zone", Bounded(JoinList(fleet.platform_zones))},
                      {"swim.period", Text(swim.period)},
                      {"swim.probe_timeout", Text(swim.probe_timeout)},
-                     {"swim.indirect", Text(swim.indirect)},
-                     {"swim.indirect_most", Text(swim.indirect_most)},
-                     {"swim.tries", Text(swim.tries)},
-                     {"swim.looks", Text(swim.looks)},
+                     {"swim.indirect", Text(swim.indirect_probes)},
+                     {"swim.indirect_most", Text(swim.max_indirect_probes)},
+                     {"swim.tries", Text(swim.probe_tries)},
+                     {"swim.looks", Text(swim.final_probes)},
                      {"swim.alpha", Text(swim.alpha)},
                      {"swim.beta", Text(swim.beta)},
                      {"swim.confirmations", Text(swim.confirmations)},
-                     {"swim.health_most", Text(swim.health_most)},
-                     {"swim.retransmit", Text(swim.retransmit)},
-                     {"swim.news_per_message", Text(swim.news_per_message)},
-                     {"swim.notes_per_message", Text(swim.notes_per_message)},
-                     {"swim.note_refresh", Text(swim.note_refresh)},
-                     {"swim.reconnect", Text(swim.reconnect)},
+                     {"swim.health_most", Text(swim.max_health)},
+                     {"swim.retransmit", Text(swim.retransmit_multiplier)},
+                     {"swim.news_per_message", Text(swim.max_updates_per_message)},
+                     {"swim.notes_per_message", Text(swim.max_payloads_per_message)},
+                     {"swim.note_refresh", Text(swim.payload_refresh_period)},
+                     {"swim.reconnect", Text(swim.reconnect_period)},
                      {"verdict.quorum", Text(failover.quorum)},
-                     {"verdict.hold_back", Text(failover.hold_back)},
-                     {"verdict.lasting", Text(failover.lasting)},
-                     {"verdict.overprovision", Text(failover.overprovision)},
-                     {"verdict.panic", Text(failover.panic)},
-                     {"verdict.alive_share", Text(failover.alive_share)},
-                     {"verdict.together", Text(failover.together)}};
+                     {"verdict.hold_back", Text(failover.recovery_interval)},
+                     {"verdict.lasting", Text(failover.degradation_delay)},
+                     {"verdict.overprovision", Text(failover.overprovisioning_factor)},
+                     {"verdict.panic", Text(failover.panic_threshold)},
+                     {"verdict.alive_share", Text(failover.min_alive_share)},
+                     {"verdict.together", Text(failover.correlated_suspect_count)}};
   }
   if (owner.enabled) {
     std::string group, tasks;
@@ -209,20 +210,20 @@
     }
     form["owner"] = {{"group", Bounded(group)},
                      {"works", Bounded(tasks)},
-                     {"lease", Text(owner.lease.lease)},
+                     {"lease", Text(owner.lease.duration)},
                      {"margin", Text(owner.lease.margin)},
-                     {"drift", Text(owner.lease.drift)},
-                     {"renew_every", Text(owner.lease.renew_every)},
-                     {"election", Text(owner.raft.election)},
-                     {"heartbeat", Text(owner.raft.heartbeat)},
-                     {"tick", Text(owner.raft.tick)},
+                     {"drift", Text(owner.lease.clock_drift)},
+                     {"renew_every", Text(owner.lease.renew_interval)},
+                     {"election", Text(owner.raft.election_timeout)},
+                     {"heartbeat", Text(owner.raft.heartbeat_interval)},
+                     {"tick", Text(owner.raft.tick_interval)},
                      {"lasting", Text(!owner.store.empty())}};
   }
   return form;
 }
 
-Classes FieldImpacts() {
-  Classes impacts;
+FieldImpactMap FieldImpacts() {
+  FieldImpactMap impacts;
   for (const char* rule : {"offerings.effect",    "offerings.span",
                            "offerings.memory",    "offerings.expiry",
                            "offerings.fresh_for", "offerings.never_kept",
@@ -237,9 +238,9 @@
                            "owner.drift",         "owner.group",
                            "road.offerings",      "road.zones",
                            "road.kinds"})
-    impacts[rule] = Breaks::kRule;
+    impacts[rule] = FieldImpact::kInvariant;
   for (const char* none : {"build.version", "road.reported", "owner.tick"})
-    impacts[none] = Breaks::kNothing;
+    impacts[none] = FieldImpact::kNone;
   return impacts;
 }
 
--- a/src/front/charter.hpp
+++ b/src/front/charter.hpp
@@ -43,8 +43,8 @@
   std::vector<FleetMember> members;  // self among them
   std::vector<std::string> zones;
   std::vector<int> zone_region;
-  members::Terms swim;
-  failover::Terms failover_settings;
+  members::Settings swim;
+  failover::FailoverSettings failover_settings;
   bool steer = false;  // whether requests follow the failover decision
   std::size_t platform_zone_count =
       0;  // with steer: the platform's zones, and which of them each zone here is
@@ -70,8 +70,8 @@
   std::map<std::uint32_t, loop::Address> addresses;
   std::vector<std::uint32_t> group;
   std::string store;  // "": in memory
-  owner::Terms lease;
-  owner::GroupTerms raft;
+  owner::LeaseSettings lease;
+  owner::RaftSettings raft;
   std::vector<LeasedTask> tasks;
 };
 
--- a/src/owner/fence.hpp
+++ b/src/owner/fence.hpp
@@ -1,57 +1,58 @@
-// The fence, at whoever carries an action out: a token below the highest it has seen is refused,
-// and so is a step that was done. Pure. What it keeps must last as long as what its actions change;
-// where it is lost, so is the promise. Bounds: as many works as there are (mostWorks); more are
-// refused.
+// The fencing token check, made by an executor before it executes a step: a step is refused when
+// its token is below the highest that the executor has seen for the task, or when it was executed
+// before. Performs no I/O. Its state must last as long as the effects of the steps; once it is
+// lost, a step under an old token can take effect again. Bounds: kMaxTasks tasks; steps of further
+// tasks are refused.
 #pragma once
 #include "owner/lease.hpp"
 
 namespace dunlinwick::owner {
 
-enum class Landing : std::uint8_t {
+enum class FencingResult : std::uint8_t {
   kDone,
-  kDoneBefore,
+  kAlreadyDone,
   kStaleToken,
-  kOutOfTurn,
+  kOutOfOrder,
   kFull
 };
-inline const char* MakeWord(Landing l) {
+inline const char* ToString(FencingResult result) {
   static const char* const kWords[] = {"done", "done before", "stale token", "out of turn", "full"};
-  return kWords[static_cast<int>(l)];
+  return kWords[static_cast<int>(result)];
 }
 
-class Fence {
+class FencingTokenCheck {
  public:
-  // Steps are numbered from 1 and land in order; a step that was done says so, so that an owner
-  // whose answer was lost goes on.
-  Landing Take(const std::string& work, Token token, std::uint64_t step) {
-    auto at = seen_.find(work);
-    if (at == seen_.end()) {
-      if (seen_.size() >= kMostWorks)
-        return Landing::kFull;
-      at = seen_.emplace(work, Seen{}).first;
+  // Steps are numbered from 1 and are executed in order. A step that was executed before gets
+  // kAlreadyDone, so that a lease holder whose response was lost continues with the next one.
+  FencingResult Check(const std::string& task, Token token, std::uint64_t step) {
+    auto entry = tasks_.find(task);
+    if (entry == tasks_.end()) {
+      if (tasks_.size() >= kMaxTasks)
+        return FencingResult::kFull;
+      entry = tasks_.emplace(task, TaskState{}).first;
     }
-    Seen& s = at->second;
-    if (token < s.token)
-      return Landing::kStaleToken;
-    s.token = token;
-    if (step <= s.step)
-      return Landing::kDoneBefore;
-    if (step != s.step + 1)
-      return Landing::kOutOfTurn;
-    s.step = step;
-    return Landing::kDone;
+    TaskState& state = entry->second;
+    if (token < state.token)
+      return FencingResult::kStaleToken;
+    state.token = token;
+    if (step <= state.step)
+      return FencingResult::kAlreadyDone;
+    if (step != state.step + 1)
+      return FencingResult::kOutOfOrder;
+    state.step = step;
+    return FencingResult::kDone;
   }
-  Token Highest(const std::string& work) const {
-    auto at = seen_.find(work);
-    return at == seen_.end() ? 0 : at->second.token;
+  Token HighestToken(const std::string& task) const {
+    auto entry = tasks_.find(task);
+    return entry == tasks_.end() ? 0 : entry->second.token;
   }
 
  private:
-  struct Seen {
+  struct TaskState {
     Token token = 0;
     std::uint64_t step = 0;
   };
-  std::map<std::string, Seen> seen_;
+  std::map<std::string, TaskState> tasks_;
 };
 
 }  // namespace dunlinwick::owner
--- a/src/owner/group_io.cpp
+++ b/src/owner/group_io.cpp
@@ -1,5 +1,5 @@
-// What libraft asks of its I/O and of the state machine: the store, the group's clock and chance,
-// the table.
+// libraft's I/O and state machine interfaces, implemented by the store, the group's clock and
+// random engine, and the lease table.
 #include <algorithm>
 #include <cstring>
 #include <new>
@@ -8,39 +8,39 @@
 
 namespace dunlinwick::owner {
 
-void* Group::Inner::Copied(const std::string& bytes) {
-  void* p = raft_malloc(std::max<std::size_t>(bytes.size(), 1));
-  if (!p)
+void* Group::Impl::AllocateCopy(const std::string& bytes) {
+  void* copy = raft_malloc(std::max<std::size_t>(bytes.size(), 1));
+  if (!copy)
     throw std::bad_alloc();
-  std::memcpy(p, bytes.data(), bytes.size());
-  return p;
+  std::memcpy(copy, bytes.data(), bytes.size());
+  return copy;
 }
 
-std::string Group::Inner::Encoded(const raft_configuration& conf) {
-  Writer w;
-  w.number(conf.n, 1);
-  for (unsigned i = 0; i < conf.n; ++i) {
-    w.number(conf.servers[i].id, 8);
-    w.number(static_cast<std::uint64_t>(conf.servers[i].role), 1);
+std::string Group::Impl::EncodeConfiguration(const raft_configuration& configuration) {
+  Writer writer;
+  writer.WriteNumber(configuration.n, 1);
+  for (unsigned i = 0; i < configuration.n; ++i) {
+    writer.WriteNumber(configuration.servers[i].id, 8);
+    writer.WriteNumber(static_cast<std::uint64_t>(configuration.servers[i].role), 1);
   }
-  return std::move(w.bytes);
+  return std::move(writer.bytes);
 }
-bool Group::Inner::Decoded(Reader& r, raft_configuration& conf) {
-  raft_configuration_init(&conf);
-  std::uint64_t n = r.number(1);
-  for (std::uint64_t i = 0; i < n && !r.Bad(); ++i) {
-    std::uint64_t id = r.number(8), role = r.number(1);
-    if (r.Bad() || id == 0 || role > RAFT_SPARE ||
-        raft_configuration_add(&conf, id, AddressOf(static_cast<Id>(id)).c_str(),
+bool Group::Impl::DecodeConfiguration(Reader& reader, raft_configuration& configuration) {
+  raft_configuration_init(&configuration);
+  std::uint64_t count = reader.ReadNumber(1);
+  for (std::uint64_t i = 0; i < count && !reader.HasFailed(); ++i) {
+    std::uint64_t id = reader.ReadNumber(8), role = reader.ReadNumber(1);
+    if (reader.HasFailed() || id == 0 || role > RAFT_SPARE ||
+        raft_configuration_add(&configuration, id, AddressOf(static_cast<Id>(id)).c_str(),
                                static_cast<int>(role)) != 0) {
-      raft_configuration_close(&conf);
+      raft_configuration_close(&configuration);
       return false;
     }
   }
-  return !r.Bad();
+  return !reader.HasFailed();
 }
 
-void Group::Inner::FillIo() {
+void Group::Impl::SetUpIo() {
   io.version = 2;
   io.impl = this;
   io.data = this;
@@ -48,7 +48,7 @@
     return 0;
   };
   io.close = [](raft_io* i, raft_io_close_cb cb) {
-    Of(i).later.push_back([i, cb] { cb(i); });
+    Of(i).deferred.push_back([i, cb] { cb(i); });
   };
   io.load = load;
   io.start = [](raft_io* i, unsigned, raft_io_tick_cb tick, raft_io_recv_cb recv) {
@@ -61,15 +61,15 @@
     return static_cast<int>(RAFT_INVALID);
   };
   io.set_term = [](raft_io* i, raft_term term) {
-    return Of(i).Kept([&] { Of(i).store.SetTerm(term); });
+    return Of(i).Persist([&] { Of(i).store.SetTerm(term); });
   };
   io.set_vote = [](raft_io* i, raft_id vote) {
-    return Of(i).Kept([&] { Of(i).store.SetVote(vote); });
+    return Of(i).Persist([&] { Of(i).store.SetVote(vote); });
   };
   io.send = SendMessage;
   io.append = Append;
   io.truncate = [](raft_io* i, raft_index from) {
-    return Of(i).Kept([&] { Of(i).store.Truncate(from); });
+    return Of(i).Persist([&] { Of(i).store.Truncate(from); });
   };
   io.snapshot_put = PutSnapshot;
   io.snapshot_get = GetSnapshot;
@@ -80,156 +80,157 @@
     return std::uniform_int_distribution<int>(min, std::max(min, max - 1))(Of(i).random);
   };
   io.async_work = [](raft_io* i, raft_io_async_work* req, raft_io_async_work_cb cb) {
-    Of(i).later.push_back([req, cb] { cb(req, req->work(req)); });
+    Of(i).deferred.push_back([req, cb] { cb(req, req->work(req)); });
     return 0;
   };
 }
 
-void Group::Inner::FillFsm() {
+void Group::Impl::SetUpFsm() {
   fsm.version = 1;
   fsm.data = this;
-  fsm.apply = [](raft_fsm* f, const raft_buffer* buf, void** result) {
-    Inner& in = *static_cast<Inner*>(f->data);
+  fsm.apply = [](raft_fsm* machine, const raft_buffer* buffer, void** result) {
+    Impl& impl = *static_cast<Impl*>(machine->data);
     *result = nullptr;
-    auto c = Decode({static_cast<const char*>(buf->base), buf->len});
-    if (!c)
+    auto command = Decode({static_cast<const char*>(buffer->base), buffer->len});
+    if (!command)
       return static_cast<int>(RAFT_MALFORMED);
-    Result r = in.table.Apply(*c);
-    if (in.Leads())
-      in.keeper.Applied(in.now, *c, r);
-    in.last_result = r;
-    *result = &in.last_result;
+    Result outcome = impl.table.Apply(*command);
+    if (impl.IsLeader())
+      impl.expiry_tracker.HandleApplied(impl.now, *command, outcome);
+    impl.last_result = outcome;
+    *result = &impl.last_result;
     return 0;
   };
-  fsm.snapshot = [](raft_fsm* f, raft_buffer* bufs[], unsigned* n) {
-    Inner& in = *static_cast<Inner*>(f->data);
-    std::string bytes = in.table.Snapshot();
-    *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    if (!*bufs)
+  fsm.snapshot = [](raft_fsm* machine, raft_buffer* buffers[], unsigned* buffer_count) {
+    Impl& impl = *static_cast<Impl*>(machine->data);
+    std::string bytes = impl.table.Snapshot();
+    *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
+    if (!*buffers)
       return static_cast<int>(RAFT_NOMEM);
-    *n = 1;
-    (*bufs)[0] = {Copied(bytes), bytes.size()};
+    *buffer_count = 1;
+    (*buffers)[0] = {AllocateCopy(bytes), bytes.size()};
     return 0;
   };
-  fsm.restore = [](raft_fsm* f, raft_buffer* buf) {
-    Inner& in = *static_cast<Inner*>(f->data);
-    if (!in.table.Restore({static_cast<const char*>(buf->base), buf->len}))
+  fsm.restore = [](raft_fsm* machine, raft_buffer* buffer) {
+    Impl& impl = *static_cast<Impl*>(machine->data);
+    if (!impl.table.Restore({static_cast<const char*>(buffer->base), buffer->len}))
       return static_cast<int>(RAFT_CORRUPT);
-    raft_free(buf->base);
+    raft_free(buffer->base);
     return 0;
   };
 }
 
-int Group::Inner::load(raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
-                       raft_index* first, raft_entry* entries[], size_t* n) {
-  Inner& in = Of(i);
-  StoredState s;
-  if (in.Kept([&] { s = in.store.load(); }) != 0)
+int Group::Impl::load(raft_io* io_handle, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
+                      raft_index* first, raft_entry* entries[], size_t* entry_count) {
+  Impl& impl = Of(io_handle);
+  StoredState state;
+  if (impl.Persist([&] { state = impl.store.load(); }) != 0)
     return RAFT_IOERR;
-  *term = s.term;
-  *vote = s.vote;
+  *term = state.term;
+  *vote = state.vote;
   *snapshot = nullptr;
-  *first = s.first;
+  *first = state.first;
   *entries = nullptr;
-  *n = s.entries.size();
-  if (s.snapshot) {
-    auto* p = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
-    if (!p)
+  *entry_count = state.entries.size();
+  if (state.snapshot) {
+    auto* loaded = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
+    if (!loaded)
       return RAFT_NOMEM;
-    Fill(*s.snapshot, *p);
-    *snapshot = p;
+    FillSnapshot(*state.snapshot, *loaded);
+    *snapshot = loaded;
   }
-  if (*n == 0)
+  if (*entry_count == 0)
     return 0;
-  FillEntries(s.entries, *entries);
+  FillEntries(state.entries, *entries);
   return *entries ? 0 : static_cast<int>(RAFT_NOMEM);
 }
 
-// One batch holds the bytes of all, as the library wants what it is given.
-void Group::Inner::FillEntries(const std::vector<LogEntry>& from, raft_entry*& into) {
+// libraft requires that the bytes of all entries are in one batch allocation.
+void Group::Impl::FillEntries(const std::vector<LogEntry>& from, raft_entry*& into) {
   std::size_t bytes = 0;
-  for (const LogEntry& e : from)
-    bytes += (e.bytes.size() + 7) / 8 * 8;
+  for (const LogEntry& entry : from)
+    bytes += (entry.bytes.size() + 7) / 8 * 8;
   into = static_cast<raft_entry*>(raft_calloc(from.size(), sizeof(raft_entry)));
   char* batch = static_cast<char*>(raft_malloc(std::max<std::size_t>(bytes, 8)));
-  std::size_t at = 0;
+  std::size_t offset = 0;
   for (std::size_t i = 0; i < from.size(); ++i) {
-    std::memcpy(batch + at, from[i].bytes.data(), from[i].bytes.size());
+    std::memcpy(batch + offset, from[i].bytes.data(), from[i].bytes.size());
     into[i].term = from[i].term;
     into[i].type = from[i].type;
-    into[i].buf = {batch + at, from[i].bytes.size()};
+    into[i].buf = {batch + offset, from[i].bytes.size()};
     into[i].batch = batch;
-    at += (from[i].bytes.size() + 7) / 8 * 8;
+    offset += (from[i].bytes.size() + 7) / 8 * 8;
   }
 }
 
-void Group::Inner::Fill(const StoredSnapshot& from, raft_snapshot& into) {
+void Group::Impl::FillSnapshot(const StoredSnapshot& from, raft_snapshot& into) {
   std::memset(&into, 0, sizeof into);
   into.index = from.index;
   into.term = from.term;
   into.configuration_index = from.configuration_index;
-  Reader r(from.configuration);
-  Decoded(r, into.configuration);
+  Reader reader(from.configuration);
+  DecodeConfiguration(reader, into.configuration);
   into.bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
   into.n_bufs = 1;
-  into.bufs[0] = {Copied(from.data), from.data.size()};
+  into.bufs[0] = {AllocateCopy(from.data), from.data.size()};
 }
 
-int Group::Inner::Bootstrap(raft_io* i, const raft_configuration* conf) {
-  Inner& in = Of(i);
-  raft_buffer buf;
-  if (raft_configuration_encode(conf, &buf) != 0)
+int Group::Impl::Bootstrap(raft_io* io_handle, const raft_configuration* configuration) {
+  Impl& impl = Of(io_handle);
+  raft_buffer buffer;
+  if (raft_configuration_encode(configuration, &buffer) != 0)
     return RAFT_NOMEM;
-  LogEntry e{1, RAFT_CHANGE, TextOf(buf)};
-  raft_free(buf.base);
-  return in.Kept([&] {
-    // A founding that a failed write or a kill left half done is gone on with: a term that was set
+  LogEntry entry{1, RAFT_CHANGE, BytesOf(buffer)};
+  raft_free(buffer.base);
+  return impl.Persist([&] {
+    // Continues a bootstrap that a failed write or a kill interrupted: a term that was stored
     // stays.
-    if (in.store.load().term == 0)
-      in.store.SetTerm(1);
-    in.store.Append({e});
+    if (impl.store.load().term == 0)
+      impl.store.SetTerm(1);
+    impl.store.Append({entry});
   });
 }
 
-int Group::Inner::Append(raft_io* i, raft_io_append* req, const raft_entry entries[], unsigned n,
-                         raft_io_append_cb cb) {
-  Inner& in = Of(i);
-  std::vector<LogEntry> all;
-  for (unsigned k = 0; k < n; ++k)
-    all.push_back({entries[k].term, entries[k].type, TextOf(entries[k].buf)});
-  int fault = in.Kept([&] { in.store.Append(all); });
-  if (fault != 0)
-    return fault;
-  in.later.push_back([req, cb] { cb(req, 0); });
+int Group::Impl::Append(raft_io* io_handle, raft_io_append* request, const raft_entry entries[],
+                        unsigned count, raft_io_append_cb callback) {
+  Impl& impl = Of(io_handle);
+  std::vector<LogEntry> log_entries;
+  for (unsigned k = 0; k < count; ++k)
+    log_entries.push_back({entries[k].term, entries[k].type, BytesOf(entries[k].buf)});
+  int error = impl.Persist([&] { impl.store.Append(log_entries); });
+  if (error != 0)
+    return error;
+  impl.deferred.push_back([request, callback] { callback(request, 0); });
   return 0;
 }
 
-int Group::Inner::PutSnapshot(raft_io* i, unsigned keep, raft_io_snapshot_put* req,
-                              const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
-  Inner& in = Of(i);
-  StoredSnapshot one;
-  one.index = s->index;
-  one.term = s->term;
-  one.configuration_index = s->configuration_index;
-  one.configuration = Encoded(s->configuration);
-  for (unsigned k = 0; k < s->n_bufs; ++k)
-    one.data += TextOf(s->bufs[k]);
-  int fault = in.Kept([&] { in.store.Take(one, keep); });
-  if (fault != 0)
-    return fault;
-  in.later.push_back([req, cb] { cb(req, 0); });
+int Group::Impl::PutSnapshot(raft_io* io_handle, unsigned trailing, raft_io_snapshot_put* request,
+                             const raft_snapshot* snapshot, raft_io_snapshot_put_cb callback) {
+  Impl& impl = Of(io_handle);
+  StoredSnapshot stored;
+  stored.index = snapshot->index;
+  stored.term = snapshot->term;
+  stored.configuration_index = snapshot->configuration_index;
+  stored.configuration = EncodeConfiguration(snapshot->configuration);
+  for (unsigned k = 0; k < snapshot->n_bufs; ++k)
+    stored.data += BytesOf(snapshot->bufs[k]);
+  int error = impl.Persist([&] { impl.store.SaveSnapshot(stored, trailing); });
+  if (error != 0)
+    return error;
+  impl.deferred.push_back([request, callback] { callback(request, 0); });
   return 0;
 }
 
-int Group::Inner::GetSnapshot(raft_io* i, raft_io_snapshot_get* req, raft_io_snapshot_get_cb cb) {
-  Inner& in = Of(i);
-  in.later.push_back([&in, req, cb] {
-    StoredState s;
-    if (in.Kept([&] { s = in.store.load(); }) != 0 || !s.snapshot)
-      return cb(req, nullptr, RAFT_IOERR);
-    auto* p = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
-    Fill(*s.snapshot, *p);
-    cb(req, p, 0);
+int Group::Impl::GetSnapshot(raft_io* io_handle, raft_io_snapshot_get* request,
+                             raft_io_snapshot_get_cb callback) {
+  Impl& impl = Of(io_handle);
+  impl.deferred.push_back([&impl, request, callback] {
+    StoredState state;
+    if (impl.Persist([&] { state = impl.store.load(); }) != 0 || !state.snapshot)
+      return callback(request, nullptr, RAFT_IOERR);
+    auto* loaded = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
+    FillSnapshot(*state.snapshot, *loaded);
+    callback(request, loaded, 0);
   });
   return 0;
 }
--- a/src/owner/group_messages.cpp
+++ b/src/owner/group_messages.cpp
@@ -1,186 +1,186 @@
-// libraft's messages as datagrams, written and read.
+// Encoding and decoding of libraft's messages as datagrams.
 #include "owner/group_inner.hpp"
 
 namespace dunlinwick::owner {
 
 namespace {
-constexpr std::size_t kMostEntries = 64;
+constexpr std::size_t kMaxEntries = 64;
 }
 
-int Group::Inner::SendMessage(raft_io* i, raft_io_send* req, const raft_message* m,
-                              raft_io_send_cb cb) {
-  Inner& in = Of(i);
-  Writer w;
-  w.number(static_cast<std::uint64_t>(Kind::kRaft), 1);
-  w.number(m->type, 1);
+int Group::Impl::SendMessage(raft_io* io_handle, raft_io_send* request, const raft_message* message,
+                             raft_io_send_cb callback) {
+  Impl& impl = Of(io_handle);
+  Writer writer;
+  writer.WriteNumber(static_cast<std::uint64_t>(Kind::kRaft), 1);
+  writer.WriteNumber(message->type, 1);
   bool fits = true;
-  switch (m->type) {
+  switch (message->type) {
     case RAFT_IO_REQUEST_VOTE: {
-      const auto& v = m->request_vote;
-      w.number(v.term, 8);
-      w.number(v.candidate_id, 8);
-      w.number(v.last_log_index, 8);
-      w.number(v.last_log_term, 8);
-      w.number((v.disrupt_leader ? 1u : 0u) | (v.pre_vote ? 2u : 0u), 1);
+      const auto& vote = message->request_vote;
+      writer.WriteNumber(vote.term, 8);
+      writer.WriteNumber(vote.candidate_id, 8);
+      writer.WriteNumber(vote.last_log_index, 8);
+      writer.WriteNumber(vote.last_log_term, 8);
+      writer.WriteNumber((vote.disrupt_leader ? 1u : 0u) | (vote.pre_vote ? 2u : 0u), 1);
       break;
     }
     case RAFT_IO_REQUEST_VOTE_RESULT: {
-      const auto& v = m->request_vote_result;
-      w.number(v.term, 8);
-      w.number(v.vote_granted, 1);
-      w.number(static_cast<std::uint64_t>(v.pre_vote), 1);
+      const auto& vote = message->request_vote_result;
+      writer.WriteNumber(vote.term, 8);
+      writer.WriteNumber(vote.vote_granted, 1);
+      writer.WriteNumber(static_cast<std::uint64_t>(vote.pre_vote), 1);
       break;
     }
     case RAFT_IO_APPEND_ENTRIES: {
-      const auto& a = m->append_entries;
-      w.number(a.term, 8);
-      w.number(a.prev_log_index, 8);
-      w.number(a.prev_log_term, 8);
-      w.number(a.leader_commit, 8);
-      // A follower that is far behind takes them in several messages; what is left out counts as
-      // lost on the way.
-      unsigned n = 0;
-      std::size_t bytes = 0;
-      while (n < a.n_entries && n < kMostEntries &&
-             bytes + a.entries[n].buf.len + 16 < kMostBytes - 200) {
-        bytes += a.entries[n].buf.len + 16;
-        ++n;
+      const auto& append = message->append_entries;
+      writer.WriteNumber(append.term, 8);
+      writer.WriteNumber(append.prev_log_index, 8);
+      writer.WriteNumber(append.prev_log_term, 8);
+      writer.WriteNumber(append.leader_commit, 8);
+      // A follower that is far behind receives the entries in several messages; libraft resends the
+      // ones left out here as if they had been lost on the network.
+      unsigned count = 0;
+      std::size_t total = 0;
+      while (count < append.n_entries && count < kMaxEntries &&
+             total + append.entries[count].buf.len + 16 < kMaxMessageBytes - 200) {
+        total += append.entries[count].buf.len + 16;
+        ++count;
       }
-      w.number(n, 2);
-      for (unsigned k = 0; k < n; ++k) {
-        w.number(a.entries[k].term, 8);
-        w.number(a.entries[k].type, 2);
-        w.Text(TextOf(a.entries[k].buf));
+      writer.WriteNumber(count, 2);
+      for (unsigned k = 0; k < count; ++k) {
+        writer.WriteNumber(append.entries[k].term, 8);
+        writer.WriteNumber(append.entries[k].type, 2);
+        writer.WriteString(BytesOf(append.entries[k].buf));
       }
       break;
     }
     case RAFT_IO_APPEND_ENTRIES_RESULT: {
-      const auto& a = m->append_entries_result;
-      w.number(a.term, 8);
-      w.number(a.rejected, 8);
-      w.number(a.last_log_index, 8);
+      const auto& append = message->append_entries_result;
+      writer.WriteNumber(append.term, 8);
+      writer.WriteNumber(append.rejected, 8);
+      writer.WriteNumber(append.last_log_index, 8);
       break;
     }
     case RAFT_IO_INSTALL_SNAPSHOT: {
-      const auto& s = m->install_snapshot;
-      w.number(s.term, 8);
-      w.number(s.last_index, 8);
-      w.number(s.last_term, 8);
-      w.number(s.conf_index, 8);
-      w.bytes += Encoded(s.conf);
-      w.Text(TextOf(s.data));
-      fits = w.bytes.size() <= kMostBytes;
+      const auto& snapshot = message->install_snapshot;
+      writer.WriteNumber(snapshot.term, 8);
+      writer.WriteNumber(snapshot.last_index, 8);
+      writer.WriteNumber(snapshot.last_term, 8);
+      writer.WriteNumber(snapshot.conf_index, 8);
+      writer.bytes += EncodeConfiguration(snapshot.conf);
+      writer.WriteString(BytesOf(snapshot.data));
+      fits = writer.bytes.size() <= kMaxMessageBytes;
       break;
     }
     case RAFT_IO_TIMEOUT_NOW: {
-      const auto& t = m->timeout_now;
-      w.number(t.term, 8);
-      w.number(t.last_log_index, 8);
-      w.number(t.last_log_term, 8);
+      const auto& timeout = message->timeout_now;
+      writer.WriteNumber(timeout.term, 8);
+      writer.WriteNumber(timeout.last_log_index, 8);
+      writer.WriteNumber(timeout.last_log_term, 8);
       break;
     }
     default:
       fits = false;
   }
   if (fits)
-    in.send(static_cast<Id>(m->server_id), std::move(w.bytes));
-  // Gone as a datagram: whether it came shows by the answer.
-  in.later.push_back([req, cb] { cb(req, 0); });
+    impl.send(static_cast<Id>(message->server_id), std::move(writer.bytes));
+  // Reports success: only the response shows whether the datagram arrived.
+  impl.deferred.push_back([request, callback] { callback(request, 0); });
   return 0;
 }
 
-void Group::Inner::HearRaft(Id from, Reader& r) {
-  if (!started || standing != Standing::kMember || !recv_cb)
+void Group::Impl::HandleRaftMessage(Id from, Reader& reader) {
+  if (!started || member_state != MemberState::kMember || !recv_cb)
     return;
-  raft_message m{};
+  raft_message message{};
   std::string address = AddressOf(from);
-  m.type = static_cast<unsigned short>(r.number(1));
-  m.server_id = RaftId(from);
-  m.server_address = address.c_str();
-  switch (m.type) {
+  message.type = static_cast<unsigned short>(reader.ReadNumber(1));
+  message.server_id = RaftId(from);
+  message.server_address = address.c_str();
+  switch (message.type) {
     case RAFT_IO_REQUEST_VOTE: {
-      auto& v = m.request_vote;
-      v.term = r.number(8);
-      v.candidate_id = r.number(8);
-      v.last_log_index = r.number(8);
-      v.last_log_term = r.number(8);
-      std::uint64_t flags = r.number(1);
-      v.disrupt_leader = flags & 1;
-      v.pre_vote = flags & 2;
-      if (!r.Whole() || v.candidate_id != m.server_id)
+      auto& vote = message.request_vote;
+      vote.term = reader.ReadNumber(8);
+      vote.candidate_id = reader.ReadNumber(8);
+      vote.last_log_index = reader.ReadNumber(8);
+      vote.last_log_term = reader.ReadNumber(8);
+      std::uint64_t flags = reader.ReadNumber(1);
+      vote.disrupt_leader = flags & 1;
+      vote.pre_vote = flags & 2;
+      if (!reader.IsComplete() || vote.candidate_id != message.server_id)
         return;
       break;
     }
     case RAFT_IO_REQUEST_VOTE_RESULT: {
-      auto& v = m.request_vote_result;
-      v.term = r.number(8);
-      v.vote_granted = r.number(1) != 0;
-      std::uint64_t pre = r.number(1);
-      if (!r.Whole() || pre > raft_tribool_false)
+      auto& vote = message.request_vote_result;
+      vote.term = reader.ReadNumber(8);
+      vote.vote_granted = reader.ReadNumber(1) != 0;
+      std::uint64_t pre_vote = reader.ReadNumber(1);
+      if (!reader.IsComplete() || pre_vote > raft_tribool_false)
         return;
-      v.pre_vote = static_cast<raft_tribool>(pre);
+      vote.pre_vote = static_cast<raft_tribool>(pre_vote);
       break;
     }
     case RAFT_IO_APPEND_ENTRIES: {
-      auto& a = m.append_entries;
-      a.term = r.number(8);
-      a.prev_log_index = r.number(8);
-      a.prev_log_term = r.number(8);
-      a.leader_commit = r.number(8);
-      std::uint64_t n = r.number(2);
-      std::vector<LogEntry> all;
-      for (std::uint64_t i = 0; i < n && !r.Bad(); ++i) {
-        LogEntry e;
-        e.term = r.number(8);
-        e.type = static_cast<unsigned short>(r.number(2));
-        e.bytes = r.Text(kMostBytes);
-        if (e.type < RAFT_COMMAND || e.type > RAFT_CHANGE)
+      auto& append = message.append_entries;
+      append.term = reader.ReadNumber(8);
+      append.prev_log_index = reader.ReadNumber(8);
+      append.prev_log_term = reader.ReadNumber(8);
+      append.leader_commit = reader.ReadNumber(8);
+      std::uint64_t count = reader.ReadNumber(2);
+      std::vector<LogEntry> entries;
+      for (std::uint64_t i = 0; i < count && !reader.HasFailed(); ++i) {
+        LogEntry entry;
+        entry.term = reader.ReadNumber(8);
+        entry.type = static_cast<unsigned short>(reader.ReadNumber(2));
+        entry.bytes = reader.ReadString(kMaxMessageBytes);
+        if (entry.type < RAFT_COMMAND || entry.type > RAFT_CHANGE)
           return;
-        all.push_back(std::move(e));
+        entries.push_back(std::move(entry));
       }
-      if (!r.Whole())
+      if (!reader.IsComplete())
         return;
-      a.n_entries = static_cast<unsigned>(all.size());
-      if (!all.empty())
-        FillEntries(all, a.entries);
+      append.n_entries = static_cast<unsigned>(entries.size());
+      if (!entries.empty())
+        FillEntries(entries, append.entries);
       break;
     }
     case RAFT_IO_APPEND_ENTRIES_RESULT: {
-      auto& a = m.append_entries_result;
-      a.term = r.number(8);
-      a.rejected = r.number(8);
-      a.last_log_index = r.number(8);
-      if (!r.Whole())
+      auto& append = message.append_entries_result;
+      append.term = reader.ReadNumber(8);
+      append.rejected = reader.ReadNumber(8);
+      append.last_log_index = reader.ReadNumber(8);
+      if (!reader.IsComplete())
         return;
       break;
     }
     case RAFT_IO_INSTALL_SNAPSHOT: {
-      auto& s = m.install_snapshot;
-      s.term = r.number(8);
-      s.last_index = r.number(8);
-      s.last_term = r.number(8);
-      s.conf_index = r.number(8);
-      if (!Decoded(r, s.conf))
+      auto& snapshot = message.install_snapshot;
+      snapshot.term = reader.ReadNumber(8);
+      snapshot.last_index = reader.ReadNumber(8);
+      snapshot.last_term = reader.ReadNumber(8);
+      snapshot.conf_index = reader.ReadNumber(8);
+      if (!DecodeConfiguration(reader, snapshot.conf))
         return;
-      std::string data = r.Text(kMostBytes);
-      if (!r.Whole())
-        return raft_configuration_close(&s.conf);
-      s.data = {Copied(data), data.size()};
+      std::string data = reader.ReadString(kMaxMessageBytes);
+      if (!reader.IsComplete())
+        return raft_configuration_close(&snapshot.conf);
+      snapshot.data = {AllocateCopy(data), data.size()};
       break;
     }
     case RAFT_IO_TIMEOUT_NOW: {
-      auto& t = m.timeout_now;
-      t.term = r.number(8);
-      t.last_log_index = r.number(8);
-      t.last_log_term = r.number(8);
-      if (!r.Whole())
+      auto& timeout = message.timeout_now;
+      timeout.term = reader.ReadNumber(8);
+      timeout.last_log_index = reader.ReadNumber(8);
+      timeout.last_log_term = reader.ReadNumber(8);
+      if (!reader.IsComplete())
         return;
       break;
     }
     default:
       return;
   }
-  recv_cb(&io, &m);
+  recv_cb(&io, &message);
 }
 
 }  // namespace dunlinwick::owner
--- a/src/rig/script.hpp
+++ b/src/rig/script.hpp
@@ -41,8 +41,8 @@
   std::vector<int> zone_of;
   int caches_per_zone = 2;
   std::uint16_t port = 7400;
-  members::Terms swim;
-  failover::Terms verdict;
+  members::Settings swim;
+  failover::FailoverSettings verdict;
   bool steer = true;
   double requests_per_s = 20;  // asked of each front
   OwnerFile owner;
--- a/src/store/lmdb.cpp
+++ b/src/store/lmdb.cpp
@@ -83,7 +83,7 @@
   }
   static std::string EncodeNumber(std::uint64_t v) {
     Writer w;
-    w.number(v, 8);
+    w.WriteNumber(v, 8);
     return w.bytes;
   }
   static std::string EntryKey(std::uint64_t index) {
@@ -94,8 +94,8 @@
     if (!transaction.Get(key, v))
       return default_value;
     Reader r(v);
-    std::uint64_t n = r.number(8);
-    if (!r.Whole())
+    std::uint64_t n = r.ReadNumber(8);
+    if (!r.IsComplete())
       throw std::runtime_error(folder + ": " + key + " cannot be read");
     return n;
   }
@@ -128,7 +128,7 @@
   state.term = impl.ReadNumber(transaction, "term", 0);
   state.vote = impl.ReadNumber(transaction, "vote", 0);
   state.first = impl.first_index;
-  transaction.Get("founding", state.founding);
+  transaction.Get("founding", state.bootstrap);
   std::string bytes;
   for (std::uint64_t i = impl.first_index; i < impl.next_index; ++i) {
     if (!transaction.Get(Impl::EntryKey(i), bytes))
@@ -136,10 +136,10 @@
                                " of the log is missing");
     Reader r(bytes);
     LogEntry e;
-    e.term = r.number(8);
-    e.type = static_cast<unsigned short>(r.number(2));
-    e.bytes = r.Text(1 << 20);
-    if (!r.Whole())
+    e.term = r.ReadNumber(8);
+    e.type = static_cast<unsigned short>(r.ReadNumber(2));
+    e.bytes = r.ReadString(1 << 20);
+    if (!r.IsComplete())
       throw std::runtime_error(impl.folder + ": entry " + std::to_string(i) +
                                " of the log cannot be read");
     state.entries.push_back(std::move(e));
@@ -147,20 +147,20 @@
   if (transaction.Get("snapshot", bytes)) {
     Reader r(bytes);
     StoredSnapshot snapshot;
-    snapshot.index = r.number(8);
-    snapshot.term = r.number(8);
-    snapshot.configuration_index = r.number(8);
-    snapshot.configuration = r.Text(1 << 16);
-    snapshot.data = r.Text(1 << 20);
-    if (!r.Whole())
+    snapshot.index = r.ReadNumber(8);
+    snapshot.term = r.ReadNumber(8);
+    snapshot.configuration_index = r.ReadNumber(8);
+    snapshot.configuration = r.ReadString(1 << 16);
+    snapshot.data = r.ReadString(1 << 20);
+    if (!r.IsComplete())
       throw std::runtime_error(impl.folder + ": the snapshot cannot be read");
     state.snapshot = std::move(snapshot);
   }
   return state;
 }
 
-void LmdbOwnerStore::Found(const std::string& founding) {
-  impl_->Write([&](Impl::Transaction& transaction) { transaction.Put("founding", founding); });
+void LmdbOwnerStore::SaveBootstrap(const std::string& bootstrap) {
+  impl_->Write([&](Impl::Transaction& transaction) { transaction.Put("founding", bootstrap); });
 }
 void LmdbOwnerStore::SetTerm(std::uint64_t term) {
   impl_->Write([&](Impl::Transaction& transaction) {
@@ -177,9 +177,9 @@
   impl.Write([&](Impl::Transaction& transaction) {
     for (const LogEntry& e : entries) {
       Writer w;
-      w.number(e.term, 8);
-      w.number(e.type, 2);
-      w.Text(e.bytes);
+      w.WriteNumber(e.term, 8);
+      w.WriteNumber(e.type, 2);
+      w.WriteString(e.bytes);
       transaction.Put(Impl::EntryKey(impl.next_index++), w.bytes);
     }
     impl.WriteBounds(transaction);
@@ -196,15 +196,15 @@
     impl.WriteBounds(transaction);
   });
 }
-void LmdbOwnerStore::Take(const StoredSnapshot& snapshot, std::uint64_t trailing) {
+void LmdbOwnerStore::SaveSnapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) {
   Impl& impl = *impl_;
   impl.Write([&](Impl::Transaction& transaction) {
     Writer w;
-    w.number(snapshot.index, 8);
-    w.number(snapshot.term, 8);
-    w.number(snapshot.configuration_index, 8);
-    w.Text(snapshot.configuration);
-    w.Text(snapshot.data);
+    w.WriteNumber(snapshot.index, 8);
+    w.WriteNumber(snapshot.term, 8);
+    w.WriteNumber(snapshot.configuration_index, 8);
+    w.WriteString(snapshot.configuration);
+    w.WriteString(snapshot.data);
     transaction.Put("snapshot", w.bytes);
     std::uint64_t first = impl.first_index, next = impl.next_index;
     if (trailing == 0 || snapshot.index >= impl.next_index)
--- a/src/store/lmdb.hpp
+++ b/src/store/lmdb.hpp
@@ -13,16 +13,16 @@
  public:
   explicit LmdbOwnerStore(const std::string& folder);  // created if it does not exist
   ~LmdbOwnerStore() override;
-  bool Lasts() const override {
+  bool IsDurable() const override {
     return true;
   }
   owner::StoredState load() override;
-  void Found(const std::string& founding) override;
+  void SaveBootstrap(const std::string& bootstrap) override;
   void SetTerm(std::uint64_t term) override;
   void SetVote(std::uint64_t vote) override;
   void Append(const std::vector<owner::LogEntry>& entries) override;
   void Truncate(std::uint64_t from) override;
-  void Take(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override;
+  void SaveSnapshot(const owner::StoredSnapshot& snapshot, std::uint64_t trailing) override;
 
  private:
   struct Impl;
--- a/tests/wire_golden_test.cpp
+++ b/tests/wire_golden_test.cpp
@@ -106,10 +106,10 @@
     m.to = 7;
     m.seq = 0xfffffffe;
     m.target = 9;
-    m.news = {{3, 5, members::State::kAlive, 0},
-              {4, 6, members::State::kSuspect, 7},
-              {0xffffffff, 8, members::State::kDead, 1}};
-    m.notes = {{2, 11, 0x0123456789abcdefu}, {3, 0xffffffff, 0}};
+    m.updates = {{3, 5, members::State::kAlive, 0},
+                 {4, 6, members::State::kSuspect, 7},
+                 {0xffffffff, 8, members::State::kDead, 1}};
+    m.payloads = {{2, 11, 0x0123456789abcdefu}, {3, 0xffffffff, 0}};
     all.push_back({std::string("members_") + members::ToString(m.kind), members::Encode(m),
                    Reencode(members::Decode)});
   }
@@ -127,14 +127,14 @@
   auto frame = peers::ReadFrame(bytes);
   if (!frame)
     return std::nullopt;
-  if (frame->kind == peers::Kind::kPiece) {
-    auto piece = peers::ReadPiece(frame->body);
+  if (frame->kind == peers::Kind::kFragment) {
+    auto piece = peers::ReadFragment(frame->body);
     if (!piece)
       return std::nullopt;
     return peers::Encode(frame->channel, frame->from, *piece);
   }
-  if (frame->kind == peers::Kind::kHad) {
-    auto had = peers::ReadHad(frame->body);
+  if (frame->kind == peers::Kind::kAcknowledgement) {
+    auto had = peers::ReadAcknowledgement(frame->body);
     if (!had)
       return std::nullopt;
     return peers::Encode(frame->channel, frame->from, *had);
@@ -145,30 +145,30 @@
 void AddTransport(std::vector<Golden>& all) {
   constexpr peers::Id kFrom = 0x0a0b0c0d;
   const std::string body = "a small message, whole";
-  for (std::size_t channel = 0; channel < peers::kChannels; ++channel) {
+  for (std::size_t channel = 0; channel < peers::kChannelCount; ++channel) {
     auto id = static_cast<peers::Channel>(channel);
     all.push_back({std::string("peers_whole_") + peers::ToString(id),
-                   peers::Encode(id, kFrom, peers::Kind::kWhole, body), ReencodeFrame});
+                   peers::Encode(id, kFrom, peers::Kind::kComplete, body), ReencodeFrame});
   }
   std::string large;
-  for (std::size_t i = 0; i < 2 * peers::kPieceBytes + 100; ++i)
+  for (std::size_t i = 0; i < 2 * peers::kFragmentBytes + 100; ++i)
     large.push_back(static_cast<char>(i * 7));
-  peers::Piece piece;
+  peers::Fragment piece;
   piece.incarnation = 0x1122334455667788u;
   piece.message = 3;
   piece.size = static_cast<std::uint32_t>(large.size());
   piece.index = 2;
   piece.digest = peers::Digest(large);
-  piece.bytes = Bytes(large).subspan(2 * peers::kPieceBytes);
+  piece.bytes = Bytes(large).subspan(2 * peers::kFragmentBytes);
   all.push_back(
       {"peers_piece", peers::Encode(peers::Channel::kRecord, kFrom, piece), ReencodeFrame});
-  peers::Had had;
+  peers::Acknowledgement had;
   had.incarnation = 0x1122334455667788u;
   had.message = 3;
-  had.life = {0x99aabbccddeeff00u, 4};
+  had.epoch = {0x99aabbccddeeff00u, 4};
   all.push_back(
       {"peers_had_delivered", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
-  had.pieces = {true, false, true, true, false, false, false, false, true, false, true};
+  had.fragments = {true, false, true, true, false, false, false, false, true, false, true};
   all.push_back(
       {"peers_had_partly", peers::Encode(peers::Channel::kRecord, kFrom, had), ReencodeFrame});
 }
@@ -180,20 +180,20 @@
   quota::Report report;
   report.token = 5;
   report.round = 77;
-  report.using_token = 4;
-  report.using_round = 76;
-  report.bad = 2;
+  report.active_token = 4;
+  report.active_round = 76;
+  report.overloaded = 2;
   report.epoch = 9;
-  report.want = {120.5, 0.1};
-  report.have = {100, 0};
-  report.factor = {1, 0.6};
+  report.demands = {120.5, 0.1};
+  report.shares = {100, 0};
+  report.factors = {1, 0.6};
   all.push_back({"quota_report", quota::Encode(report), Reencode(quota::DecodeReport)});
   quota::Grant grant;
   grant.token = 5;
   grant.round = 77;
   grant.epoch = 9;
-  grant.share = {110.25, 0.5};
-  grant.factor = {1, 0.6};
+  grant.shares = {110.25, 0.5};
+  grant.factors = {1, 0.6};
   all.push_back({"quota_grant", quota::Encode(grant), Reencode(quota::DecodeGrant)});
 }
 
@@ -218,12 +218,12 @@
   std::map<std::string, std::string> longest;
   std::deque<Packet> network;
   auto send = [&](owner::Id to, std::string bytes) {
-    auto frame = owner::ReadFrame(bytes);
+    auto frame = owner::DecodeFrame(bytes);
     if (!frame)
       throw std::runtime_error("a datagram that its own reader refuses");
     static const char* const kKinds[] = {"group", "ask", "answer", "act", "did"};
     std::string name = std::string("owner_") + kKinds[static_cast<int>(frame->kind)];
-    if (frame->kind == owner::Kind::kGroup) {
+    if (frame->kind == owner::MessageKind::kGroup) {
       bool consensus = frame->body[0] != 0;
       name += consensus ? "_raft_" + std::to_string(static_cast<int>(frame->body[1])) : "_hello";
     }
@@ -235,17 +235,17 @@
   std::map<owner::Id, owner::MemoryStore> stores;
   std::map<owner::Id, std::unique_ptr<owner::Node>> nodes;
   for (owner::Id id = 1; id <= kWorker; ++id) {
-    owner::NodeTerms terms;
+    owner::NodeSettings terms;
     terms.self = id;
     terms.group = {1, 2, 3};
     if (id == kWorker)
-      terms.jobs = {{"sweep-1", kSteps, 50, {kExecutor}, false}, {"record", 1, 50, {}, true}};
+      terms.tasks = {{"sweep-1", kSteps, 50, {kExecutor}, false}, {"record", 1, 50, {}, true}};
     owner::Store* store = id == kWorker ? nullptr : &stores[id];
     nodes[id] = std::make_unique<owner::Node>(terms, store, 1000 + id, 40 + id, 0,
-                                              owner::Node::Ways{send, [](const std::string&) {
-                                                                }});
+                                              owner::Node::Callbacks{send, [](const std::string&) {
+                                                                     }});
   }
-  owner::Fence fence;
+  owner::FencingTokenCheck fence;
   for (owner::Ms now = 0; now <= kUntil; now += kTick) {
     for (auto& [id, node] : nodes)
       node->Tick(now);
@@ -257,49 +257,49 @@
         nodes.at(packet.to)->Receive(now, packet.bytes);
         continue;
       }
-      auto frame = owner::ReadFrame(packet.bytes);
-      auto step = owner::DecodeDo(frame->body);
+      auto frame = owner::DecodeFrame(packet.bytes);
+      auto step = owner::DecodeStepRequest(frame->body);
       if (!step)
         throw std::runtime_error("a step that its own reader refuses");
-      owner::Did did;
-      did.what = *step;
-      did.landing = fence.Take(step->work, step->token, step->step);
-      did.highest = fence.Highest(step->work);
-      send(frame->from, owner::EncodeDid(kExecutor, did));
+      owner::StepResponse did;
+      did.request = *step;
+      did.result = fence.Check(step->task, step->token, step->step);
+      did.highest_token = fence.HighestToken(step->task);
+      send(frame->from, owner::EncodeStepResponse(kExecutor, did));
     }
   }
   return longest;
 }
 
 std::optional<std::string> ReencodeStep(Bytes bytes) {
-  auto frame = owner::ReadFrame(bytes);
-  if (!frame || frame->kind != owner::Kind::kAct)
+  auto frame = owner::DecodeFrame(bytes);
+  if (!frame || frame->kind != owner::MessageKind::kStepRequest)
     return std::nullopt;
-  auto step = owner::DecodeDo(frame->body);
+  auto step = owner::DecodeStepRequest(frame->body);
   if (!step)
     return std::nullopt;
-  return owner::EncodeDo(frame->from, *step);
+  return owner::EncodeStepRequest(frame->from, *step);
 }
 
 void AddLeases(std::vector<Golden>& all) {
-  for (int deed = 0; deed <= static_cast<int>(owner::Deed::kFound); ++deed) {
+  for (int deed = 0; deed <= static_cast<int>(owner::Operation::kBootstrap); ++deed) {
     owner::Command command;
-    command.deed = static_cast<owner::Deed>(deed);
+    command.operation = static_cast<owner::Operation>(deed);
     command.front = 0x01020304;
     command.token = 0x1122334455667788u;
     command.step = 6;
-    command.work = "sweep-1";
-    all.push_back({std::string("owner_command_") + owner::MakeWord(command.deed),
+    command.task = "sweep-1";
+    all.push_back({std::string("owner_command_") + owner::ToString(command.operation),
                    owner::Encode(command), Reencode(owner::Decode)});
   }
-  owner::Table table;
-  table.Apply({owner::Deed::kFound, 1, 100, 0, ""});
-  table.Apply({owner::Deed::kTake, 2, 0, 4, "sweep-1"});
-  table.Apply({owner::Deed::kTake, 3, 0, 0, "record"});
-  table.Apply({owner::Deed::kRecord, 2, table.Works().at("sweep-1").token, 1, "sweep-1"});
+  owner::LeaseTable table;
+  table.Apply({owner::Operation::kBootstrap, 1, 100, 0, ""});
+  table.Apply({owner::Operation::kAcquire, 2, 0, 4, "sweep-1"});
+  table.Apply({owner::Operation::kAcquire, 3, 0, 0, "record"});
+  table.Apply({owner::Operation::kRecordStep, 2, table.Tasks().at("sweep-1").token, 1, "sweep-1"});
   all.push_back(
       {"owner_table_snapshot", table.Snapshot(), [](Bytes bytes) -> std::optional<std::string> {
-         owner::Table restored;
+         owner::LeaseTable restored;
          if (!restored.Restore(bytes))
            return std::nullopt;
          return restored.Snapshot();
@@ -408,46 +408,46 @@
 
 // ---- approvals and drift
 
-drift::Form SampleForm() {
+drift::CanonicalConfiguration SampleForm() {
   return {{"quota", {{"limit", "120.5"}, {"name", "origin"}}},
           {"serving", {{"listen", "127.0.0.1:8080"}, {"zone", "1"}}}};
 }
 
 void AddDrift(std::vector<Golden>& all) {
   drift::Approval approval;
-  approval.by = "first";
-  approval.second = "second";
-  approval.replaces = 41;
-  approval.hold_by = 1.5e12;
-  approval.form = SampleForm();
+  approval.approver = "first";
+  approval.second_approver = "second";
+  approval.replaced_version = 41;
+  approval.apply_deadline = 1.5e12;
+  approval.configuration = SampleForm();
   all.push_back({"drift_approval", drift::Encode(approval), Reencode(drift::DecodeApproval)});
   drift::ActiveReport notified;
   notified.version = 42;
-  notified.active = 0x0102030405060708u;
-  notified.approved = 0x1112131415161718u;
-  notified.seq = 90;
-  notified.changed = 80;
+  notified.active_digest = 0x0102030405060708u;
+  notified.approved_digest = 0x1112131415161718u;
+  notified.sequence = 90;
+  notified.changed_sequence = 80;
   notified.sections = {{"quota", 3}, {"serving", 0xffffffffffffffffu}};
-  notified.ask = true;
-  notified.wants = {"quota", "serving"};
-  notified.opened = SampleForm();
-  notified.abandoned = 0.25;
-  notified.declined = 0.5;
+  notified.request_details = true;
+  notified.requested_sections = {"quota", "serving"};
+  notified.section_contents = SampleForm();
+  notified.failed_share = 0.25;
+  notified.rejected_share = 0.5;
   notified.token = 7;
   notified.stopped_at = 40;
-  notified.others = {{2, 91, 42, 1, 2, 85}, {3, 92, 41, 3, 4, 86}};
-  drift::ActiveReport::Case drifted;
-  drifted.who = 3;
-  drifted.standing = static_cast<std::uint8_t>(drift::Standing::kDrifted);
-  drifted.changed = 86;
-  drifted.wanted = 42;
-  drifted.span = 1;
+  notified.relayed_reports = {{2, 91, 42, 1, 2, 85}, {3, 92, 41, 3, 4, 86}};
+  drift::ActiveReport::Suspicion drifted;
+  drifted.front = 3;
+  drifted.status = static_cast<std::uint8_t>(drift::DriftStatus::kDrifted);
+  drifted.changed_sequence = 86;
+  drifted.target_version = 42;
+  drifted.window = 1;
   drifted.newest = {7, "\x05", "\x02"};
   drifted.before = {6, "\x01", ""};
-  drifted.fields = {{{"quota", "limit"}, "100", "120.5", drift::Breaks::kRule}};
-  notified.cases = {drifted};
-  notified.asides = {{3, 7, 2, true}};
-  all.push_back({"drift_told", drift::Encode(notified), Reencode(drift::DecodeNotified)});
+  drifted.fields = {{{"quota", "limit"}, "100", "120.5", drift::FieldImpact::kInvariant}};
+  notified.suspicions = {drifted};
+  notified.ejections = {{3, 7, 2, true}};
+  all.push_back({"drift_told", drift::Encode(notified), Reencode(drift::DecodeActiveReport)});
   all.push_back(
       {"drift_repair", drift::Encode(drift::Repair{3, 7, 42, 86}), Reencode(drift::DecodeRepair)});
 }
@@ -628,11 +628,11 @@
 
 void WriteGroup(const std::string& folder, const owner::StoredState& state) {
   store::LmdbOwnerStore disk(folder);
-  disk.Found(state.founding);
+  disk.SaveBootstrap(state.bootstrap);
   disk.SetTerm(state.term);
   disk.SetVote(state.vote);
   disk.Append(state.entries);
-  disk.Take(*state.snapshot, state.entries.size());
+  disk.SaveSnapshot(*state.snapshot, state.entries.size());
 }
 
 std::optional<std::string> RestoreGroup(Bytes packed) {
@@ -672,7 +672,7 @@
                  }),
                  RestoreFloors});
   owner::StoredState group;
-  group.founding = "founders";
+  group.bootstrap = "founders";
   group.term = 5;
   group.vote = 2;
   group.entries = {{4, 1, "first"}, {5, 1, std::string("se\0cond", 7)}, {5, 3, ""}};
