--- a/src/benchlink/codec.cpp
+++ b/src/benchlink/codec.cpp
@@ -70,7 +70,7 @@
     case 306:
       return AttemptResult::kCancelled;
     case 307:
-      return AttemptResult::kSuperseded;
+      return AttemptResult::kStartDeadlinePassed;
   }
   throw FrameError("unknown attempt result " + std::to_string(result));
 }
@@ -114,7 +114,7 @@
       return e;
     }
     case 5: {
-      AttemptStarted e;
+      ResponseStarted e;
       e.request = in.U32();
       e.endpoint = in.U32();
       e.attempt = in.U8();
--- a/src/caches/lines.cpp
+++ b/src/caches/lines.cpp
@@ -157,7 +157,7 @@
        {"NONE", AttemptResult::kMiss},
        {"SHED", AttemptResult::kOverloaded},
        {"FAULT", AttemptResult::kError},
-       {"LATE", AttemptResult::kSuperseded}}};
+       {"LATE", AttemptResult::kStartDeadlinePassed}}};
   UpstreamResponse response;
   response.id = NextToken(line, ' ');
   std::string_view code = NextToken(line, ' '), fields = NextToken(line, ' ');
--- a/src/drill/clients.cpp
+++ b/src/drill/clients.cpp
@@ -218,8 +218,8 @@
   Ms now = loop_.now(), took = now - want->first_at;
   if (finished) {
     double kb = o.uncacheable ? 0 : model_.SizeKb(want->request_class, want->thing);
-    Ms agreed =
-        o.latency_objective + o.latency_objective_stretch * kb / model_.settings().stream_kb_per_ms;
+    Ms agreed = o.latency_objective +
+                o.latency_objective_per_transfer_time * kb / model_.settings().stream_kb_per_ms;
     double worth = took <= agreed ? 1 : o.late_value;
     takings_.late += took > agreed;
     takings_.by_request_class[static_cast<std::size_t>(want->request_class)].got +=
--- a/src/drill/site.cpp
+++ b/src/drill/site.cpp
@@ -35,7 +35,7 @@
   video.mean_transfer_time = draw(250, 400);
   video.size_log_sigma = draw(0.6, 1.2);
   video.latency_objective = 500;
-  video.latency_objective_stretch = 2;
+  video.latency_objective_per_transfer_time = 2;
   video.max_deadline = 5000;
   video.priority_weight = 2;
   video.late_value = 0.15;
@@ -51,7 +51,7 @@
   items.mean_transfer_time = draw(30, 80);
   items.size_log_sigma = draw(0.7, 1.3);
   items.latency_objective = 250;
-  items.latency_objective_stretch = 2;
+  items.latency_objective_per_transfer_time = 2;
   items.max_deadline = 2500;
   items.priority_weight = 1;
   items.late_value = 0.2;
@@ -223,7 +223,7 @@
     never += std::string(sep) + (o.uncacheable ? "true" : "false");
     classes += std::string(sep) + "{\"name\":\"" + o.name +
                "\",\"aim\":" + Num(o.latency_objective) +
-               ",\"aimStretch\":" + Num(o.latency_objective_stretch) +
+               ",\"aimStretch\":" + Num(o.latency_objective_per_transfer_time) +
                ",\"giveUp\":" + Num(o.max_deadline) + ",\"importance\":" + Num(o.priority_weight) +
                ",\"idempotency\":\"" + kEffects[static_cast<int>(o.effect)] +
                "\",\"group\":\"zone\",\"memorySpan\":" + Num(o.deduplication_window) + "}";
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -145,12 +145,12 @@
   ++counters.attempts;
   counters.fills += action.source != action.endpoint;
   if (!request->response_sink || request->streamed_attempt >= 0)
-    return EndAttempt(key, AttemptResult::kSuperseded);
+    return EndAttempt(key, AttemptResult::kStartDeadlinePassed);
   SendAttempt bounded_action = action;
   bounded_action.timeout = action.timeout > 0 ? std::min(action.timeout, request->expires_at - now)
                                               : request->expires_at - now;
   if (bounded_action.timeout <= 0)
-    return EndAttempt(key, AttemptResult::kSuperseded);
+    return EndAttempt(key, AttemptResult::kStartDeadlinePassed);
   request->attempts.back().timer = loop_.RunAt(now + bounded_action.timeout, [this, key] {
     if (!FindInFlightAttempt(key) || FindRequest(key.request)->streamed_attempt == key.attempt)
       return;
@@ -329,7 +329,7 @@
     return;
   request.streamed_attempt = key.attempt;
   request.response_sink->OnResponseStarted(head.entity_tag, length);
-  HandleEvent(AttemptStarted{key.request, attempt->cache, key.attempt});
+  HandleEvent(ResponseStarted{key.request, attempt->cache, key.attempt});
 }
 
 void Exchange::OnAttemptResponseData(AttemptKey key, std::string_view data) {
@@ -409,7 +409,7 @@
     return;
   attempt->connection = 0;  // nothing was sent there, so no response can arrive there
   attempt->sent_at = loop_.now();
-  EndAttempt(key, AttemptResult::kSuperseded, {}, 0, true);
+  EndAttempt(key, AttemptResult::kStartDeadlinePassed, {}, 0, true);
 }
 
 void Exchange::OnAttemptMoved(AttemptKey key, std::uint64_t connection) {
--- a/src/front/apply_configuration.cpp
+++ b/src/front/apply_configuration.cpp
@@ -67,7 +67,8 @@
     setters[prefix + "span"] = SetterOf(request_class.deduplication_scope);
     setters[prefix + "memory"] = SetterOf(request_class.deduplication_window);
     setters[prefix + "agreed"] = SetterOf(request_class.latency_objective);
-    setters[prefix + "agreed_stretch"] = SetterOf(request_class.latency_objective_stretch);
+    setters[prefix + "agreed_stretch"] =
+        SetterOf(request_class.latency_objective_per_transfer_time);
     setters[prefix + "expiry"] = SetterOf(request_class.max_deadline);
     setters[prefix + "payoff"] = SetterOf(request_class.priority_weight);
     // `streams` and `never_kept` hold for the life of the process: the exchange and the clients'
@@ -83,7 +84,7 @@
   AddSlowStart(setters, "parent", settings.parent_slow_start);
   setters["cold.window"] = SetterOf(settings.slow_start_window);
   setters["sheet.fronts"] = SetterOf(settings.fronts);
-  setters["sheet.crew"] = SetterOf(settings.zone_replicas);
+  setters["sheet.crew"] = SetterOf(settings.fronts_in_zone);
   setters["sheet.weighing"] = SetterOf(settings.weight_source);
   setters["sheet.longest_retry_after"] = SetterOf(settings.max_retry_after);
   setters["sheet.most_legs"] = SetterOf(settings.max_attempts);
--- a/src/generations/generations.cpp
+++ b/src/generations/generations.cpp
@@ -123,7 +123,7 @@
     open_requests_[arrived->request] = {newest_, 0, false};
     ++generations_.back().requests;
     deliver_to_owner(arrived->request);
-  } else if (auto* started = std::get_if<AttemptStarted>(&event)) {
+  } else if (auto* started = std::get_if<ResponseStarted>(&event)) {
     deliver_to_owner(started->request);
   } else if (auto* ended = std::get_if<AttemptEnded>(&event)) {
     if (auto found = open_requests_.find(ended->request); found != open_requests_.end()) {
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -1,6 +1,11 @@
 // The interface of the routing policy: the events that a front reports to it, the actions that it
 // returns, and the deployment settings that it reads at start. Times are in milliseconds, with
 // fractions, on a monotonic clock.
+//
+// A front is one router process; the fleet is all of them. The own zone is the zone that the front
+// runs in. A cell is a group of caches within a zone that recognise each other's idempotency keys.
+// A part is a piece of an object that clients request by itself; a group is a set of objects that
+// are purged together.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -39,8 +44,8 @@
   DeduplicationScope deduplication_scope = DeduplicationScope::kEverywhere;
   Ms deduplication_window = 0;  // how long a repeat with the same idempotency key is recognised
   Ms latency_objective = 0;
-  double latency_objective_stretch =
-      0;  // the objective grows by this multiple of the request's own transfer time
+  double latency_objective_per_transfer_time =
+      0;  // the objective is longer by this multiple of the request's own transfer time
   Ms max_deadline = 0;
   double priority_weight = 1;  // the value of a request that is answered in time
   bool streams = false;
@@ -58,10 +63,12 @@
 };
 
 // How an endpoint ramps up after its start, and how much work all fronts together may send it
-// within any window of `slow_start_window`.
+// within any window of `slow_start_window`. The work of a request is its uncontended transfer time
+// in milliseconds.
 struct SlowStartSettings {
-  double initial_weight = 1;   // share of its full capacity at its start
-  double overload_factor = 0;  // the work allowed, as a multiple of its present capacity
+  double initial_weight = 1;  // share of its full capacity at its start
+  double overload_factor =
+      0;  // the work allowed, as a multiple of its present capacity; 0: no limit
   Ms duration = 0;
 };
 
@@ -70,8 +77,8 @@
 struct DeploymentSettings {
   std::vector<RequestClass> request_classes;
   int zone = 0;
-  int fronts = 1;         // in all zones
-  int zone_replicas = 1;  // fronts serving this zone
+  int fronts = 1;          // in all zones
+  int fronts_in_zone = 1;  // that serve this zone
   int parent_kind = -1;
   int origin_kind = -1;
   bool polls_endpoint_list = false;  // list changes come only when requested
@@ -114,8 +121,8 @@
   int cell = 0;
   EndpointState state = EndpointState::kReady;
   double weight = 1;
-  WallTime started_at;  // 0: long ago
-  /// When this front was first notified of that start. None: the stamp is of this front's own
+  WallTime started_at;  // unset: long ago
+  /// When this front was first notified of that start. None: `started_at` is by this front's own
   /// clock, as in the simulator.
   std::optional<NotificationTimes> notified;
 };
@@ -140,7 +147,7 @@
   kNotSent,       // no connection, or it broke before the request was sent whole
   kDisconnected,  // the connection broke after the request was sent
   kCancelled,
-  kSuperseded,  // not begun, since it was too late: its start deadline had passed
+  kStartDeadlinePassed,  // not executed: its start deadline had passed before the endpoint began it
   kMiss
 };
 // How a cache served an attempt, or why its fill failed.
@@ -157,7 +164,9 @@
   kNoFillSlot,
   kOriginFailed
 };
-struct AttemptStarted {
+// The first byte of an attempt's answer went on to the client: the answer can no longer come from
+// another attempt.
+struct ResponseStarted {
   std::uint32_t request = 0;
   std::uint32_t endpoint = 0;
   int attempt = 0;
@@ -168,7 +177,7 @@
   int attempt = 0;
   AttemptResult result = AttemptResult::kFinished;
   Ms duration = 0;
-  bool final = false;
+  bool final = false;  // the client has received this result as its answer
   CacheStatus cache_status = CacheStatus::kNone;
   Ms fill_wait = 0;               // until the first byte of a fill, or until the fill failed
   int earlier_on_connection = 0;  // attempts reported before this one that ended with the same
@@ -180,8 +189,8 @@
 struct ClientLeft {
   std::uint32_t request = 0;
 };
-// The client waits for an answer no longer than this, though its deadline was later at first: the
-// answer to another of its requests has to follow this one in time.
+// The client's deadline became earlier. On a pipelined connection answers go out in the order of
+// the requests, so a request must end before the earliest deadline of those behind it.
 struct DeadlineShortened {
   std::uint32_t request = 0;
   Ms time_left = 0;  // from now on
@@ -200,9 +209,9 @@
   std::uint64_t object = 0;
   int group = 0;
   Ms age = 0;
-  // A recall from the fleet's record stays in force until it is lifted, since endpoints learn of it
-  // only through the `max_age` of attempts. It covers a whole request class where `request_class`
-  // is not below 0. The simulator's platform sends none.
+  // A recall is kept in the log that the fleet shares (src/record/). It stays in force until it is
+  // lifted, since endpoints learn of it only through the `max_age` of attempts. It covers a whole
+  // request class where `request_class` is not below 0. The simulator's platform sends none.
   bool is_recall = false;
   bool is_lifted = false;
   int request_class = -1;
@@ -236,7 +245,7 @@
   std::vector<double> share_by_class;
   Ms retry_after = 0;  // sent with the rejection of the others
 };
-using Event = std::variant<EndpointListUpdate, RequestArrived, AttemptStarted, AttemptEnded,
+using Event = std::variant<EndpointListUpdate, RequestArrived, ResponseStarted, AttemptEnded,
                            ClientLeft, DeadlineShortened, TimerFired, ProbeEnded, Purged,
                            PeerMessageReceived, ZoneTrafficWeights, MaxCopyAge, AdmissionRamp>;
 
@@ -253,8 +262,9 @@
   Ms max_age = 0;                         // of a copy served; 0: as the request class allows
   Ms timeout = 0;                         // 0: until the client leaves
   bool requires_live_connection = false;  // only over a connection that has just proved to work
-  Ms start_deadline = 0;  // later it might take effect a second time: it is not started any more
-                          // and ends as superseded; 0: no limit
+  // A time, not a duration. If the endpoint has not begun the attempt by then, it must not, since
+  // the repeat would no longer be recognised. 0: no limit.
+  Ms start_deadline = 0;
 };
 struct CancelAttempt {
   std::uint32_t request = 0;
--- a/src/logic/endpoint_list.hpp
+++ b/src/logic/endpoint_list.hpp
@@ -41,7 +41,7 @@
   // counts as new.
   bool CanErase(const Endpoint& endpoint) {
     if (endpoint.state != EndpointState::kRemoved ||
-        now - endpoint.last_success_sent_at < 60 * kSecond || requests.AnyRefersTo(&endpoint))
+        now - endpoint.last_answered_sent_at < 60 * kSecond || requests.AnyRefersTo(&endpoint))
       return false;
     statistics.histories.Unlink(&endpoint);
     return true;
@@ -60,7 +60,7 @@
       if (endpoint.ejected)
         Emit(ReportEndpointHealth{endpoint.id, false});
       endpoint.consecutive_failures = 0;
-      endpoint.ejected = endpoint.half_open_probe_in_flight = false;
+      endpoint.ejected = endpoint.half_open_attempt_in_flight = false;
       endpoint.capacity = {};
     }
     // Without weights, a cache is assumed to carry four transfers, as a small server does, and a
@@ -75,13 +75,12 @@
       endpoint.capacity.present = endpoint.capacity.nominal;
   }
 
-  // When an endpoint started, on this front's clock; 0: long ago. A start that this front is
-  // notified of by a list change happened after the last moment at which the front was up to date,
-  // apart from the time that the listing takes. A stamp from before that, or later than the
-  // notification, comes from a clock that disagrees, and the start counts as of the notification.
-  // Guards, after a step of either clock, against a slow start that is missed or never ends. Cost:
-  // an endpoint that took longer to be listed, or that returns after the discovery service dropped
-  // it, ramps up again.
+  // When an endpoint started, on this front's clock; 0: long ago. The start must lie between the
+  // last moment at which the front was up to date, less the time that the listing takes, and the
+  // notification. If `started_at` does not, the clocks disagree, and the time of the notification
+  // is used. Otherwise, after a step of either clock, a `started_at` that is too early would let a
+  // slow start be missed, and one in the future would let it never end. Cost: an endpoint that took
+  // longer to be listed, or that returns after the discovery service dropped it, ramps up again.
   static Ms StartOf(const ListEntry& entry) {
     constexpr Ms kListingDelay = 5 * kSecond;
     if (!entry.started_at.IsSet())
--- a/src/logic/endpoint_selector.hpp
+++ b/src/logic/endpoint_selector.hpp
@@ -29,7 +29,7 @@
     std::vector<Endpoint*> candidates;
     rejection_reason = RejectionReason::kNoEndpoint;
     for (Endpoint* cache : load.endpoints.InRendezvousOrder(caches, request.object)) {
-      if (!health.CheckUsable(*cache) || request.HasFailed(cache) || !MayAttempt(request, *cache))
+      if (!health.CheckUsable(*cache) || request.IsExcluded(cache) || !MayAttempt(request, *cache))
         continue;
       if (slow_start.CanAfford(*cache, slow_start.WorkOf(request)))
         candidates.push_back(cache);
@@ -73,8 +73,10 @@
     constexpr double kMargin = 0.8;  // utilisation rises while the request is under way
     if (request.has_credit)
       return kWithCredit;
-    double stretch = kMargin * (request.objective_at - now) / std::max(request.transfer_time, 1.0);
-    double tolerable = stretch * std::clamp(std::pow(ValueDensity(request), 0.2), 0.7, 1.3);
+    double tolerable_slowdown =
+        kMargin * (request.objective_at - now) / std::max(request.transfer_time, 1.0);
+    double tolerable =
+        tolerable_slowdown * std::clamp(std::pow(ValueDensity(request), 0.2), 0.7, 1.3);
     return std::clamp(tolerable, kMin, kMax);
   }
   // The priority weight per work, relative to that of the mean request.
@@ -94,23 +96,24 @@
   }
 
   // Clients may have a limited number of requests open here, each until its answer; at the limit,
-  // the next request is rejected whatever its priority. A price on open requests settles where nine
-  // tenths of the limit are in use, and follows deviations from that; requests worth less are
-  // rejected. Guards against surges or slowness that exhaust the limit. Cost: rejects some large
-  // objects. Called once per request: updates the means and the price, and returns whether the
-  // request is to be rejected.
+  // the next request is rejected whatever its priority. A proportional-integral controller sets the
+  // least value density that is admitted, to keep a tenth of the limit free; `open_request_price`
+  // is its integral part. Without a known limit none is rejected. Guards against surges or slowness
+  // that exhaust the limit. Cost: rejects some large objects. Called once per request: updates the
+  // means and the price, and returns whether the request is to be rejected.
   bool RejectsByOpenRequestPrice(const Request& request) {
     // Averages over about the last hundred requests.
     mean_priority_weight += 0.01 * (request.class_state->priority_weight - mean_priority_weight);
     mean_work += 0.01 * (request.transfer_time - mean_work);
     slow_start.RecordArrival(request.transfer_time);
-    constexpr double kTarget = 0.9, kStep = 0.002, kSwing = 4;
+    constexpr double kTarget = 0.9, kIntegralGain = 0.002, kProportionalGain = 4;
     double excess =
         settings.max_open_requests > 0
             ? static_cast<double>(requests.size()) / settings.max_open_requests - kTarget
             : -1;
-    open_request_price = std::clamp(open_request_price + kStep * excess, 0.0, 2.0);
-    return !request.has_credit && ValueDensity(request) < open_request_price + kSwing * excess;
+    open_request_price = std::clamp(open_request_price + kIntegralGain * excess, 0.0, 2.0);
+    return !request.has_credit &&
+           ValueDensity(request) < open_request_price + kProportionalGain * excess;
   }
 
   // Whether a further attempt of this request may go to `endpoint`. An exclusive request that may
@@ -138,9 +141,9 @@
     return true;
   }
 
-  // Until when a further attempt is recognised as a repeat of those before it, wherever it is
-  // queued; 0: it repeats none.
-  Ms RecognisedUntil(const Request& request) const {
+  // When the deduplication window of the first attempt that may have been executed ends; 0: there
+  // is no such attempt, or no idempotency key.
+  Ms StartDeadline(const Request& request) const {
     if (request.class_state->effect != Effect::kIdempotentWithKey)
       return 0;
     // The attempts are in the order in which they were sent.
@@ -155,8 +158,9 @@
   // by hash, alike at all fronts of a zone. Guards against a zone whose caches are lost to all its
   // fronts. Cost: misses in the other zones until they have cached the objects. A request whose
   // idempotency key only its zone recognises stays: a client's repeat after a change of the shares
-  // would be executed twice. Where the platform permits no probes, an ejected cache that is due for
-  // its half-open attempt gets it, since otherwise none would ever return to service.
+  // would be executed twice. Where the platform permits no probes, first attempts of idempotent
+  // requests stay in the own zone while an ejected cache there is due for its half-open attempt,
+  // since it could never return to service otherwise.
   int ZoneOf(const Request& request) const {
     const RequestClass& request_class = *request.class_state;
     if (zone_weights.empty() ||
--- a/src/logic/health.hpp
+++ b/src/logic/health.hpp
@@ -7,7 +7,7 @@
 
 struct Health : PolicyContext {
   const Load& load;
-  int log_lines_left = 150;
+  int log_lines_left = 150;  // over the life of the process; none are written afterwards
 
   void Log(const char* change, const Endpoint& endpoint) {
     log_lines_left-- > 0 ? Emit(WriteLogLine{LogLineOf(change, endpoint)}) : void();
@@ -18,24 +18,25 @@
       return false;
     if (!endpoint.ejected)
       return now >= endpoint.overloaded_until;
-    // Half open: a cache returns after successful probes; where the platform permits no probes, and
-    // as a source, an ejected endpoint is tested by one attempt at a time.
+    // Half open. With probes, two successful ones return a cache to service, and admit one attempt
+    // at a time to a parent or the origin. Without probes, any ejected endpoint gets one attempt at
+    // a time after its backoff.
     return (settings.permissions.probe ? endpoint.consecutive_probe_successes >= 2
                                        : now >= endpoint.ejected_until) &&
-           !endpoint.half_open_probe_in_flight;
+           !endpoint.half_open_attempt_in_flight;
   }
 
-  // Three attempts are overdue, and none sent as late has been answered. Guards against endpoints
-  // that accept attempts and never end them, which would occupy fill slots and clients. Cost: when
-  // all endpoints are slow, the first one in the order may be ejected.
+  // At least three attempts are overdue, all sent after the latest one that was answered. Guards
+  // against endpoints that accept attempts and never end them, which would occupy fill slots and
+  // clients. Cost: when all endpoints are slow, the first one in the order may be ejected.
   bool IsUnresponsive(const Endpoint& endpoint) const {
     constexpr int kOverdueLimit = 3;  // more than chance, few enough to be detected within a second
     constexpr Ms kGrace = kSecond / 3;  // longer than the pauses of a busy endpoint
-    if (now - endpoint.last_success_sent_at <= kGrace)
+    if (now - endpoint.last_answered_sent_at <= kGrace)
       return false;  // no attempt sent later can be overdue
     double link_stretch = std::max(1.0, load.LinkUtilisation());
     auto is_overdue = [&](const Request& request, const Attempt& attempt) {
-      return attempt.sent_at > endpoint.last_success_sent_at &&
+      return attempt.sent_at > endpoint.last_answered_sent_at &&
              now - attempt.sent_at > 3 * request.transfer_time * link_stretch + kGrace;
     };
     return requests.CountInFlight(&endpoint, is_overdue) >= kOverdueLimit;
@@ -56,7 +57,7 @@
     constexpr Ms kInitialBackoff = kSecond / 4, kMaxBackoff = 4 * kSecond;
     endpoint.consecutive_failures += count;
     endpoint.consecutive_probe_successes = 0;
-    endpoint.half_open_probe_in_flight = false;
+    endpoint.half_open_attempt_in_flight = false;
     if (endpoint.ejected ? now < endpoint.ejected_until
                          : endpoint.consecutive_failures < kFailuresToEject)
       return;
@@ -84,13 +85,13 @@
     // it goes through slow start.
     if (endpoint.may_have_restarted)
       endpoint.slow_start_from = now;
-    endpoint.ejected = endpoint.half_open_probe_in_flight = endpoint.may_have_restarted = false;
+    endpoint.ejected = endpoint.half_open_attempt_in_flight = endpoint.may_have_restarted = false;
     Log("returned to service", endpoint);
     Emit(ReportEndpointHealth{endpoint.id, false});
   }
 
   void RecordFill(Endpoint& source, Ms sent_at) {
-    source.last_success_sent_at = std::max(source.last_success_sent_at, sent_at);
+    source.last_answered_sent_at = std::max(source.last_answered_sent_at, sent_at);
     RecordSuccess(source);
   }
 
--- a/src/logic/load.hpp
+++ b/src/logic/load.hpp
@@ -10,7 +10,7 @@
   const bool has_configured_link = settings.link_capacity > 0;
   CapacityEstimate link{0, settings.link_capacity};
   InFlightCounter fills_in_flight{};     // through the link
-  InFlightCounter link_utilisation{};    // sampled, for its mean
+  InFlightCounter link_utilisation{};    // samples of LinkUtilisation(), for its moving average
   double reported_link_utilisation = 0;  // by caches
   Ms link_reported_at = kLongAgo;
 
@@ -47,16 +47,17 @@
         0.1 * std::max(0.0, in_flight / (stretch * common_stretch) - capacity.demonstrated);
   }
 
-  // The attempts in flight of all fronts that share an endpoint or link: this front's as they are,
-  // and for each of the others as many as this front had on average, since all fronts route alike.
-  // Guards against one attempt counting as dozens where many fronts share. Cost: load that only
-  // other fronts send is not seen, and a change shows late.
+  // The moving average of the counter up to now. Its window grows with the number of sharers.
   double MeanOf(const InFlightCounter& counter, int sharers) const {
     constexpr Ms kPerSharer = kSecond / 5, kMaxWindow = 4 * kSecond;
     return counter.mean + (counter.current - counter.mean) *
                               (1 - std::exp((counter.updated_at - now) /
                                             std::min(kPerSharer * sharers, kMaxWindow)));
   }
+  // The attempts in flight of all fronts that share an endpoint or link: this front's as they are,
+  // and for each of the others as many as this front had on average, since all fronts route alike.
+  // Guards against one attempt counting as dozens where many fronts share. Cost: load that only
+  // other fronts send is not seen, and a change shows late.
   double InFlightOfAllFronts(const InFlightCounter& counter, int sharers) const {
     return counter.current + (sharers - 1) * MeanOf(counter, sharers);
   }
@@ -74,12 +75,12 @@
   }
   // The number of fronts that send to the endpoint.
   int SharersOf(const Endpoint& endpoint) const {
-    return endpoint.role == Role::kLocalCache ? settings.zone_replicas : settings.fronts;
+    return endpoint.role == Role::kLocalCache ? settings.fronts_in_zone : settings.fronts;
   }
 
-  // Estimates a link of unknown capacity: a third of what the caches carry, for a usual share of
-  // misses; half of it without weights, since the caches' own estimate is low then. Fills correct
-  // it.
+  // Estimates a link of unknown capacity: a third of the caches' nominal capacity, since about that
+  // share of requests misses; or half of it without weights, since nominal capacities are then low.
+  // Fills correct the estimate.
   void EstimateLink() {
     if (has_configured_link)
       return;
@@ -93,9 +94,10 @@
   // By the fills in flight of the fronts; or as caches report it, fading until the next report, if
   // that is higher.
   double LinkUtilisation() const {
-    constexpr Ms kFade = 5 * kSecond;  // long beside the delay of the reports; an attempt without a
-                                       // fill brings the next
-    double own = (InFlightOfAllFronts(fills_in_flight, settings.zone_replicas) + 1) /
+    // Much longer than a report is under way. Attempts without a fill go on while the link is busy,
+    // and bring new reports.
+    constexpr Ms kFade = 5 * kSecond;
+    double own = (InFlightOfAllFronts(fills_in_flight, settings.fronts_in_zone) + 1) /
                  EffectiveCapacity(link);
     return link_reported_at > kLongAgo
                ? std::max(own,
@@ -105,7 +107,7 @@
   bool IsLinkKnown() const {
     return has_configured_link || link_reported_at > kLongAgo;
   }
-  // A mean as for twenty sharers runs over four seconds.
+  // 20 is no real number of sharers: it gives MeanOf() a window of four seconds.
   void SampleLink() {
     SetCurrent(link_utilisation, 20, LinkUtilisation());
   }
@@ -113,7 +115,7 @@
     return MeanOf(link_utilisation, 20);
   }
   void AddFillsInFlight(double change) {
-    SetCurrent(fills_in_flight, settings.zone_replicas, fills_in_flight.current + change);
+    SetCurrent(fills_in_flight, settings.fronts_in_zone, fills_in_flight.current + change);
   }
   void LearnLinkReport(const std::vector<float>& load_report) {
     double reported =
--- a/src/logic/purges.hpp
+++ b/src/logic/purges.hpp
@@ -32,13 +32,13 @@
     std::erase_if(purged_at, [&](auto& entry) { return entry.second < now - retention; });
   }
 
-  // When a purge happened, on this front's clock. A purge that this front is notified of was
-  // announced after the last moment at which the front was up to date; at its start the front gets
-  // the purges of the last `purge_completion_time`. A stamp from before that, or later than the
-  // notification, comes from a clock that disagrees, and the purge counts as of the notification.
-  // Guards, after a step of either clock, against a purge that is dropped as completed or whose age
-  // admits older copies, and against one that rejects every copy until this clock has reached its
-  // stamp. Cost: copies made between the purge and its notification are fetched once more.
+  // When a purge happened, on this front's clock. The purge must lie between the last moment at
+  // which the front was up to date, less the delay of announcements, and the notification; at its
+  // start the front gets the purges of the last `purge_completion_time`. If the stamp does not, the
+  // clocks disagree, and the time of the notification is used. Otherwise, after a step of either
+  // clock, a stamp that is too early would let the purge expire at once or admit stale copies, and
+  // one in the future would reject every copy until this clock has reached it. Cost: copies made
+  // between the purge and its notification are fetched once more.
   Ms TimeOf(const Purged& purge) const {
     constexpr Ms kAnnouncementDelay = kSecond;
     if (!purge.stamped)
--- a/src/logic/request_processor.hpp
+++ b/src/logic/request_processor.hpp
@@ -27,7 +27,7 @@
     statistics.RecordArrival(request);
     request.objective_at =
         now + std::min(class_state.latency_objective +
-                           class_state.latency_objective_stretch * request.transfer_time,
+                           class_state.latency_objective_per_transfer_time * request.transfer_time,
                        class_state.max_deadline);
     SetDeadline(request, arrival.time_left);
     fairness.RecordArrival(request);
@@ -59,24 +59,24 @@
                         : request.known_miss || endpoint.role != Role::kLocalCache ? 1
                                                                                    : 0.3;
     load.AddFillsInFlight(attempt.fill_load);
-    auto count_in_flight = [&](Endpoint& target, double change) {
+    auto record_sent = [&](Endpoint& target, double change) {
       load.AddInFlight(target, change);
       selector.slow_start.Charge(target, selector.slow_start.WorkOf(request));
-      target.half_open_probe_in_flight |= target.ejected;
+      target.half_open_attempt_in_flight |= target.ejected;
     };
-    count_in_flight(endpoint, attempt.load);
+    record_sent(endpoint, attempt.load);
     if (attempt.source)
-      count_in_flight(*attempt.source, 1);
+      record_sent(*attempt.source, 1);
     SendAttempt action{request.request, endpoint.id, source ? source->id : endpoint.id,
                        settings.permissions.coalesce, request.class_state->freshness_lifetime > 0};
     attempt.only_if_cached = attempt.source && attempt.source->role == Role::kParent &&
                              (request.only_if_cached || sources.SparesOrigin(request));
-    action.only_if_cached = request.last_only_if_cached = attempt.only_if_cached;
+    action.only_if_cached = request.missed_only_if_cached = attempt.only_if_cached;
     // An exclusive request would be lost on a connection that broke unnoticed while idle. Cost: one
     // more round trip.
     action.requires_live_connection =
         request.class_state->effect == Effect::kExclusive && settings.permissions.probe;
-    action.start_deadline = selector.RecognisedUntil(request);
+    action.start_deadline = selector.StartDeadline(request);
     action.retention_rank = request.retention_rank;
     action.max_age = statistics.purges.MaxAge(request);
     action.timeout = std::max(1.0, request.deadline - now);
@@ -93,11 +93,11 @@
                                 [](const Attempt& attempt) { return attempt.returned_error; });
     selector.rejection_reason = RejectionReason::kAttempts;
     if (static_cast<int>(request.attempts.size()) >= settings.max_attempts ||
-        request.last_only_if_cached || errors >= 2)
+        request.missed_only_if_cached || errors >= 2)
       return false;
     Endpoint* origin = load.endpoints.origin;
     if (request.class_state->uncacheable && settings.permissions.direct_to_origin && origin &&
-        selector.health.IsUsable(*origin) && !request.HasFailed(origin) &&
+        selector.health.IsUsable(*origin) && !request.IsExcluded(origin) &&
         selector.MayAttempt(request, *origin)) {
       Send(request, *origin, origin);
       return true;
@@ -116,9 +116,10 @@
     // start, purges, scans, large objects). Cost: one round trip.
     if (source && !source->IsCache() && !request.class_state->uncacheable &&
         cache->role == Role::kLocalCache) {
-      // A short burst is tolerated. Lasting utilisation reduces the tolerance to half, since the
-      // sources behind the link are then as busy, which no front can see; the same holds for a link
-      // of unknown capacity, learnt from fills that such sources slow down.
+      // A short burst is tolerated in full. If the link stays busy, up to half of the tolerance is
+      // withdrawn, since the sources behind it are then busy too, and fronts cannot see that.
+      // Always half where the capacity is unknown, since its estimate comes from fills that busy
+      // sources may have slowed down.
       constexpr double kHighUtilisation = 0.8, kMinTolerance = 0.5;
       double tolerance = load.IsLinkKnown() ? std::clamp(1.8 - 0.6 * load.MeanLinkUtilisation(),
                                                          kMinTolerance, 1.0)
@@ -136,7 +137,8 @@
     return true;
   }
 
-  // Takes the next step of a request: sends an attempt if none is in flight, or rejects it.
+  // Rejects a request at its deadline. Otherwise, if no attempt is in flight, sends the next one,
+  // or rejects the request if none may be sent.
   void Advance(Request& request) {
     if (request.ended || request.streaming)
       return;
@@ -214,14 +216,14 @@
     }
     attempt.never_ran =
         ended.result == AttemptResult::kOverloaded || ended.result == AttemptResult::kNotSent ||
-        ended.result == AttemptResult::kSuperseded || ended.result == AttemptResult::kMiss;
-    attempt.endpoint->half_open_probe_in_flight = false;
+        ended.result == AttemptResult::kStartDeadlinePassed || ended.result == AttemptResult::kMiss;
+    attempt.endpoint->half_open_attempt_in_flight = false;
     if (attempt.source)
-      attempt.source->half_open_probe_in_flight = false;
+      attempt.source->half_open_attempt_in_flight = false;
     if (ended.result == AttemptResult::kFinished || ended.result == AttemptResult::kMiss ||
         ended.result == AttemptResult::kOverloaded)
-      attempt.endpoint->last_success_sent_at =
-          std::max(attempt.endpoint->last_success_sent_at, attempt.sent_at);
+      attempt.endpoint->last_answered_sent_at =
+          std::max(attempt.endpoint->last_answered_sent_at, attempt.sent_at);
     ended.result == AttemptResult::kFinished ? HandleSuccess(request, attempt, ended)
                                              : HandleFailure(request, attempt, ended);
     if (ended.final && !request.ended) {
@@ -243,6 +245,8 @@
         selector.health.RecordFailure(*other.endpoint);
     bool filled = ended.cache_status == CacheStatus::kFilled ||
                   ended.cache_status == CacheStatus::kFilledByOrigin;
+    // For the idle window, a coalesced or expired answer counts as a hit: a copy was being filled,
+    // or was there.
     bool hit = ended.cache_status == CacheStatus::kHit ||
                ended.cache_status == CacheStatus::kCoalesced ||
                ended.cache_status == CacheStatus::kExpired;
@@ -261,7 +265,7 @@
     if (ended.cache_status == CacheStatus::kHit) {
       load.LearnCapacity(
           attempt.endpoint->capacity,
-          load.InFlightOfAllFronts(attempt.endpoint->in_flight, settings.zone_replicas) + 1,
+          load.InFlightOfAllFronts(attempt.endpoint->in_flight, settings.fronts_in_zone) + 1,
           uncontended, duration);
       if (!request.class_state->transfers_seen)
         request.class_state->mean_transfer_time +=
@@ -271,21 +275,24 @@
     request.history->last_cache = attempt.endpoint;
   }
 
-  // Attributes a failure to the cache, its source or neither, and excludes the endpoint from
-  // further attempts of this request.
+  // Attributes a failure to the cache, its source or neither; the one it is attributed to gets no
+  // further attempt of this request. Neither is blamed for a miss, a cancellation, a start deadline
+  // that passed, or a broken connection that was already counted.
   void HandleFailure(Request& request, Attempt& attempt, const AttemptEnded& ended) {
     Endpoint* source = attempt.source;
     bool is_sibling = source && source->IsCache();
     Ms uncontended = request.KnownTransferTime();
     if (ended.cache_status != CacheStatus::kSourceMiss)
-      request.last_only_if_cached = false;
+      request.missed_only_if_cached = false;
+    // Counts as at least ten times the usual wait, so that the origin is spared.
     if (ended.cache_status == CacheStatus::kOriginFailed)
       sources.LearnOriginWait(std::max(ended.fill_wait, 10 * sources.origin_baseline_wait));
-    // A fill that was refused, lost or cancelled late shows a busy source as well as a slow fill
-    // does. An attempt that is not a known miss is taken for a fill where the cache has answered
-    // what was sent later.
-    bool is_fill = request.known_miss || (!settings.reports_cache_status &&
-                                          attempt.endpoint->last_success_sent_at > attempt.sent_at);
+    // A fill that was refused, or that ended without success after over three times its uncontended
+    // time, counts as a slow fill. Where answers carry no cache status, an attempt that is not a
+    // known miss is taken for a fill if the cache has answered another one that was sent later.
+    bool is_fill =
+        request.known_miss || (!settings.reports_cache_status &&
+                               attempt.endpoint->last_answered_sent_at > attempt.sent_at);
     if (!settings.reports_cache_status)
       uncontended += sources.typical_fill_wait;
     if (source && !is_sibling &&
@@ -295,24 +302,25 @@
     if (ended.result == AttemptResult::kMiss || ended.cache_status == CacheStatus::kNoFillSlot) {
       // Not a failure: the cache lacks the object, or has no fill slot free but still serves hits.
       if (ended.cache_status == CacheStatus::kNoFillSlot || (!is_sibling && request.known_miss))
-        request.failed.push_back(attempt.endpoint);
+        request.excluded.push_back(attempt.endpoint);
       request.sibling_missed |= is_sibling;
       request.known_miss = true;
     } else if (source && ended.cache_status >= CacheStatus::kSourceRefused &&
                ended.cache_status <= CacheStatus::kOriginFailed) {
       request.sibling_missed |= is_sibling;
       request.known_miss = true;
-      request.failed.push_back(source);
+      request.excluded.push_back(source);
       if (ended.cache_status == CacheStatus::kSourceRefused)
         source->overloaded_until = now + kSecond / 10;
       if (ended.cache_status == CacheStatus::kSourceFailed)
         selector.health.RecordFailure(*source);
     } else if (ended.result == AttemptResult::kOverloaded) {
       attempt.endpoint->overloaded_until = now + kSecond / 20;  // so that its queue can drain
-      request.failed.push_back(attempt.endpoint);
+      request.excluded.push_back(attempt.endpoint);
     } else if (ended.result != AttemptResult::kCancelled &&
-               ended.result != AttemptResult::kSuperseded && ended.earlier_on_connection == 0) {
-      request.failed.push_back(attempt.endpoint);
+               ended.result != AttemptResult::kStartDeadlinePassed &&
+               ended.earlier_on_connection == 0) {
+      request.excluded.push_back(attempt.endpoint);
       if (ended.is_local_fault)
         return;  // this front lacked a descriptor, which is no failure of the endpoint
       attempt.endpoint->may_have_restarted |=
--- a/src/logic/router.cpp
+++ b/src/logic/router.cpp
@@ -1,7 +1,8 @@
 // The router's entry point: Handle() passes each event to the component that it concerns, and
 // returns the actions to carry out, in order. Nothing in this folder reads a clock, does I/O, or
-// knows the names of endpoints or objects: all have numbers. docs/design.md lists the deviations
-// from the design.
+// knows the names of endpoints or objects: all have numbers. docs/design.md describes the
+// design, and where this code deviates from it. Comments on a rule say what it guards against, and
+// what it costs.
 #include "logic/request_processor.hpp"
 
 namespace dunlinwick {
@@ -51,7 +52,7 @@
     selector.admission_ramp = ramp;
   }
   void HandleEvent(const PeerMessageReceived&) {}  // fronts exchange no messages this way
-  void HandleEvent(const AttemptStarted& started) {
+  void HandleEvent(const ResponseStarted& started) {
     // The client receives the answer of that attempt from now on: only the attempt's end decides
     // about the request.
     logic::Request* request = requests.Find(started.request);
--- a/src/logic/size_fairness.hpp
+++ b/src/logic/size_fairness.hpp
@@ -8,9 +8,9 @@
 struct SizeFairness : PolicyContext {
   const Load& load;
 
-  // Each arrival credits its size step with this part of the admitted share of its class. A credit
-  // of one admission exempts a request from rejection by utilisation and by the price of open
-  // requests.
+  // Each arrival credits its size bucket with this part of the admitted share of its class. A
+  // credit of one admission exempts a request from rejection by utilisation and by the price of
+  // open requests.
   void RecordArrival(Request& request) const {
     constexpr double kMinShare = 0.6;
     double& credit = request.class_state->CreditOf(request.transfer_time);
@@ -31,7 +31,7 @@
  private:
   static constexpr double kStep = 0.02;  // averages over the last fifty requests
   // While endpoints fail, hang or start, or did so lately, large requests sent to them are wasted.
-  // Where answers carry no cache status, neither is known well enough.
+  // Where answers carry no cache status, the health is too uncertain, and no request is exempt.
   bool AreEndpointsHealthy() const {
     constexpr Ms kRecent = 10 * kSecond;
     return std::all_of(
--- a/src/logic/slow_start.hpp
+++ b/src/logic/slow_start.hpp
@@ -22,12 +22,13 @@
     return lowest > 0 ? lowest : endpoint.capacity.demonstrated;
   }
 
-  // The deployment limits the work N sent in any window of the given length, and allows
-  // 2 sqrt(N) + 2 mean requests more for chance. Half of this front's share is used, since requests
-  // come in bursts. A request beyond it is admitted by a random draw that holds for one window and
-  // then lapses, so that no budget is saved up: as long as the sum stays within the mean work of a
-  // request; or a single request with a probability by its own work and what is left of the share,
-  // up to half the limit. Cost: the largest requests go to endpoints outside of slow start.
+  // The deployment limits the work that all fronts together send to an endpoint in any window.
+  // Where the limit is worth N mean requests, it tolerates 2 sqrt(N) + 2 more for chance. This
+  // front uses half of its even share, since requests come in bursts. A share may be under one
+  // request. So a random number, drawn once a window so that no budget is saved up, decides on
+  // requests beyond it: with probability share / mean work, the sum may go up to the mean work of
+  // one request; a larger request is admitted with probability (share - spent) / its work, if its
+  // work is at most `largest`. Cost: the largest requests go to endpoints outside of slow start.
   bool CanAfford(Endpoint& endpoint, Ms work) const {
     const SlowStartSettings* slow_start = load.endpoints.ActiveSlowStart(endpoint);
     if (!slow_start || slow_start->overload_factor <= 0 || settings.slow_start_window <= 0)
--- a/src/logic/source_selector.hpp
+++ b/src/logic/source_selector.hpp
@@ -13,12 +13,15 @@
   Ms origin_baseline_wait = 0;  // the same as it usually is
   Ms typical_fill_wait = 0;  // of a fill until its first byte, learnt where answers don't report it
 
-  // A cache of the zone that served the part within the idle window, when the object has moved to
-  // another cache since; otherwise a parent, in hash order; otherwise the origin. nullptr: no fill.
+  // The origin for uncacheable requests, if it is available. Otherwise a cache of the zone that
+  // served the part within the idle window, when the object has moved to another cache since.
+  // Otherwise a parent, by consistent hashing with bounded loads; or the origin, where no parent is
+  // available, or where the parent is busier than the request tolerates and than the origin.
+  // nullptr: no fill.
   Endpoint* SelectSource(Request& request, const Endpoint& cache) const {
     Endpoint *origin = load.endpoints.origin, *last_cache = request.last_cache;
     auto is_available = [&](Endpoint* source) {
-      return selector.health.CheckUsable(*source) && !request.HasFailed(source) &&
+      return selector.health.CheckUsable(*source) && !request.IsExcluded(source) &&
              selector.slow_start.CanAfford(*source, selector.slow_start.WorkOf(request));
     };
     if (request.class_state->uncacheable && origin && is_available(origin))
@@ -53,10 +56,10 @@
                                                                                         : best;
   }
 
-  // While the origin is slow compared to its usual wait, only a share of the misses leads to it,
-  // which shrinks with the slowdown; the others get a fill with only_if_cached from a parent, and
-  // are rejected if it lacks the object. Cost: a lasting change of the origin's speed is taken for
-  // a disturbance at first.
+  // While the origin's wait is over three times its usual one, only a share of the misses may reach
+  // it, the smaller the slower it is, and a tenth of those that would be late anyway. The others
+  // get a fill with only_if_cached from a parent, and are rejected if it lacks the object. Cost: a
+  // lasting change of the origin's speed is taken for a disturbance at first.
   bool SparesOrigin(const Request& request) const {
     constexpr double kSlowdown = 3, kMinShare = 0.1;
     if (origin_wait <= kSlowdown * origin_baseline_wait)
@@ -92,11 +95,11 @@
     source.object_share_cut_at = is_overloaded ? now : source.object_share_cut_at;
   }
 
-  // Where answers report neither the result of a fill nor its wait, the stretch is its duration
-  // relative to its transfer time and the typical wait (half of the fills wait longer): of the
-  // source's last fills, fading, or of an attempt still in flight. Guards against slow sources that
-  // get only one attempt in some seconds from each of many fronts. Cost: a busy second moves
-  // objects.
+  // The slowdown of the source's latest fills; it fades to 1, which is none. Where answers carry no
+  // cache status, it is measured against the transfer time plus the median wait. CanMeetObjective()
+  // then also counts attempts in flight; where answers carry a cache status it is always true.
+  // Guards against slow sources that get only one attempt in some seconds from each of many fronts.
+  // Cost: a short disturbance moves objects to other sources.
   double FillStretchOf(const Endpoint& source, bool only_if_cached) const {
     constexpr Ms kFade = 30 * kSecond;  // each of many fronts fills from a source once in seconds
     Ms learnt_at = only_if_cached ? source.cached_fill_stretch_at : source.fill_stretch_at;
@@ -125,8 +128,8 @@
     Endpoint& source = *attempt.source;
     if (uncontended <= 0)
       return;
-    // Such a fill shows only how the source delivers what it has cached, and nothing about the
-    // link.
+    // A fill with only_if_cached shows only how the source delivers what it has cached, and nothing
+    // about the link.
     if (attempt.only_if_cached && !settings.reports_cache_status) {
       source.cached_fill_stretch =
           FillStretchOf(source, true) +
@@ -153,9 +156,9 @@
     // Slower where durations are all there is to learn from.
     double growth = settings.reports_cache_status ? 1.05 : 1.02;
     if (!load.has_configured_link && source.fill_stretch <= 1.25 * best)
-      load.LearnCapacity(load.link,
-                         load.InFlightOfAllFronts(load.fills_in_flight, settings.zone_replicas) + 1,
-                         uncontended, duration, 1, growth);
+      load.LearnCapacity(
+          load.link, load.InFlightOfAllFronts(load.fills_in_flight, settings.fronts_in_zone) + 1,
+          uncontended, duration, 1, growth);
   }
   // A fill that succeeded. Where answers don't report how long it waited, the typical wait is
   // learnt and counted as part of an uncontended fill.
--- a/src/logic/traffic_statistics.hpp
+++ b/src/logic/traffic_statistics.hpp
@@ -6,7 +6,9 @@
 namespace dunlinwick::logic {
 
 struct TrafficStatistics : PolicyContext {
-  static constexpr Ms kCountDecay = 30 * kSecond;  // long beside any idle window
+  // The time constant with which request counts decay.
+  static constexpr Ms kCountDecay = 30 * kSecond;
+  // Where no freshness lifetime limits the idle window.
   static constexpr Ms kMaxIdleWindow = 4 * kCountDecay;
   const Purges& purges;
   std::vector<ClassState> class_states{};
@@ -25,8 +27,8 @@
     std::uint64_t key = MixHash(object) + static_cast<std::uint64_t>(part);
     if (PartHistory* found = histories.Touch(key, now))
       return found;
-    // A history older than the longest idle window, with its count decayed, has no more
-    // information.
+    // A history that was not used for four decay times has next to no count left. It is dropped
+    // even where a long freshness lifetime permits a longer idle window.
     auto is_obsolete = [&](Ms used_at) {
       return histories.by_use.size() >= kMaxHistories || used_at < now - kMaxIdleWindow;
     };
@@ -90,7 +92,7 @@
   int RetentionRankOf(const Request& request) const {
     // This request itself is no evidence of requests to other fronts.
     double request_rate =
-        ((request.history->request_count - 1) * settings.zone_replicas + 1) / kCountDecay;
+        ((request.history->request_count - 1) * settings.fronts_in_zone + 1) / kCountDecay;
     double hit_probability = 1 - std::exp(-request_rate * request.class_state->idle_window);
     return hit_probability > 2.0 / 3 ? 3 : hit_probability > 1.0 / 3 ? 2 : 1;
   }
--- a/src/logic_state/policy_context.hpp
+++ b/src/logic_state/policy_context.hpp
@@ -21,7 +21,7 @@
 // itself, at start.
 struct PolicySettings {
   int zone;
-  int zone_replicas;
+  int fronts_in_zone;
   int fronts;
   int max_open_requests;
   int parent_kind;
@@ -42,7 +42,7 @@
   SlowStartSettings parent_slow_start;
   explicit PolicySettings(const DeploymentSettings& deployment)
       : zone(deployment.zone),
-        zone_replicas(std::max(1, deployment.zone_replicas)),
+        fronts_in_zone(std::max(1, deployment.fronts_in_zone)),
         fronts(std::max(1, deployment.fronts)),
         max_open_requests(deployment.max_open_requests),
         parent_kind(deployment.parent_kind),
--- a/src/logic_state/records.hpp
+++ b/src/logic_state/records.hpp
@@ -19,26 +19,28 @@
   kRemoteZoneCache
 };
 
-constexpr int kSizeSteps = 16;  // each of them larger by the root of two
+// Logarithmic buckets of transfer times, relative to the mean of the class. Each bound is sqrt(2)
+// times the one before.
+constexpr int kSizeBuckets = 16;
 
 // The settings of one request class, with what has been learnt of it.
 struct ClassState : RequestClass {
   Ms mean_transfer_time = 0;
   Ms idle_window = 0;  // a part requested again within this time is expected to be a cache hit
-  double admitted_share = 1;                          // moving average over its recent requests
-  std::array<double, kSizeSteps> admission_credit{};  // by size step
+  double admitted_share = 1;                            // moving average over its recent requests
+  std::array<double, kSizeBuckets> admission_credit{};  // by size bucket
   double& CreditOf(Ms transfer_time) {
     const double step =
         2 * std::log2(std::max(transfer_time, 1.0) / std::max(mean_transfer_time, 1.0));
     return admission_credit[static_cast<std::size_t>(
-        std::clamp(step + kSizeSteps / 2.0, 0.0, kSizeSteps - 1.0))];
+        std::clamp(step + kSizeBuckets / 2.0, 0.0, kSizeBuckets - 1.0))];
   }
   int transfers_seen = 0;  // counted up to the weight of the moving average of their times
 };
 
 // How many transfers an endpoint or link carries at full speed.
 struct CapacityEstimate {
-  double nominal = 0;       // from its weight or a default
+  double nominal = 0;       // from its weight or a default; raised when answers show more
   double present = 0;       // as its latest answers suggest
   double demonstrated = 0;  // the highest load that it has carried, approached slowly from below
   Ms updated_at = 0;
@@ -51,8 +53,8 @@
   Ms updated_at = kLongAgo;
 };
 
-// An entry of the endpoint list. One that was removed is erased by the first list update a minute
-// after its last successful answer, once no request refers to it.
+// An entry of the endpoint list. One that was removed is erased by a list update once no request
+// refers to it and nothing that was sent to it in the last minute was answered.
 struct Endpoint : ListEntry {
   Role role = Role::kRemoteZoneCache;
   InFlightCounter in_flight;  // attempts of this front sent to it, or filled from it
@@ -65,15 +67,17 @@
   int consecutive_failures = 0;
   int consecutive_probe_successes = 0;
   bool ejected = false;
-  bool half_open_probe_in_flight = false;  // an attempt that tests an ejected endpoint
+  bool half_open_attempt_in_flight = false;  // one that tests an ejected endpoint
   bool may_have_restarted = false;
   Ms ejected_until = 0;
   Ms backoff = 0;
   Ms overloaded_until = 0;
-  Ms last_success_sent_at = kLongAgo;  // when the latest attempt was sent that it answered, or
-                                       // filled as a source
-  double fill_stretch = 1;             // duration of its fills over that of an uncontended transfer
-  double cached_fill_stretch = 1;      // the same for fills with only_if_cached
+  // When the latest of the attempts was sent that it answered (also with a miss or as overloaded),
+  // or filled as a source.
+  Ms last_answered_sent_at = kLongAgo;
+  // Slowdown: the duration of its fills over that of an uncontended transfer.
+  double fill_stretch = 1;
+  double cached_fill_stretch = 1;  // the same for fills with only_if_cached
   Ms fill_stretch_at = kLongAgo;
   Ms cached_fill_stretch_at = kLongAgo;
   double object_share = 1;  // of the objects that hash to it, those still requested from it
@@ -120,19 +124,21 @@
   bool streaming = false;
   bool sibling_missed = false;
   bool known_miss = false;
-  bool last_only_if_cached = false;  // its latest attempt was sent with only_if_cached
-  bool only_if_cached = false;       // no source could fetch the object in time
-  bool has_credit = false;           // of its size step, for an admission whatever its size
-  double claimed_credit = 0;
+  // The latest attempt was sent with only_if_cached, and is in flight or its source lacked the
+  // object: no more attempts are sent.
+  bool missed_only_if_cached = false;
+  bool only_if_cached = false;  // no source could fetch the object in time
+  bool has_credit = false;      // of its size bucket, for an admission whatever its size
+  double claimed_credit = 0;    // taken from its size bucket; given back if it is rejected
   std::vector<Attempt> attempts;
-  std::vector<Endpoint*> failed;  // caches and sources that failed this request
+  std::vector<Endpoint*> excluded;  // caches and sources that this request does not try again
   SizeBand Band() const {
     return transfer_time > 2 * class_state->mean_transfer_time   ? SizeBand::kLarge
            : transfer_time < class_state->mean_transfer_time / 2 ? SizeBand::kSmall
                                                                  : SizeBand::kUsual;
   }
-  bool HasFailed(const Endpoint* endpoint) const {
-    return std::count(failed.begin(), failed.end(), endpoint) > 0;
+  bool IsExcluded(const Endpoint* endpoint) const {
+    return std::count(excluded.begin(), excluded.end(), endpoint) > 0;
   }
   bool HasAttemptInFlight() const {
     return std::any_of(attempts.begin(), attempts.end(),
@@ -142,7 +148,7 @@
     auto uses = [&](const Attempt& attempt) {
       return attempt.endpoint == endpoint || attempt.source == endpoint;
     };
-    return last_cache == endpoint || HasFailed(endpoint) ||
+    return last_cache == endpoint || IsExcluded(endpoint) ||
            std::any_of(attempts.begin(), attempts.end(), uses);
   }
   // 0 while no size has been reported in its class.
--- a/src/logic_state/tables.hpp
+++ b/src/logic_state/tables.hpp
@@ -28,8 +28,8 @@
   return (static_cast<double>(hash >> 11) + 0.5) * 0x1p-53;
 }
 
-// Open requests by their number. An entry is erased when the request has ended and its last attempt
-// is no longer in flight.
+// Requests by their number. An entry is erased when the request has ended and none of its attempts
+// is in flight.
 struct Requests : std::map<std::uint32_t, Request> {
   Request* Find(std::uint32_t id) {
     auto found = find(id);
--- a/src/sheet/sheet.cpp
+++ b/src/sheet/sheet.cpp
@@ -140,7 +140,7 @@
                                            {"cell", DeduplicationScope::kCell}});
     request_class.deduplication_window = values.Number(prefix + "memorySpan", 0);
     request_class.latency_objective = values.Number(prefix + "aim");
-    request_class.latency_objective_stretch = values.Number(prefix + "aimStretch", 0);
+    request_class.latency_objective_per_transfer_time = values.Number(prefix + "aimStretch", 0);
     request_class.max_deadline = values.Number(prefix + "giveUp");
     request_class.priority_weight = values.Number(prefix + "importance", 1);
     request_class.streams = values.Flag(prefix + "stream", false);
@@ -152,11 +152,11 @@
   settings.zone = values.Integer("zone", 0, 65535);
   settings.fronts = values.Integer("balancers", 1, 65535);
   std::size_t zone = static_cast<std::size_t>(settings.zone);
-  std::vector<double> zone_replicas = values.Numbers("familyInfo.crewByZone"),
+  std::vector<double> fronts_by_zone = values.Numbers("familyInfo.crewByZone"),
                       link_rates = values.Numbers("familyInfo.pipeKbPerS");
-  settings.zone_replicas =
-      zone < zone_replicas.size()
-          ? KeyValues::ToInteger("familyInfo.crewByZone", zone_replicas[zone], 0, 65535)
+  settings.fronts_in_zone =
+      zone < fronts_by_zone.size()
+          ? KeyValues::ToInteger("familyInfo.crewByZone", fronts_by_zone[zone], 0, 65535)
           : settings.fronts;
   settings.link_kb_per_ms = zone < link_rates.size() ? link_rates[zone] / 1000 : 0;
   settings.parent_kind = static_cast<int>(values.Number("familyInfo.parentKind", -1));
--- a/src/world/model.hpp
+++ b/src/world/model.hpp
@@ -52,7 +52,7 @@
       1;  // makes the mean over the requests as above, whatever sizes popular objects have
   Ms latency_objective = 0;
   Ms max_deadline = 0;
-  double latency_objective_stretch = 0;
+  double latency_objective_per_transfer_time = 0;
   double priority_weight = 1;
   double late_value = 0;
   Ms max_age = 0;  // 0: until purged
--- a/tests/drift_test.cpp
+++ b/tests/drift_test.cpp
@@ -200,7 +200,7 @@
   REQUEST_CLASS_FIELD(deduplication_scope, DeduplicationScope::kCell, "span");
   REQUEST_CLASS_FIELD(deduplication_window, 7, "memory");
   REQUEST_CLASS_FIELD(latency_objective, 7, "agreed");
-  REQUEST_CLASS_FIELD(latency_objective_stretch, 7, "agreed_stretch");
+  REQUEST_CLASS_FIELD(latency_objective_per_transfer_time, 7, "agreed_stretch");
   REQUEST_CLASS_FIELD(max_deadline, 7, "expiry");
   REQUEST_CLASS_FIELD(priority_weight, 7, "payoff");
   REQUEST_CLASS_FIELD(streams, true, "streams");
@@ -210,7 +210,7 @@
   add(section, name, [](DeploymentSettings& s) { s.field = value; })
   FIELD("sheet", zone, 7, "zone");
   FIELD("sheet", fronts, 7, "fronts");
-  FIELD("sheet", zone_replicas, 7, "crew");
+  FIELD("sheet", fronts_in_zone, 7, "crew");
   FIELD("sheet", parent_kind, 7, "parent_kind");
   FIELD("sheet", origin_kind, 7, "origin_kind");
   FIELD("sheet", polls_endpoint_list, true, "asks_for_list");
--- a/tests/fleet_budget_test.cpp
+++ b/tests/fleet_budget_test.cpp
@@ -158,11 +158,11 @@
 
   explicit Fleet(const Scenario& p) : scenario(p), random_engine(p.seed) {
     auto n = static_cast<std::size_t>(p.fronts);
-    settings.fronts = settings.zone_replicas = p.fronts;
+    settings.fronts = settings.fronts_in_zone = p.fronts;
     settings.link_kb_per_ms = 1e9;
     for (RequestClass& o : settings.request_classes) {
       o.max_deadline = 20000;
-      o.latency_objective_stretch = 4;
+      o.latency_objective_per_transfer_time = 4;
     }
     if (!p.ramps)
       settings.cache_slow_start.initial_weight = 1;
@@ -609,10 +609,10 @@
   s.cache_slow_start.initial_weight = 1;
   for (RequestClass& o : s.request_classes) {
     o.max_deadline = 20000;
-    o.latency_objective_stretch = 4;
+    o.latency_objective_per_transfer_time = 4;
   }
   for (int fronts : {1, 2, 3, 4, 5, 6, 8, 12, 20}) {
-    s.fronts = s.zone_replicas = fronts;
+    s.fronts = s.fronts_in_zone = fronts;
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       std::vector<Sent> all;
--- a/tests/kit.hpp
+++ b/tests/kit.hpp
@@ -22,7 +22,7 @@
   DeploymentSettings s;
   RequestClass video, write;
   video.latency_objective = 500;
-  video.latency_objective_stretch = 2;
+  video.latency_objective_per_transfer_time = 2;
   video.max_deadline = 5000;
   video.priority_weight = 2;
   write.effect = Effect::kExclusive;
@@ -33,7 +33,7 @@
   s.request_classes = {video, write};
   s.zone = 1;
   s.fronts = 2;
-  s.zone_replicas = 1;
+  s.fronts_in_zone = 1;
   s.parent_kind = kParentKind;
   s.origin_kind = kOriginKind;
   s.weight_source = WeightSource::kNominal;
--- a/tests/large_objects_test.cpp
+++ b/tests/large_objects_test.cpp
@@ -83,12 +83,12 @@
     for (const Class& c : kClasses) {
       RequestClass o;
       o.latency_objective = c.latency_objective;
-      o.latency_objective_stretch = 2;
+      o.latency_objective_per_transfer_time = 2;
       o.max_deadline = kMaxDeadline;
       o.priority_weight = c.priority_weight;
       settings.request_classes.push_back(o);
     }
-    settings.fronts = settings.zone_replicas = 1;
+    settings.fronts = settings.fronts_in_zone = 1;
     settings.max_open_requests = p.max_open;
     settings.link_kb_per_ms = 10 * p.link;
     std::normal_distribution<> normal;
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -265,7 +265,7 @@
 // Where many fronts serve a zone, one request does not rank an object high: there may be no other.
 static void SingleRequestsRankLowWithManyFronts() {
   DeploymentSettings s = Settings();
-  s.zone_replicas = 12;
+  s.fronts_in_zone = 12;
   s.fronts = 200;
   Front f(s);
   SendAttempt a = f.Request(1);
@@ -671,7 +671,7 @@
   assert(f.all<WatchEndpointList>().size() == 1);
   SendAttempt a = f.Request(1);
   assert((a.endpoint == 11 || a.endpoint == 12) && a.source == 31);
-  f.Tell(AttemptStarted{a.request, a.endpoint, 0});
+  f.Tell(ResponseStarted{a.request, a.endpoint, 0});
   f.now += 9000;
   f.Tell(TimerFired{std::uint64_t{1} << 56 | a.request});
   assert(f.did.empty());  // a streamed answer that has started is not cancelled
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -65,7 +65,7 @@
   assert(s.request_classes[1].effect == Effect::kExclusive && s.permissions.direct_to_origin &&
          s.permissions.probe && s.max_attempts == old.max_attempts &&
          s.purge_completion_time == old.purge_completion_time &&
-         s.zone_replicas == old.zone_replicas && s.max_retry_after == old.max_retry_after);
+         s.fronts_in_zone == old.fronts_in_zone && s.max_retry_after == old.max_retry_after);
 }
 
 void TestMigrationIsIdempotent() {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -133,7 +133,7 @@
         {"a FAULT remark=far_fault 0", AttemptResult::kError, CacheStatus::kOriginFailed, 0},
         {"a FAULT later=field,remark=cut_off 0", AttemptResult::kError, CacheStatus::kSourceFailed,
          0},
-        {"a LATE - 0", AttemptResult::kSuperseded, CacheStatus::kNone, 0}}) {
+        {"a LATE - 0", AttemptResult::kStartDeadlinePassed, CacheStatus::kNone, 0}}) {
     auto answer = caches::ParseResponseLine(c.line, {});
     assert(answer && answer->id == "a" && !answer->is_probe && answer->body_length == c.length);
     assert(answer->head.result == c.ending && answer->head.cache_status == c.remark);
