--- a/src/rig/recordsim.hpp
+++ b/src/rig/recordsim.hpp
@@ -2,8 +2,8 @@
 // memory, with faults from one seed: fronts paused and killed, disks put back to an older copy,
 // emptied, swapped, flipped, full, failing; messages lost, late, doubled, cut both ways or one;
 // clocks at 1970 and stepping; two owners for a moment; subscribers that come late, leave, and come
-// back. The promise judged is that of replication.hpp: so at most a minority of disks is damaged at a
-// time, until brought up again; and without `doubtRestarts` a disk comes back older only where
+// back. The promise judged is that of replication.hpp: so at most a minority of disks is damaged at
+// a time, until brought up again; and without `doubtRestarts` a disk comes back older only where
 // every other keeper has witnessed more.
 #pragma once
 #include "record/replication.hpp"
